--- a/internal/coordination/operate.go
+++ b/internal/controller/operate.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/intake"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 )
@@ -18,17 +18,17 @@
 // decision is what the core answers to an operator's request: the answer, and
 // the transaction that has to hold first, if any.
 type decision struct {
-	reply operators.Reply
+	reply operatorapi.Reply
 	txn   *protocol.Txn
 }
 
-func no(code operators.Code, reason string) decision {
-	return decision{reply: operators.Reply{Code: code, Reason: reason}}
+func no(code operatorapi.Code, reason string) decision {
+	return decision{reply: operatorapi.Reply{Code: code, Reason: reason}}
 }
 
 // facts is what decisions on the calendar know of the site.
-func (c *Core) facts() *calendar.Facts {
-	return &calendar.Facts{
+func (c *Core) facts() *reservation.Facts {
+	return &reservation.Facts{
 		Types: c.Types, Most: c.Op.Machines,
 		Team: func(name protocol.Team) (config.Team, bool) {
 			t, ok := c.Team(name)
@@ -46,57 +46,57 @@
 
 // Operate decides an operator's request by what this controller has followed:
 // the answer, and the transaction that has to hold before it is given, if any.
-func (c *Core) Operate(by string, r *operators.Request) (operators.Reply, *protocol.Txn) {
+func (c *Core) Operate(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Txn) {
 	d := c.decide(by, r)
 	return d.reply, d.txn
 }
 
-func (c *Core) decide(by string, r *operators.Request) decision {
+func (c *Core) decide(by string, r *operatorapi.Request) decision {
 	if c.Session == 0 || len(c.Types) == 0 || c.WallMS == 0 {
-		return no(operators.Later, "not ready")
+		return no(operatorapi.Later, "not ready")
 	}
 	if r.Config == nil {
-		r.Config = &operators.ConfigRequest{}
+		r.Config = &operatorapi.ConfigRequest{}
 	}
 	switch {
-	case r.Op == operators.OpConfig:
+	case r.Op == operatorapi.OpConfig:
 		return c.showConfiguration(r)
-	case r.Op == operators.OpConfigure:
+	case r.Op == operatorapi.OpConfigure:
 		return c.configure(by, r)
-	case r.Op == operators.OpConfigStatus:
+	case r.Op == operatorapi.OpConfigStatus:
 		return c.configurationStatus()
-	case r.Op == operators.OpShares:
+	case r.Op == operatorapi.OpShares:
 		return c.listShares()
-	case r.Op == operators.OpMove:
+	case r.Op == operatorapi.OpMove:
 		return c.moveShares(r)
-	case r.Op == operators.OpAway:
+	case r.Op == operatorapi.OpAway:
 		return c.putAway(r)
-	case r.Op == operators.OpList || r.Op == operators.OpShow:
+	case r.Op == operatorapi.OpList || r.Op == operatorapi.OpShow:
 		return c.showReserved(r)
-	case r.Op == operators.OpCancel:
+	case r.Op == operatorapi.OpCancel:
 		return c.cancelReserved(r)
-	case r.Op == operators.OpAdd && !r.Window && r.Reservation != nil:
+	case r.Op == operatorapi.OpAdd && !r.Window && r.Reservation != nil:
 		return c.addReservation(by, r)
-	case r.Op == operators.OpAdd && r.Window && r.Spec != nil:
+	case r.Op == operatorapi.OpAdd && r.Window && r.Spec != nil:
 		return c.addWindow(by, r)
 	}
-	return no(operators.Refused, "no such operation")
+	return no(operatorapi.Refused, "no such operation")
 }
 
-func (c *Core) addReservation(by string, r *operators.Request) decision {
+func (c *Core) addReservation(by string, r *operatorapi.Request) decision {
 	pr, s := &c.reservations, *r.Reservation
-	if err := calendar.CheckReservation(&s); err != nil {
-		return no(operators.Refused, err.Error())
+	if err := reservation.CheckReservation(&s); err != nil {
+		return no(operatorapi.Refused, err.Error())
 	}
 	have := pr.Book.Reservation(s.Name)
 	if have != nil && r.ID != "" && have.Reservation.Request == r.ID {
-		return decision{reply: operators.Reply{Code: operators.Done, Reason: "was accepted already", Reservations: []operators.Reservation{c.reservationView(have)}}}
+		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Reservations: []operatorapi.Reservation{c.reservationView(have)}}}
 	}
 	if have != nil && !r.Replace && have.State != bookkeeping.Cancelled && have.State != bookkeeping.Used && have.State != bookkeeping.Expired {
-		return no(operators.Refused, "there is a reservation of this name")
+		return no(operatorapi.Refused, "there is a reservation of this name")
 	}
 	if !pr.Book.Complete() {
-		return no(operators.Later, "the calendar is still being read, or is full")
+		return no(operatorapi.Later, "the calendar is still being read, or is full")
 	}
 	a := pr.Book.Reserve(&s, c.facts(), c.Moment())
 	d := answered(a)
@@ -111,24 +111,24 @@
 	} else {
 		d.txn = c.changeCalendar(bookkeeping.ReservationKey(s.Name), versionOf(have), rec)
 	}
-	d.reply.Reservations = []operators.Reservation{{Reservation: rec}}
+	d.reply.Reservations = []operatorapi.Reservation{{Reservation: rec}}
 	return d
 }
 
-func (c *Core) addWindow(by string, r *operators.Request) decision {
+func (c *Core) addWindow(by string, r *operatorapi.Request) decision {
 	pr, s := &c.reservations, *r.Spec
-	if err := calendar.CheckWindow(&s); err != nil {
-		return no(operators.Refused, err.Error())
+	if err := reservation.CheckWindow(&s); err != nil {
+		return no(operatorapi.Refused, err.Error())
 	}
 	have := pr.Book.Window(s.Name)
 	if have != nil && r.ID != "" && have.Window.Request == r.ID {
-		return decision{reply: operators.Reply{Code: operators.Done, Reason: "was accepted already", Windows: []operators.Window{c.windowView(have)}}}
+		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Windows: []operatorapi.Window{c.windowView(have)}}}
 	}
 	if have != nil && !r.Replace && !have.Cancelled {
-		return no(operators.Refused, "there is a window of this name")
+		return no(operatorapi.Refused, "there is a window of this name")
 	}
 	if !pr.Book.Complete() {
-		return no(operators.Later, "the calendar is still being read, or is full")
+		return no(operatorapi.Later, "the calendar is still being read, or is full")
 	}
 	a := pr.Book.Close(&s, c.facts(), c.Moment())
 	d := answered(a)
@@ -139,19 +139,19 @@
 	if !r.DryRun {
 		d.txn = c.changeCalendar(bookkeeping.WindowKey(s.Name), versionOf(have), rec)
 	}
-	d.reply.Windows = []operators.Window{{Window: rec, NextMS: a.First[0], Overruns: c.overruns(&s, a.First[0])}}
+	d.reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.First[0], Overruns: c.overruns(&s, a.First[0])}}
 	return d
 }
 
-func answered(a calendar.Answer) decision {
-	code := operators.Done
+func answered(a reservation.Answer) decision {
+	code := operatorapi.Done
 	if !a.OK {
-		code = operators.Refused
+		code = operatorapi.Refused
 	}
-	return decision{reply: operators.Reply{Code: code, Reason: a.Reason, InTheWay: a.InTheWay, Beside: a.Beside, FirstMS: a.First}}
+	return decision{reply: operatorapi.Reply{Code: code, Reason: a.Reason, InTheWay: a.InTheWay, Beside: a.Beside, FirstMS: a.First}}
 }
 
-func versionOf(e *calendar.Entry) protocol.Version {
+func versionOf(e *reservation.Entry) protocol.Version {
 	if e == nil {
 		return 0
 	}
@@ -170,18 +170,18 @@
 	}
 }
 
-func (c *Core) cancelReserved(r *operators.Request) decision {
+func (c *Core) cancelReserved(r *operatorapi.Request) decision {
 	pr := &c.reservations
-	done := operators.Reply{Code: operators.Done, Reason: "cancelled"}
+	done := operatorapi.Reply{Code: operatorapi.Done, Reason: "cancelled"}
 	e, what := pr.Book.Reservation(r.Name), "reservation"
 	if r.Window {
 		e, what = pr.Book.Window(r.Name), "window"
 	}
 	switch {
 	case e == nil:
-		return no(operators.NotFound, "no "+what+" of this name")
+		return no(operatorapi.NotFound, "no "+what+" of this name")
 	case r.Made != 0 && e.Made() != r.Made:
-		return no(operators.Refused, "it was made anew since")
+		return no(operatorapi.Refused, "it was made anew since")
 	case !e.Valid():
 		return decision{reply: done}
 	case r.Window:
@@ -197,21 +197,21 @@
 // listed at once: an answer is at most as large as a request.
 const listedMost = 40
 
-func (c *Core) showReserved(r *operators.Request) decision {
+func (c *Core) showReserved(r *operatorapi.Request) decision {
 	pr := &c.reservations
-	reply := operators.Reply{Code: operators.Done}
-	if r.Op == operators.OpShow {
+	reply := operatorapi.Reply{Code: operatorapi.Done}
+	if r.Op == operatorapi.OpShow {
 		e := pr.Book.Reservation(r.Name)
 		if r.Window {
 			e = pr.Book.Window(r.Name)
 		}
 		switch {
 		case e == nil:
-			return no(operators.NotFound, "nothing of this name")
+			return no(operatorapi.NotFound, "nothing of this name")
 		case r.Window:
-			reply.Windows = []operators.Window{c.windowView(e)}
+			reply.Windows = []operatorapi.Window{c.windowView(e)}
 		default:
-			reply.Reservations = []operators.Reservation{c.reservationView(e)}
+			reply.Reservations = []operatorapi.Reservation{c.reservationView(e)}
 		}
 		return decision{reply: reply}
 	}
@@ -240,8 +240,8 @@
 	return decision{reply: reply}
 }
 
-func (c *Core) reservationView(e *calendar.Entry) operators.Reservation {
-	v := operators.Reservation{Reservation: *e.Reservation}
+func (c *Core) reservationView(e *reservation.Entry) operatorapi.Reservation {
+	v := operatorapi.Reservation{Reservation: *e.Reservation}
 	for _, h := range c.reservations.List {
 		if h.For == e.Name() {
 			v.Held += h.Tasks
@@ -255,14 +255,14 @@
 	return v
 }
 
-func (c *Core) windowView(e *calendar.Entry) operators.Window {
+func (c *Core) windowView(e *reservation.Entry) operatorapi.Window {
 	now := c.Moment()
-	v := operators.Window{Window: *e.Window}
+	v := operatorapi.Window{Window: *e.Window}
 	if e.Cancelled {
 		return v
 	}
 	length := config.Seconds(e.Window.Spec.LengthS)
-	if times := e.When.Occurrences(calendar.After(now, -length), calendar.After(now, calendar.Ahead)); len(times) > 0 {
+	if times := e.When.Occurrences(reservation.After(now, -length), reservation.After(now, reservation.Ahead)); len(times) > 0 {
 		v.NextMS, v.Open = times[0], times[0] <= now
 		v.Overruns = c.overruns(&e.Window.Spec, v.NextMS)
 	}
@@ -271,39 +271,39 @@
 
 // overruns lists the machines whose work is likely to go on after a window has
 // opened, the longest first.
-func (c *Core) overruns(s *bookkeeping.WindowSpec, opens calendar.Moment) []operators.Overrun {
+func (c *Core) overruns(s *bookkeeping.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
 	const most = 50
-	var out []operators.Overrun
+	var out []operatorapi.Overrun
 	for _, m := range c.machinesInOrder() {
-		if !calendar.Covers(s, m.ID, m.Record.Type, m.Record.Zone) {
+		if !reservation.Covers(s, m.ID, m.Record.Type, m.Record.Zone) {
 			continue
 		}
-		last := calendar.Moment(0)
+		last := reservation.Moment(0)
 		for _, r := range m.reported.Runs {
 			last = max(last, r.Ends)
 		}
 		if last > opens {
-			out = append(out, operators.Overrun{Machine: m.ID, ByS: calendar.Between(opens, last).Seconds()})
+			out = append(out, operatorapi.Overrun{Machine: m.ID, ByS: reservation.Between(opens, last).Seconds()})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b operators.Overrun) int { return int(b.ByS - a.ByS) })
+	slices.SortStableFunc(out, func(a, b operatorapi.Overrun) int { return int(b.ByS - a.ByS) })
 	return out[:min(len(out), most)]
 }
 
 // operate answers an operator's request. A change is tried again while others
 // change the calendar, or while it is not known what became of it: its id tells.
 func (f *frontend) operate(ctx context.Context, body []byte) *transport.Message {
-	keys, err := operators.ReadKeys(f.n.op.OperatorKeys) // anew each time: keys are changed without a restart
+	keys, err := operatorapi.ReadKeys(f.n.op.OperatorKeys) // anew each time: keys are changed without a restart
 	if err != nil {
 		f.n.log.Error("operators' keys can't be read", "err", err)
 		return failure(503, "operators' keys can't be read")
 	}
-	r, by, err := operators.Open(body, keys, time.Now(), f.n.settings.Site.ClockError())
+	r, by, err := operatorapi.Open(body, keys, time.Now(), f.n.settings.Site.ClockError())
 	if err != nil {
 		f.n.log.Info("operator's request refused", "err", err)
-		return success(403, operators.Reply{Code: operators.Denied, Reason: operators.ErrSeal.Error()})
+		return success(403, operatorapi.Reply{Code: operatorapi.Denied, Reason: operatorapi.ErrSeal.Error()})
 	}
-	if r.Op == operators.OpConfigHistory {
+	if r.Op == operatorapi.OpConfigHistory {
 		return f.configurationHistory(ctx)
 	}
 	for ctx.Err() == nil {
@@ -321,7 +321,7 @@
 			return operatorAnswer(d.reply)
 		case errors.Is(err, bookkeeping.ErrMalformed):
 			f.n.log.Error("state service refuses an operator's record", "err", err)
-			return operatorAnswer(operators.Reply{Code: operators.Refused, Reason: "too large to be stored"})
+			return operatorAnswer(operatorapi.Reply{Code: operatorapi.Refused, Reason: "too large to be stored"})
 		case errors.Is(err, bookkeeping.ErrRefused):
 			f.n.log.Debug("operator", "err", err)
 			return failure(503, "state service can't be asked")
@@ -331,11 +331,11 @@
 	return failure(503, "not settled yet")
 }
 
-func operatorAnswer(r operators.Reply) *transport.Message {
-	status := map[operators.Code]int{operators.Done: 200, operators.Refused: 409, operators.NotFound: 404, operators.Later: 503}[r.Code]
+func operatorAnswer(r operatorapi.Reply) *transport.Message {
+	status := map[operatorapi.Code]int{operatorapi.Done: 200, operatorapi.Refused: 409, operatorapi.NotFound: 404, operatorapi.Later: 503}[r.Code]
 	m := success(status, r)
 	if status == 503 {
-		m.RetryAfterS = intake.RetryAfterS
+		m.RetryAfterS = admission.RetryAfterS
 	}
 	return m
 }
--- a/internal/coordination/operateconfig.go
+++ b/internal/controller/operateconfig.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 )
 
@@ -16,27 +16,27 @@
 const configListed = 200
 
 // configure decides an operator's change of the configuration.
-func (c *Core) configure(by string, r *operators.Request) decision {
+func (c *Core) configure(by string, r *operatorapi.Request) decision {
 	followed := c.Configured
 	if revision, done := followed.DoneBefore(r.ID); done {
-		reply := operators.Reply{Code: operators.Done, Reason: "was carried out already", Config: &operators.ConfigReply{Revision: revision, WithinS: c.configuredWithinS()}}
+		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: c.configuredWithinS()}}
 		return decision{reply: reply}
 	}
 	present := followed.Effective().Revision
 	switch {
 	case !c.Acting():
-		return no(operators.Later, "may not act now")
+		return no(operatorapi.Later, "may not act now")
 	case c.View.Layout < bookkeeping.LayoutConfiguration:
-		return no(operators.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", c.members.Hindering(bookkeeping.LayoutConfiguration)))
+		return no(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", c.members.Hindering(bookkeeping.LayoutConfiguration)))
 	case r.Config.Revision != nil && *r.Config.Revision != present:
-		return no(operators.Refused, fmt.Sprintf("revision %d is in force, not %d", present, *r.Config.Revision))
+		return no(operatorapi.Refused, fmt.Sprintf("revision %d is in force, not %d", present, *r.Config.Revision))
 	}
 	plan, err := followed.Decide(c.configurationFacts(), r.Config.Changes)
 	if err != nil {
-		return no(operators.Refused, err.Error())
+		return no(operatorapi.Refused, err.Error())
 	}
 	plan.Request, plan.By, plan.AtMS = r.ID, by, c.Moment()
-	d := decision{reply: operators.Reply{Code: operators.Done, Config: &operators.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: c.configuredWithinS()}}}
+	d := decision{reply: operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: c.configuredWithinS()}}}
 	switch {
 	case len(plan.Changes) == 0:
 		d.reply.Reason, d.reply.Config.Revision = "nothing changes", present
@@ -55,8 +55,8 @@
 }
 
 // configurationFacts is what decisions on the configuration know of the site.
-func (c *Core) configurationFacts() *configuration.Facts {
-	facts := &configuration.Facts{
+func (c *Core) configurationFacts() *dynamicconfig.Facts {
+	facts := &dynamicconfig.Facts{
 		Zones: c.Settings.Site.Zones, Types: slices.Sorted(maps.Keys(c.Types)), MaxChanges: c.Settings.Site.State.TxnOps,
 		LiveJobs: func(team protocol.Team) (n int) {
 			for _, job := range c.Live {
@@ -74,9 +74,9 @@
 }
 
 // showConfiguration lists entries as they are in force.
-func (c *Core) showConfiguration(r *operators.Request) decision {
+func (c *Core) showConfiguration(r *operatorapi.Request) decision {
 	effective := c.Configured.Effective()
-	reply := operators.Reply{Code: operators.Done, Config: &operators.ConfigReply{Revision: effective.Revision}}
+	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: effective.Revision}}
 	for _, id := range c.configurationIDs() {
 		if id <= r.Config.After || !r.Config.Wants(id) {
 			continue
@@ -88,7 +88,7 @@
 		reply.Config.Entries = append(reply.Config.Entries, c.configurationView(id))
 	}
 	if len(reply.Config.Entries) == 0 && r.Config.Entry != "" {
-		return no(operators.NotFound, "there is no such entry")
+		return no(operatorapi.NotFound, "there is no such entry")
 	}
 	return decision{reply: reply}
 }
@@ -111,7 +111,7 @@
 	for name := range c.Types {
 		ids[bookkeeping.NewEntryID(bookkeeping.EntryType, string(name))] = true
 	}
-	for _, name := range configuration.Settings() {
+	for _, name := range dynamicconfig.Settings() {
 		ids[bookkeeping.NewEntryID(bookkeeping.EntrySetting, name)] = true
 	}
 	for id := range c.Configured.Entries() {
@@ -121,9 +121,9 @@
 }
 
 // configurationView is an entry as it is in force.
-func (c *Core) configurationView(id bookkeeping.EntryID) operators.ConfigEntry {
+func (c *Core) configurationView(id bookkeeping.EntryID) operatorapi.ConfigEntry {
 	effective := c.Configured.Effective()
-	v := operators.ConfigEntry{Entry: id, Revision: c.Configured.Entry(id).Revision}
+	v := operatorapi.ConfigEntry{Entry: id, Revision: c.Configured.Entry(id).Revision}
 	switch kind, name := id.Split(); kind {
 	case bookkeeping.EntryTeam:
 		t, known := effective.Team(protocol.Team(name))
@@ -146,7 +146,7 @@
 
 // configurationStatus tells who acts by which revision.
 func (c *Core) configurationStatus() decision {
-	reply := operators.Reply{Code: operators.Done, Config: &operators.ConfigReply{Revision: c.Configured.Effective().Revision, WithinS: c.configuredWithinS()}}
+	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: c.Configured.Effective().Revision, WithinS: c.configuredWithinS()}}
 	outdated := c.members.Outdated()
 	names := append(slices.Collect(maps.Keys(c.View.Members)), outdated...)
 	names = append(names, c.Self)
@@ -156,7 +156,7 @@
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
 		revision, ago := c.revisionOf(name)
-		reply.Config.Controllers = append(reply.Config.Controllers, operators.ConfigController{
+		reply.Config.Controllers = append(reply.Config.Controllers, operatorapi.ConfigController{
 			Name: name, Revision: revision, Member: c.View.Members[name] != 0, Older: slices.Contains(outdated, name), HeardS: ago.Seconds(),
 			Acting: name == c.Self && c.Acting(),
 		})
--- a/internal/coordination/inorder/order.go
+++ b/internal/controller/ordered/order.go
@@ -1,6 +1,6 @@
-// Package inorder goes through maps in the order of their keys, so that a step
+// Package ordered goes through maps in the order of their keys, so that a step
 // does the same things in the same order each time it is played.
-package inorder
+package ordered
 
 import (
 	"cmp"
--- a/internal/coordination/outbox.go
+++ b/internal/controller/outbox.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 )
--- a/internal/coordination/outbox_test.go
+++ b/internal/controller/outbox_test.go
@@ -1,9 +1,10 @@
-package coordination
+package controller
 
 import (
-	"damsonkeel/internal/coordination/message"
 	"testing"
 
+	"damsonkeel/internal/controller/message"
+
 	"pgregory.net/rapid"
 )
 
--- a/internal/coordination/owner.go
+++ b/internal/controller/owner.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -6,11 +6,11 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/forecast"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/forecast"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 
 	"github.com/bits-and-blooms/bitset"
@@ -41,13 +41,13 @@
 // team's limit for as long as it may be on its machine.
 type leavingTask struct {
 	team   protocol.Team
-	need   room.Amount
+	need   resource.Amount
 	number uint64 // of the Place that carried it; 0: any inventory counts
 }
 
 // ownedJob is a job this controller owns.
 type ownedJob struct {
-	*stateview.LiveJob
+	*clusterstate.LiveJob
 	loaded  bool // the bitmap of finished tasks has been read
 	loading bool
 	unknown bool // taken over: tasks not listed may be anywhere until all inventories are in
@@ -77,8 +77,8 @@
 	// lacksSince is since when a gang lacks a place for what was released of it.
 	lacksSince Time
 
-	level    room.Level // at the last placement
-	yields   bool       // at the last placement: has only what others leave
+	level    resource.Level // at the last placement
+	yields   bool           // at the last placement: has only what others leave
 	failedOn map[protocol.MachineID]bool
 	failures int  // attempts that ended in an error since a task was last done
 	failing  bool // it fails wherever it runs
@@ -121,7 +121,7 @@
 	if c.Live[j.ID] != nil {
 		return
 	}
-	l := &stateview.LiveJob{Job: j, Version: version, Since: c.Submitted(&j)}
+	l := &clusterstate.LiveJob{Job: j, Version: version, Since: c.Submitted(&j)}
 	l.Due = c.Due(l)
 	c.Live[j.ID] = l
 	c.noteArrival(&l.Job)
@@ -135,7 +135,7 @@
 	c.Log.Debug("job", "id", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks)
 }
 
-func (c *Core) own(l *stateview.LiveJob) *ownedJob {
+func (c *Core) own(l *clusterstate.LiveJob) *ownedJob {
 	o := &ownedJob{
 		LiveJob: l, done: bitset.New(uint(l.Tasks)), pending: bitset.New(uint(l.Tasks)),
 		again: bitset.New(uint(l.Tasks)), placed: map[protocol.TaskID]*placedTask{}, dirty: map[int]bool{}, stored: map[int]protocol.Version{}, failedOn: map[protocol.MachineID]bool{}, since: l.Since,
@@ -157,9 +157,9 @@
 		delete(p.progress, id)
 	}
 	if o := c.owner.jobs[id]; o != nil {
-		for _, t := range inorder.Tasks(o.placed) {
+		for _, t := range ordered.Tasks(o.placed) {
 			if c.Limited(o.Team) {
-				left := leavingTask{o.Team, room.Need(&o.Job), t.number}
+				left := leavingTask{o.Team, resource.Need(&o.Job), t.number}
 				if t.uncertain {
 					left.number = 0
 				}
@@ -210,8 +210,8 @@
 	if o.Kind == protocol.KindGang {
 		// The rest of the attempt can't go on: its next one starts when all
 		// of this one are gone.
-		for _, other := range inorder.Tasks(o.placed) {
-			c.askStop(other, true, stateview.GraceS(&o.Job))
+		for _, other := range ordered.Tasks(o.placed) {
+			c.askStop(other, true, clusterstate.GraceS(&o.Job))
 		}
 	}
 }
@@ -231,7 +231,7 @@
 func (c *Core) loseMachine(m *machineEntry) {
 	delete(c.owner.pending, m.ID)
 	c.left(m.ID, math.MaxUint64)
-	for _, t := range inorder.Tasks(m.mine) {
+	for _, t := range ordered.Tasks(m.mine) {
 		if o := c.owner.jobs[t.task.Job]; o != nil && o.placed[t.task] == t {
 			c.gone(o, t)
 		}
@@ -257,7 +257,7 @@
 		return
 	}
 	c.owner.retryAt = c.After(time.Second)
-	for id, o := range inorder.Of(c.owner.jobs) {
+	for id, o := range ordered.Of(c.owner.jobs) {
 		if o.finish {
 			c.writeFinish(o)
 		}
--- a/internal/coordination/placement.go
+++ b/internal/controller/placement.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -7,10 +7,10 @@
 	"sort"
 	"time"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -20,7 +20,7 @@
 
 // placingRound is one pass over the jobs that wait to be placed.
 type placingRound struct {
-	usage   map[protocol.Team]room.Amount
+	usage   map[protocol.Team]resource.Amount
 	claims  *claims
 	batches map[protocol.NodeName][]message.Placement // by keeper
 	waits   map[protocol.MachineID]*ownWaits
@@ -99,14 +99,14 @@
 			r.waits[p.Machine] = w
 		}
 		w.add += p.EstimateS * p.CPUs
-		w.taken.Add(room.Level(p.Level), p.Need())
+		w.taken.Add(resource.Level(p.Level), p.Need())
 	}
 }
 
 // sendPlacements hands placements to the machines' keepers.
 func (c *Core) sendPlacements(batches map[protocol.NodeName][]message.Placement) {
 	revision := c.Configured.Effective().Revision
-	for keeper, tasks := range inorder.Of(batches) {
+	for keeper, tasks := range ordered.Of(batches) {
 		p := c.peers[keeper]
 		if p == nil {
 			continue
@@ -132,7 +132,7 @@
 }
 
 // placeArray places pending tasks one by one.
-func (c *Core) placeArray(o *ownedJob, usage map[protocol.Team]room.Amount, left int, cl *claims) []message.Placement {
+func (c *Core) placeArray(o *ownedJob, usage map[protocol.Team]resource.Amount, left int, cl *claims) []message.Placement {
 	var out []message.Placement
 	zones := o.zones()
 	var from *candidates
@@ -194,7 +194,7 @@
 	o.waits++
 	if p := c.peers[c.Keeper(m.ID)]; p != nil {
 		// The Place that carries it is the next to the keeper.
-		c.expect(m, comingWait{c.Self, p.placed + 1, t.estimate * o.CPUs, o.level, room.Need(&o.Job)})
+		c.expect(m, comingWait{c.Self, p.placed + 1, t.estimate * o.CPUs, o.level, resource.Need(&o.Job)})
 	}
 	return message.Placement{Task: t.task, Attempt: a, Machine: m.ID, Epoch: m.Epoch, Tenure: c.Tenure(m.ID, m.Record.Zone), EstimateS: t.estimate, CPUs: o.CPUs, GPUs: o.GPUs, GB: o.MemoryGB, Level: int(o.level), Together: o.together()}
 }
@@ -258,10 +258,10 @@
 
 // waitBefore is what of the machine's expected wait comes before a task of a
 // level: what is queued there at lower levels lets it go first.
-func (m *machineEntry) waitBefore(l room.Level) float64 {
+func (m *machineEntry) waitBefore(l resource.Level) float64 {
 	wait := m.wait()
 	for lower, work := range m.reported.Queue {
-		if room.Level(lower) < l {
+		if resource.Level(lower) < l {
 			wait -= work
 		}
 	}
@@ -270,32 +270,32 @@
 
 // free is what a machine has free now, as far as this controller knows. One
 // with a queue has none: what waits there comes first.
-func (m *machineEntry) free() room.Amount {
+func (m *machineEntry) free() resource.Amount {
 	if m.reported.Epoch != m.Epoch {
-		return room.Capacity(m.Info).Minus(m.taken.Firm(0)) // nothing told yet: as it came up
+		return resource.Capacity(m.Info).Minus(m.taken.Firm(0)) // nothing told yet: as it came up
 	}
 	if m.reported.Queued > 0 {
-		return room.Amount{}
+		return resource.Amount{}
 	}
 	return m.idle()
 }
 
 // idle is what nothing runs in on a machine, whatever waits there: what room is
 // held for does not wait behind the rest.
-func (m *machineEntry) idle() room.Amount {
+func (m *machineEntry) idle() resource.Amount {
 	if m.reported.Epoch != m.Epoch {
 		return m.free()
 	}
-	return room.Amount{CPUs: m.reported.FreeCPUs, GPUs: m.reported.FreeGPUs, GB: m.reported.FreeGB}.Minus(m.taken.Firm(0))
+	return resource.Amount{CPUs: m.reported.FreeCPUs, GPUs: m.reported.FreeGPUs, GB: m.reported.FreeGB}.Minus(m.taken.Firm(0))
 }
 
 // unreserved is what a machine has free now beside what is held for reservations.
-func (m *machineEntry) unreserved() room.Amount { return m.free().Minus(m.reserved) }
+func (m *machineEntry) unreserved() resource.Amount { return m.free().Minus(m.reserved) }
 
 // firmRoom is what a machine has for a task of a level once everything that may
 // be stopped for it is gone.
-func (m *machineEntry) firmRoom(l room.Level) room.Amount {
-	room := room.Capacity(m.Info).Minus(m.taken.Firm(l))
+func (m *machineEntry) firmRoom(l resource.Level) resource.Amount {
+	room := resource.Capacity(m.Info).Minus(m.taken.Firm(l))
 	if m.reported.Epoch == m.Epoch {
 		room = room.Minus(m.held.Firm(l))
 	}
@@ -304,16 +304,16 @@
 
 // roomBelow is what a machine has for work of a rank or below, beside what is
 // more urgent.
-func (m *machineEntry) roomBelow(rank int) room.Amount {
-	return room.Capacity(m.Info).Minus(m.held.Above(rank)).Minus(m.taken.Above(rank))
+func (m *machineEntry) roomBelow(rank int) resource.Amount {
+	return resource.Capacity(m.Info).Minus(m.held.Above(rank)).Minus(m.taken.Above(rank))
 }
 
 // waitFor is the wait per processor that a task has to expect before it runs,
 // in seconds, its image's fetch included, and whether the machine has room for
 // it now. With room, the fuller machine counts a little less, so that small
 // tasks leave whole machines to large ones.
-func (m *machineEntry) waitFor(j *protocol.Job, l room.Level) (wait float64, now bool) {
-	n := room.Need(j)
+func (m *machineEntry) waitFor(j *protocol.Job, l resource.Level) (wait float64, now bool) {
+	n := resource.Need(j)
 	fetch := m.fetch(j)
 	if free := m.free(); free.Covers(n) {
 		return fetch + (free.CPUs-n.CPUs)/math.Max(m.Info.CPUs, 1), true
@@ -326,7 +326,7 @@
 	if slices.Contains(m.reported.Images, j.Image) {
 		return 0
 	}
-	return stateview.FetchS(m.Info, j)
+	return clusterstate.FetchS(m.Info, j)
 }
 
 // usable reports whether tasks may be placed on a machine at all.
@@ -361,8 +361,8 @@
 // gone. Of a team just taken over, attempts that are not listed, of jobs that
 // are over too, can be only on machines that were not heard since: they take no
 // more than all there is of these.
-func (c *Core) teamUsage() map[protocol.Team]room.Amount {
-	usage := map[protocol.Team]room.Amount{}
+func (c *Core) teamUsage() map[protocol.Team]resource.Amount {
+	usage := map[protocol.Team]resource.Amount{}
 	for _, o := range c.owner.jobs {
 		if c.Limited(o.Team) {
 			c.use(o, usage, len(o.placed))
@@ -372,7 +372,7 @@
 		usage[t.team] = usage[t.team].Plus(t.need)
 	}
 	if len(c.owner.unsure) > 0 {
-		var unheard room.Amount
+		var unheard resource.Amount
 		for id := range c.owner.pending {
 			if m := c.machines[id]; m != nil {
 				unheard = unheard.Plus(mostOn(m))
@@ -386,14 +386,14 @@
 }
 
 // mostOn is the most that attempts on a machine may take.
-func mostOn(m *machineEntry) room.Amount {
+func mostOn(m *machineEntry) resource.Amount {
 	if m.Info.Name == "" {
-		return room.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)} // of a type that the cloud does not list
+		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)} // of a type that the cloud does not list
 	}
-	return room.Capacity(m.Info)
+	return resource.Capacity(m.Info)
 }
 
-func (c *Core) use(o *ownedJob, usage map[protocol.Team]room.Amount, n int) {
+func (c *Core) use(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) {
 	u := usage[o.Team]
 	u.CPUs += o.CPUs * float64(n)
 	u.GPUs += o.GPUs * float64(n)
@@ -401,14 +401,14 @@
 }
 
 // withinLimit reports whether n more tasks keep the team within its limit.
-func (c *Core) withinLimit(o *ownedJob, usage map[protocol.Team]room.Amount, n int) bool {
+func (c *Core) withinLimit(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) bool {
 	t, ok := c.Team(o.Team)
 	if !ok {
 		return false
 	}
 	u := usage[o.Team].Plus(c.limitClaimed(o))
-	return (t.MaxCPUs == 0 || u.CPUs+o.CPUs*float64(n) <= t.MaxCPUs+room.Slack) &&
-		(t.MaxGPUs == 0 || u.GPUs+o.GPUs*float64(n) <= t.MaxGPUs+room.Slack)
+	return (t.MaxCPUs == 0 || u.CPUs+o.CPUs*float64(n) <= t.MaxCPUs+resource.Slack) &&
+		(t.MaxGPUs == 0 || u.GPUs+o.GPUs*float64(n) <= t.MaxGPUs+resource.Slack)
 }
 
 // keptWaiting is how long a job waits before others of its team leave it a part of the
@@ -422,8 +422,8 @@
 // wait beside machines with room, for a limit that is used up by what does not run. Left
 // to all such jobs, nothing would be queued where many wait, and whatever is large would
 // take what comes free.
-func (c *Core) queuesWithinLimit(o, other *ownedJob, usage map[protocol.Team]room.Amount) bool {
-	left := map[protocol.Team]room.Amount{o.Team: usage[o.Team]}
+func (c *Core) queuesWithinLimit(o, other *ownedJob, usage map[protocol.Team]resource.Amount) bool {
+	left := map[protocol.Team]resource.Amount{o.Team: usage[o.Team]}
 	if other != nil && !(c.waitsForLimit(o) && bySince(o, other) < 0) {
 		c.use(other, left, 1)
 	}
@@ -453,6 +453,6 @@
 }
 
 // mayStart is how many of n more tasks keep the team within its limit.
-func (c *Core) mayStart(o *ownedJob, usage map[protocol.Team]room.Amount, n int) int {
+func (c *Core) mayStart(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) int {
 	return sort.Search(n, func(k int) bool { return !c.withinLimit(o, usage, k+1) })
 }
--- a/internal/coordination/plan.go
+++ b/internal/controller/plan.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -7,52 +7,52 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/renting"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
-type kind = renting.Kind
+type kind = autoscaler.Kind
 
 // slots lists all room that is there or coming.
-func (c *Core) slots() []renting.Slot {
+func (c *Core) slots() []autoscaler.Slot {
 	f := &c.fleet
-	var up renting.Slots
+	var up autoscaler.Slots
 	for _, m := range c.machinesInOrder() {
 		if !c.usable(m) || len(c.reservations.Windows) > 0 && c.InWindow(m.ID, m.Record.Type, m.Record.Zone, c.Moment(), c.Moment()) {
 			continue
 		}
-		a := renting.Alike{Kind: m.kind(), Free: m.unreserved(), Held: m.held}
+		a := autoscaler.Alike{Kind: m.kind(), Free: m.unreserved(), Held: m.held}
 		for r := range a.Held {
 			a.Held[r] = a.Held[r].Plus(m.taken[r])
 		}
 		up.Add(a, m.Info)
 	}
 	slots := up.List
-	for id, m := range inorder.Of(f.coming) {
+	for id, m := range ordered.Of(f.coming) {
 		if b := f.boots[m.kind]; b != nil && b.trial {
 			continue // not counted on
 		}
-		s := renting.Fresh(c.Types[m.Type], m.kind, 1)
+		s := autoscaler.Fresh(c.Types[m.Type], m.kind, 1)
 		s.InS = math.Max(s.Info.BootS-c.Since(m.at).Seconds(), 1)
-		s.Free = s.Free.Minus(stateview.ReservedBy(c.reservations.Holds[id], c.Moment()))
+		s.Free = s.Free.Minus(clusterstate.ReservedBy(c.reservations.Holds[id], c.Moment()))
 		slots = append(slots, s)
 	}
-	for _, r := range inorder.Of(f.rents) {
-		slots = append(slots, renting.Fresh(c.Types[r.req.Type], r.kind(), r.req.Count))
+	for _, r := range ordered.Of(f.rents) {
+		slots = append(slots, autoscaler.Fresh(c.Types[r.req.Type], r.kind(), r.req.Count))
 	}
 	return slots
 }
 
 // work is tasks of a job as a plan reckons with them.
-func (c *Core) work(j *stateview.LiveJob, l room.Level, estimateS float64) renting.Work {
-	return renting.Work{
-		Need: room.Need(&j.Job), Level: l, OneZone: j.OneZone && j.Zone == "", Shun: c.risky(&j.Job),
-		EstimateS: estimateS, FetchS: func(t protocol.TypeInfo) float64 { return stateview.FetchS(t, &j.Job) },
+func (c *Core) work(j *clusterstate.LiveJob, l resource.Level, estimateS float64) autoscaler.Work {
+	return autoscaler.Work{
+		Need: resource.Need(&j.Job), Level: l, OneZone: j.OneZone && j.Zone == "", Shun: c.risky(&j.Job),
+		EstimateS: estimateS, FetchS: func(t protocol.TypeInfo) float64 { return clusterstate.FetchS(t, &j.Job) },
 		Allows: j.AllowsKind, Offers: c.offers(j),
 	}
 }
@@ -63,7 +63,7 @@
 	for _, r := range c.fleet.rents {
 		underWay[r.kind()] += r.req.Count
 	}
-	p := renting.New(c.openTypes(), c.slots(), underWay)
+	p := autoscaler.New(c.openTypes(), c.slots(), underWay)
 	defer c.rentWanted(p)
 	var demand, rest []message.Demand
 	for _, p := range c.peers {
@@ -78,16 +78,16 @@
 		switch j := c.wants(d); {
 		case j == nil:
 		case c.Awaited(&j.Job):
-			p.House(c.work(j, room.Level(d.Level), d.EstimateS), d.Unstarted)
+			p.House(c.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted)
 		default:
 			rest = append(rest, d)
 		}
 	}
-	for _, k := range inorder.Of(c.classes) {
-		j := &stateview.LiveJob{Job: k.job}
+	for _, k := range ordered.Of(c.classes) {
+		j := &clusterstate.LiveJob{Job: k.job}
 		j.OneZone = false // it is kept for several jobs
 		if n := c.reserve(k); n > 0 {
-			p.House(c.work(j, room.LevelOf(j.Priority, false), 0), n)
+			p.House(c.work(j, resource.LevelOf(j.Priority, false), 0), n)
 		}
 	}
 	// What is left works off the rest, the most pressing first. Each job finds
@@ -106,21 +106,21 @@
 	p.Gather(top, runS/math.Max(weight, 1))
 	for _, d := range rest {
 		j := c.wants(d)
-		p.WorkOff(c.work(j, room.Level(d.Level), d.EstimateS), d.Unstarted, c.timeLeft(j, d))
+		p.WorkOff(c.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, c.timeLeft(j, d))
 	}
 	// What is likely to come until another machine is up has to be begun by
 	// then: else each burst would wait for the boots that the last one needed.
-	for _, k := range inorder.Of(c.classes) {
+	for _, k := range ordered.Of(c.classes) {
 		if work := c.comingWork(k); work > 0 {
 			estimateS := c.Estimate(&k.job)
-			n := int(work / (estimateS * math.Max(k.job.CPUs, room.Slack)))
-			p.WorkOff(c.work(&stateview.LiveJob{Job: k.job}, 0, estimateS), n, c.upS(&k.job))
+			n := int(work / (estimateS * math.Max(k.job.CPUs, resource.Slack)))
+			p.WorkOff(c.work(&clusterstate.LiveJob{Job: k.job}, 0, estimateS), n, c.upS(&k.job))
 		}
 	}
 }
 
 // wants is the job of a demand, with the zone that is left to it.
-func (c *Core) wants(d message.Demand) *stateview.LiveJob {
+func (c *Core) wants(d message.Demand) *clusterstate.LiveJob {
 	j := c.Live[d.Job]
 	if j == nil || d.Zone == "" {
 		return j
@@ -132,7 +132,7 @@
 
 // rentWanted sends the plan's requests, as many at a time as the cloud answers
 // in a second; the next plan asks for the rest.
-func (c *Core) rentWanted(p *renting.Plan) {
+func (c *Core) rentWanted(p *autoscaler.Plan) {
 	for _, o := range p.Orders() {
 		if float64(len(c.fleet.rents)) >= math.Max(1, c.Settings.Site.Cloud.RPS) {
 			return
@@ -145,19 +145,19 @@
 			Name: fmt.Sprintf("%s-%d-%d-%d", c.Self, c.Session, c.View.Term, c.fleet.requests),
 			Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Count,
 		}
-		r := &rentCall{req: req, of: calendar.Name(o.For)}
+		r := &rentCall{req: req, of: reservation.Name(o.For)}
 		c.fleet.rents[req.Name] = r
 		c.rent(r)
 	}
 }
 
 // price of a kind, for a processor and an hour.
-func (c *Core) price(k kind) float64 { return renting.Price(c.Types[k.Type], k.Spot) }
+func (c *Core) price(k kind) float64 { return autoscaler.Price(c.Types[k.Type], k.Spot) }
 
 // timeLeft is how long a job's tasks may still wait, in seconds, and be done
 // when it is due. Owners' estimates are often wrong by half. What nobody sets
 // a time for waits no longer than a machine takes to come.
-func (c *Core) timeLeft(j *stateview.LiveJob, d message.Demand) float64 {
+func (c *Core) timeLeft(j *clusterstate.LiveJob, d message.Demand) float64 {
 	if len(c.DueTimes(&j.Job)) == 0 {
 		return 0
 	}
@@ -165,7 +165,7 @@
 }
 
 // offers lists what may be rented for a job, the cheapest per task first.
-func (c *Core) offers(j *stateview.LiveJob) []kind {
+func (c *Core) offers(j *clusterstate.LiveJob) []kind {
 	type offer struct {
 		kind
 		price float64
@@ -173,7 +173,7 @@
 	var offers []offer
 	stretch, shun := c.spotStretch(&j.Job)*float64(j.Tasks), c.risky(&j.Job)
 	for _, t := range c.Types {
-		per := room.Capacity(t).Fit(room.Need(&j.Job))
+		per := resource.Capacity(t).Fit(resource.Need(&j.Job))
 		if per == 0 {
 			continue
 		}
--- a/internal/coordination/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -1,13 +1,13 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"testing"
 
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/renting"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -60,7 +60,7 @@
 			if !ok {
 				continue
 			}
-			if r.Request.Count > renting.AskAtMost {
+			if r.Request.Count > autoscaler.AskAtMost {
 				t.Fatalf("%d in one request", r.Request.Count)
 			}
 			asked[r.Request.Zone] += r.Request.Count
@@ -83,8 +83,8 @@
 func TestGangZoneIsRented(t *testing.T) {
 	b := planner(t)
 	b.c.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}, Price: 1, SpotPrice: 1}
-	b.zoned("a", 2, false, room.Uses{})
-	b.zoned("b", 3, false, room.Uses{})
+	b.zoned("a", 2, false, resource.Uses{})
+	b.zoned("b", 3, false, resource.Uses{})
 	o := b.gang("job-1", 5)
 	o.Spot = false
 	b.c.Live["job-1"] = o.LiveJob
@@ -107,9 +107,9 @@
 func TestBoundJobIsRentedFor(t *testing.T) {
 	b := planner(t)
 	b.c.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}, Price: 1, SpotPrice: 1}
-	b.zoned("a", 20, false, room.Uses{})
-	b.zoned("b", 1, false, room.Uses{})
-	o := b.c.own(&stateview.LiveJob{Job: protocol.Job{
+	b.zoned("a", 20, false, resource.Uses{})
+	b.zoned("b", 1, false, resource.Uses{})
+	o := b.c.own(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 60, OneZone: true,
 	}, Since: b.c.Now})
 	o.loaded = true
--- a/internal/coordination/preempt_test.go
+++ b/internal/controller/preempt_test.go
@@ -1,9 +1,9 @@
-package coordination
+package controller
 
 import (
 	"testing"
 
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -18,7 +18,7 @@
 	}
 	b.c.setLevels()
 	for id, within := range map[protocol.JobID]bool{"job-1": true, "job-2": true, "job-3": false} {
-		if o := b.c.owner.jobs[id]; o.level != room.LevelOf(o.Priority, within) {
+		if o := b.c.owner.jobs[id]; o.level != resource.LevelOf(o.Priority, within) {
 			t.Errorf("%s is at level %d", id, o.level)
 		}
 	}
--- a/internal/coordination/ratesharing/lending.go
+++ b/internal/controller/ratelimit/lending.go
@@ -1,4 +1,4 @@
-// Package ratesharing lets controllers lend one another what they do not need of
+// Package ratelimit lets controllers lend one another what they do not need of
 // the state service's rates. Each has an equal share to begin with; who needs
 // more asks its peers with each regular message, and who needs less lends for a
 // few seconds. Whatever is lost or late, the shares in use never sum to more than
@@ -10,13 +10,13 @@
 // by both, however long either message took. A controller that has begun anew
 // and no longer knows what it lent holds back, for that while, all it may have
 // lent.
-package ratesharing
+package ratelimit
 
 import (
 	"math"
 	"time"
 
-	"damsonkeel/internal/coordination/clock"
+	"damsonkeel/internal/controller/clock"
 )
 
 // Amount is a part of the service's rates: requests and changes a second.
--- a/internal/coordination/ratesharing/lending_test.go
+++ b/internal/controller/ratelimit/lending_test.go
@@ -1,11 +1,11 @@
-package ratesharing
+package ratelimit
 
 import (
 	"os"
 	"testing"
 	"time"
 
-	"damsonkeel/internal/coordination/clock"
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/fixedseed"
 
 	"pgregory.net/rapid"
--- a/internal/coordination/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -13,7 +13,7 @@
 // longest queues first and in them the last in line first.
 type movableTasks struct {
 	job   *ownedJob
-	need  room.Amount
+	need  resource.Amount
 	bars  func(*machineEntry) bool // see Core.bars
 	tasks []movableTask
 }
@@ -43,7 +43,7 @@
 	}
 	var roomy []*machineEntry
 	for _, m := range c.machinesInOrder() {
-		if m.ID > after && c.usable(m) && m.reported.Epoch == m.Epoch && (m.reported.Queued == 0 && m.free().CPUs > room.Slack || len(c.reservations.Holds[m.ID]) > 0 && m.idle().CPUs > room.Slack) {
+		if m.ID > after && c.usable(m) && m.reported.Epoch == m.Epoch && (m.reported.Queued == 0 && m.free().CPUs > resource.Slack || len(c.reservations.Holds[m.ID]) > 0 && m.idle().CPUs > resource.Slack) {
 			roomy = append(roomy, m)
 		}
 	}
@@ -54,9 +54,9 @@
 	if len(movable) == 0 {
 		return
 	}
-	least := room.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)}
+	least := resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)}
 	for _, g := range movable {
-		least = room.Amount{CPUs: min(least.CPUs, g.need.CPUs), GPUs: min(least.GPUs, g.need.GPUs), GB: min(least.GB, g.need.GB)}
+		least = resource.Amount{CPUs: min(least.CPUs, g.need.CPUs), GPUs: min(least.GPUs, g.need.GPUs), GB: min(least.GB, g.need.GB)}
 	}
 	cl, left := c.claims(), movesMost
 	for _, m := range roomy {
@@ -95,7 +95,7 @@
 			}
 			g := byJob[o.ID]
 			if g == nil {
-				g = &movableTasks{job: o, need: room.Need(&o.Job), bars: c.bars(o)}
+				g = &movableTasks{job: o, need: resource.Need(&o.Job), bars: c.bars(o)}
 				byJob[o.ID] = g
 				all = append(all, g)
 			}
--- a/internal/coordination/blocks/blocks.go
+++ b/internal/controller/recordblock/recordblock.go
@@ -1,8 +1,8 @@
-// Package blocks keeps the records of many machines in few records of the state
+// Package recordblock keeps the records of many machines in few records of the state
 // service, and decides which of these to write so that a wave of machines costs
 // few changes. It decides only; who may write, and on which conditions, is the
 // registrar's matter (docs/machine-records.md).
-package blocks
+package recordblock
 
 import (
 	"cmp"
--- a/internal/coordination/blocks/blocks_test.go
+++ b/internal/controller/recordblock/recordblock_test.go
@@ -1,4 +1,4 @@
-package blocks
+package recordblock
 
 import (
 	"encoding/json"
--- a/internal/coordination/registration.go
+++ b/internal/controller/registration.go
@@ -1,8 +1,8 @@
-package coordination
+package controller
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/protocol"
 )
 
@@ -17,8 +17,8 @@
 		c.loseMachine(m)
 	}
 	c.noteBoot(id, rec)
-	m = &machineEntry{Machine: &stateview.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}, mine: map[protocol.TaskID]*placedTask{}}
-	m.reserved = stateview.ReservedBy(c.reservations.Holds[id], c.Moment())
+	m = &machineEntry{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}, mine: map[protocol.TaskID]*placedTask{}}
+	m.reserved = clusterstate.ReservedBy(c.reservations.Holds[id], c.Moment())
 	c.addMachine(m)
 	c.owner.dirty = true
 	c.keeping.Recorded(m.Machine)
--- a/internal/coordination/relays.go
+++ b/internal/controller/relays.go
@@ -1,24 +1,24 @@
-package coordination
+package controller
 
 import (
 	"slices"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/ratesharing"
-	"damsonkeel/internal/coordination/relay"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/ratelimit"
+	"damsonkeel/internal/controller/replication"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
 // peerReports is what is held of one peer's streams, and how far the peer holds
 // this controller's.
 type peerReports struct {
-	machinesTo, jobsTo     relay.Cursor
-	machinesFrom, jobsFrom relay.Replica
+	machinesTo, jobsTo     replication.Cursor
+	machinesFrom, jobsFrom replication.Replica
 	// holdsTo and holdsFrom number what is held, as it has it of this controller
 	// and the other way round.
 	holdsTo, holdsFrom uint64
@@ -46,8 +46,8 @@
 // others have taken the machine or the job from since.
 func (c *Core) beginRelays() {
 	c.keeping.Begin()
-	c.ownedChanged = relay.Log[protocol.JobID]{}
-	for id := range inorder.Of(c.owner.jobs) {
+	c.ownedChanged = replication.Log[protocol.JobID]{}
+	for id := range ordered.Of(c.owner.jobs) {
 		c.ownedChanged.Touch(id)
 	}
 	for _, m := range c.machines {
@@ -55,7 +55,7 @@
 	}
 	for _, p := range c.peers {
 		t := &p.reports
-		t.machinesTo, t.jobsTo = relay.Cursor{}, relay.Cursor{}
+		t.machinesTo, t.jobsTo = replication.Cursor{}, replication.Cursor{}
 		t.machinesFrom.Begin(uint64(c.View.Term))
 		t.jobsFrom.Begin(uint64(c.View.Term))
 		t.at, t.short = 0, false
@@ -100,13 +100,13 @@
 // sendRelays passes on what changed: once a relay period to everybody, in
 // between only to those who lack more than one message may hold.
 func (c *Core) sendRelays(regular bool) {
-	var loans map[protocol.LeaseID]ratesharing.Loan
+	var loans map[protocol.LeaseID]ratelimit.Loan
 	if regular {
 		loans = c.rates.Lend(c.Now)
 		c.setShare() // before anybody can use what is lent
 	}
 	var same *message.Relay // as sent to the one before
-	for name, p := range inorder.Of(c.peers) {
+	for name, p := range ordered.Of(c.peers) {
 		t := &p.reports
 		if !regular && !t.short {
 			continue
@@ -136,14 +136,14 @@
 
 // fillMachines adds what changed of machines. Most peers lack the same: what was
 // put together for one serves the next.
-func (c *Core) fillMachines(r *message.Relay, to *relay.Cursor, same *message.Relay) {
+func (c *Core) fillMachines(r *message.Relay, to *replication.Cursor, same *message.Relay) {
 	if same != nil && same.Machines.From == to.Next() {
 		r.Machines, r.States, r.Handled = same.Machines, same.States, same.Handled
 		to.Sent(r.Machines.Upto)
 		return
 	}
 	ids, upto := c.keeping.ChangedSince(to.Next(), statesMost)
-	r.Machines = relay.Piece{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
+	r.Machines = replication.Piece{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
 	to.Sent(upto)
 	r.States = make([]message.MachineState, 0, len(ids))
 	for _, id := range ids {
@@ -160,9 +160,9 @@
 	}
 }
 
-func (c *Core) fillJobs(r *message.Relay, to *relay.Cursor) {
+func (c *Core) fillJobs(r *message.Relay, to *replication.Cursor) {
 	ids, upto := c.ownedChanged.Since(to.Next(), statesMost)
-	r.Jobs = relay.Piece{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
+	r.Jobs = replication.Piece{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
 	to.Sent(upto)
 	for _, id := range ids {
 		if o := c.owner.jobs[id]; o != nil {
@@ -247,7 +247,7 @@
 			st.Runs = m.reported.Runs // it has not heard the machine yet
 		}
 		m.reported, m.by, m.at, m.copied, m.refused = st, p, c.Now, 0, false
-		m.held = room.Uses{}
+		m.held = resource.Uses{}
 		message.AddUses(&m.held, st.Uses)
 	}
 }
@@ -291,9 +291,9 @@
 
 // equalShare is this controller's part of the state service's rates before
 // anything is lent.
-func (c *Core) equalShare() ratesharing.Amount {
+func (c *Core) equalShare() ratelimit.Amount {
 	site := &c.Settings.Site
-	return ratesharing.Amount(bookkeeping.EqualShare(site.State.RPS, site.State.WriteRPS, site.Count))
+	return ratelimit.Amount(bookkeeping.EqualShare(site.State.RPS, site.State.WriteRPS, site.Count))
 }
 
 // setShare has what may be used now set, if that has changed.
@@ -347,7 +347,7 @@
 // knewMore corrects what a keeper tells of what it found on a machine by what the
 // one before told: since when it has run, its worker does not say. Without that
 // all room held on the machines of a controller that ended would seem lost.
-func knewMore(before, now []calendar.Run) []calendar.Run {
+func knewMore(before, now []reservation.Run) []reservation.Run {
 	for i := range now {
 		for _, r := range before {
 			if r.Task == now[i].Task && r.Attempt == now[i].Attempt {
--- a/internal/coordination/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/keeping"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/relay"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/replication"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 
 	"pgregory.net/rapid"
@@ -89,7 +89,7 @@
 // TestInventoriesInPieces: after a view that changes nothing for a controller's
 // queues, it gives their inventories in bounded steps, and all of them soon.
 func TestInventoriesInPieces(t *testing.T) {
-	const machines = 2*keeping.InventoriesMost + 100
+	const machines = 2*dispatcher.InventoriesMost + 100
 	f := newBusyFleet(t, machines, 100)
 	v := f.c.View
 	v.Term++
@@ -101,7 +101,7 @@
 				n++
 			}
 		}
-		if n > keeping.InventoriesMost {
+		if n > dispatcher.InventoriesMost {
 			t.Fatalf("%d inventories in one step", n)
 		}
 		given += n
@@ -124,7 +124,7 @@
 		c := b.c
 		var ids []protocol.MachineID
 		for i := 0; len(ids) < 3; i++ {
-			if id := protocol.MachineID(fmt.Sprint("vm-", i)); stateview.MachineKeeper(c.View, id) == "node-2" {
+			if id := protocol.MachineID(fmt.Sprint("vm-", i)); clusterstate.MachineKeeper(c.View, id) == "node-2" {
 				ids = append(ids, id)
 				b.machine(id, 1)
 			}
@@ -135,8 +135,8 @@
 			add    float64
 		}
 		var (
-			log          relay.Log[protocol.MachineID]
-			to           relay.Cursor
+			log          replication.Log[protocol.MachineID]
+			to           replication.Cursor
 			waits        = map[protocol.MachineID]float64{} // as the keeper has them
 			placed       uint64
 			handled      uint64
@@ -166,7 +166,7 @@
 		}
 		say := func() {
 			ids, upto := log.Since(to.Next(), 2)
-			r := &message.Relay{Term: 1, Machines: relay.Piece{Stream: 1, From: to.Next(), Upto: upto}}
+			r := &message.Relay{Term: 1, Machines: replication.Piece{Stream: 1, From: to.Next(), Upto: upto}}
 			to.Sent(upto)
 			for _, id := range ids {
 				r.States = append(r.States, message.MachineState{Machine: id, Epoch: c.machines[id].Epoch, Wait: waits[id]})
@@ -260,7 +260,7 @@
 func TestWordBeforeRecord(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-1")
-	b.c.relayed("node-1", &message.Relay{Term: 1, Machines: relay.Piece{Stream: 1, Upto: 1}, States: []message.MachineState{
+	b.c.relayed("node-1", &message.Relay{Term: 1, Machines: replication.Piece{Stream: 1, Upto: 1}, States: []message.MachineState{
 		{Machine: id, Epoch: b.version + 1, FreeCPUs: 3, FreeGB: 3, Heard: true},
 	}})
 	b.machine(id, 1)
@@ -279,9 +279,9 @@
 // machine has more asked for than it has room for.
 func TestMovesInPieces(t *testing.T) {
 	b := newBench(t, "node-1")
-	b.zoned("a", 300, false, room.Uses{})
-	b.zoned("b", 300, false, room.Uses{})
-	o := b.c.own(&stateview.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
+	b.zoned("a", 300, false, resource.Uses{})
+	b.zoned("b", 300, false, resource.Uses{})
+	o := b.c.own(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
 	o.loaded = true
 	i := uint32(0)
 	for _, m := range b.c.machinesInOrder() {
--- a/internal/coordination/relay/log.go
+++ b/internal/controller/replication/log.go
@@ -1,10 +1,10 @@
-// Package relay passes on what changed instead of all there is. The sender
+// Package replication passes on what changed instead of all there is. The sender
 // numbers its changes (Log) and remembers what each receiver has (Cursor); a
 // receiver accepts only pieces that leave no gap after what it has (Replica).
 // Whatever is lost, repeated or overtaken on the way, a receiver holds for every
 // key the state as of its last change that the receiver's number covers:
 // docs/design.md has the proof, the tests of this package try it.
-package relay
+package replication
 
 // Log numbers the changes of keyed things. Of each key only the last change
 // counts: who passes it on sends the state that the key has then. The zero
--- a/internal/coordination/relay/log_test.go
+++ b/internal/controller/replication/log_test.go
@@ -1,4 +1,4 @@
-package relay
+package replication
 
 import (
 	"os"
--- a/internal/coordination/reports.go
+++ b/internal/controller/reports.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"sync"
 	"time"
 
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/reportqueue"
+	"damsonkeel/internal/controller/heartbeat"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 )
@@ -31,11 +31,11 @@
 	ready chan struct{} // holds one while any wait
 
 	mu    sync.Mutex
-	queue *reportqueue.Queue[pendingReport]
+	queue *heartbeat.Queue[pendingReport]
 }
 
 func newReports() *reports {
-	return &reports{ready: make(chan struct{}, 1), queue: reportqueue.New[pendingReport](reportsMost, reportPatience)}
+	return &reports{ready: make(chan struct{}, 1), queue: heartbeat.New[pendingReport](reportsMost, reportPatience)}
 }
 
 // add takes a report. It runs on the event loop and never waits.
--- a/internal/coordination/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"testing"
 
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 )
--- a/internal/coordination/calendar/book.go
+++ b/internal/controller/reservation/book.go
@@ -1,4 +1,4 @@
-package calendar
+package reservation
 
 import (
 	"cmp"
--- a/internal/coordination/calendar/book_test.go
+++ b/internal/controller/reservation/book_test.go
@@ -1,4 +1,4 @@
-package calendar
+package reservation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 
 	"pgregory.net/rapid"
@@ -258,8 +258,8 @@
 			m := Machine{ID: protocol.MachineID(fmt.Sprint("vm-", i)), Info: facts(0).Types["m8"], Zone: "a", Spot: rapid.Bool().Draw(t, "spot")}
 			for range rapid.IntRange(0, 3).Draw(t, "runs") {
 				m.Runs = append(m.Runs, Run{
-					Ends: After(now, time.Duration(rapid.IntRange(0, 60).Draw(t, "ends"))*time.Minute), Need: room.Amount{CPUs: 2},
-					Level: room.Level(rapid.IntRange(0, 2).Draw(t, "level")),
+					Ends: After(now, time.Duration(rapid.IntRange(0, 60).Draw(t, "ends"))*time.Minute), Need: resource.Amount{CPUs: 2},
+					Level: resource.Level(rapid.IntRange(0, 2).Draw(t, "level")),
 				})
 			}
 			machines = append(machines, m)
@@ -279,7 +279,7 @@
 					cpus += o.Need.CPUs
 				}
 			}
-			if cpus > 8+room.Slack {
+			if cpus > 8+resource.Slack {
 				t.Fatalf("%s holds %v at once", h.Machine, cpus)
 			}
 			tasks[h.For] += h.Tasks
@@ -302,9 +302,9 @@
 
 // TestLeaves: what holds leave to others.
 func TestLeaves(t *testing.T) {
-	h := []Hold{{For: "one", Need: room.Amount{CPUs: 4}, Level: 1, Clear: 1000_000, From: 1200_000, Until: 3000_000}}
-	task := func(of bool, cpus float64, l room.Level, saves bool, ends Moment) *Task {
-		return &Task{Of: func(Name) bool { return of }, Need: room.Amount{CPUs: cpus}, Level: l, Saves: saves, Ends: ends}
+	h := []Hold{{For: "one", Need: resource.Amount{CPUs: 4}, Level: 1, Clear: 1000_000, From: 1200_000, Until: 3000_000}}
+	task := func(of bool, cpus float64, l resource.Level, saves bool, ends Moment) *Task {
+		return &Task{Of: func(Name) bool { return of }, Need: resource.Amount{CPUs: cpus}, Level: l, Saves: saves, Ends: ends}
 	}
 	for i, tc := range []struct {
 		t    *Task
@@ -322,7 +322,7 @@
 		{task(false, 2, 1, false, 1150_000), 1100_000, false}, // has to be clear now
 		{task(false, 2, 1, false, 9e9), 3000_000, true},       // over
 	} {
-		if got := Leaves(h, tc.t, room.Amount{CPUs: 5}, tc.now); got != tc.want {
+		if got := Leaves(h, tc.t, resource.Amount{CPUs: 5}, tc.now); got != tc.want {
 			t.Errorf("case %d: %v", i, got)
 		}
 	}
@@ -332,14 +332,14 @@
 // it was promised, though something else is held there for later and estimates of
 // its kind are often wrong. With its machines empty it waited for hours.
 func TestPromisedBesideLater(t *testing.T) {
-	mine := Hold{For: "one", Need: room.Amount{CPUs: 8}, From: 1000_000, Clear: 900_000, Until: 2000_000}
-	later := Hold{For: "two", Need: room.Amount{CPUs: 8}, From: 2000_000, Clear: 1700_000, Until: 4000_000}
-	task := &Task{Of: func(n Name) bool { return n == "one" }, Need: room.Amount{CPUs: 8}, Ends: 9000_000}
-	if !Leaves([]Hold{mine, later}, task, room.Amount{CPUs: 8}, 1000_000) {
+	mine := Hold{For: "one", Need: resource.Amount{CPUs: 8}, From: 1000_000, Clear: 900_000, Until: 2000_000}
+	later := Hold{For: "two", Need: resource.Amount{CPUs: 8}, From: 2000_000, Clear: 1700_000, Until: 4000_000}
+	task := &Task{Of: func(n Name) bool { return n == "one" }, Need: resource.Amount{CPUs: 8}, Ends: 9000_000}
+	if !Leaves([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
 		t.Error("kept out by what was promised beside it")
 	}
 	later.From = 1500_000
-	if Leaves([]Hold{mine, later}, task, room.Amount{CPUs: 8}, 1000_000) {
+	if Leaves([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
 		t.Error("starts where something else is held meanwhile")
 	}
 }
@@ -350,7 +350,7 @@
 	info := facts(0).Types["m8"]
 	r := &bookkeeping.Reservation{Spec: *spec("one", "daily at 04:00", 4), StartMS: After(noon, 10*time.Second)}
 	due := Due{Reservation: r, Left: 4, Clear: After(noon, -time.Minute)}
-	half := Machine{ID: "vm-half", Info: info, Zone: "a", Runs: []Run{{Ends: noon + 1e7, Need: room.Amount{CPUs: 4}, Level: 1}}}
+	half := Machine{ID: "vm-half", Info: info, Zone: "a", Runs: []Run{{Ends: noon + 1e7, Need: resource.Amount{CPUs: 4}, Level: 1}}}
 	large := info
 	large.CPUs = 64
 	free := Machine{ID: "vm-free", Info: large, Zone: "a"}
--- a/internal/coordination/calendar/check.go
+++ b/internal/controller/reservation/check.go
@@ -1,4 +1,4 @@
-package calendar
+package reservation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -94,14 +94,14 @@
 const earliest = 30 * time.Minute
 
 // Size is what each task of a reservation takes.
-func Size(s *bookkeeping.ReservationSpec) room.Amount {
-	return room.Amount{CPUs: s.CPUs, GPUs: s.GPUs, GB: s.MemoryGB}
+func Size(s *bookkeeping.ReservationSpec) resource.Amount {
+	return resource.Amount{CPUs: s.CPUs, GPUs: s.GPUs, GB: s.MemoryGB}
 }
 
 // Fits reports whether a task of a reservation fits an ordinary machine of a type
 // in a zone that it allows.
 func Fits(s *bookkeeping.ReservationSpec, t protocol.TypeInfo, z protocol.Zone) bool {
-	return Allows(s, t, z, false) && room.Capacity(t).Covers(Size(s))
+	return Allows(s, t, z, false) && resource.Capacity(t).Covers(Size(s))
 }
 
 // Allows reports whether a reservation may hold room on a kind of machine.
--- a/internal/coordination/calendar/decide.go
+++ b/internal/controller/reservation/decide.go
@@ -1,4 +1,4 @@
-package calendar
+package reservation
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/renting"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -185,7 +185,7 @@
 	if a := withinTeam(s, others, f); !a.OK {
 		return a
 	}
-	p := renting.New(f.Types, slotsBeside(windows, f), nil)
+	p := autoscaler.New(f.Types, slotsBeside(windows, f), nil)
 	for _, e := range others {
 		p.Fill(workOf(&e.Reservation.Spec), e.Reservation.Spec.Tasks)
 	}
@@ -229,7 +229,7 @@
 			names = append(names, o.Name)
 		}
 	}
-	if team.MaxCPUs > 0 && cpus > team.MaxCPUs+room.Slack || team.MaxGPUs > 0 && gpus > team.MaxGPUs+room.Slack {
+	if team.MaxCPUs > 0 && cpus > team.MaxCPUs+resource.Slack || team.MaxGPUs > 0 && gpus > team.MaxGPUs+resource.Slack {
 		return refused(names, "more than the limit of team %s, with what is promised to it for the same time", s.Team)
 	}
 	return Answer{OK: true}
@@ -239,8 +239,8 @@
 const unbounded = 1 << 20
 
 // slotsBeside is the room there can be while windows are open.
-func slotsBeside(windows []*Entry, f *Facts) []renting.Slot {
-	var slots []renting.Slot
+func slotsBeside(windows []*Entry, f *Facts) []autoscaler.Slot {
+	var slots []autoscaler.Slot
 	for _, name := range slices.Sorted(maps.Keys(f.Types)) {
 		t := f.Types[name]
 		most, known := f.Most[name]
@@ -262,16 +262,16 @@
 					}
 				}
 			}
-			slots = append(slots, renting.Fresh(t, renting.Kind{Type: name, Zone: z}, max(0, n)))
+			slots = append(slots, autoscaler.Fresh(t, autoscaler.Kind{Type: name, Zone: z}, max(0, n)))
 		}
 	}
 	return slots
 }
 
 // workOf is a reservation's tasks as a plan reckons with them.
-func workOf(s *bookkeeping.ReservationSpec) renting.Work {
-	return renting.Work{
-		Need: Size(s), Level: room.LevelOf(s.Priority, false), OneZone: s.OneZone && s.Zone == "",
+func workOf(s *bookkeeping.ReservationSpec) autoscaler.Work {
+	return autoscaler.Work{
+		Need: Size(s), Level: resource.LevelOf(s.Priority, false), OneZone: s.OneZone && s.Zone == "",
 		Allows: func(t protocol.TypeInfo, z protocol.Zone, spot bool) bool { return Allows(s, t, z, spot) },
 	}
 }
@@ -302,7 +302,7 @@
 func (b *Book) broken(trial *Entry, active []Occurrence, f *Facts) (names []Name) {
 	windows, others := b.entriesOf(active)
 	windows = slices.DeleteFunc(windows, func(e *Entry) bool { return e.Name() == trial.Name() })
-	before, with := renting.New(f.Types, slotsBeside(windows, f), nil), renting.New(f.Types, slotsBeside(append(windows, trial), f), nil)
+	before, with := autoscaler.New(f.Types, slotsBeside(windows, f), nil), autoscaler.New(f.Types, slotsBeside(append(windows, trial), f), nil)
 	for _, e := range others {
 		s := &e.Reservation.Spec
 		if before.Fill(workOf(s), s.Tasks) < with.Fill(workOf(s), s.Tasks) {
--- a/internal/coordination/calendar/hold.go
+++ b/internal/controller/reservation/hold.go
@@ -1,4 +1,4 @@
-package calendar
+package reservation
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -17,8 +17,8 @@
 	Task    protocol.TaskID
 	Attempt protocol.Attempt
 	Ends    Moment // when it is likely to be over, by its estimate and how far such are off
-	Need    room.Amount
-	Level   room.Level
+	Need    resource.Amount
+	Level   resource.Level
 	For     Name // the reservation it is of, if any
 	Sure    bool // its machine's keeper has seen it start
 }
@@ -44,9 +44,9 @@
 }
 
 // level is that of the reserved work: no more than its priority gives it.
-func (d *Due) level() room.Level { return room.LevelOf(d.Spec.Priority, false) }
+func (d *Due) level() resource.Level { return resource.LevelOf(d.Spec.Priority, false) }
 
-func (d *Due) size() room.Amount { return Size(&d.Spec) }
+func (d *Due) size() resource.Amount { return Size(&d.Spec) }
 
 // until is when its job should be over at the latest.
 func (d *Due) until() Moment { return afterS(d.StartMS, d.Spec.HoldS+d.Spec.LengthS) }
@@ -57,8 +57,8 @@
 	For     Name               `cbor:"for"`
 	Machine protocol.MachineID `cbor:"machine"`
 	Tasks   int                `cbor:"tasks"`
-	Need    room.Amount        `cbor:"need"` // of all of them
-	Level   room.Level         `cbor:"level"`
+	Need    resource.Amount    `cbor:"need"` // of all of them
+	Level   resource.Level     `cbor:"level"`
 	Clear   Moment             `cbor:"clear"`
 	From    Moment             `cbor:"from"`
 	Until   Moment             `cbor:"until"`
@@ -84,7 +84,7 @@
 // free is what a machine has left for an occurrence that can be relied on: what
 // is there is likely to be over when it has to be clear, and from then on is
 // over. Firm counts what could be stopped as gone, too.
-func (m *machineRoom) free(d *Due, now Moment, firm bool) room.Amount {
+func (m *machineRoom) free(d *Due, now Moment, firm bool) resource.Amount {
 	by := Moment(0)
 	if now <= d.Clear {
 		by = After(d.Clear, reportedLate)
@@ -97,8 +97,8 @@
 const reportedLate = 15 * time.Second
 
 // freeBy is what is left if everything is over that is likely to be by a moment.
-func (m *machineRoom) freeBy(d *Due, by Moment, firm bool) room.Amount {
-	free := room.Capacity(m.Info)
+func (m *machineRoom) freeBy(d *Due, by Moment, firm bool) resource.Amount {
+	free := resource.Capacity(m.Info)
 	for _, r := range m.Runs {
 		switch {
 		case r.For == d.Spec.Name:
@@ -312,15 +312,15 @@
 // Task is work that is to start, as far as holds are concerned.
 type Task struct {
 	Of    func(Name) bool // whether it is of a reservation
-	Need  room.Amount
-	Level room.Level
+	Need  resource.Amount
+	Level resource.Level
 	Saves bool   // when it is stopped
 	Ends  Moment // when it is likely to be over, if it starts now
 }
 
 // Leaves reports whether a machine's held room lets a task start in what is
 // free.
-func Leaves(holds []Hold, t *Task, free room.Amount, now Moment) bool {
+func Leaves(holds []Hold, t *Task, free resource.Amount, now Moment) bool {
 	until := OwnUntil(holds, t.Of)
 	for i := range holds {
 		if h := &holds[i]; !h.lets(t, now) && (until == 0 || until > h.From) {
--- a/internal/coordination/main_test.go
+++ b/internal/controller/reservation/main_test.go
@@ -1,4 +1,4 @@
-package coordination
+package reservation
 
 import (
 	"os"
--- a/internal/coordination/calendar/when.go
+++ b/internal/controller/reservation/when.go
@@ -1,8 +1,8 @@
-// Package calendar keeps what is promised for later: reservations and
+// Package reservation keeps what is promised for later: reservations and
 // maintenance windows, when they are due, which can be promised beside which,
 // on which machines room is held and what state each is in. It has no clock and
 // no socket; what it knows it is told.
-package calendar
+package reservation
 
 import (
 	"fmt"
--- a/internal/coordination/reservations.go
+++ b/internal/controller/reservations.go
@@ -1,20 +1,20 @@
-package coordination
+package controller
 
 import (
 	"slices"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
 // reservationState is what a controller reckons of the calendar as an owner, and as the
 // one that chooses where room is held.
 type reservationState struct {
-	*stateview.Reservations
+	*clusterstate.Reservations
 
 	written Time // when the list was last written
 	stale   bool // it has changed since
@@ -25,34 +25,34 @@
 
 	// byClass are the live jobs of the classes that something is due for within
 	// windowsAhead, as of the last relay period.
-	byClass map[string][]*stateview.LiveJob
-	seen    map[calendar.Name]*seenJob
-	dues    []calendar.Due                  // as last chosen for
-	short   map[calendar.Name]int           // tasks that no sure room is held for, as last chosen
-	missing map[calendar.Name]int           // of these, unlikely to have any in time
-	zones   map[calendar.Name]protocol.Zone // where one that needs one zone is held
-	risk    map[calendar.Name]string        // of the present occurrences
-	swept   Time                            // when all reservations were last looked at
-	write   map[calendar.Name]bool          // transactions under way
+	byClass map[string][]*clusterstate.LiveJob
+	seen    map[reservation.Name]*seenJob
+	dues    []reservation.Due                  // as last chosen for
+	short   map[reservation.Name]int           // tasks that no sure room is held for, as last chosen
+	missing map[reservation.Name]int           // of these, unlikely to have any in time
+	zones   map[reservation.Name]protocol.Zone // where one that needs one zone is held
+	risk    map[reservation.Name]string        // of the present occurrences
+	swept   Time                               // when all reservations were last looked at
+	write   map[reservation.Name]bool          // transactions under way
 }
 
 // teamClaim is what of a team's limit is promised from a time on.
 type teamClaim struct {
-	of   calendar.Name
-	need room.Amount
-	from calendar.Moment
+	of   reservation.Name
+	need resource.Amount
+	from reservation.Moment
 }
 
 // seenJob is what was seen of the jobs of one occurrence that are over.
 type seenJob struct {
-	start calendar.Moment
+	start reservation.Moment
 	tasks int
 }
 
-func newReservationState(p *stateview.Reservations) reservationState {
+func newReservationState(p *clusterstate.Reservations) reservationState {
 	return reservationState{
-		Reservations: p, seen: map[calendar.Name]*seenJob{}, short: map[calendar.Name]int{}, zones: map[calendar.Name]protocol.Zone{},
-		risk: map[calendar.Name]string{}, write: map[calendar.Name]bool{},
+		Reservations: p, seen: map[reservation.Name]*seenJob{}, short: map[reservation.Name]int{}, zones: map[reservation.Name]protocol.Zone{},
+		risk: map[reservation.Name]string{}, write: map[reservation.Name]bool{},
 	}
 }
 
@@ -95,8 +95,8 @@
 
 // unhold frees at once what was held for a reservation that is over: a controller
 // that hears of that before the next list does not wait for it.
-func (c *Core) unhold(n calendar.Name) {
-	held := func(h calendar.Hold) bool { return h.For == n }
+func (c *Core) unhold(n reservation.Name) {
+	held := func(h reservation.Hold) bool { return h.For == n }
 	if slices.ContainsFunc(c.reservations.List, held) {
 		c.setHolds(slices.DeleteFunc(slices.Clone(c.reservations.List), held))
 	}
@@ -126,8 +126,8 @@
 	now, off := c.Moment(), c.Settings.Site.ClockError()
 	pr.Book.Extend(now)
 	pr.Windows, pr.teams = nil, map[protocol.Team][]teamClaim{}
-	soon := pr.Book.Overlapping(calendar.After(now, -2*off), calendar.After(now, windowsAhead))
-	pr.byClass = map[string][]*stateview.LiveJob{}
+	soon := pr.Book.Overlapping(reservation.After(now, -2*off), reservation.After(now, windowsAhead))
+	pr.byClass = map[string][]*clusterstate.LiveJob{}
 	for _, o := range soon {
 		if !o.Window {
 			pr.byClass[pr.Book.Reservation(o.Name).Reservation.Spec.Class] = nil
@@ -140,10 +140,10 @@
 	}
 	for _, o := range soon {
 		if o.Window {
-			pr.Windows = append(pr.Windows, stateview.OpenWindow{Spec: &pr.Book.Window(o.Name).Window.Spec, Start: calendar.After(o.Start, -off), End: calendar.After(o.End, off)})
+			pr.Windows = append(pr.Windows, clusterstate.OpenWindow{Spec: &pr.Book.Window(o.Name).Window.Spec, Start: reservation.After(o.Start, -off), End: reservation.After(o.End, off)})
 		}
 	}
-	for _, e := range pr.Book.Due(calendar.After(now, -2*off), calendar.After(now, windowsAhead)) {
+	for _, e := range pr.Book.Due(reservation.After(now, -2*off), reservation.After(now, windowsAhead)) {
 		c.claimLimit(e)
 	}
 	c.reckonReserved()
@@ -153,33 +153,33 @@
 func (c *Core) reckonReserved() {
 	now := c.Moment()
 	for _, m := range c.machines {
-		m.reserved = stateview.ReservedBy(c.reservations.Holds[m.ID], now)
+		m.reserved = clusterstate.ReservedBy(c.reservations.Holds[m.ID], now)
 	}
 }
 
 // claimLimit notes what of its team's limit a reservation claims, as far as it
 // has not been used.
-func (c *Core) claimLimit(e *calendar.Entry) {
+func (c *Core) claimLimit(e *reservation.Entry) {
 	s := &e.Reservation.Spec
 	if !e.Promised() || !c.Limited(s.Team) {
 		return
 	}
 	_, wanted, started := c.jobsOf(e)
 	if n := float64(wanted - started); n > 0 {
-		c.reservations.teams[s.Team] = append(c.reservations.teams[s.Team], teamClaim{s.Name, calendar.Size(s).Times(n), e.StartMS})
+		c.reservations.teams[s.Team] = append(c.reservations.teams[s.Team], teamClaim{s.Name, reservation.Size(s).Times(n), e.StartMS})
 	}
 }
 
 // jobsOf is what became of the jobs of a reservation's present occurrence:
 // whether one came, and how many of the tasks that are within it have started.
-func (c *Core) jobsOf(e *calendar.Entry) (came bool, wanted, started int) {
+func (c *Core) jobsOf(e *reservation.Entry) (came bool, wanted, started int) {
 	wanted = e.Reservation.Spec.Tasks
 	tasks := 0
 	if s := c.reservations.seen[e.Reservation.Spec.Name]; s != nil && s.start == e.StartMS {
 		came, tasks, started = true, s.tasks, s.tasks
 	}
-	each := func(l *stateview.LiveJob) {
-		if calendar.Matches(e.Reservation, &l.Job) {
+	each := func(l *clusterstate.LiveJob) {
+		if reservation.Matches(e.Reservation, &l.Job) {
 			g, _ := c.JobProgress(l.ID)
 			came, tasks, started = true, tasks+int(l.Tasks), started+int(g.Done+g.Running)
 		}
@@ -202,13 +202,13 @@
 }
 
 // reservedJobOver remembers a job of a reservation that is over.
-func (c *Core) reservedJobOver(l *stateview.LiveJob) {
+func (c *Core) reservedJobOver(l *clusterstate.LiveJob) {
 	if !c.reservations.Any || l == nil {
 		return
 	}
 	now := c.Moment()
-	for _, e := range c.reservations.Book.Due(calendar.After(now, -time.Minute), calendar.After(now, time.Hour)) {
-		if !calendar.Matches(e.Reservation, &l.Job) {
+	for _, e := range c.reservations.Book.Due(reservation.After(now, -time.Minute), reservation.After(now, time.Hour)) {
+		if !reservation.Matches(e.Reservation, &l.Job) {
 			continue
 		}
 		s := c.reservations.seen[e.Name()]
--- a/internal/coordination/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -1,13 +1,13 @@
-package coordination
+package controller
 
 import (
 	"testing"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 )
 
@@ -27,12 +27,12 @@
 	return time.UnixMilli(int64(b.c.Moment())).Add(d).UTC().Format("2006-01-02 at 15:04:05")
 }
 
-func (b *bench) operate(r operators.Request) (operators.Reply, *protocol.Txn) {
+func (b *bench) operate(r operatorapi.Request) (operatorapi.Reply, *protocol.Txn) {
 	return b.c.Operate("ops", &r)
 }
 
 // do puts a request and has its transaction followed.
-func (b *bench) do(r operators.Request) operators.Reply {
+func (b *bench) do(r operatorapi.Request) operatorapi.Reply {
 	reply, txn := b.operate(r)
 	if txn != nil {
 		for _, ch := range txn.Then {
@@ -44,7 +44,7 @@
 
 func reserve(name, when string, tasks int) *bookkeeping.ReservationSpec {
 	return &bookkeeping.ReservationSpec{
-		Name: calendar.Name(name), Class: name, When: when, HoldS: 600, LengthS: 600, Tasks: tasks, CPUs: 2, MemoryGB: 1, Priority: "standard",
+		Name: reservation.Name(name), Class: name, When: when, HoldS: 600, LengthS: 600, Tasks: tasks, CPUs: 2, MemoryGB: 1, Priority: "standard",
 	}
 }
 
@@ -53,32 +53,32 @@
 // state service, and what is made anew is not cancelled by who meant the one before.
 func TestRepeatedRequest(t *testing.T) {
 	b := promising(t)
-	add := operators.Request{Op: operators.OpAdd, ID: "1", Reservation: reserve("one", b.in(time.Hour), 2)}
+	add := operatorapi.Request{Op: operatorapi.OpAdd, ID: "1", Reservation: reserve("one", b.in(time.Hour), 2)}
 	dry := add
 	dry.DryRun = true
-	if reply, txn := b.operate(dry); reply.Code != operators.Done || txn != nil || reply.Reservations[0].State != bookkeeping.Proposed {
+	if reply, txn := b.operate(dry); reply.Code != operatorapi.Done || txn != nil || reply.Reservations[0].State != bookkeeping.Proposed {
 		t.Fatalf("dry run: %+v, %v", reply, txn)
 	}
-	_, stale := b.operate(operators.Request{Op: operators.OpAdd, ID: "2", Reservation: reserve("two", b.in(time.Hour), 2)})
-	if reply := b.do(add); reply.Code != operators.Done {
+	_, stale := b.operate(operatorapi.Request{Op: operatorapi.OpAdd, ID: "2", Reservation: reserve("two", b.in(time.Hour), 2)})
+	if reply := b.do(add); reply.Code != operatorapi.Done {
 		t.Fatalf("%+v", reply)
 	}
 	if stale.If[0].Key != bookkeeping.CalendarKey || stale.If[0].Version == b.c.reservations.Version {
 		t.Error("decided before the first was accepted, and not conditional on that")
 	}
-	if reply, txn := b.operate(add); reply.Code != operators.Done || txn != nil || len(reply.Reservations) != 1 {
+	if reply, txn := b.operate(add); reply.Code != operatorapi.Done || txn != nil || len(reply.Reservations) != 1 {
 		t.Errorf("repeated: %+v", reply)
 	}
 	add.ID = "3"
-	if reply, _ := b.operate(add); reply.Code != operators.Refused {
+	if reply, _ := b.operate(add); reply.Code != operatorapi.Refused {
 		t.Errorf("its name is taken: %+v", reply)
 	}
 	made := b.c.reservations.Book.Reservation("one").Reservation.MadeMS
-	if reply := b.do(operators.Request{Op: operators.OpCancel, Name: "one", Made: made - 1}); reply.Code != operators.Refused {
+	if reply := b.do(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one", Made: made - 1}); reply.Code != operatorapi.Refused {
 		t.Errorf("another one is cancelled: %+v", reply)
 	}
 	for range 2 {
-		if reply := b.do(operators.Request{Op: operators.OpCancel, Name: "one", Made: made}); reply.Code != operators.Done {
+		if reply := b.do(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one", Made: made}); reply.Code != operatorapi.Done {
 			t.Errorf("cancel: %+v", reply)
 		}
 	}
@@ -93,7 +93,7 @@
 	b := promising(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 1) // of 10 s
-	b.do(operators.Request{Op: operators.OpAdd, Window: true, ID: "w", Spec: &bookkeeping.WindowSpec{Name: "w", When: b.in(20 * time.Second), LengthS: 600, Zone: "a"}})
+	b.do(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "w", Spec: &bookkeeping.WindowSpec{Name: "w", When: b.in(20 * time.Second), LengthS: 600, Zone: "a"}})
 	task := protocol.TaskID{Job: "job-1"}
 	e := b.kept("vm-1", task)
 	if e.Attempt == 0 {
@@ -107,7 +107,7 @@
 	if b.kept("vm-1", protocol.TaskID{Job: "job-2"}).Attempt != 0 {
 		t.Error("placed where it would run into the window")
 	}
-	reply, _ := b.operate(operators.Request{Op: operators.OpShow, Window: true, Name: "w"})
+	reply, _ := b.operate(operatorapi.Request{Op: operatorapi.OpShow, Window: true, Name: "w"})
 	if len(reply.Windows) != 1 || len(reply.Windows[0].Overruns) != 1 || reply.Windows[0].Overruns[0].ByS < 5 {
 		t.Errorf("overruns: %+v", reply.Windows)
 	}
--- a/internal/coordination/room/amount.go
+++ b/internal/controller/resource/amount.go
@@ -1,6 +1,6 @@
-// Package room reckons with what machines have and tasks take: amounts, who
+// Package resource reckons with what machines have and tasks take: amounts, who
 // holds them by level, and claims on what is free.
-package room
+package resource
 
 import (
 	"math"
--- a/internal/coordination/room/uses.go
+++ b/internal/controller/resource/uses.go
@@ -1,4 +1,4 @@
-package room
+package resource
 
 import "damsonkeel/internal/protocol"
 
--- a/internal/coordination/runtimes_test.go
+++ b/internal/controller/runtimes_test.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"testing"
 	"time"
 
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
@@ -14,7 +14,7 @@
 // from saved progress.
 func TestUsualRunTime(t *testing.T) {
 	b := newBench(t, "node-1")
-	o := b.c.own(&stateview.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100}})
+	o := b.c.own(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100}})
 	start := func(i uint32) {
 		p := &placedTask{task: protocol.TaskID{Job: "job-1", Index: i}, attempt: 1, machine: "vm-1"}
 		o.placed[p.task] = p
--- a/internal/coordination/session.go
+++ b/internal/controller/session.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/sharing/assign.go
+++ b/internal/controller/sharding/assign.go
@@ -1,4 +1,4 @@
-package sharing
+package sharding
 
 import (
 	"cmp"
--- a/internal/coordination/sharing/balance.go
+++ b/internal/controller/sharding/balance.go
@@ -1,11 +1,11 @@
-package sharing
+package sharding
 
 import (
 	"slices"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/clock"
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/sharing/sharing.go
+++ b/internal/controller/sharding/sharding.go
@@ -1,9 +1,9 @@
-// Package sharing divides the machines into shares, each kept by one controller,
+// Package sharding divides the machines into shares, each kept by one controller,
 // and decides who should keep which: who takes over what has no holder, and which
 // shares move so that each controller keeps what it can. What a share is depends
 // on nothing but the record of the shares; only who keeps it changes. The package
 // decides; the record is changed by package membership (docs/shares.md).
-package sharing
+package sharding
 
 import (
 	"slices"
--- a/internal/coordination/sharing/sharing_test.go
+++ b/internal/controller/sharding/sharding_test.go
@@ -1,4 +1,4 @@
-package sharing
+package sharding
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/clock"
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/fixedseed"
 	"damsonkeel/internal/protocol"
 
--- a/internal/coordination/slow.go
+++ b/internal/controller/slow.go
@@ -1,13 +1,13 @@
-package coordination
+package controller
 
 import (
 	"cmp"
 	"container/heap"
 	"time"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
 )
 
@@ -118,9 +118,9 @@
 	m.reported.Draining = true // at once, though its keeper has not said so yet
 	c.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
 	c.Send(c.Keeper(m.ID), message.PeerMessage{Drain: &m.ID})
-	for _, t := range inorder.Tasks(m.mine) {
+	for _, t := range ordered.Tasks(m.mine) {
 		if o := c.owner.jobs[t.task.Job]; o != nil && o.Kind == protocol.KindArray && o.CheckpointS > 0 {
-			c.askStop(t, true, stateview.GraceS(&o.Job)) // goes on elsewhere from what it saves
+			c.askStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
 		}
 	}
 }
--- a/internal/coordination/slow_test.go
+++ b/internal/controller/slow_test.go
@@ -1,12 +1,12 @@
-package coordination
+package controller
 
 import (
 	"testing"
 	"time"
 
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -32,8 +32,8 @@
 		{"too many", 2, 10 * time.Second, 10 * time.Second, true, 3, false},
 	} {
 		b := newBench(t, "node-1")
-		b.zoned("a", 20, false, room.Uses{})
-		o := b.c.own(&stateview.LiveJob{Job: protocol.Job{
+		b.zoned("a", 20, false, resource.Uses{})
+		o := b.c.own(&clusterstate.LiveJob{Job: protocol.Job{
 			ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 10, CheckpointS: 5, SaveS: 1,
 		}})
 		o.loaded = true
--- a/internal/coordination/spot.go
+++ b/internal/controller/spot.go
@@ -1,9 +1,9 @@
-package coordination
+package controller
 
 import (
 	"math"
 
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/table.go
+++ b/internal/controller/table.go
@@ -1,25 +1,25 @@
-package coordination
+package controller
 
 import (
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
 // machineEntry is a registered machine as the records have it, and what the
 // wait table holds of it.
 type machineEntry struct {
-	*stateview.Machine
+	*clusterstate.Machine
 	reported message.MachineState // by its keeper
 	by       *peer                // the keeper's session that told it in this term, if any
 	at       Time                 // when that was
 	coming   []comingWait         // placements that its keeper's word does not include yet
 	extra    float64              // their waits
-	taken    room.Uses            // what they take
-	reserved room.Amount          // of what it has free: held for reservations now
+	taken    resource.Uses        // what they take
+	reserved resource.Amount      // of what it has free: held for reservations now
 	copied   float64              // its wait by a peer's table, until its keeper is heard
-	held     room.Uses            // what it was told to hold
+	held     resource.Uses        // what it was told to hold
 	refused  bool                 // its keeper refused something and has not said since why
 	late     int                  // tasks of this owner that ran too long there lately
 	lateAt   Time                 // the last of them
--- a/internal/coordination/takeover.go
+++ b/internal/controller/takeover.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/sharing"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
 
 	"github.com/bits-and-blooms/bitset"
@@ -45,7 +45,7 @@
 			}
 		}
 	}
-	for id, l := range inorder.Of(c.Live) {
+	for id, l := range ordered.Of(c.Live) {
 		o := before[id]
 		if c.OwnerOf(l) != c.Self {
 			c.letGo(o)
@@ -83,7 +83,7 @@
 		return false // the record of the shares has told: see sharesMoved
 	}
 	keeper := c.Keeper(id)
-	return stateview.MachineKeeper(old, id) != keeper || !stateview.SameSession(old, c.View, keeper)
+	return clusterstate.MachineKeeper(old, id) != keeper || !clusterstate.SameSession(old, c.View, keeper)
 }
 
 func (c *Core) jobLoaded(m message.JobLoaded) {
@@ -113,7 +113,7 @@
 	o.loaded = true
 	o.nDone = uint32(o.done.Count())
 	c.ownedChanged.Touch(o.ID)
-	for id, t := range inorder.Tasks(o.placed) {
+	for id, t := range ordered.Tasks(o.placed) {
 		if o.done.Test(uint(id.Index)) {
 			c.askStop(t, true, 0)
 		}
@@ -160,7 +160,7 @@
 		listed[h.Task] = true
 		c.takeHeld(o, m, h)
 	}
-	for _, t := range inorder.Tasks(m.mine) {
+	for _, t := range ordered.Tasks(m.mine) {
 		o := c.owner.jobs[t.task.Job]
 		if o == nil || listed[t.task] || (!t.uncertain && t.number > inv.Upto) {
 			continue
@@ -221,15 +221,15 @@
 // sharesMoved: what was placed on the machines of some shares is uncertain until
 // their new keepers' inventories, and what was told of these machines is no longer
 // the word of who keeps them.
-func (c *Core) sharesMoved(moved map[sharing.ID]bool) {
+func (c *Core) sharesMoved(moved map[sharding.ID]bool) {
 	for ref, t := range c.owner.leaving {
-		if m := c.machines[ref.Machine]; m != nil && moved[sharing.Of(c.Shares, ref.Machine, m.Record.Zone)] {
+		if m := c.machines[ref.Machine]; m != nil && moved[sharding.Of(c.Shares, ref.Machine, m.Record.Zone)] {
 			t.number = 0 // of the keeper before
 			c.owner.leaving[ref] = t
 		}
 	}
 	for id, m := range c.machines {
-		if !moved[sharing.Of(c.Shares, id, m.Record.Zone)] {
+		if !moved[sharding.Of(c.Shares, id, m.Record.Zone)] {
 			continue
 		}
 		for _, t := range m.mine {
@@ -268,7 +268,7 @@
 		return
 	}
 	seen := bitset.New(uint(o.Tasks))
-	for chunk, b := range inorder.Of(d.Chunks) {
+	for chunk, b := range ordered.Of(d.Chunks) {
 		if err := bookkeeping.DecodeChunk(bookkeeping.BitsKey(d.Job, chunk), b, seen, o.Tasks); err != nil {
 			c.Log.Error("bitmap of a peer can't be read", "job", d.Job, "err", err)
 		}
--- a/internal/coordination/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"math"
@@ -8,16 +8,16 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/keeping"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
 // inventory plays the proof of all that is on a machine.
 func (b *bench) inventory(id protocol.MachineID, held ...message.Held) {
-	b.c.inventory(stateview.MachineKeeper(b.c.View, id), &message.Inventory{
+	b.c.inventory(clusterstate.MachineKeeper(b.c.View, id), &message.Inventory{
 		Term: b.c.View.Term, Machine: id, Epoch: b.c.machines[id].Epoch, Upto: 1 << 40, Held: held,
 	})
 }
@@ -109,7 +109,7 @@
 	b.machine(id, 1)
 	removed := func() bool {
 		for _, a := range b.step(message.Tick{}) {
-			if c, ok := a.(message.Commit); ok && c.Tag == (keeping.RemoveTag{Machine: id}) {
+			if c, ok := a.(message.Commit); ok && c.Tag == (dispatcher.RemoveTag{Machine: id}) {
 				return true
 			}
 		}
@@ -186,7 +186,7 @@
 		id := b.keptBy("node-1")
 		team := protocol.Team("bound")
 		b.c.Settings.Site.Teams = nil
-		for i := 0; stateview.Rendezvous(b.c.View, "team "+string(team)) != "node-0" || stateview.RendezvousBut(b.c.View, []protocol.NodeName{"node-1"}, "team "+string(team)) != "node-0"; i++ {
+		for i := 0; clusterstate.Rendezvous(b.c.View, "team "+string(team)) != "node-0" || clusterstate.RendezvousBut(b.c.View, []protocol.NodeName{"node-1"}, "team "+string(team)) != "node-0"; i++ {
 			team = protocol.Team("bound" + string(rune('a'+i)))
 		}
 		b.c.Settings.Site.Teams = []config.Team{{Name: team, MaxCPUs: 4}}
@@ -225,7 +225,7 @@
 // limited makes a team with a limit, which this controller owns, the only one.
 func (b *bench) limited(cpus float64) protocol.Team {
 	team := protocol.Team("bound")
-	for i := 0; stateview.Rendezvous(b.c.View, "team "+string(team)) != "node-0"; i++ {
+	for i := 0; clusterstate.Rendezvous(b.c.View, "team "+string(team)) != "node-0"; i++ {
 		team = protocol.Team("bound" + string(rune('a'+i)))
 	}
 	b.c.Settings.Site.Teams = []config.Team{{Name: team, MaxCPUs: cpus}}
@@ -252,7 +252,7 @@
 			}
 			var held []message.Held
 			for i := range uint32(4) {
-				held = append(held, message.Held{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: protocol.Attempt(i + 1), State: state, Team: team, Need: room.Amount{CPUs: 1}})
+				held = append(held, message.Held{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: protocol.Attempt(i + 1), State: state, Team: team, Need: resource.Amount{CPUs: 1}})
 			}
 			b.c.inventory("node-1", &message.Inventory{Term: 1, Machine: id, Epoch: b.c.machines[id].Epoch, Upto: 99, Held: held})
 			if used := b.c.teamUsage()[team].CPUs; used != 4 {
--- a/internal/coordination/view.go
+++ b/internal/controller/view.go
@@ -1,9 +1,9 @@
-package coordination
+package controller
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/sharing"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
 )
 
@@ -103,10 +103,10 @@
 	if !was || !c.Member() {
 		return // with the view that names the shares
 	}
-	changed := map[sharing.ID]bool{}
+	changed := map[sharding.ID]bool{}
 	for i, now := range s.List {
 		if i >= len(old.List) || old.List[i].Since != now.Since {
-			changed[sharing.ID(i)] = true
+			changed[sharding.ID(i)] = true
 		}
 	}
 	if len(changed) > 0 {
--- a/internal/coordination/waits.go
+++ b/internal/controller/waits.go
@@ -1,9 +1,9 @@
-package coordination
+package controller
 
 import (
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -13,8 +13,8 @@
 	owner  protocol.NodeName // that placed it
 	number uint64            // of the owner's Place to the keeper that carries it
 	add    float64           // processor seconds
-	level  room.Level
-	taken  room.Amount
+	level  resource.Level
+	taken  resource.Amount
 }
 
 // expect counts an announced placement until its keeper's word includes it.
@@ -32,7 +32,7 @@
 // reckon sums what is announced anew: nothing is subtracted, so that nothing
 // adds up.
 func (m *machineEntry) reckon() {
-	m.extra, m.taken = 0, room.Uses{}
+	m.extra, m.taken = 0, resource.Uses{}
 	for _, w := range m.coming {
 		m.extra += w.add
 		m.taken.Add(w.level, w.taken)
@@ -67,7 +67,7 @@
 			if i == 0 {
 				add = w.Add
 			}
-			c.expect(m, comingWait{from, n, add, room.Level(u.Level), room.Amount{CPUs: u.CPUs, GPUs: u.GPUs, GB: u.GB}})
+			c.expect(m, comingWait{from, n, add, resource.Level(u.Level), resource.Amount{CPUs: u.CPUs, GPUs: u.GPUs, GB: u.GB}})
 		}
 	}
 }
@@ -75,7 +75,7 @@
 // ownWaits is what placing tasks has added to a machine.
 type ownWaits struct {
 	add   float64
-	taken room.Uses
+	taken resource.Uses
 }
 
 // sendWaits tells every peer, in one message, what placing a job has added.
@@ -84,14 +84,14 @@
 		return
 	}
 	a := &message.Added{Term: c.View.Term, Numbers: map[protocol.NodeName]uint64{}}
-	for id, w := range inorder.Of(added) {
+	for id, w := range ordered.Of(added) {
 		a.Waits = append(a.Waits, message.Wait{Machine: id, Add: w.add, Taken: message.UsesIn(&w.taken)})
 		keeper := c.Keeper(id)
 		if p := c.peers[keeper]; p != nil {
 			a.Numbers[keeper] = p.placed
 		}
 	}
-	for name := range inorder.Of(c.peers) {
+	for name := range ordered.Of(c.peers) {
 		if name != c.Self {
 			c.Send(name, message.PeerMessage{Added: a})
 		}
@@ -131,7 +131,7 @@
 // random, and two more after each wait in vain.
 func (c *Core) askTables() {
 	c.copy = tableCopy{}
-	for name := range inorder.Of(c.peers) {
+	for name := range ordered.Of(c.peers) {
 		if name != c.Self {
 			c.copy.left = append(c.copy.left, name)
 		}
@@ -155,7 +155,7 @@
 // sendTable answers a restarted controller, if this table is filled.
 func (c *Core) sendTable(to protocol.NodeName) {
 	var ws []message.Wait
-	for id, m := range inorder.Of(c.machines) {
+	for id, m := range ordered.Of(c.machines) {
 		if m.reported.Epoch == m.Epoch {
 			ws = append(ws, message.Wait{Machine: id, Add: m.wait()})
 		}
--- a/internal/coordination/registrar/registrar.go
+++ b/internal/controller/workerregistry/workerregistry.go
@@ -1,16 +1,16 @@
-// Package registrar keeps the records of machines: several in one block, written
+// Package workerregistry keeps the records of machines: several in one block, written
 // by one member at a time (docs/machine-records.md).
-package registrar
+package workerregistry
 
 import (
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/blocks"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/recordblock"
 	"damsonkeel/internal/protocol"
 )
 
@@ -18,20 +18,20 @@
 // controller is the one member that writes them in a term, what it has to write.
 // Only one does, so that no machine is ever in two blocks.
 type Registrar struct {
-	stateview.Part
-	shelf *blocks.Shelf
+	clusterstate.Part
+	shelf *recordblock.Shelf
 	pen
 }
 
 // New knows no records yet.
-func New(p stateview.Part) *Registrar {
+func New(p clusterstate.Part) *Registrar {
 	g := &Registrar{Part: p}
 	g.Reset()
 	return g
 }
 
 // Reset forgets everything a session knew.
-func (g *Registrar) Reset() { g.shelf, g.pen = blocks.NewShelf(), newPen() }
+func (g *Registrar) Reset() { g.shelf, g.pen = recordblock.NewShelf(), newPen() }
 
 // Adopted forgets what was to be written in the term before.
 func (g *Registrar) Adopted() { g.pen = newPen() }
@@ -64,7 +64,7 @@
 
 // Tag marks the transaction that writes blocks.
 type Tag struct {
-	writes  []blocks.Write
+	writes  []recordblock.Write
 	dropped []protocol.MachineID // whose records of their own go
 }
 
@@ -94,7 +94,7 @@
 	if len(p.asked) == 0 || p.busy || g.Now < p.retryAt || !g.Acting() {
 		return
 	}
-	limits := blocks.LimitsOf(g.Settings.Site.State.ValueKB, g.Settings.Site.State.TxnOps)
+	limits := recordblock.LimitsOf(g.Settings.Site.State.ValueKB, g.Settings.Site.State.TxnOps)
 	txn := protocol.Txn{If: []protocol.Condition{g.InThisView()}}
 	dropSingle := func(id protocol.MachineID, version protocol.Version) {
 		key := bookkeeping.MachineKey(id)
@@ -102,9 +102,9 @@
 		txn.Then = append(txn.Then, protocol.Change{Delete: key})
 	}
 	var tag Tag
-	var changes []blocks.Change
+	var changes []recordblock.Change
 	byTenure := false // something goes on the word of a machine's keeper
-	for id, r := range inorder.Of(p.asked) {
+	for id, r := range ordered.Of(p.asked) {
 		ch, due := g.blockChange(id, r)
 		removal := r.To == nil && r.Tenure != 0
 		if byTenure = byTenure || due && removal; removal && !g.keptBy(r) {
@@ -166,7 +166,7 @@
 }
 
 // blockChange is what a machine's record needs still, if anything.
-func (g *Registrar) blockChange(id protocol.MachineID, r message.RecordChange) (ch blocks.Change, due bool) {
+func (g *Registrar) blockChange(id protocol.MachineID, r message.RecordChange) (ch recordblock.Change, due bool) {
 	m := g.Records[id]
 	have := protocol.Version(0)
 	if m != nil {
@@ -175,7 +175,7 @@
 	if have != r.Have {
 		return ch, false // it has changed since: asked again if that is not enough
 	}
-	ch = blocks.Change{Machine: id, Bound: g.pen.bound[id]}
+	ch = recordblock.Change{Machine: id, Bound: g.pen.bound[id]}
 	if _, in := g.shelf.Where(id); m != nil && !in {
 		ch.Single = m.Epoch
 	}
--- a/internal/coordination/workers.go
+++ b/internal/controller/workers.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"sync"
--- a/internal/standin/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
--- a/internal/standin/serve/cloud.go
+++ b/internal/fake/server/cloud.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // maxListed is how many machines a page of the cloud's list holds at the most.
@@ -47,7 +47,7 @@
 	clock  func() time.Duration
 
 	mu    sync.Mutex
-	model *standin.Cloud
+	model *fake.Cloud
 }
 
 // NewCloudService starts a cloud on loopback that has so many machines.
@@ -55,7 +55,7 @@
 	limits.Burst = cmp.Or(limits.Burst, cloudBurst)
 	t := newThrottle(limits)
 	c := &CloudService{
-		Traffic: t.traffic, throttle: t, types: types, fleet: fleet, clock: clock, model: standin.NewCloud(capacity),
+		Traffic: t.traffic, throttle: t, types: types, fleet: fleet, clock: clock, model: fake.NewCloud(capacity),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", c.limited("catalogue", func(w http.ResponseWriter, _ *http.Request) { answer(w, 200, protocol.Catalogue{Types: c.types}) }))
--- a/internal/standin/serve/host.go
+++ b/internal/fake/server/host.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 	"damsonkeel/internal/transport"
 )
 
@@ -85,7 +85,7 @@
 
 // worker is one machine that is up.
 type worker struct {
-	*standin.Worker
+	*fake.Worker
 	server   *http.Server
 	addr     string
 	since    time.Duration
@@ -125,15 +125,15 @@
 	}
 	now := h.cfg.Clock()
 	w.server, w.addr, w.since, w.answered = server, addr, now, now
-	w.Worker = &standin.Worker{
+	w.Worker = &fake.Worker{
 		ID: id, Info: info, Zone: zone, Spot: spot, LeaseS: h.cfg.Lease.Seconds(), GangWait: h.cfg.GangWait, Results: h.cfg.Results,
 		Caches:  h.cfg.CachedImages,
 		Jobs:    func(j protocol.JobID) (protocol.Job, bool) { job, ok := h.jobs[j]; return job, ok },
 		RunTime: func(id protocol.TaskID) time.Duration { return h.cfg.RunTime(h.jobs[id.Job], id) },
-		Started: func(w *standin.Worker, task protocol.TaskID, attempt protocol.Attempt) {
+		Started: func(w *fake.Worker, task protocol.TaskID, attempt protocol.Attempt) {
 			h.cfg.Observer.On(w.ID, task, attempt, h.cfg.Clock())
 		},
-		Ordered: func(w *standin.Worker, task protocol.TaskID, attempt protocol.Attempt) {
+		Ordered: func(w *fake.Worker, task protocol.TaskID, attempt protocol.Attempt) {
 			h.cfg.Observer.Ordered(w.ID, task, attempt, h.cfg.Clock())
 		},
 		Ended: h.ended,
@@ -154,7 +154,7 @@
 
 // ended tells the observer of a task that was on its machine. One that the lease's
 // end has killed was gone when the lease ended, however late that is noticed.
-func (h *Host) ended(w *standin.Worker, task protocol.TaskID, cause protocol.EndCause) {
+func (h *Host) ended(w *fake.Worker, task protocol.TaskID, cause protocol.EndCause) {
 	if !w.Holds(task) {
 		return
 	}
@@ -223,12 +223,12 @@
 
 // GangComplete lets the waiting tasks of a gang's attempt run.
 func (h *Host) GangComplete(job protocol.JobID, attempt protocol.Attempt) {
-	h.eachOfGang(job, attempt, (*standin.Worker).Meet)
+	h.eachOfGang(job, attempt, (*fake.Worker).Meet)
 }
 
 // GangLost ends the running tasks of a gang's attempt that lost another.
 func (h *Host) GangLost(job protocol.JobID, attempt protocol.Attempt) {
-	h.eachOfGang(job, attempt, (*standin.Worker).Part)
+	h.eachOfGang(job, attempt, (*fake.Worker).Part)
 }
 
 // GangDone has all tasks of a gang completed, as one of them has.
@@ -238,10 +238,10 @@
 		h.cfg.Results[protocol.TaskID{Job: job, Index: i}] = true
 	}
 	h.mu.Unlock()
-	h.eachOfGang(job, attempt, (*standin.Worker).Part)
+	h.eachOfGang(job, attempt, (*fake.Worker).Part)
 }
 
-func (h *Host) eachOfGang(job protocol.JobID, attempt protocol.Attempt, do func(*standin.Worker, protocol.TaskID)) {
+func (h *Host) eachOfGang(job protocol.JobID, attempt protocol.Attempt, do func(*fake.Worker, protocol.TaskID)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, w := range h.workers {
--- a/internal/standin/serve/limits.go
+++ b/internal/fake/server/limits.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"net/http"
--- a/internal/standin/serve/platform.go
+++ b/internal/fake/server/platform.go
@@ -1,7 +1,7 @@
-// Package serve puts the models of the platform's services behind its wire: a
+// Package server puts the models of the platform's services behind its wire: a
 // state service, a cloud and workers on loopback, for tests and trials with real
 // controllers at real speed.
-package serve
+package server
 
 import (
 	"math/rand/v2"
--- a/internal/standin/serve/state.go
+++ b/internal/fake/server/state.go
@@ -1,4 +1,4 @@
-package serve
+package server
 
 import (
 	"net/http"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 
 	"golang.org/x/time/rate"
 )
@@ -38,7 +38,7 @@
 	done    chan struct{}
 
 	mu      sync.Mutex
-	state   *standin.State
+	state   *fake.State
 	changed chan struct{} // closed at each change
 }
 
@@ -46,7 +46,7 @@
 func NewStateService(limits Limits, clock func() time.Duration) (*StateService, error) {
 	t := newThrottle(limits)
 	s := &StateService{
-		Traffic: t.traffic, throttle: t, changes: limits.limiter(limits.Changes), clock: clock, done: make(chan struct{}), state: standin.NewState(), changed: make(chan struct{}),
+		Traffic: t.traffic, throttle: t, changes: limits.limiter(limits.Changes), clock: clock, done: make(chan struct{}), state: fake.NewState(), changed: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys", s.limited("list", s.list))
--- a/internal/standin/state.go
+++ b/internal/fake/state.go
@@ -1,6 +1,6 @@
-// Package standin models the platform's services for tests: a state service,
+// Package fake models the platform's services for tests: a state service,
 // a cloud and workers, each as plain state without clocks or sockets.
-package standin
+package fake
 
 import (
 	"maps"
--- a/internal/operators/client.go
+++ b/internal/operatorapi/client.go
@@ -1,4 +1,4 @@
-package operators
+package operatorapi
 
 import (
 	"context"
--- a/internal/operators/messages.go
+++ b/internal/operatorapi/messages.go
@@ -1,7 +1,7 @@
-// Package operators is what operators' commands and controllers say to one
+// Package operatorapi is what operators' commands and controllers say to one
 // another: requests about the calendar, sealed with an operator's key, and the
 // answers. It is the same on both sides.
-package operators
+package operatorapi
 
 import (
 	"damsonkeel/internal/bookkeeping"
--- a/internal/scale/forwarder.go
+++ b/internal/scale/forwarder.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"damsonkeel/internal/standin/serve"
+	"damsonkeel/internal/fake/server"
 )
 
 // nowhere is the region of what belongs to none: users and the services.
@@ -34,7 +34,7 @@
 // forwarder carries connections over links, with delays, and holds them back while
 // a region at one end is apart.
 type forwarder struct {
-	traffic   *serve.Traffic
+	traffic   *server.Traffic
 	addresses map[string]string
 
 	mu    sync.Mutex
@@ -43,7 +43,7 @@
 
 // newForwarder begins to carry links.
 func newForwarder(links []Link) (*forwarder, error) {
-	f := &forwarder{traffic: serve.NewTraffic(), addresses: map[string]string{}}
+	f := &forwarder{traffic: server.NewTraffic(), addresses: map[string]string{}}
 	for _, link := range links {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/internal/scale/hub.go
+++ b/internal/scale/hub.go
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
+	"damsonkeel/internal/fake/server"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/scale/rules"
-	"damsonkeel/internal/standin/serve"
 )
 
 // returnWait is how long the cloud waits for machines to be gone.
@@ -53,7 +53,7 @@
 // hubMachine is a machine and the process that runs it.
 type hubMachine struct {
 	process *hubProcess
-	listed  serve.Listed
+	listed  server.Listed
 	up      bool
 	// returned is the number of the directive that ends it; 0: it is not to end.
 	returned uint64
@@ -265,12 +265,12 @@
 }
 
 // Machine is a machine that has come up.
-func (h *Hub) Machine(id protocol.MachineID) (serve.Listed, bool) {
+func (h *Hub) Machine(id protocol.MachineID) (server.Listed, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m := h.machines[id]
 	if m == nil || !m.up {
-		return serve.Listed{}, false
+		return server.Listed{}, false
 	}
 	return m.listed, true
 }
--- a/internal/scale/hub_test.go
+++ b/internal/scale/hub_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/fake/server"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/scale/rules"
-	"damsonkeel/internal/standin/serve"
 )
 
 // TestExchangesCountOnce: an exchange whose answer was lost is repeated. What was seen
@@ -22,7 +22,7 @@
 	process := sharedProcess("r1z1")
 	exchange := func(number, carried uint64, events ...rules.MachineEvent) []Directive {
 		var out Directives
-		in := Exchange{Process: process, Number: number, Carried: carried, Machines: events, Addresses: map[protocol.MachineID]serve.Listed{"vm-1": {Address: "x"}}}
+		in := Exchange{Process: process, Number: number, Carried: carried, Machines: events, Addresses: map[protocol.MachineID]server.Listed{"vm-1": {Address: "x"}}}
 		if err := h.Exchange(in, &out); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/messages.go
+++ b/internal/scale/messages.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"damsonkeel/internal/fake/server"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/scale/rules"
-	"damsonkeel/internal/standin/serve"
 )
 
 // hubService is the name of the hub among the processes of a run.
@@ -25,7 +25,7 @@
 	// Oldest is the time since which each worker here has had an answered report.
 	Oldest time.Duration
 	// Addresses are those of machines that have come up since the last exchange.
-	Addresses map[protocol.MachineID]serve.Listed
+	Addresses map[protocol.MachineID]server.Listed
 }
 
 // Directives is what the hub has a process do, in order.
@@ -106,7 +106,7 @@
 // RoleReport is the last line that a process writes.
 type RoleReport struct {
 	Name       string
-	Traffic    map[string]serve.Flow
+	Traffic    map[string]server.Flow
 	Goroutines int
 	Lateness   Lateness
 	Users      *UserFigures
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -15,7 +15,7 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/scale/rules"
 
@@ -67,7 +67,7 @@
 type operator struct {
 	site      *Site
 	settings  *config.Settings // of the site, as controllers have them
-	key       operators.Key
+	key       operatorapi.Key
 	addresses map[protocol.NodeName]string
 	rng       *rand.Rand
 
@@ -82,7 +82,7 @@
 
 // newOperator makes an operator's key, in a file that controllers are given.
 func newOperator(site *Site, dir string, seed uint64) (*operator, string, error) {
-	key, err := operators.NewKey("scale")
+	key, err := operatorapi.NewKey("scale")
 	if err != nil {
 		return nil, "", err
 	}
@@ -112,7 +112,7 @@
 }
 
 // draw makes up a change: of a limit, a guarantee, a class or a setting, in turn.
-func (o *operator) draw(i int) (operators.ConfigChange, *rules.LimitChange) {
+func (o *operator) draw(i int) (operatorapi.ConfigChange, *rules.LimitChange) {
 	names := o.site.TeamNames()
 	team := names[o.rng.IntN(len(names))]
 	file, _ := o.settings.Team(team)
@@ -120,18 +120,18 @@
 	case 0, 1:
 		if file.MaxCPUs > 0 {
 			limit := math.Round(file.MaxCPUs * (1 + limitSpread*o.rng.Float64()))
-			return operators.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, string(team)), MaxCPUs: &limit}, &rules.LimitChange{Team: team, MaxCPUs: limit}
+			return operatorapi.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, string(team)), MaxCPUs: &limit}, &rules.LimitChange{Team: team, MaxCPUs: limit}
 		}
 	case 2:
 		guarantee := math.Round(file.CPUs * (0.5 + 0.5*o.rng.Float64()))
-		return operators.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, string(team)), CPUs: &guarantee}, nil
+		return operatorapi.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, string(team)), CPUs: &guarantee}, nil
 	}
 	value := bookkeeping.SettingText(fmt.Sprintf("%ds", 3000+o.rng.IntN(600)))
-	return operators.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntrySetting, "idleReturn"), Value: &value}, nil
+	return operatorapi.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntrySetting, "idleReturn"), Value: &value}, nil
 }
 
 // change puts a change to the controllers until it is settled.
-func (o *operator) change(ctx context.Context, id string, change operators.ConfigChange, limit *rules.LimitChange) {
+func (o *operator) change(ctx context.Context, id string, change operatorapi.ConfigChange, limit *rules.LimitChange) {
 	ctx, cancel := context.WithTimeout(ctx, changeWait)
 	defer cancel()
 	var addresses []string
@@ -139,13 +139,13 @@
 		addresses = append(addresses, addr)
 	}
 	made := &madeChange{asked: Now(), settled: map[protocol.NodeName]time.Duration{}, limit: limit}
-	reply, err := operators.NewClient(o.key, addresses).Do(ctx, operators.Request{
-		Op: operators.OpConfigure, ID: id, Config: &operators.ConfigRequest{Changes: []operators.ConfigChange{change}},
+	reply, err := operatorapi.NewClient(o.key, addresses).Do(ctx, operatorapi.Request{
+		Op: operatorapi.OpConfigure, ID: id, Config: &operatorapi.ConfigRequest{Changes: []operatorapi.ConfigChange{change}},
 	})
 	made.answered = Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if err != nil || reply.Code != operators.Done || reply.Config == nil {
+	if err != nil || reply.Code != operatorapi.Done || reply.Config == nil {
 		o.failed++
 		return
 	}
@@ -156,11 +156,11 @@
 
 // watch asks a controller again and again by which revision it acts.
 func (o *operator) watch(ctx context.Context, name protocol.NodeName, addr string) {
-	client := operators.NewClient(o.key, []string{addr})
+	client := operatorapi.NewClient(o.key, []string{addr})
 	for ctx.Err() == nil {
 		asked := Now()
 		askCtx, cancel := context.WithTimeout(ctx, statusWait)
-		reply, err := client.Do(askCtx, operators.Request{Op: operators.OpConfigStatus})
+		reply, err := client.Do(askCtx, operatorapi.Request{Op: operatorapi.OpConfigStatus})
 		cancel()
 		if err == nil && reply.Config != nil {
 			for _, c := range reply.Config.Controllers {
@@ -174,7 +174,7 @@
 }
 
 // heard takes what a controller says that it acts by, asked for and answered at times.
-func (o *operator) heard(c operators.ConfigController, asked, answered time.Duration) {
+func (o *operator) heard(c operatorapi.ConfigController, asked, answered time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, made := range o.made {
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -8,8 +8,8 @@
 	"slices"
 	"strings"
 
+	"damsonkeel/internal/fake/server"
 	"damsonkeel/internal/scale/rules"
-	"damsonkeel/internal/standin/serve"
 )
 
 // resultSchema is the version of the result's form.
@@ -189,7 +189,7 @@
 // role adds up the processes of a role.
 func (r *Result) role(role string, spent map[string]*Spent, passed float64) RoleFigures {
 	f := RoleFigures{Role: role, Traffic: map[string]TrafficRate{}}
-	traffic := map[string]serve.Flow{}
+	traffic := map[string]server.Flow{}
 	for _, name := range slices.Sorted(maps.Keys(spent)) {
 		if r.roleOf[name] != role {
 			continue
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -5,8 +5,8 @@
 	"log/slog"
 	"time"
 
+	"damsonkeel/internal/fake/server"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin/serve"
 	"damsonkeel/internal/transport"
 )
 
@@ -17,8 +17,8 @@
 type services struct {
 	cfg   RoleConfig
 	hub   *Hub
-	state *serve.StateService
-	cloud *serve.CloudService
+	state *server.StateService
+	cloud *server.CloudService
 	// addresses are those of the state service, the cloud and the hub.
 	addresses map[string]string
 
@@ -30,15 +30,15 @@
 func newServices(cfg RoleConfig, log *slog.Logger) (*services, error) {
 	s := &services{cfg: cfg, hub: newHub(&cfg.Site, cfg.Seed), peaks: make(chan map[string]uint64, 1), done: make(chan struct{})}
 	var err error
-	s.state, err = serve.NewStateService(serve.Limits{
+	s.state, err = server.NewStateService(server.Limits{
 		Requests: cfg.Site.State.RequestsPerS, Changes: cfg.Site.State.ChangesPerS, Latency: fixed(cfg.Site.State.AnswerMS),
 	}, Now)
 	if err != nil {
 		return nil, err
 	}
 	capacity := cfg.Site.Workers + cfg.Site.SpareWorkers
-	cloudLimits := serve.Limits{Requests: cfg.Site.Cloud.RequestsPerS, Latency: fixed(cfg.Site.Cloud.AnswerMS)}
-	if s.cloud, err = serve.NewCloudService(cloudLimits, catalogue(&cfg.Site), capacity, s.hub, Now); err != nil {
+	cloudLimits := server.Limits{Requests: cfg.Site.Cloud.RequestsPerS, Latency: fixed(cfg.Site.Cloud.AnswerMS)}
+	if s.cloud, err = server.NewCloudService(cloudLimits, catalogue(&cfg.Site), capacity, s.hub, Now); err != nil {
 		return nil, err
 	}
 	hubAddr, err := freeAddress()
@@ -141,7 +141,7 @@
 	figures := s.hub.figures()
 	figures.State.PeakS = <-s.peaks
 	figures.State.Records, figures.State.Bytes = s.state.Size()
-	traffic := map[string]serve.Flow{}
+	traffic := map[string]server.Flow{}
 	for kind, f := range s.state.Traffic.Flows() {
 		traffic["state "+kind] = f
 	}
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
+	"damsonkeel/internal/fake/server"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/scale/rules"
-	"damsonkeel/internal/standin/serve"
 	"damsonkeel/internal/transport"
 )
 
@@ -28,7 +28,7 @@
 type workersRole struct {
 	name string
 	hub  *transport.Peer
-	host *serve.Host
+	host *server.Host
 	log  *slog.Logger
 
 	mu         sync.Mutex
@@ -44,7 +44,7 @@
 // newWorkersRole begins to run workers.
 func newWorkersRole(cfg RoleConfig, log *slog.Logger) *workersRole {
 	r := &workersRole{name: cfg.Name, hub: transport.NewPeer(cfg.Hub), log: log, cancelled: map[protocol.MachineID]bool{}}
-	r.host = serve.NewHost(serve.HostConfig{
+	r.host = server.NewHost(server.HostConfig{
 		Controllers: cfg.Controllers, Report: seconds(cfg.Site.Timings.ReportS), Lease: seconds(cfg.Site.Timings.LeaseS), GangWait: seconds(cfg.Site.Timings.GangWaitS),
 		CachedImages: true, RunTime: runTime, Jobs: r, Observer: r, Clock: Now, Results: map[protocol.TaskID]bool{},
 	})
@@ -107,7 +107,7 @@
 	oldest := r.host.OldestAnswered()
 	r.mu.Lock()
 	r.number++
-	in := &Exchange{Process: r.name, Number: r.number, Carried: r.carried, Machines: r.seen, Oldest: oldest, Addresses: map[protocol.MachineID]serve.Listed{}}
+	in := &Exchange{Process: r.name, Number: r.number, Carried: r.carried, Machines: r.seen, Oldest: oldest, Addresses: map[protocol.MachineID]server.Listed{}}
 	came := r.came
 	r.seen, r.came = nil, nil
 	r.mu.Unlock()
--- a/internal/emulator/boots_test.go
+++ b/internal/simulator/boots_test.go
@@ -1,11 +1,11 @@
-package emulator
+package simulator
 
 import (
 	"testing"
 	"time"
 
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // TestMachinesThatNeverComeUp: from some moment on no machine of one type comes up, and
@@ -13,7 +13,7 @@
 // does not come is given back, and neither asked for nor paid for without bound.
 func TestMachinesThatNeverComeUp(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t.Fatalf, 41, standin.Settings(), 40, 6)
+	w := newWorld(t.Fatalf, 41, fake.Settings(), 40, 6)
 	rentedAt, asked, booting, most := map[protocol.MachineID]time.Duration{}, 0, map[protocol.MachineID]bool{}, 0
 	w.heldS = func(id protocol.MachineID) float64 { return (w.now - rentedAt[id]).Seconds() }
 	w.rented = func(id protocol.MachineID, r protocol.RentRequest) {
--- a/internal/emulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // startWithin is how long after its command a task may come onto its machine: its
@@ -23,7 +23,7 @@
 // against the limits that were in force, by what workers see.
 type configuredWorld struct {
 	*world
-	commits map[configuration.Revision]time.Duration
+	commits map[dynamicconfig.Revision]time.Duration
 	limits  map[protocol.Team][]limitSince
 	scanned int // changes of the state service
 	// worst is the longest that a controller which neither restarted nor stood still took
@@ -43,11 +43,11 @@
 // some of an earlier version, with two teams that are always at their limits of 60
 // processors.
 func newConfigured(t *testing.T, seed uint64, controllers, machines int, older ...int) *configuredWorld {
-	s := standin.Settings()
+	s := fake.Settings()
 	s.Site.Count = controllers
 	s.Site.Teams = []config.Team{{Name: "free"}, {Name: "bound", CPUs: 8, MaxCPUs: 60}, {Name: "other", CPUs: 8, MaxCPUs: 60}}
 	w := &configuredWorld{
-		world: newWorld(t.Fatalf, seed, s, machines, machines), commits: map[configuration.Revision]time.Duration{},
+		world: newWorld(t.Fatalf, seed, s, machines, machines), commits: map[dynamicconfig.Revision]time.Duration{},
 		limits: map[protocol.Team][]limitSince{"bound": {{0, 60}}, "other": {{0, 60}}},
 	}
 	w.operator.OperatorKeys = "keys"
@@ -60,7 +60,7 @@
 	w.runTime = func(protocol.TaskID) time.Duration { return time.Duration(8000+w.rng.IntN(8000)) * time.Millisecond }
 	w.limitOf = w.limitInForce
 	w.ordered = w.checkOrders
-	w.world.configured = func(n *simNode, e *configuration.Effective) {
+	w.world.configured = func(n *simNode, e *dynamicconfig.Effective) {
 		w.scan()
 		if at, known := w.commits[e.Revision]; known && n.born < at && n.frozen < at {
 			w.worst = max(w.worst, w.now-at)
@@ -127,10 +127,10 @@
 
 // put has an operator ask for a change, first at one controller, until it is settled:
 // as the command does, with one id. Done hears how it ended.
-func (w *configuredWorld) put(first int, done func(operators.Reply), changes ...operators.ConfigChange) {
+func (w *configuredWorld) put(first int, done func(operatorapi.Reply), changes ...operatorapi.ConfigChange) {
 	w.requests++
 	w.unsettled++
-	r := operators.Request{Op: operators.OpConfigure, ID: fmt.Sprint("request-", w.requests), Config: &operators.ConfigRequest{Changes: changes}}
+	r := operatorapi.Request{Op: operatorapi.OpConfigure, ID: fmt.Sprint("request-", w.requests), Config: &operatorapi.ConfigRequest{Changes: changes}}
 	settled := false
 	var try func(at int)
 	try = func(at int) {
@@ -143,7 +143,7 @@
 			next(at+1, 300*time.Millisecond)
 			return
 		}
-		settle := func(reply operators.Reply) {
+		settle := func(reply operatorapi.Reply) {
 			if !settled {
 				settled = true
 				w.unsettled--
@@ -153,7 +153,7 @@
 		request := r
 		reply, txn := n.core.Operate("ops", &request)
 		switch {
-		case txn == nil && reply.Code == operators.Later:
+		case txn == nil && reply.Code == operatorapi.Later:
 			next(at+1, 300*time.Millisecond)
 			return
 		case txn == nil:
@@ -181,16 +181,16 @@
 
 // limit changes a team's limit.
 func (w *configuredWorld) limit(first int, team string, cpus float64) {
-	w.put(first, func(reply operators.Reply) {
-		if reply.Code != operators.Done {
+	w.put(first, func(reply operatorapi.Reply) {
+		if reply.Code != operatorapi.Done {
 			w.fail("%v limit of %s to %v: %+v", w.now, team, cpus, reply)
 		}
-	}, operators.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, team), MaxCPUs: &cpus})
+	}, operatorapi.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, team), MaxCPUs: &cpus})
 }
 
 // allActBy fails unless every controller that is there acts by the last revision, and
 // each request was carried out once.
-func (w *configuredWorld) allActBy(t *testing.T, revision configuration.Revision) {
+func (w *configuredWorld) allActBy(t *testing.T, revision dynamicconfig.Revision) {
 	t.Helper()
 	w.scan()
 	if len(w.commits) != int(revision) || w.unsettled > 0 {
@@ -326,7 +326,7 @@
 	if w.unsettled > 0 || len(w.commits) < 150 { // now and then a limit is what it was
 		t.Errorf("%d requests are not settled, %d revisions", w.unsettled, len(w.commits))
 	}
-	w.allActBy(t, configuration.Revision(len(w.commits)))
+	w.allActBy(t, dynamicconfig.Revision(len(w.commits)))
 	if w.worst == 0 || w.worst > 3*time.Second {
 		t.Errorf("a controller took %v to apply a revision", w.worst)
 	}
@@ -344,11 +344,11 @@
 		}
 	}
 	set := func(to bool) {
-		w.put(0, func(reply operators.Reply) {
-			if reply.Code != operators.Done {
+		w.put(0, func(reply operatorapi.Reply) {
+			if reply.Code != operatorapi.Done {
 				t.Errorf("%+v", reply)
 			}
-		}, operators.ConfigChange{Entry: "zone/a", Closed: &to})
+		}, operatorapi.ConfigChange{Entry: "zone/a", Closed: &to})
 		closed = to
 	}
 	set(true)
@@ -382,17 +382,17 @@
 	if older.core == nil || older.core.Member() {
 		t.Error("an older controller is a member")
 	}
-	reply, _ := w.nodes[0].core.Operate("ops", &operators.Request{Op: operators.OpConfigStatus})
+	reply, _ := w.nodes[0].core.Operate("ops", &operatorapi.Request{Op: operatorapi.OpConfigStatus})
 	if len(reply.Config.Controllers) != 3 || !reply.Config.Controllers[2].Older {
 		t.Errorf("it is not named: %+v", reply.Config)
 	}
 
 	mixed := newConfigured(t, 997, 3, 12, 2)
 	limit := 24.0
-	reply, txn := mixed.nodes[0].core.Operate("ops", &operators.Request{Op: operators.OpConfigure, Config: &operators.ConfigRequest{
-		Changes: []operators.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
+	reply, txn := mixed.nodes[0].core.Operate("ops", &operatorapi.Request{Op: operatorapi.OpConfigure, Config: &operatorapi.ConfigRequest{
+		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}})
-	if txn != nil || reply.Code != operators.Refused {
+	if txn != nil || reply.Code != operatorapi.Refused {
 		t.Errorf("a change is taken beside an older controller: %+v", reply)
 	}
 }
@@ -436,8 +436,8 @@
 	t.Parallel()
 	w := newConfigured(t, 1040, 3, 12)
 	limit := 24.0
-	first := operators.Request{Op: operators.OpConfigure, ID: "first", Config: &operators.ConfigRequest{
-		Changes: []operators.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
+	first := operatorapi.Request{Op: operatorapi.OpConfigure, ID: "first", Config: &operatorapi.ConfigRequest{
+		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}}
 	if _, txn := w.nodes[0].core.Operate("ops", &first); txn == nil || !w.state.Txn(*txn) {
 		t.Fatal("not written") // its answer is lost
@@ -446,7 +446,7 @@
 	w.limit(1, "bound", 40)
 	w.run(w.now + 2*time.Second)
 	reply, txn := w.nodes[2].core.Operate("ops", &first)
-	if txn != nil || reply.Code != operators.Done || reply.Config.Revision != 1 {
+	if txn != nil || reply.Code != operatorapi.Done || reply.Config.Revision != 1 {
 		t.Errorf("the repetition: %+v, %v", reply, txn)
 	}
 	w.allActBy(t, 2)
--- a/internal/emulator/frontends_test.go
+++ b/internal/simulator/frontends_test.go
@@ -1,12 +1,12 @@
-package emulator
+package simulator
 
 import (
 	"slices"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/intake"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
@@ -15,9 +15,9 @@
 	u       *users
 	n       *simNode
 	life    int // of the process that it belongs to
-	in      *intake.Intake
-	lastID  intake.RequestID
-	replies map[intake.RequestID]func(intake.Answer)
+	in      *admission.Intake
+	lastID  admission.RequestID
+	replies map[admission.RequestID]func(admission.Answer)
 }
 
 // begin makes the intake of a process that has begun, and says whether one is there.
@@ -29,18 +29,18 @@
 	if f.in != nil && f.life == f.n.life {
 		return true
 	}
-	f.life, f.in, f.replies = f.n.life, intake.New(w.settingsOf(f.n), w.operator, quiet), map[intake.RequestID]func(intake.Answer){}
-	f.step(intake.Configured{Effective: f.n.core.ConfigurationInForce()})
+	f.life, f.in, f.replies = f.n.life, admission.New(w.settingsOf(f.n), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
+	f.step(admission.Configured{Effective: f.n.core.ConfigurationInForce()})
 	if w.now > 0 { // some time passes before it knows the machine types
-		w.alive(f.n, time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(intake.TypesRead{Types: w.types}) })
+		w.alive(f.n, time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
 	} else {
-		f.step(intake.TypesRead{Types: w.types})
+		f.step(admission.TypesRead{Types: w.types})
 	}
 	return true
 }
 
 // ask gives the process a request; nobody answers if there is none.
-func (f *frontend) ask(a intake.Asked, reply func(intake.Answer)) {
+func (f *frontend) ask(a admission.Asked, reply func(admission.Answer)) {
 	if !f.begin() {
 		return
 	}
@@ -70,18 +70,18 @@
 	f.u.alive(f.n, d, func() { f.step(msg) })
 }
 
-func (f *frontend) carryOut(a intake.Action) {
+func (f *frontend) carryOut(a admission.Action) {
 	w := f.u.world
 	switch a := a.(type) {
-	case intake.Reply:
+	case admission.Reply:
 		reply := f.replies[a.ID]
 		delete(f.replies, a.ID)
 		f.u.sent(a.Answer)
 		w.after(w.delay(), func() { reply(a.Answer) })
-	case intake.Get:
+	case admission.Get:
 		f.read(func() any {
 			it, ok := w.state.Get(bookkeeping.JobKey(a.Job))
-			r := intake.Read{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
+			r := admission.Read{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
 			if ok {
 				r.Outcome = message.OutcomeDone
 				if err := protocol.Decode(it.Value, &r.Record); err != nil {
@@ -89,32 +89,32 @@
 				}
 			}
 			return r
-		}, func(out message.Outcome) any { return intake.Read{ID: a.ID, Outcome: out} })
-	case intake.Compare:
+		}, func(out message.Outcome) any { return admission.Read{ID: a.ID, Outcome: out} })
+	case admission.Compare:
 		f.read(func() any {
-			c := intake.Compared{Look: a.Look, Outcome: message.OutcomeDone}
+			c := admission.Compared{Look: a.Look, Outcome: message.OutcomeDone}
 			for _, cond := range a.Conditions {
 				if it, _ := w.state.Get(cond.Key); it.Version != cond.Version {
 					c.Outcome, c.Differ = message.OutcomeFailed, append(c.Differ, cond.Key)
 				}
 			}
 			return c
-		}, func(out message.Outcome) any { return intake.Compared{Look: a.Look, Outcome: out} })
-	case intake.Write:
-		w.transact(f.n, a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(intake.Written{ID: a.ID, Outcome: out}) })
-	case intake.Look:
+		}, func(out message.Outcome) any { return admission.Compared{Look: a.Look, Outcome: out} })
+	case admission.Write:
+		w.transact(f.n, a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
+	case admission.Look:
 		f.step(f.n.core.LookFor(a))
-	case intake.PassOn:
+	case admission.PassOn:
 		p := f.u.front(a.To)
 		w.carry(string(f.n.name), string(a.To), func() {
-			p.ask(intake.Asked{Operation: intake.Submit, Body: a.Body, Passed: true}, func(answer intake.Answer) {
-				w.carry(string(a.To), string(f.n.name), func() { f.later(0, intake.PassedOn{ID: a.ID, Answer: answer}) })
+			p.ask(admission.Asked{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
+				w.carry(string(a.To), string(f.n.name), func() { f.later(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
 			})
 		})
-	case intake.Announce:
+	case admission.Announce:
 		f.u.halt(f, a)
-	case intake.Wake:
-		f.later(time.Duration(a.At-w.clock(f.n)), intake.Tick{})
+	case admission.Wake:
+		f.later(time.Duration(a.At-w.clock(f.n)), admission.Tick{})
 	}
 }
 
@@ -139,10 +139,10 @@
 }
 
 // halt tells a controller's core that a job is cancelled.
-func (u *users) halt(f *frontend, a intake.Announce) {
+func (u *users) halt(f *frontend, a admission.Announce) {
 	w := u.world
 	if u.unheard {
-		f.later(0, intake.Announced{Job: a.Job, By: a.To})
+		f.later(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
 	to := u.front(a.To).n
@@ -152,12 +152,12 @@
 		}
 		w.alive(to, max(0, to.frozen-w.now), func() {
 			w.stepNode(to, message.JobCancelled{Job: a.Job})
-			w.carry(string(a.To), string(f.n.name), func() { f.later(0, intake.Announced{Job: a.Job, By: a.To}) })
+			w.carry(string(a.To), string(f.n.name), func() { f.later(0, admission.Announced{Job: a.Job, By: a.To}) })
 		})
 	}
 	if to == f.n {
 		w.stepNode(to, message.JobCancelled{Job: a.Job})
-		f.later(0, intake.Announced{Job: a.Job, By: a.To})
+		f.later(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
 	w.carry(string(f.n.name), string(a.To), heard)
--- a/internal/emulator/guests_test.go
+++ b/internal/simulator/guests_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"slices"
@@ -6,14 +6,14 @@
 	"time"
 
 	"damsonkeel/internal/config"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // guestSettings is a site with a team whose class has a deadline, and a guest team
 // without a guarantee.
 func guestSettings() *config.Settings {
-	s := standin.Settings()
+	s := fake.Settings()
 	s.Site.Teams = []config.Team{{Name: "home"}, {Name: "guest"}}
 	s.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "sheet", Share: 0.85, Times: 1}}
 	return s
--- a/internal/emulator/hard_test.go
+++ b/internal/simulator/hard_test.go
@@ -1,11 +1,11 @@
-package emulator
+package simulator
 
 import (
 	"testing"
 	"time"
 
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // hardFleet is how many machines the hard cases of a fleet have; WORLD_MACHINES
@@ -30,7 +30,7 @@
 // newFleet is a world whose machines are all up and registered, and so busy that
 // none is returned as idle.
 func newFleet(t *testing.T, seed uint64) *world {
-	w := newWorld(t.Fatalf, seed, standin.Settings(), hardFleet, hardFleet)
+	w := newWorld(t.Fatalf, seed, fake.Settings(), hardFleet, hardFleet)
 	w.run(3 * time.Second)
 	w.submitEvery(500*time.Millisecond, 8*time.Second)
 	if n := w.kept(); n < hardFleet*9/10 {
--- a/internal/emulator/machines.go
+++ b/internal/simulator/machines.go
@@ -1,17 +1,17 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 type simWorker struct {
-	*standin.Worker
+	*fake.Worker
 	target  int
 	nextAt  time.Duration
 	waiting bool
@@ -30,7 +30,7 @@
 			info = t
 		}
 	}
-	sw := &simWorker{target: w.rng.IntN(w.settings.Site.Count), Worker: &standin.Worker{
+	sw := &simWorker{target: w.rng.IntN(w.settings.Site.Count), Worker: &fake.Worker{
 		ID: id, Info: info, Zone: r.Zone, Spot: r.Spot, LeaseS: w.settings.Site.Workers.LeaseS, Results: w.results,
 		GangWait: time.Duration(w.settings.Site.Workers.GangWaitS) * time.Second,
 		Jobs:     func(j protocol.JobID) (protocol.Job, bool) { job, ok := w.jobs[j]; return job, ok },
@@ -38,7 +38,7 @@
 		Saved:    w.saved,
 		Mistaken: func(j protocol.JobID) bool { return w.mistaken[j] },
 		Started:  w.taskStarted,
-		Ended: func(m *standin.Worker, id protocol.TaskID, why protocol.EndCause) {
+		Ended: func(m *fake.Worker, id protocol.TaskID, why protocol.EndCause) {
 			w.endedTask(m.ID, id, why)
 			if w.onMachine[id] == m {
 				delete(w.onMachine, id)
--- a/internal/emulator/meetings_test.go
+++ b/internal/simulator/meetings_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"time"
 
 	"damsonkeel/internal/config"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // cancelOver cancels live jobs at random moments of a while.
@@ -183,7 +183,7 @@
 // jobs were on machines when their users were told, and how long the last stayed.
 func (m firstMeeting) play(fail func(string, ...any), seed uint64, ownLease time.Duration) (on int, last time.Duration) {
 	const machines = 24
-	w := newWorld(fail, seed, standin.Settings(), machines, machines)
+	w := newWorld(fail, seed, fake.Settings(), machines, machines)
 	w.ownLease = ownLease
 	w.runTime = func(protocol.TaskID) time.Duration { return 10 * time.Minute }
 	w.run(3 * time.Second)
@@ -272,7 +272,7 @@
 				if on == 0 {
 					t.Error("no cancelled task was on a machine: nothing is shown")
 				}
-				w := standin.Settings().Site.Workers
+				w := fake.Settings().Site.Workers
 				if bound := config.CancelledWithin(simNodeLease, w) + usualStep; last > bound {
 					t.Errorf("seed %d: stayed for %v, the bound is %v", seed, last, bound)
 				}
--- a/internal/emulator/mistakes_test.go
+++ b/internal/simulator/mistakes_test.go
@@ -1,11 +1,11 @@
-package emulator
+package simulator
 
 import (
 	"testing"
 	"time"
 
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // TestMistakes: a third of the jobs fail wherever they run, arrays of hundreds and
@@ -14,7 +14,7 @@
 // nothing from the rest; one whose mistake is mended runs to its end.
 func TestMistakes(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t.Fatalf, 31, standin.Settings(), 60, 60)
+	w := newWorld(t.Fatalf, 31, fake.Settings(), 60, 60)
 	w.run(3 * time.Second)
 	faulty := map[protocol.MachineID]bool{}
 	for _, i := range []int{5, 25, 45} {
--- a/internal/emulator/network.go
+++ b/internal/simulator/network.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"time"
--- a/internal/emulator/nodes.go
+++ b/internal/simulator/nodes.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"encoding/json"
@@ -14,16 +14,16 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination"
-	"damsonkeel/internal/coordination/keeping"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 type simNode struct {
 	name     protocol.NodeName
-	core     *coordination.Core
+	core     *controller.Core
 	life     int // counts processes and sessions: answers to earlier ones are lost
 	outboxes map[protocol.NodeName]*simOutbox
 	session  protocol.LeaseID
@@ -38,7 +38,7 @@
 }
 
 type simOutbox struct {
-	*coordination.Outbox
+	*controller.Outbox
 	busyUntil time.Duration
 }
 
@@ -76,13 +76,13 @@
 		return a
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level, ReplaceAttr: simulated})).With("node", n.name)
-	n.core = coordination.NewCore(w.settingsOf(n), w.operator, rand.New(rand.NewPCG(w.rng.Uint64(), 2)), log)
+	n.core = controller.NewCore(w.settingsOf(n), w.operator, rand.New(rand.NewPCG(w.rng.Uint64(), 2)), log)
 	n.born = w.now
 	n.session = 0
 	n.outboxes = map[protocol.NodeName]*simOutbox{}
 	for i := range w.settings.Site.Count {
 		name := protocol.NodeName(fmt.Sprint("node-", i))
-		n.outboxes[name] = &simOutbox{Outbox: coordination.NewOutbox(n.name, nil, log)}
+		n.outboxes[name] = &simOutbox{Outbox: controller.NewOutbox(n.name, nil, log)}
 	}
 	w.stepNode(n, message.CatalogueRead{Types: w.types})
 	w.after(w.delay(), func() { w.openSession(n, life) })
@@ -124,7 +124,7 @@
 	w.stepNode(n, message.Snapshot{Session: lease, Items: items, WallMS: w.wallMS()})
 }
 
-func (w *world) clock(n *simNode) coordination.Time { return coordination.Time(w.now-n.born) + 1 }
+func (w *world) clock(n *simNode) controller.Time { return controller.Time(w.now-n.born) + 1 }
 
 func (w *world) stepNode(n *simNode, msg any) []message.Action {
 	if n.core == nil {
@@ -305,7 +305,7 @@
 	done := message.Commanded{Machine: a.Machine, Term: a.Commands.Term, Session: a.Commands.Session, Orders: a.Commands.Orders}
 	sw := w.workers[a.Machine]
 	if sw == nil {
-		sw = &simWorker{Worker: &standin.Worker{Dead: true}}
+		sw = &simWorker{Worker: &fake.Worker{Dead: true}}
 	}
 	var execute func()
 	execute = func() {
@@ -333,7 +333,7 @@
 		})
 	}
 	w.carryToZone(n, sw.Zone, execute)
-	w.after(keeping.DirectTimeout, func() {
+	w.after(dispatcher.DirectTimeout, func() {
 		if !answered && n.life == life {
 			answered = true
 			done.Answered = false
@@ -404,7 +404,7 @@
 				w.after(300*time.Millisecond, func() { w.openSession(n, life) })
 				return
 			}
-			w.stepNode(n, message.Entitled{Until: coordination.ActsUntil(w.ownLease, w.clock(n), w.clock(n)-coordination.Time(w.slow+w.lag))})
+			w.stepNode(n, message.Entitled{Until: controller.ActsUntil(w.ownLease, w.clock(n), w.clock(n)-controller.Time(w.slow+w.lag))})
 		}
 	}
 	if n.slowBy > 1 && w.now < n.slowUntil && int(w.now/w.step)%n.slowBy != 0 {
@@ -426,7 +426,7 @@
 	if !ok {
 		return
 	}
-	o.busyUntil = w.now + coordination.PeerTimeout
+	o.busyUntil = w.now + controller.PeerTimeout
 	life := n.life
 	var peer *simNode
 	for _, p := range w.nodes {
--- a/internal/emulator/plants_test.go
+++ b/internal/simulator/plants_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/intake"
+	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/protocol"
 )
 
@@ -16,19 +16,19 @@
 func TestWatchersSee(t *testing.T) {
 	second := time.Second
 	long := func(u *users) { u.runTime = u.farApart }
-	status := func(s protocol.JobState) func(id protocol.JobID) intake.Answer {
-		return func(id protocol.JobID) intake.Answer {
+	status := func(s protocol.JobState) func(id protocol.JobID) admission.Answer {
+		return func(id protocol.JobID) admission.Answer {
 			body, err := protocol.Encode(protocol.JobStatus{ID: id, State: s})
 			if err != nil {
 				t.Fatal(err)
 			}
-			return intake.Answer{Status: 200, Body: body}
+			return admission.Answer{Status: 200, Body: body}
 		}
 	}
-	says := func(answer func(protocol.JobID) intake.Answer, when func(*userJob) bool) func(*users) {
+	says := func(answer func(protocol.JobID) admission.Answer, when func(*userJob) bool) func(*users) {
 		return func(u *users) {
 			long(u)
-			u.tells = func(j *userJob, a intake.Answer) intake.Answer {
+			u.tells = func(j *userJob, a admission.Answer) admission.Answer {
 				if when(j) && u.rng.IntN(5) == 0 {
 					return answer(j.id)
 				}
@@ -36,8 +36,8 @@
 			}
 		}
 	}
-	refusal := func(status int) func(protocol.JobID) intake.Answer {
-		return func(protocol.JobID) intake.Answer { return intake.Failure(status, "no") }
+	refusal := func(status int) func(protocol.JobID) admission.Answer {
+		return func(protocol.JobID) admission.Answer { return admission.Failure(status, "no") }
 	}
 	live := func(j *userJob) bool { return j.accepted && j.bad == 0 && j.floor < over }
 	ended := func(j *userJob) bool { return j.floor == over }
@@ -52,12 +52,12 @@
 		"refused though accepted":     {userDay{prepare: says(refusal(422), live), closely: true}, "forgotten"},
 		"malformed though accepted":   {userDay{prepare: says(refusal(400), live), closely: true}, "forgotten"},
 		"accepted though it can't be": {userDay{prepare: says(status(protocol.JobQueued), func(j *userJob) bool { return j.bad != 0 })}, "invented"},
-		"no word when to come back":   {userDay{prepare: says(func(protocol.JobID) intake.Answer { return intake.Answer{Status: 503} }, live)}, "no Retry-After"},
+		"no word when to come back":   {userDay{prepare: says(func(protocol.JobID) admission.Answer { return admission.Answer{Status: 503} }, live)}, "no Retry-After"},
 		"never answered once all is well": {userDay{prepare: func(u *users) {
 			u.runTime = func(protocol.TaskID) time.Duration { return 5 * time.Minute }
-			u.tells = func(_ *userJob, a intake.Answer) intake.Answer {
+			u.tells = func(_ *userJob, a admission.Answer) admission.Answer {
 				if u.wellSince != 0 {
-					return intake.Failure(503, "no")
+					return admission.Failure(503, "no")
 				}
 				return a
 			}
--- a/internal/emulator/play.go
+++ b/internal/simulator/play.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 )
 
@@ -59,7 +59,7 @@
 // openings is a window with its times.
 type openings struct {
 	spec *bookkeeping.WindowSpec
-	when calendar.When
+	when reservation.When
 }
 
 // jobState is what the result says of a job.
@@ -195,19 +195,19 @@
 	p.at(20*time.Second, func() { p.askAll() })
 	for i := range p.site.Windows {
 		x := &p.site.Windows[i]
-		if w, err := calendar.ParseWhen(x.When); err == nil { // else refused when it is asked for
+		if w, err := reservation.ParseWhen(x.When); err == nil { // else refused when it is asked for
 			p.windows = append(p.windows, openings{x.spec(), w})
 		}
 	}
-	from := calendar.Moment(p.site.Start.UnixMilli())
+	from := reservation.Moment(p.site.Start.UnixMilli())
 	for i := range p.site.Reservations {
 		r := &p.site.Reservations[i]
-		w, err := calendar.ParseWhen(r.When)
+		w, err := reservation.ParseWhen(r.When)
 		if err != nil {
 			continue // refused when it is asked for, too
 		}
-		for _, m := range w.Occurrences(from, calendar.After(from, p.opts.For)) {
-			at := warmUp + calendar.Between(from, m)
+		for _, m := range w.Occurrences(from, reservation.After(from, p.opts.For)) {
+			at := warmUp + reservation.Between(from, m)
 			o := &Occurrence{Name: r.Name, Start: time.UnixMilli(int64(m)).UTC(), Tasks: r.Tasks}
 			p.result.Occurrences = append(p.result.Occurrences, o)
 			p.times = append(p.times, at)
@@ -269,19 +269,19 @@
 func (p *player) askAll() {
 	for i := range p.site.Windows {
 		x := &p.site.Windows[i]
-		p.ask(operators.Request{Op: operators.OpAdd, Window: true, ID: "window " + string(x.Name), Spec: x.spec()})
+		p.ask(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "window " + string(x.Name), Spec: x.spec()})
 	}
 	if p.opts.Without {
 		return
 	}
 	for i := range p.site.Reservations {
 		r := &p.site.Reservations[i]
-		p.ask(operators.Request{Op: operators.OpAdd, ID: "reservation " + string(r.Name), Reservation: r.spec()})
+		p.ask(operatorapi.Request{Op: operatorapi.OpAdd, ID: "reservation " + string(r.Name), Reservation: r.spec()})
 	}
 }
 
 // ask puts a request to a controller until it is settled.
-func (p *player) ask(r operators.Request) {
+func (p *player) ask(r operatorapi.Request) {
 	n := p.nodes[p.rng.IntN(3)]
 	again := func() { p.after(time.Second, func() { p.ask(r) }) }
 	if n.core == nil || !p.stateReachable(n) {
@@ -290,9 +290,9 @@
 	}
 	reply, txn := n.core.Operate("emulator", &r)
 	switch {
-	case reply.Code == operators.Later, txn != nil && !p.state.Txn(*txn):
+	case reply.Code == operatorapi.Later, txn != nil && !p.state.Txn(*txn):
 		again()
-	case reply.Code != operators.Done:
+	case reply.Code != operatorapi.Done:
 		name := r.Name
 		if r.Reservation != nil {
 			name = r.Reservation.Name
@@ -371,9 +371,9 @@
 // checkWindows counts starts on machines that a window covers while it is open.
 func (p *player) checkWindows(id protocol.MachineID) {
 	m := p.workers[id]
-	now := calendar.Moment(p.wallMS())
+	now := reservation.Moment(p.wallMS())
 	for _, w := range p.windows {
-		if calendar.Covers(w.spec, id, m.Info.Name, m.Zone) && len(w.when.Occurrences(calendar.After(now, -config.Seconds(w.spec.LengthS)+1), now)) > 0 {
+		if reservation.Covers(w.spec, id, m.Info.Name, m.Zone) && len(w.when.Occurrences(reservation.After(now, -config.Seconds(w.spec.LengthS)+1), now)) > 0 {
 			p.result.InWindow++
 		}
 	}
@@ -385,7 +385,7 @@
 		if n.core == nil || n.session == 0 {
 			continue
 		}
-		reply, _ := n.core.Operate("emulator", &operators.Request{Op: operators.OpShow, Name: o.Name})
+		reply, _ := n.core.Operate("emulator", &operatorapi.Request{Op: operatorapi.OpShow, Name: o.Name})
 		for _, r := range reply.Reservations {
 			if int64(r.StartMS) == o.Start.UnixMilli() {
 				o.State, o.Risk = r.State, r.Risk
--- a/internal/emulator/play_test.go
+++ b/internal/simulator/play_test.go
@@ -1,11 +1,11 @@
-package emulator
+package simulator
 
 import (
 	"testing"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 )
 
@@ -70,7 +70,7 @@
 		"no job ever comes":                {change: func(s *Site) { s.Reservations[0].Never = true }, never: true},
 		"it is cancelled while one is away": {never: true, change: func(s *Site) { s.Reservations[0].Never = true }, before: 5 * time.Minute, do: func(p *player) {
 			p.cut("node-1", "state", 4*time.Second, false)
-			p.ask(operators.Request{Op: operators.OpCancel, Name: "one"})
+			p.ask(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one"})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/emulator/rules.go
+++ b/internal/simulator/rules.go
@@ -1,16 +1,16 @@
-package emulator
+package simulator
 
 import (
 	"strings"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // taskStarted checks the rules about starts.
-func (w *world) taskStarted(m *standin.Worker, id protocol.TaskID, a protocol.Attempt) {
+func (w *world) taskStarted(m *fake.Worker, id protocol.TaskID, a protocol.Attempt) {
 	w.starts++
 	w.started(m.ID, id)
 	j := w.jobs[id.Job]
--- a/internal/emulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // randomJob makes a job that the world's machines can run.
@@ -117,10 +117,10 @@
 	}
 	name := bookkeeping.EntryName(fmt.Sprint("p", w.rng.IntN(4)))
 	when := time.UnixMilli(w.wallMS()).Add(time.Duration(w.rng.IntN(60)) * time.Second).UTC().Format("2006-01-02 at 15:04:05")
-	r := operators.Request{Op: operators.OpAdd, ID: fmt.Sprint(w.now), Replace: true}
+	r := operatorapi.Request{Op: operatorapi.OpAdd, ID: fmt.Sprint(w.now), Replace: true}
 	switch w.rng.IntN(4) {
 	case 0:
-		r = operators.Request{Op: operators.OpCancel, Name: name, Window: w.rng.IntN(2) == 0}
+		r = operatorapi.Request{Op: operatorapi.OpCancel, Name: name, Window: w.rng.IntN(2) == 0}
 	case 1:
 		r.Window = true
 		r.Spec = &bookkeeping.WindowSpec{Name: name, When: when, LengthS: float64(5 + w.rng.IntN(20)), Zone: []protocol.Zone{"a", "b", ""}[w.rng.IntN(3)]}
@@ -130,7 +130,7 @@
 			CPUs: 2, MemoryGB: 1, Priority: []protocol.Priority{"standard", "high"}[w.rng.IntN(2)], OneZone: w.rng.IntN(2) == 0,
 		}
 	}
-	if reply, txn := n.core.Operate("ops", &r); txn != nil && reply.Code == operators.Done && w.state.Txn(*txn) {
+	if reply, txn := n.core.Operate("ops", &r); txn != nil && reply.Code == operatorapi.Done && w.state.Txn(*txn) {
 		w.promised++
 	}
 }
@@ -151,7 +151,7 @@
 // play plays a day of troubles; when all is well again, every job must come to
 // its end.
 func (d day) play(t *testing.T, seed int) *world {
-	settings, up := standin.Settings(), d.machines
+	settings, up := fake.Settings(), d.machines
 	if d.teams != nil {
 		settings.Site.Teams = d.teams
 	}
--- a/internal/emulator/shares.go
+++ b/internal/simulator/shares.go
@@ -1,13 +1,13 @@
-package emulator
+package simulator
 
 import (
 	"slices"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/sharing"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/sharding"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 )
 
@@ -41,7 +41,7 @@
 		if n.core == nil || w.now < n.frozen {
 			continue
 		}
-		if reply, _ := n.core.Operate("ops", &operators.Request{Op: operators.OpMove, Shares: ids, Controller: to.name}); reply.Code == operators.Done {
+		if reply, _ := n.core.Operate("ops", &operatorapi.Request{Op: operatorapi.OpMove, Shares: ids, Controller: to.name}); reply.Code == operatorapi.Done {
 			return true
 		}
 	}
@@ -131,7 +131,7 @@
 	if !ok || sw == nil {
 		return
 	}
-	at, moved := p.movedAt[sharing.Of(&s, id, sw.Zone)]
+	at, moved := p.movedAt[sharding.Of(&s, id, sw.Zone)]
 	p.endings[t] = ending{why, moved && p.now-at < afterMove}
 }
 
--- a/internal/emulator/shares_test.go
+++ b/internal/simulator/shares_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // shared is a world of machines that are all up, registered and busy, kept by
 // shares.
 func shared(t *testing.T, seed uint64, controllers, machines int) *world {
-	s := standin.Settings()
+	s := fake.Settings()
 	s.Site.Count = controllers
 	w := newWorld(t.Fatalf, seed, s, machines, machines)
 	w.run(3 * time.Second)
@@ -112,7 +112,7 @@
 // other share or the term changes.
 func TestThirdOfAFleetMoves(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t.Fatalf, 18, standin.Settings(), 1300, 1300)
+	w := newWorld(t.Fatalf, 18, fake.Settings(), 1300, 1300)
 	w.run(3 * time.Second)
 	for range 12 {
 		w.submit(busyJob(w, 2600))
@@ -348,7 +348,7 @@
 // done again. Shares begin with the last, and tokens only rise.
 func TestRollFromTheVersionBefore(t *testing.T) {
 	t.Parallel()
-	s := standin.Settings()
+	s := fake.Settings()
 	w := newWorld(t.Fatalf, 17, s, 60, 60)
 	for _, n := range w.nodes {
 		n.layout = bookkeeping.LayoutBlocks
--- a/internal/emulator/userdays_test.go
+++ b/internal/simulator/userdays_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 	"time"
 
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/inorder"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // userDay is a generated day on which users do all that is asked of controllers.
@@ -37,7 +37,7 @@
 	if fail == nil {
 		fail = t.Fatalf
 	}
-	settings := standin.Settings()
+	settings := fake.Settings()
 	if d.teams != nil {
 		settings.Site.Teams = d.teams
 	}
@@ -89,7 +89,7 @@
 		w.run(w.now + 5*time.Second)
 		u.checkRecords()
 		u.checkForgotten()
-		for _, j := range inorder.Of(u.jobs) {
+		for _, j := range ordered.Of(u.jobs) {
 			if j.accepted && j.floor < over && (j.job.Kind == protocol.KindService || w.mistaken[j.id]) {
 				u.cancelJob(j)
 			}
@@ -98,7 +98,7 @@
 			u.checkLeftWaiting(since)
 		}
 	}
-	for _, j := range inorder.Of(u.jobs) {
+	for _, j := range ordered.Of(u.jobs) {
 		if j.accepted && j.floor < over {
 			fail("the user of %s was never told of its end; record %q, cancelled %v, %+v\n%s", j.id, w.final[j.id], j.cancels, j.job, w.whereabouts(j.id))
 		}
@@ -166,7 +166,7 @@
 
 // checkLeftWaiting: no job waits so long beside a machine for it, once all is well.
 func (u *users) checkLeftWaiting(since map[protocol.JobID]time.Duration) {
-	for _, j := range inorder.Of(u.jobs) {
+	for _, j := range ordered.Of(u.jobs) {
 		m, waits := protocol.MachineID(""), false
 		if j.accepted && u.final[j.id] == "" && !u.mistaken[j.id] {
 			m, waits = u.waitsBeside(j)
--- a/internal/emulator/usermeetings_test.go
+++ b/internal/simulator/usermeetings_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"maps"
@@ -9,9 +9,9 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/inorder"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // back ends a controller's process, which is back within a second.
@@ -349,7 +349,7 @@
 				step = 200 * time.Millisecond
 			}
 			for at := time.Duration(0); at < hand.over; at += step {
-				w := newWorld(t.Fatalf, 77, standin.Settings(), 6, 6)
+				w := newWorld(t.Fatalf, 77, fake.Settings(), 6, 6)
 				w.exact = true
 				w.runTime = func(protocol.TaskID) time.Duration { return 5 * time.Minute }
 				u := w.withUsers()
@@ -363,12 +363,12 @@
 					w.run(w.now + time.Second)
 				}
 				n := w.nodes[1+int(at/step)%2]
-				for _, j := range inorder.Of(u.jobs) {
+				for _, j := range ordered.Of(u.jobs) {
 					w.after(at, func() { u.cancelJob(j) })
 				}
 				hand.do(w, n)
 				w.run(w.now + at + time.Duration(w.settings.Site.Workers.CancelS)*time.Second + 10*time.Second)
-				for id, j := range inorder.Of(u.jobs) {
+				for id, j := range ordered.Of(u.jobs) {
 					if j.told != protocol.JobCancelled {
 						t.Errorf("after %v: the user of %s was not told: %+v, record %q", at, id, *j, w.final[id])
 					}
@@ -429,7 +429,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for at := time.Duration(0); at < 2500*time.Millisecond; at += 20 * time.Millisecond {
-				w := newWorld(t.Fatalf, 78, standin.Settings(), 3, 3)
+				w := newWorld(t.Fatalf, 78, fake.Settings(), 3, 3)
 				w.exact = true
 				w.cloud.Capacity = 4
 				u := w.withUsers()
@@ -448,7 +448,7 @@
 				for end := w.now + 2*time.Minute; w.now < end && slices.ContainsFunc(slices.Collect(maps.Values(u.jobs)), func(j *userJob) bool { return j.floor < over }); {
 					w.run(w.now + time.Second)
 				}
-				for id, j := range inorder.Of(u.jobs) {
+				for id, j := range ordered.Of(u.jobs) {
 					if j.told != protocol.JobDone {
 						t.Errorf("after %v: the user of %s was not told that it is done", at, id)
 					}
--- a/internal/emulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/intake"
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
 )
 
@@ -40,7 +40,7 @@
 	// planted fault.
 	unheard bool
 	// tells, if set, changes what users are told: a planted fault.
-	tells func(*userJob, intake.Answer) intake.Answer
+	tells func(*userJob, admission.Answer) admission.Answer
 
 	wellSince time.Duration // since when there are no troubles; 0: there are
 
@@ -83,7 +83,7 @@
 	var tick func()
 	tick = func() {
 		for _, f := range u.fronts {
-			f.step(intake.Tick{})
+			f.step(admission.Tick{})
 		}
 		w.after(100*time.Millisecond, tick)
 	}
@@ -118,7 +118,7 @@
 }
 
 // sent notes what a controller says as it says it.
-func (u *users) sent(a intake.Answer) {
+func (u *users) sent(a admission.Answer) {
 	var s protocol.JobStatus
 	if a.Status != 200 || protocol.Decode(a.Body, &s) != nil || s.State != protocol.JobCancelled {
 		return
@@ -198,7 +198,7 @@
 }
 
 func (u *users) trySubmit(j *userJob, until time.Duration) {
-	u.request(j, intake.Submit, submitWait, func(status int) {
+	u.request(j, admission.Submit, submitWait, func(status int) {
 		if status == 200 || status == 201 || status == 400 || status == 422 || u.now > until {
 			return
 		}
@@ -215,7 +215,7 @@
 	from := u.now
 	var try func()
 	try = func() {
-		u.request(j, intake.Cancel, submitWait, func(status int) {
+		u.request(j, admission.Cancel, submitWait, func(status int) {
 			if status == 200 {
 				u.cancelWaits = append(u.cancelWaits, u.now-from)
 				return
@@ -235,7 +235,7 @@
 	var again func()
 	again = func() {
 		if j.floor < over {
-			u.request(j, intake.Poll, pollWait, nil)
+			u.request(j, admission.Poll, pollWait, nil)
 			u.after(pollEvery, again)
 		}
 	}
@@ -247,26 +247,26 @@
 func (u *users) look(j *userJob) {
 	for _, f := range u.fronts {
 		for range 1 + u.rng.IntN(3) {
-			op := intake.Poll
+			op := admission.Poll
 			if u.rng.IntN(3) == 0 {
-				op = intake.Submit
+				op = admission.Submit
 			}
 			u.after(time.Duration(u.rng.IntN(40_000))*time.Microsecond, func() { u.requestAt(f, j, op, pollWait, nil) })
 		}
 	}
 }
 
-func (u *users) request(j *userJob, op intake.Operation, wait time.Duration, then func(status int)) {
+func (u *users) request(j *userJob, op admission.Operation, wait time.Duration, then func(status int)) {
 	u.requestAt(u.fronts[u.rng.IntN(len(u.fronts))], j, op, wait, then)
 }
 
 // requestAt puts a request to a controller and holds the answer against all that was
 // answered before the request began.
-func (u *users) requestAt(f *frontend, j *userJob, op intake.Operation, wait time.Duration, then func(status int)) {
+func (u *users) requestAt(f *frontend, j *userJob, op admission.Operation, wait time.Duration, then func(status int)) {
 	begun := *j
 	u.asked++
 	given := false
-	finish := func(a intake.Answer) {
+	finish := func(a admission.Answer) {
 		if given {
 			return // given up: nobody has read it
 		}
@@ -282,12 +282,12 @@
 			then(a.Status)
 		}
 	}
-	u.after(wait, func() { finish(intake.Answer{}) })
-	u.after(u.delay()/4, func() { f.ask(intake.Asked{Operation: op, Job: j.id, Body: j.body}, finish) })
+	u.after(wait, func() { finish(admission.Answer{}) })
+	u.after(u.delay()/4, func() { f.ask(admission.Asked{Operation: op, Job: j.id, Body: j.body}, finish) })
 }
 
 // judge holds an answer against the rules.
-func (u *users) judge(f *frontend, j, begun *userJob, op intake.Operation, a intake.Answer) {
+func (u *users) judge(f *frontend, j, begun *userJob, op admission.Operation, a admission.Answer) {
 	says := func(what string) {
 		u.fail("%v %s: %s says %d %s of %s (operation %d, cancelled by its user %v, told before %q, bad %d)", u.now, what, f.n.name, a.Status, bodyOf(a), j.id, op, begun.cancels, begun.told, j.bad)
 	}
@@ -341,7 +341,7 @@
 			u.cancelled[j.id] = u.now
 		}
 	default:
-		if begun.endedAt != 0 && op == intake.Poll && begun.endedAt+3*time.Second < u.now-pollWait {
+		if begun.endedAt != 0 && op == admission.Poll && begun.endedAt+3*time.Second < u.now-pollWait {
 			u.late++
 		}
 	}
@@ -366,7 +366,7 @@
 	}
 }
 
-func bodyOf(a intake.Answer) string {
+func bodyOf(a admission.Answer) string {
 	var s protocol.JobStatus
 	if protocol.Decode(a.Body, &s) == nil && s.ID != "" {
 		return string(s.State)
@@ -386,7 +386,7 @@
 
 // checkForgotten: once all troubles are over, no job goes without an answer for 75 s.
 func (u *users) checkForgotten() {
-	for _, j := range inorder.Of(u.jobs) {
+	for _, j := range ordered.Of(u.jobs) {
 		if j.polls && j.floor < over && u.wellSince != 0 && u.now-max(j.heard, u.wellSince) > forgottenIn {
 			u.fail("%v forgotten: no question about %s has been answered for %v", u.now, j.id, u.now-max(j.heard, u.wellSince))
 		}
--- a/internal/emulator/world.go
+++ b/internal/simulator/world.go
@@ -1,8 +1,8 @@
-// Package emulator plays days of a site in simulated time: the real cores of the
+// Package simulator plays days of a site in simulated time: the real cores of the
 // controllers against models of the state service, the cloud and the workers,
 // with faults, by a seed. The rules of the protocol are checked after every
 // step.
-package emulator
+package simulator
 
 import (
 	"container/heap"
@@ -12,11 +12,11 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/coordination/intake"
-	"damsonkeel/internal/coordination/sharing"
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/sharding"
+	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/standin"
 )
 
 // world plays controllers' cores against stand-ins in simulated time, and
@@ -30,9 +30,9 @@
 	settings *config.Settings
 	types    []protocol.TypeInfo
 
-	state   *standin.State
+	state   *fake.State
 	outage  time.Duration // until when
-	cloud   *standin.Cloud
+	cloud   *fake.Cloud
 	workers map[protocol.MachineID]*simWorker
 	order   []protocol.MachineID
 	nodes   []*simNode
@@ -45,7 +45,7 @@
 	mistaken  map[protocol.JobID]bool // fail wherever they run
 	final     map[protocol.JobID]string
 	results   map[protocol.TaskID]bool
-	onMachine map[protocol.TaskID]*standin.Worker
+	onMachine map[protocol.TaskID]*fake.Worker
 	starts    int
 
 	layout   bookkeeping.Layout // that controllers know
@@ -69,7 +69,7 @@
 	// limitOf is the limit in processors that a team's use is held against; 0: none.
 	limitOf func(protocol.Team) float64
 	// configured: another configuration is in force at a controller.
-	configured func(*simNode, *configuration.Effective)
+	configured func(*simNode, *dynamicconfig.Effective)
 	silent     time.Duration // until when the cloud answers nothing
 	checked    int           // changes of the state service that the rules have been held against
 
@@ -95,9 +95,9 @@
 	promised int             // changes of the calendar
 	lapsed   int             // workers' leases that ran out
 
-	pauses  []time.Duration              // of moves of shares
-	givenUp int                          // moves
-	movedAt map[sharing.ID]time.Duration // when a share last moved
+	pauses  []time.Duration               // of moves of shares
+	givenUp int                           // moves
+	movedAt map[sharding.ID]time.Duration // when a share last moved
 
 	blockWrites int
 	mostOn      int // tasks at a time
@@ -137,10 +137,10 @@
 // are up at the start.
 func newWorld(fail func(string, ...any), seed uint64, settings *config.Settings, machines, up int) *world {
 	w := &world{
-		fail: fail, rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, state: standin.NewState(),
-		cloud: standin.NewCloud(machines + 6), workers: map[protocol.MachineID]*simWorker{}, cuts: map[string]cut{},
+		fail: fail, rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, state: fake.NewState(),
+		cloud: fake.NewCloud(machines + 6), workers: map[protocol.MachineID]*simWorker{}, cuts: map[string]cut{},
 		jobs: map[protocol.JobID]protocol.Job{}, cancelled: map[protocol.JobID]time.Duration{}, mistaken: map[protocol.JobID]bool{}, final: map[protocol.JobID]string{},
-		results: map[protocol.TaskID]bool{}, onMachine: map[protocol.TaskID]*standin.Worker{},
+		results: map[protocol.TaskID]bool{}, onMachine: map[protocol.TaskID]*fake.Worker{},
 		types: []protocol.TypeInfo{
 			{Name: "small", CPUs: 4, MemoryGB: 16, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}},
 			{Name: "large", CPUs: 8, MemoryGB: 32, FetchGBPS: 1, Price: 2, SpotPrice: 0.6, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}},
@@ -152,13 +152,13 @@
 	w.bootTime = func(protocol.RentRequest) time.Duration { return time.Duration(3+w.rng.IntN(8)) * time.Second }
 	w.heldS = func(protocol.MachineID) float64 { return 30 }
 	w.started = func(protocol.MachineID, protocol.TaskID) {}
-	w.endedTask, w.movedAt = func(protocol.MachineID, protocol.TaskID, protocol.EndCause) {}, map[sharing.ID]time.Duration{}
+	w.endedTask, w.movedAt = func(protocol.MachineID, protocol.TaskID, protocol.EndCause) {}, map[sharding.ID]time.Duration{}
 	w.ordered = func(*simNode, []protocol.Order) {}
 	w.limitOf = func(name protocol.Team) float64 {
 		team, _ := w.settings.Team(name)
 		return team.MaxCPUs
 	}
-	w.configured = func(*simNode, *configuration.Effective) {}
+	w.configured = func(*simNode, *dynamicconfig.Effective) {}
 	w.rented, w.gone = func(protocol.MachineID, protocol.RentRequest) {}, func(protocol.MachineID) {}
 	for i := range up {
 		r := protocol.RentRequest{Name: fmt.Sprint("first", i), Type: w.types[i%2].Name, Zone: w.types[0].AllowZones[i/2%2], Spot: i%3 == 0, Count: 1}
@@ -186,7 +186,7 @@
 	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", w.submitted))
 	j.SubmittedMS = w.wallMS()
 	j.Image, j.ImageGB, j.MemoryGB = "img", 1, 1
-	if w.outage > w.now || !w.state.Txn(intake.AcceptTxn(&j)) {
+	if w.outage > w.now || !w.state.Txn(admission.AcceptTxn(&j)) {
 		return
 	}
 	w.submitted++
@@ -200,7 +200,7 @@
 		return
 	}
 	it, _ := w.state.Get(bookkeeping.JobKey(id))
-	if w.outage <= w.now && w.state.Txn(intake.CancelTxn(id, it.Version, bookkeeping.JobRecord{Tasks: w.jobs[id].Tasks})) {
+	if w.outage <= w.now && w.state.Txn(admission.CancelTxn(id, it.Version, bookkeeping.JobRecord{Tasks: w.jobs[id].Tasks})) {
 		w.cancelled[id] = w.now
 	}
 }
