--- a/cmd/damsonkeel/calendar.go
+++ b/cmd/damsonkeel/calendar.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"github.com/jedib0t/go-pretty/v6/table"
 )
@@ -100,8 +100,8 @@
 
 // Run reserves.
 func (a *reserveAdd) Run() error {
-	spec := &bookkeeping.ReservationSpec{
-		Name: bookkeeping.EntryName(a.Name), Job: protocol.JobID(a.Job), Class: a.Class, Team: protocol.Team(a.Team), When: a.When,
+	spec := &record.ReservationSpec{
+		Name: record.EntryName(a.Name), Job: protocol.JobID(a.Job), Class: a.Class, Team: protocol.Team(a.Team), When: a.When,
 		HoldS: a.Hold.Seconds(), LengthS: a.Length.Seconds(), Tasks: a.Tasks, CPUs: a.CPUs, GPUs: a.GPUs, MemoryGB: a.Memory,
 		Zone: protocol.Zone(a.Zone), OneZone: a.OneZone, Spot: a.Spot, Priority: protocol.Priority(a.Priority),
 	}
@@ -113,8 +113,8 @@
 
 // Run declares a window.
 func (a *windowAdd) Run() error {
-	spec := &bookkeeping.WindowSpec{
-		Name: bookkeeping.EntryName(a.Name), When: a.When, LengthS: a.Length.Seconds(), Type: protocol.MachineType(a.Type), Zone: protocol.Zone(a.Zone),
+	spec := &record.WindowSpec{
+		Name: record.EntryName(a.Name), When: a.When, LengthS: a.Length.Seconds(), Type: protocol.MachineType(a.Type), Zone: protocol.Zone(a.Zone),
 	}
 	for _, m := range a.Machines {
 		spec.Machines = append(spec.Machines, protocol.MachineID(m))
@@ -151,7 +151,7 @@
 func (s *windowCancel) Run() error { return s.cancel(true) }
 
 func (n *named) request(op operatorapi.Op, window bool) operatorapi.Request {
-	return operatorapi.Request{Op: op, Window: window, Name: bookkeeping.EntryName(n.Name)}
+	return operatorapi.Request{Op: op, Window: window, Name: record.EntryName(n.Name)}
 }
 
 // cancel looks what there is first, so that another one made of that name
@@ -258,7 +258,7 @@
 	return nil
 }
 
-func names(ns []bookkeeping.EntryName) string {
+func names(ns []record.EntryName) string {
 	var out []string
 	for _, n := range ns {
 		out = append(out, string(n))
@@ -266,7 +266,7 @@
 	return strings.Join(out, ", ")
 }
 
-func timeOf(m bookkeeping.Moment) string {
+func timeOf(m record.Moment) string {
 	if m == 0 {
 		return ""
 	}
@@ -327,7 +327,7 @@
 	t.Render()
 }
 
-func covers(s *bookkeeping.WindowSpec) string {
+func covers(s *record.WindowSpec) string {
 	switch {
 	case len(s.Machines) > 0:
 		return fmt.Sprintf("%d machines", len(s.Machines))
--- a/cmd/damsonkeel/config.go
+++ b/cmd/damsonkeel/config.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/record"
 
 	"github.com/jedib0t/go-pretty/v6/table"
 )
@@ -61,7 +61,7 @@
 // Run tells what is in force.
 func (g *configGet) Run() error {
 	var all operatorapi.Reply
-	r := operatorapi.Request{Op: operatorapi.OpConfig, Config: &operatorapi.ConfigRequest{Entry: bookkeeping.EntryID(g.Entry)}}
+	r := operatorapi.Request{Op: operatorapi.OpConfig, Config: &operatorapi.ConfigRequest{Entry: record.EntryID(g.Entry)}}
 	for {
 		reply, err := g.settle(r)
 		if err != nil {
@@ -80,7 +80,7 @@
 
 // Run changes one entry.
 func (s *configSet) Run() error {
-	change := operatorapi.ConfigChange{Entry: bookkeeping.EntryID(s.Entry), Reset: s.Reset, Remove: s.Remove}
+	change := operatorapi.ConfigChange{Entry: record.EntryID(s.Entry), Reset: s.Reset, Remove: s.Remove}
 	for _, value := range s.Values {
 		name, text, ok := strings.Cut(value, "=")
 		if !ok {
@@ -106,7 +106,7 @@
 		c.Closed = &v
 		return err
 	case name == "value":
-		v := bookkeeping.SettingText(text)
+		v := record.SettingText(text)
 		c.Value = &v
 		return nil
 	}
@@ -115,7 +115,7 @@
 		return err
 	}
 	if c.Objectives == nil {
-		c.Objectives = &[]bookkeeping.ObjectiveEntry{}
+		c.Objectives = &[]record.ObjectiveEntry{}
 	}
 	*c.Objectives = append(*c.Objectives, objective)
 	return nil
@@ -125,8 +125,8 @@
 var errField = errors.New("no such field")
 
 // parseObjective takes an objective from its kind and two numbers.
-func parseObjective(kind, text string) (bookkeeping.ObjectiveEntry, error) {
-	o := bookkeeping.ObjectiveEntry{Kind: kind}
+func parseObjective(kind, text string) (record.ObjectiveEntry, error) {
+	o := record.ObjectiveEntry{Kind: kind}
 	number := &o.WithinS
 	switch kind {
 	case "wait", "finished", "guarantee":
@@ -175,7 +175,7 @@
 func (f *configChangeFlags) change(ask *askFlags, changes []operatorapi.ConfigChange) error {
 	r := operatorapi.Request{Op: operatorapi.OpConfigure, ID: requestID(f.ID), DryRun: f.DryRun, Config: &operatorapi.ConfigRequest{Changes: changes}}
 	if f.Revision != nil {
-		revision := bookkeeping.ConfigurationRevision(*f.Revision)
+		revision := record.ConfigurationRevision(*f.Revision)
 		r.Config.Revision = &revision
 	}
 	reply, err := ask.settle(r)
@@ -209,7 +209,7 @@
 }
 
 // allActBy reports whether all members say that they act by a revision or a later one.
-func allActBy(controllers []operatorapi.ConfigController, revision bookkeeping.ConfigurationRevision) bool {
+func allActBy(controllers []operatorapi.ConfigController, revision record.ConfigurationRevision) bool {
 	for _, c := range controllers {
 		if c.Member && c.Revision < revision {
 			return false
@@ -251,14 +251,14 @@
 	t.Render()
 }
 
-func revisionText(r bookkeeping.ConfigurationRevision) string {
+func revisionText(r record.ConfigurationRevision) string {
 	if r == 0 {
 		return "platform's file"
 	}
 	return fmt.Sprint(r)
 }
 
-func printChanges(changes []bookkeeping.EntryChange) {
+func printChanges(changes []record.EntryChange) {
 	if len(changes) == 0 {
 		return
 	}
@@ -270,7 +270,7 @@
 	t.Render()
 }
 
-func recordText(e *bookkeeping.ConfigurationEntry) string {
+func recordText(e *record.ConfigurationEntry) string {
 	switch {
 	case e.Team != nil:
 		return teamText(e.Team)
@@ -289,9 +289,9 @@
 	switch {
 	case e.Team != nil:
 		return teamText(e.Team)
-	case kind == bookkeeping.EntryClass:
+	case kind == record.EntryClass:
 		return objectivesText(e.Objectives)
-	case kind == bookkeeping.EntrySetting:
+	case kind == record.EntrySetting:
 		return string(e.Value)
 	case e.Closed:
 		return "closed"
@@ -299,7 +299,7 @@
 	return "open"
 }
 
-func teamText(t *bookkeeping.TeamEntry) string {
+func teamText(t *record.TeamEntry) string {
 	if t.Removed {
 		return "removed"
 	}
@@ -317,7 +317,7 @@
 	return fmt.Sprint(v)
 }
 
-func objectivesText(objectives []bookkeeping.ObjectiveEntry) string {
+func objectivesText(objectives []record.ObjectiveEntry) string {
 	var texts []string
 	for _, o := range objectives {
 		text := fmt.Sprintf("%s %v s", o.Kind, o.WithinS)
--- a/cmd/damsonkeel/real_test.go
+++ b/cmd/damsonkeel/real_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/fake/server"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 	"damsonkeel/internal/transport"
 )
 
@@ -193,7 +193,7 @@
 	r.submit(job(0, "first", 16, 1, 10)) // all that there is to rent is up and busy then
 	start := time.Now().Add(75 * time.Second).Truncate(time.Second)
 	add := []string{"reserve", "add", "dawn", "--class", "dawn", "--tasks", "6", "--cpus", "2", "--memory", "1", "--hold", "1m", "--length", "20s", "--when", start.UTC().Format("2006-01-02 at 15:04:05")}
-	if reply, code := r.command(append(add, "--dry-run")...); code != 0 || reply.Reservations[0].State != bookkeeping.Proposed {
+	if reply, code := r.command(append(add, "--dry-run")...); code != 0 || reply.Reservations[0].State != record.Proposed {
 		t.Fatalf("dry run: %d, %+v", code, reply)
 	}
 	if reply, code := r.command(append(add, "--id", "one")...); code != 0 {
@@ -235,7 +235,7 @@
 	t.Logf("all 6 started %v after its time", time.Since(start).Round(100*time.Millisecond))
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(500 * time.Millisecond) {
 		reply, code := r.command("reserve", "show", "dawn")
-		if code == 0 && reply.Reservations[0].State == bookkeeping.Used {
+		if code == 0 && reply.Reservations[0].State == record.Used {
 			break
 		}
 		if time.Now().After(deadline) {
--- a/internal/bookkeeping/cloud.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,5 @@
-package bookkeeping
+// Package cloud is a client of the service that provisions and terminates machines.
+package cloud
 
 import (
 	"context"
@@ -6,6 +7,8 @@
 	"net/url"
 	"time"
 
+	"damsonkeel/internal/serviceclient"
+
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 
@@ -14,49 +17,49 @@
 
 const cloudTimeout = 5 * time.Second
 
-// Cloud is a client of the cloud that keeps to this controller's share of its rate.
-type Cloud struct {
+// Client is a client of the cloud that keeps to this controller's share of its rate.
+type Client struct {
 	client *transport.Client
 	calls  *rate.Limiter
 }
 
-// NewCloud makes a client. One controller at a time rents and lists, the
+// NewClient makes a client. One controller at a time rents and lists, the
 // others only read the catalogue once a minute, so each may use most of the
 // configured rate; what two of them exceed while the role passes is refused
 // by the cloud, without harm.
-func NewCloud(addr string, rps float64) *Cloud {
+func NewClient(addr string, rps float64) *Client {
 	share := rps * 0.6
-	return &Cloud{client: transport.NewClient(addr), calls: rate.NewLimiter(rate.Limit(share), max(1, int(2*share)))}
+	return &Client{client: transport.NewClient(addr), calls: rate.NewLimiter(rate.Limit(share), max(1, int(2*share)))}
 }
 
-func (c *Cloud) do(ctx context.Context, method, target string, in, out any) error {
+func (c *Client) do(ctx context.Context, method, target string, in, out any) error {
 	if err := c.calls.Wait(ctx); err != nil {
-		return ErrRefused
+		return serviceclient.ErrRefused
 	}
-	return call(ctx, c.client, cloudTimeout, method, target, in, out)
+	return serviceclient.Call(ctx, c.client, cloudTimeout, method, target, in, out)
 }
 
 // Catalogue reads the machine types.
-func (c *Cloud) Catalogue(ctx context.Context) (protocol.Catalogue, error) {
+func (c *Client) Catalogue(ctx context.Context) (protocol.Catalogue, error) {
 	var cat protocol.Catalogue
 	err := c.do(ctx, "GET", "/catalog", nil, &cat)
 	return cat, err
 }
 
 // Rent asks for machines.
-func (c *Cloud) Rent(ctx context.Context, r protocol.RentRequest) ([]protocol.MachineID, error) {
+func (c *Client) Rent(ctx context.Context, r protocol.RentRequest) ([]protocol.MachineID, error) {
 	var got protocol.MachineNames
 	err := c.do(ctx, "POST", "/hosts", r, &got)
 	return got.Machines, err
 }
 
 // Delete returns machines. When it returns without an error they are gone.
-func (c *Cloud) Delete(ctx context.Context, ids []protocol.MachineID) error {
+func (c *Client) Delete(ctx context.Context, ids []protocol.MachineID) error {
 	return c.do(ctx, "POST", "/hosts/delete", protocol.MachineNames{Machines: ids}, nil)
 }
 
 // Machines lists all machines, page by page.
-func (c *Cloud) Machines(ctx context.Context) ([]protocol.ListedMachine, error) {
+func (c *Client) Machines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	from := ""
 	for {
--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -8,7 +8,6 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
@@ -17,6 +16,7 @@
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 const (
@@ -59,7 +59,7 @@
 	polls         []*request // that wait to be compared together
 	nextLook      clock.Time // no comparing before
 	wakeAt        clock.Time // as last asked for
-	finals        map[protocol.JobID]bookkeeping.JobRecord
+	finals        map[protocol.JobID]record.JobRecord
 	announcements map[protocol.JobID]*announcement
 }
 
@@ -92,7 +92,7 @@
 
 // announcement is a cancellation that controllers are being told of.
 type announcement struct {
-	record bookkeeping.JobRecord
+	record record.JobRecord
 	left   map[protocol.NodeName]bool // have not answered; nil: not told yet
 	until  clock.Time
 	waits  []*request
@@ -103,7 +103,7 @@
 	return &Intake{
 		configured: dynamicconfig.Base(&s.Site, op), configurable: op.Configurable(),
 		settings: s, log: log, requests: map[RequestID]*request{}, looks: map[LookID]*look{},
-		finals: map[protocol.JobID]bookkeeping.JobRecord{}, announcements: map[protocol.JobID]*announcement{},
+		finals: map[protocol.JobID]record.JobRecord{}, announcements: map[protocol.JobID]*announcement{},
 	}
 }
 
@@ -258,7 +258,7 @@
 }
 
 // final is a job's record if it is known to be over.
-func (in *Intake) final(id protocol.JobID) (bookkeeping.JobRecord, bool) {
+func (in *Intake) final(id protocol.JobID) (record.JobRecord, bool) {
 	if h := in.announcements[id]; h != nil {
 		return h.record, true
 	}
@@ -266,7 +266,7 @@
 	return rec, ok
 }
 
-func (in *Intake) keepFinal(id protocol.JobID, rec bookkeeping.JobRecord) {
+func (in *Intake) keepFinal(id protocol.JobID, rec record.JobRecord) {
 	if len(in.finals) >= finalsMost {
 		for k := range in.finals { // any one: it can be read again
 			delete(in.finals, k)
@@ -290,10 +290,10 @@
 	if r == nil {
 		return
 	}
-	settled := m.Outcome == message.OutcomeDone && (r.Operation == Submit || m.Record.State != bookkeeping.RecordLive)
+	settled := m.Outcome == message.OutcomeDone && (r.Operation == Submit || m.Record.State != record.RecordLive)
 	switch {
 	case r.writing && !settled: // its answer may still come
-	case m.Outcome == message.OutcomeDone && m.Record.State == bookkeeping.RecordLive && r.Operation == Cancel:
+	case m.Outcome == message.OutcomeDone && m.Record.State == record.RecordLive && r.Operation == Cancel:
 		in.write(r, CancelTxn(r.Job, m.Version, m.Record))
 	case m.Outcome == message.OutcomeDone:
 		in.tell(r, m.Record)
@@ -325,7 +325,7 @@
 	case r.Operation == Submit && m.Outcome == message.OutcomeDone:
 		in.answer(r, success(201, protocol.JobStatus{ID: r.Job, State: protocol.JobQueued}))
 	case r.Operation == Cancel && m.Outcome == message.OutcomeDone:
-		in.tell(r, bookkeeping.JobRecord{State: bookkeeping.RecordCancelled})
+		in.tell(r, record.JobRecord{State: record.RecordCancelled})
 	default:
 		// It is not as it was read, known already, or the answer was lost: the record
 		// tells.
@@ -341,11 +341,11 @@
 }
 
 // tell answers with a job's record.
-func (in *Intake) tell(r *request, rec bookkeeping.JobRecord) {
+func (in *Intake) tell(r *request, rec record.JobRecord) {
 	switch rec.State {
-	case bookkeeping.RecordLive:
+	case record.RecordLive:
 		in.look(&look{one: r})
-	case bookkeeping.RecordCancelled:
+	case record.RecordCancelled:
 		in.tellCancelled(r, rec)
 	default:
 		in.keepFinal(r.Job, rec)
@@ -354,10 +354,10 @@
 }
 
 // over is what users are told of a job that is over.
-func (in *Intake) over(r *request, rec bookkeeping.JobRecord) Answer {
+func (in *Intake) over(r *request, rec record.JobRecord) Answer {
 	s := protocol.JobStatus{ID: r.Job, State: protocol.JobCancelled}
 	done, running := uint32(0), uint32(0)
-	if rec.State == bookkeeping.RecordDone {
+	if rec.State == record.RecordDone {
 		s.State, done = protocol.JobDone, rec.Tasks
 	}
 	if r.Operation != Cancel {
@@ -378,7 +378,7 @@
 // tellCancelled answers that a job is cancelled. Before the first such answer all
 // controllers are told: each follows the records, but some milliseconds late, or
 // seconds, and may start a task until then, which from the answer on none may be.
-func (in *Intake) tellCancelled(r *request, rec bookkeeping.JobRecord) {
+func (in *Intake) tellCancelled(r *request, rec record.JobRecord) {
 	if _, ok := in.finals[r.Job]; ok {
 		in.answer(r, in.over(r, rec))
 		return
@@ -501,21 +501,21 @@
 // AcceptTxn accepts a job: it holds only if no job with its id is known.
 func AcceptTxn(j *protocol.Job) protocol.Txn {
 	return protocol.Txn{
-		If: []protocol.Condition{{Key: bookkeeping.JobKey(j.ID)}},
+		If: []protocol.Condition{{Key: record.JobKey(j.ID)}},
 		Then: []protocol.Change{
-			{Put: bookkeeping.JobKey(j.ID), Value: bookkeeping.JobRecord{State: bookkeeping.RecordLive, Tasks: j.Tasks}},
-			{Put: bookkeeping.LiveKey(j.ID), Value: j},
+			{Put: record.JobKey(j.ID), Value: record.JobRecord{State: record.RecordLive, Tasks: j.Tasks}},
+			{Put: record.LiveKey(j.ID), Value: j},
 		},
 	}
 }
 
 // CancelTxn cancels a job: it holds only if the job is still as it was read.
 // Both of its records change together, always, so they have one version.
-func CancelTxn(id protocol.JobID, version protocol.Version, r bookkeeping.JobRecord) protocol.Txn {
-	r.State = bookkeeping.RecordCancelled
+func CancelTxn(id protocol.JobID, version protocol.Version, r record.JobRecord) protocol.Txn {
+	r.State = record.RecordCancelled
 	return protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.JobKey(id), Version: version}, {Key: bookkeeping.LiveKey(id), Version: version}},
-		Then: []protocol.Change{{Put: bookkeeping.JobKey(id), Value: r}, {Delete: bookkeeping.LiveKey(id)}},
+		If:   []protocol.Condition{{Key: record.JobKey(id), Version: version}, {Key: record.LiveKey(id), Version: version}},
+		Then: []protocol.Change{{Put: record.JobKey(id), Value: r}, {Delete: record.LiveKey(id)}},
 	}
 }
 
--- a/internal/controller/admission/admission_test.go
+++ b/internal/controller/admission/admission_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"pgregory.net/rapid"
 )
@@ -120,17 +120,17 @@
 				return out
 			}
 			for id, v := range records {
-				if slices.ContainsFunc(c.Conditions, func(c protocol.Condition) bool { return c.Key == bookkeeping.JobKey(id) && c.Version != v }) && (namesAll || len(out.Differ) == 0) {
-					out.Differ, out.Outcome = append(out.Differ, bookkeeping.JobKey(id)), message.OutcomeFailed
+				if slices.ContainsFunc(c.Conditions, func(c protocol.Condition) bool { return c.Key == record.JobKey(id) && c.Version != v }) && (namesAll || len(out.Differ) == 0) {
+					out.Differ, out.Outcome = append(out.Differ, record.JobKey(id)), message.OutcomeFailed
 				}
 			}
 			return out
 		}
 		s.get = func(g Get) any {
 			read[g.Job] = true
-			r := Read{ID: g.ID, Outcome: message.OutcomeDone, Record: bookkeeping.JobRecord{State: bookkeeping.RecordDone, Tasks: 1}}
+			r := Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordDone, Tasks: 1}}
 			if live(g.Job) || known[g.Job].Version == 0 {
-				r.Record.State = bookkeeping.RecordLive
+				r.Record.State = record.RecordLive
 			}
 			if outage {
 				r = Read{ID: g.ID, Outcome: message.OutcomeRefused}
@@ -255,7 +255,7 @@
 		var told []protocol.NodeName
 		s.look = func(l Look) any { return Looked{Look: l.Look, Members: members} }
 		s.get = func(g Get) any {
-			return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: bookkeeping.JobRecord{State: bookkeeping.RecordCancelled, Tasks: 2}}
+			return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordCancelled, Tasks: 2}}
 		}
 		s.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeFailed} }
 		s.halt = func(h Announce) any {
@@ -313,25 +313,25 @@
 	for _, op := range []Operation{Submit, Cancel} {
 		for _, done := range []bool{true, false} {
 			s := newShell(4)
-			live := bookkeeping.JobRecord{State: bookkeeping.RecordLive, Tasks: 2}
-			record, wrote := &live, RequestID(0)
+			live := record.JobRecord{State: record.RecordLive, Tasks: 2}
+			found, wrote := &live, RequestID(0)
 			if op == Submit {
-				record = nil
+				found = nil
 			}
 			s.look = func(l Look) any { return Looked{Look: l.Look, Members: []protocol.NodeName{"node-0"}} }
 			s.halt = func(h Announce) any { return Announced{Job: h.Job, By: h.To} }
 			s.get = func(g Get) any {
-				if record == nil {
+				if found == nil {
 					return Read{ID: g.ID, Outcome: message.OutcomeFailed}
 				}
-				return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: *record, Version: 7}
+				return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: *found, Version: 7}
 			}
 			s.write = func(w Write) any {
 				wrote = w.ID
 				if done && op == Submit {
-					record = &live
+					found = &live
 				} else if done {
-					record = &bookkeeping.JobRecord{State: bookkeeping.RecordCancelled, Tasks: 2}
+					found = &record.JobRecord{State: record.RecordCancelled, Tasks: 2}
 				}
 				return nil
 			}
@@ -385,7 +385,7 @@
 					case outage:
 						r.Outcome = message.OutcomeRefused
 					case known:
-						r = Read{ID: g.ID, Outcome: message.OutcomeDone, Record: bookkeeping.JobRecord{State: bookkeeping.RecordLive, Tasks: 2}}
+						r = Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordLive, Tasks: 2}}
 					}
 					return r
 				}
--- a/internal/controller/admission/configured.go
+++ b/internal/controller/admission/configured.go
@@ -1,10 +1,10 @@
 package admission
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // configuredNow takes the configuration in force, and decides anew what one before
@@ -27,7 +27,7 @@
 		return txn
 	}
 	r.configuredBy, r.configuredAnew = in.configured.Version, false
-	txn.If = append(txn.If, protocol.Condition{Key: bookkeeping.ConfigurationKey, Version: r.configuredBy})
+	txn.If = append(txn.If, protocol.Condition{Key: record.ConfigurationKey, Version: r.configuredBy})
 	return txn
 }
 
@@ -39,7 +39,7 @@
 		return
 	}
 	r.refusal = &no
-	unknown := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.JobKey(r.Job)}}, Then: []protocol.Change{}}
+	unknown := protocol.Txn{If: []protocol.Condition{{Key: record.JobKey(r.Job)}}, Then: []protocol.Change{}}
 	in.write(r, in.onConfiguration(r, unknown))
 }
 
--- a/internal/controller/admission/configured_test.go
+++ b/internal/controller/admission/configured_test.go
@@ -5,7 +5,6 @@
 	"log/slog"
 	"testing"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/dynamicconfig"
@@ -13,6 +12,7 @@
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"pgregory.net/rapid"
 )
@@ -97,9 +97,9 @@
 }
 
 func takeRecord(t *rapid.T, f *dynamicconfig.Followed, ev protocol.Event) bool {
-	key, known := bookkeeping.ParseFollowed(ev.Put)
-	var head bookkeeping.Configuration
-	var entry bookkeeping.ConfigurationEntry
+	key, known := record.ParseFollowed(ev.Put)
+	var head record.Configuration
+	var entry record.ConfigurationEntry
 	switch {
 	case known && key.Configuration:
 		if err := protocol.Decode(ev.Value, &head); err != nil {
@@ -165,7 +165,7 @@
 		}
 		c.step(e, Written{ID: a.ID, Outcome: out})
 	case Get:
-		it, ok := c.state.Get(bookkeeping.JobKey(a.Job))
+		it, ok := c.state.Get(record.JobKey(a.Job))
 		r := Read{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
 		if ok && protocol.Decode(it.Value, &r.Record) == nil {
 			r.Outcome = message.OutcomeDone
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -1,11 +1,11 @@
 package admission
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // RequestID numbers the requests that one process has been asked.
@@ -39,7 +39,7 @@
 	Read struct {
 		ID      RequestID
 		Outcome message.Outcome // failed: there is no such record
-		Record  bookkeeping.JobRecord
+		Record  record.JobRecord
 		Version protocol.Version
 	}
 	// Written answers a Write.
--- a/internal/controller/admission/polls.go
+++ b/internal/controller/admission/polls.go
@@ -5,9 +5,11 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/kvstore"
+
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // livePart is the part of a controller's requests to the state service that polls
@@ -29,7 +31,7 @@
 		return
 	}
 	site := &in.settings.Site
-	share := bookkeeping.EqualShare(site.State.RPS, site.State.WriteRPS, site.Count)
+	share := kvstore.EqualAllotment(site.State.RPS, site.State.WriteRPS, site.Count)
 	in.nextLook = in.after(time.Duration(float64(time.Second) / max(1, livePart*share.Requests)))
 	n := min(len(in.polls), max(1, 4*site.State.TxnOps))
 	l := &look{polls: slices.Clone(in.polls[:n])}
@@ -55,7 +57,7 @@
 		case !live:
 			in.get(r)
 		default:
-			conditions = append(conditions, protocol.Condition{Key: bookkeeping.JobKey(r.Job), Version: j.Version})
+			conditions = append(conditions, protocol.Condition{Key: record.JobKey(r.Job), Version: j.Version})
 			return false
 		}
 		return true
@@ -78,7 +80,7 @@
 	if m.Outcome == message.OutcomeFailed {
 		all := l.again || len(m.Differ) == 0
 		for _, r := range l.polls {
-			if all || slices.Contains(m.Differ, bookkeeping.JobKey(r.Job)) {
+			if all || slices.Contains(m.Differ, record.JobKey(r.Job)) {
 				delete(l.jobs, r.Job)
 			}
 		}
--- a/internal/controller/anymessage_test.go
+++ b/internal/controller/anymessage_test.go
@@ -5,10 +5,10 @@
 	"reflect"
 	"testing"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // names are what generated messages name: some of it is there.
@@ -99,8 +99,8 @@
 	for i := range shares.List {
 		sharding.Give(shares, sharding.ID(i), protocol.LeaseID(100+i%2))
 	}
-	b.put(bookkeeping.SharesKey, *shares)
-	b.put(bookkeeping.ViewKey, bookkeeping.View{Term: 2, Members: b.c.View.Members, Layout: bookkeeping.LayoutShares})
+	b.put(record.SharesKey, *shares)
+	b.put(record.ViewKey, record.View{Term: 2, Members: b.c.View.Members, Layout: record.LayoutShares})
 	for _, id := range []protocol.MachineID{"vm-1", "vm-2", "vm-3"} {
 		b.machine(id, 1)
 		b.step(message.Reported{Report: protocol.Report{Machine: id, Address: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Term: b.c.Token(id, "a")}})
--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/membership"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/workerregistry"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // recorder is a lone core that records machines in blocks, with a state service
@@ -31,7 +31,7 @@
 	lease := r.state.Lease(0, time.Hour)
 	r.step(message.Snapshot{Session: lease})
 	r.step(message.Entitled{Until: Time(time.Hour)})
-	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: bookkeeping.NodeKey("node-0"), Value: bookkeeping.Node{Session: lease, Layout: bookkeeping.LayoutBlocks}}}})
+	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: record.NodeKey("node-0"), Value: record.Node{Session: lease, Layout: record.LayoutBlocks}}}})
 	r.settle(5)
 	if !r.c.Member() || !r.c.InBlocks() {
 		tb.Fatalf("view %+v", r.c.View)
@@ -46,7 +46,7 @@
 		for r.followed < len(r.state.Log) {
 			ev := r.state.Log[r.followed]
 			r.followed++
-			if strings.HasPrefix(ev.Put+ev.Delete, bookkeeping.FollowedPrefix) {
+			if strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix) {
 				r.carry(r.step(message.Changed{Event: ev}))
 			}
 		}
@@ -147,8 +147,8 @@
 	}
 	r.settle(5)
 	in := map[protocol.MachineID]string{}
-	for _, it := range r.state.List(bookkeeping.BlockKey("")) {
-		var b bookkeeping.Block
+	for _, it := range r.state.List(record.BlockKey("")) {
+		var b record.Block
 		if err := protocol.Decode(it.Value, &b); err != nil {
 			t.Fatal(err)
 		}
@@ -169,9 +169,9 @@
 // its own, goes with that.
 func TestSilentMachineLeavesItsBlock(t *testing.T) {
 	r := newRecorder(t)
-	rec := bookkeeping.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
-	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: bookkeeping.MachineKey("vm-old"), Value: rec}}})
-	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: bookkeeping.MachineKey("vm-000000"), Value: rec}}})
+	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
+	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
+	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
 	r.settle(2)
 	epoch := r.c.machines["vm-000000"].Epoch
 	r.wave(1, 2) // comes back with a later session: moves into a block
@@ -180,13 +180,13 @@
 	if m := r.c.machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
 		t.Fatalf("not moved into a block: %+v", m)
 	}
-	if _, there := r.state.Get(bookkeeping.MachineKey("vm-000000")); there {
+	if _, there := r.state.Get(record.MachineKey("vm-000000")); there {
 		t.Error("its own record is still there")
 	}
 	r.now += Time(r.c.LeaseOver())
 	r.settle(60)
-	if len(r.c.machines) != 0 || r.c.registrar.Blocks() != 0 || len(r.state.List(bookkeeping.FollowedPrefix)) != 2 {
-		t.Errorf("%d machines, %d blocks, records %v", len(r.c.machines), r.c.registrar.Blocks(), r.state.List(bookkeeping.FollowedPrefix))
+	if len(r.c.machines) != 0 || r.c.registrar.Blocks() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
+		t.Errorf("%d machines, %d blocks, records %v", len(r.c.machines), r.c.registrar.Blocks(), r.state.List(record.FollowedPrefix))
 	}
 }
 
@@ -196,27 +196,27 @@
 func TestOlderVersionStaysOut(t *testing.T) {
 	b := newBench(t)
 	// node records a controller, and returns the view that is written for it.
-	node := func(name protocol.NodeName, session protocol.LeaseID, l bookkeeping.Layout) (v bookkeeping.View) {
-		for _, a := range append(b.put(bookkeeping.NodeKey(name), bookkeeping.Node{Session: session, Layout: l}), b.step(message.Tick{})...) {
+	node := func(name protocol.NodeName, session protocol.LeaseID, l record.Layout) (v record.View) {
+		for _, a := range append(b.put(record.NodeKey(name), record.Node{Session: session, Layout: l}), b.step(message.Tick{})...) {
 			if c, ok := a.(message.Commit); ok && c.Tag == (membership.ViewTag{}) {
-				v = c.Txn.Then[0].Value.(bookkeeping.View)
+				v = c.Txn.Then[0].Value.(record.View)
 			}
 		}
 		b.step(message.TxnDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
 		return v
 	}
-	node("node-0", 100, bookkeeping.LayoutBlocks)
+	node("node-0", 100, record.LayoutBlocks)
 	b.view(2, "node-0")
 	v := node("node-1", 101, 0)
-	if len(v.Members) != 2 || v.Layout != bookkeeping.LayoutSingle {
+	if len(v.Members) != 2 || v.Layout != record.LayoutSingle {
 		t.Fatalf("view %+v", v)
 	}
-	b.put(bookkeeping.ViewKey, v)
-	node("node-0", 100, bookkeeping.LayoutBlocks)
-	if v = node("node-1", 201, bookkeeping.LayoutBlocks); v.Members["node-1"] != 201 || v.Layout != bookkeeping.LayoutBlocks {
+	b.put(record.ViewKey, v)
+	node("node-0", 100, record.LayoutBlocks)
+	if v = node("node-1", 201, record.LayoutBlocks); v.Members["node-1"] != 201 || v.Layout != record.LayoutBlocks {
 		t.Fatalf("view %+v", v)
 	}
-	b.put(bookkeeping.ViewKey, v)
+	b.put(record.ViewKey, v)
 	raw, err := protocol.Encode(v)
 	if err != nil {
 		t.Fatal(err)
@@ -228,7 +228,7 @@
 	if err := protocol.Decode(raw, &older); err == nil {
 		t.Error("an older version can read a view of blocks")
 	}
-	if v = node("node-1", 301, bookkeeping.LayoutSingle); len(v.Members) != 1 || v.Layout != bookkeeping.LayoutBlocks {
+	if v = node("node-1", 301, record.LayoutSingle); len(v.Members) != 1 || v.Layout != record.LayoutBlocks {
 		t.Errorf("view %+v", v)
 	}
 }
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -5,11 +5,11 @@
 	"math"
 	"testing"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"pgregory.net/rapid"
 )
@@ -61,7 +61,7 @@
 			mine: map[protocol.TaskID]*placedTask{},
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: info,
-				Record: bookkeeping.Machine{Zone: rapid.SampledFrom([]protocol.Zone{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
+				Record: record.Machine{Zone: rapid.SampledFrom([]protocol.Zone{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
 			},
 		}
 		busy := float64(rapid.IntRange(0, int(info.CPUs)).Draw(t, "busy"))
@@ -127,7 +127,7 @@
 		m.Record.Spot, m.reported.Queued = spot, 0
 	}
 	j := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
-	b.put(bookkeeping.LiveKey(j.ID), j)
+	b.put(record.LiveKey(j.ID), j)
 	b.step(message.Tick{})
 	on := map[bool]int{}
 	for _, p := range b.c.owner.jobs["job-1"].placed {
@@ -156,7 +156,7 @@
 		want     protocol.MachineID
 	}{{"high", "vm-1"}, {"standard", "vm-2"}} {
 		id := protocol.JobID("job-" + tc.priority)
-		b.put(bookkeeping.LiveKey(id), protocol.Job{ID: id, Team: "free", Kind: protocol.KindArray, Priority: tc.priority, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10})
+		b.put(record.LiveKey(id), protocol.Job{ID: id, Team: "free", Kind: protocol.KindArray, Priority: tc.priority, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10})
 		for _, p := range b.c.owner.jobs[id].placed {
 			if p.machine != tc.want {
 				t.Errorf("a task of priority %s is queued on %s, want %s", tc.priority, p.machine, tc.want)
--- a/internal/controller/clusterstate/part.go
+++ b/internal/controller/clusterstate/part.go
@@ -1,9 +1,9 @@
 package clusterstate
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Part is what each part of a core has: what is known, and what its step asks
@@ -42,7 +42,7 @@
 		p.Send(p.Registrar(), message.PeerMessage{Record: &r})
 		return
 	}
-	key := bookkeeping.MachineKey(r.Machine)
+	key := record.MachineKey(r.Machine)
 	change := protocol.Change{Delete: key}
 	if r.To != nil {
 		change = protocol.Change{Put: key, Value: *r.To}
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/forecast"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Reservations is what all parts know of the calendar: the records that all follow,
@@ -42,7 +42,7 @@
 
 // OpenWindow is a window that is open, or will be.
 type OpenWindow struct {
-	Spec       *bookkeeping.WindowSpec
+	Spec       *record.WindowSpec
 	Start, End reservation.Moment // with what clocks may be off by
 }
 
@@ -68,7 +68,7 @@
 
 // Lead is how long before its time a reservation's room is clear: as long as
 // another machine takes to come, and one more in its place.
-func (k *State) Lead(s *bookkeeping.ReservationSpec) time.Duration {
+func (k *State) Lead(s *record.ReservationSpec) time.Duration {
 	boot := 0.0
 	for _, t := range k.Types { // those the cloud has none of at present, too: this must not change from moment to moment
 		if reservation.Fits(s, t, s.Zone) {
@@ -98,7 +98,7 @@
 }
 
 // ReservationOf is the reservation of a name, or one that matches no job.
-func (k *State) ReservationOf(n reservation.Name) *bookkeeping.Reservation {
+func (k *State) ReservationOf(n reservation.Name) *record.Reservation {
 	if e := k.Reservations.Book.Reservation(n); e != nil {
 		return e.Reservation
 	}
@@ -125,7 +125,7 @@
 }
 
 // noReservation stands for one that is not there: it matches no job.
-var noReservation = &bookkeeping.Reservation{Spec: bookkeeping.ReservationSpec{Job: "none"}}
+var noReservation = &record.Reservation{Spec: record.ReservationSpec{Job: "none"}}
 
 // LeadSlack is what a hold is clear before its time beyond two boots: one more
 // if a machine does not come up.
--- a/internal/controller/clusterstate/roles.go
+++ b/internal/controller/clusterstate/roles.go
@@ -3,17 +3,17 @@
 import (
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Rendezvous picks one of the view's members for a key. Every controller with
 // the same view picks the same one.
-func Rendezvous(v bookkeeping.View, key string) protocol.NodeName { return RendezvousBut(v, nil, key) }
+func Rendezvous(v record.View, key string) protocol.NodeName { return RendezvousBut(v, nil, key) }
 
 // RendezvousBut is rendezvous without some of the members.
-func RendezvousBut(v bookkeeping.View, but []protocol.NodeName, key string) protocol.NodeName {
+func RendezvousBut(v record.View, but []protocol.NodeName, key string) protocol.NodeName {
 	var best protocol.NodeName
 	var bestScore uint64
 	for name := range v.Members {
@@ -51,7 +51,7 @@
 
 // MachineKeeper is the controller that a machine reports to: one that workers
 // can reach, unless there is none.
-func MachineKeeper(v bookkeeping.View, m protocol.MachineID) protocol.NodeName {
+func MachineKeeper(v record.View, m protocol.MachineID) protocol.NodeName {
 	key := "machine " + string(m)
 	if len(v.Deaf) >= len(v.Members) {
 		return Rendezvous(v, key)
@@ -61,7 +61,7 @@
 
 // Sharing reports whether machines are kept by shares in this term.
 func (k *State) Sharing() bool {
-	return k.View.Layout >= bookkeeping.LayoutShares && k.Shares != nil
+	return k.View.Layout >= record.LayoutShares && k.Shares != nil
 }
 
 // Keeper is the controller that a registered machine reports to.
@@ -79,7 +79,7 @@
 	switch {
 	case k.Sharing():
 		return k.Holder(sharding.Of(k.Shares, m, z))
-	case k.View.Layout >= bookkeeping.LayoutShares:
+	case k.View.Layout >= record.LayoutShares:
 		return "" // until the record of the shares is there again
 	}
 	return k.rendezvousKeeper(m)
@@ -91,7 +91,7 @@
 }
 
 // NameOf is the member of a view that has a session.
-func NameOf(v bookkeeping.View, session protocol.LeaseID) protocol.NodeName {
+func NameOf(v record.View, session protocol.LeaseID) protocol.NodeName {
 	for name, s := range v.Members {
 		if s == session && s != 0 {
 			return name
@@ -154,7 +154,7 @@
 
 // JobOwner is the one controller that owns a job. All jobs of a limited team
 // have the same owner, so that the limit is checked in one place.
-func (k *State) JobOwner(v bookkeeping.View, j *protocol.Job) protocol.NodeName {
+func (k *State) JobOwner(v record.View, j *protocol.Job) protocol.NodeName {
 	if k.limitedIn(v, j.Team) {
 		return Rendezvous(v, "team "+string(j.Team))
 	}
@@ -165,7 +165,7 @@
 func (k *State) Registrar() protocol.NodeName { return Rendezvous(k.View, "machine records") }
 
 // SameSession reports whether a node is in both views with the same session.
-func SameSession(a, b bookkeeping.View, n protocol.NodeName) bool {
+func SameSession(a, b record.View, n protocol.NodeName) bool {
 	s, ok := a.Members[n]
 	return ok && b.Members[n] == s
 }
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -8,12 +8,12 @@
 	"log/slog"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // State is what a controller knows that all parts of its core read: its
@@ -31,12 +31,12 @@
 	Session     protocol.LeaseID
 	Begun       clock.Time // when this session began
 	Until       clock.Time // acts only before
-	View        bookkeeping.View
+	View        record.View
 	ViewVersion protocol.Version
 	Keepers     map[protocol.MachineID]protocol.NodeName // by the view, as far as asked for
 	// Shares is who keeps which share of the machines, as last followed; nil: there
 	// is no such record. It counts where the view's layout says so.
-	Shares        *bookkeeping.Shares
+	Shares        *record.Shares
 	SharesVersion protocol.Version
 	// Highest is the highest token that any worker has told since the process began.
 	Highest protocol.Term
@@ -50,7 +50,7 @@
 	Configured *dynamicconfig.Followed
 }
 
-// NewState knows nothing but its settings.
+// NewClient knows nothing but its settings.
 func NewState(s *config.Settings, op config.Operator, log *slog.Logger) *State {
 	k := &State{
 		Self: s.Name, Settings: s, Op: op, Log: log, Types: map[protocol.MachineType]protocol.TypeInfo{},
@@ -63,7 +63,7 @@
 // Reset forgets what a session knew. What matters is in the records.
 func (k *State) Reset() {
 	k.Session, k.Until = 0, 0
-	k.View, k.ViewVersion = bookkeeping.View{}, 0
+	k.View, k.ViewVersion = record.View{}, 0
 	k.Shares, k.SharesVersion = nil, 0
 	k.Keepers = map[protocol.MachineID]protocol.NodeName{}
 	k.Live, k.over = map[protocol.JobID]*LiveJob{}, map[protocol.JobID]clock.Time{}
@@ -77,7 +77,7 @@
 // Machine is a registered machine as the records have it.
 type Machine struct {
 	ID     protocol.MachineID
-	Record bookkeeping.Machine
+	Record record.Machine
 	Epoch  protocol.Version
 	Info   protocol.TypeInfo
 }
@@ -151,7 +151,7 @@
 // configuration: its jobs have one owner then, and all that they take is counted.
 func (k *State) Limited(name protocol.Team) bool { return k.limitedIn(k.View, name) }
 
-func (k *State) limitedIn(v bookkeeping.View, name protocol.Team) bool {
+func (k *State) limitedIn(v record.View, name protocol.Team) bool {
 	return dynamicconfig.OneOwner(&k.Settings.Site, v.Layout, name)
 }
 
@@ -202,11 +202,11 @@
 
 // InThisView is the condition that the view is unchanged.
 func (k *State) InThisView() protocol.Condition {
-	return protocol.Condition{Key: bookkeeping.ViewKey, Version: k.ViewVersion}
+	return protocol.Condition{Key: record.ViewKey, Version: k.ViewVersion}
 }
 
 // InBlocks reports whether machines are recorded in blocks in this term.
-func (k *State) InBlocks() bool { return k.View.Layout >= bookkeeping.LayoutBlocks }
+func (k *State) InBlocks() bool { return k.View.Layout >= record.LayoutBlocks }
 
 // Moment is the time of day.
 func (k *State) Moment() reservation.Moment {
--- a/internal/controller/configured.go
+++ b/internal/controller/configured.go
@@ -3,23 +3,23 @@
 import (
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // configurationRecord takes a followed record of the configuration.
-func (c *Core) configurationRecord(f bookkeeping.Followed, value protocol.RawValue, version protocol.Version) error {
+func (c *Core) configurationRecord(f record.Followed, value protocol.RawValue, version protocol.Version) error {
 	changed := false
 	if f.Configuration {
-		var head bookkeeping.Configuration
+		var head record.Configuration
 		if err := protocol.Decode(value, &head); err != nil {
 			return err
 		}
 		changed = c.Configured.TakeHead(head, version)
 	} else {
-		var entry bookkeeping.ConfigurationEntry
+		var entry record.ConfigurationEntry
 		if err := protocol.Decode(value, &entry); err != nil {
 			return err
 		}
@@ -70,7 +70,7 @@
 
 // revisionOf is the revision that a controller says it acts by, and how long ago it
 // said so.
-func (c *Core) revisionOf(name protocol.NodeName) (bookkeeping.ConfigurationRevision, time.Duration) {
+func (c *Core) revisionOf(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
 	if name == c.Self {
 		return c.Configured.Effective().Revision, 0
 	}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -9,7 +9,6 @@
 	"math/rand/v2"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
@@ -21,6 +20,7 @@
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/controller/workerregistry"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Core is one controller's whole state between messages. It is not safe for
@@ -73,7 +73,7 @@
 	progress map[protocol.JobID]message.Progress
 	// configuration is the revision that it says it acts by, and configuredAt when it
 	// last said so; 0: never.
-	configuration bookkeeping.ConfigurationRevision
+	configuration record.ConfigurationRevision
 	configuredAt  Time
 }
 
@@ -221,7 +221,7 @@
 		c.record(ev.Put, ev.Value, ev.Version, false)
 		return
 	}
-	f, ok := bookkeeping.ParseFollowed(ev.Delete)
+	f, ok := record.ParseFollowed(ev.Delete)
 	if !ok {
 		return
 	}
@@ -248,19 +248,19 @@
 
 // record takes over one followed record.
 func (c *Core) record(key string, value protocol.RawValue, version protocol.Version, snapshot bool) {
-	f, ok := bookkeeping.ParseFollowed(key)
+	f, ok := record.ParseFollowed(key)
 	if !ok {
 		return
 	}
 	var err error
 	switch {
 	case f.View:
-		var v bookkeeping.View
+		var v record.View
 		if err = protocol.Decode(value, &v); err == nil && version > c.ViewVersion {
 			c.adopt(v, version)
 		}
 	case f.Node != "":
-		var n bookkeeping.Node
+		var n record.Node
 		if err = protocol.Decode(value, &n); err == nil {
 			c.members.Present(f.Node, n)
 			if !snapshot {
@@ -273,12 +273,12 @@
 			c.jobLive(j, version, snapshot)
 		}
 	case f.Machine != "":
-		var m bookkeeping.Machine
+		var m record.Machine
 		if err = protocol.Decode(value, &m); err == nil {
 			c.machineRegistered(f.Machine, m, version)
 		}
 	case f.Block != "":
-		var b bookkeeping.Block
+		var b record.Block
 		if err = protocol.Decode(value, &b); err == nil {
 			changed, gone := c.registrar.BlockSeen(f.Block, b, version)
 			for _, id := range gone {
@@ -289,7 +289,7 @@
 			}
 		}
 	case f.Shares:
-		var s bookkeeping.Shares
+		var s record.Shares
 		if err = protocol.Decode(value, &s); err == nil && version > c.SharesVersion {
 			c.adoptShares(&s, version)
 		}
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 	"damsonkeel/internal/transport"
 )
 
@@ -45,7 +45,7 @@
 func newBusyFleet(tb testing.TB, machines, tasks int) *busyFleet {
 	f := &busyFleet{bench: newBench(tb, "node-1", "node-2"), runs: map[protocol.MachineID][]protocol.TaskReport{}}
 	v := f.c.View
-	f.put(bookkeeping.ViewKey, bookkeeping.View{Term: 2, Members: v.Members, Deaf: []protocol.NodeName{"node-1", "node-2"}})
+	f.put(record.ViewKey, record.View{Term: 2, Members: v.Members, Deaf: []protocol.NodeName{"node-1", "node-2"}})
 	for i := range machines {
 		id := protocol.MachineID(fmt.Sprintf("vm-%05d", i))
 		f.ids = append(f.ids, id)
@@ -55,7 +55,7 @@
 	for i := 0; len(f.c.owner.jobs) < 10; i++ {
 		id := protocol.JobID(fmt.Sprint("job-", i))
 		if clusterstate.Rendezvous(f.c.View, "job "+string(id)) == "node-0" {
-			f.obey(nil, f.put(bookkeeping.LiveKey(id), protocol.Job{
+			f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
 				ID: id, Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: uint32(tasks / 10), CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
 			}))
 		}
@@ -198,7 +198,7 @@
 					b.Fatal(err)
 				}
 				f.version++
-				timed(&adopts, message.Changed{Event: protocol.Event{Put: bookkeeping.ViewKey, Value: raw, Version: f.version}})
+				timed(&adopts, message.Changed{Event: protocol.Event{Put: record.ViewKey, Value: raw, Version: f.version}})
 				for range 40 {
 					f.now += Time(tickEvery)
 					timed(&ticks, message.Tick{})
@@ -297,7 +297,7 @@
 	}
 	w.c.Live["job-huge"].Due += Time(time.Hour) // it can't be done by its time
 	w.c.owner.sorted = nil
-	w.put(bookkeeping.LiveKey("job-urgent"), protocol.Job{
+	w.put(record.LiveKey("job-urgent"), protocol.Job{
 		ID: "job-urgent", Team: "free", Kind: protocol.KindArray, Priority: "high", Tasks: 5, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
 	})
 	w.step(message.Tick{})
@@ -368,7 +368,7 @@
 			continue
 		}
 		n++
-		f.obey(nil, f.put(bookkeeping.LiveKey(id), protocol.Job{
+		f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
 			ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "best_effort", Tasks: 4, CPUs: 4, MemoryGB: 1, EstimateS: 10, Image: "i",
 		}))
 	}
--- a/internal/controller/dispatcher/configured_test.go
+++ b/internal/controller/dispatcher/configured_test.go
@@ -3,21 +3,21 @@
 import (
 	"testing"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // lowered has the limit of a team lowered by a revision.
-func (b *bench) lowered(revision bookkeeping.ConfigurationRevision, version protocol.Version) {
-	id := bookkeeping.NewEntryID(bookkeeping.EntryTeam, "bound")
-	b.k.Configured.TakeEntry(id, bookkeeping.ConfigurationEntry{Revision: revision, Team: &bookkeeping.TeamEntry{MaxCPUs: 2, Lowered: revision}})
-	b.k.Configured.TakeHead(bookkeeping.Configuration{Revision: revision, Entries: []bookkeeping.EntryID{id}}, version)
+func (b *bench) lowered(revision record.ConfigurationRevision, version protocol.Version) {
+	id := record.NewEntryID(record.EntryTeam, "bound")
+	b.k.Configured.TakeEntry(id, record.ConfigurationEntry{Revision: revision, Team: &record.TeamEntry{MaxCPUs: 2, Lowered: revision}})
+	b.k.Configured.TakeHead(record.Configuration{Revision: revision, Entries: []record.EntryID{id}}, version)
 	b.k.AdoptConfiguration()
 }
 
 // placeBy queues a task of the limited team, placed by a revision.
-func (b *bench) placeBy(id protocol.JobID, revision bookkeeping.ConfigurationRevision) {
+func (b *bench) placeBy(id protocol.JobID, revision record.ConfigurationRevision) {
 	b.job(id)
 	b.k.Live[id].Team = "bound"
 	b.k.Place("node-0", &message.Place{Term: 1, Configuration: revision, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
--- a/internal/controller/dispatcher/dispatcher_test.go
+++ b/internal/controller/dispatcher/dispatcher_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
@@ -18,6 +17,7 @@
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/fixedseed"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
@@ -35,14 +35,14 @@
 	p := clusterstate.Part{State: clusterstate.NewState(s, config.DefaultOperator(), slog.New(slog.DiscardHandler)), Output: &clusterstate.Output{}}
 	p.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}}
 	p.Session, p.Begun, p.Now, p.Until = 100, 1, 1, clock.Time(time.Hour)
-	p.View = bookkeeping.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
+	p.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
 	p.Reservations.Listed = true
 	return &bench{t: t, k: New(p)}
 }
 
 // machine registers a machine's first session.
 func (b *bench) machine(id protocol.MachineID) {
-	rec := bookkeeping.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
+	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
 	m := &clusterstate.Machine{ID: id, Record: rec, Epoch: 7, Info: b.k.Types["small"]}
 	b.k.Records[id] = m
 	b.k.Recorded(m)
@@ -81,11 +81,11 @@
 // reserve promises room at a time from now.
 func (b *bench) reserve(name reservation.Name, in time.Duration) {
 	at := reservation.After(b.k.Moment(), in)
-	err := b.k.Reservations.Book.PutReservation(bookkeeping.Reservation{
-		Spec: bookkeeping.ReservationSpec{
+	err := b.k.Reservations.Book.PutReservation(record.Reservation{
+		Spec: record.ReservationSpec{
 			Name: name, Class: string(name), When: time.UnixMilli(int64(at)).UTC().Format("2006-01-02 at 15:04:05"), HoldS: 600, LengthS: 600, Tasks: 2, CPUs: 2, MemoryGB: 1, Priority: "standard",
 		},
-		State: bookkeeping.Accepted, StartMS: at,
+		State: record.Accepted, StartMS: at,
 	}, 1, b.k.Moment())
 	if err != nil {
 		b.t.Fatal(err)
@@ -94,12 +94,12 @@
 }
 
 // shared has all machines kept by shares, by this keeper.
-func (b *bench) shared() *bookkeeping.Shares {
+func (b *bench) shared() *record.Shares {
 	s := sharding.First([]protocol.Zone{"a", "b"})
 	for id := range s.List {
 		sharding.Give(s, sharding.ID(id), 100)
 	}
-	b.k.View.Layout, b.k.Shares = bookkeeping.LayoutShares, s
+	b.k.View.Layout, b.k.Shares = record.LayoutShares, s
 	return s
 }
 
--- a/internal/controller/dispatcher/keeper.go
+++ b/internal/controller/dispatcher/keeper.go
@@ -5,7 +5,6 @@
 package dispatcher
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
@@ -14,6 +13,7 @@
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Keeper keeps the queues of the machines that report to this controller.
@@ -69,7 +69,7 @@
 
 // ForgetOwners forgets what was counted of owners that have another session in
 // the present view than in an earlier one.
-func (k *Keeper) ForgetOwners(old bookkeeping.View) {
+func (k *Keeper) ForgetOwners(old record.View) {
 	for name := range k.handled {
 		if !clusterstate.SameSession(old, k.View, name) {
 			delete(k.handled, name)
--- a/internal/controller/dispatcher/queue.go
+++ b/internal/controller/dispatcher/queue.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
@@ -11,6 +10,7 @@
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // queue is what the controller that a machine reports to keeps of it.
@@ -85,7 +85,7 @@
 	together bool              // others of its gang wait for it
 	from     protocol.NodeName // that placed it here, if any
 	// configuration is the revision that its owner placed it by.
-	configuration bookkeeping.ConfigurationRevision
+	configuration record.ConfigurationRevision
 	sent          bool
 	direct        protocol.Term // of a direct start that has no answer: it may be executed until the worker sees a later term
 	again         bool          // its start has gone another way too since: that it is there does not tell which of them arrived
@@ -114,7 +114,7 @@
 
 // Adopt goes over to a new view. Queues that stay here keep what they
 // know; the rest is dropped, for its new keeper's inventory to tell.
-func (k *Keeper) Adopt(old bookkeeping.View, keeps bool) {
+func (k *Keeper) Adopt(old record.View, keeps bool) {
 	released := map[protocol.NodeName][]message.TaskRef{}
 	// What waits here for a job that has another owner now waits on: the inventory
 	// tells. Releasing it had the new owner place it anew once all machines were
--- a/internal/controller/dispatcher/records.go
+++ b/internal/controller/dispatcher/records.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // register records that the machine's session may hold tasks. Nothing is
@@ -22,7 +22,7 @@
 	if m := k.Records[q.id]; m != nil {
 		have = m.Epoch
 	}
-	rec := bookkeeping.Machine{Session: r.Session, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+	rec := record.Machine{Session: r.Session, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	k.ChangeRecord(RegisterTag{q.id, r.Session}, message.RecordChange{Machine: q.id, Have: have, To: &rec}, k.InThisView())
 }
 
--- a/internal/controller/dispatcher/shares.go
+++ b/internal/controller/dispatcher/shares.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // share is what is kept of one share of the machines beside their queues.
@@ -320,11 +320,11 @@
 // AdoptShares goes over to a new record of the shares: what is kept here no more is
 // dropped, what has come is kept, and what else has changed notices nothing but a
 // later token.
-func (k *Keeper) AdoptShares(old *bookkeeping.Shares) {
+func (k *Keeper) AdoptShares(old *record.Shares) {
 	lost, come := map[sharding.ID]bool{}, map[sharding.ID]bool{}
 	for i, now := range k.Shares.List {
 		id := sharding.ID(i)
-		was := bookkeeping.ShareState{}
+		was := record.ShareState{}
 		if old != nil && i < len(old.List) {
 			was = old.List[i]
 		}
@@ -417,7 +417,7 @@
 
 // take begins to keep shares: with what was handed over, or knowing of their
 // machines only what the records say.
-func (k *Keeper) take(come map[sharding.ID]bool, old *bookkeeping.Shares) {
+func (k *Keeper) take(come map[sharding.ID]bool, old *record.Shares) {
 	for id := range ordered.Of(come) {
 		k.shareAt(id)
 		if st := k.staged[id]; st != nil && st.left == 0 && st.epoch == old.List[id].Epoch {
--- a/internal/controller/dynamicconfig/decide.go
+++ b/internal/controller/dynamicconfig/decide.go
@@ -7,10 +7,10 @@
 	"regexp"
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 const (
@@ -45,11 +45,11 @@
 // Plan is a change that was decided: what it writes.
 type Plan struct {
 	Revision Revision
-	Changes  []bookkeeping.EntryChange
+	Changes  []record.EntryChange
 	Request  string
 	By       string
-	AtMS     bookkeeping.Moment
-	head     bookkeeping.Configuration
+	AtMS     record.Moment
+	head     record.Configuration
 	version  protocol.Version
 }
 
@@ -64,7 +64,7 @@
 	}
 	plan := &Plan{Revision: f.head.Revision + 1, head: f.head, version: f.version}
 	var wrong []error
-	seen := map[bookkeeping.EntryID]bool{}
+	seen := map[record.EntryID]bool{}
 	for _, change := range changes {
 		if seen[change.Entry] {
 			wrong = append(wrong, fmt.Errorf("%s: named twice", change.Entry))
@@ -79,7 +79,7 @@
 		from := f.Entry(change.Entry)
 		if !sameEntry(from, entry) {
 			entry.Revision = plan.Revision
-			plan.Changes = append(plan.Changes, bookkeeping.EntryChange{Entry: change.Entry, From: from, To: entry})
+			plan.Changes = append(plan.Changes, record.EntryChange{Entry: change.Entry, From: from, To: entry})
 		}
 	}
 	if len(wrong) > 0 {
@@ -92,8 +92,8 @@
 }
 
 // entryAfter is an entry as a change leaves it.
-func (f *Followed) entryAfter(facts *Facts, c operatorapi.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
-	none := bookkeeping.ConfigurationEntry{}
+func (f *Followed) entryAfter(facts *Facts, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
+	none := record.ConfigurationEntry{}
 	kind, name := c.Entry.Split()
 	if !validName.MatchString(name) {
 		return none, fmt.Errorf("%q is no name: letters, digits, dots, dashes and underscores, at most 100", name)
@@ -102,23 +102,23 @@
 		return none, err
 	}
 	switch kind {
-	case bookkeeping.EntryTeam:
+	case record.EntryTeam:
 		return f.teamAfter(facts, protocol.Team(name), c)
-	case bookkeeping.EntryClass:
+	case record.EntryClass:
 		return classAfter(c)
-	case bookkeeping.EntryZone:
+	case record.EntryZone:
 		return placeAfter(c, slices.Contains(facts.Zones, protocol.Zone(name)))
-	case bookkeeping.EntryType:
+	case record.EntryType:
 		return placeAfter(c, slices.Contains(facts.Types, protocol.MachineType(name)))
-	case bookkeeping.EntrySetting:
+	case record.EntrySetting:
 		return f.settingAfter(name, c)
 	}
 	return none, fmt.Errorf("%q is no kind of entry: team, class, zone, type or setting", kind)
 }
 
 // teamAfter is a team's entry as a change leaves it.
-func (f *Followed) teamAfter(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
-	none := bookkeeping.ConfigurationEntry{}
+func (f *Followed) teamAfter(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
+	none := record.ConfigurationEntry{}
 	have, known := f.effective.Team(name)
 	if c.Reset || c.Remove {
 		if err := f.checkTeamEnds(facts, name, c); err != nil {
@@ -127,11 +127,11 @@
 	}
 	lowered := f.lastLowered(c.Entry)
 	if c.Reset {
-		return bookkeeping.ConfigurationEntry{Reset: true, Lowered: lowered}, nil
+		return record.ConfigurationEntry{Reset: true, Lowered: lowered}, nil
 	}
-	t := bookkeeping.TeamEntry{CPUs: have.CPUs, MaxCPUs: have.MaxCPUs, GPUs: have.GPUs, MaxGPUs: have.MaxGPUs, Closed: have.Closed, Lowered: lowered}
+	t := record.TeamEntry{CPUs: have.CPUs, MaxCPUs: have.MaxCPUs, GPUs: have.GPUs, MaxGPUs: have.MaxGPUs, Closed: have.Closed, Lowered: lowered}
 	if t.Removed = c.Remove; c.Remove {
-		return bookkeeping.ConfigurationEntry{Team: &t}, nil
+		return record.ConfigurationEntry{Team: &t}, nil
 	}
 	for _, amount := range []struct {
 		name string
@@ -155,12 +155,12 @@
 	if known && lowers(have, &t) {
 		t.Lowered = f.head.Revision + 1
 	}
-	return bookkeeping.ConfigurationEntry{Team: &t}, nil
+	return record.ConfigurationEntry{Team: &t}, nil
 }
 
 // lastLowered is the last revision that lowered a team's limit, also of one that was
 // reset or removed since: what was placed before may still wait somewhere.
-func (f *Followed) lastLowered(id bookkeeping.EntryID) Revision {
+func (f *Followed) lastLowered(id record.EntryID) Revision {
 	entry := f.entries[id]
 	if entry.Team != nil {
 		return entry.Team.Lowered
@@ -169,16 +169,16 @@
 }
 
 // lowers reports whether a team may use less than before.
-func lowers(have Team, t *bookkeeping.TeamEntry) bool {
+func lowers(have Team, t *record.TeamEntry) bool {
 	less := func(to, from float64) bool { return to > 0 && (from == 0 || to < from) }
 	return less(t.MaxCPUs, have.MaxCPUs) || less(t.MaxGPUs, have.MaxGPUs)
 }
 
-func (f *Followed) checkTeam(name protocol.Team, t *bookkeeping.TeamEntry) error {
+func (f *Followed) checkTeam(name protocol.Team, t *record.TeamEntry) error {
 	if t.MaxCPUs > 0 && t.MaxCPUs < t.CPUs || t.MaxGPUs > 0 && t.MaxGPUs < t.GPUs {
 		return fmt.Errorf("the limit (cpus_max %v, gpus_max %v) is below the guarantee (cpus %v, gpus %v)", t.MaxCPUs, t.MaxGPUs, t.CPUs, t.GPUs)
 	}
-	if (t.MaxCPUs > 0 || t.MaxGPUs > 0) && !OneOwner(f.site, bookkeeping.LayoutConfiguration, name) {
+	if (t.MaxCPUs > 0 || t.MaxGPUs > 0) && !OneOwner(f.site, record.LayoutConfiguration, name) {
 		return errors.New("the platform's file gives this team no limit, so its jobs have several owners, and none of them could check one")
 	}
 	return nil
@@ -210,57 +210,57 @@
 // platform's file can't say since when it is lower.
 func (f *Followed) checkResetLowers(name protocol.Team, have Team) error {
 	for _, t := range f.site.Teams {
-		if t.Name == name && have.Name != "" && lowers(have, &bookkeeping.TeamEntry{MaxCPUs: t.MaxCPUs, MaxGPUs: t.MaxGPUs}) {
+		if t.Name == name && have.Name != "" && lowers(have, &record.TeamEntry{MaxCPUs: t.MaxCPUs, MaxGPUs: t.MaxGPUs}) {
 			return fmt.Errorf("this would lower its limit to cpus_max %v, gpus_max %v: set that instead", t.MaxCPUs, t.MaxGPUs)
 		}
 	}
 	return nil
 }
 
-func classAfter(c operatorapi.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
+func classAfter(c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	if c.Reset {
-		return bookkeeping.ConfigurationEntry{Reset: true}, nil
+		return record.ConfigurationEntry{Reset: true}, nil
 	}
 	objectives := *c.Objectives
 	if len(objectives) > maxObjectives {
-		return bookkeeping.ConfigurationEntry{}, fmt.Errorf("%d objectives, at most %d", len(objectives), maxObjectives)
+		return record.ConfigurationEntry{}, fmt.Errorf("%d objectives, at most %d", len(objectives), maxObjectives)
 	}
 	for _, o := range objectives {
 		switch {
 		case !slices.Contains(objectiveKinds, o.Kind):
-			return bookkeeping.ConfigurationEntry{}, fmt.Errorf("%q is no kind of objective: %v", o.Kind, objectiveKinds)
+			return record.ConfigurationEntry{}, fmt.Errorf("%q is no kind of objective: %v", o.Kind, objectiveKinds)
 		case !(o.Share > 0) || o.Share > 1:
-			return bookkeeping.ConfigurationEntry{}, fmt.Errorf("%s: share %v is not above 0 and at most 1", o.Kind, o.Share)
+			return record.ConfigurationEntry{}, fmt.Errorf("%s: share %v is not above 0 and at most 1", o.Kind, o.Share)
 		case !(o.WithinS >= 0) || o.WithinS > maxAmount || !(o.Times >= 0) || o.Times > maxAmount:
-			return bookkeeping.ConfigurationEntry{}, fmt.Errorf("%s: within_s %v or times %v is out of range", o.Kind, o.WithinS, o.Times)
+			return record.ConfigurationEntry{}, fmt.Errorf("%s: within_s %v or times %v is out of range", o.Kind, o.WithinS, o.Times)
 		}
 	}
-	return bookkeeping.ConfigurationEntry{Class: &bookkeeping.ClassEntry{Objectives: objectives}}, nil
+	return record.ConfigurationEntry{Class: &record.ClassEntry{Objectives: objectives}}, nil
 }
 
-func placeAfter(c operatorapi.ConfigChange, known bool) (bookkeeping.ConfigurationEntry, error) {
+func placeAfter(c operatorapi.ConfigChange, known bool) (record.ConfigurationEntry, error) {
 	if !known {
-		return bookkeeping.ConfigurationEntry{}, errors.New("there is none of this name")
+		return record.ConfigurationEntry{}, errors.New("there is none of this name")
 	}
 	if c.Reset || !*c.Closed {
-		return bookkeeping.ConfigurationEntry{Reset: true}, nil
+		return record.ConfigurationEntry{Reset: true}, nil
 	}
-	return bookkeeping.ConfigurationEntry{Place: &bookkeeping.PlaceEntry{Closed: true}}, nil
+	return record.ConfigurationEntry{Place: &record.PlaceEntry{Closed: true}}, nil
 }
 
-func (f *Followed) settingAfter(name string, c operatorapi.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
+func (f *Followed) settingAfter(name string, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	trial := f.operator
-	text := bookkeeping.SettingText("1s")
+	text := record.SettingText("1s")
 	if !c.Reset {
 		text = *c.Value
 	}
 	if err := setSetting(&trial, name, text); err != nil {
-		return bookkeeping.ConfigurationEntry{}, err
+		return record.ConfigurationEntry{}, err
 	}
 	if c.Reset {
-		return bookkeeping.ConfigurationEntry{Reset: true}, nil
+		return record.ConfigurationEntry{Reset: true}, nil
 	}
-	return bookkeeping.ConfigurationEntry{Value: &text}, nil
+	return record.ConfigurationEntry{Value: &text}, nil
 }
 
 // checkGuarantees refuses guarantees that no longer fit into what can be counted on.
@@ -269,7 +269,7 @@
 	if facts.Processors == 0 {
 		return nil
 	}
-	entries := map[bookkeeping.EntryID]bookkeeping.ConfigurationEntry{}
+	entries := map[record.EntryID]record.ConfigurationEntry{}
 	for id, entry := range f.entries {
 		entries[id] = entry
 	}
@@ -277,7 +277,7 @@
 		entries[c.Entry] = c.To
 	}
 	before := f.effective.guaranteed()
-	after := build(f.site, f.operator, entries, bookkeeping.Configuration{}, 0).guaranteed()
+	after := build(f.site, f.operator, entries, record.Configuration{}, 0).guaranteed()
 	if after > facts.Processors && after > before {
 		return fmt.Errorf("the teams' guarantees would be %v processors in all, %v can be counted on (now %v are guaranteed)", after, facts.Processors, before)
 	}
@@ -293,7 +293,7 @@
 }
 
 // sameEntry reports whether two entries say the same.
-func sameEntry(a, b bookkeeping.ConfigurationEntry) bool {
+func sameEntry(a, b record.ConfigurationEntry) bool {
 	a.Revision, b.Revision = 0, 0
 	encodedA, errA := protocol.Encode(a)
 	encodedB, errB := protocol.Encode(b)
@@ -303,20 +303,20 @@
 // Transaction is what a plan writes: the entries, the history and, on its version, the
 // revision's record.
 func (p *Plan) Transaction() protocol.Txn {
-	head := bookkeeping.Configuration{Revision: p.Revision, Requests: slices.Clone(p.head.Requests)}
-	txn := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.ConfigurationKey, Version: p.version}}}
+	head := record.Configuration{Revision: p.Revision, Requests: slices.Clone(p.head.Requests)}
+	txn := protocol.Txn{If: []protocol.Condition{{Key: record.ConfigurationKey, Version: p.version}}}
 	for _, c := range p.Changes {
 		head.Entries = append(head.Entries, c.Entry)
-		txn.Then = append(txn.Then, protocol.Change{Put: bookkeeping.ConfigurationEntryKey(c.Entry), Value: c.To})
+		txn.Then = append(txn.Then, protocol.Change{Put: record.ConfigurationEntryKey(c.Entry), Value: c.To})
 	}
 	if p.Request != "" {
-		head.Requests = append(head.Requests, bookkeeping.ConfigurationRequest{ID: p.Request, Revision: p.Revision})
-		head.Requests = head.Requests[max(0, len(head.Requests)-bookkeeping.ConfigurationRequests):]
+		head.Requests = append(head.Requests, record.ConfigurationRequest{ID: p.Request, Revision: p.Revision})
+		head.Requests = head.Requests[max(0, len(head.Requests)-record.ConfigurationRequests):]
 	}
-	history := bookkeeping.ConfigurationChange{Revision: p.Revision, By: p.By, AtMS: p.AtMS, Changes: p.Changes}
+	history := record.ConfigurationChange{Revision: p.Revision, By: p.By, AtMS: p.AtMS, Changes: p.Changes}
 	txn.Then = append(txn.Then,
-		protocol.Change{Put: bookkeeping.ConfigurationHistoryKey(p.Revision), Value: history},
-		protocol.Change{Put: bookkeeping.ConfigurationKey, Value: head})
+		protocol.Change{Put: record.ConfigurationHistoryKey(p.Revision), Value: history},
+		protocol.Change{Put: record.ConfigurationKey, Value: head})
 	return txn
 }
 
--- a/internal/controller/dynamicconfig/dynamicconfig_test.go
+++ b/internal/controller/dynamicconfig/dynamicconfig_test.go
@@ -6,19 +6,19 @@
 	"strings"
 	"testing"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"pgregory.net/rapid"
 )
 
 func number(v float64) *float64 { return &v }
 func flag(v bool) *bool         { return &v }
-func setting(v string) *bookkeeping.SettingText {
-	text := bookkeeping.SettingText(v)
+func setting(v string) *record.SettingText {
+	text := record.SettingText(v)
 	return &text
 }
 
@@ -61,18 +61,18 @@
 
 // take gives a record to who follows, and reports whether anything has changed.
 func take(t interface{ Fatalf(string, ...any) }, f *Followed, e protocol.Event) bool {
-	key, known := bookkeeping.ParseFollowed(e.Put)
+	key, known := record.ParseFollowed(e.Put)
 	switch {
 	case !known: // the history
 		return false
 	case key.Configuration:
-		var head bookkeeping.Configuration
+		var head record.Configuration
 		if err := protocol.Decode(e.Value, &head); err != nil {
 			t.Fatalf("%v", err)
 		}
 		return f.TakeHead(head, e.Version)
 	}
-	var entry bookkeeping.ConfigurationEntry
+	var entry record.ConfigurationEntry
 	if err := protocol.Decode(e.Value, &entry); err != nil {
 		t.Fatalf("%v", err)
 	}
@@ -212,8 +212,8 @@
 		"closed to new jobs first":   {Entry: "team/new", Remove: true},
 		"3 of its jobs are not over": {Entry: "team/ends", Remove: true},
 		"no such team":               {Entry: "team/never", Remove: true},
-		"no kind of objective":       {Entry: "class/urgent", Objectives: &[]bookkeeping.ObjectiveEntry{{Kind: "soon", Share: 0.5}}},
-		"share 2 is not":             {Entry: "class/urgent", Objectives: &[]bookkeeping.ObjectiveEntry{{Kind: "wait", WithinS: 1, Share: 2}}},
+		"no kind of objective":       {Entry: "class/urgent", Objectives: &[]record.ObjectiveEntry{{Kind: "soon", Share: 0.5}}},
+		"share 2 is not":             {Entry: "class/urgent", Objectives: &[]record.ObjectiveEntry{{Kind: "wait", WithinS: 1, Share: 2}}},
 		"fields don't fit":           {Entry: "zone/a", CPUs: number(1)},
 		"in all, 40 can be counted":  {Entry: "team/bound", CPUs: number(38), MaxCPUs: number(50)},
 		"named twice":                good,
@@ -236,7 +236,7 @@
 // one that changes nothing writes nothing.
 func TestRequestsAreKnownAgain(t *testing.T) {
 	s := newStore()
-	for i := range bookkeeping.ConfigurationRequests + 5 {
+	for i := range record.ConfigurationRequests + 5 {
 		plan, err := s.Decide(facts(), []operatorapi.ConfigChange{{Entry: "team/other", MaxCPUs: number(float64(40 + i))}})
 		if err != nil {
 			t.Fatal(err)
@@ -249,13 +249,13 @@
 			take(t, s.Followed, s.state.Change(s.seen))
 		}
 	}
-	if r, done := s.DoneBefore(fmt.Sprint("request-", bookkeeping.ConfigurationRequests+4)); !done || r != bookkeeping.ConfigurationRequests+5 {
+	if r, done := s.DoneBefore(fmt.Sprint("request-", record.ConfigurationRequests+4)); !done || r != record.ConfigurationRequests+5 {
 		t.Errorf("the last request: %v, %v", r, done)
 	}
-	if _, done := s.DoneBefore("request-0"); done || len(s.head.Requests) != bookkeeping.ConfigurationRequests {
+	if _, done := s.DoneBefore("request-0"); done || len(s.head.Requests) != record.ConfigurationRequests {
 		t.Errorf("%d requests are kept", len(s.head.Requests))
 	}
-	plan, err := s.Decide(facts(), []operatorapi.ConfigChange{{Entry: "team/other", MaxCPUs: number(float64(44 + bookkeeping.ConfigurationRequests))}})
+	plan, err := s.Decide(facts(), []operatorapi.ConfigChange{{Entry: "team/other", MaxCPUs: number(float64(44 + record.ConfigurationRequests))}})
 	if err != nil || len(plan.Changes) != 0 {
 		t.Errorf("the same again: %+v, %v", plan, err)
 	}
--- a/internal/controller/dynamicconfig/effective.go
+++ b/internal/controller/dynamicconfig/effective.go
@@ -7,13 +7,13 @@
 	"maps"
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Revision counts the changes.
-type Revision = bookkeeping.ConfigurationRevision
+type Revision = record.ConfigurationRevision
 
 // Team is a team as it is in force.
 type Team struct {
@@ -39,7 +39,7 @@
 
 // Base is the platform's file as it stands.
 func Base(site *config.Site, operator config.Operator) *Effective {
-	return build(site, operator, nil, bookkeeping.Configuration{}, 0)
+	return build(site, operator, nil, record.Configuration{}, 0)
 }
 
 // Team finds a team.
@@ -67,7 +67,7 @@
 func (e *Effective) LimitLowered(name protocol.Team) Revision { return e.teams[name].Lowered }
 
 // build lays entries over the platform's file.
-func build(site *config.Site, operator config.Operator, entries map[bookkeeping.EntryID]bookkeeping.ConfigurationEntry, head bookkeeping.Configuration, version protocol.Version) *Effective {
+func build(site *config.Site, operator config.Operator, entries map[record.EntryID]record.ConfigurationEntry, head record.Configuration, version protocol.Version) *Effective {
 	e := &Effective{
 		Revision: head.Revision, Version: version, Operator: operator, teams: map[protocol.Team]Team{}, teamsEver: map[protocol.Team]bool{},
 		closedZones: map[protocol.Zone]bool{}, closedTypes: map[protocol.MachineType]bool{},
@@ -78,7 +78,7 @@
 	replaced := map[string]bool{}
 	for _, id := range slices.Sorted(maps.Keys(entries)) {
 		entry := entries[id]
-		if team, ok := bookkeeping.TeamOf(id); ok {
+		if team, ok := record.TeamOf(id); ok {
 			e.teamsEver[team] = true
 			e.lowered(team, entry.Lowered)
 		}
@@ -86,16 +86,16 @@
 			continue
 		}
 		switch kind, name := id.Split(); {
-		case kind == bookkeeping.EntryTeam && entry.Team != nil:
+		case kind == record.EntryTeam && entry.Team != nil:
 			e.setTeam(protocol.Team(name), entry.Team)
-		case kind == bookkeeping.EntryClass && entry.Class != nil:
+		case kind == record.EntryClass && entry.Class != nil:
 			replaced[name] = true
 			e.addObjectives(name, entry.Class)
-		case kind == bookkeeping.EntryZone && entry.Place != nil && entry.Place.Closed:
+		case kind == record.EntryZone && entry.Place != nil && entry.Place.Closed:
 			e.closedZones[protocol.Zone(name)] = true
-		case kind == bookkeeping.EntryType && entry.Place != nil && entry.Place.Closed:
+		case kind == record.EntryType && entry.Place != nil && entry.Place.Closed:
 			e.closedTypes[protocol.MachineType(name)] = true
-		case kind == bookkeeping.EntrySetting && entry.Value != nil:
+		case kind == record.EntrySetting && entry.Value != nil:
 			// A value that can't be read was refused when it was set; by another
 			// version's rules it stays as in the operators' file.
 			_ = setSetting(&e.Operator, name, *entry.Value)
@@ -109,7 +109,7 @@
 	return e
 }
 
-func (e *Effective) setTeam(name protocol.Team, t *bookkeeping.TeamEntry) {
+func (e *Effective) setTeam(name protocol.Team, t *record.TeamEntry) {
 	if t.Removed {
 		delete(e.teams, name)
 		return
@@ -128,7 +128,7 @@
 	}
 }
 
-func (e *Effective) addObjectives(class string, c *bookkeeping.ClassEntry) {
+func (e *Effective) addObjectives(class string, c *record.ClassEntry) {
 	for _, o := range c.Objectives {
 		e.Objectives = append(e.Objectives, config.Objective{Kind: o.Kind, Class: class, WithinS: o.WithinS, Share: o.Share, Times: o.Times})
 	}
--- a/internal/controller/dynamicconfig/follow.go
+++ b/internal/controller/dynamicconfig/follow.go
@@ -1,9 +1,9 @@
 package dynamicconfig
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Followed is the configuration as the records tell it. A revision's entries are kept
@@ -13,13 +13,13 @@
 	site     *config.Site
 	operator config.Operator
 
-	head    bookkeeping.Configuration // in force
-	version protocol.Version          // of its record
-	entries map[bookkeeping.EntryID]bookkeeping.ConfigurationEntry
+	head    record.Configuration // in force
+	version protocol.Version     // of its record
+	entries map[record.EntryID]record.ConfigurationEntry
 
-	nextHead    *bookkeeping.Configuration // of a later revision
+	nextHead    *record.Configuration // of a later revision
 	nextVersion protocol.Version
-	nextEntries map[bookkeeping.EntryID]bookkeeping.ConfigurationEntry
+	nextEntries map[record.EntryID]record.ConfigurationEntry
 
 	effective *Effective
 }
@@ -34,8 +34,8 @@
 // Reset forgets the records: they are read anew.
 func (f *Followed) Reset() {
 	*f = Followed{site: f.site, operator: f.operator}
-	f.entries = map[bookkeeping.EntryID]bookkeeping.ConfigurationEntry{}
-	f.nextEntries = map[bookkeeping.EntryID]bookkeeping.ConfigurationEntry{}
+	f.entries = map[record.EntryID]record.ConfigurationEntry{}
+	f.nextEntries = map[record.EntryID]record.ConfigurationEntry{}
 	f.effective = Base(f.site, f.operator)
 }
 
@@ -43,19 +43,19 @@
 func (f *Followed) Effective() *Effective { return f.effective }
 
 // Entry is an entry as it is in force; one that nobody has changed is reset.
-func (f *Followed) Entry(id bookkeeping.EntryID) bookkeeping.ConfigurationEntry {
+func (f *Followed) Entry(id record.EntryID) record.ConfigurationEntry {
 	if entry, ok := f.entries[id]; ok {
 		return entry
 	}
-	return bookkeeping.ConfigurationEntry{Reset: true}
+	return record.ConfigurationEntry{Reset: true}
 }
 
 // Entries are those that were changed, reset ones included.
-func (f *Followed) Entries() map[bookkeeping.EntryID]bookkeeping.ConfigurationEntry { return f.entries }
+func (f *Followed) Entries() map[record.EntryID]record.ConfigurationEntry { return f.entries }
 
 // TakeEntry takes the record of an entry, and reports whether anything in force has
 // changed.
-func (f *Followed) TakeEntry(id bookkeeping.EntryID, entry bookkeeping.ConfigurationEntry) bool {
+func (f *Followed) TakeEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
 	if have, ok := f.nextEntries[id]; ok && have.Revision >= entry.Revision {
 		return false
 	}
@@ -75,7 +75,7 @@
 
 // TakeHead takes the record of a revision, and reports whether anything in force has
 // changed.
-func (f *Followed) TakeHead(head bookkeeping.Configuration, version protocol.Version) bool {
+func (f *Followed) TakeHead(head record.Configuration, version protocol.Version) bool {
 	if version <= f.version || f.nextHead != nil && version <= f.nextVersion {
 		return false
 	}
@@ -105,7 +105,7 @@
 }
 
 // revisionOf is the latest revision known of an entry.
-func (f *Followed) revisionOf(id bookkeeping.EntryID) Revision {
+func (f *Followed) revisionOf(id record.EntryID) Revision {
 	if entry, ok := f.nextEntries[id]; ok {
 		return entry.Revision
 	}
--- a/internal/controller/dynamicconfig/settings.go
+++ b/internal/controller/dynamicconfig/settings.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
+	"damsonkeel/internal/record"
 )
 
 // settings are the operators' own settings that may change while controllers run.
@@ -23,16 +23,16 @@
 func Settings() []string { return slices.Sorted(maps.Keys(settings)) }
 
 // Setting is the value of one that is in force; empty: it has no such value.
-func (e *Effective) Setting(name string) bookkeeping.SettingText {
+func (e *Effective) Setting(name string) record.SettingText {
 	field := settings[name]
 	if field == nil {
 		return ""
 	}
-	return bookkeeping.SettingText(field(&e.Operator).String())
+	return record.SettingText(field(&e.Operator).String())
 }
 
 // setSetting takes a setting's value.
-func setSetting(operator *config.Operator, name string, text bookkeeping.SettingText) error {
+func setSetting(operator *config.Operator, name string, text record.SettingText) error {
 	field := settings[name]
 	if field == nil {
 		return fmt.Errorf("setting %q can't be changed while controllers run; those that can: %s", name, strings.Join(Settings(), ", "))
--- a/internal/controller/finish.go
+++ b/internal/controller/finish.go
@@ -1,10 +1,10 @@
 package controller
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 func (c *Core) markDone(o *ownedJob, i uint32) {
@@ -15,7 +15,7 @@
 	o.done.Set(uint(i))
 	o.nDone++
 	c.ownedChanged.Touch(o.ID)
-	o.dirty[int(i)/bookkeeping.ChunkTasks] = true
+	o.dirty[int(i)/record.ChunkTasks] = true
 	c.sound(o)
 }
 
@@ -35,14 +35,14 @@
 	}
 	o.ending = true
 	txn := protocol.Txn{
-		If: []protocol.Condition{{Key: bookkeeping.LiveKey(o.ID), Version: o.Version}, {Key: bookkeeping.JobKey(o.ID), Version: o.Version}},
+		If: []protocol.Condition{{Key: record.LiveKey(o.ID), Version: o.Version}, {Key: record.JobKey(o.ID), Version: o.Version}},
 		Then: []protocol.Change{
-			{Put: bookkeeping.JobKey(o.ID), Value: bookkeeping.JobRecord{State: bookkeeping.RecordDone, Tasks: o.Tasks}},
-			{Delete: bookkeeping.LiveKey(o.ID)},
+			{Put: record.JobKey(o.ID), Value: record.JobRecord{State: record.RecordDone, Tasks: o.Tasks}},
+			{Delete: record.LiveKey(o.ID)},
 		},
 	}
 	for chunk := range ordered.Of(o.stored) { // a short job has none: what is not there costs a change all the same
-		txn.Then = append(txn.Then, protocol.Change{Delete: bookkeeping.BitsKey(o.ID, chunk)})
+		txn.Then = append(txn.Then, protocol.Change{Delete: record.BitsKey(o.ID, chunk)})
 	}
 	c.Do(message.Commit{Tag: finishTag{o.ID}, Txn: txn})
 }
@@ -70,17 +70,17 @@
 		}
 		tag := bitsTag{job: o.ID}
 		txn := protocol.Txn{If: []protocol.Condition{
-			{Key: bookkeeping.ViewKey, Version: c.ViewVersion}, // a former owner writes nothing late
-			{Key: bookkeeping.LiveKey(o.ID), Version: o.Version},
+			{Key: record.ViewKey, Version: c.ViewVersion}, // a former owner writes nothing late
+			{Key: record.LiveKey(o.ID), Version: o.Version},
 		}}
 		for chunk := range ordered.Of(o.dirty) {
 			tag.chunks = append(tag.chunks, chunk)
 			// On its version: a write without an answer may be carried out after the
 			// next one, and would take back the ends that only that one has.
-			key, have := bookkeeping.BitsKey(o.ID, chunk), o.stored[chunk]
+			key, have := record.BitsKey(o.ID, chunk), o.stored[chunk]
 			txn.If = append(txn.If, protocol.Condition{Key: key, Version: have})
 			o.stored[chunk] = have // perhaps in the records from now on
-			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: bookkeeping.EncodeChunk(o.done, chunk)})
+			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: record.EncodeChunk(o.done, chunk)})
 		}
 		clear(o.dirty)
 		o.writing, o.underWay = true, tag.chunks
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/forecast"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // planner is a bench whose core has the fleet's role and a first list.
@@ -29,7 +29,7 @@
 
 func dropped(actions []message.Action, id protocol.MachineID) bool {
 	for _, a := range actions {
-		if c, ok := a.(message.Commit); ok && len(c.Txn.Then) == 1 && c.Txn.Then[0].Delete == bookkeeping.MachineKey(id) {
+		if c, ok := a.(message.Commit); ok && len(c.Txn.Then) == 1 && c.Txn.Then[0].Delete == record.MachineKey(id) {
 			return true
 		}
 	}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -9,12 +9,16 @@
 	"sync/atomic"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/serviceclient"
+
+	"damsonkeel/internal/kvstore"
+
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 	"damsonkeel/internal/transport"
 )
 
@@ -188,8 +192,8 @@
 		later(func() any { return f.get(ctx, a) })
 	case admission.Write:
 		later(func() any {
-			_, err := f.n.state.Txn(ctx, a.Txn, bookkeeping.First)
-			if errors.Is(err, bookkeeping.ErrMalformed) {
+			_, err := f.n.state.CompareAndSwap(ctx, a.Txn, kvstore.First)
+			if errors.Is(err, serviceclient.ErrMalformed) {
 				f.n.log.Error("state service refuses a job's record", "err", err)
 			}
 			return admission.Written{ID: a.ID, Outcome: outcome(err)}
@@ -228,13 +232,13 @@
 }
 
 func (f *frontend) get(ctx context.Context, a admission.Get) admission.Read {
-	it, err := f.n.state.Get(ctx, bookkeeping.JobKey(a.Job))
+	it, err := f.n.state.Get(ctx, record.JobKey(a.Job))
 	r := admission.Read{ID: a.ID, Outcome: outcome(err), Version: it.Version}
 	if err == nil {
 		err = protocol.Decode(it.Value, &r.Record)
 	}
 	switch {
-	case errors.Is(err, bookkeeping.ErrNotFound):
+	case errors.Is(err, serviceclient.ErrNotFound):
 		r.Outcome = message.OutcomeFailed
 	case err != nil && r.Outcome != message.OutcomeRefused:
 		r.Outcome = message.OutcomeUnknown
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/forecast"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // zoned registers idle machines of a zone; held is what of each has a level.
@@ -20,7 +20,7 @@
 		m := &machineEntry{
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16},
-				Record: bookkeeping.Machine{Zone: z, Spot: spot},
+				Record: record.Machine{Zone: z, Spot: spot},
 			},
 			held: held, mine: map[protocol.TaskID]*placedTask{},
 		}
@@ -113,7 +113,7 @@
 		t.Fatal("avoided before any was taken")
 	}
 	for range 40 {
-		m := &machineEntry{Machine: &clusterstate.Machine{Record: bookkeeping.Machine{Spot: true}}, reported: message.MachineState{Noticed: true}}
+		m := &machineEntry{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, reported: message.MachineState{Noticed: true}}
 		b.c.noteLoss(m)
 		m.reported = message.MachineState{Draining: true, Noticed: true}
 		b.c.noteLoss(m) // returned by ourselves
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
@@ -15,6 +14,7 @@
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // bench is one core, alone or with peers that the test plays.
@@ -52,21 +52,21 @@
 }
 
 func (b *bench) view(term protocol.Term, names ...protocol.NodeName) []message.Action {
-	v := bookkeeping.View{Term: term, Members: map[protocol.NodeName]protocol.LeaseID{}}
+	v := record.View{Term: term, Members: map[protocol.NodeName]protocol.LeaseID{}}
 	for i, n := range names {
 		v.Members[n] = protocol.LeaseID(100 + i)
-		b.put(bookkeeping.NodeKey(n), bookkeeping.Node{Session: v.Members[n]})
+		b.put(record.NodeKey(n), record.Node{Session: v.Members[n]})
 	}
-	b.put(bookkeeping.ViewKey, v)
+	b.put(record.ViewKey, v)
 	return b.step(message.TxnDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
 }
 
 func (b *bench) machine(id protocol.MachineID, session protocol.Session) {
-	b.put(bookkeeping.MachineKey(id), bookkeeping.Machine{Session: session, Address: "x", Type: "small", Zone: "a"})
+	b.put(record.MachineKey(id), record.Machine{Session: session, Address: "x", Type: "small", Zone: "a"})
 }
 
 func (b *bench) job(id protocol.JobID, team protocol.Team, tasks uint32) {
-	b.put(bookkeeping.LiveKey(id), protocol.Job{
+	b.put(record.LiveKey(id), protocol.Job{
 		ID: id, Team: team, Kind: protocol.KindArray, Priority: "standard", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
 	})
 }
@@ -144,7 +144,7 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	var cmd message.Command
-	for _, a := range b.put(bookkeeping.LiveKey("job-1"), protocol.Job{
+	for _, a := range b.put(record.LiveKey("job-1"), protocol.Job{
 		ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 1, Image: "i",
 	}) {
 		if c, ok := a.(message.Command); ok {
@@ -201,7 +201,7 @@
 func TestHeldReportOfEarlierSession(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	b.step(message.Changed{Event: protocol.Event{Delete: bookkeeping.MachineKey("vm-1"), Version: 99}})
+	b.step(message.Changed{Event: protocol.Event{Delete: record.MachineKey("vm-1"), Version: 99}})
 	for _, a := range b.step(message.Reported{Report: protocol.Report{Machine: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: 500, Term: 1}}) {
 		if c, ok := a.(message.Commit); ok {
 			t.Fatalf("a session that is over is registered: %+v", c)
@@ -229,7 +229,7 @@
 			b.machine(id, 1)
 		}
 	}
-	var next bookkeeping.View
+	var next record.View
 	for range 2 {
 		b.now += Time(5 * time.Second)
 		for _, id := range theirs {
@@ -240,13 +240,13 @@
 	}
 	for _, a := range b.step(message.Tick{}) {
 		if c, ok := a.(message.Commit); ok && c.Tag == (membership.ViewTag{}) {
-			next = c.Txn.Then[0].Value.(bookkeeping.View)
+			next = c.Txn.Then[0].Value.(record.View)
 		}
 	}
 	if len(next.Deaf) != 1 || next.Deaf[0] != "node-1" {
 		t.Fatalf("next view: %+v", next)
 	}
-	b.put(bookkeeping.ViewKey, next)
+	b.put(record.ViewKey, next)
 	if r := b.report(theirs[0], 1, 1); r.Status != 200 {
 		t.Errorf("its machine is not kept here: %+v", r)
 	}
@@ -261,7 +261,7 @@
 	if r := b.report("vm-1", 1, 1); r.Status != 503 {
 		t.Errorf("answered %+v", r)
 	}
-	if a := b.put(bookkeeping.LiveKey("job-1"), protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Tasks: 1, CPUs: 1}); len(commands(a)) > 0 {
+	if a := b.put(record.LiveKey("job-1"), protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Tasks: 1, CPUs: 1}); len(commands(a)) > 0 {
 		t.Errorf("commands %+v", a)
 	}
 }
@@ -373,7 +373,7 @@
 		b.ready("vm-1")
 		b.view(tc.term, "node-0")
 		job := protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 1, Image: "i"}
-		if n := starts(commands(b.put(bookkeeping.LiveKey("job-1"), job))); n != tc.want {
+		if n := starts(commands(b.put(record.LiveKey("job-1"), job))); n != tc.want {
 			t.Errorf("after term %d: %d direct starts before the worker's report, want %d", tc.term, n, tc.want)
 		}
 	}
--- a/internal/controller/holding.go
+++ b/internal/controller/holding.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/autoscaler"
 	"damsonkeel/internal/controller/clusterstate"
@@ -14,6 +13,7 @@
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Holding is the work of the controller that rents machines: it chooses on which
@@ -41,7 +41,7 @@
 )
 
 // jobOf is a job as a reservation describes it, on ordinary machines.
-func jobOf(s *bookkeeping.ReservationSpec) *clusterstate.LiveJob {
+func jobOf(s *record.ReservationSpec) *clusterstate.LiveJob {
 	return &clusterstate.LiveJob{Job: protocol.Job{
 		Class: s.Class, Team: s.Team, Kind: protocol.KindArray, Priority: s.Priority, Tasks: uint32(s.Tasks),
 		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, EstimateS: s.LengthS,
@@ -171,8 +171,8 @@
 	pr.stale, pr.written = false, c.Now
 	list := pr.List[:min(len(pr.List), int(1024*c.Settings.Site.State.ValueKB/heldBytes))]
 	c.Do(message.Commit{Tag: heldTag{}, Txn: protocol.Txn{
-		If:   []protocol.Condition{c.InThisView(), {Key: bookkeeping.HeldKey, Version: pr.heldVersion}},
-		Then: []protocol.Change{{Put: bookkeeping.HeldKey, Value: heldRecord{list}}},
+		If:   []protocol.Condition{c.InThisView(), {Key: record.HeldKey, Version: pr.heldVersion}},
+		Then: []protocol.Change{{Put: record.HeldKey, Value: heldRecord{list}}},
 	}})
 }
 
@@ -273,7 +273,7 @@
 // advance has one reservation go on.
 func (c *Core) advance(e *reservation.Entry, now reservation.Moment) {
 	pr, name := &c.reservations, e.Name()
-	if pr.write[name] || e.State == bookkeeping.Cancelled {
+	if pr.write[name] || e.State == record.Cancelled {
 		return
 	}
 	came, wanted, started := c.jobsOf(e)
@@ -287,13 +287,13 @@
 	pr.write[name] = true
 	c.Log.Info("reservation", "name", name, "state", next.State, "start", next.StartMS, "risk", next.Risk)
 	c.Do(message.Commit{Tag: reservationTag{name}, Txn: protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.ReservationKey(name), Version: e.Version}, c.InThisView()},
-		Then: []protocol.Change{{Put: bookkeeping.ReservationKey(name), Value: next}},
+		If:   []protocol.Condition{{Key: record.ReservationKey(name), Version: e.Version}, c.InThisView()},
+		Then: []protocol.Change{{Put: record.ReservationKey(name), Value: next}},
 	}})
 }
 
 // noteBoot learns how long a machine took to come up.
-func (c *Core) noteBoot(id protocol.MachineID, rec bookkeeping.Machine) {
+func (c *Core) noteBoot(id protocol.MachineID, rec record.Machine) {
 	if m, awaited := c.fleet.coming[id]; awaited && rec.Session == 1 {
 		c.reservations.Boots.Note(c.Since(m.at), c.Types[m.Type].BootS)
 	}
--- a/internal/controller/leave.go
+++ b/internal/controller/leave.go
@@ -46,7 +46,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseWithin)
 	defer cancel()
-	if err := n.state.Release(ctx, session); err != nil {
+	if err := n.state.RevokeLease(ctx, session); err != nil {
 		n.log.Info("lease not ended", "err", err)
 	}
 }
--- a/internal/controller/membership/hearing.go
+++ b/internal/controller/membership/hearing.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // hearing notices members that workers can't reach, though they keep their
@@ -40,7 +40,7 @@
 func newHearing() hearing { return hearing{astray: map[protocol.MachineID]stray{}} }
 
 // adopted starts counting anew: a new view sends workers to others.
-func (h *hearing) adopted(v bookkeeping.View, self protocol.NodeName, now clock.Time) {
+func (h *hearing) adopted(v record.View, self protocol.NodeName, now clock.Time) {
 	clear(h.astray)
 	deaf := slices.Contains(v.Deaf, self)
 	if deaf && !h.deaf {
--- a/internal/controller/membership/members.go
+++ b/internal/controller/membership/members.go
@@ -7,22 +7,22 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Members is who takes part: this controller's and the others' presence in the
 // records, the view and when it is to change, and the peers' sessions.
 type Members struct {
 	clusterstate.Part
-	nodes   map[protocol.NodeName]bookkeeping.Node // present in the records
-	writing bool                                   // a view
-	retry   clock.Time                             // nothing is written before
+	nodes   map[protocol.NodeName]record.Node // present in the records
+	writing bool                              // a view
+	retry   clock.Time                        // nothing is written before
 	// wrote is the version of the record of shares that a change was written on, and
 	// when: until it is followed nothing else is.
 	wrote    protocol.Version
@@ -57,11 +57,11 @@
 
 // Reset forgets everything a session knew.
 func (ms *Members) Reset() {
-	*ms = Members{Part: ms.Part, nodes: map[protocol.NodeName]bookkeeping.Node{}, hearing: newHearing(), peers: map[protocol.NodeName]*link{}}
+	*ms = Members{Part: ms.Part, nodes: map[protocol.NodeName]record.Node{}, hearing: newHearing(), peers: map[protocol.NodeName]*link{}}
 }
 
 // Present takes over that a controller is in the records.
-func (ms *Members) Present(name protocol.NodeName, n bookkeeping.Node) { ms.nodes[name] = n }
+func (ms *Members) Present(name protocol.NodeName, n record.Node) { ms.nodes[name] = n }
 
 // Absent takes over that a controller's record has gone with its lease.
 func (ms *Members) Absent(name protocol.NodeName) { delete(ms.nodes, name) }
@@ -71,7 +71,7 @@
 func (ms *Members) Outdated() []protocol.NodeName {
 	var names []protocol.NodeName
 	for name, n := range ordered.Of(ms.nodes) {
-		if max(n.Layout, bookkeeping.LayoutSingle) < ms.View.Layout {
+		if max(n.Layout, record.LayoutSingle) < ms.View.Layout {
 			names = append(names, name)
 		}
 	}
@@ -80,7 +80,7 @@
 
 // Hindering lists the controllers that are present and know no layout as late as
 // another one: while they are, it does not come into use.
-func (ms *Members) Hindering(layout bookkeeping.Layout) []protocol.NodeName {
+func (ms *Members) Hindering(layout record.Layout) []protocol.NodeName {
 	var names []protocol.NodeName
 	for name, n := range ordered.Of(ms.nodes) {
 		if n.Layout < layout {
@@ -112,7 +112,7 @@
 }
 
 // Adopt takes over a new view.
-func (ms *Members) Adopt(v bookkeeping.View, version protocol.Version) {
+func (ms *Members) Adopt(v record.View, version protocol.Version) {
 	ms.View, ms.ViewVersion = v, version
 	clear(ms.Keepers)
 	ms.retry = 0
@@ -133,7 +133,7 @@
 }
 
 // AdoptShares takes over a record of the shares.
-func (ms *Members) AdoptShares(s *bookkeeping.Shares, version protocol.Version) {
+func (ms *Members) AdoptShares(s *record.Shares, version protocol.Version) {
 	ms.Shares, ms.SharesVersion = s, version
 }
 
@@ -149,32 +149,32 @@
 		return // not present itself: it has no say
 	}
 	deaf := ms.deafNodes(want)
-	if sameMembers(want, ms.View.Members) && layout == ms.View.Layout && slices.Equal(deaf, ms.View.Deaf) && !raise && (layout < bookkeeping.LayoutShares || ms.Shares != nil) {
+	if sameMembers(want, ms.View.Members) && layout == ms.View.Layout && slices.Equal(deaf, ms.View.Deaf) && !raise && (layout < record.LayoutShares || ms.Shares != nil) {
 		return
 	}
 	ms.writing = true
-	next := bookkeeping.View{Term: ms.View.Term + 1, Members: want, Deaf: deaf, Layout: layout}
-	txn := protocol.Txn{If: []protocol.Condition{{Key: bookkeeping.ViewKey, Version: ms.ViewVersion}}}
-	if layout >= bookkeeping.LayoutShares {
+	next := record.View{Term: ms.View.Term + 1, Members: want, Deaf: deaf, Layout: layout}
+	txn := protocol.Txn{If: []protocol.Condition{{Key: record.ViewKey, Version: ms.ViewVersion}}}
+	if layout >= record.LayoutShares {
 		// In one transaction, so that nobody's share is nobody's. The shares come
 		// first: who follows them knows who keeps what when the view arrives.
-		txn.If = append(txn.If, protocol.Condition{Key: bookkeeping.SharesKey, Version: ms.SharesVersion})
+		txn.If = append(txn.If, protocol.Condition{Key: record.SharesKey, Version: ms.SharesVersion})
 		if shares := ms.sharesFor(next); shares != nil {
-			txn.Then = append(txn.Then, protocol.Change{Put: bookkeeping.SharesKey, Value: *shares})
+			txn.Then = append(txn.Then, protocol.Change{Put: record.SharesKey, Value: *shares})
 		}
 	}
-	txn.Then = append(txn.Then, protocol.Change{Put: bookkeeping.ViewKey, Value: next})
+	txn.Then = append(txn.Then, protocol.Change{Put: record.ViewKey, Value: next})
 	ms.Do(message.Commit{Tag: ViewTag{}, Txn: txn})
 }
 
 // wantMembers is who should be in the view, and how machines are recorded then:
 // in the latest way that all of them know. Once it is in use, who does not know
 // it stays out: it would miss machines that may hold tasks.
-func (ms *Members) wantMembers() (map[protocol.NodeName]protocol.LeaseID, bookkeeping.Layout) {
+func (ms *Members) wantMembers() (map[protocol.NodeName]protocol.LeaseID, record.Layout) {
 	want := map[protocol.NodeName]protocol.LeaseID{}
-	least := bookkeeping.LatestLayout
+	least := record.LatestLayout
 	for name, n := range ms.nodes {
-		l := max(n.Layout, bookkeeping.LayoutSingle)
+		l := max(n.Layout, record.LayoutSingle)
 		if l < ms.View.Layout {
 			continue
 		}
--- a/internal/controller/membership/members_test.go
+++ b/internal/controller/membership/members_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // TestWaitsOut: a controller that may not act keeps its users while it hears a peer
@@ -36,7 +36,7 @@
 		p := clusterstate.Part{State: clusterstate.NewState(s, config.DefaultOperator(), slog.New(slog.DiscardHandler)), Output: &clusterstate.Output{}}
 		p.Session, p.Now, p.Until = 100, clock.Time(time.Minute), clock.Time(time.Minute)
 		ms := New(p)
-		v := bookkeeping.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
+		v := record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
 		for i, peer := range tc.peers {
 			v.Members[peer] = protocol.LeaseID(101 + i)
 		}
--- a/internal/controller/membership/shares.go
+++ b/internal/controller/membership/shares.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // SharesTag marks a transaction that changes who keeps which shares.
@@ -27,7 +27,7 @@
 
 // weighed lists the members of a view that may keep shares; weight tells of what
 // each can do.
-func (ms *Members) weighed(v bookkeeping.View, weight func(protocol.NodeName) float64) []sharding.Member {
+func (ms *Members) weighed(v record.View, weight func(protocol.NodeName) float64) []sharding.Member {
 	var list []sharding.Member
 	zones := ms.zones()
 	for name, session := range v.Members {
@@ -38,7 +38,7 @@
 
 // sharesFor is the record of the shares that goes with a new view: what is kept by
 // nobody in it goes to its members, all else stays; nil if nothing changes.
-func (ms *Members) sharesFor(v bookkeeping.View) *bookkeeping.Shares {
+func (ms *Members) sharesFor(v record.View) *record.Shares {
 	s := ms.Shares
 	if s == nil {
 		s = sharding.First(ms.Settings.Site.Zones)
@@ -93,10 +93,10 @@
 	ms.writing, ms.wrote, ms.wroteAt = true, ms.SharesVersion, ms.Now
 	ms.Do(message.Commit{Tag: SharesTag{}, Txn: protocol.Txn{
 		If: []protocol.Condition{
-			{Key: bookkeeping.ViewKey, Version: ms.ViewVersion},
-			{Key: bookkeeping.SharesKey, Version: ms.SharesVersion},
+			{Key: record.ViewKey, Version: ms.ViewVersion},
+			{Key: record.SharesKey, Version: ms.SharesVersion},
 		},
-		Then: []protocol.Change{{Put: bookkeeping.SharesKey, Value: *next}},
+		Then: []protocol.Change{{Put: record.SharesKey, Value: *next}},
 	}})
 }
 
--- a/internal/controller/message/between.go
+++ b/internal/controller/message/between.go
@@ -3,12 +3,12 @@
 package message
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/ratelimit"
 	"damsonkeel/internal/controller/replication"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Placement puts one attempt of a task into a machine's queue.
@@ -38,7 +38,7 @@
 	Number uint64 // counts the sender's messages of this kind
 	Term   protocol.Term
 	// Configuration is the revision that the owner placed by.
-	Configuration bookkeeping.ConfigurationRevision
+	Configuration record.ConfigurationRevision
 	Tasks         []Placement
 }
 
@@ -196,7 +196,7 @@
 	Term   protocol.Term
 	Acting bool // the sender's lease is valid by its own clock
 	// Configuration is the revision that the sender acts by.
-	Configuration bookkeeping.ConfigurationRevision
+	Configuration record.ConfigurationRevision
 	// HaveMachines and HaveJobs are how far the sender holds the addressee's
 	// streams of this term.
 	HaveMachines, HaveJobs uint64
@@ -254,7 +254,7 @@
 // says so.
 type DoneTasks struct {
 	Job    protocol.JobID
-	Chunks map[int]bookkeeping.Bits
+	Chunks map[int]record.Bits
 }
 
 // Batch carries messages in order between two sessions. A repeated batch is
@@ -289,7 +289,7 @@
 	Tenure protocol.Term
 	From   protocol.NodeName // as the registrar notes it
 	Have   protocol.Version  // the epoch of the record that the sender knows; 0: none
-	To     *bookkeeping.Machine
+	To     *record.Machine
 }
 
 // Silence is how a worker's quiet looks.
--- a/internal/controller/message/move.go
+++ b/internal/controller/message/move.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Tenured names a share as one controller keeps it, since an epoch.
@@ -68,7 +68,7 @@
 	Together  bool
 	From      protocol.NodeName
 	// Configuration is the revision that its owner placed it by.
-	Configuration bookkeeping.ConfigurationRevision
+	Configuration record.ConfigurationRevision
 	Sent          bool
 	Direct        protocol.Term
 	Present       bool
--- a/internal/controller/message/step.go
+++ b/internal/controller/message/step.go
@@ -133,7 +133,7 @@
 	Rent struct{ Request protocol.RentRequest }
 	// Delete returns machines to the cloud.
 	Delete struct{ Machines []protocol.MachineID }
-	// SetShare sets what may be used of the state service's rates: All until a
+	// SetAllotment sets what may be used of the state service's rates: All until a
 	// time, from then on only Own.
 	SetShare struct {
 		Own, All ratelimit.Amount
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -8,7 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/serviceclient"
+
+	"damsonkeel/internal/cloud"
+	"damsonkeel/internal/kvstore"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/controller/clock"
@@ -17,6 +21,7 @@
 	"damsonkeel/internal/controller/ratelimit"
 	"damsonkeel/internal/controller/workerregistry"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 	"damsonkeel/internal/transport"
 )
 
@@ -38,8 +43,8 @@
 type Node struct {
 	settings *config.Settings
 	op       config.Operator
-	state    *bookkeeping.State
-	cloud    *bookkeeping.Cloud
+	state    *kvstore.Client
+	cloud    *cloud.Client
 	log      *slog.Logger
 	start    time.Time
 
@@ -69,8 +74,8 @@
 func NewNode(s *config.Settings, op config.Operator, log *slog.Logger) *Node {
 	n := &Node{
 		settings: s, op: op, log: log, start: time.Now(),
-		state:   bookkeeping.NewState(s.Services.State, s.Site.State.RPS, s.Site.State.WriteRPS, s.Site.Count),
-		cloud:   bookkeeping.NewCloud(s.Services.Cloud, s.Site.Cloud.RPS),
+		state:   kvstore.NewClient(s.Services.State, s.Site.State.RPS, s.Site.State.WriteRPS, s.Site.Count),
+		cloud:   cloud.NewClient(s.Services.Cloud, s.Site.Cloud.RPS),
 		mailbox: make(chan envelope, mailboxSize),
 		outbox:  map[protocol.NodeName]*Outbox{},
 		reports: newReports(),
@@ -191,7 +196,7 @@
 		case <-t.C:
 			n.offer(envelope{msg: message.Tick{WallMS: time.Now().UnixMilli()}})
 			if i%askedTicks == 0 {
-				n.offer(envelope{msg: message.StateAsked{Amount: ratelimit.Amount(n.state.Asked())}})
+				n.offer(envelope{msg: message.StateAsked{Amount: ratelimit.Amount(n.state.DemandedRate())}})
 			}
 		case <-ctx.Done():
 			return
@@ -255,7 +260,7 @@
 		case message.Configured:
 			n.frontend.configure(a.Effective)
 		case message.SetShare:
-			n.state.SetShare(bookkeeping.Share(a.Own), bookkeeping.Share(a.All), n.start.Add(time.Duration(a.Until)))
+			n.state.SetAllotment(kvstore.RateAllotment(a.Own), kvstore.RateAllotment(a.All), n.start.Add(time.Duration(a.Until)))
 		case message.ListMachines:
 			go func() {
 				list, err := n.cloud.Machines(ctx)
@@ -269,19 +274,19 @@
 }
 
 // precedence is how a transaction of the core yields to others.
-func precedence(tag any) bookkeeping.Precedence {
+func precedence(tag any) kvstore.Precedence {
 	switch tag.(type) {
 	case bitsTag:
-		return bookkeeping.Spare
+		return kvstore.Spare
 	case dispatcher.RegisterTag, dispatcher.RemoveTag, workerregistry.Tag:
-		return bookkeeping.Later
+		return kvstore.Later
 	}
-	return bookkeeping.First
+	return kvstore.First
 }
 
 func (n *Node) commit(ctx context.Context, a message.Commit) {
-	rev, err := n.state.Txn(ctx, a.Txn, precedence(a.Tag))
-	if err != nil && !errors.Is(err, bookkeeping.ErrConflict) {
+	rev, err := n.state.CompareAndSwap(ctx, a.Txn, precedence(a.Tag))
+	if err != nil && !errors.Is(err, serviceclient.ErrConflict) {
 		n.log.Debug("transaction", "what", a.Tag, "err", err)
 	}
 	n.post(message.TxnDone{Tag: a.Tag, Outcome: outcome(err), Revision: rev})
@@ -322,9 +327,9 @@
 	switch {
 	case err == nil:
 		return message.OutcomeDone
-	case errors.Is(err, bookkeeping.ErrConflict), errors.Is(err, bookkeeping.ErrMalformed):
+	case errors.Is(err, serviceclient.ErrConflict), errors.Is(err, serviceclient.ErrMalformed):
 		return message.OutcomeFailed
-	case errors.Is(err, bookkeeping.ErrRefused):
+	case errors.Is(err, serviceclient.ErrRefused):
 		return message.OutcomeRefused
 	}
 	return message.OutcomeUnknown
@@ -333,7 +338,7 @@
 func (n *Node) loadBits(ctx context.Context, id protocol.JobID) {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
-	items, _, err := n.state.List(ctx, bookkeeping.BitsPrefix(id))
+	items, _, err := n.state.List(ctx, record.BitsPrefix(id))
 	if err != nil {
 		n.log.Debug("bitmap", "job", id, "err", err)
 	}
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -6,12 +6,16 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/serviceclient"
+
+	"damsonkeel/internal/kvstore"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 	"damsonkeel/internal/transport"
 )
 
@@ -92,7 +96,7 @@
 	if have != nil && r.ID != "" && have.Reservation.Request == r.ID {
 		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Reservations: []operatorapi.Reservation{c.reservationView(have)}}}
 	}
-	if have != nil && !r.Replace && have.State != bookkeeping.Cancelled && have.State != bookkeeping.Used && have.State != bookkeeping.Expired {
+	if have != nil && !r.Replace && have.State != record.Cancelled && have.State != record.Used && have.State != record.Expired {
 		return no(operatorapi.Refused, "there is a reservation of this name")
 	}
 	if !pr.Book.Complete() {
@@ -103,13 +107,13 @@
 	if !a.OK {
 		return d
 	}
-	rec := bookkeeping.Reservation{
-		Spec: s, Request: r.ID, By: by, MadeMS: c.Moment(), Order: pr.Changes + 1, State: bookkeeping.Accepted, StartMS: a.First[0],
+	rec := record.Reservation{
+		Spec: s, Request: r.ID, By: by, MadeMS: c.Moment(), Order: pr.Changes + 1, State: record.Accepted, StartMS: a.First[0],
 	}
 	if r.DryRun {
-		rec.State = bookkeeping.Proposed
+		rec.State = record.Proposed
 	} else {
-		d.txn = c.changeCalendar(bookkeeping.ReservationKey(s.Name), versionOf(have), rec)
+		d.txn = c.changeCalendar(record.ReservationKey(s.Name), versionOf(have), rec)
 	}
 	d.reply.Reservations = []operatorapi.Reservation{{Reservation: rec}}
 	return d
@@ -135,9 +139,9 @@
 	if !a.OK {
 		return d
 	}
-	rec := bookkeeping.Window{Spec: s, Request: r.ID, By: by, MadeMS: c.Moment()}
+	rec := record.Window{Spec: s, Request: r.ID, By: by, MadeMS: c.Moment()}
 	if !r.DryRun {
-		d.txn = c.changeCalendar(bookkeeping.WindowKey(s.Name), versionOf(have), rec)
+		d.txn = c.changeCalendar(record.WindowKey(s.Name), versionOf(have), rec)
 	}
 	d.reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.First[0], Overruns: c.overruns(&s, a.First[0])}}
 	return d
@@ -162,10 +166,10 @@
 // since this was decided.
 func (c *Core) changeCalendar(key string, version protocol.Version, value any) *protocol.Txn {
 	return &protocol.Txn{
-		If: []protocol.Condition{{Key: bookkeeping.CalendarKey, Version: c.reservations.Version}, {Key: key, Version: version}},
+		If: []protocol.Condition{{Key: record.CalendarKey, Version: c.reservations.Version}, {Key: key, Version: version}},
 		Then: []protocol.Change{
 			{Put: key, Value: value},
-			{Put: bookkeeping.CalendarKey, Value: bookkeeping.Calendar{Changes: c.reservations.Changes + 1}},
+			{Put: record.CalendarKey, Value: record.Calendar{Changes: c.reservations.Changes + 1}},
 		},
 	}
 }
@@ -187,11 +191,11 @@
 	case r.Window:
 		rec := *e.Window
 		rec.Cancelled = true
-		return decision{done, c.changeCalendar(bookkeeping.WindowKey(r.Name), e.Version, rec)}
+		return decision{done, c.changeCalendar(record.WindowKey(r.Name), e.Version, rec)}
 	}
 	rec := *e.Reservation
-	rec.State, rec.Risk, rec.RiskMS = bookkeeping.Cancelled, "", 0
-	return decision{done, c.changeCalendar(bookkeeping.ReservationKey(r.Name), e.Version, rec)}
+	rec.State, rec.Risk, rec.RiskMS = record.Cancelled, "", 0
+	return decision{done, c.changeCalendar(record.ReservationKey(r.Name), e.Version, rec)}
 }
 
 // listed at once: an answer is at most as large as a request.
@@ -271,7 +275,7 @@
 
 // overruns lists the machines whose work is likely to go on after a window has
 // opened, the longest first.
-func (c *Core) overruns(s *bookkeeping.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
+func (c *Core) overruns(s *record.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
 	const most = 50
 	var out []operatorapi.Overrun
 	for _, m := range c.machinesInOrder() {
@@ -314,15 +318,15 @@
 		if d.txn == nil {
 			return operatorAnswer(d.reply)
 		}
-		_, err := f.n.state.Txn(ctx, *d.txn, bookkeeping.First)
+		_, err := f.n.state.CompareAndSwap(ctx, *d.txn, kvstore.First)
 		switch {
 		case err == nil:
 			f.n.log.Info("operator's change", "by", by, "op", r.Op, "window", r.Window, "name", r.Name, "controller", r.Controller, "id", r.ID)
 			return operatorAnswer(d.reply)
-		case errors.Is(err, bookkeeping.ErrMalformed):
+		case errors.Is(err, serviceclient.ErrMalformed):
 			f.n.log.Error("state service refuses an operator's record", "err", err)
 			return operatorAnswer(operatorapi.Reply{Code: operatorapi.Refused, Reason: "too large to be stored"})
-		case errors.Is(err, bookkeeping.ErrRefused):
+		case errors.Is(err, serviceclient.ErrRefused):
 			f.n.log.Debug("operator", "err", err)
 			return failure(503, "state service can't be asked")
 		}
--- a/internal/controller/operateconfig.go
+++ b/internal/controller/operateconfig.go
@@ -5,11 +5,11 @@
 	"maps"
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // configListed bounds the entries of one answer.
@@ -26,8 +26,8 @@
 	switch {
 	case !c.Acting():
 		return no(operatorapi.Later, "may not act now")
-	case c.View.Layout < bookkeeping.LayoutConfiguration:
-		return no(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", c.members.Hindering(bookkeeping.LayoutConfiguration)))
+	case c.View.Layout < record.LayoutConfiguration:
+		return no(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", c.members.Hindering(record.LayoutConfiguration)))
 	case r.Config.Revision != nil && *r.Config.Revision != present:
 		return no(operatorapi.Refused, fmt.Sprintf("revision %d is in force, not %d", present, *r.Config.Revision))
 	}
@@ -95,24 +95,24 @@
 
 // configurationIDs names all entries: those of the platform's file and those that
 // were changed.
-func (c *Core) configurationIDs() []bookkeeping.EntryID {
-	ids := map[bookkeeping.EntryID]bool{}
+func (c *Core) configurationIDs() []record.EntryID {
+	ids := map[record.EntryID]bool{}
 	for _, team := range c.Configured.Effective().Teams() {
-		ids[bookkeeping.NewEntryID(bookkeeping.EntryTeam, string(team))] = true
+		ids[record.NewEntryID(record.EntryTeam, string(team))] = true
 	}
 	for _, o := range c.Objectives() {
 		if o.Class != "" {
-			ids[bookkeeping.NewEntryID(bookkeeping.EntryClass, o.Class)] = true
+			ids[record.NewEntryID(record.EntryClass, o.Class)] = true
 		}
 	}
 	for _, zone := range c.Settings.Site.Zones {
-		ids[bookkeeping.NewEntryID(bookkeeping.EntryZone, string(zone))] = true
+		ids[record.NewEntryID(record.EntryZone, string(zone))] = true
 	}
 	for name := range c.Types {
-		ids[bookkeeping.NewEntryID(bookkeeping.EntryType, string(name))] = true
+		ids[record.NewEntryID(record.EntryType, string(name))] = true
 	}
 	for _, name := range dynamicconfig.Settings() {
-		ids[bookkeeping.NewEntryID(bookkeeping.EntrySetting, name)] = true
+		ids[record.NewEntryID(record.EntrySetting, name)] = true
 	}
 	for id := range c.Configured.Entries() {
 		ids[id] = true
@@ -121,24 +121,24 @@
 }
 
 // configurationView is an entry as it is in force.
-func (c *Core) configurationView(id bookkeeping.EntryID) operatorapi.ConfigEntry {
+func (c *Core) configurationView(id record.EntryID) operatorapi.ConfigEntry {
 	effective := c.Configured.Effective()
 	v := operatorapi.ConfigEntry{Entry: id, Revision: c.Configured.Entry(id).Revision}
 	switch kind, name := id.Split(); kind {
-	case bookkeeping.EntryTeam:
+	case record.EntryTeam:
 		t, known := effective.Team(protocol.Team(name))
-		v.Team = &bookkeeping.TeamEntry{CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, GPUs: t.GPUs, MaxGPUs: t.MaxGPUs, Closed: t.Closed, Removed: !known, Lowered: t.Lowered}
-	case bookkeeping.EntryClass:
+		v.Team = &record.TeamEntry{CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, GPUs: t.GPUs, MaxGPUs: t.MaxGPUs, Closed: t.Closed, Removed: !known, Lowered: t.Lowered}
+	case record.EntryClass:
 		for _, o := range effective.Objectives {
 			if o.Class == name {
-				v.Objectives = append(v.Objectives, bookkeeping.ObjectiveEntry{Kind: o.Kind, WithinS: o.WithinS, Share: o.Share, Times: o.Times})
+				v.Objectives = append(v.Objectives, record.ObjectiveEntry{Kind: o.Kind, WithinS: o.WithinS, Share: o.Share, Times: o.Times})
 			}
 		}
-	case bookkeeping.EntryZone:
+	case record.EntryZone:
 		v.Closed = effective.PlaceClosed("", protocol.Zone(name))
-	case bookkeeping.EntryType:
+	case record.EntryType:
 		v.Closed = effective.PlaceClosed(protocol.MachineType(name), "")
-	case bookkeeping.EntrySetting:
+	case record.EntrySetting:
 		v.Value = effective.Setting(name)
 	}
 	return v
--- a/internal/controller/operateshares.go
+++ b/internal/controller/operateshares.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 var noShares = no(operatorapi.Refused, "machines are not kept by shares here")
@@ -93,7 +93,7 @@
 		return no(operatorapi.Refused, "no controller would be left to keep machines")
 	}
 	return decision{reply: done, txn: &protocol.Txn{
-		If:   []protocol.Condition{{Key: bookkeeping.SharesKey, Version: c.SharesVersion}},
-		Then: []protocol.Change{{Put: bookkeeping.SharesKey, Value: *next}},
+		If:   []protocol.Condition{{Key: record.SharesKey, Version: c.SharesVersion}},
+		Then: []protocol.Change{{Put: record.SharesKey, Value: *next}},
 	}}
 }
--- a/internal/controller/recordblock/recordblock.go
+++ b/internal/controller/recordblock/recordblock.go
@@ -9,8 +9,8 @@
 	"maps"
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Limits bound what is written at once.
@@ -40,7 +40,7 @@
 
 type block struct {
 	version protocol.Version
-	entries map[protocol.MachineID]bookkeeping.BlockEntry
+	entries map[protocol.MachineID]record.BlockEntry
 	bytes   int
 }
 
@@ -60,12 +60,12 @@
 
 // Set takes over a block's record. It returns the entries that are new or have
 // changed, and the machines that are in it no more, both in order.
-func (s *Shelf) Set(name string, version protocol.Version, entries []bookkeeping.BlockEntry) (changed []bookkeeping.BlockEntry, gone []protocol.MachineID) {
+func (s *Shelf) Set(name string, version protocol.Version, entries []record.BlockEntry) (changed []record.BlockEntry, gone []protocol.MachineID) {
 	was := s.blocks[name]
 	if was == nil {
 		was = &block{}
 	}
-	b := &block{version: version, entries: make(map[protocol.MachineID]bookkeeping.BlockEntry, len(entries))}
+	b := &block{version: version, entries: make(map[protocol.MachineID]record.BlockEntry, len(entries))}
 	for _, e := range entries {
 		b.entries[e.ID] = e
 		b.bytes += size(e)
@@ -83,7 +83,7 @@
 		s.where[e.ID] = name
 	}
 	s.blocks[name] = b
-	s.last = max(s.last, bookkeeping.BlockNumber(name))
+	s.last = max(s.last, record.BlockNumber(name))
 	slices.Sort(gone)
 	return changed, gone
 }
@@ -99,7 +99,7 @@
 // Change is what is to become of one machine's record.
 type Change struct {
 	Machine protocol.MachineID
-	Entry   *bookkeeping.BlockEntry // nil: it goes
+	Entry   *record.BlockEntry // nil: it goes
 	// Single is the version of the machine's record of its own, which goes in
 	// the same transaction; 0: it has none.
 	Single protocol.Version
@@ -120,7 +120,7 @@
 type Write struct {
 	Block   string
 	Version protocol.Version // that it must have still; 0: it must not exist
-	Entries []bookkeeping.BlockEntry
+	Entries []record.BlockEntry
 	Changes []Change // that it brings
 }
 
@@ -128,14 +128,14 @@
 type draft struct {
 	name    string
 	version protocol.Version
-	entries map[protocol.MachineID]bookkeeping.BlockEntry
+	entries map[protocol.MachineID]record.BlockEntry
 	bytes   int
 	changes []Change
 	ops     int
 }
 
 func (s *Shelf) draft(name string) *draft {
-	d := &draft{name: name, entries: map[protocol.MachineID]bookkeeping.BlockEntry{}, ops: 1}
+	d := &draft{name: name, entries: map[protocol.MachineID]record.BlockEntry{}, ops: 1}
 	if b := s.blocks[name]; b != nil {
 		d.version, d.bytes, d.entries = b.version, b.bytes, maps.Clone(b.entries)
 	}
@@ -216,7 +216,7 @@
 			}
 			for name == "" {
 				next++
-				if n := bookkeeping.BlockName(next); !busy(n) && byBlock[n] == nil {
+				if n := record.BlockName(next); !busy(n) && byBlock[n] == nil {
 					name = n
 				}
 			}
@@ -262,6 +262,6 @@
 }
 
 // size is about how much an entry takes in the form of JSON, rather more.
-func size(e bookkeeping.BlockEntry) int {
+func size(e record.BlockEntry) int {
 	return 130 + len(e.ID) + len(e.Address) + len(e.Type) + len(e.Zone)
 }
--- a/internal/controller/recordblock/recordblock_test.go
+++ b/internal/controller/recordblock/recordblock_test.go
@@ -6,17 +6,17 @@
 	"os"
 	"testing"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/fixedseed"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"pgregory.net/rapid"
 )
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-func entry(id protocol.MachineID, epoch protocol.Version) *bookkeeping.BlockEntry {
-	return &bookkeeping.BlockEntry{ID: id, Epoch: epoch, Machine: bookkeeping.Machine{
+func entry(id protocol.MachineID, epoch protocol.Version) *record.BlockEntry {
+	return &record.BlockEntry{ID: id, Epoch: epoch, Machine: record.Machine{
 		Session: 1 << 40, Address: "10.123.234.255:9000", Type: "rackturm", Zone: "dachraum", Spot: true,
 	}}
 }
@@ -57,7 +57,7 @@
 				}
 				ops, bytes, blocks := 0, 0, map[string]bool{}
 				for _, w := range s.Pack(changes, func(string) bool { return false }, l) {
-					text, err := json.Marshal(bookkeeping.Block{Machines: w.Entries})
+					text, err := json.Marshal(record.Block{Machines: w.Entries})
 					if err != nil || len(text) > l.ValueBytes || len(w.Entries) > l.Entries || blocks[w.Block] {
 						t.Fatalf("block %s of %d machines, %d bytes, again %v: %v", w.Block, len(w.Entries), len(text), blocks[w.Block], err)
 					}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -1,14 +1,14 @@
 package controller
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // machineRegistered takes over a machine's record. A changed record proves
 // that everything placed by the one before is gone.
-func (c *Core) machineRegistered(id protocol.MachineID, rec bookkeeping.Machine, version protocol.Version) {
+func (c *Core) machineRegistered(id protocol.MachineID, rec record.Machine, version protocol.Version) {
 	m := c.machines[id]
 	if m != nil && m.Epoch >= version {
 		return
--- a/internal/controller/relays.go
+++ b/internal/controller/relays.go
@@ -4,7 +4,8 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/kvstore"
+
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/ratelimit"
@@ -293,7 +294,7 @@
 // anything is lent.
 func (c *Core) equalShare() ratelimit.Amount {
 	site := &c.Settings.Site
-	return ratelimit.Amount(bookkeeping.EqualShare(site.State.RPS, site.State.WriteRPS, site.Count))
+	return ratelimit.Amount(kvstore.EqualAllotment(site.State.RPS, site.State.WriteRPS, site.Count))
 }
 
 // setShare has what may be used now set, if that has changed.
--- a/internal/controller/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -5,13 +5,13 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/replication"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"pgregory.net/rapid"
 )
@@ -64,7 +64,7 @@
 	f := newBusyFleet(t, 2*statesMost+300, 100)
 	v := f.c.View
 	v.Term++
-	f.put(bookkeeping.ViewKey, v)
+	f.put(record.ViewKey, v)
 	var sizes []int
 	complete := 0
 	for i := range 12 {
@@ -94,7 +94,7 @@
 	v := f.c.View
 	v.Term++
 	given, steps := 0, 0
-	for actions := f.put(bookkeeping.ViewKey, v); given < machines && steps < 9; steps++ {
+	for actions := f.put(record.ViewKey, v); given < machines && steps < 9; steps++ {
 		n := 0
 		for _, a := range actions {
 			if s, ok := a.(message.Send); ok && s.To == "node-1" && s.Message.Inventory != nil {
--- a/internal/controller/reservation/book.go
+++ b/internal/controller/reservation/book.go
@@ -7,15 +7,15 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"github.com/zyedidia/generic/interval"
 )
 
 // Name names a reservation or a window.
-type Name = bookkeeping.EntryName
+type Name = record.EntryName
 
 const (
 	// Ahead is how far ahead the calendar is kept: what is promised is checked
@@ -42,8 +42,8 @@
 
 // Entry is a reservation or a window in the book; one of the two is set.
 type Entry struct {
-	*bookkeeping.Reservation
-	*bookkeeping.Window
+	*record.Reservation
+	*record.Window
 	Version protocol.Version // of its record
 	When    When
 
@@ -79,12 +79,12 @@
 
 // Busy is how long a reservation keeps its room at the most: held for its job,
 // then used by it.
-func Busy(s *bookkeeping.ReservationSpec) time.Duration {
+func Busy(s *record.ReservationSpec) time.Duration {
 	return config.Seconds(s.HoldS + s.LengthS)
 }
 
 // PutReservation takes over a record; it takes the place of an earlier one.
-func (b *Book) PutReservation(r bookkeeping.Reservation, v protocol.Version, now Moment) error {
+func (b *Book) PutReservation(r record.Reservation, v protocol.Version, now Moment) error {
 	w, err := ParseWhen(r.Spec.When)
 	if err != nil {
 		return fmt.Errorf("reservation %s: %w", r.Spec.Name, err)
@@ -100,7 +100,7 @@
 }
 
 // PutWindow takes over a record.
-func (b *Book) PutWindow(w bookkeeping.Window, v protocol.Version, now Moment) error {
+func (b *Book) PutWindow(w record.Window, v protocol.Version, now Moment) error {
 	when, err := ParseWhen(w.Spec.When)
 	if err != nil {
 		return fmt.Errorf("window %s: %w", w.Spec.Name, err)
@@ -214,7 +214,7 @@
 	if e.Window != nil {
 		return !e.Cancelled
 	}
-	return e.State != bookkeeping.Cancelled
+	return e.State != record.Cancelled
 }
 
 // Overlapping lists what overlaps a time, in the order of its beginnings.
@@ -243,7 +243,7 @@
 
 // Promised reports whether a reservation is still to be kept.
 func (e *Entry) Promised() bool {
-	return e.State == bookkeeping.Accepted || e.State == bookkeeping.Holding
+	return e.State == record.Accepted || e.State == record.Holding
 }
 
 // Reservation finds a reservation; nil if there is none.
@@ -266,7 +266,7 @@
 func (b *Book) Empty() bool { return len(b.entries[false]) == 0 && len(b.entries[true]) == 0 }
 
 // Covers reports whether a window covers a machine.
-func Covers(s *bookkeeping.WindowSpec, id protocol.MachineID, t protocol.MachineType, z protocol.Zone) bool {
+func Covers(s *record.WindowSpec, id protocol.MachineID, t protocol.MachineType, z protocol.Zone) bool {
 	if len(s.Machines) > 0 {
 		return slices.Contains(s.Machines, id)
 	}
--- a/internal/controller/reservation/book_test.go
+++ b/internal/controller/reservation/book_test.go
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"pgregory.net/rapid"
 )
 
 const noon = Moment(1_770_000_000_000)
 
-func spec(name string, when string, tasks int) *bookkeeping.ReservationSpec {
-	return &bookkeeping.ReservationSpec{
+func spec(name string, when string, tasks int) *record.ReservationSpec {
+	return &record.ReservationSpec{
 		Name: Name(name), Class: name, When: when, HoldS: 600, LengthS: 1200, Tasks: tasks, CPUs: 4, MemoryGB: 1, Priority: "standard",
 	}
 }
@@ -37,10 +37,10 @@
 }
 
 // accept decides on a reservation and puts it into the book if it can be kept.
-func accept(b *Book, s *bookkeeping.ReservationSpec, f *Facts, order uint64) Answer {
+func accept(b *Book, s *record.ReservationSpec, f *Facts, order uint64) Answer {
 	a := b.Reserve(s, f, noon)
 	if a.OK {
-		_ = b.PutReservation(bookkeeping.Reservation{Spec: *s, State: bookkeeping.Accepted, StartMS: a.First[0], Order: order}, 1, noon)
+		_ = b.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: a.First[0], Order: order}, 1, noon)
 	}
 	return a
 }
@@ -73,8 +73,8 @@
 // TestRefused: what can't be kept is refused by the name of what is in the way.
 func TestRefused(t *testing.T) {
 	b := NewBook()
-	_ = b.PutWindow(bookkeeping.Window{Spec: bookkeeping.WindowSpec{Name: "all", When: "daily at 03:50", LengthS: 1200}}, 1, noon)
-	_ = b.PutWindow(bookkeeping.Window{Spec: bookkeeping.WindowSpec{Name: "zone-a", When: "daily at 12:00", LengthS: 600, Zone: "a"}}, 1, noon)
+	_ = b.PutWindow(record.Window{Spec: record.WindowSpec{Name: "all", When: "daily at 03:50", LengthS: 1200}}, 1, noon)
+	_ = b.PutWindow(record.Window{Spec: record.WindowSpec{Name: "zone-a", When: "daily at 12:00", LengthS: 600, Zone: "a"}}, 1, noon)
 	if a := b.Reserve(spec("one", "daily at 04:00", 1), facts(9), noon); a.OK || !slices.Contains(a.InTheWay, "all") {
 		t.Errorf("beside a window of the whole site: %+v", a)
 	}
@@ -111,10 +111,10 @@
 	if a := b.Reserve(more, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
 		t.Errorf("over its team's limit: %+v", a)
 	}
-	if a := b.Close(&bookkeeping.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60}, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
+	if a := b.Close(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60}, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
 		t.Errorf("a window over what is promised: %+v", a)
 	}
-	if a := b.Close(&bookkeeping.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60, Zone: "b"}, facts(0), noon); !a.OK {
+	if a := b.Close(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60, Zone: "b"}, facts(0), noon); !a.OK {
 		t.Errorf("a window that leaves room: %+v", a)
 	}
 }
@@ -136,7 +136,7 @@
 			start -= start % 60_000
 			s := spec(string(n), time.UnixMilli(int64(start)).UTC().Format("2006-01-02 at 15:04"), 1)
 			s.HoldS, s.LengthS = 60, float64(rapid.IntRange(60, 100_000).Draw(t, "length"))
-			if err := b.PutReservation(bookkeeping.Reservation{Spec: *s, State: bookkeeping.Accepted, StartMS: start, Order: uint64(i + 1)}, 1, noon); err != nil {
+			if err := b.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: start, Order: uint64(i + 1)}, 1, noon); err != nil {
 				t.Fatal(err)
 			}
 			all[n] = Occurrence{Name: n, Start: start, End: After(start, Busy(s))}
@@ -166,8 +166,8 @@
 // all that was asked for then.
 func TestCancelledStaysAway(t *testing.T) {
 	b := NewBook()
-	r := bookkeeping.Reservation{Spec: *spec("one", "daily at 04:00", 1), State: bookkeeping.Cancelled, Order: 1}
-	w := bookkeeping.Window{Spec: bookkeeping.WindowSpec{Name: "w", When: "daily at 04:00", LengthS: 60}, Cancelled: true}
+	r := record.Reservation{Spec: *spec("one", "daily at 04:00", 1), State: record.Cancelled, Order: 1}
+	w := record.Window{Spec: record.WindowSpec{Name: "w", When: "daily at 04:00", LengthS: 60}, Cancelled: true}
 	if b.PutReservation(r, 1, noon) != nil || b.PutWindow(w, 1, noon) != nil {
 		t.Fatal("not taken")
 	}
@@ -189,7 +189,7 @@
 	for i := range 1000 {
 		s := spec(fmt.Sprintf("r%04d", i), fmt.Sprintf("daily at %02d:%02d", i%24, i/24%60), 1)
 		s.HoldS, s.LengthS = 60, 60
-		if err := b.PutReservation(bookkeeping.Reservation{Spec: *s, State: bookkeeping.Accepted, Order: uint64(i)}, 1, noon); err != nil {
+		if err := b.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, Order: uint64(i)}, 1, noon); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -214,36 +214,36 @@
 func TestAdvance(t *testing.T) {
 	w, _ := ParseWhen("daily at 04:00")
 	start := w.Occurrences(noon, After(noon, Ahead))[0]
-	r := bookkeeping.Reservation{Spec: *spec("one", "daily at 04:00", 4), State: bookkeeping.Accepted, StartMS: start}
-	step := func(r bookkeeping.Reservation, now Moment, came bool, started int, risk string) bookkeeping.Reservation {
+	r := record.Reservation{Spec: *spec("one", "daily at 04:00", 4), State: record.Accepted, StartMS: start}
+	step := func(r record.Reservation, now Moment, came bool, started int, risk string) record.Reservation {
 		r, _ = Advance(r, w, Seen{Now: now, ClockError: time.Second, Lead: 5 * time.Minute, Came: came, Wanted: 4, Started: started, Risk: risk})
 		return r
 	}
-	if got := step(r, After(start, -6*time.Minute), false, 0, ""); got.State != bookkeeping.Accepted {
+	if got := step(r, After(start, -6*time.Minute), false, 0, ""); got.State != record.Accepted {
 		t.Errorf("long before: %s", got.State)
 	}
 	held := step(r, After(start, -4*time.Minute), false, 0, "no room")
-	if held.State != bookkeeping.Holding || held.Risk == "" || held.RiskMS != After(start, -4*time.Minute) {
+	if held.State != record.Holding || held.Risk == "" || held.RiskMS != After(start, -4*time.Minute) {
 		t.Errorf("near: %+v", held)
 	}
 	if still := step(held, After(start, -time.Minute), false, 0, "less room"); still.RiskMS != held.RiskMS || still.Risk != "less room" {
 		t.Errorf("at risk since %d, want %d", still.RiskMS, held.RiskMS)
 	}
-	if got := step(held, After(start, 9*time.Minute), true, 3, ""); got.State != bookkeeping.Holding || got.Risk != "" {
+	if got := step(held, After(start, 9*time.Minute), true, 3, ""); got.State != record.Holding || got.Risk != "" {
 		t.Errorf("started in part: %+v", got)
 	}
 	for _, tc := range []struct {
 		now   time.Duration
 		came  bool
-		state bookkeeping.ReservationState
+		state record.ReservationState
 		next  time.Duration
-	}{{time.Second, true, bookkeeping.Used, 24 * time.Hour}, {11 * time.Minute, false, bookkeeping.Expired, 24 * time.Hour}, {50 * time.Hour, false, bookkeeping.Expired, 72 * time.Hour}} {
+	}{{time.Second, true, record.Used, 24 * time.Hour}, {11 * time.Minute, false, record.Expired, 24 * time.Hour}, {50 * time.Hour, false, record.Expired, 72 * time.Hour}} {
 		got := step(held, After(start, tc.now), tc.came, 4, "")
-		if got.State != bookkeeping.Accepted || got.StartMS != After(start, tc.next) || len(got.Past) != 1 || got.Past[0].State != tc.state {
+		if got.State != record.Accepted || got.StartMS != After(start, tc.next) || len(got.Past) != 1 || got.Past[0].State != tc.state {
 			t.Errorf("%v after: %+v", tc.now, got)
 		}
 	}
-	if _, changed := Advance(bookkeeping.Reservation{State: bookkeeping.Cancelled, Spec: r.Spec, StartMS: start}, w, Seen{Now: start}); changed {
+	if _, changed := Advance(record.Reservation{State: record.Cancelled, Spec: r.Spec, StartMS: start}, w, Seen{Now: start}); changed {
 		t.Error("cancelled goes on")
 	}
 }
@@ -266,7 +266,7 @@
 		}
 		var dues []Due
 		for i := range rapid.IntRange(1, 3).Draw(t, "dues") {
-			r := &bookkeeping.Reservation{Spec: *spec(fmt.Sprint("r", i), "daily at 04:00", rapid.IntRange(1, 6).Draw(t, "tasks")), Order: uint64(i), StartMS: After(now, time.Duration(rapid.IntRange(1, 90).Draw(t, "in"))*time.Minute)}
+			r := &record.Reservation{Spec: *spec(fmt.Sprint("r", i), "daily at 04:00", rapid.IntRange(1, 6).Draw(t, "tasks")), Order: uint64(i), StartMS: After(now, time.Duration(rapid.IntRange(1, 90).Draw(t, "in"))*time.Minute)}
 			dues = append(dues, Due{Reservation: r, Left: r.Spec.Tasks, Clear: After(r.StartMS, -2*time.Minute)})
 		}
 		usable := func(*Machine, *Due) bool { return true }
@@ -348,7 +348,7 @@
 // the time the keepers heard of that, both had been filled by others.
 func TestHeldStaysHeld(t *testing.T) {
 	info := facts(0).Types["m8"]
-	r := &bookkeeping.Reservation{Spec: *spec("one", "daily at 04:00", 4), StartMS: After(noon, 10*time.Second)}
+	r := &record.Reservation{Spec: *spec("one", "daily at 04:00", 4), StartMS: After(noon, 10*time.Second)}
 	due := Due{Reservation: r, Left: 4, Clear: After(noon, -time.Minute)}
 	half := Machine{ID: "vm-half", Info: info, Zone: "a", Runs: []Run{{Ends: noon + 1e7, Need: resource.Amount{CPUs: 4}, Level: 1}}}
 	large := info
--- a/internal/controller/reservation/check.go
+++ b/internal/controller/reservation/check.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,59}$`)
@@ -32,7 +32,7 @@
 
 // CheckReservation checks what does not depend on anything else; its errors
 // name the field.
-func CheckReservation(s *bookkeeping.ReservationSpec) error {
+func CheckReservation(s *record.ReservationSpec) error {
 	w, err := ParseWhen(s.When)
 	switch {
 	case !nameForm.MatchString(string(s.Name)):
@@ -64,7 +64,7 @@
 }
 
 // CheckWindow checks what does not depend on anything else.
-func CheckWindow(s *bookkeeping.WindowSpec) error {
+func CheckWindow(s *record.WindowSpec) error {
 	switch _, err := ParseWhen(s.When); {
 	case !nameForm.MatchString(string(s.Name)):
 		return fmt.Errorf("name: %q is not of 1 to 60 lower-case letters, digits, dots and dashes", s.Name)
@@ -80,7 +80,7 @@
 
 // Matches reports whether a job is one that a reservation's present occurrence
 // is for. One of its class may come a little earlier.
-func Matches(r *bookkeeping.Reservation, j *protocol.Job) bool {
+func Matches(r *record.Reservation, j *protocol.Job) bool {
 	if r.Spec.Job != "" {
 		return r.Spec.Job == j.ID && (r.Spec.Team == "" || r.Spec.Team == j.Team)
 	}
@@ -94,17 +94,17 @@
 const earliest = 30 * time.Minute
 
 // Size is what each task of a reservation takes.
-func Size(s *bookkeeping.ReservationSpec) resource.Amount {
+func Size(s *record.ReservationSpec) resource.Amount {
 	return resource.Amount{CPUs: s.CPUs, GPUs: s.GPUs, GB: s.MemoryGB}
 }
 
 // Fits reports whether a task of a reservation fits an ordinary machine of a type
 // in a zone that it allows.
-func Fits(s *bookkeeping.ReservationSpec, t protocol.TypeInfo, z protocol.Zone) bool {
+func Fits(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone) bool {
 	return Allows(s, t, z, false) && resource.Capacity(t).Covers(Size(s))
 }
 
 // Allows reports whether a reservation may hold room on a kind of machine.
-func Allows(s *bookkeeping.ReservationSpec, t protocol.TypeInfo, z protocol.Zone, spot bool) bool {
+func Allows(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && (s.Zone == "" || s.Zone == z) && (s.Spot || !spot)
 }
--- a/internal/controller/reservation/decide.go
+++ b/internal/controller/reservation/decide.go
@@ -9,11 +9,11 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/autoscaler"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Facts is what a decision knows of the site.
@@ -47,7 +47,7 @@
 
 // Reserve decides whether a reservation can be kept beside everything that is
 // promised already.
-func (b *Book) Reserve(s *bookkeeping.ReservationSpec, f *Facts, now Moment) Answer {
+func (b *Book) Reserve(s *record.ReservationSpec, f *Facts, now Moment) Answer {
 	fits := false
 	for _, t := range f.Types {
 		for _, z := range t.AllowZones {
@@ -95,7 +95,7 @@
 func clockTime(m Moment) string { return time.UnixMilli(int64(m)).UTC().Format("2006-01-02 15:04 MST") }
 
 // promise says what a reservation gets.
-func promise(s *bookkeeping.ReservationSpec, f *Facts) string {
+func promise(s *record.ReservationSpec, f *Facts) string {
 	if len(f.Most) == 0 {
 		return fmt.Sprintf("room for %d tasks; what is not there is rented, as the cloud does not say how much it has", s.Tasks)
 	}
@@ -180,7 +180,7 @@
 
 // fit tries to house a reservation beside those active at the same time.
 // Reservations accepted earlier go first.
-func (b *Book) fit(s *bookkeeping.ReservationSpec, active []Occurrence, f *Facts) Answer {
+func (b *Book) fit(s *record.ReservationSpec, active []Occurrence, f *Facts) Answer {
 	windows, others := b.entriesOf(active)
 	if a := withinTeam(s, others, f); !a.OK {
 		return a
@@ -206,7 +206,7 @@
 }
 
 // overlapTypes reports whether two reservations could want the same machines.
-func overlapTypes(a, b *bookkeeping.ReservationSpec) bool {
+func overlapTypes(a, b *record.ReservationSpec) bool {
 	if a.Zone != "" && b.Zone != "" && a.Zone != b.Zone {
 		return false
 	}
@@ -215,7 +215,7 @@
 
 // withinTeam checks the team's limit: what a team is promised for the same time
 // has to stay within it.
-func withinTeam(s *bookkeeping.ReservationSpec, others []*Entry, f *Facts) Answer {
+func withinTeam(s *record.ReservationSpec, others []*Entry, f *Facts) Answer {
 	team, ok := f.Team(s.Team)
 	if !ok || !team.Limited() {
 		return Answer{OK: true}
@@ -269,7 +269,7 @@
 }
 
 // workOf is a reservation's tasks as a plan reckons with them.
-func workOf(s *bookkeeping.ReservationSpec) autoscaler.Work {
+func workOf(s *record.ReservationSpec) autoscaler.Work {
 	return autoscaler.Work{
 		Need: Size(s), Level: resource.LevelOf(s.Priority, false), OneZone: s.OneZone && s.Zone == "",
 		Allows: func(t protocol.TypeInfo, z protocol.Zone, spot bool) bool { return Allows(s, t, z, spot) },
@@ -277,7 +277,7 @@
 }
 
 // Close decides whether a window leaves room for everything that is promised.
-func (b *Book) Close(s *bookkeeping.WindowSpec, f *Facts, now Moment) Answer {
+func (b *Book) Close(s *record.WindowSpec, f *Facts, now Moment) Answer {
 	if s.Type != "" {
 		if _, ok := f.Types[s.Type]; !ok {
 			return refused(nil, "the catalogue has no type %s", s.Type)
@@ -287,7 +287,7 @@
 	if err != nil {
 		return refused(nil, "%v", err)
 	}
-	trial := &Entry{Window: &bookkeeping.Window{Spec: *s}}
+	trial := &Entry{Window: &record.Window{Spec: *s}}
 	beside := map[Name]bool{}
 	for m, active := range b.neighbours(times, config.Seconds(s.LengthS), "", beside) {
 		if names := b.broken(trial, active, f); len(names) > 0 {
--- a/internal/controller/reservation/hold.go
+++ b/internal/controller/reservation/hold.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Run is work that a machine does, or has in its queue.
@@ -36,7 +36,7 @@
 
 // Due is an occurrence of a reservation that room is held for.
 type Due struct {
-	*bookkeeping.Reservation
+	*record.Reservation
 	Left int // of its tasks, not started yet
 	// Clear is from when on the room has to be free of what can't be stopped for
 	// it: as long before its time as another machine takes to come.
--- a/internal/controller/reservation/state.go
+++ b/internal/controller/reservation/state.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/record"
 )
 
 // Seen is what is known of a reservation's present occurrence.
@@ -32,25 +32,25 @@
 //
 // One that was not seen in time, as nobody could act, goes through the same
 // states late. Cancelled is not left any more.
-func Advance(r bookkeeping.Reservation, w When, s Seen) (bookkeeping.Reservation, bool) {
+func Advance(r record.Reservation, w When, s Seen) (record.Reservation, bool) {
 	changed := false
-	to := func(state bookkeeping.ReservationState) {
+	to := func(state record.ReservationState) {
 		r.State, changed = state, true
 	}
-	if r.State == bookkeeping.Accepted && s.Now >= After(r.StartMS, -s.Lead) {
-		to(bookkeeping.Holding)
+	if r.State == record.Accepted && s.Now >= After(r.StartMS, -s.Lead) {
+		to(record.Holding)
 	}
-	if r.State == bookkeeping.Holding {
+	if r.State == record.Holding {
 		over := s.Now >= After(afterS(r.StartMS, r.Spec.HoldS), s.ClockError)
 		late := s.Now >= After(r.StartMS, Busy(&r.Spec))
 		switch {
 		case s.Came && s.Started >= s.Wanted:
-			to(bookkeeping.Used)
+			to(record.Used)
 		case over && !s.Came, late:
-			to(bookkeeping.Expired)
+			to(record.Expired)
 		}
 	}
-	if s.Risk != r.Risk && (r.State == bookkeeping.Holding || r.State == bookkeeping.Accepted) {
+	if s.Risk != r.Risk && (r.State == record.Holding || r.State == record.Accepted) {
 		if (s.Risk == "") != (r.Risk == "") {
 			r.RiskMS = s.Now
 		}
@@ -58,14 +58,14 @@
 			r.RiskMS = 0
 		}
 	}
-	if (r.State == bookkeeping.Used || r.State == bookkeeping.Expired) && w.Recurs() {
+	if (r.State == record.Used || r.State == record.Expired) && w.Recurs() {
 		// The next one that can still be met: several may have passed unseen.
 		for _, next := range w.Occurrences(r.StartMS+1, After(s.Now, Ahead)) {
 			if afterS(next, r.Spec.HoldS) <= s.Now {
 				continue
 			}
-			r.Past = append(r.Past[max(0, len(r.Past)-pastMost+1):], bookkeeping.Outcome{StartMS: r.StartMS, State: r.State, EndMS: s.Now, Risk: r.Risk})
-			r.State, r.StartMS, r.Risk, r.RiskMS = bookkeeping.Accepted, next, "", 0
+			r.Past = append(r.Past[max(0, len(r.Past)-pastMost+1):], record.Outcome{StartMS: r.StartMS, State: r.State, EndMS: s.Now, Risk: r.Risk})
+			r.State, r.StartMS, r.Risk, r.RiskMS = record.Accepted, next, "", 0
 			changed = true
 			break
 		}
--- a/internal/controller/reservation/when.go
+++ b/internal/controller/reservation/when.go
@@ -11,7 +11,7 @@
 	"time"
 	_ "time/tzdata" // a controller's machine may have no time zones of its own
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/record"
 
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
@@ -19,7 +19,7 @@
 )
 
 // Moment is a time of day.
-type Moment = bookkeeping.Moment
+type Moment = record.Moment
 
 // After is so much later than a moment.
 func After(m Moment, d time.Duration) Moment { return m + Moment(d/time.Millisecond) }
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // reservationState is what a controller reckons of the calendar as an owner, and as the
@@ -57,23 +57,23 @@
 }
 
 // calendarRecord takes over a record of the calendar.
-func (c *Core) calendarRecord(f bookkeeping.Followed, value protocol.RawValue, version protocol.Version) (err error) {
+func (c *Core) calendarRecord(f record.Followed, value protocol.RawValue, version protocol.Version) (err error) {
 	pr := &c.reservations
 	switch {
 	case f.Calendar:
-		var r bookkeeping.Calendar
+		var r record.Calendar
 		err = protocol.Decode(value, &r)
 		pr.Version, pr.Changes = version, r.Changes
 	case f.Reservation != "":
-		var r bookkeeping.Reservation
+		var r record.Reservation
 		if err = protocol.Decode(value, &r); err == nil {
 			err = pr.Book.PutReservation(r, version, c.Moment())
-			if r.State != bookkeeping.Accepted && r.State != bookkeeping.Holding {
+			if r.State != record.Accepted && r.State != record.Holding {
 				c.unhold(r.Spec.Name)
 			}
 		}
 	case f.Window != "":
-		var w bookkeeping.Window
+		var w record.Window
 		if err = protocol.Decode(value, &w); err == nil {
 			err = pr.Book.PutWindow(w, version, c.Moment())
 		}
@@ -83,7 +83,7 @@
 }
 
 // calendarGone takes over that a record was deleted.
-func (c *Core) calendarGone(f bookkeeping.Followed) {
+func (c *Core) calendarGone(f record.Followed) {
 	if f.Reservation != "" {
 		c.reservations.Book.Drop(false, f.Reservation)
 		c.unhold(f.Reservation)
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -4,11 +4,11 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // wall is the time of day when these tests begin.
@@ -42,8 +42,8 @@
 	return reply
 }
 
-func reserve(name, when string, tasks int) *bookkeeping.ReservationSpec {
-	return &bookkeeping.ReservationSpec{
+func reserve(name, when string, tasks int) *record.ReservationSpec {
+	return &record.ReservationSpec{
 		Name: reservation.Name(name), Class: name, When: when, HoldS: 600, LengthS: 600, Tasks: tasks, CPUs: 2, MemoryGB: 1, Priority: "standard",
 	}
 }
@@ -56,14 +56,14 @@
 	add := operatorapi.Request{Op: operatorapi.OpAdd, ID: "1", Reservation: reserve("one", b.in(time.Hour), 2)}
 	dry := add
 	dry.DryRun = true
-	if reply, txn := b.operate(dry); reply.Code != operatorapi.Done || txn != nil || reply.Reservations[0].State != bookkeeping.Proposed {
+	if reply, txn := b.operate(dry); reply.Code != operatorapi.Done || txn != nil || reply.Reservations[0].State != record.Proposed {
 		t.Fatalf("dry run: %+v, %v", reply, txn)
 	}
 	_, stale := b.operate(operatorapi.Request{Op: operatorapi.OpAdd, ID: "2", Reservation: reserve("two", b.in(time.Hour), 2)})
 	if reply := b.do(add); reply.Code != operatorapi.Done {
 		t.Fatalf("%+v", reply)
 	}
-	if stale.If[0].Key != bookkeeping.CalendarKey || stale.If[0].Version == b.c.reservations.Version {
+	if stale.If[0].Key != record.CalendarKey || stale.If[0].Version == b.c.reservations.Version {
 		t.Error("decided before the first was accepted, and not conditional on that")
 	}
 	if reply, txn := b.operate(add); reply.Code != operatorapi.Done || txn != nil || len(reply.Reservations) != 1 {
@@ -82,7 +82,7 @@
 			t.Errorf("cancel: %+v", reply)
 		}
 	}
-	if b.c.reservations.Book.Reservation("one").State != bookkeeping.Cancelled || len(b.c.reservations.Book.Overlapping(0, 1<<41)) != 0 {
+	if b.c.reservations.Book.Reservation("one").State != record.Cancelled || len(b.c.reservations.Book.Overlapping(0, 1<<41)) != 0 {
 		t.Error("not cancelled")
 	}
 }
@@ -93,7 +93,7 @@
 	b := promising(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 1) // of 10 s
-	b.do(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "w", Spec: &bookkeeping.WindowSpec{Name: "w", When: b.in(20 * time.Second), LengthS: 600, Zone: "a"}})
+	b.do(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "w", Spec: &record.WindowSpec{Name: "w", When: b.in(20 * time.Second), LengthS: 600, Zone: "a"}})
 	task := protocol.TaskID{Job: "job-1"}
 	e := b.kept("vm-1", task)
 	if e.Attempt == 0 {
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -7,10 +7,14 @@
 	"sync/atomic"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/serviceclient"
+
+	"damsonkeel/internal/kvstore"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // sessions keeps this controller a member: session after session, each as
@@ -39,21 +43,21 @@
 	}
 	ttl := n.op.NodeLease
 	sent := n.now()
-	lease, err := n.state.Lease(ctx, ttl)
+	lease, err := n.state.GrantLease(ctx, ttl)
 	if err != nil {
 		return fmt.Errorf("lease: %w", err)
 	}
-	key := bookkeeping.NodeKey(n.settings.Name)
+	key := record.NodeKey(n.settings.Name)
 	var have protocol.Version
 	for _, it := range items {
 		if it.Key == key {
 			have = it.Version
 		}
 	}
-	_, err = n.state.Txn(ctx, protocol.Txn{
+	_, err = n.state.CompareAndSwap(ctx, protocol.Txn{
 		If:   []protocol.Condition{{Key: key, Version: have}},
-		Then: []protocol.Change{{Put: key, Value: bookkeeping.Node{Session: lease, Layout: n.layout()}, Lease: &lease}},
-	}, bookkeeping.First)
+		Then: []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout()}, Lease: &lease}},
+	}, kvstore.First)
 	if err != nil {
 		return fmt.Errorf("enter: %w", err)
 	}
@@ -69,22 +73,22 @@
 }
 
 // layout is the latest layout of machines' records that this controller uses.
-func (n *Node) layout() bookkeeping.Layout {
+func (n *Node) layout() record.Layout {
 	switch {
 	case n.op.SingleRecords:
-		return bookkeeping.LayoutSingle
+		return record.LayoutSingle
 	case n.op.NoShares:
-		return bookkeeping.LayoutBlocks
+		return record.LayoutBlocks
 	case !n.op.Configurable():
-		return bookkeeping.LayoutShares
+		return record.LayoutShares
 	}
-	return bookkeeping.LayoutConfiguration
+	return record.LayoutConfiguration
 }
 
 func (n *Node) readRecords(ctx context.Context) ([]protocol.Item, protocol.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
-	return n.state.List(ctx, bookkeeping.FollowedPrefix)
+	return n.state.List(ctx, record.FollowedPrefix)
 }
 
 // leaseClock reckons until when a session may act.
@@ -122,7 +126,7 @@
 		case <-time.After(every):
 		}
 		sent := n.now()
-		err := n.state.Extend(ctx, lease)
+		err := n.state.KeepAlive(ctx, lease)
 		switch {
 		case err == nil:
 			if refused {
@@ -131,7 +135,7 @@
 			refused, every = false, l.ttl/5
 			l.extended.Store(int64(sent))
 			n.post(message.Entitled{Until: l.until()})
-		case errors.Is(err, bookkeeping.ErrNotFound):
+		case errors.Is(err, serviceclient.ErrNotFound):
 			return fmt.Errorf("session %d: lease lost", lease)
 		default:
 			if !refused {
@@ -147,9 +151,9 @@
 	hold := min(followHold, l.ttl) // a short lease needs the watch to prove itself more often
 	for ctx.Err() == nil {
 		opened := n.now()
-		ev, err := n.state.Follow(ctx, bookkeeping.FollowedPrefix, from, hold)
+		ev, err := n.state.Watch(ctx, record.FollowedPrefix, from, hold)
 		switch {
-		case errors.Is(err, bookkeeping.ErrCompacted):
+		case errors.Is(err, serviceclient.ErrCompacted):
 			return fmt.Errorf("watch from %d: %w", from, err)
 		case err != nil:
 			if ctx.Err() == nil {
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -10,7 +10,8 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/kvstore"
+
 	"damsonkeel/internal/protocol"
 )
 
@@ -39,7 +40,7 @@
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 
-	n := &Node{log: slog.New(slog.DiscardHandler), start: time.Now(), state: bookkeeping.NewState(listener.Addr().String(), 1000, 1000, 1)}
+	n := &Node{log: slog.New(slog.DiscardHandler), start: time.Now(), state: kvstore.NewClient(listener.Addr().String(), 1000, 1000, 1)}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*heldBack)
 	defer cancel()
 	l := &leaseClock{ttl: 8 * time.Second}
--- a/internal/controller/sharding/assign.go
+++ b/internal/controller/sharding/assign.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Member is a controller that may keep shares.
@@ -23,7 +23,7 @@
 
 // assignment is who keeps what while it is reckoned.
 type assignment struct {
-	*bookkeeping.Shares
+	*record.Shares
 	load    []float64 // of each share
 	largest float64
 	members []Member // in order of their names
@@ -33,7 +33,7 @@
 	order   []ID  // shares that change hands, in the order in which they should
 }
 
-func newAssignment(s *bookkeeping.Shares, load []float64, members []Member) *assignment {
+func newAssignment(s *record.Shares, load []float64, members []Member) *assignment {
 	a := &assignment{Shares: s, load: load, members: slices.Clone(members), holder: make([]int, len(s.List))}
 	slices.SortFunc(a.members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
 	a.due, a.has = make([]float64, len(a.members)), make([]float64, len(a.members))
@@ -204,7 +204,7 @@
 
 // Orphans lists who takes over the shares whose holders are no members, or are to
 // keep nothing; all others stay where they are.
-func Orphans(s *bookkeeping.Shares, load []float64, members []Member) []Move {
+func Orphans(s *record.Shares, load []float64, members []Member) []Move {
 	a := newAssignment(s, load, members)
 	a.settle()
 	return a.changes()
@@ -212,7 +212,7 @@
 
 // Wanted lists the shares that should be elsewhere, and where, in the order in which
 // they should move: after the first few have, the rest is wanted still.
-func Wanted(s *bookkeeping.Shares, load []float64, members []Member) []Move {
+func Wanted(s *record.Shares, load []float64, members []Member) []Move {
 	a := newAssignment(s, load, members)
 	a.settle()
 	a.even()
@@ -231,7 +231,7 @@
 
 // Loads reckons the load of each share from the machines of each zone: alike in a
 // zone, since machines are spread over its shares by chance.
-func Loads(s *bookkeeping.Shares, machines map[protocol.Zone]int) []float64 {
+func Loads(s *record.Shares, machines map[protocol.Zone]int) []float64 {
 	load := make([]float64, len(s.List))
 	for id := range load {
 		load[id] = 1 + float64(machines[ZoneOf(s, ID(id))])/float64(s.Slots)
--- a/internal/controller/sharding/balance.go
+++ b/internal/controller/sharding/balance.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Seen is what is known of a member that may keep shares.
@@ -73,7 +73,7 @@
 }
 
 // Step lists the shares that are to begin to move now.
-func (b *Balancer) Step(now clock.Time, s *bookkeeping.Shares, load []float64, seen []Seen) []Move {
+func (b *Balancer) Step(now clock.Time, s *record.Shares, load []float64, seen []Seen) []Move {
 	leaving, away := b.weigh(now, seen), b.underWay(now, s)
 	if away > 0 && !leaving || now < b.restTil && !leaving {
 		return nil
@@ -122,7 +122,7 @@
 
 // underWay forgets the moves that have come about, or did not in time, and counts
 // the rest.
-func (b *Balancer) underWay(now clock.Time, s *bookkeeping.Shares) (n int) {
+func (b *Balancer) underWay(now clock.Time, s *record.Shares) (n int) {
 	if b.moving == nil {
 		b.moving = map[ID]moving{}
 	}
--- a/internal/controller/sharding/sharding_test.go
+++ b/internal/controller/sharding/sharding_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/fixedseed"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"pgregory.net/rapid"
 )
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
 // draw is a site with a record of its shares, kept by anybody, some by nobody.
-func draw(t *rapid.T) (*bookkeeping.Shares, []float64, []Member) {
+func draw(t *rapid.T) (*record.Shares, []float64, []Member) {
 	zones := []protocol.Zone{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "zones")]
 	s := First(zones)
 	machines := map[protocol.Zone]int{}
@@ -94,7 +94,7 @@
 			}
 		}
 		b, err := protocol.Encode(*s)
-		var read bookkeeping.Shares
+		var read record.Shares
 		if err != nil || protocol.Decode(b, &read) != nil || read.Epoch != s.Epoch || fmt.Sprint(read.List) != fmt.Sprint(s.List) {
 			t.Fatalf("read %+v, %v", read, err)
 		}
@@ -122,7 +122,7 @@
 }
 
 // play lets the balancer decide each second, and moves come about at once.
-func play(b *Balancer, s *bookkeeping.Shares, seconds int, seen func(second int) []Seen) (moves int) {
+func play(b *Balancer, s *record.Shares, seconds int, seen func(second int) []Seen) (moves int) {
 	load := Loads(s, map[protocol.Zone]int{"a": 1300})
 	for i := range seconds {
 		for _, m := range b.Step(clock.Time(i+1)*clock.Time(time.Second), s, load, seen(i)) {
@@ -133,7 +133,7 @@
 	return moves
 }
 
-func kept(s *bookkeeping.Shares, session protocol.LeaseID) (n int) {
+func kept(s *record.Shares, session protocol.LeaseID) (n int) {
 	for _, st := range s.List {
 		if st.Holder == session {
 			n++
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -1,19 +1,19 @@
 package controller
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 
 	"github.com/bits-and-blooms/bitset"
 )
 
 // adoptJobs goes over to a new view: jobs owned without a break are kept, with
 // what changed hands made uncertain; others are taken over or let go.
-func (c *Core) adoptJobs(old bookkeeping.View, keeps bool) {
+func (c *Core) adoptJobs(old record.View, keeps bool) {
 	before := c.owner.jobs
 	c.owner.jobs = map[protocol.JobID]*ownedJob{}
 	c.owner.sorted = nil
@@ -78,8 +78,8 @@
 
 // changedKeeper reports whether a machine is kept by another controller, or
 // another session of the same, than by an earlier view.
-func (c *Core) changedKeeper(old bookkeeping.View, id protocol.MachineID) bool {
-	if old.Layout >= bookkeeping.LayoutShares && c.Sharing() {
+func (c *Core) changedKeeper(old record.View, id protocol.MachineID) bool {
+	if old.Layout >= record.LayoutShares && c.Sharing() {
 		return false // the record of the shares has told: see sharesMoved
 	}
 	keeper := c.Keeper(id)
@@ -98,13 +98,13 @@
 	o.reread = false
 	clear(o.stored)
 	for _, it := range m.Chunks {
-		if chunk, ok := bookkeeping.ChunkNumber(it.Key); ok {
+		if chunk, ok := record.ChunkNumber(it.Key); ok {
 			o.stored[chunk] = it.Version
 		}
-		var b bookkeeping.Bits
+		var b record.Bits
 		err := protocol.Decode(it.Value, &b)
 		if err == nil {
-			err = bookkeeping.DecodeChunk(it.Key, b, o.done, o.Tasks)
+			err = record.DecodeChunk(it.Key, b, o.done, o.Tasks)
 		}
 		if err != nil {
 			c.Log.Error("bitmap can't be read", "job", m.Job, "err", err)
@@ -249,12 +249,12 @@
 // tellDone tells a job's next owner what was done here and is not written yet. Its
 // workers have been told to forget it: else it would be done again.
 func (c *Core) tellDone(o *ownedJob) {
-	d := message.DoneTasks{Job: o.ID, Chunks: map[int]bookkeeping.Bits{}}
+	d := message.DoneTasks{Job: o.ID, Chunks: map[int]record.Bits{}}
 	for chunk := range o.dirty {
-		d.Chunks[chunk] = bookkeeping.EncodeChunk(o.done, chunk)
+		d.Chunks[chunk] = record.EncodeChunk(o.done, chunk)
 	}
 	for _, chunk := range o.underWay {
-		d.Chunks[chunk] = bookkeeping.EncodeChunk(o.done, chunk)
+		d.Chunks[chunk] = record.EncodeChunk(o.done, chunk)
 	}
 	if len(d.Chunks) > 0 {
 		c.Send(c.OwnerOf(o.LiveJob), message.PeerMessage{Done: &d})
@@ -269,7 +269,7 @@
 	}
 	seen := bitset.New(uint(o.Tasks))
 	for chunk, b := range ordered.Of(d.Chunks) {
-		if err := bookkeeping.DecodeChunk(bookkeeping.BitsKey(d.Job, chunk), b, seen, o.Tasks); err != nil {
+		if err := record.DecodeChunk(record.BitsKey(d.Job, chunk), b, seen, o.Tasks); err != nil {
 			c.Log.Error("bitmap of a peer can't be read", "job", d.Job, "err", err)
 		}
 	}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // inventory plays the proof of all that is on a machine.
@@ -196,13 +196,13 @@
 			job := protocol.JobID("job-" + string(rune('1'+i)))
 			b.job(job, team, 4)
 			if i == 0 {
-				b.step(message.Changed{Event: protocol.Event{Delete: bookkeeping.LiveKey(job), Version: 90}})
+				b.step(message.Changed{Event: protocol.Event{Delete: record.LiveKey(job), Version: 90}})
 				clear(b.c.owner.leaving)
 				b.step(message.Tick{})
 			}
 		}
 		end := func() {
-			b.step(message.Changed{Event: protocol.Event{Delete: bookkeeping.LiveKey("job-2"), Version: 91}})
+			b.step(message.Changed{Event: protocol.Event{Delete: record.LiveKey("job-2"), Version: 91}})
 		}
 		if over == "before the view" {
 			end()
@@ -245,7 +245,7 @@
 			team := b.limited(4)
 			b.machine(id, 1)
 			b.job("job-1", team, 4)
-			b.step(message.Changed{Event: protocol.Event{Delete: bookkeeping.LiveKey("job-1"), Version: 90}})
+			b.step(message.Changed{Event: protocol.Event{Delete: record.LiveKey("job-1"), Version: 90}})
 			if takenOver {
 				clear(b.c.owner.leaving)
 				b.c.owner.unsure[team], b.c.owner.pending[id] = true, true
@@ -276,7 +276,7 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 3)
-	key := bookkeeping.BitsKey("job-1", 0)
+	key := record.BitsKey("job-1", 0)
 	type write struct {
 		commit  *message.Commit
 		version protocol.Version
@@ -301,7 +301,7 @@
 					return w, reads
 				case message.LoadBits:
 					reads = true
-					b.step(message.JobLoaded{Job: "job-1", OK: true, Chunks: []protocol.Item{{Key: key, Version: 77, Value: encoded(t, bookkeeping.EncodeChunk(b.c.owner.jobs["job-1"].done, 0))}}})
+					b.step(message.JobLoaded{Job: "job-1", OK: true, Chunks: []protocol.Item{{Key: key, Version: 77, Value: encoded(t, record.EncodeChunk(b.c.owner.jobs["job-1"].done, 0))}}})
 				}
 			}
 		}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -1,17 +1,17 @@
 package controller
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // adopt takes over a new view. Work whose keeper and owner sessions are the
 // same in both views goes on; everything else is unknown until proven. A
 // controller that missed a view in between trusts nothing it knew before,
 // since others may have acted on the one it missed.
-func (c *Core) adopt(v bookkeeping.View, version protocol.Version) {
+func (c *Core) adopt(v record.View, version protocol.Version) {
 	old := c.View
 	consecutive := old.Term != 0 && v.Term == old.Term+1
 	wasMember := c.Member()
@@ -38,7 +38,7 @@
 	c.fleet.adopted(c.Now)
 }
 
-func (c *Core) adoptPeers(v bookkeeping.View) {
+func (c *Core) adoptPeers(v record.View) {
 	replaced := map[protocol.NodeName]bool{}
 	for name, p := range c.peers {
 		replaced[name] = v.Members[name] != p.session
@@ -96,7 +96,7 @@
 
 // adoptShares takes over a new record of the shares. Owners are sure of nothing that
 // was placed through a share's holder before; nobody else notices.
-func (c *Core) adoptShares(s *bookkeeping.Shares, version protocol.Version) {
+func (c *Core) adoptShares(s *record.Shares, version protocol.Version) {
 	old := c.Shares
 	was := c.Sharing()
 	c.members.AdoptShares(s, version)
--- a/internal/controller/workerregistry/workerregistry.go
+++ b/internal/controller/workerregistry/workerregistry.go
@@ -5,13 +5,13 @@
 import (
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/recordblock"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Registrar keeps the records of machines: the blocks as they are, and, where this
@@ -97,7 +97,7 @@
 	limits := recordblock.LimitsOf(g.Settings.Site.State.ValueKB, g.Settings.Site.State.TxnOps)
 	txn := protocol.Txn{If: []protocol.Condition{g.InThisView()}}
 	dropSingle := func(id protocol.MachineID, version protocol.Version) {
-		key := bookkeeping.MachineKey(id)
+		key := record.MachineKey(id)
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: version})
 		txn.Then = append(txn.Then, protocol.Change{Delete: key})
 	}
@@ -131,12 +131,12 @@
 	limits.Ops -= len(txn.Then)
 	tag.writes = g.shelf.Pack(changes, busy, limits)
 	for _, w := range tag.writes {
-		key := bookkeeping.BlockKey(w.Block)
+		key := record.BlockKey(w.Block)
 		txn.If = append(txn.If, protocol.Condition{Key: key, Version: w.Version})
 		if len(w.Entries) == 0 {
 			txn.Then = append(txn.Then, protocol.Change{Delete: key})
 		} else {
-			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: bookkeeping.Block{Machines: w.Entries}})
+			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: record.Block{Machines: w.Entries}})
 		}
 		p.writing[w.Block] = g.Now
 		for _, ch := range w.Changes {
@@ -152,7 +152,7 @@
 		return
 	}
 	if byTenure {
-		txn.If = append(txn.If, protocol.Condition{Key: bookkeeping.SharesKey, Version: g.SharesVersion})
+		txn.If = append(txn.If, protocol.Condition{Key: record.SharesKey, Version: g.SharesVersion})
 	}
 	p.busy = true
 	g.Do(message.Commit{Tag: tag, Txn: txn})
@@ -183,7 +183,7 @@
 		// Each stamp is above all before, and above the versions of records of
 		// the other layout: terms are above 0, revisions far below 2^32.
 		g.pen.stamps++
-		ch.Entry = &bookkeeping.BlockEntry{ID: id, Epoch: protocol.Version(uint64(g.View.Term)<<32 | g.pen.stamps), Machine: *r.To}
+		ch.Entry = &record.BlockEntry{ID: id, Epoch: protocol.Version(uint64(g.View.Term)<<32 | g.pen.stamps), Machine: *r.To}
 	}
 	return ch, m != nil || r.To != nil
 }
@@ -207,7 +207,7 @@
 
 // BlockSeen takes over a block's record, and returns the machines whose records
 // have changed by that, and those whose records have gone.
-func (g *Registrar) BlockSeen(name string, b bookkeeping.Block, version protocol.Version) (changed []bookkeeping.BlockEntry, gone []protocol.MachineID) {
+func (g *Registrar) BlockSeen(name string, b record.Block, version protocol.Version) (changed []record.BlockEntry, gone []protocol.MachineID) {
 	delete(g.pen.writing, name)
 	return g.shelf.Set(name, version, b.Machines)
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -16,7 +16,7 @@
 	next    int
 }
 
-// NewCloud makes a cloud that has so many machines to rent.
+// NewClient makes a cloud that has so many machines to rent.
 func NewCloud(capacity int) *Cloud {
 	return &Cloud{Machines: map[protocol.MachineID]protocol.RentRequest{}, Capacity: capacity, answers: map[string][]protocol.MachineID{}}
 }
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -33,7 +33,7 @@
 	ttl, ends time.Duration
 }
 
-// NewState makes an empty service.
+// NewClient makes an empty service.
 func NewState() *State {
 	return &State{items: map[string]item{}, leases: map[protocol.LeaseID]lease{}}
 }
--- a/internal/bookkeeping/state.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,7 @@
-// Package bookkeeping speaks to the platform's services: the state service,
-// which is the only thing that outlives a process, and the cloud.
-package bookkeeping
+// Package kvstore is a client of the consensus-backed key-value store, which is the
+// only thing that outlives a process: reads, compare-and-swap, leases and watches,
+// all within this controller's allotment of the request rates.
+package kvstore
 
 import (
 	"context"
@@ -11,32 +12,19 @@
 	"sync"
 	"time"
 
+	"damsonkeel/internal/serviceclient"
+
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 
 	"golang.org/x/time/rate"
 )
 
-// Errors that callers tell apart. Anything else is a request that may have
-// been executed, or may still be.
-var (
-	// ErrRefused: the request was not executed (503, 429, out of budget).
-	ErrRefused = errors.New("not executed")
-	// ErrConflict: a condition of the transaction does not hold.
-	ErrConflict = errors.New("condition does not hold")
-	// ErrNotFound: the key or lease does not exist.
-	ErrNotFound = errors.New("not found")
-	// ErrCompacted: the watch asked for changes no longer kept.
-	ErrCompacted = errors.New("changes no longer kept")
-	// ErrMalformed: the service calls the request malformed.
-	ErrMalformed = errors.New("called malformed")
-)
-
 const callTimeout = 1500 * time.Millisecond
 
-// State is a client of the state service that keeps to this controller's
+// Client is a client of the state service that keeps to this controller's
 // share of its rates.
-type State struct {
+type Client struct {
 	client *transport.Client
 	follow *transport.Client
 	opens  *rate.Limiter // watches opened
@@ -44,27 +32,27 @@
 	mu     sync.Mutex
 	reads  *rate.Limiter // all requests
 	writes *rate.Limiter // puts and deletes
-	own    Share         // what is left when loans are over
+	own    RateAllotment // what is left when loans are over
 	until  time.Time     // when the first of them is; zero: there are none
-	asked  Share         // since last told
+	asked  RateAllotment // since last told
 }
 
-// Share is a part of the service's rates: requests and changes a second.
-type Share struct{ Requests, Writes float64 }
+// RateAllotment is a part of the service's rates: requests and changes a second.
+type RateAllotment struct{ Requests, Writes float64 }
 
-// EqualShare is each controller's part of the rates before anything is lent: a
+// EqualAllotment is each controller's part of the rates before anything is lent: a
 // tenth is kept back for leases.
-func EqualShare(rps, writeRPS float64, count int) Share {
+func EqualAllotment(rps, writeRPS float64, count int) RateAllotment {
 	part := 0.9 / float64(max(count, 1))
-	return Share{rps * part, writeRPS * part}
+	return RateAllotment{rps * part, writeRPS * part}
 }
 
-// NewState makes a client. The configured rates hold for all controllers
+// NewClient makes a client. The configured rates hold for all controllers
 // together; each takes an equal share, a tenth of it kept back for the lease,
-// until SetShare says otherwise.
-func NewState(addr string, rps, writeRPS float64, count int) *State {
-	share := EqualShare(rps, writeRPS, count)
-	return &State{
+// until SetAllotment says otherwise.
+func NewClient(addr string, rps, writeRPS float64, count int) *Client {
+	share := EqualAllotment(rps, writeRPS, count)
+	return &Client{
 		client: transport.NewClient(addr),
 		follow: transport.NewClient(addr),
 		reads:  rate.NewLimiter(rate.Limit(share.Requests), burst(share.Requests)),
@@ -76,9 +64,9 @@
 // burst is what may be used at once of a rate: a second's worth.
 func burst(perSecond float64) int { return max(1, int(perSecond)) }
 
-// SetShare sets what may be used of the rates: all until a time, if that is not
+// SetAllotment sets what may be used of the rates: all until a time, if that is not
 // past, and then own.
-func (s *State) SetShare(own, all Share, until time.Time) {
+func (s *Client) SetAllotment(own, all RateAllotment, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -91,26 +79,26 @@
 	s.apply(now, all)
 }
 
-func (s *State) apply(now time.Time, share Share) {
+func (s *Client) apply(now time.Time, share RateAllotment) {
 	s.reads.SetLimitAt(now, rate.Limit(share.Requests))
 	s.reads.SetBurstAt(now, burst(share.Requests))
 	s.writes.SetLimitAt(now, rate.Limit(share.Writes))
 	s.writes.SetBurstAt(now, burst(share.Writes))
 }
 
-// Asked is what was asked for since it was last called, within the share or
+// DemandedRate is what was asked for since it was last called, within the share or
 // not.
-func (s *State) Asked() Share {
+func (s *Client) DemandedRate() RateAllotment {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.asked
-	s.asked = Share{}
+	s.asked = RateAllotment{}
 	return a
 }
 
 // ask takes a request with n changes out of the share. One that is not to be
 // held back is counted, but never refused.
-func (s *State) ask(n int, p Precedence, heldBack bool) bool {
+func (s *Client) ask(n int, p Precedence, heldBack bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -124,7 +112,7 @@
 
 // note counts a request with n changes, and ends loans that are over: whoever
 // lent takes it back, whether or not anybody here has noticed.
-func (s *State) note(now time.Time, n int) {
+func (s *Client) note(now time.Time, n int) {
 	if !s.until.IsZero() && now.After(s.until) {
 		s.until = time.Time{}
 		s.apply(now, s.own)
@@ -133,60 +121,15 @@
 	s.asked.Writes += float64(n)
 }
 
-func (s *State) do(ctx context.Context, method, target string, in, out any) error {
-	return call(ctx, s.client, callTimeout, method, target, in, out)
-}
-
-// call sends a request and reads its answer into out.
-func call(ctx context.Context, c *transport.Client, timeout time.Duration, method, target string, in, out any) error {
-	var body []byte
-	if in != nil {
-		b, err := protocol.Encode(in)
-		if err != nil {
-			return err
-		}
-		body = b
-	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	m, err := c.Do(ctx, method, target, body)
-	if err != nil {
-		c.Forget() // kept connections to a silent service are no better
-		return err
-	}
-	return answer(m, out)
-}
-
-// answer turns a response into an error or its body.
-func answer(m *transport.Message, out any) error {
-	switch m.Status {
-	case 200:
-		if out == nil {
-			return nil
-		}
-		return protocol.Decode(m.Body, out)
-	case 404:
-		return ErrNotFound
-	case 409:
-		if out != nil && protocol.Decode(m.Body, out) != nil {
-			return fmt.Errorf("%w, and its body can't be read", ErrConflict)
-		}
-		return ErrConflict
-	case 410:
-		return ErrCompacted
-	case 429, 503:
-		return fmt.Errorf("status %d: %w", m.Status, ErrRefused)
-	case 400:
-		return fmt.Errorf("%w: %.100q", ErrMalformed, m.Body)
-	}
-	return fmt.Errorf("unexpected status %d", m.Status)
+func (s *Client) do(ctx context.Context, method, target string, in, out any) error {
+	return serviceclient.Call(ctx, s.client, callTimeout, method, target, in, out)
 }
 
 // Get reads a key.
-func (s *State) Get(ctx context.Context, key string) (protocol.Item, error) {
+func (s *Client) Get(ctx context.Context, key string) (protocol.Item, error) {
 	var it protocol.Item
 	if !s.ask(0, First, true) {
-		return it, ErrRefused
+		return it, serviceclient.ErrRefused
 	}
 	err := s.do(ctx, "GET", "/keys/"+key, nil, &it)
 	return it, err
@@ -194,7 +137,7 @@
 
 // List reads all keys with a prefix, page by page. The revision is the first
 // page's: following from it misses nothing.
-func (s *State) List(ctx context.Context, prefix string) ([]protocol.Item, protocol.Revision, error) {
+func (s *Client) List(ctx context.Context, prefix string) ([]protocol.Item, protocol.Revision, error) {
 	var items []protocol.Item
 	var rev protocol.Revision
 	from := ""
@@ -236,15 +179,15 @@
 
 // yields reports whether n changes have to leave what there is to others. With
 // nothing used lately nobody has to.
-func (s *State) yields(now time.Time, n int, p Precedence) bool {
+func (s *Client) yields(now time.Time, n int, p Precedence) bool {
 	have, most := s.writes.TokensAt(now), float64(s.writes.Burst())
 	return have < most && have-float64(n) < most*float64(p)/4
 }
 
-// Txn executes a transaction and returns its revision.
-func (s *State) Txn(ctx context.Context, t protocol.Txn, p Precedence) (protocol.Revision, error) {
+// CompareAndSwap executes a transaction and returns its revision.
+func (s *Client) CompareAndSwap(ctx context.Context, t protocol.Txn, p Precedence) (protocol.Revision, error) {
 	if !s.ask(len(t.Then), p, true) {
-		return 0, ErrRefused
+		return 0, serviceclient.ErrRefused
 	}
 	if t.If == nil {
 		t.If = []protocol.Condition{}
@@ -258,15 +201,15 @@
 }
 
 // Compare holds versions against those of the records, in one request, and
-// returns the keys of which the service says that they differ, with ErrConflict.
+// returns the keys of which the service says that they differ, with serviceclient.ErrConflict.
 // One that fails counts as a change there.
-func (s *State) Compare(ctx context.Context, conditions []protocol.Condition) ([]string, error) {
+func (s *Client) Compare(ctx context.Context, conditions []protocol.Condition) ([]string, error) {
 	if !s.ask(0, First, true) {
-		return nil, ErrRefused
+		return nil, serviceclient.ErrRefused
 	}
 	var reply protocol.TxnReply
 	err := s.do(ctx, "POST", "/txn", protocol.Txn{If: conditions, Then: []protocol.Change{}}, &reply)
-	if errors.Is(err, ErrConflict) {
+	if errors.Is(err, serviceclient.ErrConflict) {
 		s.mu.Lock()
 		s.writes.AllowN(time.Now(), 1)
 		s.mu.Unlock()
@@ -274,31 +217,31 @@
 	return reply.Failed, err
 }
 
-// Lease asks for a lease.
-func (s *State) Lease(ctx context.Context, ttl time.Duration) (protocol.LeaseID, error) {
+// GrantLease asks for a lease.
+func (s *Client) GrantLease(ctx context.Context, ttl time.Duration) (protocol.LeaseID, error) {
 	var reply protocol.LeaseReply
 	s.ask(0, First, false)
 	err := s.do(ctx, "POST", "/holds", protocol.LeaseRequest{TTLMS: ttl.Milliseconds()}, &reply)
 	return reply.Lease, err
 }
 
-// Extend renews a lease. It never waits for the budget: everything else
+// KeepAlive renews a lease. It never waits for the budget: everything else
 // yields to it.
-func (s *State) Extend(ctx context.Context, id protocol.LeaseID) error {
+func (s *Client) KeepAlive(ctx context.Context, id protocol.LeaseID) error {
 	s.ask(0, First, false)
 	return s.do(ctx, "POST", "/holds/"+strconv.FormatUint(uint64(id), 10)+"/extend", struct{}{}, nil)
 }
 
-// Release ends a lease at once, and with it the keys attached to it.
-func (s *State) Release(ctx context.Context, id protocol.LeaseID) error {
+// RevokeLease ends a lease at once, and with it the keys attached to it.
+func (s *Client) RevokeLease(ctx context.Context, id protocol.LeaseID) error {
 	return s.do(ctx, "DELETE", fmt.Sprintf("/holds/%d", id), nil, nil)
 }
 
-// Follow waits for changes of keys with a prefix after a revision. Each change
+// Watch waits for changes of keys with a prefix after a revision. Each change
 // ends a watch, and opening the next is a request too: many changes in a row
 // would use up the rate that leases need, so no more than a quarter of this
 // controller's share goes to watches, and they bring several changes at once.
-func (s *State) Follow(ctx context.Context, prefix string, from protocol.Revision, hold time.Duration) (protocol.Events, error) {
+func (s *Client) Watch(ctx context.Context, prefix string, from protocol.Revision, hold time.Duration) (protocol.Events, error) {
 	var ev protocol.Events
 	if err := s.opens.Wait(ctx); err != nil {
 		return ev, err
@@ -311,6 +254,6 @@
 	if err != nil {
 		return ev, err
 	}
-	err = answer(m, &ev)
+	err = serviceclient.DecodeResponse(m, &ev)
 	return ev, err
 }
--- a/internal/bookkeeping/state_test.go
+++ b/internal/kvstore/client_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package kvstore
 
 import (
 	"context"
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/serviceclient"
+
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 
@@ -64,25 +66,25 @@
 // apart; only a refusal is known not to have been executed.
 func TestAnswers(t *testing.T) {
 	var next *transport.Message
-	s := NewState(serve(t, func(*transport.Message) *transport.Message { return next }), 1e6, 1e6, 1)
+	s := NewClient(serve(t, func(*transport.Message) *transport.Message { return next }), 1e6, 1e6, 1)
 	ctx := context.Background()
 	txn := protocol.Txn{Then: []protocol.Change{{Put: "a", Value: 1}}}
 	for _, tc := range []struct {
 		status int
 		want   error
-	}{{409, ErrConflict}, {429, ErrRefused}, {503, ErrRefused}, {400, ErrMalformed}, {404, ErrNotFound}, {410, ErrCompacted}} {
+	}{{409, serviceclient.ErrConflict}, {429, serviceclient.ErrRefused}, {503, serviceclient.ErrRefused}, {400, serviceclient.ErrMalformed}, {404, serviceclient.ErrNotFound}, {410, serviceclient.ErrCompacted}} {
 		next = &transport.Message{Status: tc.status}
-		if _, err := s.Txn(ctx, txn, First); !errors.Is(err, tc.want) {
+		if _, err := s.CompareAndSwap(ctx, txn, First); !errors.Is(err, tc.want) {
 			t.Errorf("status %d: %v", tc.status, err)
 		}
 	}
 	next = nil
-	_, err := s.Txn(ctx, txn, First)
-	if err == nil || errors.Is(err, ErrRefused) || errors.Is(err, ErrConflict) {
+	_, err := s.CompareAndSwap(ctx, txn, First)
+	if err == nil || errors.Is(err, serviceclient.ErrRefused) || errors.Is(err, serviceclient.ErrConflict) {
 		t.Errorf("no answer: %v, want an unknown outcome", err)
 	}
 	next = &transport.Message{Status: 410}
-	if _, err := s.Follow(ctx, "c/", 1, time.Millisecond); !errors.Is(err, ErrCompacted) {
+	if _, err := s.Watch(ctx, "c/", 1, time.Millisecond); !errors.Is(err, serviceclient.ErrCompacted) {
 		t.Errorf("watch: %v", err)
 	}
 	next = &transport.Message{Status: 200, Body: []byte("\xff\xff")}
@@ -94,7 +96,7 @@
 // TestWatchesArePaced: a watch that ends at once, as each does while many
 // records change, is not opened again at once: leases would not be extended.
 func TestWatchesArePaced(t *testing.T) {
-	s := NewState("127.0.0.1:1", 120, 40, 3)
+	s := NewClient("127.0.0.1:1", 120, 40, 3)
 	opened := 0
 	for now := time.Unix(0, 0); now.Before(time.Unix(10, 0)); now = now.Add(time.Millisecond) {
 		if s.opens.AllowN(now, 1) {
@@ -106,7 +108,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := s.Follow(ctx, "c/", 1, time.Second); !errors.Is(err, context.Canceled) {
+	if _, err := s.Watch(ctx, "c/", 1, time.Second); !errors.Is(err, context.Canceled) {
 		t.Errorf("watch: %v", err)
 	}
 }
@@ -120,11 +122,11 @@
 	}
 	addr := serve(t, func(*transport.Message) *transport.Message { return &transport.Message{Status: 200, Body: body} })
 	for p, want := range map[Precedence]int{First: 20, Later: 15, Spare: 10} {
-		s := NewState(addr, 1e6, 1e6, 1)
+		s := NewClient(addr, 1e6, 1e6, 1)
 		s.writes = rate.NewLimiter(0, 20) // full, and nothing comes back
 		done := 0
 		for range 40 {
-			if _, err := s.Txn(context.Background(), protocol.Txn{Then: []protocol.Change{{Put: "a", Value: 1}}}, p); err == nil {
+			if _, err := s.CompareAndSwap(context.Background(), protocol.Txn{Then: []protocol.Change{{Put: "a", Value: 1}}}, p); err == nil {
 				done++
 			}
 		}
@@ -132,7 +134,7 @@
 			t.Errorf("precedence %d: %d done of a burst of 20, want %d", p, done, want)
 		}
 		s.writes = rate.NewLimiter(0, 1)
-		if _, err := s.Txn(context.Background(), protocol.Txn{Then: []protocol.Change{{Put: "a", Value: 1}}}, p); err != nil {
+		if _, err := s.CompareAndSwap(context.Background(), protocol.Txn{Then: []protocol.Change{{Put: "a", Value: 1}}}, p); err != nil {
 			t.Errorf("precedence %d: never done with a burst of one: %v", p, err)
 		}
 	}
@@ -146,20 +148,20 @@
 		t.Fatal(err)
 	}
 	asked := 0
-	s := NewState(serve(t, func(*transport.Message) *transport.Message {
+	s := NewClient(serve(t, func(*transport.Message) *transport.Message {
 		asked++
 		return &transport.Message{Status: 200, Body: body}
 	}), 3, 30, 3)
 	refused := 0
 	for range 40 {
-		if _, err := s.Get(context.Background(), "a"); errors.Is(err, ErrRefused) {
+		if _, err := s.Get(context.Background(), "a"); errors.Is(err, serviceclient.ErrRefused) {
 			refused++
 		}
 	}
 	if asked > 20 || refused < 20 {
 		t.Errorf("%d asked, %d refused, of one a second", asked, refused)
 	}
-	if err := s.Extend(context.Background(), 1); err != nil {
+	if err := s.KeepAlive(context.Background(), 1); err != nil {
 		t.Errorf("extension: %v", err)
 	}
 }
--- a/internal/operatorapi/configfile.go
+++ b/internal/operatorapi/configfile.go
@@ -4,20 +4,20 @@
 	"maps"
 	"slices"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
+	"damsonkeel/internal/record"
 )
 
 // ConfigFile is a file of changes of the configuration: all of them are made in one
 // step, or none.
 type ConfigFile struct {
 	// Revision, if not nil, is the one that has to be in force.
-	Revision *uint64                            `toml:"revision"`
-	Teams    []ConfigFileTeam                   `toml:"teams"`
-	Classes  []ConfigFileClass                  `toml:"classes"`
-	Zones    []ConfigFilePlace                  `toml:"zones"`
-	Types    []ConfigFilePlace                  `toml:"types"`
-	Settings map[string]bookkeeping.SettingText `toml:"settings"`
+	Revision *uint64                       `toml:"revision"`
+	Teams    []ConfigFileTeam              `toml:"teams"`
+	Classes  []ConfigFileClass             `toml:"classes"`
+	Zones    []ConfigFilePlace             `toml:"zones"`
+	Types    []ConfigFilePlace             `toml:"types"`
+	Settings map[string]record.SettingText `toml:"settings"`
 }
 
 // ConfigFileTeam is a team in such a file. What is left out stays.
@@ -34,9 +34,9 @@
 
 // ConfigFileClass is a class with all of its objectives.
 type ConfigFileClass struct {
-	Name       string                       `toml:"name"`
-	Objectives []bookkeeping.ObjectiveEntry `toml:"objectives"`
-	Reset      bool                         `toml:"reset"`
+	Name       string                  `toml:"name"`
+	Objectives []record.ObjectiveEntry `toml:"objectives"`
+	Reset      bool                    `toml:"reset"`
 }
 
 // ConfigFilePlace is a zone or a machine type.
@@ -60,27 +60,27 @@
 	var changes []ConfigChange
 	for _, t := range f.Teams {
 		changes = append(changes, ConfigChange{
-			Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, t.Name), CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, GPUs: t.GPUs, MaxGPUs: t.MaxGPUs,
+			Entry: record.NewEntryID(record.EntryTeam, t.Name), CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, GPUs: t.GPUs, MaxGPUs: t.MaxGPUs,
 			Closed: t.Closed, Reset: t.Reset, Remove: t.Remove,
 		})
 	}
 	for _, c := range f.Classes {
-		change := ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryClass, c.Name), Reset: c.Reset}
+		change := ConfigChange{Entry: record.NewEntryID(record.EntryClass, c.Name), Reset: c.Reset}
 		if !c.Reset {
-			objectives := append([]bookkeeping.ObjectiveEntry{}, c.Objectives...)
+			objectives := append([]record.ObjectiveEntry{}, c.Objectives...)
 			change.Objectives = &objectives
 		}
 		changes = append(changes, change)
 	}
 	for _, z := range f.Zones {
-		changes = append(changes, ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryZone, z.Name), Closed: z.Closed, Reset: z.Reset})
+		changes = append(changes, ConfigChange{Entry: record.NewEntryID(record.EntryZone, z.Name), Closed: z.Closed, Reset: z.Reset})
 	}
 	for _, t := range f.Types {
-		changes = append(changes, ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryType, t.Name), Closed: t.Closed, Reset: t.Reset})
+		changes = append(changes, ConfigChange{Entry: record.NewEntryID(record.EntryType, t.Name), Closed: t.Closed, Reset: t.Reset})
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Settings)) {
 		value := f.Settings[name]
-		changes = append(changes, ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntrySetting, name), Value: &value})
+		changes = append(changes, ConfigChange{Entry: record.NewEntryID(record.EntrySetting, name), Value: &value})
 	}
 	return changes
 }
