--- a/internal/operatorapi/messages.go
+++ b/internal/operatorapi/messages.go
@@ -4,8 +4,8 @@
 package operatorapi
 
 import (
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Path is where controllers take operators' requests, by POST.
@@ -29,9 +29,9 @@
 
 // Request is one request; it is sealed on its way.
 type Request struct {
-	Op     Op                    `cbor:"op"`
-	Window bool                  `cbor:"window,omitempty"`
-	Name   bookkeeping.EntryName `cbor:"name,omitempty"`
+	Op     Op               `cbor:"op"`
+	Window bool             `cbor:"window,omitempty"`
+	Name   record.EntryName `cbor:"name,omitempty"`
 	// ID is chosen by who asks: a repeated request for a change gets the same
 	// answer and changes nothing more.
 	ID string `cbor:"id,omitempty"`
@@ -40,10 +40,10 @@
 	// Replace lets an add take the place of what has its name.
 	Replace bool `cbor:"replace,omitempty"`
 	// Made is when what is to be cancelled was made: another of its name stays.
-	Made bookkeeping.Moment `cbor:"made_ms,omitempty"`
+	Made record.Moment `cbor:"made_ms,omitempty"`
 
-	Reservation *bookkeeping.ReservationSpec `cbor:"reservation,omitempty"`
-	Spec        *bookkeeping.WindowSpec      `cbor:"spec,omitempty"` // of a window
+	Reservation *record.ReservationSpec `cbor:"reservation,omitempty"`
+	Spec        *record.WindowSpec      `cbor:"spec,omitempty"` // of a window
 
 	Shares     []int             `cbor:"shares,omitempty"`     // to be moved
 	Controller protocol.NodeName `cbor:"controller,omitempty"` // to which, or that is to keep none
@@ -66,11 +66,11 @@
 
 // Reply answers a request.
 type Reply struct {
-	Code     Code                    `cbor:"code" json:"code"`
-	Reason   string                  `cbor:"reason,omitempty" json:"reason,omitempty"`
-	InTheWay []bookkeeping.EntryName `cbor:"in_the_way,omitempty" json:"in_the_way,omitempty"`
-	Beside   []bookkeeping.EntryName `cbor:"beside,omitempty" json:"beside,omitempty"`
-	FirstMS  []bookkeeping.Moment    `cbor:"first_ms,omitempty" json:"first_ms,omitempty"`
+	Code     Code               `cbor:"code" json:"code"`
+	Reason   string             `cbor:"reason,omitempty" json:"reason,omitempty"`
+	InTheWay []record.EntryName `cbor:"in_the_way,omitempty" json:"in_the_way,omitempty"`
+	Beside   []record.EntryName `cbor:"beside,omitempty" json:"beside,omitempty"`
+	FirstMS  []record.Moment    `cbor:"first_ms,omitempty" json:"first_ms,omitempty"`
 
 	Reservations []Reservation `cbor:"reservations,omitempty" json:"reservations,omitempty"`
 	Windows      []Window      `cbor:"windows,omitempty" json:"windows,omitempty"`
@@ -84,7 +84,7 @@
 
 // Reservation is a reservation as operators see it.
 type Reservation struct {
-	bookkeeping.Reservation
+	record.Reservation
 	Held    int                  `cbor:"held" json:"held"` // tasks that room is held for
 	On      []protocol.MachineID `cbor:"on,omitempty" json:"on,omitempty"`
 	Started int                  `cbor:"started" json:"started"` // of its job's tasks
@@ -92,10 +92,10 @@
 
 // Window is a window as operators see it.
 type Window struct {
-	bookkeeping.Window
-	NextMS   bookkeeping.Moment `cbor:"next_ms,omitempty" json:"next_ms,omitempty"` // that is open, or opens next
-	Open     bool               `cbor:"open" json:"open"`
-	Overruns []Overrun          `cbor:"overruns,omitempty" json:"overruns,omitempty"`
+	record.Window
+	NextMS   record.Moment `cbor:"next_ms,omitempty" json:"next_ms,omitempty"` // that is open, or opens next
+	Open     bool          `cbor:"open" json:"open"`
+	Overruns []Overrun     `cbor:"overruns,omitempty" json:"overruns,omitempty"`
 }
 
 // Overrun is a machine of a window whose work is likely to go on after the
--- a/internal/bookkeeping/configuration.go
+++ b/internal/record/configuration.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package record
 
 import (
 	"fmt"
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -82,7 +82,7 @@
 		if !holds(w) {
 			continue
 		}
-		record(hist, w.wait)
+		observe(hist, w.wait)
 		if w.wait <= urgentWithin {
 			inTime++
 		}
@@ -129,7 +129,7 @@
 	out.Classes, urgent = h.waits()
 	hist := newHistogram()
 	for _, w := range urgent {
-		record(hist, w.wait)
+		observe(hist, w.wait)
 	}
 	out.UrgentJobs = waitsOf(hist)
 	calm := func(w urgentWait) bool {
@@ -224,7 +224,7 @@
 				start = end
 			}
 			longest = max(longest, start-at)
-			record(classes[job.Class], start-at)
+			observe(classes[job.Class], start-at)
 		}
 		if job.Class == urgentClass && longest >= 0 {
 			urgent = append(urgent, urgentWait{at, longest, atLimit[id]})
--- a/internal/scale/lateness.go
+++ b/internal/scale/lateness.go
@@ -21,7 +21,7 @@
 }
 
 // record takes a duration into a histogram.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+func observe(h *hdrhistogram.Histogram, d time.Duration) {
 	us := min(max(1, d.Microseconds()), latenessMost.Microseconds())
 	if err := h.RecordValue(us); err != nil {
 		panic(err) // the value was brought into the histogram's range
@@ -61,7 +61,7 @@
 		time.Sleep(latenessEvery)
 		late := time.Since(begun) - latenessEvery
 		m.mu.Lock()
-		record(m.hist, late)
+		observe(m.hist, late)
 		m.mu.Unlock()
 	}
 }
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 	"damsonkeel/internal/scale/rules"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -57,7 +57,7 @@
 
 // madeChange is a change that was carried out.
 type madeChange struct {
-	revision        bookkeeping.ConfigurationRevision
+	revision        record.ConfigurationRevision
 	asked, answered time.Duration
 	settled         map[protocol.NodeName]time.Duration
 	limit           *rules.LimitChange
@@ -120,14 +120,14 @@
 	case 0, 1:
 		if file.MaxCPUs > 0 {
 			limit := math.Round(file.MaxCPUs * (1 + limitSpread*o.rng.Float64()))
-			return operatorapi.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, string(team)), MaxCPUs: &limit}, &rules.LimitChange{Team: team, MaxCPUs: limit}
+			return operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntryTeam, string(team)), MaxCPUs: &limit}, &rules.LimitChange{Team: team, MaxCPUs: limit}
 		}
 	case 2:
 		guarantee := math.Round(file.CPUs * (0.5 + 0.5*o.rng.Float64()))
-		return operatorapi.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, string(team)), CPUs: &guarantee}, nil
+		return operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntryTeam, string(team)), CPUs: &guarantee}, nil
 	}
-	value := bookkeeping.SettingText(fmt.Sprintf("%ds", 3000+o.rng.IntN(600)))
-	return operatorapi.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntrySetting, "idleReturn"), Value: &value}, nil
+	value := record.SettingText(fmt.Sprintf("%ds", 3000+o.rng.IntN(600)))
+	return operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntrySetting, "idleReturn"), Value: &value}, nil
 }
 
 // change puts a change to the controllers until it is settled.
@@ -151,7 +151,7 @@
 	}
 	made.revision = reply.Config.Revision
 	o.made = append(o.made, made)
-	record(o.answered, made.answered-made.asked)
+	observe(o.answered, made.answered-made.asked)
 }
 
 // watch asks a controller again and again by which revision it acts.
@@ -217,8 +217,8 @@
 			}
 			longest = max(longest, took)
 		}
-		record(inForce, longest)
-		record(heard, longestHeard)
+		observe(inForce, longest)
+		observe(heard, longestHeard)
 		if byBound {
 			f.ByBound++
 		}
--- a/internal/scale/timeline.go
+++ b/internal/scale/timeline.go
@@ -74,9 +74,9 @@
 		if h.jobs[task.Job].Class != urgentClass || accepted[task.Job] == 0 || ordered[task] == 0 {
 			continue
 		}
-		record(stages[0], accepted[task.Job]-submitted[task.Job])
-		record(stages[1], ordered[task]-accepted[task.Job])
-		record(stages[2], at-ordered[task])
+		observe(stages[0], accepted[task.Job]-submitted[task.Job])
+		observe(stages[1], ordered[task]-accepted[task.Job])
+		observe(stages[2], at-ordered[task])
 	}
 	return UrgentStages{waitsOf(stages[0]), waitsOf(stages[1]), waitsOf(stages[2])}
 }
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -164,7 +164,7 @@
 		r.notAccepted++
 		return false
 	}
-	record(r.submissions, Now()-begun)
+	observe(r.submissions, Now()-begun)
 	return true
 }
 
@@ -209,7 +209,7 @@
 		r.unanswered++
 		return
 	}
-	record(r.polls, e.Answered-e.Asked)
+	observe(r.polls, e.Answered-e.Asked)
 }
 
 // exchanges passes what users saw to the hub.
--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // startWithin is how long after its command a task may come onto its machine: its
@@ -51,7 +51,7 @@
 		limits: map[protocol.Team][]limitSince{"bound": {{0, 60}}, "other": {{0, 60}}},
 	}
 	w.operator.OperatorKeys = "keys"
-	w.layout = bookkeeping.LayoutConfiguration
+	w.layout = record.LayoutConfiguration
 	for i, n := range w.nodes {
 		if !slices.Contains(older, i) {
 			n.layout = w.layout
@@ -89,10 +89,10 @@
 		if i := w.scanned - w.state.Before; i < len(w.loggedAt) {
 			at = w.loggedAt[i]
 		}
-		followed, _ := bookkeeping.ParseFollowed(e.Put)
-		var head bookkeeping.Configuration
-		var entry bookkeeping.ConfigurationEntry
-		switch team, isTeam := bookkeeping.TeamOf(followed.ConfigurationEntry); {
+		followed, _ := record.ParseFollowed(e.Put)
+		var head record.Configuration
+		var entry record.ConfigurationEntry
+		switch team, isTeam := record.TeamOf(followed.ConfigurationEntry); {
 		case followed.Configuration && protocol.Decode(e.Value, &head) == nil:
 			w.commits[head.Revision] = at
 		case isTeam && protocol.Decode(e.Value, &entry) == nil && entry.Team != nil:
@@ -185,7 +185,7 @@
 		if reply.Code != operatorapi.Done {
 			w.fail("%v limit of %s to %v: %+v", w.now, team, cpus, reply)
 		}
-	}, operatorapi.ConfigChange{Entry: bookkeeping.NewEntryID(bookkeeping.EntryTeam, team), MaxCPUs: &cpus})
+	}, operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntryTeam, team), MaxCPUs: &cpus})
 }
 
 // allActBy fails unless every controller that is there acts by the last revision, and
@@ -370,14 +370,14 @@
 func TestOlderControllers(t *testing.T) {
 	t.Parallel()
 	w := newConfigured(t, 996, 3, 12)
-	if layout := w.nodes[0].core.View.Layout; layout != bookkeeping.LayoutConfiguration {
+	if layout := w.nodes[0].core.View.Layout; layout != record.LayoutConfiguration {
 		t.Fatalf("layout %d", layout)
 	}
 	w.limit(0, "bound", 24)
 	older := w.nodes[2]
 	w.crash(older)
-	w.after(100*time.Millisecond, func() { older.layout = bookkeeping.LayoutShares })
-	w.layout = bookkeeping.LayoutShares
+	w.after(100*time.Millisecond, func() { older.layout = record.LayoutShares })
+	w.layout = record.LayoutShares
 	w.run(w.now + 25*time.Second)
 	if older.core == nil || older.core.Member() {
 		t.Error("an older controller is a member")
--- a/internal/simulator/frontends_test.go
+++ b/internal/simulator/frontends_test.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // frontend plays the actor around a controller's intake, as coordination.Node does.
@@ -80,7 +80,7 @@
 		w.after(w.delay(), func() { reply(a.Answer) })
 	case admission.Get:
 		f.read(func() any {
-			it, ok := w.state.Get(bookkeeping.JobKey(a.Job))
+			it, ok := w.state.Get(record.JobKey(a.Job))
 			r := admission.Read{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
 			if ok {
 				r.Outcome = message.OutcomeDone
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 type simWorker struct {
@@ -173,7 +173,7 @@
 // deliverKept has the reports that were kept reach every controller within half a
 // second, once a new view is there.
 func (w *world) deliverKept() {
-	it, _ := w.state.Get(bookkeeping.ViewKey)
+	it, _ := w.state.Get(record.ViewKey)
 	if it.Version == w.viewAt {
 		return
 	}
--- a/internal/simulator/nodes.go
+++ b/internal/simulator/nodes.go
@@ -12,13 +12,13 @@
 	"strings"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 type simNode struct {
@@ -28,7 +28,7 @@
 	outboxes map[protocol.NodeName]*simOutbox
 	session  protocol.LeaseID
 	followed int
-	layout   bookkeeping.Layout
+	layout   record.Layout
 	frozen   time.Duration // until when its process stands still, clocks running on
 	extendAt time.Duration
 	// slowBy is how many times slower its process ticks until slowUntil.
@@ -112,13 +112,13 @@
 		w.after(300*time.Millisecond, func() { w.openSession(n, life) })
 		return
 	}
-	items, at := w.state.List(bookkeeping.FollowedPrefix), w.state.Changes()
+	items, at := w.state.List(record.FollowedPrefix), w.state.Changes()
 	lease := w.state.Lease(w.now, simNodeLease)
-	key := bookkeeping.NodeKey(n.name)
+	key := record.NodeKey(n.name)
 	it, _ := w.state.Get(key)
 	w.state.Txn(protocol.Txn{
 		If:   []protocol.Condition{{Key: key, Version: it.Version}},
-		Then: []protocol.Change{{Put: key, Value: bookkeeping.Node{Session: lease, Layout: n.layout}, Lease: &lease}},
+		Then: []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout}, Lease: &lease}},
 	})
 	n.session, n.followed, n.extendAt = lease, at, w.now
 	w.stepNode(n, message.Snapshot{Session: lease, Items: items, WallMS: w.wallMS()})
@@ -166,7 +166,7 @@
 			w.configured(n, a.Effective)
 		case message.LoadBits:
 			ok := w.stateReachable(n)
-			w.later(n, message.JobLoaded{Job: a.Job, Chunks: w.state.List(bookkeeping.BitsPrefix(a.Job)), OK: ok})
+			w.later(n, message.JobLoaded{Job: a.Job, Chunks: w.state.List(record.BitsPrefix(a.Job)), OK: ok})
 		case message.Command:
 			w.ordered(n, a.Commands.Orders)
 			w.command(n, a)
@@ -289,7 +289,7 @@
 	}
 	total := 0
 	for _, ch := range a.Txn.Then {
-		if b, ok := ch.Value.(bookkeeping.Block); ok {
+		if b, ok := ch.Value.(record.Block); ok {
 			w.blockWrites++
 			text, err := json.Marshal(b)
 			if total += len(text); err != nil || float64(len(text)) > 1024*s.ValueKB || total > 64<<10 {
@@ -364,7 +364,7 @@
 	for n.followed < w.state.Changes() && w.age(n.followed) >= w.slow+w.lag {
 		ev := w.state.Change(n.followed)
 		n.followed++
-		if strings.HasPrefix(ev.Put+ev.Delete, bookkeeping.FollowedPrefix) {
+		if strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix) {
 			w.stepNode(n, message.Changed{Event: ev})
 		}
 	}
--- a/internal/simulator/plants_test.go
+++ b/internal/simulator/plants_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // TestWatchersSee: each check on what users are told, and on what is left waiting, finds
@@ -66,7 +66,7 @@
 			u.after(10*second, func() {
 				for _, j := range u.jobs {
 					if j.bad != 0 {
-						u.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: bookkeeping.JobKey(j.id), Value: bookkeeping.JobRecord{State: bookkeeping.RecordLive, Tasks: 1}}}})
+						u.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: record.JobKey(j.id), Value: record.JobRecord{State: record.RecordLive, Tasks: 1}}}})
 						return
 					}
 				}
--- a/internal/simulator/play.go
+++ b/internal/simulator/play.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Options are how a site is played.
@@ -58,7 +58,7 @@
 
 // openings is a window with its times.
 type openings struct {
-	spec *bookkeeping.WindowSpec
+	spec *record.WindowSpec
 	when reservation.When
 }
 
--- a/internal/simulator/play_test.go
+++ b/internal/simulator/play_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // smallSite is twelve machines kept busy by work whose estimates are half of the
@@ -83,10 +83,10 @@
 			if tc.do != nil {
 				o.script = func(p *player) { p.at(warmUp+due-tc.before, func() { tc.do(p) }) }
 			}
-			var state bookkeeping.ReservationState
+			var state record.ReservationState
 			o.atEnd = func(p *player) {
-				it, _ := p.state.Get(bookkeeping.ReservationKey("one"))
-				var r bookkeeping.Reservation
+				it, _ := p.state.Get(record.ReservationKey("one"))
+				var r record.Reservation
 				if err := protocol.Decode(it.Value, &r); err != nil {
 					t.Error(err)
 				}
@@ -102,12 +102,12 @@
 			got := r.Occurrences[0]
 			switch {
 			case tc.never:
-				if state != bookkeeping.Expired && state != bookkeeping.Cancelled {
+				if state != record.Expired && state != record.Cancelled {
 					t.Errorf("it is %s", state)
 				}
 			case !got.Started || got.DelayS > inTime:
 				t.Errorf("started %v, %.0f s late, at risk %q", got.Started, got.DelayS, got.Risk)
-			case state != bookkeeping.Used:
+			case state != record.Used:
 				t.Errorf("it is %s after its job started", state)
 			}
 		})
--- a/internal/simulator/result.go
+++ b/internal/simulator/result.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
+	"damsonkeel/internal/record"
 )
 
 // Result is what became of a site that was played, with simulated machines.
@@ -58,20 +58,20 @@
 
 // Occurrence is one time of a reservation.
 type Occurrence struct {
-	Name    bookkeeping.EntryName        `json:"name"`
-	Start   time.Time                    `json:"start"`
-	Tasks   int                          `json:"tasks"`
-	Started bool                         `json:"started"`
-	DelayS  float64                      `json:"delay_s"` // until all that is reserved had started
-	State   bookkeeping.ReservationState `json:"state,omitempty"`
-	Risk    string                       `json:"risk,omitempty"` // as reported at its time
+	Name    record.EntryName        `json:"name"`
+	Start   time.Time               `json:"start"`
+	Tasks   int                     `json:"tasks"`
+	Started bool                    `json:"started"`
+	DelayS  float64                 `json:"delay_s"` // until all that is reserved had started
+	State   record.ReservationState `json:"state,omitempty"`
+	Risk    string                  `json:"risk,omitempty"` // as reported at its time
 }
 
 // Refusal is what could not be promised.
 type Refusal struct {
-	Name     bookkeeping.EntryName   `json:"name"`
-	Reason   string                  `json:"reason"`
-	InTheWay []bookkeeping.EntryName `json:"in_the_way,omitempty"`
+	Name     record.EntryName   `json:"name"`
+	Reason   string             `json:"reason"`
+	InTheWay []record.EntryName `json:"in_the_way,omitempty"`
 }
 
 // Trouble is what happened.
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -4,9 +4,9 @@
 	"strings"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // taskStarted checks the rules about starts.
@@ -61,7 +61,7 @@
 	}
 	for ; w.checked < w.state.Changes(); w.checked++ {
 		ev := w.state.Change(w.checked)
-		key, ours := strings.CutPrefix(ev.Put+ev.Delete, bookkeeping.JobKey(""))
+		key, ours := strings.CutPrefix(ev.Put+ev.Delete, record.JobKey(""))
 		if !ours {
 			continue
 		}
@@ -69,20 +69,20 @@
 		if ev.Put == "" {
 			w.fail("%v forgotten: %v", w.now, id)
 		}
-		var r bookkeeping.JobRecord
+		var r record.JobRecord
 		if err := protocol.Decode(ev.Value, &r); err != nil {
 			w.fail("%v", err)
 		}
 		if was := w.final[id]; was != "" && was != r.State {
 			w.fail("%v went_back: %v from %s to %s", w.now, id, was, r.State)
 		}
-		if r.State == bookkeeping.RecordLive || w.final[id] != "" {
+		if r.State == record.RecordLive || w.final[id] != "" {
 			continue
 		}
 		w.final[id] = r.State
 		j := w.jobs[id]
 		for i := range j.Tasks {
-			if r.State == bookkeeping.RecordDone && !w.results[protocol.TaskID{Job: id, Index: i}] {
+			if r.State == record.RecordDone && !w.results[protocol.TaskID{Job: id, Index: i}] {
 				if j.Kind == protocol.KindGang && w.results[protocol.TaskID{Job: id}] {
 					continue
 				}
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // randomJob makes a job that the world's machines can run.
@@ -115,7 +115,7 @@
 	if n.core == nil || !w.stateReachable(n) {
 		return
 	}
-	name := bookkeeping.EntryName(fmt.Sprint("p", w.rng.IntN(4)))
+	name := record.EntryName(fmt.Sprint("p", w.rng.IntN(4)))
 	when := time.UnixMilli(w.wallMS()).Add(time.Duration(w.rng.IntN(60)) * time.Second).UTC().Format("2006-01-02 at 15:04:05")
 	r := operatorapi.Request{Op: operatorapi.OpAdd, ID: fmt.Sprint(w.now), Replace: true}
 	switch w.rng.IntN(4) {
@@ -123,9 +123,9 @@
 		r = operatorapi.Request{Op: operatorapi.OpCancel, Name: name, Window: w.rng.IntN(2) == 0}
 	case 1:
 		r.Window = true
-		r.Spec = &bookkeeping.WindowSpec{Name: name, When: when, LengthS: float64(5 + w.rng.IntN(20)), Zone: []protocol.Zone{"a", "b", ""}[w.rng.IntN(3)]}
+		r.Spec = &record.WindowSpec{Name: name, When: when, LengthS: float64(5 + w.rng.IntN(20)), Zone: []protocol.Zone{"a", "b", ""}[w.rng.IntN(3)]}
 	default:
-		r.Reservation = &bookkeeping.ReservationSpec{
+		r.Reservation = &record.ReservationSpec{
 			Name: name, Class: []string{"array", "gang"}[w.rng.IntN(2)], When: when, HoldS: 60, LengthS: 10, Tasks: 1 + w.rng.IntN(3),
 			CPUs: 2, MemoryGB: 1, Priority: []protocol.Priority{"standard", "high"}[w.rng.IntN(2)], OneZone: w.rng.IntN(2) == 0,
 		}
@@ -160,7 +160,7 @@
 	}
 	w := newWorld(t.Fatalf, uint64(seed), settings, d.machines, up)
 	for _, n := range w.nodes { // of an earlier version until they are restarted
-		n.layout = bookkeeping.Layout(1 + seed%3)
+		n.layout = record.Layout(1 + seed%3)
 	}
 	w.run(3 * time.Second)
 	for w.now < d.lasts {
--- a/internal/simulator/shares.go
+++ b/internal/simulator/shares.go
@@ -4,16 +4,16 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // shares is the record of the shares, if there is one.
-func (w *world) shares() (s bookkeeping.Shares, ok bool) {
-	it, there := w.state.Get(bookkeeping.SharesKey)
+func (w *world) shares() (s record.Shares, ok bool) {
+	it, there := w.state.Get(record.SharesKey)
 	if !there {
 		return s, false
 	}
--- a/internal/simulator/shares_test.go
+++ b/internal/simulator/shares_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // shared is a world of machines that are all up, registered and busy, kept by
@@ -270,7 +270,7 @@
 			}
 		},
 		"the record of the shares is lost": func(w *world, _, _ *simNode) {
-			w.state.Txn(protocol.Txn{Then: []protocol.Change{{Delete: bookkeeping.SharesKey}}})
+			w.state.Txn(protocol.Txn{Then: []protocol.Change{{Delete: record.SharesKey}}})
 		},
 		"a third controller ends": func(w *world, _, _ *simNode) { w.crash(w.nodes[2]) },
 		"the move goes back":      func(w *world, a, b *simNode) { w.move(w.held(b), a) },
@@ -351,11 +351,11 @@
 	s := fake.Settings()
 	w := newWorld(t.Fatalf, 17, s, 60, 60)
 	for _, n := range w.nodes {
-		n.layout = bookkeeping.LayoutBlocks
+		n.layout = record.LayoutBlocks
 	}
 	w.run(3 * time.Second)
 	w.work(5 * time.Second)
-	w.layout = bookkeeping.LayoutShares
+	w.layout = record.LayoutShares
 	for i, n := range w.nodes[:2] {
 		w.crash(n)
 		w.work(15 * time.Second)
@@ -363,10 +363,10 @@
 			t.Fatalf("shares with %d of 3 controllers that know them", i+1)
 		}
 	}
-	w.layout = bookkeeping.LayoutBlocks // back
+	w.layout = record.LayoutBlocks // back
 	w.crash(w.nodes[0])
 	w.work(15 * time.Second)
-	w.layout = bookkeeping.LayoutShares
+	w.layout = record.LayoutShares
 	for _, n := range w.nodes {
 		w.crash(n)
 		w.work(15 * time.Second)
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // Site is a site to emulate: what it has, what comes and what happens to it.
@@ -70,19 +70,19 @@
 
 // Reservation is a reservation with the jobs that come for it.
 type Reservation struct {
-	Name     bookkeeping.EntryName `toml:"name"`
-	Class    string                `toml:"class"`
-	Team     protocol.Team         `toml:"team"`
-	Priority protocol.Priority     `toml:"priority"`
-	When     string                `toml:"when"`
-	HoldS    float64               `toml:"hold_s"`
-	LengthS  float64               `toml:"length_s"`
-	Tasks    int                   `toml:"tasks"`
-	CPUs     float64               `toml:"cpus"`
-	MemoryGB float64               `toml:"memory_gb"`
-	Zone     protocol.Zone         `toml:"zone"`
-	OneZone  bool                  `toml:"one_zone"`
-	Gang     bool                  `toml:"gang"`
+	Name     record.EntryName  `toml:"name"`
+	Class    string            `toml:"class"`
+	Team     protocol.Team     `toml:"team"`
+	Priority protocol.Priority `toml:"priority"`
+	When     string            `toml:"when"`
+	HoldS    float64           `toml:"hold_s"`
+	LengthS  float64           `toml:"length_s"`
+	Tasks    int               `toml:"tasks"`
+	CPUs     float64           `toml:"cpus"`
+	MemoryGB float64           `toml:"memory_gb"`
+	Zone     protocol.Zone     `toml:"zone"`
+	OneZone  bool              `toml:"one_zone"`
+	Gang     bool              `toml:"gang"`
 	// ComesS is how long after its time the job comes; below 0: before it.
 	ComesS float64 `toml:"comes_s"`
 	// Never: no job ever comes for it.
@@ -93,11 +93,11 @@
 
 // Window is a maintenance window.
 type Window struct {
-	Name    bookkeeping.EntryName `toml:"name"`
-	When    string                `toml:"when"`
-	LengthS float64               `toml:"length_s"`
-	Type    protocol.MachineType  `toml:"type"`
-	Zone    protocol.Zone         `toml:"zone"`
+	Name    record.EntryName     `toml:"name"`
+	When    string               `toml:"when"`
+	LengthS float64              `toml:"length_s"`
+	Type    protocol.MachineType `toml:"type"`
+	Zone    protocol.Zone        `toml:"zone"`
 }
 
 // Troubles is how often what happens, on average a day, at moments drawn by the
@@ -214,14 +214,14 @@
 }
 
 // spec is what an operator would ask for.
-func (r *Reservation) spec() *bookkeeping.ReservationSpec {
-	return &bookkeeping.ReservationSpec{
+func (r *Reservation) spec() *record.ReservationSpec {
+	return &record.ReservationSpec{
 		Name: r.Name, Class: r.Class, Team: r.Team, When: r.When, HoldS: r.HoldS, LengthS: r.LengthS,
 		Tasks: r.Tasks, CPUs: r.CPUs, MemoryGB: r.MemoryGB, Zone: r.Zone, OneZone: r.OneZone, Priority: r.Priority,
 	}
 }
 
 // spec is what an operator would ask for.
-func (w *Window) spec() *bookkeeping.WindowSpec {
-	return &bookkeeping.WindowSpec{Name: w.Name, When: w.When, LengthS: w.LengthS, Type: w.Type, Zone: w.Zone}
+func (w *Window) spec() *record.WindowSpec {
+	return &record.WindowSpec{Name: w.Name, When: w.When, LengthS: w.LengthS, Type: w.Type, Zone: w.Zone}
 }
--- a/internal/simulator/usermeetings_test.go
+++ b/internal/simulator/usermeetings_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // back ends a controller's process, which is back within a second.
@@ -402,7 +402,7 @@
 	}
 	left := 0
 	for _, it := range u.state.List("") {
-		if strings.HasPrefix(it.Key, bookkeeping.LiveKey("")) || strings.HasPrefix(it.Key, "bits/") {
+		if strings.HasPrefix(it.Key, record.LiveKey("")) || strings.HasPrefix(it.Key, "bits/") {
 			left++
 		}
 	}
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -396,8 +396,8 @@
 // checkRecords: whatever was accepted, told or not, is followed to its end, and nothing
 // else is there.
 func (u *users) checkRecords() {
-	for _, it := range u.state.List(bookkeeping.JobKey("")) {
-		id := protocol.JobID(strings.TrimPrefix(it.Key, bookkeeping.JobKey("")))
+	for _, it := range u.state.List(record.JobKey("")) {
+		id := protocol.JobID(strings.TrimPrefix(it.Key, record.JobKey("")))
 		j := u.jobs[id]
 		if j == nil || j.bad != 0 {
 			u.fail("%v accepted though it can't run, or nobody's: %s", u.now, id)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -10,13 +10,13 @@
 	"math/rand/v2"
 	"time"
 
-	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // world plays controllers' cores against stand-ins in simulated time, and
@@ -48,10 +48,10 @@
 	onMachine map[protocol.TaskID]*fake.Worker
 	starts    int
 
-	layout   bookkeeping.Layout // that controllers know
-	step     time.Duration      // between the ticks of the controllers' watches
-	exact    bool               // events happen at their own times, not with the steps
-	startMS  int64              // the time of day at the beginning
+	layout   record.Layout // that controllers know
+	step     time.Duration // between the ticks of the controllers' watches
+	exact    bool          // events happen at their own times, not with the steps
+	startMS  int64         // the time of day at the beginning
 	operator config.Operator
 	runTime  func(protocol.TaskID) time.Duration
 	saved    func(protocol.TaskID, time.Duration) // see standin.Worker
@@ -146,7 +146,7 @@
 			{Name: "large", CPUs: 8, MemoryGB: 32, FetchGBPS: 1, Price: 2, SpotPrice: 0.6, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}},
 		},
 	}
-	w.layout = bookkeeping.LayoutShares
+	w.layout = record.LayoutShares
 	w.step, w.startMS, w.operator, w.ownLease = usualStep, 1, config.DefaultOperator(), simNodeLease
 	w.runTime = func(protocol.TaskID) time.Duration { return time.Duration(1000+w.rng.IntN(9000)) * time.Millisecond }
 	w.bootTime = func(protocol.RentRequest) time.Duration { return time.Duration(3+w.rng.IntN(8)) * time.Second }
@@ -166,7 +166,7 @@
 		w.boot(ids[0], r)
 	}
 	for i := range settings.Site.Count {
-		n := &simNode{name: protocol.NodeName(fmt.Sprint("node-", i)), layout: bookkeeping.LayoutShares}
+		n := &simNode{name: protocol.NodeName(fmt.Sprint("node-", i)), layout: record.LayoutShares}
 		w.nodes = append(w.nodes, n)
 		w.startNode(n)
 	}
@@ -199,8 +199,8 @@
 		w.cancelBy(id)
 		return
 	}
-	it, _ := w.state.Get(bookkeeping.JobKey(id))
-	if w.outage <= w.now && w.state.Txn(admission.CancelTxn(id, it.Version, bookkeeping.JobRecord{Tasks: w.jobs[id].Tasks})) {
+	it, _ := w.state.Get(record.JobKey(id))
+	if w.outage <= w.now && w.state.Txn(admission.CancelTxn(id, it.Version, record.JobRecord{Tasks: w.jobs[id].Tasks})) {
 		w.cancelled[id] = w.now
 	}
 }
