--- /dev/null
+++ b/internal/compat/messages_test.go
@@ -0,0 +1,110 @@
+package compat
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/operators"
+	"damsonkeel/internal/protocol"
+)
+
+// TestMessages checks the messages of users, workers, the cloud, the state service and
+// operators, in CBOR form.
+func TestMessages(t *testing.T) {
+	checkMessages(t, cborFormat, []message{
+		entry[protocol.JobStatus, cborJobStatus]("job_status"),
+		entry[protocol.ErrorBody, cborErrorBody]("error"),
+
+		entry[protocol.Report, cborReport]("report"),
+		entry[protocol.ReportReply, cborReportReply]("report_reply"),
+		entry[protocol.Commands, cborCommands]("commands"),
+		entry[protocol.Redirect, cborRedirect]("redirect"),
+
+		entry[protocol.Catalogue, cborCatalogue]("catalogue"),
+		entry[protocol.RentRequest, cborRentRequest]("rent_request"),
+		entry[protocol.MachineNames, cborMachineNames]("machine_names"),
+		entry[protocol.MachineList, cborMachineList]("machine_list"),
+
+		entry[protocol.Item, cborItem]("state_item"),
+		entry[protocol.Page, cborPage]("state_page"),
+		entry[protocol.Txn, cborTxn]("state_txn"),
+		entry[protocol.TxnReply, cborTxnReply]("state_txn_reply"),
+		entry[protocol.LeaseRequest, cborLeaseRequest]("state_lease_request"),
+		entry[protocol.LeaseReply, cborLeaseReply]("state_lease_reply"),
+		entry[protocol.Events, cborEvents]("state_events"),
+
+		entry[operators.Request, cborRequest]("operator_request"),
+		entry[operators.Reply, cborReply]("operator_reply"),
+		entry[operators.Sealed, cborSealed]("operator_sealed"),
+	})
+}
+
+// TestSubmission checks the submission of a job, which is read by a form of its own.
+func TestSubmission(t *testing.T) {
+	job := protocol.Job{
+		ID: "job-000017", Class: "nightly", Team: "red", Kind: "gang", Priority: "high", Tasks: 12,
+		CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "image", ImageGB: 4.5, Types: []protocol.MachineType{"m8", "m16"},
+		Zone: "x", OneZone: true, Spread: true, Spot: true,
+		EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, DeadlineS: 8.5,
+	}
+	want := cborJob{
+		ID: "job-000017", Class: "nightly", Team: "red", Kind: "gang", Priority: "high", Tasks: 12,
+		CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "image", ImageGB: 4.5, Types: []string{"m8", "m16"},
+		Zone: "x", OneZone: true, Spread: true, Spot: true,
+		EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, DeadlineS: 8.5,
+	}
+	encoded, err := protocol.EncodeSubmission(job)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden := goldenFile(t, "cbor/submission.cbor", encoded)
+	checkBytes(t, "the submission", encoded, golden)
+	checkDecoded(t, "the submission read into the frozen copy", cborFormat.decodeFrozen, golden, want)
+	got, err := protocol.ParseSubmission(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkEqual(t, "the submission read by the present code", got, job)
+	if id, ok := protocol.SubmittedID(golden); !ok || id != job.ID {
+		t.Errorf("the id of the submission is read as %q (%v)", id, ok)
+	}
+}
+
+// TestSealedRequest checks an operator's request with its seal.
+func TestSealedRequest(t *testing.T) {
+	key := operators.Key{Name: "alice", Secret: bytes.Repeat([]byte{0x5a}, 32)}
+	at := time.UnixMilli(1_790_000_000_123)
+	request := sample(reflect.TypeFor[operators.Request](), cborNaming).(operators.Request)
+	sealed, err := operators.Seal(key, at, request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden := goldenFile(t, "cbor/operator_sealed_request.cbor", sealed)
+	checkBytes(t, "the sealed request", sealed, golden)
+	got, name, err := operators.Open(golden, []operators.Key{key}, at, 0)
+	if err != nil || name != key.Name {
+		t.Fatalf("opened as of %q: %v", name, err)
+	}
+	checkEqual(t, "the opened request", got, request)
+}
+
+// TestReplyInJSON checks the form in which operators' commands print replies: scripts
+// read it. The order of fields does not count.
+func TestReplyInJSON(t *testing.T) {
+	reply := sample(reflect.TypeFor[operators.Reply](), cborNaming)
+	encoded, err := json.MarshalIndent(reply, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got, want any
+	if err := json.Unmarshal(encoded, &got); err != nil {
+		t.Fatal(err)
+	}
+	if err := json.Unmarshal(goldenFile(t, "json/operator_reply.json", encoded), &want); err != nil {
+		t.Fatal(err)
+	}
+	checkEqual(t, "the reply in JSON", got, want)
+}
--- /dev/null
+++ b/internal/coordination/wireform_test.go
@@ -0,0 +1,63 @@
+package coordination
+
+import (
+	"encoding/hex"
+	"reflect"
+	"testing"
+
+	"damsonkeel/internal/coordination/calendar"
+	"damsonkeel/internal/coordination/intake"
+	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/protocol"
+)
+
+// What is sent and stored keeps its form (see internal/compat); here are those parts
+// whose types other packages can't name.
+
+// TestPeerMethods checks the calls that peers make: earlier versions know them by these
+// names and with these arguments and replies.
+func TestPeerMethods(t *testing.T) {
+	type call struct{ argument, reply reflect.Type }
+	want := map[string]call{
+		"Deliver": {reflect.TypeFor[message.Batch](), reflect.TypeFor[*message.BatchReply]()},
+		"Submit":  {reflect.TypeFor[Submission](), reflect.TypeFor[*intake.Answer]()},
+		"Halt":    {reflect.TypeFor[protocol.JobID](), reflect.TypeFor[*bool]()},
+	}
+	got := map[string]call{}
+	service := reflect.TypeFor[*peerService]()
+	for i := range service.NumMethod() {
+		m := service.Method(i)
+		got[m.Name] = call{m.Type.In(1), m.Type.In(2)}
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("the methods are %v, want %v", got, want)
+	}
+}
+
+// TestHeldRecordForm checks the record of held room against one written earlier.
+func TestHeldRecordForm(t *testing.T) {
+	const written = "" +
+		"a165686f6c647381a963666f72617264656e6473076466726f6d05646e656564a3624742fb400c00" +
+		"00000000006443505573fb3ff80000000000006447505573fb400400000000000065636c65617204" +
+		"656c6576656c03657461736b730265756e74696c06676d616368696e65616d"
+	record := heldRecord{Holds: []calendar.Hold{{
+		For: "r", Machine: "m", Tasks: 2, Need: room.Amount{CPUs: 1.5, GPUs: 2.5, GB: 3.5},
+		Level: 3, Clear: 4, From: 5, Until: 6, Ends: 7,
+	}}}
+	encoded, err := protocol.Encode(record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := hex.EncodeToString(encoded); got != written {
+		t.Errorf("written as %s, want %s", got, written)
+	}
+	b, err := hex.DecodeString(written)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read heldRecord
+	if err := protocol.Decode(b, &read); err != nil || !reflect.DeepEqual(read, record) {
+		t.Errorf("read as %+v (%v), want %+v", read, err, record)
+	}
+}
