--- a/cmd/damsonkeel/config_test.go
+++ b/cmd/damsonkeel/config_test.go
@@ -43,7 +43,7 @@
 	if reply := run(0, "set", "team/extra", "cpus=2", "cpus_max=3", "--id", "first"); reply.Config.Revision != 1 {
 		t.Errorf("repeated: %+v", reply)
 	}
-	job := protocol.Job{ID: "job-extra-1", Class: "c", Team: "extra", Kind: protocol.KindArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 3}
+	job := protocol.Job{ID: "job-extra-1", Class: "c", Team: "extra", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 3}
 	r.submit(job)
 	r.until("the new team's job runs", 60*time.Second, func() bool { return len(r.p.Started(job.ID)) == 6 })
 
--- a/cmd/damsonkeel/leave_test.go
+++ b/cmd/damsonkeel/leave_test.go
@@ -45,7 +45,7 @@
 	r := newReal(t, 4)
 	r.newKey()
 	job := func(i int) protocol.Job {
-		return protocol.Job{ID: protocol.JobID(fmt.Sprintf("job-%06d", i)), Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 3}
+		return protocol.Job{ID: protocol.JobID(fmt.Sprintf("job-%06d", i)), Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 3}
 	}
 	jobs := 0
 	work := func(d time.Duration) {
--- a/cmd/damsonkeel/real_test.go
+++ b/cmd/damsonkeel/real_test.go
@@ -188,7 +188,7 @@
 	r := newReal(t, 4)
 	r.newKey()
 	job := func(i int, class string, tasks uint32, cpus, s float64) protocol.Job {
-		return protocol.Job{ID: protocol.JobID(fmt.Sprintf("job-%s-%d", class, i)), Class: class, Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: s}
+		return protocol.Job{ID: protocol.JobID(fmt.Sprintf("job-%s-%d", class, i)), Class: class, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: s}
 	}
 	r.submit(job(0, "first", 16, 1, 10)) // all that there is to rent is up and busy then
 	start := time.Now().Add(75 * time.Second).Truncate(time.Second)
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -47,7 +47,7 @@
 }
 
 // Rent asks for machines.
-func (c *Client) Rent(ctx context.Context, r protocol.RentRequest) ([]protocol.MachineID, error) {
+func (c *Client) Rent(ctx context.Context, r protocol.ProvisionRequest) ([]protocol.MachineID, error) {
 	var got protocol.MachineNames
 	err := c.do(ctx, "POST", "/hosts", r, &got)
 	return got.Machines, err
--- a/internal/compat/constants_test.go
+++ b/internal/compat/constants_test.go
@@ -16,16 +16,16 @@
 		name      string
 		got, want int
 	}{
-		{"event: present", int(peers.WhatPresent), 1},
-		{"event: running", int(peers.WhatRunning), 2},
-		{"event: ended", int(peers.WhatEnded), 3},
-		{"event: released", int(peers.WhatReleased), 4},
-		{"event: notice", int(peers.WhatNotice), 5},
+		{"event: present", int(peers.EventPresent), 1},
+		{"event: running", int(peers.EventRunning), 2},
+		{"event: ended", int(peers.EventEnded), 3},
+		{"event: released", int(peers.EventReleased), 4},
+		{"event: notice", int(peers.EventNotice), 5},
 
-		{"batch: taken", int(peers.BatchTaken), 1},
+		{"batch: taken", int(peers.BatchAccepted), 1},
 		{"batch: behind", int(peers.BatchBehind), 2},
 		{"batch: stale", int(peers.BatchStale), 3},
-		{"batch: passed", int(peers.BatchPassed), 4},
+		{"batch: passed", int(peers.BatchExcluded), 4},
 
 		{"silence: none", int(peers.SilenceNone), 0},
 		{"silence: some", int(peers.SilenceSome), 1},
@@ -33,7 +33,7 @@
 
 		{"layout: single", int(record.LayoutSingle), 1},
 		{"layout: blocks", int(record.LayoutBlocks), 2},
-		{"layout: shares", int(record.LayoutShares), 3},
+		{"layout: shares", int(record.LayoutShards), 3},
 		{"layout: configuration", int(record.LayoutConfiguration), 4},
 		{"layout: latest", int(record.LatestLayout), 4},
 
@@ -67,7 +67,7 @@
 
 		{string(protocol.EndDone), "done"},
 		{string(protocol.EndStopped), "stopped"},
-		{string(protocol.EndMatesGone), "mates_gone"},
+		{string(protocol.EndGangLost), "mates_gone"},
 		{string(protocol.EndIncomplete), "incomplete"},
 		{string(protocol.EndError), "error"},
 		{string(protocol.EndFull), "full"},
@@ -78,7 +78,7 @@
 		{string(protocol.OpStop), "kill"},
 		{string(protocol.OpForget), "reap"},
 
-		{string(protocol.KindArray), "batch"},
+		{string(protocol.KindJobArray), "batch"},
 		{string(protocol.KindGang), "gang"},
 		{string(protocol.KindService), "standing"},
 
--- a/internal/compat/records_test.go
+++ b/internal/compat/records_test.go
@@ -18,7 +18,7 @@
 		entry[record.Machine, cborMachine]("machine"),
 		entry[protocol.Job, cborJob]("job"),
 		entry[record.JobRecord, cborJobRecord]("job_record"),
-		entry[record.Bits, cborBits]("bits"),
+		entry[record.BitmapChunk, cborBits]("bits"),
 		entry[record.Calendar, cborCalendar]("calendar"),
 		entry[record.Reservation, cborReservation]("reservation"),
 		entry[record.Window, cborWindow]("window"),
@@ -47,9 +47,9 @@
 // TestSharesRecord checks the record of shares, which is written in columns.
 func TestSharesRecord(t *testing.T) {
 	checkValues(t, cborFormat, "shares",
-		record.Shares{
+		record.ShardTable{
 			Epoch: 9, Zones: []protocol.Zone{"x", "y"}, Slots: 2, Away: []protocol.NodeName{"c"},
-			List: []record.ShareState{
+			List: []record.ShardAssignment{
 				{Holder: 21, Since: 1, Epoch: 2}, {Holder: 22, Since: 3, Epoch: 4},
 				{Holder: 21, Since: 5, Epoch: 6}, {Holder: 23, Since: 7, Epoch: 8},
 			},
@@ -68,7 +68,7 @@
 		t.Errorf("chunk 1 is %q, want %q", got, text)
 	}
 	read := bitset.New(0)
-	if err := record.DecodeChunk(key, record.Bits{Bits: text}, read, 40_000); err != nil {
+	if err := record.DecodeChunk(key, record.BitmapChunk{Bits: text}, read, 40_000); err != nil {
 		t.Fatal(err)
 	}
 	if want := bitset.New(0).Set(32768).Set(32768 + 9); !read.Equal(want) {
@@ -81,9 +81,9 @@
 	for _, key := range []struct{ got, want string }{
 		{record.FollowedPrefix, "c/"},
 		{record.ViewKey, "c/view"},
-		{record.SharesKey, "c/shares"},
+		{record.ShardTableKey, "c/shares"},
 		{record.CalendarKey, "c/calendar"},
-		{record.HeldKey, "c/held"},
+		{record.ReservationHoldsKey, "c/held"},
 		{record.ConfigurationKey, "c/config/revision"},
 		{record.ConfigurationHistoryPrefix, "config/history/"},
 		{record.NodeKey("n"), "c/node/n"},
@@ -92,8 +92,8 @@
 		{record.BlockKey("00000012"), "c/block/00000012"},
 		{record.BlockName(12), "00000012"},
 		{record.MachineKey("m"), "c/mach/m"},
-		{record.BitsPrefix("job-1"), "bits/job-1/"},
-		{record.BitsKey("job-1", 3), "bits/job-1/3"},
+		{record.BitmapPrefix("job-1"), "bits/job-1/"},
+		{record.BitmapChunkKey("job-1", 3), "bits/job-1/3"},
 		{record.ReservationKey("r"), "c/reservation/r"},
 		{record.WindowKey("w"), "c/window/w"},
 		{string(record.NewEntryID(record.EntryTeam, "t/u")), "team/t/u"},
@@ -109,11 +109,11 @@
 
 // TestFollowedKeys checks what followed keys are read as.
 func TestFollowedKeys(t *testing.T) {
-	for key, want := range map[string]record.Followed{
+	for key, want := range map[string]record.FollowedKey{
 		"c/view":                {View: true},
-		"c/shares":              {Shares: true},
+		"c/shares":              {ShardTable: true},
 		"c/calendar":            {Calendar: true},
-		"c/held":                {Held: true},
+		"c/held":                {ReservationHolds: true},
 		"c/config/revision":     {Configuration: true},
 		"c/config/entry/team/t": {ConfigurationEntry: "team/t"},
 		"c/node/n":              {Node: "n"},
@@ -123,7 +123,7 @@
 		"c/reservation/r":       {Reservation: "r"},
 		"c/window/w":            {Window: "w"},
 	} {
-		if got, ok := record.ParseFollowed(key); !ok || got != want {
+		if got, ok := record.ParseFollowedKey(key); !ok || got != want {
 			t.Errorf("key %q is read as %+v (%v), want %+v", key, got, ok, want)
 		}
 	}
--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -39,9 +39,9 @@
 	RetryAfterS = 1
 )
 
-// Intake is the state of one process between messages. It is not safe for
+// Admission is the state of one process between messages. It is not safe for
 // concurrent use: one actor owns it.
-type Intake struct {
+type Admission struct {
 	settings *config.Settings
 	log      *slog.Logger
 	now      clock.Time
@@ -54,10 +54,10 @@
 
 	types         []protocol.TypeInfo // nil: not known yet
 	requests      map[RequestID]*request
-	looks         map[LookID]*look
-	lastLook      LookID
+	looks         map[QueryID]*ownerQuery
+	lastLook      QueryID
 	polls         []*request // that wait to be compared together
-	nextLook      clock.Time // no comparing before
+	nextQuery     clock.Time // refuse comparing before
 	wakeAt        clock.Time // as last asked for
 	finals        map[protocol.JobID]record.JobRecord
 	announcements map[protocol.JobID]*announcement
@@ -65,11 +65,11 @@
 
 // request is one that waits for its answer.
 type request struct {
-	Asked
+	Request
 	until   clock.Time
-	refusal *Answer // of a submission: unless its job is known
-	own     *Answer // of a submission that is being passed on: unless the peer answers
-	tries   int     // of a cancellation
+	refusal *Answer // reservation a submission: unless its job is known
+	own     *Answer // reservation a submission that is being passed on: unless the peer answers
+	tries   int     // reservation a cancellation
 	// askAt is when the records are asked what became of a write that has no answer yet;
 	// 0: none is under way, or they have been asked.
 	askAt   clock.Time
@@ -80,8 +80,8 @@
 	configuredAnew bool
 }
 
-// look is a question to the core, and the comparison that follows for polls.
-type look struct {
+// ownerQuery is a question to the core, and the comparison that follows for polls.
+type ownerQuery struct {
 	polls    []*request
 	jobs     map[protocol.JobID]LiveJob
 	again    bool     // the second comparison
@@ -99,26 +99,26 @@
 }
 
 // New knows nothing but the settings.
-func New(s *config.Settings, op config.Operator, log *slog.Logger) *Intake {
-	return &Intake{
+func New(s *config.Settings, op config.Operator, log *slog.Logger) *Admission {
+	return &Admission{
 		configured: dynamicconfig.Base(&s.Site, op), configurable: op.Configurable(),
-		settings: s, log: log, requests: map[RequestID]*request{}, looks: map[LookID]*look{},
+		settings: s, log: log, requests: map[RequestID]*request{}, looks: map[QueryID]*ownerQuery{},
 		finals: map[protocol.JobID]record.JobRecord{}, announcements: map[protocol.JobID]*announcement{},
 	}
 }
 
 // Step handles one message at a time of the steady clock.
-func (in *Intake) Step(now clock.Time, msg any) []Action {
+func (in *Admission) Step(now clock.Time, msg any) []Action {
 	in.now, in.actions = now, nil
 	switch m := msg.(type) {
-	case Asked:
-		in.asked(m)
+	case Request:
+		in.receive(m)
 	case Read:
 		in.read(m)
 	case Written:
 		in.written(m)
-	case Looked:
-		in.looked(m)
+	case OwnersAnswered:
+		in.ownersAnswered(m)
 	case Compared:
 		in.compared(m)
 	case PassedOn:
@@ -133,7 +133,7 @@
 	case TypesRead:
 		in.types = m.Types
 	case Configured:
-		in.configuredNow(m.Effective)
+		in.configurationChanged(m.Effective)
 	case Tick:
 		in.tick()
 	}
@@ -141,9 +141,9 @@
 	return in.actions
 }
 
-func (in *Intake) do(a Action) { in.actions = append(in.actions, a) }
+func (in *Admission) emit(a Action) { in.actions = append(in.actions, a) }
 
-func (in *Intake) after(d time.Duration) clock.Time { return in.now + clock.Time(d) }
+func (in *Admission) after(d time.Duration) clock.Time { return in.now + clock.Time(d) }
 
 // Failure is an answer that says what is wrong; who may come back is told when.
 func Failure(status int, what string) Answer {
@@ -164,16 +164,16 @@
 }
 
 // answer answers a request, once.
-func (in *Intake) answer(r *request, a Answer) {
+func (in *Admission) answer(r *request, a Answer) {
 	if in.requests[r.ID] == r {
 		delete(in.requests, r.ID)
-		in.do(Reply{r.ID, a})
+		in.emit(Reply{r.ID, a})
 	}
 }
 
 // unavailable answers what can't be settled now. A submission goes to a peer that
 // acts first, once: the state service may refuse this controller alone.
-func (in *Intake) unavailable(r *request, what string) {
+func (in *Admission) unavailable(r *request, what string) {
 	in.log.Debug("request can't be answered", "operation", r.Operation, "job", r.Job, "why", what)
 	a := Failure(503, what)
 	if r.Operation != Submit || r.Passed || r.own != nil || in.now >= r.until {
@@ -181,15 +181,15 @@
 		return
 	}
 	r.own, r.until = &a, min(r.until, in.after(PassOnWait))
-	in.look(&look{passOn: r})
+	in.queryOwners(&ownerQuery{passOn: r})
 }
 
-func (in *Intake) asked(m Asked) {
+func (in *Admission) receive(m Request) {
 	if len(in.requests) >= RequestsMost {
-		in.do(Reply{m.ID, Failure(503, "too many requests at once")})
+		in.emit(Reply{m.ID, Failure(503, "too many requests at once")})
 		return
 	}
-	r := &request{Asked: m, until: in.after(budget)}
+	r := &request{Request: m, until: in.after(budget)}
 	if m.Passed {
 		r.until = in.after(PassOnWait)
 	}
@@ -199,7 +199,7 @@
 		in.submit(r)
 	case Poll:
 		if rec, ok := in.final(r.Job); ok {
-			in.tell(r, rec)
+			in.answerFromRecord(r, rec)
 		} else {
 			in.polls = append(in.polls, r)
 		}
@@ -208,7 +208,7 @@
 	}
 }
 
-func (in *Intake) submit(r *request) {
+func (in *Admission) submit(r *request) {
 	j, err := protocol.ParseSubmission(r.Body)
 	if err != nil {
 		id, ok := protocol.SubmittedID(r.Body)
@@ -222,43 +222,43 @@
 	}
 	r.Job = j.ID
 	if rec, ok := in.final(j.ID); ok {
-		in.tell(r, rec)
+		in.answerFromRecord(r, rec)
 		return
 	}
 	if in.types == nil {
 		in.unavailable(r, "machine types not known yet")
 		return
 	}
-	if why := in.neverRuns(&j); why != "" {
+	if why := in.whyInfeasible(&j); why != "" {
 		in.refuseByConfiguration(r, Failure(422, why))
 		return
 	}
 	j.SubmittedMS = r.WallMS
-	in.write(r, in.onConfiguration(r, AcceptTxn(&j)))
+	in.write(r, in.onConfiguration(r, AcceptTransaction(&j)))
 }
 
-func (in *Intake) write(r *request, txn protocol.Txn) {
+func (in *Admission) write(r *request, txn protocol.Transaction) {
 	r.writing, r.askAt = true, in.after(answerWithin)
-	in.do(Write{r.ID, txn})
+	in.emit(Write{r.ID, txn})
 	in.wakeBy(r.askAt)
 }
 
 // wakeBy asks to be called at a time, unless that is asked for already.
-func (in *Intake) wakeBy(at clock.Time) {
+func (in *Admission) wakeBy(at clock.Time) {
 	if in.wakeAt <= in.now || at < in.wakeAt {
 		in.wakeAt = at
-		in.do(Wake{at})
+		in.emit(Wake{at})
 	}
 }
 
 // refuse refuses a submission, unless its id is one that was accepted.
-func (in *Intake) refuse(r *request, no Answer) {
+func (in *Admission) refuse(r *request, no Answer) {
 	r.refusal = &no
 	in.get(r)
 }
 
 // final is a job's record if it is known to be over.
-func (in *Intake) final(id protocol.JobID) (record.JobRecord, bool) {
+func (in *Admission) final(id protocol.JobID) (record.JobRecord, bool) {
 	if h := in.announcements[id]; h != nil {
 		return h.record, true
 	}
@@ -266,7 +266,7 @@
 	return rec, ok
 }
 
-func (in *Intake) keepFinal(id protocol.JobID, rec record.JobRecord) {
+func (in *Admission) rememberFinal(id protocol.JobID, rec record.JobRecord) {
 	if len(in.finals) >= finalsMost {
 		for k := range in.finals { // any one: it can be read again
 			delete(in.finals, k)
@@ -277,15 +277,15 @@
 }
 
 // get reads a job's state: as kept here if it is final, else from the records.
-func (in *Intake) get(r *request) {
+func (in *Admission) get(r *request) {
 	if rec, ok := in.final(r.Job); ok {
-		in.tell(r, rec)
+		in.answerFromRecord(r, rec)
 		return
 	}
-	in.do(Get{r.ID, r.Job})
+	in.emit(Get{r.ID, r.Job})
 }
 
-func (in *Intake) read(m Read) {
+func (in *Admission) read(m Read) {
 	r := in.requests[m.ID]
 	if r == nil {
 		return
@@ -294,15 +294,15 @@
 	switch {
 	case r.writing && !settled: // its answer may still come
 	case m.Outcome == message.OutcomeDone && m.Record.State == record.RecordLive && r.Operation == Cancel:
-		in.write(r, CancelTxn(r.Job, m.Version, m.Record))
+		in.write(r, CancelTransaction(r.Job, m.Version, m.Record))
 	case m.Outcome == message.OutcomeDone:
-		in.tell(r, m.Record)
+		in.answerFromRecord(r, m.Record)
 	case m.Outcome != message.OutcomeFailed:
 		in.unavailable(r, "state service can't be asked")
 	case r.refusal != nil:
 		in.answer(r, *r.refusal)
 	case r.configuredAnew:
-		in.submitAnew(r)
+		in.resubmit(r)
 	case r.Operation == Submit:
 		// Not there yet, but it may still come: that says nothing either way.
 		in.unavailable(r, "not settled yet")
@@ -311,7 +311,7 @@
 	}
 }
 
-func (in *Intake) written(m Written) {
+func (in *Admission) written(m Written) {
 	r := in.requests[m.ID]
 	if r == nil {
 		return
@@ -321,11 +321,11 @@
 	case m.Outcome == message.OutcomeRefused:
 		in.unavailable(r, "state service can't be asked")
 	case r.Operation == Submit && m.Outcome == message.OutcomeDone && r.refusal != nil:
-		in.answer(r, *r.refusal) // by the configuration in force, and the job is not known
+		in.answer(r, *r.refusal) // reportedBy the configuration in force, and the job is not known
 	case r.Operation == Submit && m.Outcome == message.OutcomeDone:
 		in.answer(r, success(201, protocol.JobStatus{ID: r.Job, State: protocol.JobQueued}))
 	case r.Operation == Cancel && m.Outcome == message.OutcomeDone:
-		in.tell(r, record.JobRecord{State: record.RecordCancelled})
+		in.answerFromRecord(r, record.JobRecord{State: record.RecordCancelled})
 	default:
 		// It is not as it was read, known already, or the answer was lost: the record
 		// tells.
@@ -340,21 +340,21 @@
 	}
 }
 
-// tell answers with a job's record.
-func (in *Intake) tell(r *request, rec record.JobRecord) {
+// answerFromRecord answers with a job's record.
+func (in *Admission) answerFromRecord(r *request, rec record.JobRecord) {
 	switch rec.State {
 	case record.RecordLive:
-		in.look(&look{one: r})
+		in.queryOwners(&ownerQuery{one: r})
 	case record.RecordCancelled:
-		in.tellCancelled(r, rec)
+		in.answerCancelled(r, rec)
 	default:
-		in.keepFinal(r.Job, rec)
-		in.answer(r, in.over(r, rec))
+		in.rememberFinal(r.Job, rec)
+		in.answer(r, in.finalAnswer(r, rec))
 	}
 }
 
-// over is what users are told of a job that is over.
-func (in *Intake) over(r *request, rec record.JobRecord) Answer {
+// finalAnswer is what users are told of a job that is over.
+func (in *Admission) finalAnswer(r *request, rec record.JobRecord) Answer {
 	s := protocol.JobStatus{ID: r.Job, State: protocol.JobCancelled}
 	done, running := uint32(0), uint32(0)
 	if rec.State == record.RecordDone {
@@ -366,8 +366,8 @@
 	return success(200, s)
 }
 
-// underWay is what users are told of a job that is live.
-func underWay(id protocol.JobID, p message.Progress) Answer {
+// liveAnswer is what users are told of a job that is live.
+func liveAnswer(id protocol.JobID, p message.Progress) Answer {
 	s := protocol.JobStatus{ID: id, State: protocol.JobQueued, Done: &p.Done, Running: &p.Running}
 	if p.Running > 0 {
 		s.State = protocol.JobRunning
@@ -375,19 +375,19 @@
 	return success(200, s)
 }
 
-// tellCancelled answers that a job is cancelled. Before the first such answer all
+// answerCancelled answers that a job is cancelled. Before the first such answer all
 // controllers are told: each follows the records, but some milliseconds late, or
 // seconds, and may start a task until then, which from the answer on none may be.
-func (in *Intake) tellCancelled(r *request, rec record.JobRecord) {
+func (in *Admission) answerCancelled(r *request, rec record.JobRecord) {
 	if _, ok := in.finals[r.Job]; ok {
-		in.answer(r, in.over(r, rec))
+		in.answer(r, in.finalAnswer(r, rec))
 		return
 	}
 	h := in.announcements[r.Job]
 	if h == nil {
 		h = &announcement{record: rec, until: in.after(AnnounceWait)}
 		in.announcements[r.Job] = h
-		in.look(&look{announce: r.Job})
+		in.queryOwners(&ownerQuery{announce: r.Job})
 	}
 	r.until = max(r.until, h.until+1)
 	h.waits = append(h.waits, r)
@@ -396,7 +396,7 @@
 // announce tells all controllers of a cancellation. Those are waited for that may act by
 // the view: others can't start anything. One that has ended, or stands still, is
 // waited for until the view leaves it out.
-func (in *Intake) announce(id protocol.JobID, members []protocol.NodeName) {
+func (in *Admission) announce(id protocol.JobID, members []protocol.NodeName) {
 	h := in.announcements[id]
 	if h == nil {
 		return // it has taken too long
@@ -410,11 +410,11 @@
 		if len(members) == 0 || slices.Contains(members, to) {
 			h.left[to] = true
 		}
-		in.do(Announce{id, to})
+		in.emit(Announce{id, to})
 	}
 }
 
-func (in *Intake) announced(m Announced) {
+func (in *Admission) announced(m Announced) {
 	if h := in.announcements[m.Job]; h != nil {
 		delete(h.left, m.By)
 		in.checkAnnouncement(m.Job, h)
@@ -423,18 +423,18 @@
 
 // checkAnnouncement answers those who wait for a cancellation once all have heard of it, or
 // it has taken long enough.
-func (in *Intake) checkAnnouncement(id protocol.JobID, h *announcement) {
+func (in *Admission) checkAnnouncement(id protocol.JobID, h *announcement) {
 	if (h.left == nil || len(h.left) > 0) && in.now < h.until {
 		return
 	}
 	delete(in.announcements, id)
-	in.keepFinal(id, h.record)
+	in.rememberFinal(id, h.record)
 	for _, r := range h.waits {
-		in.answer(r, in.over(r, h.record))
+		in.answer(r, in.finalAnswer(r, h.record))
 	}
 }
 
-func (in *Intake) tick() {
+func (in *Admission) tick() {
 	for id, h := range ordered.Of(in.announcements) {
 		in.checkAnnouncement(id, h)
 	}
@@ -446,7 +446,7 @@
 		case r.askAt == 0:
 		case in.now >= r.askAt:
 			r.askAt = 0
-			in.do(Get{r.ID, r.Job})
+			in.emit(Get{r.ID, r.Job})
 		case next == 0 || r.askAt < next:
 			next = r.askAt
 		}
@@ -456,71 +456,71 @@
 	}
 }
 
-// look asks the core.
-func (in *Intake) look(l *look, jobs ...protocol.JobID) {
+// ownerQuery asks the core.
+func (in *Admission) queryOwners(l *ownerQuery, jobs ...protocol.JobID) {
 	in.lastLook++
 	in.looks[in.lastLook] = l
 	if l.one != nil {
 		jobs = append(jobs, l.one.Job)
 	}
-	in.do(Look{in.lastLook, jobs})
+	in.emit(QueryOwners{in.lastLook, jobs})
 }
 
-func (in *Intake) looked(m Looked) {
-	l := in.looks[m.Look]
+func (in *Admission) ownersAnswered(m OwnersAnswered) {
+	l := in.looks[m.Query]
 	if l == nil {
 		return
 	}
 	switch {
 	case l.one != nil:
-		delete(in.looks, m.Look)
-		in.answer(l.one, underWay(l.one.Job, m.Jobs[l.one.Job].Progress))
+		delete(in.looks, m.Query)
+		in.answer(l.one, liveAnswer(l.one.Job, m.Jobs[l.one.Job].Progress))
 	case l.announce != "":
-		delete(in.looks, m.Look)
+		delete(in.looks, m.Query)
 		in.announce(l.announce, m.Members)
 	case l.passOn != nil:
-		delete(in.looks, m.Look)
-		in.passOn(l.passOn, m.Acting)
+		delete(in.looks, m.Query)
+		in.forward(l.passOn, m.Leading)
 	default:
 		l.jobs = m.Jobs
-		in.compare(m.Look, l)
+		in.compare(m.Query, l)
 	}
 }
 
-// passOn has a peer that acts answer a submission. One hop is all, and one peer.
-func (in *Intake) passOn(r *request, acting []protocol.NodeName) {
+// forward has a peer that acts answer a submission. One hop is all, and one peer.
+func (in *Admission) forward(r *request, acting []protocol.NodeName) {
 	for _, m := range in.settings.Members {
 		if len(acting) > 0 && m.Name == acting[0] && in.requests[r.ID] == r {
-			in.do(PassOn{r.ID, m.Name, r.Body})
+			in.emit(PassOn{r.ID, m.Name, r.Body})
 			return
 		}
 	}
 	in.answer(r, *r.own)
 }
 
-// AcceptTxn accepts a job: it holds only if no job with its id is known.
-func AcceptTxn(j *protocol.Job) protocol.Txn {
-	return protocol.Txn{
-		If: []protocol.Condition{{Key: record.JobKey(j.ID)}},
-		Then: []protocol.Change{
+// AcceptTransaction accepts a job: it holds only if no job with its id is known.
+func AcceptTransaction(j *protocol.Job) protocol.Transaction {
+	return protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: record.JobKey(j.ID)}},
+		Changes: []protocol.Change{
 			{Put: record.JobKey(j.ID), Value: record.JobRecord{State: record.RecordLive, Tasks: j.Tasks}},
 			{Put: record.LiveKey(j.ID), Value: j},
 		},
 	}
 }
 
-// CancelTxn cancels a job: it holds only if the job is still as it was read.
+// CancelTransaction cancels a job: it holds only if the job is still as it was read.
 // Both of its records change together, always, so they have one version.
-func CancelTxn(id protocol.JobID, version protocol.Version, r record.JobRecord) protocol.Txn {
+func CancelTransaction(id protocol.JobID, version protocol.Version, r record.JobRecord) protocol.Transaction {
 	r.State = record.RecordCancelled
-	return protocol.Txn{
-		If:   []protocol.Condition{{Key: record.JobKey(id), Version: version}, {Key: record.LiveKey(id), Version: version}},
-		Then: []protocol.Change{{Put: record.JobKey(id), Value: r}, {Delete: record.LiveKey(id)}},
+	return protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: record.JobKey(id), Version: version}, {Key: record.LiveKey(id), Version: version}},
+		Changes:    []protocol.Change{{Put: record.JobKey(id), Value: r}, {Delete: record.LiveKey(id)}},
 	}
 }
 
-// neverRuns says why a job can never run, or nothing.
-func (in *Intake) neverRuns(j *protocol.Job) string {
+// whyInfeasible says why a job can never run, or nothing.
+func (in *Admission) whyInfeasible(j *protocol.Job) string {
 	team, ok := in.configured.Team(j.Team)
 	if !ok {
 		return "unknown team"
@@ -538,7 +538,7 @@
 		return "a task fits no allowed machine type"
 	}
 	n := 1.0
-	if j.Kind != protocol.KindArray {
+	if j.Kind != protocol.KindJobArray {
 		n = float64(j.Tasks)
 	}
 	if team.MaxCPUs > 0 && n*j.CPUs > team.MaxCPUs+resource.Slack || team.MaxGPUs > 0 && n*j.GPUs > team.MaxGPUs+resource.Slack {
--- a/internal/controller/admission/admission_test.go
+++ b/internal/controller/admission/admission_test.go
@@ -19,12 +19,12 @@
 // shell plays the actor around an intake: what it asks for is answered by the given
 // functions, at once unless they return nil.
 type shell struct {
-	in      *Intake
+	in      *Admission
 	now     clock.Time
 	answers map[RequestID]Answer
 	get     func(Get) any
 	write   func(Write) any
-	look    func(Look) any
+	look    func(QueryOwners) any
 	compare func(Compare) any
 	passOn  func(PassOn) any
 	halt    func(Announce) any
@@ -52,7 +52,7 @@
 				next = s.get(a)
 			case Write:
 				next = s.write(a)
-			case Look:
+			case QueryOwners:
 				next = s.look(a)
 			case Compare:
 				next = s.compare(a)
@@ -108,7 +108,7 @@
 		live := func(id protocol.JobID) bool { k, ok := known[id]; return ok && k.Version == records[id] }
 		outage, namesAll := rapid.IntRange(0, 5).Draw(t, "outage") == 0, rapid.Bool().Draw(t, "names all")
 		requests, read := 0, map[protocol.JobID]bool{}
-		s.look = func(l Look) any { return Looked{Look: l.Look, Jobs: known} }
+		s.look = func(l QueryOwners) any { return OwnersAnswered{Query: l.Look, Jobs: known} }
 		s.compare = func(c Compare) any {
 			requests++
 			out := Compared{Look: c.Look, Outcome: message.OutcomeDone}
@@ -139,7 +139,7 @@
 		}
 		polls := rapid.IntRange(1, 150).Draw(t, "polls")
 		for i := range polls {
-			s.step(t, Asked{ID: RequestID(i), Operation: Poll, Job: protocol.JobID(fmt.Sprint("job-", i%jobs))})
+			s.step(t, Request{ID: RequestID(i), Operation: Poll, Job: protocol.JobID(fmt.Sprint("job-", i%jobs))})
 		}
 		s.pass(t, budget)
 		for i := range polls {
@@ -211,7 +211,7 @@
 		asked := 0
 		body := submission(t, "job-000001", nil)
 		s.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeRefused} }
-		s.look = func(l Look) any { return Looked{Look: l.Look, Acting: tc.acting} }
+		s.look = func(l QueryOwners) any { return OwnersAnswered{Query: l.Look, Leading: tc.acting} }
 		s.passOn = func(p PassOn) any {
 			if asked++; p.To != "node-1" || string(p.Body) != string(body) {
 				t.Errorf("%s: asked %v", tc.name, p)
@@ -222,7 +222,7 @@
 			return PassedOn{ID: p.ID, Answer: tc.reply}
 		}
 		s.step(t, smallType)
-		s.step(t, Asked{ID: 1, Operation: Submit, Body: body})
+		s.step(t, Request{ID: 1, Operation: Submit, Body: body})
 		s.pass(t, budget)
 		m := s.answers[1]
 		if asked != tc.asked || m.Status != tc.status {
@@ -238,7 +238,7 @@
 	s := newShell(4)
 	s.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeRefused} }
 	s.step(t, smallType)
-	s.step(t, Asked{ID: 1, Operation: Submit, Body: submission(t, "job-000001", nil), Passed: true}) // would fail for want of look
+	s.step(t, Request{ID: 1, Operation: Submit, Body: submission(t, "job-000001", nil), Passed: true}) // would fail for want of look
 	if s.answers[1].Status != 503 {
 		t.Error("passed on twice")
 	}
@@ -253,7 +253,7 @@
 		members := []protocol.NodeName{"node-0", "node-1", "node-2"}
 		var silent protocol.NodeName
 		var told []protocol.NodeName
-		s.look = func(l Look) any { return Looked{Look: l.Look, Members: members} }
+		s.look = func(l QueryOwners) any { return OwnersAnswered{Query: l.Look, Members: members} }
 		s.get = func(g Get) any {
 			return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordCancelled, Tasks: 2}}
 		}
@@ -269,7 +269,7 @@
 		ask := func(id RequestID, job string) time.Duration {
 			t.Helper()
 			from := s.now
-			s.step(t, Asked{ID: id, Operation: op, Job: protocol.JobID(job), Body: submission(t, job, nil)})
+			s.step(t, Request{ID: id, Operation: op, Job: protocol.JobID(job), Body: submission(t, job, nil)})
 			for range 100 {
 				if _, ok := s.answers[id]; ok {
 					break
@@ -318,7 +318,7 @@
 			if op == Submit {
 				found = nil
 			}
-			s.look = func(l Look) any { return Looked{Look: l.Look, Members: []protocol.NodeName{"node-0"}} }
+			s.look = func(l QueryOwners) any { return OwnersAnswered{Query: l.Look, Members: []protocol.NodeName{"node-0"}} }
 			s.halt = func(h Announce) any { return Announced{Job: h.Job, By: h.To} }
 			s.get = func(g Get) any {
 				if found == nil {
@@ -336,7 +336,7 @@
 				return nil
 			}
 			s.step(t, smallType)
-			s.step(t, Asked{ID: 1, Operation: op, Job: "job-000001", Body: submission(t, "job-000001", nil)})
+			s.step(t, Request{ID: 1, Operation: op, Job: "job-000001", Body: submission(t, "job-000001", nil)})
 			s.pass(t, answerWithin+20*time.Millisecond)
 			a, told := s.answers[1]
 			if told != done {
@@ -378,7 +378,7 @@
 			for _, outage := range []bool{false, true} {
 				s := newShell(4)
 				s.step(t, smallType)
-				s.look = func(l Look) any { return Looked{Look: l.Look} }
+				s.look = func(l QueryOwners) any { return OwnersAnswered{Query: l.Look} }
 				s.get = func(g Get) any {
 					r := Read{ID: g.ID, Outcome: message.OutcomeFailed}
 					switch {
@@ -398,7 +398,7 @@
 					}
 					return Written{ID: w.ID, Outcome: out}
 				}
-				s.step(t, Asked{ID: 1, Operation: Submit, Body: tc.body})
+				s.step(t, Request{ID: 1, Operation: Submit, Body: tc.body})
 				want := tc.status
 				if _, named := protocol.SubmittedID(tc.body); named && outage {
 					want = 503
--- a/internal/controller/admission/configured_test.go
+++ b/internal/controller/admission/configured_test.go
@@ -19,7 +19,7 @@
 
 // entrance is an intake that follows the configuration, with what it has asked for.
 type entrance struct {
-	in       *Intake
+	in       *Admission
 	followed *dynamicconfig.Followed
 	seen     int // changes of the state service
 	asked    []Action
@@ -84,7 +84,7 @@
 	}
 }
 
-// follow brings an intake the next change.
+// watchRecords brings an intake the next change.
 func (c *closing) follow(e *entrance) {
 	if e.seen >= c.state.Changes() {
 		return
@@ -97,7 +97,7 @@
 }
 
 func takeRecord(t *rapid.T, f *dynamicconfig.Followed, ev protocol.Event) bool {
-	key, known := record.ParseFollowed(ev.Put)
+	key, known := record.ParseFollowedKey(ev.Put)
 	var head record.Configuration
 	var entry record.ConfigurationEntry
 	switch {
@@ -136,14 +136,14 @@
 // submit submits a job.
 func (c *closing) submit(e *entrance) {
 	c.submitted++
-	j := protocol.Job{ID: protocol.JobID(fmt.Sprint("job-", c.submitted)), Class: "c", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
+	j := protocol.Job{ID: protocol.JobID(fmt.Sprint("job-", c.submitted)), Class: "c", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	body, err := protocol.EncodeSubmission(j)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	id := RequestID(c.submitted)
 	c.askedAt[id] = len(c.team) - 1
-	c.step(e, Asked{ID: id, Operation: Submit, Body: body})
+	c.step(e, Request{ID: id, Operation: Submit, Body: body})
 }
 
 // carryOut carries out the first thing that an intake asked for. A job's record is
@@ -159,7 +159,7 @@
 		out := message.OutcomeFailed
 		if c.state.Txn(a.Txn) {
 			out = message.OutcomeDone
-			if c.team[len(c.team)-1] && len(a.Txn.Then) > 0 {
+			if c.team[len(c.team)-1] && len(a.Txn.Changes) > 0 {
 				c.t.Fatalf("request %d is accepted while the team is closed", a.ID)
 			}
 		}
@@ -171,13 +171,13 @@
 			r.Outcome = message.OutcomeDone
 		}
 		c.step(e, r)
-	case Look:
-		c.step(e, Looked{Look: a.Look})
+	case QueryOwners:
+		c.step(e, OwnersAnswered{Query: a.Look})
 	}
 }
 
 // TestClosedWhileAccepted: a team is closed and opened at any moment between the steps
-// of submissions at two controllers, which follow late. Nothing is accepted while it is
+// reservation submissions at two controllers, which follow late. Nothing is accepted while it is
 // closed, nothing is refused that could be taken all along, and who follows answers.
 func TestClosedWhileAccepted(t *testing.T) {
 	accepted, refused := 0, 0
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -11,8 +11,8 @@
 // RequestID numbers the requests that one process has been asked.
 type RequestID uint64
 
-// LookID numbers the questions to the core.
-type LookID uint64
+// QueryID numbers the questions to the core.
+type QueryID uint64
 
 // Operation is what a user asks for.
 type Operation uint8
@@ -26,19 +26,19 @@
 
 // Messages to the step function.
 type (
-	// Asked is a user's request.
-	Asked struct {
+	// Request is a user's request.
+	Request struct {
 		ID        RequestID
 		Operation Operation
-		Job       protocol.JobID // of polls and cancellations
-		Body      []byte         // of submissions
-		Passed    bool           // by a peer: not passed on once more
+		Job       protocol.JobID // reservation polls and cancellations
+		Body      []byte         // reservation submissions
+		Passed    bool           // reportedBy a peer: not passed on once more
 		WallMS    int64          // the time of day
 	}
 	// Read answers a Get.
 	Read struct {
 		ID      RequestID
-		Outcome message.Outcome // failed: there is no such record
+		Outcome message.Outcome // attemptFailed: there is no such record
 		Record  record.JobRecord
 		Version protocol.Version
 	}
@@ -47,17 +47,17 @@
 		ID      RequestID
 		Outcome message.Outcome
 	}
-	// Looked answers a Look.
-	Looked struct {
-		Look   LookID
-		Jobs   map[protocol.JobID]LiveJob // those asked for that are live, as followed
-		Acting []protocol.NodeName        // peers known to act
+	// OwnersAnswered answers a Look.
+	OwnersAnswered struct {
+		Query   QueryID
+		Jobs    map[protocol.JobID]LiveJob // those asked for that are live, as followed
+		Leading []protocol.NodeName        // peers known to act
 		// Members are those who may act by the view, as followed; empty: none is known.
 		Members []protocol.NodeName
 	}
 	// Compared answers a Compare: done if nothing differs, failed if something does.
 	Compared struct {
-		Look    LookID
+		Look    QueryID
 		Outcome message.Outcome
 		Differ  []string // keys that are named as different
 	}
@@ -111,16 +111,16 @@
 	// Write executes a transaction.
 	Write struct {
 		ID  RequestID
-		Txn protocol.Txn
+		Txn protocol.Transaction
 	}
-	// Look asks this controller's core what it knows of jobs, and who acts.
-	Look struct {
-		Look LookID
+	// Query asks this controller's core what it knows of jobs, and who acts.
+	QueryOwners struct {
+		Look QueryID
 		Jobs []protocol.JobID
 	}
 	// Compare is a transaction that only compares.
 	Compare struct {
-		Look       LookID
+		Look       QueryID
 		Conditions []protocol.Condition
 	}
 	// PassOn has a peer answer a submission.
@@ -130,7 +130,7 @@
 		Body []byte
 	}
 	// Announce tells a controller, this one or a peer, that a job is cancelled: it starts
-	// no task of it any more, though it may not have followed that yet.
+	// refuse task of it any more, though it may not have followed that yet.
 	Announce struct {
 		Job protocol.JobID
 		To  protocol.NodeName
--- a/internal/controller/admission/polls.go
+++ b/internal/controller/admission/polls.go
@@ -12,9 +12,9 @@
 	"damsonkeel/internal/record"
 )
 
-// livePart is the part of a controller's requests to the state service that polls
-// of live jobs may take.
-const livePart = 0.25
+// liveKeyParts is the part of a controller's requests to the state service that polls
+// reservation live jobs may take.
+const liveKeyParts = 0.25
 
 // comparePolls finds out for the polls that wait whether their jobs are still live,
 // many in one request: a transaction that only compares the versions of their
@@ -22,33 +22,33 @@
 // have come, so it is as new as a read for each of them would be. Users of
 // hundreds of jobs poll more often than the state service takes requests:
 // docs/incidents/2026-12-01-small-jobs-use-up-a-controller.md.
-func (in *Intake) comparePolls() {
+func (in *Admission) comparePolls() {
 	if len(in.polls) == 0 {
 		return
 	}
-	if in.now < in.nextLook {
-		in.wakeBy(in.nextLook)
+	if in.now < in.nextQuery {
+		in.wakeBy(in.nextQuery)
 		return
 	}
 	site := &in.settings.Site
 	share := kvstore.EqualAllotment(site.State.RPS, site.State.WriteRPS, site.Count)
-	in.nextLook = in.after(time.Duration(float64(time.Second) / max(1, livePart*share.Requests)))
+	in.nextQuery = in.after(time.Duration(float64(time.Second) / max(1, liveKeyParts*share.Requests)))
 	n := min(len(in.polls), max(1, 4*site.State.TxnOps))
-	l := &look{polls: slices.Clone(in.polls[:n])}
+	l := &ownerQuery{polls: slices.Clone(in.polls[:n])}
 	in.polls = slices.Delete(in.polls, 0, n)
 	var jobs []protocol.JobID
 	for _, r := range l.polls {
 		jobs = append(jobs, r.Job)
 	}
-	in.look(l, jobs...)
+	in.queryOwners(l, jobs...)
 	if len(in.polls) > 0 {
-		in.wakeBy(in.nextLook)
+		in.wakeBy(in.nextQuery)
 	}
 }
 
 // compare holds the versions of the jobs of a look against the records. What is not
 // known to be live only its own record can tell.
-func (in *Intake) compare(id LookID, l *look) {
+func (in *Admission) compare(id QueryID, l *ownerQuery) {
 	var conditions []protocol.Condition
 	l.polls = slices.DeleteFunc(l.polls, func(r *request) bool {
 		j, live := l.jobs[r.Job]
@@ -67,12 +67,12 @@
 		return
 	}
 	slices.SortFunc(conditions, func(a, b protocol.Condition) int { return cmp.Compare(a.Key, b.Key) })
-	in.do(Compare{id, slices.Compact(conditions)}) // some may be asked for twice
+	in.emit(Compare{id, slices.Compact(conditions)}) // some may be asked for twice
 }
 
 // compared answers polls. Where some records differ, those that are not named as
 // such are compared once more.
-func (in *Intake) compared(m Compared) {
+func (in *Admission) compared(m Compared) {
 	l := in.looks[m.Look]
 	if l == nil {
 		return
@@ -91,7 +91,7 @@
 	delete(in.looks, m.Look)
 	for _, r := range l.polls {
 		if m.Outcome == message.OutcomeDone {
-			in.answer(r, underWay(r.Job, l.jobs[r.Job].Progress))
+			in.answer(r, liveAnswer(r.Job, l.jobs[r.Job].Progress))
 		} else {
 			in.unavailable(r, "state service can't be asked")
 		}
--- a/internal/controller/anymessage_test.go
+++ b/internal/controller/anymessage_test.go
@@ -73,8 +73,8 @@
 			}
 			anyValue(rng, one, 0)
 			batch := message.Batch{From: "node-1", FromSession: 101, ToSession: 100, First: next, Messages: []message.PeerMessage{m}}
-			for _, a := range b.step(message.Received{Batch: batch}) {
-				if r, ok := a.(message.ReplyBatch); ok && r.Reply != message.BatchTaken {
+			for _, a := range b.step(message.BatchReceived{Batch: batch}) {
+				if r, ok := a.(message.ReplyBatch); ok && r.Reply != message.BatchAccepted {
 					t.Fatalf("batch not taken: %v", r.Reply)
 				}
 				if c, ok := a.(message.Command); ok {
@@ -92,18 +92,18 @@
 }
 
 // newSharedBench is a controller that keeps half of the shares, with machines that are
-// up and jobs.
+// health and jobs.
 func newSharedBench(t testing.TB) *bench {
 	b := newBench(t, "node-1")
-	shares := sharding.First([]protocol.Zone{"a", "b"})
+	shares := sharding.InitialTable([]protocol.Zone{"a", "b"})
 	for i := range shares.List {
-		sharding.Give(shares, sharding.ID(i), protocol.LeaseID(100+i%2))
+		sharding.Assign(shares, sharding.ID(i), protocol.LeaseID(100+i%2))
 	}
-	b.put(record.SharesKey, *shares)
-	b.put(record.ViewKey, record.View{Term: 2, Members: b.c.View.Members, Layout: record.LayoutShares})
+	b.put(record.ShardTableKey, *shares)
+	b.put(record.ViewKey, record.View{Term: 2, Members: b.c.View.Members, Layout: record.LayoutShards})
 	for _, id := range []protocol.MachineID{"vm-1", "vm-2", "vm-3"} {
 		b.machine(id, 1)
-		b.step(message.Reported{Report: protocol.Report{Machine: id, Address: "x", Type: "small", Zone: "a", Session: 1, Seq: 1, Term: b.c.Token(id, "a")}})
+		b.step(message.HeartbeatReceived{Heartbeat: protocol.Heartbeat{Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: 1, Seq: 1, Term: b.c.FencingToken(id, "a")}})
 	}
 	b.job("job-1", "free", 3)
 	b.job("job-2", "bound", 3)
--- a/internal/controller/autoscaler/plan.go
+++ b/internal/controller/autoscaler/plan.go
@@ -1,5 +1,5 @@
 // Package autoscaler plans which machines to rent: all work that waits is reckoned
-// together against what is up, coming or asked for, and what is missing is
+// isGang against what is up, coming or asked for, and what is missing is
 // asked for from the cheapest kinds that will do.
 package autoscaler
 
@@ -33,7 +33,7 @@
 type Alike struct {
 	Kind
 	Free resource.Amount // now, or when they are up
-	Held resource.Uses   // by attempts on each or in its queue
+	Held resource.Uses   // reportedBy attempts on each or in its queue
 	InS  float64         // when they are up, in seconds
 }
 
@@ -59,7 +59,7 @@
 	types    map[protocol.MachineType]protocol.TypeInfo
 	slots    []Slot
 	pools    map[Kind]*pool
-	want     map[Kind]int // machines to be asked for
+	wanted   map[Kind]int // machines to be asked for
 	underWay map[Kind]int // machines asked for already
 	bought   []Order      // for one thing alone
 }
@@ -67,7 +67,7 @@
 // New begins a plan with the room that there is. Machines under way are asked
 // for already; their room is among the slots.
 func New(types map[protocol.MachineType]protocol.TypeInfo, slots []Slot, underWay map[Kind]int) *Plan {
-	return &Plan{types: types, slots: slots, pools: map[Kind]*pool{}, want: map[Kind]int{}, underWay: underWay}
+	return &Plan{types: types, slots: slots, pools: map[Kind]*pool{}, wanted: map[Kind]int{}, underWay: underWay}
 }
 
 // Slots gathers machines that are alike.
@@ -103,7 +103,7 @@
 		if s.N == 0 || w.Shun && s.Spot || !w.Allows(s.Info, s.Zone, s.Spot) {
 			continue
 		}
-		per := s.Free.Fit(w.Need)
+		per := s.Free.CountFitting(w.Need)
 		if per == 0 {
 			continue
 		}
@@ -147,9 +147,9 @@
 	return s
 }
 
-// House takes room for n tasks, to be there at once, and asks for what is
+// Reserve takes room for n tasks, to be there at once, and asks for what is
 // missing.
-func (p *Plan) House(w Work, n int) {
+func (p *Plan) Reserve(w Work, n int) {
 	if n > 0 && w.OneZone {
 		w = w.in(p.zoneFor(&w, n)) // as if its user had named the zone
 	}
@@ -157,7 +157,7 @@
 		return
 	}
 	for _, k := range w.Offers {
-		per := resource.Capacity(p.types[k.Type]).Fit(w.Need)
+		per := resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
 		if count := p.ask(k, (n+per-1)/per); count > 0 {
 			p.slots = append(p.slots, Fresh(p.types[k.Type], k, count))
 			n = p.fill(&w, n)
@@ -182,7 +182,7 @@
 	has, offered := map[protocol.Zone]int{}, map[protocol.Zone]bool{}
 	for i := range p.slots {
 		if s := &p.slots[i]; !(w.Shun && s.Spot) && w.Allows(s.Info, s.Zone, s.Spot) {
-			has[s.Zone] += s.N * s.Free.Fit(w.Need)
+			has[s.Zone] += s.N * s.Free.CountFitting(w.Need)
 		}
 	}
 	for _, k := range w.Offers {
@@ -205,12 +205,12 @@
 const AskAtMost = 50
 
 // ask takes note of machines to be rented, and returns how many of them the
-// plan may count on: no more of a kind at a time than one request, whose answer
+// planScaleOut may count on: no more of a kind at a time than one request, whose answer
 // tells whether there are more.
 func (p *Plan) ask(k Kind, count int) int {
-	count = max(0, min(count, AskAtMost-p.want[k]-p.underWay[k]))
+	count = max(0, min(count, AskAtMost-p.wanted[k]-p.underWay[k]))
 	if count > 0 {
-		p.want[k] += count
+		p.wanted[k] += count
 	}
 	return count
 }
@@ -222,12 +222,12 @@
 	For   string // what they are for, if for one thing alone
 }
 
-// Buy asks for machines for n tasks, whatever is there, from the cheapest kind
+// Provision asks for machines for n tasks, whatever is there, from the cheapest kind
 // offered: they are for nothing else. One request of each kind is under way at a
 // time, so its answer tells whether there are more.
-func (p *Plan) Buy(w Work, n int, what string) {
+func (p *Plan) Provision(w Work, n int, what string) {
 	for _, k := range w.Offers {
-		per := resource.Capacity(p.types[k.Type]).Fit(w.Need)
+		per := resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
 		if n <= 0 || per == 0 {
 			return
 		}
@@ -245,8 +245,8 @@
 // one thing alone.
 func (p *Plan) Orders() []Order {
 	var os []Order
-	for _, k := range inPriceOrder(p, p.want) {
-		os = append(os, Order{Kind: k, Count: p.want[k]})
+	for _, k := range inPriceOrder(p, p.wanted) {
+		os = append(os, Order{Kind: k, Count: p.wanted[k]})
 	}
 	return append(os, p.bought...)
 }
--- a/internal/controller/autoscaler/pools.go
+++ b/internal/controller/autoscaler/pools.go
@@ -10,9 +10,9 @@
 // pool is the machines of one kind, as far as they work off what need not
 // start at once.
 type pool struct {
-	info   protocol.TypeInfo
-	room   resource.Amount // of all together
-	aheadS float64         // processor seconds that they have to do before
+	info     protocol.TypeInfo
+	capacity resource.Amount // reservation all together
+	aheadS   float64         // processor seconds that they have to do before
 }
 
 // Gather pools what the slots have left for work of a rank or below that runs
@@ -25,7 +25,7 @@
 		if left.CPUs <= resource.Slack || s.N == 0 {
 			continue
 		}
-		k.room = k.room.Plus(left.Times(n))
+		k.capacity = k.capacity.Plus(left.Times(n))
 		k.aheadS += n * left.CPUs * s.InS
 		if s.InS == 0 {
 			k.aheadS += n * math.Max(0, left.CPUs-math.Max(0, s.Free.CPUs)) * runS / 2
@@ -50,7 +50,7 @@
 		n -= l.take(n, w.Need, w.EstimateS, leftS)
 	}
 	for _, k := range w.Offers {
-		per := resource.Capacity(p.types[k.Type]).Fit(w.Need)
+		per := resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
 		rounds := math.Max(0, leftS-upS(k))/w.EstimateS + 1
 		if n < 0.5 {
 			return
@@ -58,7 +58,7 @@
 		count := p.ask(k, int(math.Ceil(n/(float64(per)*rounds))))
 		l := p.pool(k)
 		for range count {
-			l.room = l.room.Plus(resource.Capacity(l.info))
+			l.capacity = l.capacity.Plus(resource.Capacity(l.info))
 		}
 		l.aheadS += float64(count) * l.info.CPUs * upS(k)
 		n -= l.take(n, w.Need, w.EstimateS, leftS)
@@ -76,12 +76,12 @@
 
 // take has a pool do as many of n tasks as it can begin before they are late.
 func (l *pool) take(n float64, size resource.Amount, estimateS, leftS float64) float64 {
-	places := l.room.Places(size)
+	places := l.capacity.Places(size)
 	if places < 1 {
 		return 0
 	}
-	can := math.Max(0, leftS+estimateS-l.aheadS/math.Max(l.room.CPUs, resource.Slack)) / estimateS * places
+	can := math.Max(0, leftS+estimateS-l.aheadS/math.Max(l.capacity.CPUs, resource.Slack)) / estimateS * places
 	done := math.Min(n, can)
-	l.aheadS += done * estimateS * l.room.CPUs / places // a task without processors takes its part of the room, too
+	l.aheadS += done * estimateS * l.capacity.CPUs / places // a task without processors takes its part of the room, too
 	return done
 }
--- a/internal/controller/autoscaler/pools_test.go
+++ b/internal/controller/autoscaler/pools_test.go
@@ -7,10 +7,10 @@
 )
 
 // TestPlanWithoutProcessors: a job that takes GPUs alone is reckoned by its part
-// of the room; it does not spoil the plan for what comes after it.
+// reservation the room; it does not spoil the plan for what comes after it.
 func TestPlanWithoutProcessors(t *testing.T) {
 	size := resource.Amount{GPUs: 1, GB: 1}
-	l := &pool{room: resource.Amount{CPUs: 8, GPUs: 4, GB: 32}}
+	l := &pool{capacity: resource.Amount{CPUs: 8, GPUs: 4, GB: 32}}
 	if n := l.take(3, size, 10, 0); n != 3 || l.aheadS != 60 {
 		t.Errorf("%v of 3 tasks taken, %v processor seconds ahead, want 3 and 60", n, l.aheadS)
 	}
--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -21,8 +21,8 @@
 	state    *fake.State
 	followed int
 	changes  int
-	outcome  func(message.Commit) message.Outcome // of a transaction; nil: executed
-	late     []protocol.Txn
+	outcome  func(message.Commit) message.Outcome // reservation a transaction; nil: executed
+	late     []protocol.Transaction
 }
 
 func newRecorder(tb testing.TB) *recorder {
@@ -30,10 +30,10 @@
 	r.c.reset()
 	lease := r.state.Lease(0, time.Hour)
 	r.step(message.Snapshot{Session: lease})
-	r.step(message.Entitled{Until: Time(time.Hour)})
-	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: record.NodeKey("node-0"), Value: record.Node{Session: lease, Layout: record.LayoutBlocks}}}})
+	r.step(message.LeaseExtended{Until: Time(time.Hour)})
+	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.NodeKey("node-0"), Value: record.Node{Session: lease, Layout: record.LayoutBlocks}}}})
 	r.settle(5)
-	if !r.c.Member() || !r.c.InBlocks() {
+	if !r.c.Member() || !r.c.UsesBlocks() {
 		tb.Fatalf("view %+v", r.c.View)
 	}
 	return r
@@ -47,7 +47,7 @@
 			ev := r.state.Log[r.followed]
 			r.followed++
 			if strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix) {
-				r.carry(r.step(message.Changed{Event: ev}))
+				r.carry(r.step(message.RecordChanged{Event: ev}))
 			}
 		}
 	}
@@ -60,7 +60,7 @@
 			continue
 		}
 		if _, pen := c.Tag.(workerregistry.Tag); pen {
-			r.changes += len(c.Txn.Then)
+			r.changes += len(c.Txn.Changes)
 		}
 		out := message.OutcomeDone
 		if r.outcome != nil {
@@ -72,23 +72,23 @@
 		case out == message.OutcomeDone && !r.state.Txn(c.Txn):
 			out = message.OutcomeFailed
 		}
-		r.carry(r.step(message.TxnDone{Tag: c.Tag, Outcome: out}))
+		r.carry(r.step(message.CommitDone{Tag: c.Tag, Outcome: out}))
 	}
 }
 
 // wave has so many workers report for the first time, or with a later session,
 // all at once.
-func (r *recorder) wave(machines int, session protocol.Session) {
+func (r *recorder) wave(machines int, session protocol.AgentEpoch) {
 	for i := range machines {
 		r.seq++
 		r.now++
-		r.carry(r.c.Step(r.now, message.Reported{Report: protocol.Report{
-			Machine: protocol.MachineID(fmt.Sprintf("vm-%06d", i)), Address: "10.1.0.1:9000", Type: "small", Zone: "a", Session: session, Seq: r.seq,
+		r.carry(r.c.Step(r.now, message.HeartbeatReceived{Heartbeat: protocol.Heartbeat{
+			Machine: protocol.MachineID(fmt.Sprintf("vm-%06d", i)), Address: "10.1.0.1:9000", Type: "small", Zone: "a", AgentEpoch: session, Seq: r.seq,
 		}}))
 	}
 }
 
-func (r *recorder) registered(session protocol.Session) int {
+func (r *recorder) registered(session protocol.AgentEpoch) int {
 	n := 0
 	for _, m := range r.c.machines {
 		if m.Record.Session == session {
@@ -104,7 +104,7 @@
 func TestWaveCostsFewChanges(t *testing.T) {
 	const machines = 1300
 	r := newRecorder(t)
-	for session := protocol.Session(1); session <= 2; session++ {
+	for session := protocol.AgentEpoch(1); session <= 2; session++ {
 		r.changes = 0
 		r.wave(machines, session)
 		r.settle(60)
@@ -170,8 +170,8 @@
 func TestSilentMachineLeavesItsBlock(t *testing.T) {
 	r := newRecorder(t)
 	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
-	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
-	r.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
+	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
+	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
 	r.settle(2)
 	epoch := r.c.machines["vm-000000"].Epoch
 	r.wave(1, 2) // comes back with a later session: moves into a block
@@ -183,7 +183,7 @@
 	if _, there := r.state.Get(record.MachineKey("vm-000000")); there {
 		t.Error("its own record is still there")
 	}
-	r.now += Time(r.c.LeaseOver())
+	r.now += Time(r.c.WorkerLeaseBound())
 	r.settle(60)
 	if len(r.c.machines) != 0 || r.c.registrar.Blocks() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
 		t.Errorf("%d machines, %d blocks, records %v", len(r.c.machines), r.c.registrar.Blocks(), r.state.List(record.FollowedPrefix))
@@ -199,10 +199,10 @@
 	node := func(name protocol.NodeName, session protocol.LeaseID, l record.Layout) (v record.View) {
 		for _, a := range append(b.put(record.NodeKey(name), record.Node{Session: session, Layout: l}), b.step(message.Tick{})...) {
 			if c, ok := a.(message.Commit); ok && c.Tag == (membership.ViewTag{}) {
-				v = c.Txn.Then[0].Value.(record.View)
+				v = c.Txn.Changes[0].Value.(record.View)
 			}
 		}
-		b.step(message.TxnDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
+		b.step(message.CommitDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
 		return v
 	}
 	node("node-0", 100, record.LayoutBlocks)
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -21,7 +21,7 @@
 	risk          float64 // what a spot machine adds to the wait, in seconds
 	shun          bool    // spot machines only if there is no other way
 	claims        *claims
-	bars          func(*machineEntry) bool // see Core.bars; nil: nothing is promised
+	bars          func(*machineEntry) bool // see Core.excludedByHolds; nil: nothing is promised
 	own           func(*machineEntry) bool // whether room is held there for the job
 	pricePremiums map[kind]float64
 	heap          []candidate
@@ -37,7 +37,7 @@
 
 // rank puts machines with room now before all that have none, and among them
 // those first whose room is held for the job, then those that no class has room
-// kept on.
+// classReserve on.
 type rank uint8
 
 const (
@@ -66,28 +66,28 @@
 
 // candidatesFor looks for the machines that may run a job's tasks.
 func (c *Core) candidatesFor(o *ownedJob, zones map[protocol.Zone]int, cl *claims) *candidates {
-	s := &candidates{job: o, need: resource.Need(&o.Job), bars: c.bars(o), claims: cl, risk: c.spotStretch(&o.Job) * c.Estimate(&o.Job), shun: c.risky(&o.Job), pricePremiums: c.pricePremiums}
+	s := &candidates{job: o, need: resource.Need(&o.Job), bars: c.excludedByHolds(o), claims: cl, risk: c.spotStretch(&o.Job) * c.Estimate(&o.Job), shun: c.risky(&o.Job), pricePremiums: c.pricePremiums}
 	if s.bars != nil {
 		s.own = func(m *machineEntry) bool { return c.holdsFor(o, m) }
 	}
-	mayTake := c.mayTake(o, zones)
+	mayTake := c.feasible(o, zones)
 	for _, m := range c.machinesInOrder() {
 		if mayTake(m) {
-			if k, ok := s.weigh(m, c.rng.Uint32()); ok && !s.tooDeep(&k) {
+			if k, ok := s.evaluate(m, c.rng.Uint32()); ok && !s.queueTooLong(&k) {
 				s.heap = append(s.heap, k)
 			}
 		}
 	}
-	c.looked += len(c.sorted)
+	c.candidatesExamined += len(c.sortedMachines)
 	heap.Init(s)
 	return s
 }
 
-// reckonPricePremiums is how much more expensive each kind of machine is than the cheapest: the
+// computePricePremiums is how much more expensive each kind of machine is than the cheapest: the
 // part of its price, for a processor, that the cheapest would save. Among
 // machines with room it counts like the part of one that is free: the cheap and
 // the full ones are filled first, so that the expensive ones become idle.
-func (c *Core) reckonPricePremiums() map[kind]float64 {
+func (c *Core) computePricePremiums() map[kind]float64 {
 	premiums := map[kind]float64{}
 	least := math.Inf(1)
 	for _, t := range c.Types {
@@ -108,19 +108,19 @@
 	return premiums
 }
 
-// mayTake tells which machines a job may have a task on at present, given the zones
-// of its others. Where it has failed it goes only if there is no other.
-func (c *Core) mayTake(o *ownedJob, zones map[protocol.Zone]int) func(*machineEntry) bool {
-	nowhereElse := c.nowhereElse(o)
+// feasible tells which machines a job may have a task on at present, given the zones
+// reservation its others. Where it has failed it goes only if there is no other.
+func (c *Core) feasible(o *ownedJob, zones map[protocol.Zone]int) func(*machineEntry) bool {
+	nowhereElse := c.failedEverywhereElse(o)
 	return func(m *machineEntry) bool {
 		return c.usable(m) && (nowhereElse || !o.failedOn[m.ID]) && o.allows(m, zones)
 	}
 }
 
-// nowhereElse reports whether a job failed on all machines that there are for it.
+// failedEverywhereElse reports whether a job failed on all machines that there are for it.
 // Where the only machine of a zone had failed it once, it was never tried again, and
-// no other was rented since that one had room.
-func (c *Core) nowhereElse(o *ownedJob) bool {
+// refuse other was rented since that one had room.
+func (c *Core) failedEverywhereElse(o *ownedJob) bool {
 	if len(o.failedOn) == 0 {
 		return false
 	}
@@ -132,18 +132,18 @@
 	return true
 }
 
-// failsEverywhere reports whether a job failed on several machines, no less often
+// hasFailedEverywhere reports whether a job failed on several machines, no less often
 // than its tasks run, or on all that there are for it. The tasks of a gang fail
-// together: how many run then tells nothing.
-func (c *Core) failsEverywhere(o *ownedJob) bool {
-	return len(o.failedOn) >= failedMachines && (o.together() || o.failures >= int(o.running)) || c.nowhereElse(o)
+// isGang: how many run then tells nothing.
+func (c *Core) hasFailedEverywhere(o *ownedJob) bool {
+	return len(o.failedOn) >= failedMachines && (o.isGang() || o.failures >= int(o.running)) || c.failedEverywhereElse(o)
 }
 
-// weigh is what a machine is worth for the job's next task, if it is. A task
+// evaluate is what a machine is worth for the job's next task, if it is. A task
 // that others wait for goes only where nothing but less urgent work is in its
 // way, which is stopped for it: behind the rest it would keep the machines of
 // all others idle until they give it up.
-func (s *candidates) weigh(m *machineEntry, tie uint32) (candidate, bool) {
+func (s *candidates) evaluate(m *machineEntry, tie uint32) (candidate, bool) {
 	if s.bars != nil && s.bars(m) {
 		return candidate{}, false
 	}
@@ -152,8 +152,8 @@
 	if own && !room && m.idle().Covers(s.need) {
 		w, room = m.fetch(&s.job.Job), true
 	}
-	if !room && s.job.together() {
-		firm := m.firmRoom(s.job.level)
+	if !room && s.job.isGang() {
+		firm := m.nonPreemptibleFree(s.job.level)
 		if !firm.Covers(s.need) {
 			return candidate{}, false
 		}
@@ -168,7 +168,7 @@
 	k := candidate{m: m, rank: rankQueue, wait: int64(math.Round(w * 1e6)), tie: tie}
 	if room && !(s.shun && m.Record.Spot) {
 		k.rank = rankFree
-		if s.claims.wanted(s.job, m) {
+		if s.claims.isClaimed(s.job, m) {
 			k.rank = rankWanted
 		}
 	}
@@ -178,8 +178,8 @@
 	return k, true
 }
 
-// only drops the machines that do not meet a condition.
-func (s *candidates) only(ok func(*machineEntry) bool) {
+// restrict drops the machines that do not meet a condition.
+func (s *candidates) restrict(ok func(*machineEntry) bool) {
 	s.heap = slices.DeleteFunc(s.heap, func(k candidate) bool { return !ok(k.m) })
 	heap.Init(s)
 }
@@ -189,11 +189,11 @@
 // fill every controller's memory and hold up all that is queued after it.
 const queueAtMost = 2 * time.Minute
 
-// tooDeep reports whether a machine's queue takes no more of the job. One whose
+// queueTooLong reports whether a machine's queue takes no more of the job. One whose
 // tasks are to be stopped for the job does; what has only what others leave waits in
-// no queue.
-func (s *candidates) tooDeep(k *candidate) bool {
-	return k.rank == rankQueue && (s.job.yields || k.wait > queueAtMost.Microseconds() && !k.m.firmRoom(s.job.level).Covers(s.need))
+// refuse queue.
+func (s *candidates) queueTooLong(k *candidate) bool {
+	return k.rank == rankQueue && (s.job.usesHeadroom || k.wait > queueAtMost.Microseconds() && !k.m.nonPreemptibleFree(s.job.level).Covers(s.need))
 }
 
 // smallest is the machine with the smallest expected wait per processor, ties
@@ -202,7 +202,7 @@
 func (s *candidates) smallest(zones map[protocol.Zone]int) *machineEntry {
 	for len(s.heap) > 0 {
 		top := &s.heap[0]
-		if !s.job.allowsZone(top.m, zones) || s.tooDeep(top) || top.rank != rankQueue && top.rank != rankOwn && !s.claims.spared(s.job, top.m, s.need) {
+		if !s.job.allowsZone(top.m, zones) || s.queueTooLong(top) || top.rank != rankQueue && top.rank != rankOwn && !s.claims.leavesClaimed(s.job, top.m, s.need) {
 			heap.Pop(s)
 			continue
 		}
@@ -211,10 +211,10 @@
 	return nil
 }
 
-// took weighs the smallest again after it took a task.
-func (c *Core) took(s *candidates) {
-	c.looked++
-	k, ok := s.weigh(s.heap[0].m, c.rng.Uint32())
+// noteExamined weighs the smallest again after it took a task.
+func (c *Core) noteExamined(s *candidates) {
+	c.candidatesExamined++
+	k, ok := s.evaluate(s.heap[0].m, c.rng.Uint32())
 	if !ok {
 		heap.Pop(s)
 		return
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -22,19 +22,19 @@
 	best := math.Inf(1)
 	waits := map[*machineEntry]float64{}
 	for _, m := range c.machines {
-		if !c.mayTake(o, zones)(m) {
+		if !c.feasible(o, zones)(m) {
 			continue
 		}
 		w, room := m.waitFor(&o.Job, o.level)
 		if room {
-			if !cl.spared(o, m, n) {
+			if !cl.leavesClaimed(o, m, n) {
 				continue
 			}
 			w -= withRoom
-			if !cl.wanted(o, m) {
+			if !cl.isClaimed(o, m) {
 				w -= withRoom
 			}
-		} else if w > queueAtMost.Seconds() && !m.firmRoom(o.level).Covers(n) {
+		} else if w > queueAtMost.Seconds() && !m.nonPreemptibleFree(o.level).Covers(n) {
 			continue
 		}
 		waits[m] = w
@@ -58,7 +58,7 @@
 			info = protocol.TypeInfo{Name: "large", CPUs: 16, MemoryGB: 64, FetchGBPS: 1}
 		}
 		m := &machineEntry{
-			mine: map[protocol.TaskID]*placedTask{},
+			ownAttempts: map[protocol.TaskID]*attempt{},
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: info,
 				Record: record.Machine{Zone: rapid.SampledFrom([]protocol.Zone{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
@@ -77,7 +77,7 @@
 }
 
 // TestSmallestWait: placing a job from an ordered list of machines decides, task
-// by task, as looking at all machines for each task would, and looks at each
+// reportedBy task, as looking at all machines for each task would, and looks at each
 // machine once and at one more for each task.
 func TestSmallestWait(t *testing.T) {
 	tt := t
@@ -87,13 +87,13 @@
 		machines := rapid.IntRange(1, 30).Draw(t, "machines")
 		drawMachines(t, c, machines)
 		j := protocol.Job{
-			ID: "job-1", Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: uint32(rapid.IntRange(1, 60).Draw(t, "tasks")),
+			ID: "job-1", Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(rapid.IntRange(1, 60).Draw(t, "tasks")),
 			CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), MemoryGB: 1, ImageGB: 2, EstimateS: 7, Spot: rapid.Bool().Draw(t, "mayspot"),
 			OneZone: rapid.Bool().Draw(t, "onezone"), Spread: rapid.Bool().Draw(t, "spread"),
 		}
-		o := c.own(&clusterstate.LiveJob{Job: j})
+		o := c.adoptJob(&clusterstate.LiveJob{Job: j})
 		reserved := &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 8, Spot: true}}
-		cl := &claims{classes: []kept{{job: reserved, need: resource.Need(&reserved.Job), spare: rapid.IntRange(-2, 5).Draw(t, "spare")}}}
+		cl := &claims{classes: []classReserve{{job: reserved, need: resource.Need(&reserved.Job), spare: rapid.IntRange(-2, 5).Draw(t, "spare")}}}
 		zones := map[protocol.Zone]int{}
 		from := c.candidatesFor(o, zones, cl)
 		placed := 0
@@ -106,11 +106,11 @@
 			if m == nil {
 				break
 			}
-			c.putOn(from, i, m, c.nextAttempt(), zones)
+			c.placeFrom(from, i, m, c.nextAttempt(), zones)
 			placed++
 		}
-		if c.looked > machines+placed {
-			t.Errorf("%d machines looked at for %d tasks on %d machines", c.looked, placed, machines)
+		if c.candidatesExamined > machines+placed {
+			t.Errorf("%d machines looked at for %d tasks on %d machines", c.candidatesExamined, placed, machines)
 		}
 	})
 }
@@ -126,7 +126,7 @@
 		m := b.c.machines[id]
 		m.Record.Spot, m.reported.Queued = spot, 0
 	}
-	j := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
+	j := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	b.put(record.LiveKey(j.ID), j)
 	b.step(message.Tick{})
 	on := map[bool]int{}
@@ -156,7 +156,7 @@
 		want     protocol.MachineID
 	}{{"high", "vm-1"}, {"standard", "vm-2"}} {
 		id := protocol.JobID("job-" + tc.priority)
-		b.put(record.LiveKey(id), protocol.Job{ID: id, Team: "free", Kind: protocol.KindArray, Priority: tc.priority, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10})
+		b.put(record.LiveKey(id), protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: tc.priority, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10})
 		for _, p := range b.c.owner.jobs[id].placed {
 			if p.machine != tc.want {
 				t.Errorf("a task of priority %s is queued on %s, want %s", tc.priority, p.machine, tc.want)
--- a/internal/controller/classes.go
+++ b/internal/controller/classes.go
@@ -13,14 +13,14 @@
 // settings is about.
 type class struct {
 	job      protocol.Job // the last one seen
-	share    float64      // of its jobs that should keep the objective
+	share    float64      // reservation its jobs that should keep the objective
 	awaited  bool         // they should start within a time
 	arrivals forecast.Arrivals
 }
 
-// noteArrival learns what jobs of a class look like and how often they come.
-func (c *Core) noteArrival(j *protocol.Job) {
-	share, awaited := c.aimedAt(j.Class)
+// recordArrival learns what jobs of a class look like and how often they come.
+func (c *Core) recordArrival(j *protocol.Job) {
+	share, awaited := c.objectiveShare(j.Class)
 	if share == 0 {
 		return
 	}
@@ -48,13 +48,13 @@
 	return up
 }
 
-// coming tells from what was seen how jobs of a class come.
+// bootingMachine tells from what was seen how jobs of a class come.
 func (c *Core) coming(k *class, size func(forecast.Arrival) float64) forecast.Arriving {
 	return k.arrivals.Coming(c.Now, c.upS(&k.job), k.share, size)
 }
 
 // comingWork is the work, in processor seconds, of a class that need not start
-// at once, as far as it is likely to come while a machine boots.
+// reportedAt once, as far as it is likely to come while a machine boots.
 func (c *Core) comingWork(k *class) float64 {
 	if k.awaited {
 		return 0
@@ -76,7 +76,7 @@
 // tasks end by themselves. Tasks that need many at the same time, or most of a
 // machine, can't count on it: there is never enough at once.
 func (c *Core) turnover(j *protocol.Job) float64 {
-	if j.Kind != protocol.KindArray {
+	if j.Kind != protocol.KindJobArray {
 		return 0
 	}
 	l, sum := clusterstate.LiveJob{Job: *j}, 0.0
--- a/internal/controller/classes_test.go
+++ b/internal/controller/classes_test.go
@@ -18,7 +18,7 @@
 	gang := func(id protocol.JobID) {
 		j := &protocol.Job{ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 1, CPUs: 4, MemoryGB: 1}
 		b.c.Now = b.now
-		b.c.noteArrival(j)
+		b.c.recordArrival(j)
 	}
 	for range 9 {
 		gang("job-1")
@@ -37,11 +37,11 @@
 	m := b.c.machines["vm-1"]
 	cl := b.c.claims()
 	small := &ownedJob{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
-	if ok := cl.spared(small, m, resource.Need(&small.Job)); ok {
+	if ok := cl.leavesClaimed(small, m, resource.Need(&small.Job)); ok {
 		t.Error("a small task may take the last room kept")
 	}
 	big := &ownedJob{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 1}}}
-	if ok := cl.spared(big, m, resource.Need(&big.Job)); !ok {
+	if ok := cl.leavesClaimed(big, m, resource.Need(&big.Job)); !ok {
 		t.Error("the class itself may not use it")
 	}
 	b.c.Now += Time(10 * time.Minute)
@@ -54,16 +54,16 @@
 // from an outage by whether a peer says that it acts.
 func TestAlone(t *testing.T) {
 	b := newBench(t, "node-1")
-	if b.c.members.OthersAct() {
+	if b.c.members.OthersLead() {
 		t.Error("alone though nobody is known to act")
 	}
-	b.c.relayed("node-1", &message.Relay{Acting: true})
-	if !b.c.members.OthersAct() {
+	b.c.stateUpdated("node-1", &message.StateUpdate{Acting: true})
+	if !b.c.members.OthersLead() {
 		t.Error("not alone though a peer acts")
 	}
 	b.now += Time(time.Minute)
 	b.c.Now = b.now
-	if b.c.members.OthersAct() {
+	if b.c.members.OthersLead() {
 		t.Error("alone by what a peer said a minute ago")
 	}
 }
@@ -75,15 +75,15 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.ready("vm-2")
-	k := &class{job: protocol.Job{Class: "cert", Kind: protocol.KindArray, CPUs: 1, MemoryGB: 1}, share: 0.8, awaited: true}
+	k := &class{job: protocol.Job{Class: "cert", Kind: protocol.KindJobArray, CPUs: 1, MemoryGB: 1}, share: 0.8, awaited: true}
 	for i := range 10 {
 		k.arrivals = append(k.arrivals, forecast.Arrival{At: b.c.Now - Time(time.Duration(9-i)*4*time.Second), Tasks: float64(10 + i)})
 	}
 	none := b.c.reserve(k)
-	b.c.machines["vm-1"].reported.Ending = message.Use{CPUs: 2, GB: 8}
-	b.c.machines["vm-2"].reported.Ending = message.Use{CPUs: 2, GB: 8}
+	b.c.machines["vm-1"].reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
+	b.c.machines["vm-2"].reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
 	some := b.c.reserve(k)
-	b.c.machines["vm-2"].reported.Ending = message.Use{CPUs: 20, GB: 80}
+	b.c.machines["vm-2"].reported.Ending = message.LevelUse{CPUs: 20, GB: 80}
 	many := b.c.reserve(k)
 	if some >= none || many > some || many < 15 {
 		t.Errorf("room kept for %d, with ends for %d, with many for %d", none, some, many)
--- a/internal/controller/clusterstate/due.go
+++ b/internal/controller/clusterstate/due.go
@@ -12,9 +12,9 @@
 // what is expected sooner, but not after all that is still to come.
 const noDeadline = 600.0
 
-// DueTimes are the times, in seconds after its submission, by which a job
+// ObjectiveTimes are the times, in seconds after its submission, by which a job
 // should be done: its deadline and its class's objectives, in any order.
-func (k *State) DueTimes(j *protocol.Job) []float64 {
+func (k *State) ObjectiveTimes(j *protocol.Job) []float64 {
 	var by []float64
 	if j.DeadlineS > 0 {
 		by = append(by, j.DeadlineS)
@@ -31,21 +31,21 @@
 	return by
 }
 
-// Due is what jobs of a level are ordered by: when they should be done.
-func (k *State) Due(l *LiveJob) clock.Time {
-	if k.Awaited(&l.Job) {
+// Deadline is what jobs of a level are ordered by: when they should be done.
+func (k *State) Deadline(l *LiveJob) clock.Time {
+	if k.HasStartObjective(&l.Job) {
 		return l.Since // whoever waits longest for a start goes first
 	}
-	return k.DoneBy(l)
+	return k.FinishBy(l)
 }
 
-// DoneBy is when a job should be done: the first of its times that can still be
-// kept. What can keep none any more makes way for what can, but not for ever:
+// FinishBy is when a job should be done: the first of its times that can still be
+// classReserve. What can keep none any more makes way for what can, but not for ever:
 // it is due again when as long has passed once more, and so on.
-func (k *State) DoneBy(l *LiveJob) clock.Time {
+func (k *State) FinishBy(l *LiveJob) clock.Time {
 	age := k.Since(l.Since).Seconds()
 	first, last := math.Inf(1), 0.0
-	times := k.DueTimes(&l.Job)
+	times := k.ObjectiveTimes(&l.Job)
 	if len(times) == 0 {
 		times = []float64{noDeadline}
 	}
@@ -63,8 +63,8 @@
 	return l.Since + clock.Time(first*float64(time.Second))
 }
 
-// Awaited reports whether a job's class is expected to start within a time.
-func (k *State) Awaited(j *protocol.Job) bool {
+// HasStartObjective reports whether a job's class is expected to start within a time.
+func (k *State) HasStartObjective(j *protocol.Job) bool {
 	for _, o := range k.Objectives() {
 		if o.Kind == "wait" && o.Class == j.Class {
 			return true
@@ -73,8 +73,8 @@
 	return false
 }
 
-// Submitted is when a job was submitted, by this process's clock.
-func (k *State) Submitted(j *protocol.Job) clock.Time {
+// SubmissionTime is when a job was submitted, by this process's clock.
+func (k *State) SubmissionTime(j *protocol.Job) clock.Time {
 	if k.WallMS == 0 || j.SubmittedMS == 0 {
 		return k.Now
 	}
--- a/internal/controller/clusterstate/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -13,8 +13,8 @@
 	protocol.Job
 	Version   protocol.Version
 	Since     clock.Time        // when it was submitted
-	Due       clock.Time        // when it should be done, as last reckoned
-	owner     protocol.NodeName // by the view of ownerTerm
+	Deadline  clock.Time        // when it should be done, as last reckoned
+	owner     protocol.NodeName // reportedBy the view of ownerTerm
 	ownerTerm protocol.Term
 }
 
--- a/internal/controller/clusterstate/part.go
+++ b/internal/controller/clusterstate/part.go
@@ -6,9 +6,9 @@
 	"damsonkeel/internal/record"
 )
 
-// Part is what each part of a core has: what is known, and what its step asks
+// Module is what each part of a core has: what is known, and what its step asks
 // for.
-type Part struct {
+type Module struct {
 	*State
 	*Output
 }
@@ -19,25 +19,25 @@
 	Local   []message.PeerMessage // to itself, handled before the step ends
 }
 
-// Do asks for an action.
-func (p Part) Do(a message.Action) { p.Actions = append(p.Actions, a) }
+// Emit asks for an action.
+func (p Module) Emit(a message.Action) { p.Actions = append(p.Actions, a) }
 
 // Send passes a message to a member of the view, itself included.
-func (p Part) Send(to protocol.NodeName, m message.PeerMessage) {
+func (p Module) Send(to protocol.NodeName, m message.PeerMessage) {
 	if to == p.Self {
 		p.Local = append(p.Local, m)
 		return
 	}
 	if session, ok := p.View.Members[to]; ok {
-		p.Do(message.Send{To: to, From: p.Session, Session: session, Term: p.View.Term, Shares: p.SharesEpoch(), Message: m})
+		p.Emit(message.Send{To: to, From: p.Session, Session: session, Term: p.View.Term, ShardsEpoch: p.ShardTableEpoch(), Message: m})
 	}
 }
 
 // ChangeRecord has a machine's record written or deleted, by the registrar or,
 // where machines have records of their own, by this controller. only says on
 // which conditions beside those of the record itself, in the latter case.
-func (p Part) ChangeRecord(tag any, r message.RecordChange, only ...protocol.Condition) {
-	if p.InBlocks() {
+func (p Module) ChangeRecord(tag any, r message.RecordChange, only ...protocol.Condition) {
+	if p.UsesBlocks() {
 		r.Term = p.View.Term
 		p.Send(p.Registrar(), message.PeerMessage{Record: &r})
 		return
@@ -47,7 +47,7 @@
 	if r.To != nil {
 		change = protocol.Change{Put: key, Value: *r.To}
 	}
-	p.Do(message.Commit{Tag: tag, Txn: protocol.Txn{
-		If: append(only, protocol.Condition{Key: key, Version: r.Have}), Then: []protocol.Change{change},
+	p.Emit(message.Commit{Tag: tag, Txn: protocol.Transaction{
+		Conditions: append(only, protocol.Condition{Key: key, Version: r.Have}), Changes: []protocol.Change{change},
 	}})
 }
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -15,11 +15,11 @@
 // Reservations is what all parts know of the calendar: the records that all follow,
 // what is held for them at present, and what is open.
 type Reservations struct {
-	Book    *reservation.Book
-	Version protocol.Version // of the calendar's own record
-	Changes uint64           // that it counts
+	Calendar *reservation.Calendar
+	Version  protocol.Version // reservation the calendar's own record
+	Changes  uint64           // that it counts
 	// any: there is something in the book. While it is empty nothing of this
-	// costs anything, on the wire either.
+	// reduces anything, on the wire either.
 	Any bool
 
 	Holds   map[protocol.MachineID][]reservation.Hold
@@ -27,13 +27,13 @@
 	Listed  bool               // the list is known since this session began
 	Windows []OpenWindow       // open, or soon
 
-	Errors map[string]*forecast.Errors // of estimates, by class
+	Errors map[string]*forecast.Errors // reservation estimates, by class
 	Boots  forecast.Boots
 }
 
-// anew forgets what a session knew; what is learned of estimates and boots stays.
-func (p *Reservations) anew() *Reservations {
-	fresh := &Reservations{Book: reservation.NewBook(), Holds: map[protocol.MachineID][]reservation.Hold{}, Errors: map[string]*forecast.Errors{}}
+// next forgets what a session knew; what is learned of estimates and boots stays.
+func (p *Reservations) next() *Reservations {
+	fresh := &Reservations{Calendar: reservation.NewCalendar(), Holds: map[protocol.MachineID][]reservation.Hold{}, Errors: map[string]*forecast.Errors{}}
 	if p != nil {
 		fresh.Boots, fresh.Errors = p.Boots, p.Errors
 	}
@@ -46,10 +46,10 @@
 	Start, End reservation.Moment // with what clocks may be off by
 }
 
-// Of tells which reservations a job is one of.
-func (k *State) Of(j *protocol.Job) func(reservation.Name) bool {
+// ReservationFilter tells which reservations a job is one of.
+func (k *State) ReservationFilter(j *protocol.Job) func(reservation.Name) bool {
 	return func(n reservation.Name) bool {
-		e := k.Reservations.Book.Reservation(n)
+		e := k.Reservations.Calendar.Reservation(n)
 		return e != nil && reservation.Matches(e.Reservation, j)
 	}
 }
@@ -66,9 +66,9 @@
 	return false
 }
 
-// Lead is how long before its time a reservation's room is clear: as long as
+// NoticeBefore is how long before its time a reservation's room is clear: as long as
 // another machine takes to come, and one more in its place.
-func (k *State) Lead(s *record.ReservationSpec) time.Duration {
+func (k *State) NoticeBefore(s *record.ReservationSpec) time.Duration {
 	boot := 0.0
 	for _, t := range k.Types { // those the cloud has none of at present, too: this must not change from moment to moment
 		if reservation.Fits(s, t, s.Zone) {
@@ -78,28 +78,28 @@
 	return config.Seconds(2*boot) + LeadSlack
 }
 
-// Unsettled reports whether what ends at a moment might be in the way of something
+// SpansReservation reports whether what ends at a moment might be in the way of something
 // that room was held for before all controllers ended: until it is held anew,
 // that waits.
-func (k *State) Unsettled(j *protocol.Job, ends reservation.Moment) bool {
+func (k *State) SpansReservation(j *protocol.Job, ends reservation.Moment) bool {
 	pr := k.Reservations
-	if pr.Listed || k.Since(k.Begun) > SettleHolds+10*time.Second {
+	if pr.Listed || k.Since(k.SessionStart) > SettleHolds+10*time.Second {
 		return false
 	}
-	of, now := k.Of(j), k.Moment()
-	return slices.ContainsFunc(pr.Book.Due(now, max(ends, now+1)), func(e *reservation.Entry) bool {
-		return e.Promised() && !of(e.Name()) && ends > reservation.After(e.StartMS, -k.Lead(&e.Reservation.Spec))
+	of, now := k.ReservationFilter(j), k.WallTime()
+	return slices.ContainsFunc(pr.Calendar.Due(now, max(ends, now+1)), func(e *reservation.Entry) bool {
+		return e.Active() && !of(e.Name()) && ends > reservation.After(e.StartMS, -k.NoticeBefore(&e.Reservation.Spec))
 	})
 }
 
-// LikelyS is how long a task is very likely to run at the most, in seconds.
-func (k *State) LikelyS(j *protocol.Job, estimateS float64) float64 {
+// ExpectedRunSeconds is how long a task is very likely to run at the most, in seconds.
+func (k *State) ExpectedRunSeconds(j *protocol.Job, estimateS float64) float64 {
 	return estimateS * k.Reservations.Errors[j.Class].Factor()
 }
 
 // ReservationOf is the reservation of a name, or one that matches no job.
 func (k *State) ReservationOf(n reservation.Name) *record.Reservation {
-	if e := k.Reservations.Book.Reservation(n); e != nil {
+	if e := k.Reservations.Calendar.Reservation(n); e != nil {
 		return e.Reservation
 	}
 	return noReservation
--- a/internal/controller/clusterstate/roles.go
+++ b/internal/controller/clusterstate/roles.go
@@ -49,9 +49,9 @@
 	return x ^ x>>33
 }
 
-// MachineKeeper is the controller that a machine reports to: one that workers
+// RendezvousDispatcher is the controller that a machine reports to: one that workers
 // can reach, unless there is none.
-func MachineKeeper(v record.View, m protocol.MachineID) protocol.NodeName {
+func RendezvousDispatcher(v record.View, m protocol.MachineID) protocol.NodeName {
 	key := "machine " + string(m)
 	if len(v.Deaf) >= len(v.Members) {
 		return Rendezvous(v, key)
@@ -59,35 +59,35 @@
 	return RendezvousBut(v, v.Deaf, key)
 }
 
-// Sharing reports whether machines are kept by shares in this term.
-func (k *State) Sharing() bool {
-	return k.View.Layout >= record.LayoutShares && k.Shares != nil
+// Sharded reports whether machines are kept by shares in this term.
+func (k *State) Sharded() bool {
+	return k.View.Layout >= record.LayoutShards && k.Shards != nil
 }
 
-// Keeper is the controller that a registered machine reports to.
-func (k *State) Keeper(m protocol.MachineID) protocol.NodeName {
+// DispatcherOf is the controller that a registered machine reports to.
+func (k *State) DispatcherOf(m protocol.MachineID) protocol.NodeName {
 	var z protocol.Zone
 	if r := k.Records[m]; r != nil {
 		z = r.Record.Zone
 	}
-	return k.KeeperIn(m, z)
+	return k.DispatcherInZone(m, z)
 }
 
-// KeeperIn is the controller that a machine of a zone reports to; none while its
-// share is nobody's.
-func (k *State) KeeperIn(m protocol.MachineID, z protocol.Zone) protocol.NodeName {
+// DispatcherInZone is the controller that a machine of a zone reports to; none while its
+// rateAllotment is nobody's.
+func (k *State) DispatcherInZone(m protocol.MachineID, z protocol.Zone) protocol.NodeName {
 	switch {
-	case k.Sharing():
-		return k.Holder(sharding.Of(k.Shares, m, z))
-	case k.View.Layout >= record.LayoutShares:
+	case k.Sharded():
+		return k.Holder(sharding.Of(k.Shards, m, z))
+	case k.View.Layout >= record.LayoutShards:
 		return "" // until the record of the shares is there again
 	}
-	return k.rendezvousKeeper(m)
+	return k.rendezvousDispatcher(m)
 }
 
 // Holder is the member that keeps a share; none if its session is over.
 func (k *State) Holder(id sharding.ID) protocol.NodeName {
-	return NameOf(k.View, k.Shares.List[id].Holder)
+	return NameOf(k.View, k.Shards.List[id].Holder)
 }
 
 // NameOf is the member of a view that has a session.
@@ -100,49 +100,49 @@
 	return ""
 }
 
-// Token is what a machine's keeper has its commands carry: the epoch of its share,
+// FencingToken is what a machine's keeper has its commands carry: the epoch of its share,
 // or the term where there are no shares.
-func (k *State) Token(m protocol.MachineID, z protocol.Zone) protocol.Term {
-	if k.Sharing() {
-		return k.Shares.List[sharding.Of(k.Shares, m, z)].Epoch
+func (k *State) FencingToken(m protocol.MachineID, z protocol.Zone) protocol.Term {
+	if k.Sharded() {
+		return k.Shards.List[sharding.Of(k.Shards, m, z)].Epoch
 	}
 	return k.View.Term
 }
 
-// Tenure is since when, as an epoch, a machine's keeper has kept it; 0 where there
+// ShardEpoch is since when, as an epoch, a machine's keeper has kept it; 0 where there
 // are no shares: the term tells then.
-func (k *State) Tenure(m protocol.MachineID, z protocol.Zone) protocol.Term {
-	if k.Sharing() {
-		return k.Shares.List[sharding.Of(k.Shares, m, z)].Since
+func (k *State) ShardEpoch(m protocol.MachineID, z protocol.Zone) protocol.Term {
+	if k.Sharded() {
+		return k.Shards.List[sharding.Of(k.Shards, m, z)].Since
 	}
 	return 0
 }
 
-// SharesEpoch is how far the record of the shares is known.
-func (k *State) SharesEpoch() protocol.Term {
-	if k.Shares == nil {
+// ShardTableEpoch is how far the record of the shares is known.
+func (k *State) ShardTableEpoch() protocol.Term {
+	if k.Shards == nil {
 		return 0
 	}
-	return k.Shares.Epoch
+	return k.Shards.Epoch
 }
 
-// rendezvousKeeper is machineKeeper by the present view, reckoned once for each
+// rendezvousDispatcher is machineKeeper by the present view, reckoned once for each
 // machine.
-func (k *State) rendezvousKeeper(m protocol.MachineID) protocol.NodeName {
-	n, ok := k.Keepers[m]
+func (k *State) rendezvousDispatcher(m protocol.MachineID) protocol.NodeName {
+	n, ok := k.DispatcherCache[m]
 	if !ok {
-		n = MachineKeeper(k.View, m)
-		if len(k.Keepers) > keepersKept {
-			clear(k.Keepers)
+		n = RendezvousDispatcher(k.View, m)
+		if len(k.DispatcherCache) > dispatcherCacheSize {
+			clear(k.DispatcherCache)
 		}
-		k.Keepers[m] = n
+		k.DispatcherCache[m] = n
 	}
 	return n
 }
 
-// keepersKept bounds the keepers remembered: far more machines than there are
-// at a time.
-const keepersKept = 1 << 14
+// dispatcherCacheSize bounds the keepers remembered: far more machines than there are
+// reportedAt a time.
+const dispatcherCacheSize = 1 << 14
 
 // OwnerOf is jobOwner by the present view, reckoned once for each job.
 func (k *State) OwnerOf(l *LiveJob) protocol.NodeName {
@@ -164,8 +164,8 @@
 // Registrar is the member that writes machines' records.
 func (k *State) Registrar() protocol.NodeName { return Rendezvous(k.View, "machine records") }
 
-// SameSession reports whether a node is in both views with the same session.
-func SameSession(a, b record.View, n protocol.NodeName) bool {
+// SameMemberSession reports whether a node is in both views with the same session.
+func SameMemberSession(a, b record.View, n protocol.NodeName) bool {
 	s, ok := a.Members[n]
 	return ok && b.Members[n] == s
 }
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -28,33 +28,33 @@
 
 	Types map[protocol.MachineType]protocol.TypeInfo
 
-	Session     protocol.LeaseID
-	Begun       clock.Time // when this session began
-	Until       clock.Time // acts only before
-	View        record.View
-	ViewVersion protocol.Version
-	Keepers     map[protocol.MachineID]protocol.NodeName // by the view, as far as asked for
-	// Shares is who keeps which share of the machines, as last followed; nil: there
+	Session         protocol.LeaseID
+	SessionStart    clock.Time // when this session began
+	LeaseDeadline   clock.Time // acts only before
+	View            record.View
+	ViewVersion     protocol.Version
+	DispatcherCache map[protocol.MachineID]protocol.NodeName // reportedBy the view, as far as asked for
+	// Shards is who keeps which share of the machines, as last followed; nil: there
 	// is no such record. It counts where the view's layout says so.
-	Shares        *record.Shares
-	SharesVersion protocol.Version
-	// Highest is the highest token that any worker has told since the process began.
-	Highest protocol.Term
+	Shards        *record.ShardTable
+	ShardsVersion protocol.Version
+	// HighestToken is the highest token that any worker has told since the process began.
+	HighestToken protocol.Term
 
-	Live         map[protocol.JobID]*LiveJob
-	over         map[protocol.JobID]clock.Time // seen to end, and when
-	cancelled    map[protocol.JobID]clock.Time // cancelled, and since when that is known
-	Records      map[protocol.MachineID]*Machine
-	Reservations *Reservations
-	// Configured is the configuration: the settings with what operators have changed.
-	Configured *dynamicconfig.Followed
+	Live          map[protocol.JobID]*LiveJob
+	endedJobs     map[protocol.JobID]clock.Time // seen to end, and when
+	cancelledJobs map[protocol.JobID]clock.Time // cancelledJobs, and since when that is known
+	Records       map[protocol.MachineID]*Machine
+	Reservations  *Reservations
+	// Configuration is the configuration: the settings with what operators have changed.
+	Configuration *dynamicconfig.Followed
 }
 
 // NewClient knows nothing but its settings.
 func NewState(s *config.Settings, op config.Operator, log *slog.Logger) *State {
 	k := &State{
 		Self: s.Name, Settings: s, Op: op, Log: log, Types: map[protocol.MachineType]protocol.TypeInfo{},
-		Configured: dynamicconfig.NewFollowed(&s.Site, op),
+		Configuration: dynamicconfig.NewFollowed(&s.Site, op),
 	}
 	k.Reset()
 	return k
@@ -62,16 +62,16 @@
 
 // Reset forgets what a session knew. What matters is in the records.
 func (k *State) Reset() {
-	k.Session, k.Until = 0, 0
+	k.Session, k.LeaseDeadline = 0, 0
 	k.View, k.ViewVersion = record.View{}, 0
-	k.Shares, k.SharesVersion = nil, 0
-	k.Keepers = map[protocol.MachineID]protocol.NodeName{}
-	k.Live, k.over = map[protocol.JobID]*LiveJob{}, map[protocol.JobID]clock.Time{}
-	k.cancelled = map[protocol.JobID]clock.Time{}
+	k.Shards, k.ShardsVersion = nil, 0
+	k.DispatcherCache = map[protocol.MachineID]protocol.NodeName{}
+	k.Live, k.endedJobs = map[protocol.JobID]*LiveJob{}, map[protocol.JobID]clock.Time{}
+	k.cancelledJobs = map[protocol.JobID]clock.Time{}
 	k.Records = map[protocol.MachineID]*Machine{}
-	k.Reservations = k.Reservations.anew()
-	k.Configured.Reset()
-	k.Op = k.Configured.Effective().Operator
+	k.Reservations = k.Reservations.next()
+	k.Configuration.Reset()
+	k.Op = k.Configuration.Effective().Operator
 }
 
 // Machine is a registered machine as the records have it.
@@ -82,10 +82,10 @@
 	Info   protocol.TypeInfo
 }
 
-// Acting reports whether this controller may command workers and settle jobs:
+// HoldsLease reports whether this controller may command workers and settle jobs:
 // its lease has not run out by its own clock, and the view has its session.
-func (k *State) Acting() bool {
-	return k.Now < k.Until && k.Member()
+func (k *State) HoldsLease() bool {
+	return k.Now < k.LeaseDeadline && k.Member()
 }
 
 // Member reports whether the view has this session.
@@ -99,25 +99,25 @@
 // Since is how long ago a time was.
 func (k *State) Since(t clock.Time) time.Duration { return time.Duration(k.Now - t) }
 
-// NoteOver remembers that a job is over, for messages about it that are still
+// MarkEnded remembers that a job is over, for messages about it that are still
 // under way.
-func (k *State) NoteOver(id protocol.JobID) {
-	k.over[id] = k.Now
-	delete(k.cancelled, id)
-	if len(k.over) <= 4096 {
+func (k *State) MarkEnded(id protocol.JobID) {
+	k.endedJobs[id] = k.Now
+	delete(k.cancelledJobs, id)
+	if len(k.endedJobs) <= 4096 {
 		return
 	}
-	for old, at := range k.over {
+	for old, at := range k.endedJobs {
 		if k.Since(at) > 10*time.Minute {
-			delete(k.over, old)
+			delete(k.endedJobs, old)
 		}
 	}
 }
 
-// IsOver reports whether a job is known to have ended, rather than not to have
+// HasEnded reports whether a job is known to have ended, rather than not to have
 // arrived here yet.
-func (k *State) IsOver(id protocol.JobID) bool {
-	_, over := k.over[id]
+func (k *State) HasEnded(id protocol.JobID) bool {
+	_, over := k.endedJobs[id]
 	return over && k.Live[id] == nil
 }
 
@@ -125,17 +125,17 @@
 // may act without having followed its end.
 const cancelledFor = time.Minute
 
-// NoteCancelled has no task of a job started any more: its user is about to be told that it is
-// cancelled, which is in the records, but may not have been followed yet. All the
+// MarkCancelled has no task of a job started any more: its user is about to be told that it is
+// cancelledJobs, which is in the records, but may not have been followed yet. All the
 // rest of its end waits for that, so that it happens here in the order of the records.
-func (k *State) NoteCancelled(id protocol.JobID) {
-	if _, over := k.over[id]; over && k.Live[id] == nil {
+func (k *State) MarkCancelled(id protocol.JobID) {
+	if _, over := k.endedJobs[id]; over && k.Live[id] == nil {
 		return
 	}
-	k.cancelled[id] = k.Now
-	for old, at := range k.cancelled {
+	k.cancelledJobs[id] = k.Now
+	for old, at := range k.cancelledJobs {
 		if k.Since(at) > cancelledFor {
-			delete(k.cancelled, old)
+			delete(k.cancelledJobs, old)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 // MayStart reports whether tasks of a job may be started: it is live, and not known to
 // be cancelled.
 func (k *State) MayStart(id protocol.JobID) bool {
-	_, cancelled := k.cancelled[id]
+	_, cancelled := k.cancelledJobs[id]
 	return k.Live[id] != nil && !cancelled
 }
 
@@ -157,25 +157,25 @@
 
 // Team finds a team as it is in force.
 func (k *State) Team(name protocol.Team) (dynamicconfig.Team, bool) {
-	return k.Configured.Effective().Team(name)
+	return k.Configuration.Effective().Team(name)
 }
 
 // Objectives are those in force.
-func (k *State) Objectives() []config.Objective { return k.Configured.Effective().Objectives }
+func (k *State) Objectives() []config.Objective { return k.Configuration.Effective().Objectives }
 
 // PlaceClosed reports whether a machine's type or zone takes no new work.
 func (k *State) PlaceClosed(machineType protocol.MachineType, zone protocol.Zone) bool {
-	return k.Configured.Effective().PlaceClosed(machineType, zone)
+	return k.Configuration.Effective().PlaceClosed(machineType, zone)
 }
 
 // LimitLowered is the last revision of the configuration that lowered a team's limit:
 // what was placed by an earlier one is started no more.
 func (k *State) LimitLowered(name protocol.Team) dynamicconfig.Revision {
-	return k.Configured.Effective().LimitLowered(name)
+	return k.Configuration.Effective().LimitLowered(name)
 }
 
-// Guarantees reports whether a team is guaranteed anything.
-func (k *State) Guarantees(name protocol.Team) bool {
+// HasGuarantee reports whether a team is guaranteed anything.
+func (k *State) HasGuarantee(name protocol.Team) bool {
 	t, ok := k.Team(name)
 	return ok && (t.CPUs > 0 || t.GPUs > 0)
 }
@@ -192,29 +192,29 @@
 	return k.Op.DefaultEstimate.Seconds()
 }
 
-// LeaseOver is how long after the last possible answer a worker has surely
+// WorkerLeaseBound is how long after the last possible answer a worker has surely
 // killed its tasks: its lease by a clock that may run slow, and a margin for
 // answers on their way.
-func (k *State) LeaseOver() time.Duration {
+func (k *State) WorkerLeaseBound() time.Duration {
 	lease := k.Settings.Site.Workers.LeaseS
 	return time.Duration(lease*1.002*float64(time.Second)) + 5*time.Second
 }
 
-// InThisView is the condition that the view is unchanged.
-func (k *State) InThisView() protocol.Condition {
+// ViewUnchanged is the condition that the view is unchanged.
+func (k *State) ViewUnchanged() protocol.Condition {
 	return protocol.Condition{Key: record.ViewKey, Version: k.ViewVersion}
 }
 
-// InBlocks reports whether machines are recorded in blocks in this term.
-func (k *State) InBlocks() bool { return k.View.Layout >= record.LayoutBlocks }
+// UsesBlocks reports whether machines are recorded in blocks in this term.
+func (k *State) UsesBlocks() bool { return k.View.Layout >= record.LayoutBlocks }
 
-// Moment is the time of day.
-func (k *State) Moment() reservation.Moment {
+// WallTime is the time of day.
+func (k *State) WallTime() reservation.Moment {
 	return reservation.Moment(k.WallMS + int64(k.Now/clock.Time(time.Millisecond)))
 }
 
-// TellTime takes over the time of day; steady clocks drift apart.
-func (k *State) TellTime(wallMS int64) {
+// SetWallClock takes over the time of day; steady clocks drift apart.
+func (k *State) SetWallClock(wallMS int64) {
 	if wallMS != 0 {
 		k.WallMS = wallMS - int64(k.Now/clock.Time(time.Millisecond))
 	}
--- a/internal/controller/configured.go
+++ b/internal/controller/configured.go
@@ -10,20 +10,20 @@
 )
 
 // configurationRecord takes a followed record of the configuration.
-func (c *Core) configurationRecord(f record.Followed, value protocol.RawValue, version protocol.Version) error {
+func (c *Core) configurationRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) error {
 	changed := false
 	if f.Configuration {
 		var head record.Configuration
 		if err := protocol.Decode(value, &head); err != nil {
 			return err
 		}
-		changed = c.Configured.TakeHead(head, version)
+		changed = c.Configuration.TakeHead(head, version)
 	} else {
 		var entry record.ConfigurationEntry
 		if err := protocol.Decode(value, &entry); err != nil {
 			return err
 		}
-		changed = c.Configured.TakeEntry(f.ConfigurationEntry, entry)
+		changed = c.Configuration.TakeEntry(f.ConfigurationEntry, entry)
 	}
 	if changed {
 		c.configured()
@@ -32,26 +32,26 @@
 }
 
 // ConfigurationInForce is the configuration that this controller acts by.
-func (c *Core) ConfigurationInForce() *dynamicconfig.Effective { return c.Configured.Effective() }
+func (c *Core) ConfigurationInForce() *dynamicconfig.Effective { return c.Configuration.Effective() }
 
 // configured goes over to the configuration that is in force now, in one step: what
 // was decided by the one before and has not begun is decided anew.
 func (c *Core) configured() {
-	effective := c.Configured.Effective()
+	effective := c.Configuration.Effective()
 	c.Op = effective.Operator
 	c.Log.Info("configuration in force", "revision", uint64(effective.Revision))
 	c.owner.sorted = nil
-	c.owner.dirty = true
-	c.refreshDue()
-	c.keeping.AdoptConfiguration()
-	c.keeping.Resort()
-	c.Do(message.Configured{Effective: effective})
+	c.owner.placementDue = true
+	c.refreshDeadlines()
+	c.dispatcher.AdoptConfiguration()
+	c.dispatcher.InvalidateOrder()
+	c.Emit(message.ConfigurationChanged{Effective: effective})
 }
 
 // openTypes are the machine types, with the zones, in which the configuration lets
 // machines be rented.
 func (c *Core) openTypes() map[protocol.MachineType]protocol.TypeInfo {
-	if !c.Configured.Effective().AnyPlaceClosed() {
+	if !c.Configuration.Effective().AnyPlaceClosed() {
 		return c.Types
 	}
 	open := map[protocol.MachineType]protocol.TypeInfo{}
@@ -72,7 +72,7 @@
 // said so.
 func (c *Core) revisionOf(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
 	if name == c.Self {
-		return c.Configured.Effective().Revision, 0
+		return c.Configuration.Effective().Revision, 0
 	}
 	p := c.peers[name]
 	if p == nil || p.configuredAt == 0 {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -26,49 +26,49 @@
 // Core is one controller's whole state between messages. It is not safe for
 // concurrent use: one actor owns it.
 type Core struct {
-	clusterstate.Part
-	members   *membership.Members
-	registrar *workerregistry.Registrar
-	keeping   *dispatcher.Keeper
-	rng       *rand.Rand
+	clusterstate.Module
+	members    *membership.Members
+	registrar  *workerregistry.Registrar
+	dispatcher *dispatcher.Dispatcher
+	rng        *rand.Rand
 
-	pricePremiums map[kind]float64 // by the prices last read: see reckonPricePremiums
-	copy          tableCopy
-	classes       map[string]*class
-	machines      map[protocol.MachineID]*machineEntry
-	sorted        []*machineEntry // the machines in order of their names
-	spotsUp       int             // of these, spot machines
+	pricePremiums  map[kind]float64 // reportedBy the prices last read: see computePricePremiums
+	tableCopy      tableCopy
+	classes        map[string]*class
+	machines       map[protocol.MachineID]*machineEntry
+	sortedMachines []*machineEntry // the machines in order of their names
+	spotsUp        int             // reservation these, spot machines
 
 	owner ownerState
-	// ownedChanged are the owned jobs, as their state changes: a stream for all
+	// ownedChanges are the owned jobs, as their state changes: a stream for all
 	// members in one term.
-	ownedChanged replication.Log[protocol.JobID]
+	ownedChanges replication.Log[protocol.JobID]
 	// rates outlives sessions: what was lent in the last one is still lent.
-	rates *ratelimit.Book[protocol.LeaseID]
-	share message.SetShare // as last set
-	peers map[protocol.NodeName]*peer
-	spots forecast.Spot
-	fleet fleetState
+	rates         *ratelimit.Ledger[protocol.LeaseID]
+	rateAllotment message.SetRateAllotment // as last set
+	peers         map[protocol.NodeName]*peer
+	spots         forecast.Spot
+	autoscaler    autoscalerState
 	// promised is the calendar: reservations and windows.
 	reservations reservationState
 
-	leaving    bool    // the process is to end
-	lateMS     float64 // how late ticks come, on average
-	lastTick   Time
-	lastRelay  Time
-	refusedAt  Time // when an impossible message was last logged
-	nextPlaced Time // not placed again before
-	// movedUpTo is the machine at which the last rebalance left the rest to the
+	leaving        bool    // the process is to end
+	tickLatenessMS float64 // how late ticks come, on average
+	lastTick       Time
+	lastRelay      Time
+	refusedAt      Time // when an impossible message was last logged
+	nextPlaced     Time // not placed again before
+	// rebalancedUpTo is the machine at which the last rebalance left the rest to the
 	// next tick; empty: nothing is left.
-	movedUpTo protocol.MachineID
-	looked    int // machines looked at for placements, ever
+	rebalancedUpTo     protocol.MachineID
+	candidatesExamined int // machines looked at for placements, ever
 }
 
 // peer is what is known of another controller's present session.
 type peer struct {
 	session  protocol.LeaseID
-	placed   uint64      // number of the last Place sent to it
-	reports  peerReports // its word on the machines it keeps
+	placed   uint64      // placeNumber of the last Place sent to it
+	updates  peerUpdates // its word on the machines it keeps
 	demand   []message.Demand
 	progress map[protocol.JobID]message.Progress
 	// configuration is the revision that it says it acts by, and configuredAt when it
@@ -79,8 +79,8 @@
 
 // NewCore makes a controller's state before its first session.
 func NewCore(s *config.Settings, op config.Operator, rng *rand.Rand, log *slog.Logger) *Core {
-	p := clusterstate.Part{State: clusterstate.NewState(s, op, log), Output: &clusterstate.Output{}}
-	c := &Core{Part: p, members: membership.New(p), registrar: workerregistry.New(p), keeping: dispatcher.New(p), rng: rng}
+	p := clusterstate.Module{State: clusterstate.NewState(s, op, log), Output: &clusterstate.Output{}}
+	c := &Core{Module: p, members: membership.New(p), registrar: workerregistry.New(p), dispatcher: dispatcher.New(p), rng: rng}
 	c.reset()
 	return c
 }
@@ -91,13 +91,13 @@
 	c.members.Reset()
 	c.registrar.Reset()
 	c.classes = map[string]*class{}
-	c.machines, c.sorted, c.spotsUp = map[protocol.MachineID]*machineEntry{}, nil, 0
-	c.keeping.Reset()
-	c.ownedChanged = replication.Log[protocol.JobID]{}
+	c.machines, c.sortedMachines, c.spotsUp = map[protocol.MachineID]*machineEntry{}, nil, 0
+	c.dispatcher.Reset()
+	c.ownedChanges = replication.Log[protocol.JobID]{}
 	c.nextPlaced = 0
 	c.peers = map[protocol.NodeName]*peer{}
 	c.owner = newOwnerState()
-	c.fleet = newFleetState()
+	c.autoscaler = newAutoscalerState()
 	c.reservations = newReservationState(c.Reservations)
 }
 
@@ -106,32 +106,32 @@
 	c.Now = now
 	c.Actions = nil
 	if c.rates == nil {
-		c.rates = ratelimit.NewBook[protocol.LeaseID](c.equalShare(), now)
+		c.rates = ratelimit.NewLedger[protocol.LeaseID](c.equalAllotment(), now)
 	}
 	switch m := msg.(type) {
 	case message.Snapshot:
 		c.reset()
-		c.Session, c.Begun = m.Session, c.Now
-		c.TellTime(m.WallMS)
+		c.Session, c.SessionStart = m.Session, c.Now
+		c.SetWallClock(m.WallMS)
 		for _, it := range m.Items {
 			c.record(it.Key, it.Value, it.Version, true)
 		}
-		if !c.members.IsPresent(c.Self) && c.Op.NodeLease >= ratelimit.LoanMost {
+		if !c.members.IsPresent(c.Self) && c.Op.NodeLease >= ratelimit.MaxGrantDuration {
 			// An earlier process of this controller was gone for its whole
 			// lease: what it lent is over.
-			c.rates.NothingLent()
+			c.rates.NothingOutstanding()
 		}
-	case message.Changed:
-		c.changed(m.Event)
-	case message.Entitled:
-		c.Until = m.Until
-	case message.SessionOver:
+	case message.RecordChanged:
+		c.recordChanged(m.Event)
+	case message.LeaseExtended:
+		c.LeaseDeadline = m.Until
+	case message.SessionEnded:
 		c.reset()
 	case message.CatalogueRead:
-		c.catalogue(m.Types)
-	case message.Reported:
-		c.report(m.Report)
-	case message.Received:
+		c.catalogueRead(m.Types)
+	case message.HeartbeatReceived:
+		c.heartbeat(m.Heartbeat)
+	case message.BatchReceived:
 		for _, fresh := range c.members.Received(m.Batch) {
 			if err := fresh.Check(); err != nil {
 				c.refusePeer(m.Batch.From, err)
@@ -140,35 +140,35 @@
 			c.message(m.Batch.From, fresh)
 		}
 	case message.JobCancelled:
-		c.NoteCancelled(m.Job)
-	case message.Leave:
+		c.MarkCancelled(m.Job)
+	case message.Shutdown:
 		c.leaving = true
 	case message.Tick:
-		c.noteTick()
-		c.TellTime(m.WallMS)
-		c.setShare()
-		c.members.MoveAsked()
+		c.measureTickLateness()
+		c.SetWallClock(m.WallMS)
+		c.setRateAllotment()
+		c.members.SendRequestedMoves()
 		c.tick()
-	case message.StateAsked:
-		c.rates.Used(m.Amount)
-	case message.TxnDone:
-		c.txnDone(m)
-	case message.JobLoaded:
-		c.jobLoaded(m)
-	case message.Commanded:
-		c.keeping.Commanded(m)
-	case message.PeerActs:
-		c.members.Acts(m.Peer)
-	case message.Rented:
-		c.rented(m)
-	case message.Deleted:
-		c.deleted(m)
-	case message.Listed:
-		c.listed(m)
+	case message.StoreRateUsed:
+		c.rates.NoteUse(m.Amount)
+	case message.CommitDone:
+		c.commitDone(m)
+	case message.BitmapLoaded:
+		c.bitmapLoaded(m)
+	case message.CommandDone:
+		c.dispatcher.CommandDone(m)
+	case message.PeerLeads:
+		c.members.NoteLeading(m.Peer)
+	case message.ProvisionDone:
+		c.provisioned(m)
+	case message.TerminateDone:
+		c.terminated(m)
+	case message.MachinesListed:
+		c.machinesListed(m)
 	}
 	c.settle()
-	c.members.ChangeShares(c.keeping.WantedShares())
-	c.keeping.Push()
+	c.members.ChangeShards(c.dispatcher.ShardChangesWanted())
+	c.dispatcher.SendDirectCommands()
 	return c.Actions
 }
 
@@ -185,7 +185,7 @@
 }
 
 // placeEvery is how often pending tasks are placed at the most: what becomes
-// pending meanwhile is placed in one go.
+// awaitedInventories meanwhile is placed in one go.
 const placeEvery = 100 * time.Millisecond
 
 // settle handles messages to itself and places what became pending.
@@ -196,7 +196,7 @@
 			c.Local = c.Local[1:]
 			c.message(c.Self, m)
 		}
-		if !c.owner.dirty || !c.Acting() || c.Now < c.nextPlaced {
+		if !c.owner.placementDue || !c.HoldsLease() || c.Now < c.nextPlaced {
 			return
 		}
 		c.nextPlaced = c.After(placeEvery)
@@ -204,24 +204,24 @@
 	}
 }
 
-// catalogue takes over the machine types.
-func (c *Core) catalogue(types []protocol.TypeInfo) {
+// catalogueRead takes over the machine types.
+func (c *Core) catalogueRead(types []protocol.TypeInfo) {
 	for _, t := range types {
 		c.Types[t.Name] = t
 	}
-	c.pricePremiums = c.reckonPricePremiums()
+	c.pricePremiums = c.computePricePremiums()
 	for _, m := range c.machines {
 		m.Info = c.Types[m.Record.Type]
 	}
-	c.owner.dirty = true
+	c.owner.placementDue = true
 }
 
-func (c *Core) changed(ev protocol.Event) {
+func (c *Core) recordChanged(ev protocol.Event) {
 	if ev.Put != "" {
 		c.record(ev.Put, ev.Value, ev.Version, false)
 		return
 	}
-	f, ok := record.ParseFollowed(ev.Delete)
+	f, ok := record.ParseFollowedKey(ev.Delete)
 	if !ok {
 		return
 	}
@@ -229,26 +229,26 @@
 	case f.Node != "":
 		c.members.Absent(f.Node)
 		c.checkView()
-	case f.Shares:
-		c.SharesVersion = 0 // lost: written again as it is known here
+	case f.ShardTable:
+		c.ShardsVersion = 0 // lost: written again as it is known here
 	case f.Job != "":
-		c.jobOver(f.Job)
+		c.jobEnded(f.Job)
 	case f.Machine != "":
 		if !c.registrar.InBlock(f.Machine) { // else it has moved into a block
-			c.machineGone(f.Machine)
+			c.machineDeregistered(f.Machine)
 		}
 	case f.Block != "":
-		for _, id := range c.registrar.BlockGone(f.Block) {
-			c.machineGone(id)
+		for _, id := range c.registrar.BlockDeleted(f.Block) {
+			c.machineDeregistered(id)
 		}
 	case f.Reservation != "" || f.Window != "":
-		c.calendarGone(f)
+		c.calendarDeleted(f)
 	}
 }
 
 // record takes over one followed record.
 func (c *Core) record(key string, value protocol.RawValue, version protocol.Version, snapshot bool) {
-	f, ok := record.ParseFollowed(key)
+	f, ok := record.ParseFollowedKey(key)
 	if !ok {
 		return
 	}
@@ -270,7 +270,7 @@
 	case f.Job != "":
 		var j protocol.Job
 		if err = protocol.Decode(value, &j); err == nil {
-			c.jobLive(j, version, snapshot)
+			c.jobAccepted(j, version, snapshot)
 		}
 	case f.Machine != "":
 		var m record.Machine
@@ -280,21 +280,21 @@
 	case f.Block != "":
 		var b record.Block
 		if err = protocol.Decode(value, &b); err == nil {
-			changed, gone := c.registrar.BlockSeen(f.Block, b, version)
+			changed, gone := c.registrar.BlockUpdated(f.Block, b, version)
 			for _, id := range gone {
-				c.machineGone(id)
+				c.machineDeregistered(id)
 			}
 			for _, e := range changed {
 				c.machineRegistered(e.ID, e.Machine, e.Epoch)
 			}
 		}
-	case f.Shares:
-		var s record.Shares
-		if err = protocol.Decode(value, &s); err == nil && version > c.SharesVersion {
+	case f.ShardTable:
+		var s record.ShardTable
+		if err = protocol.Decode(value, &s); err == nil && version > c.ShardsVersion {
 			c.adoptShares(&s, version)
 		}
-	case f.Held:
-		err = c.heldBefore(value, version)
+	case f.ReservationHolds:
+		err = c.holdsRecord(value, version)
 	case f.Configuration || f.ConfigurationEntry != "":
 		err = c.configurationRecord(f, value, version)
 	case f.Calendar || f.Reservation != "" || f.Window != "":
@@ -313,117 +313,117 @@
 	}
 	if c.Since(c.lastRelay) >= c.Op.RelayEvery {
 		c.lastRelay = c.Now
-		c.refreshDue()
+		c.refreshDeadlines()
 		c.refreshReservations()
 		c.watchSpots()
 		c.watchSlow()
-		c.keeping.ExpireSilent(c.members.AllAdopted(), c.members.SharesFloor())
+		c.dispatcher.ExpireSilent(c.members.AllAdopted(), c.members.ShardsFloor())
 		c.rebalance("")
-		c.keeping.Regular(c.levelTold, c.jobFails)
-		c.flushBits()
-		c.sendRelays(true)
+		c.dispatcher.Maintain(c.announcedLevel, c.isFailing)
+		c.writeBitmaps()
+		c.sendUpdates(true)
 		c.members.Balance()
-		c.fleetStep()
+		c.scaleStep()
 	} else {
-		if c.movedUpTo != "" {
-			c.rebalance(c.movedUpTo)
+		if c.rebalancedUpTo != "" {
+			c.rebalance(c.rebalancedUpTo)
 		}
 		if c.leaving {
-			c.flushBits()
+			c.writeBitmaps()
 		}
-		c.sendRelays(false)
-		c.keeping.GiveInventories() // not in the step of the regular work: together they are long
+		c.sendUpdates(false)
+		c.dispatcher.GiveInventories() // not in the step of the regular work: together they are long
 	}
 	c.registrar.Write()
 	c.askMoreTables()
 	c.retryJobs()
 }
 
-func (c *Core) txnDone(m message.TxnDone) {
+func (c *Core) commitDone(m message.CommitDone) {
 	switch tag := m.Tag.(type) {
-	case membership.SharesTag:
-		c.members.SharesWritten(m.Outcome)
+	case membership.ShardsTag:
+		c.members.ShardsWritten(m.Outcome)
 	case membership.ViewTag:
 		c.members.ViewWritten(m.Outcome)
 	case reservationTag:
 		delete(c.reservations.write, tag.name)
 	case dispatcher.RegisterTag:
-		c.keeping.RegistrationDone(tag, m.Outcome)
+		c.dispatcher.RegistrationDone(tag, m.Outcome)
 	case finishTag:
-		c.finishDone(tag, m.Outcome)
-	case bitsTag:
-		c.bitsDone(tag, m.Outcome, m.Revision)
-	case heldTag:
+		c.finishWritten(tag, m.Outcome)
+	case bitmapTag:
+		c.bitmapWritten(tag, m.Outcome, m.Revision)
+	case holdsTag:
 		c.reservations.stale = c.reservations.stale || m.Outcome != message.OutcomeDone
 	case workerregistry.Tag:
 		c.registrar.Written(tag, m.Outcome)
 	case dispatcher.RemoveTag:
-		c.keeping.RemovalDone(tag.Machine)
+		c.dispatcher.RemovalDone(tag.Machine)
 	}
 }
 
-// refreshDue reckons anew when jobs are due; queues and jobs are sorted again
+// refreshDeadlines reckons anew when jobs are due; queues and jobs are sorted again
 // where that has changed.
-func (c *Core) refreshDue() {
+func (c *Core) refreshDeadlines() {
 	changed := false
 	for _, l := range c.Live {
-		if due := c.dueNow(l); due != l.Due {
-			l.Due, changed = due, true
+		if due := c.currentDeadline(l); due != l.Deadline {
+			l.Deadline, changed = due, true
 		}
 	}
 	if !changed {
 		return
 	}
 	c.owner.sorted = nil
-	c.keeping.Resort()
+	c.dispatcher.InvalidateOrder()
 }
 
-// dueNow is when a job should be done. One of which nobody says when, and of which
+// currentDeadline is when a job should be done. One of which nobody says when, and of which
 // nothing has begun for a while, goes first until something does: waiting behind all
 // that is due sooner, which keeps coming where there is more work than room, it would
 // not begin for minutes.
-func (c *Core) dueNow(l *clusterstate.LiveJob) Time {
-	if c.Since(l.Since) > beginsWithin && len(c.DueTimes(&l.Job)) == 0 && !c.Awaited(&l.Job) {
+func (c *Core) currentDeadline(l *clusterstate.LiveJob) Time {
+	if c.Since(l.Since) > beginsWithin && len(c.ObjectiveTimes(&l.Job)) == 0 && !c.HasStartObjective(&l.Job) {
 		if g, _ := c.JobProgress(l.ID); g.Running == 0 && g.Done == 0 {
 			return l.Since
 		}
 	}
-	return c.Due(l)
+	return c.Deadline(l)
 }
 
-// levelTold is the level of a job, by its owner's word.
-func (c *Core) levelTold(id protocol.JobID) (resource.Level, bool) {
+// announcedLevel is the level of a job, by its owner's word.
+func (c *Core) announcedLevel(id protocol.JobID) (resource.Level, bool) {
 	g, ok := c.JobProgress(id)
 	return resource.Level(g.Level - 1), ok && g.Level > 0
 }
 
-// report answers a worker, or points it to the controller that keeps it.
-func (c *Core) report(r protocol.Report) {
-	c.Highest = max(c.Highest, r.Term)
-	if r.Term > c.Token(r.Machine, r.Zone) || !c.Acting() {
-		c.Do(message.ReplyReport{Status: 503}) // where somebody has raised the term: until it is read
+// heartbeat answers a worker, or points it to the controller that keeps it.
+func (c *Core) heartbeat(r protocol.Heartbeat) {
+	c.HighestToken = max(c.HighestToken, r.Term)
+	if r.Term > c.FencingToken(r.Machine, r.Zone) || !c.HoldsLease() {
+		c.Emit(message.ReplyHeartbeat{Status: 503}) // where somebody has raised the term: until it is read
 		return
 	}
-	if keeper := c.KeeperIn(r.Machine, r.Zone); keeper != c.Self {
-		c.members.Stray(r.Machine, r.Zone)
-		c.Do(message.ReplyReport{Status: 421, ReportTo: keeper})
+	if keeper := c.DispatcherInZone(r.Machine, r.Zone); keeper != c.Self {
+		c.members.NoteRedirected(r.Machine, r.Zone)
+		c.Emit(message.ReplyHeartbeat{Status: 421, Leader: keeper})
 		return
 	}
-	c.keeping.Report(r)
+	c.dispatcher.Heartbeat(r)
 }
 
 // checkView has the view changed if it should be.
-func (c *Core) checkView() { c.members.Check(c.keeping.WantsTerm()) }
+func (c *Core) checkView() { c.members.Check(c.dispatcher.NeedsNewTerm()) }
 
 // lateMemory is the part of what was known of its lateness that a tick leaves.
 const lateMemory = 0.98
 
-// noteTick learns how late ticks come: by how much the time between two exceeds
+// measureTickLateness learns how late ticks come: by how much the time between two exceeds
 // what it should be.
-func (c *Core) noteTick() {
+func (c *Core) measureTickLateness() {
 	if c.lastTick != 0 {
 		late := max(0, c.Since(c.lastTick)-tickEvery)
-		c.lateMS = lateMemory*c.lateMS + (1-lateMemory)*float64(late)/float64(time.Millisecond)
+		c.tickLatenessMS = lateMemory*c.tickLatenessMS + (1-lateMemory)*float64(late)/float64(time.Millisecond)
 	}
 	c.lastTick = c.Now
 }
@@ -438,9 +438,9 @@
 		return true
 	}
 	for _, o := range c.owner.jobs {
-		if len(o.dirty) > 0 || o.writing || o.ending {
+		if len(o.dirtyChunks) > 0 || o.writing || o.finishInFlight {
 			return false
 		}
 	}
-	return c.keeping.SharesKept() == 0
+	return c.dispatcher.ShardsHeld() == 0
 }
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -15,7 +15,7 @@
 )
 
 // fleetOf is a core that keeps and knows so many machines, with so many tasks
-// of ten jobs placed.
+// reservation ten jobs placed.
 func fleetOf(tb testing.TB, machines, tasks int) *bench {
 	b := newBench(tb)
 	for i := range machines {
@@ -38,12 +38,12 @@
 type busyFleet struct {
 	*bench
 	ids  []protocol.MachineID
-	runs map[protocol.MachineID][]protocol.TaskReport
+	runs map[protocol.MachineID][]protocol.TaskStatus
 	turn int
 }
 
 func newBusyFleet(tb testing.TB, machines, tasks int) *busyFleet {
-	f := &busyFleet{bench: newBench(tb, "node-1", "node-2"), runs: map[protocol.MachineID][]protocol.TaskReport{}}
+	f := &busyFleet{bench: newBench(tb, "node-1", "node-2"), runs: map[protocol.MachineID][]protocol.TaskStatus{}}
 	v := f.c.View
 	f.put(record.ViewKey, record.View{Term: 2, Members: v.Members, Deaf: []protocol.NodeName{"node-1", "node-2"}})
 	for i := range machines {
@@ -56,7 +56,7 @@
 		id := protocol.JobID(fmt.Sprint("job-", i))
 		if clusterstate.Rendezvous(f.c.View, "job "+string(id)) == "node-0" {
 			f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
-				ID: id, Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: uint32(tasks / 10), CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
+				ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(tasks / 10), CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
 			}))
 		}
 	}
@@ -85,12 +85,12 @@
 func (f *busyFleet) obey(msg any, actions []message.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case message.ReplyReport:
-			f.start(msg.(message.Reported).Report.Machine, a.Reply.Orders)
+		case message.ReplyHeartbeat:
+			f.start(msg.(message.HeartbeatReceived).Heartbeat.Machine, a.Reply.Orders)
 		case message.Command:
 			f.start(a.Machine, a.Commands.Orders)
-			f.play(message.Commanded{
-				Machine: a.Machine, Term: a.Commands.Term, Session: 1, Orders: a.Commands.Orders, Answered: true, Executed: true, Report: f.says(a.Machine),
+			f.play(message.CommandDone{
+				Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: 1, Orders: a.Commands.Orders, Answered: true, Executed: true, Heartbeat: f.says(a.Machine),
 			})
 		}
 	}
@@ -99,14 +99,14 @@
 func (f *busyFleet) start(id protocol.MachineID, orders []protocol.Order) {
 	for _, o := range orders {
 		if o.Op == protocol.OpStart {
-			f.runs[id] = append(f.runs[id], protocol.TaskReport{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
+			f.runs[id] = append(f.runs[id], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
 		}
 	}
 }
 
-func (f *busyFleet) says(id protocol.MachineID) protocol.Report {
+func (f *busyFleet) says(id protocol.MachineID) protocol.Heartbeat {
 	f.seq++
-	return protocol.Report{Machine: id, Address: "x", Type: "small", Zone: "a", Session: 1, Seq: f.seq, Term: f.c.View.Term, Tasks: f.runs[id]}
+	return protocol.Heartbeat{Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: 1, Seq: f.seq, Term: f.c.View.Term, Tasks: f.runs[id]}
 }
 
 // hear has every worker report. Of so many machines, others each time, one task
@@ -120,11 +120,11 @@
 			if on[0].State == state {
 				state = protocol.TaskRunning
 			}
-			f.runs[id] = append([]protocol.TaskReport{{Task: on[0].Task, Attempt: on[0].Attempt, State: state}}, on[1:]...)
+			f.runs[id] = append([]protocol.TaskStatus{{Task: on[0].Task, Attempt: on[0].Attempt, State: state}}, on[1:]...)
 		}
 	}
 	for _, id := range f.ids {
-		f.play(message.Reported{Report: f.says(id)})
+		f.play(message.HeartbeatReceived{Heartbeat: f.says(id)})
 	}
 }
 
@@ -198,7 +198,7 @@
 					b.Fatal(err)
 				}
 				f.version++
-				timed(&adopts, message.Changed{Event: protocol.Event{Put: record.ViewKey, Value: raw, Version: f.version}})
+				timed(&adopts, message.RecordChanged{Event: protocol.Event{Put: record.ViewKey, Value: raw, Version: f.version}})
 				for range 40 {
 					f.now += Time(tickEvery)
 					timed(&ticks, message.Tick{})
@@ -241,12 +241,12 @@
 		if err != nil || m == nil {
 			b.Fatal(m, err)
 		}
-		came, err := protocol.ParseReport(m.Body)
+		came, err := protocol.ParseHeartbeat(m.Body)
 		if err != nil {
 			b.Fatal(err)
 		}
-		for _, a := range f.c.Step(f.now, message.Reported{Report: came}) {
-			if rr, ok := a.(message.ReplyReport); ok {
+		for _, a := range f.c.Step(f.now, message.HeartbeatReceived{Heartbeat: came}) {
+			if rr, ok := a.(message.ReplyHeartbeat); ok {
 				transport.AppendResponse(nil, reportAnswer(rr))
 			}
 		}
@@ -260,7 +260,7 @@
 			w := fleetOf(b, s.machines, s.tasks)
 			for b.Loop() {
 				w.job("job-new", "free", 300)
-				w.c.jobOver("job-new")
+				w.c.jobEnded("job-new")
 				w.step(message.Tick{})
 			}
 		})
@@ -271,19 +271,19 @@
 // once and at one more for each task, however many wait already.
 func TestPlacingLooksOnce(t *testing.T) {
 	w := fleetOf(t, 300, 3000)
-	before := w.c.looked
+	before := w.c.candidatesExamined
 	w.job("job-new", "free", 300)
 	if o := w.c.owner.jobs["job-new"]; len(o.placed) != 300 {
 		t.Fatalf("%d of 300 placed", len(o.placed))
 	}
-	if n := w.c.looked - before; n > 600 {
+	if n := w.c.candidatesExamined - before; n > 600 {
 		t.Errorf("%d machines looked at for 300 tasks on 300 machines", n)
 	}
 }
 
 // TestHugeJobIsPaced: of a job far too large for the fleet, only what runs soon
 // is placed; the rest costs a bit each, others go on, and cancelling it is done
-// at once.
+// reportedAt once.
 func TestHugeJobIsPaced(t *testing.T) {
 	w := fleetOf(t, 20, 100)
 	w.job("job-huge", "free", protocol.MaxTasks)
@@ -295,20 +295,20 @@
 	if n := len(huge.placed); n == 0 || n > most {
 		t.Errorf("%d tasks placed, want up to %d", n, most)
 	}
-	w.c.Live["job-huge"].Due += Time(time.Hour) // it can't be done by its time
+	w.c.Live["job-huge"].Deadline += Time(time.Hour) // it can't be done by its time
 	w.c.owner.sorted = nil
 	w.put(record.LiveKey("job-urgent"), protocol.Job{
-		ID: "job-urgent", Team: "free", Kind: protocol.KindArray, Priority: "high", Tasks: 5, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
+		ID: "job-urgent", Team: "free", Kind: protocol.KindJobArray, Priority: "high", Tasks: 5, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
 	})
 	w.step(message.Tick{})
 	if n := len(w.c.owner.jobs["job-urgent"].placed); n != 5 {
 		t.Errorf("%d of 5 more urgent tasks placed", n)
 	}
-	w.c.jobOver("job-huge")
+	w.c.jobEnded("job-huge")
 	w.step(message.Tick{})
 	queued := 0
-	for _, id := range w.c.keeping.Machines() {
-		for _, a := range w.c.keeping.Attempts(id) {
+	for _, id := range w.c.dispatcher.Machines() {
+		for _, a := range w.c.dispatcher.Attempts(id) {
 			if a.Task.Job == "job-huge" && !a.Sent {
 				queued++
 			}
@@ -324,19 +324,19 @@
 	for _, s := range []struct{ machines, tasks int }{{900, 10000}, {15000, 150000}} {
 		b.Run(fmt.Sprintf("%d machines, 300 jobs", s.machines), func(b *testing.B) {
 			f := newBusyFleet(b, s.machines, s.tasks)
-			f.c.fleet.haveList = true
+			f.c.autoscaler.haveList = true
 			f.c.Settings.Site.Objectives = append(f.c.Settings.Site.Objectives, config.Objective{Kind: "wait", Class: "soon", WithinS: 10, Share: 0.9})
-			f.c.Configured.Reset() // read anew
+			f.c.Configuration.Reset() // read anew
 			var demand []message.Demand
 			for i := range 300 {
 				id := protocol.JobID(fmt.Sprint("job-waits-", i))
-				f.c.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: "soon", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 20, CPUs: 1, MemoryGB: 1, EstimateS: 10}}
+				f.c.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: "soon", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, MemoryGB: 1, EstimateS: 10}}
 				demand = append(demand, message.Demand{Job: id, Unstarted: 20, EstimateS: 10})
 			}
 			f.c.peers["node-0"].demand = demand
 			for b.Loop() {
 				f.c.Actions = nil
-				f.c.plan()
+				f.c.planScaleOut()
 			}
 		})
 	}
@@ -354,7 +354,7 @@
 					f.c.schedule()
 				}
 			}
-			b.ReportMetric(float64(f.c.looked)/float64(b.N), "looked/op")
+			b.ReportMetric(float64(f.c.candidatesExamined)/float64(b.N), "looked/op")
 		})
 	}
 }
@@ -373,7 +373,7 @@
 		}))
 	}
 	f.hear(0)
-	f.c.looked = 0
+	f.c.candidatesExamined = 0
 	return f
 }
 
@@ -385,12 +385,12 @@
 	f := stuckFleet(t, machines, 30000, gangs)
 	for range 20 {
 		f.now += Time(placeEvery)
-		f.c.owner.dirty = true
+		f.c.owner.placementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	// Two passes for each gang that is tried: one for room, one to claim.
-	if most := 2 * 20 * 2 * lookedAtOnce; f.c.looked > most || f.c.looked < gangs*machines {
-		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.looked, gangs, most)
+	if most := 2 * 20 * 2 * maxExaminedPerStep; f.c.candidatesExamined > most || f.c.candidatesExamined < gangs*machines {
+		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.candidatesExamined, gangs, most)
 	}
 	for i := range 8 { // machines come
 		id := protocol.MachineID(fmt.Sprintf("vm-new-%d", i))
@@ -400,7 +400,7 @@
 	f.hear(0)
 	for range 20 {
 		f.now += Time(placeEvery)
-		f.c.owner.dirty = true
+		f.c.owner.placementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	placed := 0
--- a/internal/controller/dispatcher/clearing.go
+++ b/internal/controller/dispatcher/clearing.go
@@ -22,35 +22,35 @@
 
 // mayStartOn decides whether something that fits may start on a machine, for what
 // is promised there.
-func (k *Keeper) mayStartOn(q *queue, e *entry, j *clusterstate.LiveJob, free resource.Amount) (startLater, bool) {
+func (k *Dispatcher) mayStartOn(q *queue, e *entry, j *clusterstate.LiveJob, free resource.Amount) (startLater, bool) {
 	pr := k.Reservations
 	holds := pr.Holds[q.id]
 	if len(pr.Windows) == 0 && len(holds) == 0 && (pr.Listed || !pr.Any) {
 		return startNow, false
 	}
-	now := k.Moment()
-	t := reservation.Task{Of: k.Of(&j.Job), Need: e.need, Level: e.level, Saves: j.CheckpointS > 0}
-	run := k.LikelyS(&j.Job, e.estimate) + q.fetchS(j)
+	now := k.WallTime()
+	t := reservation.Task{Of: k.ReservationFilter(&j.Job), Need: e.need, Level: e.level, Saves: j.CheckpointS > 0}
+	run := k.ExpectedRunSeconds(&j.Job, e.estimate) + q.fetchS(j)
 	t.Ends = reservation.After(now, config.Seconds(run))
 	owns := reservation.OwnUntil(holds, t.Of) != 0
 	if m := k.Records[q.id]; m != nil && k.InWindow(q.id, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &t)) {
 		return startElsewhere, owns
 	}
 	switch {
-	case k.Unsettled(&j.Job, t.Ends):
+	case k.SpansReservation(&j.Job, t.Ends):
 		return startSoon, owns
-	case reservation.Leaves(holds, &t, free, now):
+	case reservation.LeavesRoom(holds, &t, free, now):
 		return startNow, owns
-	case reservation.Leaves(holds, &t, resource.Capacity(q.info), now):
+	case reservation.LeavesRoom(holds, &t, resource.Capacity(q.info), now):
 		return startSoon, owns
 	}
 	return startElsewhere, owns
 }
 
-// ownsRoom reports whether room that is held for an attempt's job is free.
-func (k *Keeper) ownsRoom(q *queue, e *entry) bool {
+// hasReservation reports whether room that is held for an attempt's job is free.
+func (k *Dispatcher) hasReservation(q *queue, e *entry) bool {
 	j := k.Live[e.task.Job]
-	return j != nil && q.free().Covers(e.need) && reservation.OwnUntil(k.Reservations.Holds[q.id], k.Of(&j.Job)) != 0
+	return j != nil && q.free().Covers(e.need) && reservation.OwnUntil(k.Reservations.Holds[q.id], k.ReservationFilter(&j.Job)) != 0
 }
 
 // fetchS is how long the machine takes to get a job's image, in seconds.
@@ -64,21 +64,21 @@
 // clearHeld stops what is in the way of room held on a machine, in the last
 // moment that leaves time to save: only what is less urgent than the reserved
 // work and beyond its team's guarantee.
-func (k *Keeper) clearHeld(q *queue) {
+func (k *Dispatcher) clearHeld(q *queue) {
 	holds := k.Reservations.Holds[q.id]
 	if len(holds) == 0 {
 		return
 	}
-	now := k.Moment()
+	now := k.WallTime()
 	for i := range holds {
 		h := &holds[i]
-		if !h.Stop(savesAtMost, now) {
+		if !h.Stop(maxCheckpointSeconds, now) {
 			continue // long before it
 		}
 		victims := k.stoppable(q, h.Level, h.For)
 		save := 0.0
 		for _, e := range victims {
-			save = min(max(save, k.saveS(e)), savesAtMost.Seconds())
+			save = min(max(save, k.checkpointSeconds(e)), maxCheckpointSeconds.Seconds())
 		}
 		if !h.Stop(config.Seconds(save), now) {
 			continue
@@ -95,11 +95,11 @@
 	}
 }
 
-// savesAtMost is longer than a task takes to save.
-const savesAtMost = 10 * time.Minute
+// maxCheckpointSeconds is longer than a task takes to save.
+const maxCheckpointSeconds = 10 * time.Minute
 
-// saveS is how long an attempt may take to be gone once it is stopped.
-func (k *Keeper) saveS(e *entry) float64 {
+// checkpointSeconds is how long an attempt may take to be gone once it is stopped.
+func (k *Dispatcher) checkpointSeconds(e *entry) float64 {
 	if j := k.Live[e.task.Job]; j != nil {
 		return clusterstate.GraceS(&j.Job)
 	}
@@ -108,7 +108,7 @@
 
 // stoppable lists what may be stopped on a machine for reserved work of a level:
 // what can save first, then what ran least.
-func (k *Keeper) stoppable(q *queue, l resource.Level, n reservation.Name) []*entry {
+func (k *Dispatcher) stoppable(q *queue, l resource.Level, n reservation.Name) []*entry {
 	var victims []*entry
 	for _, e := range ordered.Tasks(q.entries) {
 		j := k.Live[e.task.Job]
--- a/internal/controller/dispatcher/configured_test.go
+++ b/internal/controller/dispatcher/configured_test.go
@@ -11,8 +11,8 @@
 // lowered has the limit of a team lowered by a revision.
 func (b *bench) lowered(revision record.ConfigurationRevision, version protocol.Version) {
 	id := record.NewEntryID(record.EntryTeam, "bound")
-	b.k.Configured.TakeEntry(id, record.ConfigurationEntry{Revision: revision, Team: &record.TeamEntry{MaxCPUs: 2, Lowered: revision}})
-	b.k.Configured.TakeHead(record.Configuration{Revision: revision, Entries: []record.EntryID{id}}, version)
+	b.k.Configuration.TakeEntry(id, record.ConfigurationEntry{Revision: revision, Team: &record.TeamEntry{MaxCPUs: 2, Lowered: revision}})
+	b.k.Configuration.TakeHead(record.Configuration{Revision: revision, Entries: []record.EntryID{id}}, version)
 	b.k.AdoptConfiguration()
 }
 
@@ -41,15 +41,15 @@
 	b = newBench(t)
 	b.ready("vm-1")
 	b.placeBy("job-sent", 0)
-	b.k.Push()
+	b.k.SendDirectCommands()
 	task := protocol.TaskID{Job: "job-sent"}
-	if e := b.k.queues["vm-1"].entries[task]; e == nil || !e.sent || e.direct == 0 {
+	if e := b.k.queues["vm-1"].entries[task]; e == nil || !e.sent || e.directToken == 0 {
 		t.Fatalf("not sent directly: %+v", e)
 	}
-	b.k.queues["vm-1"].commanding = false // its answer does not come
-	b.k.View.Term = 2                     // a later token: it would be sent again
+	b.k.queues["vm-1"].directInFlight = false // its answer does not come
+	b.k.View.Term = 2                         // a later token: it would be sent again
 	b.lowered(1, 5)
-	if n := starts(b.k.orders(b.k.queues["vm-1"], 1, true)); n != 0 {
+	if n := starts(b.k.buildOrders(b.k.queues["vm-1"], 1, true)); n != 0 {
 		t.Errorf("%d starts are sent again", n)
 	}
 }
--- a/internal/controller/dispatcher/dispatcher_test.go
+++ b/internal/controller/dispatcher/dispatcher_test.go
@@ -25,16 +25,16 @@
 // bench is one keeper, in a view of its own controller alone.
 type bench struct {
 	t   *testing.T
-	k   *Keeper
+	k   *Dispatcher
 	seq protocol.Seq
 }
 
 func newBench(t *testing.T) *bench {
 	s := fake.Settings()
 	s.Name = "node-0"
-	p := clusterstate.Part{State: clusterstate.NewState(s, config.DefaultOperator(), slog.New(slog.DiscardHandler)), Output: &clusterstate.Output{}}
+	p := clusterstate.Module{State: clusterstate.NewState(s, config.DefaultOperator(), slog.New(slog.DiscardHandler)), Output: &clusterstate.Output{}}
 	p.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}}
-	p.Session, p.Begun, p.Now, p.Until = 100, 1, 1, clock.Time(time.Hour)
+	p.Session, p.SessionStart, p.Now, p.LeaseDeadline = 100, 1, 1, clock.Time(time.Hour)
 	p.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
 	p.Reservations.Listed = true
 	return &bench{t: t, k: New(p)}
@@ -45,12 +45,12 @@
 	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
 	m := &clusterstate.Machine{ID: id, Record: rec, Epoch: 7, Info: b.k.Types["small"]}
 	b.k.Records[id] = m
-	b.k.Recorded(m)
+	b.k.RecordUpdated(m)
 }
 
 // job accepts a job of one task.
 func (b *bench) job(id protocol.JobID) {
-	b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i"}}
+	b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i"}}
 }
 
 // place queues a job's only task.
@@ -58,18 +58,18 @@
 	b.k.Place("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
 }
 
-// report sends a worker's report and returns the answer.
-func (b *bench) report(id protocol.MachineID, session protocol.Session, term protocol.Term, tasks ...protocol.TaskReport) message.ReplyReport {
+// heartbeat sends a worker's report and returns the answer.
+func (b *bench) report(id protocol.MachineID, session protocol.AgentEpoch, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
 	b.seq++
 	b.k.Actions = nil
-	b.k.Report(protocol.Report{Machine: id, Address: "x", Type: "small", Zone: "a", Session: session, Seq: b.seq, Term: term, Tasks: tasks})
+	b.k.Heartbeat(protocol.Heartbeat{Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: session, Seq: b.seq, Term: term, Tasks: tasks})
 	for _, a := range b.k.Actions {
-		if r, ok := a.(message.ReplyReport); ok {
+		if r, ok := a.(message.ReplyHeartbeat); ok {
 			return r
 		}
 	}
 	b.t.Fatal("a report was not answered")
-	return message.ReplyReport{}
+	return message.ReplyHeartbeat{}
 }
 
 // ready brings one machine into service, its inventory given.
@@ -80,13 +80,13 @@
 
 // reserve promises room at a time from now.
 func (b *bench) reserve(name reservation.Name, in time.Duration) {
-	at := reservation.After(b.k.Moment(), in)
-	err := b.k.Reservations.Book.PutReservation(record.Reservation{
+	at := reservation.After(b.k.WallTime(), in)
+	err := b.k.Reservations.Calendar.PutReservation(record.Reservation{
 		Spec: record.ReservationSpec{
 			Name: name, Class: string(name), When: time.UnixMilli(int64(at)).UTC().Format("2006-01-02 at 15:04:05"), HoldS: 600, LengthS: 600, Tasks: 2, CPUs: 2, MemoryGB: 1, Priority: "standard",
 		},
 		State: record.Accepted, StartMS: at,
-	}, 1, b.k.Moment())
+	}, 1, b.k.WallTime())
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -94,12 +94,12 @@
 }
 
 // shared has all machines kept by shares, by this keeper.
-func (b *bench) shared() *record.Shares {
-	s := sharding.First([]protocol.Zone{"a", "b"})
+func (b *bench) shared() *record.ShardTable {
+	s := sharding.InitialTable([]protocol.Zone{"a", "b"})
 	for id := range s.List {
-		sharding.Give(s, sharding.ID(id), 100)
+		sharding.Assign(s, sharding.ID(id), 100)
 	}
-	b.k.View.Layout, b.k.Shares = record.LayoutShares, s
+	b.k.View.Layout, b.k.Shards = record.LayoutShards, s
 	return s
 }
 
@@ -146,13 +146,13 @@
 		entry := func(id protocol.JobID, k task, cpus float64) *entry {
 			b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: k.team, Priority: k.priority, CPUs: cpus, Tasks: 1}}
 			e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: 900, need: resource.Amount{CPUs: cpus}, level: resource.LevelOf(k.priority, k.guaranteed)}
-			q.put(e)
+			q.addEntry(e)
 			return e
 		}
 		victim := entry("job-1", tc.runs, 2)
 		victim.sent, victim.present, victim.state = true, true, protocol.TaskRunning
 		head := entry("job-2", tc.head, 3)
-		head.since = b.k.Now
+		head.queuedSince = b.k.Now
 		q.waiting = append(q.waiting, head)
 		b.k.touch(q)
 		b.k.preempt(q)
@@ -173,7 +173,7 @@
 func TestNothingStoppedForRoomThatComes(t *testing.T) {
 	for _, tc := range []struct {
 		runs    float64 // seconds, by estimate
-		class   string  // of the one that waits
+		class   string  // reservation the one that waits
 		stopped bool
 	}{
 		{8, "gang", false}, // to be started within 10 s
@@ -186,14 +186,14 @@
 		q := b.k.queues["vm-1"]
 		entry := func(id protocol.JobID, p protocol.Priority, class string, s float64) *entry {
 			l := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Priority: p, CPUs: 3, Tasks: 1, EstimateS: s}, Since: b.k.Now}
-			l.Due = b.k.Due(l)
+			l.Deadline = b.k.Deadline(l)
 			b.k.Live[id] = l
-			e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: s, since: b.k.Now, need: resource.Amount{CPUs: 3}, level: resource.LevelOf(p, false)}
-			q.put(e)
+			e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: s, queuedSince: b.k.Now, need: resource.Amount{CPUs: 3}, level: resource.LevelOf(p, false)}
+			q.addEntry(e)
 			return e
 		}
 		runs := entry("job-1", "standard", "other", tc.runs)
-		runs.sent, runs.present, runs.state, runs.runs = true, true, protocol.TaskRunning, b.k.Now
+		runs.sent, runs.present, runs.state, runs.runningSince = true, true, protocol.TaskRunning, b.k.Now
 		q.waiting = append(q.waiting, entry("job-2", "high", tc.class, 10))
 		b.k.touch(q)
 		b.k.Now += clock.Time(preemptAfter)
@@ -213,14 +213,14 @@
 	b.k.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Class: "array"}}
 	end := func(order uint64, n int) {
 		for range n {
-			b.k.noteError(&entry{task: protocol.TaskID{Job: "job-1"}, order: order, runs: b.k.Now - clock.Time(10*time.Second), estimate: 10, cause: protocol.EndDone})
+			b.k.noteError(&entry{task: protocol.TaskID{Job: "job-1"}, arrival: order, runningSince: b.k.Now - clock.Time(10*time.Second), estimate: 10, cause: protocol.EndDone})
 		}
 	}
-	usual := b.k.LikelyS(&protocol.Job{Class: "array"}, 10)
-	if end(0, 100); b.k.LikelyS(&protocol.Job{Class: "array"}, 10) != usual {
+	usual := b.k.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10)
+	if end(0, 100); b.k.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) != usual {
 		t.Error("learned from tasks that were found")
 	}
-	if end(7, 100); b.k.LikelyS(&protocol.Job{Class: "array"}, 10) >= usual {
+	if end(7, 100); b.k.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) >= usual {
 		t.Error("not learned from tasks that were started here")
 	}
 }
@@ -231,16 +231,16 @@
 func TestHeldRoomIsKept(t *testing.T) {
 	b := newBench(t)
 	b.k.WallMS = 1_770_000_000_000
-	b.ready("vm-1") // of 4 processors
+	b.ready("vm-1") // reservation 4 processors
 	b.reserve("one", 20*time.Minute)
-	now := b.k.Moment()
+	now := b.k.WallTime()
 	hold := reservation.Hold{For: "one", Machine: "vm-1", Tasks: 2, Need: resource.Amount{CPUs: 4, GB: 2}, Level: 1, Clear: reservation.After(now, 18*time.Minute), From: reservation.After(now, 20*time.Minute), Until: reservation.After(now, 40*time.Minute)}
 	b.hold(hold)
 	q := b.k.queues["vm-1"]
 	wait := func(id protocol.JobID, class string, estimate float64) *entry {
-		b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Kind: protocol.KindArray, Priority: "standard", CPUs: 2, MemoryGB: 1, Tasks: 1, EstimateS: estimate, SubmittedMS: int64(b.k.Moment())}}
-		e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: estimate, need: resource.Amount{CPUs: 2, GB: 1}, level: 1, from: "node-0"}
-		q.put(e)
+		b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", CPUs: 2, MemoryGB: 1, Tasks: 1, EstimateS: estimate, SubmittedMS: int64(b.k.WallTime())}}
+		e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: estimate, need: resource.Amount{CPUs: 2, GB: 1}, level: 1, placedBy: "node-0"}
+		q.addEntry(e)
 		b.k.enqueue(q, e)
 		return e
 	}
@@ -267,13 +267,13 @@
 	b.k.WallMS = 1_770_000_000_000
 	b.ready("vm-1")
 	b.reserve("one", 10*time.Minute)
-	now := b.k.Moment()
+	now := b.k.WallTime()
 	b.hold(reservation.Hold{For: "one", Machine: "vm-1", Tasks: 2, Need: resource.Amount{CPUs: 4, GB: 2}, Level: 1, Clear: reservation.After(now, 8*time.Minute), From: reservation.After(now, 10*time.Minute), Until: reservation.After(now, 40*time.Minute)})
 	q := b.k.queues["vm-1"]
 	run := func(id protocol.JobID, p protocol.Priority) *entry {
 		b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Priority: p, Team: "free", CPUs: 2, Tasks: 1, CheckpointS: 10, SaveS: 10}}
 		e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: 3600, need: resource.Amount{CPUs: 2}, level: resource.LevelOf(p, false), sent: true, present: true, state: protocol.TaskRunning}
-		q.put(e)
+		q.addEntry(e)
 		return e
 	}
 	low, same := run("job-low", "best_effort"), run("job-same", "standard")
@@ -295,14 +295,14 @@
 	q := b.k.queues["vm-1"]
 	for i := range uint32(3) {
 		e := &entry{task: protocol.TaskID{Job: "job-1", Index: i}, attempt: 1}
-		q.put(e)
+		q.addEntry(e)
 		q.waiting = append(q.waiting, e)
 	}
-	b.k.noteResult(q, &entry{task: protocol.TaskID{Job: "job-2"}, cause: protocol.EndDone})
+	b.k.recordResult(q, &entry{task: protocol.TaskID{Job: "job-2"}, cause: protocol.EndDone})
 	if len(q.waiting) != 3 {
 		t.Fatal("released for another job's success")
 	}
-	b.k.noteResult(q, &entry{task: protocol.TaskID{Job: "job-1", Index: 7}, cause: protocol.EndError})
+	b.k.recordResult(q, &entry{task: protocol.TaskID{Job: "job-1", Index: 7}, cause: protocol.EndError})
 	if len(q.waiting) != 0 {
 		t.Errorf("%d still wait", len(q.waiting))
 	}
@@ -316,12 +316,12 @@
 		b.ready("vm-1")
 		q := b.k.queues["vm-1"]
 		e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 1, sent: true}
-		q.put(e)
+		q.addEntry(e)
 		b.k.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Priority: "standard"}}
 		if drained {
 			b.k.Drain("vm-1")
 		}
-		b.report("vm-1", 1, b.k.View.Term) // without it
+		b.report("vm-1", 1, b.k.View.Term) // removeWaits it
 		if left := q.entries[e.task] != nil; left == drained {
 			t.Errorf("drained %v: still there %v", drained, left)
 		}
@@ -344,9 +344,9 @@
 			task: protocol.TaskID{Job: "job-1"}, attempt: 1, need: resource.Amount{CPUs: 2}, level: resource.LevelOf(tc.runs, false),
 			sent: true, present: true, state: protocol.TaskRunning,
 		}
-		q.put(runs)
+		q.addEntry(runs)
 		b.k.Place("node-0", &message.Place{Number: 1, Term: b.k.View.Term, Tasks: []message.Placement{{
-			Task: protocol.TaskID{Job: "job-2"}, Attempt: 1, Machine: "vm-1", Epoch: q.epoch, CPUs: 4, Level: int(resource.LevelOf("high", false)), Together: true,
+			Task: protocol.TaskID{Job: "job-2"}, Attempt: 1, Machine: "vm-1", Epoch: q.recordVersion, CPUs: 4, Level: int(resource.LevelOf("high", false)), Together: true,
 		}}})
 		if refused := len(q.waiting) == 0; refused != tc.refused || runs.kill == tc.refused {
 			t.Errorf("behind %s: refused %v, other stopped %v", tc.runs, refused, runs.kill)
@@ -381,7 +381,7 @@
 	b.job("job-1")
 	q := b.k.queues["vm-1"]
 	e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 1}
-	q.put(e)
+	q.addEntry(e)
 	q.waiting = []*entry{e}
 	if r := b.report("vm-1", 1, 1); starts(r.Reply.Orders) != 0 {
 		t.Fatal("started on a machine without a record")
@@ -416,7 +416,7 @@
 	b.ready("vm-1")
 	b.job("job-1")
 	delete(b.k.Live, "job-1")
-	b.k.NoteOver("job-1")
+	b.k.MarkEnded("job-1")
 	b.k.JobOver("job-1", false)
 	b.k.Place("node-0", &message.Place{Number: 6, Term: 1, Tasks: []message.Placement{{
 		Task: protocol.TaskID{Job: "job-1"}, Attempt: 9, Machine: "vm-1", Epoch: b.k.Records["vm-1"].Epoch,
@@ -427,19 +427,19 @@
 }
 
 // TestCrossingAnswers: the answer to direct commands may cross the answer to a
-// report; it does not settle the starts in that one.
+// heartbeat; it does not settle the starts in that one.
 func TestCrossingAnswers(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	b.k.queues["vm-1"].commanding = true // a direct command is under way
+	b.k.queues["vm-1"].directInFlight = true // a direct command is under way
 	b.job("job-1")
 	b.place("job-1")
 	if r := b.report("vm-1", 1, 1); starts(r.Reply.Orders) != 1 {
 		t.Fatalf("not started by the report's answer: %+v", r)
 	}
 	b.seq++
-	b.k.Commanded(message.Commanded{Machine: "vm-1", Term: 1, Session: 1, Answered: true, Executed: true,
-		Report: protocol.Report{Machine: "vm-1", Type: "small", Zone: "a", Session: 1, Seq: b.seq, Term: 1}})
+	b.k.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Answered: true, Executed: true,
+		Heartbeat: protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", AgentEpoch: 1, Seq: b.seq, Term: 1}})
 	if e := b.k.queues["vm-1"].entries[protocol.TaskID{Job: "job-1"}]; e == nil || !e.sent {
 		t.Fatalf("a start under way is taken for not executed: %+v", e)
 	}
@@ -455,41 +455,41 @@
 	q := b.k.queues["vm-1"]
 	mistakes := map[protocol.JobID]bool{}
 	fail := func(job protocol.JobID, after time.Duration) {
-		b.k.noteResult(q, &entry{task: protocol.TaskID{Job: job}, cause: protocol.EndError})
-		b.k.judge(q, func(id protocol.JobID) bool { return mistakes[id] })
+		b.k.recordResult(q, &entry{task: protocol.TaskID{Job: job}, cause: protocol.EndError})
+		b.k.quarantineIfFailing(q, func(id protocol.JobID) bool { return mistakes[id] })
 		b.k.Now += clock.Time(after)
-		b.k.judge(q, func(id protocol.JobID) bool { return mistakes[id] })
+		b.k.quarantineIfFailing(q, func(id protocol.JobID) bool { return mistakes[id] })
 	}
-	if fail("job-1", 10*time.Second); q.suspect {
+	if fail("job-1", 10*time.Second); q.quarantined {
 		t.Error("set aside for one job's failures")
 	}
-	if fail("job-2", time.Second); q.suspect {
+	if fail("job-2", time.Second); q.quarantined {
 		t.Error("set aside before the job's owner could say anything")
 	}
 	mistakes["job-2"] = true
-	if fail("job-2", 10*time.Second); q.suspect {
+	if fail("job-2", 10*time.Second); q.quarantined {
 		t.Error("set aside for a job that fails everywhere")
 	}
-	if fail("job-3", 10*time.Second); !q.suspect {
+	if fail("job-3", 10*time.Second); !q.quarantined {
 		t.Error("a machine that fails two jobs is not set aside")
 	}
 	mistakes["job-3"] = true
-	if fail("job-3", time.Second); q.suspect {
+	if fail("job-3", time.Second); q.quarantined {
 		t.Error("not taken back")
 	}
 }
 
 // TestDueOrder: in a queue, what can still be done in time goes before what is
-// late.
+// lateRuns.
 func TestDueOrder(t *testing.T) {
 	b := newBench(t)
 	job := func(id protocol.JobID, deadline float64) *entry {
-		l := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, Since: b.k.Now}
-		l.Due = b.k.Due(l)
+		l := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, Since: b.k.Now}
+		l.Deadline = b.k.Deadline(l)
 		b.k.Live[id] = l
 		return &entry{task: protocol.TaskID{Job: id}, level: 1}
 	}
-	q := b.k.keep("vm-1", "a")
+	q := b.k.addQueue("vm-1", "a")
 	late, soon := job("job-1", 20), job("job-2", 60)
 	b.k.enqueue(q, soon)
 	b.k.enqueue(q, late)
@@ -498,9 +498,9 @@
 	}
 	b.k.Now += clock.Time(35 * time.Second)
 	for _, l := range b.k.Live {
-		l.Due = b.k.Due(l)
+		l.Deadline = b.k.Deadline(l)
 	}
-	b.k.Resort()
+	b.k.InvalidateOrder()
 	if b.k.sortWaiting(q); q.waiting[0] != soon {
 		t.Error("what is late anyway goes before what is not")
 	}
@@ -511,30 +511,30 @@
 	b := newBench(t)
 	b.k.Reservations.Any = true
 	b.ready("vm-1")
-	e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 3, level: resource.LevelOf("best_effort", true), guessed: true, present: true, sent: true}
+	e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 3, level: resource.LevelOf("best_effort", true), levelGuessed: true, present: true, sent: true}
 	q := b.k.queues["vm-1"]
-	q.put(e)
+	q.addEntry(e)
 	b.k.learnLevels(q, func(protocol.JobID) (resource.Level, bool) { return 0, true })
-	if e.level != 0 || e.guessed {
+	if e.level != 0 || e.levelGuessed {
 		t.Errorf("at level %d", e.level)
 	}
 }
 
 // TestQueueOfAHeldBackReport: the first that is heard of a machine may be a report
 // that the network held back, of a session that is over. Its queue goes with its
-// share all the same. One that stayed had a machine taken for silent that another
-// kept.
+// shardState all the same. One that stayed had a machine taken for silent that another
+// sortedQueues.
 func TestQueueOfAHeldBackReport(t *testing.T) {
 	b := newBench(t)
 	old := b.shared()
-	b.k.sessionFloor["vm-1"] = 2
+	b.k.agentEpochFloor["vm-1"] = 2
 	b.report("vm-1", 1, 0)
 	if len(b.k.Machines()) != 1 {
 		t.Fatal("no queue: nothing to test")
 	}
-	b.k.Shares = sharding.Copy(old)
-	sharding.Give(b.k.Shares, sharding.Of(old, "vm-1", "a"), 101)
-	if b.k.AdoptShares(old); len(b.k.Machines()) != 0 {
+	b.k.Shards = sharding.Copy(old)
+	sharding.Assign(b.k.Shards, sharding.Of(old, "vm-1", "a"), 101)
+	if b.k.AdoptShards(old); len(b.k.Machines()) != 0 {
 		t.Error("kept though its share has moved")
 	}
 }
@@ -552,7 +552,7 @@
 		m := *b.k.Records["vm-1"]
 		m.Record.Session, m.Epoch = 2, 8
 		b.k.Records["vm-1"] = &m
-		b.k.Recorded(&m)
+		b.k.RecordUpdated(&m)
 		b.report("vm-1", 2, 1)
 		b.job("job-1")
 		b.k.Place("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: "vm-1", Epoch: 8, CPUs: 1, GB: 1}}})
@@ -562,7 +562,7 @@
 	}
 }
 
-// direct places a job's only task and returns the direct command that starts it.
+// directToken places a job's only task and returns the direct command that starts it.
 func (b *bench) direct(id protocol.JobID) message.Command {
 	b.job(id)
 	b.place(id)
@@ -572,7 +572,7 @@
 // pushed is the direct command that the keeper sends now; none if it sends none.
 func (b *bench) pushed() (c message.Command) {
 	b.k.Actions = nil
-	b.k.Push()
+	b.k.SendDirectCommands()
 	for _, a := range b.k.Actions {
 		if cmd, ok := a.(message.Command); ok {
 			c = cmd
@@ -582,10 +582,10 @@
 }
 
 // answered gives the keeper the answer to a direct command, or none.
-func (b *bench) answered(c message.Command, executed bool, tasks ...protocol.TaskReport) {
+func (b *bench) answered(c message.Command, executed bool, tasks ...protocol.TaskStatus) {
 	b.seq++
-	b.k.Commanded(message.Commanded{Machine: c.Machine, Term: c.Commands.Term, Session: c.Commands.Session, Orders: c.Commands.Orders, Answered: true, Executed: executed,
-		Report: protocol.Report{Machine: c.Machine, Type: "small", Zone: "a", Session: 1, Seq: b.seq, Term: b.k.View.Term, Tasks: tasks}})
+	b.k.CommandDone(message.CommandDone{Machine: c.Machine, Term: c.Commands.Term, AgentEpoch: c.Commands.AgentEpoch, Orders: c.Commands.Orders, Answered: true, Executed: executed,
+		Heartbeat: protocol.Heartbeat{Machine: c.Machine, Type: "small", Zone: "a", AgentEpoch: 1, Seq: b.seq, Term: b.k.View.Term, Tasks: tasks}})
 }
 
 func has(os []protocol.Order, op protocol.Op) bool {
@@ -595,7 +595,7 @@
 // released reports whether an owner was told that a task's attempt never started.
 func (b *bench) released(task protocol.TaskID) bool {
 	return slices.ContainsFunc(b.k.Local, func(m message.PeerMessage) bool {
-		return m.Event != nil && m.Event.What == message.WhatReleased && m.Event.Task == task
+		return m.Event != nil && m.Event.What == message.EventReleased && m.Event.Task == task
 	})
 }
 
@@ -614,7 +614,7 @@
 			t.Fatalf("not in the answer: %+v", r)
 		}
 		if listed {
-			b.answered(cmd, false, protocol.TaskReport{Task: task, Attempt: 1, State: protocol.TaskRunning})
+			b.answered(cmd, false, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
 		} else {
 			b.answered(cmd, false)
 		}
@@ -637,8 +637,8 @@
 	b.job("job-1")
 	b.place("job-1")
 	task, q := protocol.TaskID{Job: "job-1"}, b.k.queues["vm-1"]
-	q.suspect = true // nothing is started
-	b.report("vm-1", 1, 1, protocol.TaskReport{Task: task, Attempt: 1, State: protocol.TaskRunning})
+	q.quarantined = true // nothing is started
+	b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
 	b.k.Local = nil
 	b.k.Drain("vm-1")
 	if len(q.waiting) != 0 || b.released(task) {
@@ -654,10 +654,10 @@
 	cmd := b.direct("job-1")
 	task := protocol.TaskID{Job: "job-1"}
 	b.report("vm-1", 1, 1) // crosses the direct start; its answer brings it too
-	full := protocol.TaskReport{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndFull}
+	full := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndFull}
 	b.answered(cmd, true, full)
 	b.k.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
-	b.k.wake(b.k.queues["vm-1"])
+	b.k.requestDirect(b.k.queues["vm-1"])
 	if c := b.pushed(); has(c.Commands.Orders, protocol.OpForget) {
 		t.Error("reaped directly while a report's answer with its start is under way")
 	}
@@ -675,17 +675,17 @@
 	cmd := b.direct("job-1")
 	task := protocol.TaskID{Job: "job-1"}
 	b.report("vm-1", 1, 1) // the answer brings the start once more
-	b.k.Commanded(message.Commanded{Machine: "vm-1", Term: 1, Session: 1, Orders: cmd.Commands.Orders})
-	done := protocol.TaskReport{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndDone}
+	b.k.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
+	done := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndDone}
 	b.report("vm-1", 1, 1, done)
 	b.k.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
-	if r := b.report("vm-1", 1, 1, done); has(r.Reply.Orders, protocol.OpForget) || b.k.WantsTerm() {
+	if r := b.report("vm-1", 1, 1, done); has(r.Reply.Orders, protocol.OpForget) || b.k.NeedsNewTerm() {
 		t.Error("reaped, or a token asked for, at once")
 	}
 	b.k.Now += clock.Time(reapWait)
 	b.report("vm-1", 1, 1, done)
 	b.k.Now += clock.Time(time.Second)
-	if b.report("vm-1", 1, 1, done); !b.k.WantsTerm() {
+	if b.report("vm-1", 1, 1, done); !b.k.NeedsNewTerm() {
 		t.Fatal("no later token is asked for")
 	}
 	b.k.View.Term = 2
@@ -703,19 +703,19 @@
 	b.ready("vm-1")
 	cmd := b.direct("job-1")
 	q, task := b.k.queues["vm-1"], protocol.TaskID{Job: "job-1"}
-	b.k.Commanded(message.Commanded{Machine: "vm-1", Term: 1, Session: 1, Orders: cmd.Commands.Orders})
-	b.k.wake(q)
+	b.k.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
+	b.k.requestDirect(q)
 	if c := b.pushed(); starts(c.Commands.Orders) != 0 {
 		t.Error("sent again with the same token")
 	}
 	b.report("vm-1", 1, 1) // in the answer too
-	b.report("vm-1", 1, 1, protocol.TaskReport{Task: task, Attempt: 1, State: protocol.TaskRunning})
+	b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
 	b.k.Stop(message.Stop{TaskRef: message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"}, Kill: true})
 	kill := b.pushed()
 	if !has(kill.Commands.Orders, protocol.OpStop) {
 		t.Fatalf("not killed: %+v", kill)
 	}
-	stopped := protocol.TaskReport{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndStopped}
+	stopped := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndStopped}
 	b.answered(kill, true, stopped)
 	b.k.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
 	if r := b.report("vm-1", 1, 1, stopped); has(r.Reply.Orders, protocol.OpForget) {
@@ -730,9 +730,9 @@
 	again := newBench(t)
 	again.ready("vm-1")
 	cmd = again.direct("job-1")
-	again.k.Commanded(message.Commanded{Machine: "vm-1", Term: 1, Session: 1, Orders: cmd.Commands.Orders})
+	again.k.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
 	again.k.View.Term = 2
-	again.k.wake(again.k.queues["vm-1"])
+	again.k.requestDirect(again.k.queues["vm-1"])
 	if c := again.pushed(); starts(c.Commands.Orders) != 1 || c.Commands.Term != 2 {
 		t.Fatalf("not sent again with the later token: %+v", c)
 	}
@@ -750,14 +750,14 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	cmd := b.direct("job-1")
-	running := protocol.TaskReport{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, State: protocol.TaskRunning}
+	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, State: protocol.TaskRunning}
 	sent := b.seq + 1
 	b.seq++
 	b.answered(cmd, true, running)
 	delete(b.k.Live, "job-1") // cancelled
-	b.k.NoteOver("job-1")
+	b.k.MarkEnded("job-1")
 	b.k.Now += clock.Time(3 * time.Second)
-	stale := func(session protocol.Session, seq protocol.Seq) message.ReplyReport {
+	stale := func(session protocol.AgentEpoch, seq protocol.Seq) message.ReplyHeartbeat {
 		b.seq = seq - 1
 		return b.report("vm-1", session, 1, running)
 	}
@@ -787,10 +787,10 @@
 	b.machine("vm-1")
 	b.report("vm-1", 1, s.List[id].Epoch)
 	b.job("job-1")
-	running := protocol.TaskReport{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, State: protocol.TaskRunning}
+	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, State: protocol.TaskRunning}
 	b.report("vm-1", 1, s.List[id].Epoch, running)
-	b.k.Move(&message.Move{Term: 1, Shares: []message.Tenured{{Share: int(id), Tenure: s.List[id].Since}}, To: "node-1"})
-	if !b.k.frozen(b.k.queues["vm-1"]) {
+	b.k.HandOver(&message.MoveShards{Term: 1, Shares: []message.Tenured{{Share: int(id), Tenure: s.List[id].Since}}, To: "node-1"})
+	if !b.k.handingOver(b.k.queues["vm-1"]) {
 		t.Fatal("not handed over: nothing to test")
 	}
 	if r := b.report("vm-1", 1, s.List[id].Epoch, running); r.Status != 200 || len(r.Reply.Orders) != 0 {
@@ -808,12 +808,12 @@
 func TestNobodyIsSilentDuringAnOutage(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	b.k.Until = b.k.Now
+	b.k.LeaseDeadline = b.k.Now
 	for range 40 {
 		b.k.Now += clock.Time(time.Second)
 		b.k.ExpireSilent(true, 0)
 	}
-	b.k.Until = b.k.Now + clock.Time(time.Minute)
+	b.k.LeaseDeadline = b.k.Now + clock.Time(time.Minute)
 	if b.k.ExpireSilent(true, 0); b.k.queues["vm-1"].silence != message.SilenceNone {
 		t.Error("taken for silent")
 	}
--- a/internal/controller/dispatcher/inventory.go
+++ b/internal/controller/dispatcher/inventory.go
@@ -9,10 +9,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// holdsOver reports whether attempts of jobs that are over may still run here.
+// mayHoldEndedJobs reports whether attempts of jobs that are over may still run here.
 // The inventory waits for their end: it tells the owners of limited teams that
 // nothing but what it lists takes part of a limit.
-func (k *Keeper) holdsOver(q *queue) bool {
+func (k *Dispatcher) mayHoldEndedJobs(q *queue) bool {
 	for id, e := range q.entries {
 		if e.sent && !e.ended() && k.Live[id.Job] == nil {
 			return true
@@ -25,8 +25,8 @@
 // or at once if this controller has kept the queue without a break since the
 // worker saw an earlier one. Else each restart of one controller would have
 // the owners wait for all machines, and one that is cut off hold up all.
-func (k *Keeper) giveInventory(q *queue) {
-	if !k.frozen(q) && k.Now >= q.inventoryAfter && q.epoch != 0 && q.sole && !q.inventoried && !k.holdsOver(q) {
+func (k *Dispatcher) giveInventory(q *queue) {
+	if !k.handingOver(q) && k.Now >= q.inventoryAfter && q.recordVersion != 0 && q.exclusive && !q.inventoried && !k.mayHoldEndedJobs(q) {
 		k.sendInventory(q)
 	}
 }
@@ -37,45 +37,45 @@
 // BeginInventories gives the inventories of queues kept without a break through a new
 // view: at once if there are few, else with the next ticks, since that step is
 // long enough.
-func (k *Keeper) BeginInventories() {
-	if k.inventoryDue = slices.Clone(k.queuesInOrder()); len(k.inventoryDue) <= InventoriesMost {
+func (k *Dispatcher) BeginInventories() {
+	if k.inventoriesPending = slices.Clone(k.queuesInOrder()); len(k.inventoriesPending) <= InventoriesMost {
 		k.GiveInventories()
 	}
 }
 
 // GiveInventories goes on with the inventories of queues kept without a break.
-func (k *Keeper) GiveInventories() {
-	n := min(len(k.inventoryDue), InventoriesMost)
-	due := k.inventoryDue[:n]
-	k.inventoryDue = k.inventoryDue[n:]
+func (k *Dispatcher) GiveInventories() {
+	n := min(len(k.inventoriesPending), InventoriesMost)
+	due := k.inventoriesPending[:n]
+	k.inventoriesPending = k.inventoriesPending[n:]
 	for _, q := range due {
 		switch {
 		case k.queues[q.id] != q:
 		case k.Now < q.inventoryAfter:
-			k.inventoryDue = append(k.inventoryDue, q)
+			k.inventoriesPending = append(k.inventoriesPending, q)
 		default:
 			k.giveInventory(q)
 		}
 	}
-	if len(k.inventoryDue) == 0 {
-		k.inventoryDue = nil
+	if len(k.inventoriesPending) == 0 {
+		k.inventoriesPending = nil
 	}
 }
 
 // sendInventory tells every owner what of its jobs is here.
-func (k *Keeper) sendInventory(q *queue) {
-	if !q.known {
+func (k *Dispatcher) sendInventory(q *queue) {
+	if !q.inventoryKnown {
 		q.idleSince = k.Now
 	}
-	q.inventoried, q.known = true, true
+	q.inventoried, q.inventoryKnown = true, true
 	k.touch(q)
-	byOwner := map[protocol.NodeName][]message.Held{}
+	byOwner := map[protocol.NodeName][]message.HeldAttempt{}
 	for _, e := range ordered.Tasks(q.entries) {
 		owner := k.entryOwner(e)
 		if owner == "" {
 			continue
 		}
-		h := message.Held{Task: e.task, Attempt: e.attempt, Cause: e.cause, Saved: e.saved}
+		h := message.HeldAttempt{Task: e.task, Attempt: e.attempt, Cause: e.cause, Saved: e.checkpointed}
 		if e.present {
 			h.State = e.state
 		}
@@ -86,7 +86,7 @@
 	}
 	for name := range ordered.Of(k.View.Members) {
 		k.Send(name, message.PeerMessage{Inventory: &message.Inventory{
-			Term: k.View.Term, Tenure: k.Tenure(q.id, q.zone), Machine: q.id, Epoch: q.epoch, Upto: k.handled[name], Held: byOwner[name],
+			Term: k.View.Term, Tenure: k.ShardEpoch(q.id, q.zone), Machine: q.id, Epoch: q.recordVersion, Upto: k.handledPlaces[name], Held: byOwner[name],
 		}})
 	}
 }
--- a/internal/controller/dispatcher/machinestate.go
+++ b/internal/controller/dispatcher/machinestate.go
@@ -31,7 +31,7 @@
 	return f
 }
 
-// held is what the attempts take that are on the machine or in its queue.
+// deferred is what the attempts take that are on the machine or in its queue.
 func (q *queue) held() resource.Uses {
 	var u resource.Uses
 	for _, e := range q.entries {
@@ -42,38 +42,38 @@
 	return u
 }
 
-// firmRoom is what a task of a level finds once all that may be stopped for it
+// nonPreemptibleFree is what a task of a level finds once all that may be stopped for it
 // is gone.
-func (q *queue) firmRoom(l resource.Level) resource.Amount {
+func (q *queue) nonPreemptibleFree(l resource.Level) resource.Amount {
 	held := q.held()
-	return resource.Capacity(q.info).Minus(held.Firm(l))
+	return resource.Capacity(q.info).Minus(held.NonPreemptible(l))
 }
 
 // stateOfQueue is what others are told of a machine, reckoned once after each change.
-func (k *Keeper) stateOfQueue(q *queue) message.MachineState {
-	if m := k.Records[q.id]; m == nil || q.epoch != m.Epoch {
+func (k *Dispatcher) stateOfQueue(q *queue) message.MachineState {
+	if m := k.Records[q.id]; m == nil || q.recordVersion != m.Epoch {
 		return message.MachineState{Machine: q.id}
 	}
-	k.reckonState(q)
-	s := q.said
+	k.computeState(q)
+	s := q.published
 	s.Runs = q.runs
-	if q.known && len(q.entries) == 0 {
+	if q.inventoryKnown && len(q.entries) == 0 {
 		s.IdleS = k.Since(q.idleSince).Seconds()
 	}
 	return s
 }
 
-// reckonState goes through a queue once after each change, for what others are
-// told of it and for whether anything there might be stopped for something else.
-func (k *Keeper) reckonState(q *queue) {
-	if q.told {
+// computeState goes through a queue once after each change, for what others are
+// publishedValid of it and for whether anything there might be stopped for something else.
+func (k *Dispatcher) computeState(q *queue) {
+	if q.publishedValid {
 		return
 	}
 	s := message.MachineState{
-		Machine: q.id, Epoch: q.epoch, Images: slices.Clone(q.images),
-		Heard: q.known, Held: len(q.entries), Queued: len(q.waiting), Suspect: q.suspect, Draining: q.draining,
-		Silence: q.silence, Noticed: q.notice != nil,
-		Closed: q.draining || q.suspect || q.notice != nil || q.silence == message.SilenceLong || k.closed(q),
+		Machine: q.id, Epoch: q.recordVersion, Images: slices.Clone(q.images),
+		Heard: q.inventoryKnown, Held: len(q.entries), Queued: len(q.waiting), Suspect: q.quarantined, Draining: q.draining,
+		Silence: q.silence, Noticed: q.noticeSeconds != nil,
+		Closed: q.draining || q.quarantined || q.noticeSeconds != nil || q.silence == message.SilenceLong || k.closed(q),
 	}
 	free, held := resource.Capacity(q.info), resource.Uses{}
 	least, most := resource.Ranks, -1 // ranks of what may be stopped, and of what waits
@@ -115,10 +115,10 @@
 		held[i] = held[i].Round()
 	}
 	s.Ending.CPUs, s.Ending.GPUs, s.Ending.GB = resource.Round(s.Ending.CPUs), resource.Round(s.Ending.GPUs), resource.Round(s.Ending.GB)
-	s.FreeCPUs, s.FreeGPUs, s.FreeGB, s.Uses = free.CPUs, free.GPUs, free.GB, message.UsesIn(&held)
+	s.FreeCPUs, s.FreeGPUs, s.FreeGB, s.Uses = free.CPUs, free.GPUs, free.GB, message.LevelUses(&held)
 	q.runs = k.runsOf(q)
-	q.said, q.told = s, true
-	q.contested = least < most || guaranteed && borrows
+	q.published, q.publishedValid = s, true
+	q.preemptible = least < most || guaranteed && borrows
 }
 
 // healthySilence is the longest a healthy worker stays quiet.
@@ -127,7 +127,7 @@
 }
 
 // silenceAfter is how a quiet of so long looks.
-func (k *Keeper) silenceAfter(d time.Duration) message.Silence {
+func (k *Dispatcher) silenceAfter(d time.Duration) message.Silence {
 	switch most := healthySilence(k.Settings.Site.Workers.ReportS); {
 	case d > 2*most:
 		return message.SilenceLong
@@ -140,7 +140,7 @@
 // touch notes that what others are told of a machine has changed. What makes
 // a keeper tell an owner anything of an attempt does so, too: the owner may
 // have held something against the machine until its keeper's next word.
-func (k *Keeper) touch(q *queue) {
-	q.told = false
-	k.changed.Touch(q.id)
+func (k *Dispatcher) touch(q *queue) {
+	q.publishedValid = false
+	k.changes.Touch(q.id)
 }
--- a/internal/controller/dispatcher/orders.go
+++ b/internal/controller/dispatcher/orders.go
@@ -11,22 +11,22 @@
 	"damsonkeel/internal/protocol"
 )
 
-// orders fills an answer to a report, or direct commands: reaps first, so that room and
+// buildOrders fills an answer to a report, or direct commands: reaps first, so that room and
 // task ids are free, then kills, then starts in order of service while they fit. Each
 // start is noted by the way it goes, since each way is settled by other evidence.
-func (k *Keeper) orders(q *queue, term protocol.Term, direct bool) []protocol.Order {
+func (k *Dispatcher) buildOrders(q *queue, term protocol.Term, direct bool) []protocol.Order {
 	orders := []protocol.Order{}
 	start := func(e *entry) {
-		e.again = e.direct != 0
+		e.startResent = e.directToken != 0
 		if direct {
-			e.direct = k.token(q)
+			e.directToken = k.fencingToken(q)
 		} else {
-			e.inAnswer = true
+			e.startInLastReply = true
 		}
 		orders = append(orders, protocol.Order{Op: protocol.OpStart, Task: e.task, Attempt: e.attempt})
 	}
 	told := func(_ protocol.TaskID, e *entry) bool {
-		return e.present && (e.ended() || e.kill || k.Live[e.task.Job] == nil) || e.direct != 0
+		return e.present && (e.ended() || e.kill || k.Live[e.task.Job] == nil) || e.directToken != 0
 	}
 	for _, e := range ordered.TasksWhere(q.entries, told) {
 		live := k.Live[e.task.Job] != nil
@@ -36,14 +36,14 @@
 			// answer to the second would settle it while the first may be executed
 			// still; noted with the first one's, it would be taken for settled by a
 			// worker that has seen the second's from elsewhere.
-			if e.sent && e.direct != 0 && k.MayStart(e.task.Job) && !k.outdated(e) && !e.kill && (!direct || k.token(q) > e.direct) {
+			if e.sent && e.directToken != 0 && k.MayStart(e.task.Job) && !k.outdated(e) && !e.kill && (!direct || k.fencingToken(q) > e.directToken) {
 				start(e)
 			}
 		case e.ended() && (e.reap || !live):
 			// After a reap the worker no longer knows the attempt: a start that is
 			// still under way, directly or in an answer, would run it again.
-			switch underWay := e.direct != 0 && term <= e.direct; {
-			case !underWay && !e.inAnswer:
+			switch underWay := e.directToken != 0 && term <= e.directToken; {
+			case !underWay && !e.startInLastReply:
 				orders = append(orders, protocol.Order{Op: protocol.OpForget, Task: e.task, Attempt: e.attempt})
 			case !underWay || direct:
 			case e.reapSince == 0:
@@ -78,8 +78,8 @@
 const reapWait = 15 * time.Second
 
 // startable takes from the queue what fits the free room.
-func (k *Keeper) startable(q *queue) []*entry {
-	if q.epoch == 0 || q.draining || q.notice != nil || q.suspect || len(q.waiting) == 0 || k.closed(q) {
+func (k *Dispatcher) startable(q *queue) []*entry {
+	if q.recordVersion == 0 || q.draining || q.noticeSeconds != nil || q.quarantined || len(q.waiting) == 0 || k.closed(q) {
 		return nil
 	}
 	var out []*entry
@@ -94,7 +94,7 @@
 		}
 		if k.outdated(e) {
 			k.dropWaiting(q, e)
-			k.tell(q, e, message.WhatReleased)
+			k.notifyOwner(q, e, message.EventReleased)
 			continue
 		}
 		e.need = resource.Need(&j.Job)
@@ -109,7 +109,7 @@
 		}
 		if later == startElsewhere {
 			k.dropWaiting(q, e)
-			k.tell(q, e, message.WhatReleased)
+			k.notifyOwner(q, e, message.EventReleased)
 			continue
 		}
 		free = free.Minus(e.need)
@@ -133,20 +133,20 @@
 }
 
 // sortWaiting keeps the higher level first, then what is due first, then the
-// order of arrival.
-func (k *Keeper) sortWaiting(q *queue) {
+// lastArrival of arrival.
+func (k *Dispatcher) sortWaiting(q *queue) {
 	if q.sorted {
 		return
 	}
 	q.sorted = true
 	for _, e := range q.waiting {
 		if l := k.Live[e.task.Job]; l != nil {
-			e.due = l.Due
+			e.deadline = l.Deadline
 		} else {
 			q.sorted = false // its record has not arrived yet
 		}
 	}
 	slices.SortStableFunc(q.waiting, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.level, a.level), cmp.Compare(a.due, b.due), cmp.Compare(a.order, b.order))
+		return cmp.Or(cmp.Compare(b.level, a.level), cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.arrival, b.arrival))
 	})
 }
--- a/internal/controller/dispatcher/preempt.go
+++ b/internal/controller/dispatcher/preempt.go
@@ -19,8 +19,8 @@
 // startBy is the time by which an attempt should start: the first that can
 // still be kept of what its class and its team's guarantee ask for, else when
 // it has to start to be done in time.
-func (k *Keeper) startBy(e *entry, l *clusterstate.LiveJob) clock.Time {
-	first := k.DoneBy(l) - clock.Time(1.5*e.estimate*float64(time.Second)) // owners' estimates are often wrong by half
+func (k *Dispatcher) startBy(e *entry, l *clusterstate.LiveJob) clock.Time {
+	first := k.FinishBy(l) - clock.Time(1.5*e.estimate*float64(time.Second)) // owners' estimates are often wrong by half
 	for _, o := range k.Objectives() {
 		asked := o.Kind == "wait" && o.Class == l.Class || o.Kind == "guarantee" && e.level.Guaranteed()
 		if by := l.Since + clock.Time(o.WithinS*float64(time.Second)); asked && by >= k.Now {
@@ -32,18 +32,18 @@
 
 // endsIn is how long a running attempt is likely to go on. What it overruns
 // says that its estimate is too low, not that it ends now.
-func (k *Keeper) endsIn(e *entry) time.Duration {
+func (k *Dispatcher) endsIn(e *entry) time.Duration {
 	estimate := time.Duration(e.estimate * float64(time.Second))
 	left := estimate
 	if e.state == protocol.TaskRunning {
-		left -= k.Since(e.runs)
+		left -= k.Since(e.runningSince)
 	}
 	return max(left, estimate/4)
 }
 
-// roomIn is how long it is likely to take until what runs on a machine ends by
+// timeUntilFits is how long it is likely to take until what runs on a machine ends by
 // itself and leaves room for a task.
-func (k *Keeper) roomIn(q *queue, free, n resource.Amount) time.Duration {
+func (k *Dispatcher) timeUntilFits(q *queue, free, n resource.Amount) time.Duration {
 	type ending struct {
 		in   time.Duration
 		need resource.Amount
@@ -70,13 +70,13 @@
 // within its own. Those that can save, then those that ran least, go first;
 // nothing is stopped unless the one that waits then fits. Nor is anything
 // stopped where room comes by itself in time: what is stopped has to be done
-// again, and where many wait that makes all of them later. A task of a gang
+// redeliver, and where many wait that makes all of them later. A task of a gang
 // does not wait: all others of it would.
-func (k *Keeper) preempt(q *queue) {
-	if len(q.waiting) == 0 || q.epoch == 0 || q.draining || q.notice != nil || q.suspect {
+func (k *Dispatcher) preempt(q *queue) {
+	if len(q.waiting) == 0 || q.recordVersion == 0 || q.draining || q.noticeSeconds != nil || q.quarantined {
 		return
 	}
-	if k.reckonState(q); !q.contested {
+	if k.computeState(q); !q.preemptible {
 		return
 	}
 	k.sortWaiting(q)
@@ -89,14 +89,14 @@
 		if later, _ := k.mayStartOn(q, head, j, resource.Capacity(q.info)); later != startNow {
 			return // it would not start there
 		}
-		if !head.together && (k.Since(head.since) < preemptAfter || k.After(k.roomIn(q, free, head.need)) <= k.startBy(head, j)) {
+		if !head.inGang && (k.Since(head.queuedSince) < preemptAfter || k.After(k.timeUntilFits(q, free, head.need)) <= k.startBy(head, j)) {
 			return
 		}
 		var ok bool
 		if free, ok = k.preemptFor(q, head, free); !ok {
 			return
 		}
-		if !head.together {
+		if !head.inGang {
 			return
 		}
 		free = free.Minus(head.need)
@@ -105,7 +105,7 @@
 
 // preemptFor stops what has to be stopped for one attempt, given what is free,
 // and returns what is free then.
-func (k *Keeper) preemptFor(q *queue, head *entry, free resource.Amount) (resource.Amount, bool) {
+func (k *Dispatcher) preemptFor(q *queue, head *entry, free resource.Amount) (resource.Amount, bool) {
 	if free.Covers(head.need) {
 		return free, true
 	}
@@ -140,7 +140,7 @@
 }
 
 // sortVictims puts those that can save first, then those that ran least.
-func (k *Keeper) sortVictims(victims []*entry) {
+func (k *Dispatcher) sortVictims(victims []*entry) {
 	saves := func(e *entry) int {
 		if k.Live[e.task.Job].CheckpointS > 0 {
 			return 0
@@ -148,13 +148,13 @@
 		return 1
 	}
 	slices.SortStableFunc(victims, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(saves(a), saves(b)), cmp.Compare(b.runs, a.runs), cmp.Compare(b.since, a.since))
+		return cmp.Or(cmp.Compare(saves(a), saves(b)), cmp.Compare(b.runningSince, a.runningSince), cmp.Compare(b.queuedSince, a.queuedSince))
 	})
 }
 
 // stopFor has an attempt stopped for others, with time to save.
-func (k *Keeper) stopFor(q *queue, e *entry) {
-	e.kill, e.graceS = true, k.saveS(e)
+func (k *Dispatcher) stopFor(q *queue, e *entry) {
+	e.kill, e.graceS = true, k.checkpointSeconds(e)
 	k.touch(q)
-	k.wake(q)
+	k.requestDirect(q)
 }
--- a/internal/controller/dispatcher/queue.go
+++ b/internal/controller/dispatcher/queue.go
@@ -15,43 +15,43 @@
 
 // queue is what the controller that a machine reports to keeps of it.
 type queue struct {
-	id      protocol.MachineID
-	epoch   protocol.Version // of its record; 0: not registered
-	session protocol.Session // the newest seen
-	seq     protocol.Seq     // of the newest report or answer to direct commands
-	ownSeq  protocol.Seq     // of the newest report
-	info    protocol.TypeInfo
-	addr    string
-	zone    protocol.Zone
-	seen    protocol.Term // the highest token that its worker has said to have seen
+	id            protocol.MachineID
+	recordVersion protocol.Version    // reservation its record; 0: not registered
+	agentEpoch    protocol.AgentEpoch // the newest seen
+	lastSeq       protocol.Seq        // reservation the newest report or answer to direct commands
+	heartbeatSeq  protocol.Seq        // reservation the newest report
+	info          protocol.TypeInfo
+	addr          string
+	zone          protocol.Zone
+	tokenSeen     protocol.Term // the highest token that its worker has said to have seen
 
-	entries map[protocol.TaskID]*entry // added and dropped by put and drop alone
-	ofJob   map[protocol.JobID]int     // how many of these
-	waiting []*entry                   // never sent, in order of service once sorted
-	sorted  bool
+	entries       map[protocol.TaskID]*entry // added and dropped by put and drop alone
+	attemptsOfJob map[protocol.JobID]int     // how many of these
+	waiting       []*entry                   // never sent, in order of service once sorted
+	sorted        bool
 
-	lastAnswer     clock.Time
-	silence        message.Silence
-	told           bool                 // said is up to date
-	said           message.MachineState // what others are told
-	runs           []reservation.Run
-	contested      bool       // something here might be stopped for something that waits; as said
-	inventoried    bool       // owners have an inventory of this term
-	known          bool       // what is on the machine was reported since it is kept here
-	inventoryAfter clock.Time // no inventory is given before
-	sole           bool       // kept here without a break since the worker saw a term of that: nobody else can have started anything
-	registering    bool
-	removing       bool
-	asked          clock.Time // when the registrar was last asked for either
-	commanding     bool       // a direct command has no answer yet
-	push           bool       // something may be started at once
-	notice         *float64
-	draining       bool
-	idleSince      clock.Time
-	everSeen       bool
+	lastAnswer       clock.Time
+	silence          message.Silence
+	publishedValid   bool                 // published is up to date
+	published        message.MachineState // what others are told
+	runs             []reservation.Run
+	preemptible      bool       // something here might be stopped for something that waits; as said
+	inventoried      bool       // owners have an inventory of this term
+	inventoryKnown   bool       // what is on the machine was reported since it is kept here
+	inventoryAfter   clock.Time // refuse inventory is given before
+	exclusive        bool       // sortedQueues here without a break since the worker saw a term of that: nobody else can have started anything
+	registering      bool
+	removing         bool
+	registrarAskedAt clock.Time // when the registrar was last asked for either
+	directInFlight   bool       // a direct command has no answer yet
+	directRequested  bool       // something may be started at once
+	noticeSeconds    *float64
+	draining         bool
+	idleSince        clock.Time
+	everSeen         bool
 
-	failed  map[protocol.JobID]clock.Time // jobs that failed here since something last succeeded, and when
-	suspect bool
+	failedJobs  map[protocol.JobID]clock.Time // jobs that failed here since something last succeeded, and when
+	quarantined bool
 
 	images []string // fetched by this session, the latest last
 }
@@ -72,31 +72,31 @@
 
 // entry is one attempt in a queue or on its machine.
 type entry struct {
-	task     protocol.TaskID
-	attempt  protocol.Attempt
-	estimate float64
-	need     resource.Amount
-	order    uint64
-	since    clock.Time // queued here, or first seen here
-	runs     clock.Time // since when, as far as seen here
-	level    resource.Level
-	guessed  bool              // its level is guessed
-	due      clock.Time        // of its job, when the queue was last sorted
-	together bool              // others of its gang wait for it
-	from     protocol.NodeName // that placed it here, if any
+	task         protocol.TaskID
+	attempt      protocol.Attempt
+	estimate     float64
+	need         resource.Amount
+	arrival      uint64
+	queuedSince  clock.Time // queued here, or first seen here
+	runningSince clock.Time // queuedSince when, as far as seen here
+	level        resource.Level
+	levelGuessed bool              // its level is guessed
+	deadline     clock.Time        // reservation its job, when the queue was last sorted
+	inGang       bool              // others of its gang wait for it
+	placedBy     protocol.NodeName // that placed it here, if any
 	// configuration is the revision that its owner placed it by.
-	configuration record.ConfigurationRevision
-	sent          bool
-	direct        protocol.Term // of a direct start that has no answer: it may be executed until the worker sees a later term
-	again         bool          // its start has gone another way too since: that it is there does not tell which of them arrived
-	inAnswer      bool          // its start is in the last answer to a report: the worker's next report settles it
-	present       bool          // the worker has reported it
-	state         protocol.TaskState
-	cause         protocol.EndCause
-	saved         bool
-	kill          bool
-	graceS        float64
-	reap          bool
+	configuration    record.ConfigurationRevision
+	sent             bool
+	directToken      protocol.Term // reservation a direct start that has no answer: it may be executed until the worker sees a later term
+	startResent      bool          // its start has gone another way too since: that it is there does not tell which of them arrived
+	startInLastReply bool          // its start is in the last answer to a report: the worker's next report settles it
+	present          bool          // the worker has reported it
+	state            protocol.TaskState
+	cause            protocol.EndCause
+	checkpointed     bool
+	kill             bool
+	graceS           float64
+	reap             bool
 	// reapSince is since when it waits to be reaped for a start that may be under way.
 	reapSince clock.Time
 	noticed   bool
@@ -104,8 +104,8 @@
 
 type (
 	RegisterTag struct {
-		machine protocol.MachineID
-		session protocol.Session
+		machine    protocol.MachineID
+		agentEpoch protocol.AgentEpoch
 	}
 	RemoveTag struct{ Machine protocol.MachineID }
 )
@@ -114,21 +114,21 @@
 
 // Adopt goes over to a new view. Queues that stay here keep what they
 // know; the rest is dropped, for its new keeper's inventory to tell.
-func (k *Keeper) Adopt(old record.View, keeps bool) {
+func (k *Dispatcher) Adopt(old record.View, keeps bool) {
 	released := map[protocol.NodeName][]message.TaskRef{}
 	// What waits here for a job that has another owner now waits on: the inventory
 	// tells. Releasing it had the new owner place it anew once all machines were
 	// heard, and began gangs again of which the rest had started.
 	lost := func(e *entry) bool { return !keeps || k.Live[e.task.Job] == nil }
 	for _, q := range k.queuesInOrder() {
-		if k.KeeperIn(q.id, q.zone) != k.Self {
+		if k.DispatcherInZone(q.id, q.zone) != k.Self {
 			k.dropQueue(q.id)
 			continue
 		}
 		q.lastAnswer = k.answered(q)
 		q.inventoried, q.registering, q.removing = false, false, false
 		if !keeps {
-			q.known, q.sole = false, false
+			q.inventoryKnown, q.exclusive = false, false
 		}
 		if !slices.ContainsFunc(q.waiting, lost) {
 			continue
@@ -138,7 +138,7 @@
 			if !lost(e) {
 				return false
 			}
-			q.drop(e.task)
+			q.removeEntry(e.task)
 			if owner := k.entryOwner(e); owner != "" && (keeps || owner != k.Self) {
 				// To itself only if it kept its jobs: else it knows no attempt.
 				released[owner] = append(released[owner], message.TaskRef{Task: e.task, Attempt: e.attempt, Machine: q.id})
@@ -152,147 +152,147 @@
 		}
 	}
 	for id, m := range ordered.Of(k.Records) {
-		if k.Keeper(id) == k.Self && k.queues[id] == nil {
-			k.keep(id, m.Record.Zone).registered(m)
+		if k.DispatcherOf(id) == k.Self && k.queues[id] == nil {
+			k.addQueue(id, m.Record.Zone).registered(m)
 		}
 	}
-	k.allSince = 0
+	k.allAdoptedSince = 0
 	k.adoptedView()
 }
 
 // releasedMost bounds the attempts that one message says were released.
 const releasedMost = 500
 
-// keep begins to keep the queue of a machine of a zone. The zone is set from the
+// addQueue begins to keep the queue of a machine of a zone. The zone is set from the
 // first: a queue of another share would never be let go, and its machine be taken
 // for silent.
-func (k *Keeper) keep(id protocol.MachineID, z protocol.Zone) *queue {
+func (k *Dispatcher) addQueue(id protocol.MachineID, z protocol.Zone) *queue {
 	q := &queue{
-		id: id, zone: z, session: k.sessionFloor[id], entries: map[protocol.TaskID]*entry{}, ofJob: map[protocol.JobID]int{},
-		lastAnswer: k.Now, idleSince: k.Now, failed: map[protocol.JobID]clock.Time{},
+		id: id, zone: z, agentEpoch: k.agentEpochFloor[id], entries: map[protocol.TaskID]*entry{}, attemptsOfJob: map[protocol.JobID]int{},
+		lastAnswer: k.Now, idleSince: k.Now, failedJobs: map[protocol.JobID]clock.Time{},
 	}
-	k.queues[id], k.kept = q, nil
+	k.queues[id], k.sortedQueues = q, nil
 	k.touch(q)
 	return q
 }
 
 // dropQueue ends that.
-func (k *Keeper) dropQueue(id protocol.MachineID) {
+func (k *Dispatcher) dropQueue(id protocol.MachineID) {
 	delete(k.queues, id)
-	k.kept = nil
-	k.changed.Drop(id)
+	k.sortedQueues = nil
+	k.changes.Drop(id)
 }
 
 // queuesInOrder lists the queues by their machines' names. It is kept until one
 // comes or goes.
-func (k *Keeper) queuesInOrder() []*queue {
-	if k.kept == nil {
+func (k *Dispatcher) queuesInOrder() []*queue {
+	if k.sortedQueues == nil {
 		for _, q := range ordered.Of(k.queues) {
-			k.kept = append(k.kept, q)
+			k.sortedQueues = append(k.sortedQueues, q)
 		}
 	}
-	return k.kept
+	return k.sortedQueues
 }
 
 func (q *queue) registered(m *clusterstate.Machine) {
-	q.epoch, q.info, q.addr, q.zone = m.Epoch, m.Info, m.Record.Address, m.Record.Zone
-	q.session = max(q.session, m.Record.Session)
+	q.recordVersion, q.info, q.addr, q.zone = m.Epoch, m.Info, m.Record.Address, m.Record.Zone
+	q.agentEpoch = max(q.agentEpoch, m.Record.Session)
 }
 
 // entryOwner is the owner of an attempt's job: by its record, or, before that
 // has arrived here, the controller that placed it. Without the latter, a keeper
 // whose watch lags would leave queued attempts out of an inventory, and their
 // owner would take them for gone.
-func (k *Keeper) entryOwner(e *entry) protocol.NodeName {
+func (k *Dispatcher) entryOwner(e *entry) protocol.NodeName {
 	if j := k.Live[e.task.Job]; j != nil {
-		e.from = k.OwnerOf(j)
+		e.placedBy = k.OwnerOf(j)
 	}
-	return e.from
+	return e.placedBy
 }
 
-// tell passes an event to the present owner of an attempt's job.
-func (k *Keeper) tell(q *queue, e *entry, what message.What) {
+// notifyOwner passes an event to the present owner of an attempt's job.
+func (k *Dispatcher) notifyOwner(q *queue, e *entry, what message.EventKind) {
 	k.touch(q)
 	owner := k.entryOwner(e)
 	if owner == "" {
 		return
 	}
-	ev := &message.TaskEvent{TaskRef: message.TaskRef{Task: e.task, Attempt: e.attempt, Machine: q.id}, What: what, Cause: e.cause, Saved: e.saved}
-	if what == message.WhatNotice && q.notice != nil {
-		ev.LeftS = *q.notice
+	ev := &message.TaskEvent{TaskRef: message.TaskRef{Task: e.task, Attempt: e.attempt, Machine: q.id}, What: what, Cause: e.cause, Saved: e.checkpointed}
+	if what == message.EventNotice && q.noticeSeconds != nil {
+		ev.LeftS = *q.noticeSeconds
 	}
 	k.Send(owner, message.PeerMessage{Event: ev})
 }
 
-// putBack queues an attempt again whose start was not executed. Where nothing
+// requeue queues an attempt again whose start was not executed. Where nothing
 // is started any more it is released instead: it would wait there for ever, and
-// keep the machine from being empty and returned.
-func (k *Keeper) putBack(q *queue, e *entry) {
+// addQueue the machine from being empty and returned.
+func (k *Dispatcher) requeue(q *queue, e *entry) {
 	e.sent = false
 	k.enqueue(q, e)
-	if q.draining || q.suspect || q.notice != nil || k.closed(q) || k.outdated(e) {
+	if q.draining || q.quarantined || q.noticeSeconds != nil || k.closed(q) || k.outdated(e) {
 		k.dropWaiting(q, e)
-		k.tell(q, e, message.WhatReleased)
+		k.notifyOwner(q, e, message.EventReleased)
 	}
 }
 
-func (k *Keeper) enqueue(q *queue, e *entry) {
+func (k *Dispatcher) enqueue(q *queue, e *entry) {
 	q.waiting, q.sorted = append(q.waiting, e), false
 	k.touch(q)
 }
 
-// unqueue takes an attempt out of what waits.
-func (k *Keeper) unqueue(q *queue, e *entry) {
+// dequeue takes an attempt out of what waits.
+func (k *Dispatcher) dequeue(q *queue, e *entry) {
 	if i := slices.Index(q.waiting, e); i >= 0 {
 		q.waiting = slices.Delete(q.waiting, i, i+1)
 	}
 	k.touch(q)
 }
 
-func (k *Keeper) dropWaiting(q *queue, e *entry) {
-	k.unqueue(q, e)
-	q.drop(e.task)
+func (k *Dispatcher) dropWaiting(q *queue, e *entry) {
+	k.dequeue(q, e)
+	q.removeEntry(e.task)
 }
 
-// put adds an attempt, instead of another of its task if there is one.
-func (q *queue) put(e *entry) {
+// addEntry adds an attempt, instead of another of its task if there is one.
+func (q *queue) addEntry(e *entry) {
 	if q.entries[e.task] == nil {
-		q.ofJob[e.task.Job]++
+		q.attemptsOfJob[e.task.Job]++
 	}
 	q.entries[e.task] = e
 }
 
-// drop forgets a task's attempt.
-func (q *queue) drop(id protocol.TaskID) {
+// removeEntry forgets a task's attempt.
+func (q *queue) removeEntry(id protocol.TaskID) {
 	if q.entries[id] == nil {
 		return
 	}
 	delete(q.entries, id)
-	if q.ofJob[id.Job]--; q.ofJob[id.Job] == 0 {
-		delete(q.ofJob, id.Job)
+	if q.attemptsOfJob[id.Job]--; q.attemptsOfJob[id.Job] == 0 {
+		delete(q.attemptsOfJob, id.Job)
 	}
 }
 
 // Place queues placements. One that can't be queued is released at once.
-func (k *Keeper) Place(from protocol.NodeName, p *message.Place) {
+func (k *Dispatcher) Place(from protocol.NodeName, p *message.Place) {
 	if _, member := k.View.Members[from]; member {
-		k.handled[from] = p.Number
+		k.handledPlaces[from] = p.Number
 	}
 	for _, t := range p.Tasks {
-		e := &entry{task: t.Task, attempt: t.Attempt, estimate: t.EstimateS, need: t.Need(), level: resource.Level(t.Level), together: t.Together, from: from, since: k.Now, configuration: p.Configuration}
+		e := &entry{task: t.Task, attempt: t.Attempt, estimate: t.EstimateS, need: t.Need(), level: resource.Level(t.Level), inGang: t.Together, placedBy: from, queuedSince: k.Now, configuration: p.Configuration}
 		q := k.queues[t.Machine]
 		refuse := func() {
 			if q != nil {
 				k.touch(q) // the word that the owner waits for
 			}
 			k.Send(from, message.PeerMessage{Event: &message.TaskEvent{
-				TaskRef: message.TaskRef{Task: t.Task, Attempt: t.Attempt, Machine: t.Machine}, What: message.WhatReleased,
+				TaskRef: message.TaskRef{Task: t.Task, Attempt: t.Attempt, Machine: t.Machine}, What: message.EventReleased,
 			}})
 		}
 		// The term and the machine's record must be those the owner placed
-		// by: a placement held back by the network while the machine or the
+		// reportedBy: a placement held back by the network while the machine or the
 		// job went elsewhere and came back must not start anything.
-		if q == nil || k.IsOver(t.Task.Job) || p.Term != k.View.Term || t.Tenure != k.Tenure(q.id, q.zone) || q.epoch == 0 || q.epoch != t.Epoch || q.draining || q.notice != nil || q.suspect || k.frozen(q) || k.closed(q) || k.outdated(e) {
+		if q == nil || k.HasEnded(t.Task.Job) || p.Term != k.View.Term || t.Tenure != k.ShardEpoch(q.id, q.zone) || q.recordVersion == 0 || q.recordVersion != t.Epoch || q.draining || q.noticeSeconds != nil || q.quarantined || k.handingOver(q) || k.closed(q) || k.outdated(e) {
 			refuse()
 			continue
 		}
@@ -302,26 +302,26 @@
 			}
 			continue
 		}
-		if e.together && !q.firmRoom(e.level).Covers(e.need) && !k.ownsRoom(q, e) {
+		if e.inGang && !q.nonPreemptibleFree(e.level).Covers(e.need) && !k.hasReservation(q, e) {
 			// Its owner did not know yet of what is in the way. Waiting here
 			// would keep the machines of the whole gang idle.
 			refuse()
 			continue
 		}
-		k.order++
-		e.order = k.order
-		q.put(e)
+		k.lastArrival++
+		e.arrival = k.lastArrival
+		q.addEntry(e)
 		k.enqueue(q, e)
-		k.wake(q)
-		if e.together {
+		k.requestDirect(q)
+		if e.inGang {
 			k.preempt(q)
 		}
 	}
 }
 
 // Stop releases an attempt never sent, or has it killed.
-func (k *Keeper) Stop(s message.Stop) {
-	if k.notHere(s.Machine, message.PeerMessage{Stop: &s}) {
+func (k *Dispatcher) Stop(s message.Stop) {
+	if k.divertIfNotHeld(s.Machine, message.PeerMessage{Stop: &s}) {
 		return
 	}
 	q := k.queues[s.Machine]
@@ -334,19 +334,19 @@
 	}
 	if !e.sent && !e.present {
 		k.dropWaiting(q, e)
-		k.tell(q, e, message.WhatReleased)
+		k.notifyOwner(q, e, message.EventReleased)
 		return
 	}
 	if s.Kill && !e.ended() {
 		e.kill, e.graceS = true, s.GraceS
 		k.touch(q)
-		k.wake(q)
+		k.requestDirect(q)
 	}
 }
 
 // Forget lets the worker drop an ended attempt that its owner has dealt with.
-func (k *Keeper) Forget(r message.TaskRef) {
-	if k.notHere(r.Machine, message.PeerMessage{Forget: &r}) {
+func (k *Dispatcher) Forget(r message.TaskRef) {
+	if k.divertIfNotHeld(r.Machine, message.PeerMessage{Forget: &r}) {
 		return
 	}
 	if q := k.queues[r.Machine]; q != nil {
@@ -358,8 +358,8 @@
 
 // Drain gives a machine up: nothing more is started there, and what waits goes
 // back to its owners.
-func (k *Keeper) Drain(id protocol.MachineID) {
-	if k.notHere(id, message.PeerMessage{Drain: &id}) {
+func (k *Dispatcher) Drain(id protocol.MachineID) {
+	if k.divertIfNotHeld(id, message.PeerMessage{Drain: &id}) {
 		return
 	}
 	if q := k.queues[id]; q != nil && !q.draining {
@@ -369,9 +369,9 @@
 	}
 }
 
-func (k *Keeper) releaseWaiting(q *queue) {
+func (k *Dispatcher) releaseWaiting(q *queue) {
 	for _, e := range slices.Clone(q.waiting) {
 		k.dropWaiting(q, e)
-		k.tell(q, e, message.WhatReleased)
+		k.notifyOwner(q, e, message.EventReleased)
 	}
 }
