--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -22,7 +22,7 @@
 type placingRound struct {
 	usage   map[protocol.Team]resource.Amount
 	claims  *claims
-	batches map[protocol.NodeName][]message.Placement // by keeper
+	batches map[protocol.NodeName][]message.Placement // reportedBy keeper
 	waits   map[protocol.MachineID]*ownWaits
 	left    int // placements that the step may still make
 	stuck   int // gangs that found no place when they were last tried
@@ -31,7 +31,7 @@
 // schedule places what is pending: each task once, on the machine with the
 // smallest expected wait per processor among those that can run it.
 func (c *Core) schedule() {
-	c.owner.dirty = false
+	c.owner.placementDue = false
 	if len(c.Types) == 0 {
 		return
 	}
@@ -39,21 +39,21 @@
 		usage: c.teamUsage(), claims: c.claims(), batches: map[protocol.NodeName][]message.Placement{},
 		waits: map[protocol.MachineID]*ownWaits{}, left: maxPerStep,
 	}
-	r.claims.leftOver = c.leftOver() // nothing but placing asks for it
+	r.claims.leftOver = c.headroom() // nothing but placing asks for it
 	c.setLevels()
 	c.forgetFailedSearches()
 	for _, o := range c.jobsInOrder() {
-		if o.stuck && !o.pending.None() {
+		if o.searchFailed && !o.pending.None() {
 			r.stuck++
 		}
 	}
 	for _, o := range c.jobsInOrder() {
-		if !o.loaded || o.finish || o.notBefore > c.Now || o.pending.None() {
+		if !o.loaded || o.finishDue || o.notBefore > c.Now || o.pending.None() {
 			continue
 		}
-		c.note(r, c.placeJob(o, r))
+		c.recordPlacements(r, c.placeJob(o, r))
 		if r.left <= 0 {
-			c.owner.dirty = true
+			c.owner.placementDue = true
 			break
 		}
 	}
@@ -63,12 +63,12 @@
 
 // placeJob places what is pending of one job.
 func (c *Core) placeJob(o *ownedJob, r *placingRound) []message.Placement {
-	o.yields = !math.IsInf(r.claims.leftOver, 1) && c.unaimed(&o.Job) && !c.heldFor(o)
+	o.usesHeadroom = !math.IsInf(r.claims.leftOver, 1) && c.withoutObjective(&o.Job) && !c.isReserved(o)
 	most := r.left
-	if o.yields && c.overdueToBegin(o) {
-		o.yields, most = false, min(r.left, 1)
+	if o.usesHeadroom && c.overdueToBegin(o) {
+		o.usesHeadroom, most = false, min(r.left, 1)
 	}
-	if o.stuck && c.Since(o.tried) < c.retryEvery(r.stuck) {
+	if o.searchFailed && c.Since(o.searchedAt) < c.retryEvery(r.stuck) {
 		c.claimAgain(o, r.claims)
 		return nil
 	}
@@ -76,22 +76,22 @@
 		return nil
 	}
 	var chosen []message.Placement
-	looked := c.looked
-	o.claimed = nil
+	looked := c.candidatesExamined
+	o.claimedMachines = nil
 	if o.Kind == protocol.KindGang {
 		chosen = c.placeGang(o, r.usage, r.claims)
 	} else {
 		chosen = c.placeArray(o, r.usage, most, r.claims)
 	}
-	o.stuck, o.tried = o.Kind == protocol.KindGang && len(chosen) == 0 && c.looked > looked, c.Now
+	o.searchFailed, o.searchedAt = o.Kind == protocol.KindGang && len(chosen) == 0 && c.candidatesExamined > looked, c.Now
 	return chosen
 }
 
-// note adds the placements of a job to a round.
-func (c *Core) note(r *placingRound, chosen []message.Placement) {
+// recordPlacements adds the placements of a job to a round.
+func (c *Core) recordPlacements(r *placingRound, chosen []message.Placement) {
 	r.left -= len(chosen)
 	for _, p := range chosen {
-		keeper := c.Keeper(p.Machine)
+		keeper := c.DispatcherOf(p.Machine)
 		r.batches[keeper] = append(r.batches[keeper], p)
 		w := r.waits[p.Machine]
 		if w == nil {
@@ -105,7 +105,7 @@
 
 // sendPlacements hands placements to the machines' keepers.
 func (c *Core) sendPlacements(batches map[protocol.NodeName][]message.Placement) {
-	revision := c.Configured.Effective().Revision
+	revision := c.Configuration.Effective().Revision
 	for keeper, tasks := range ordered.Of(batches) {
 		p := c.peers[keeper]
 		if p == nil {
@@ -114,21 +114,21 @@
 		p.placed++
 		for _, t := range tasks {
 			if o := c.owner.jobs[t.Task.Job]; o != nil && o.placed[t.Task] != nil {
-				o.placed[t.Task].number = p.placed
+				o.placed[t.Task].placeNumber = p.placed
 			}
 		}
 		c.Send(keeper, message.PeerMessage{Place: &message.Place{Number: p.placed, Term: c.View.Term, Configuration: revision, Tasks: tasks}})
 	}
 }
 
-// lookedAtOnce is how many machines may be looked at, a step, for gangs that found
-// no place when they were last tried. See failedSearch for arrays.
-const lookedAtOnce = 30_000
+// maxExaminedPerStep is how many machines may be looked at, a step, for gangs that found
+// refuse place when they were last tried. See failedSearch for arrays.
+const maxExaminedPerStep = 30_000
 
 // retryEvery is how often such gangs are tried again, of so many: at each step
 // where that is cheap, less often where many wait on a large fleet.
 func (c *Core) retryEvery(stuck int) time.Duration {
-	return placeEvery * time.Duration(stuck*len(c.sorted)/lookedAtOnce)
+	return placeEvery * time.Duration(stuck*len(c.sortedMachines)/maxExaminedPerStep)
 }
 
 // placeArray places pending tasks one by one.
@@ -145,7 +145,7 @@
 		if !c.withinLimit(o, usage, 1) {
 			break
 		}
-		if !cl.takeLeftOver(o, 1) {
+		if !cl.takeHeadroom(o, 1) {
 			break
 		}
 		if from == nil {
@@ -159,51 +159,51 @@
 		if from.heap[0].rank == rankQueue && !c.queuesWithinLimit(o, waits, usage) {
 			break
 		}
-		out = append(out, c.putOn(from, uint32(i), m, c.nextAttempt(), zones))
-		c.use(o, usage, 1)
+		out = append(out, c.placeFrom(from, uint32(i), m, c.nextAttempt(), zones))
+		c.addUse(o, usage, 1)
 	}
 	return out
 }
 
 func (c *Core) nextAttempt() protocol.Attempt {
-	c.owner.attempt++
-	return protocol.Attempt(uint64(c.View.Term)<<32 | c.owner.attempt)
+	c.owner.attemptCounter++
+	return protocol.Attempt(uint64(c.View.Term)<<32 | c.owner.attemptCounter)
 }
 
-// putOn places one task on the smallest of its job's candidates, and reckons
+// placeFrom places one task on the smallest of its job's candidates, and reckons
 // with that for the next.
-func (c *Core) putOn(from *candidates, i uint32, m *machineEntry, a protocol.Attempt, zones map[protocol.Zone]int) message.Placement {
+func (c *Core) placeFrom(from *candidates, i uint32, m *machineEntry, a protocol.Attempt, zones map[protocol.Zone]int) message.Placement {
 	if from.heap[0].rank != rankQueue {
 		from.claims.spend(m, from.need)
 	}
-	p := c.put(from.job, i, m, a)
-	c.took(from)
+	p := c.placeAttempt(from.job, i, m, a)
+	c.noteExamined(from)
 	zones[m.Record.Zone]++
 	return p
 }
 
-// put places one task on a machine in the owner's books.
-func (c *Core) put(o *ownedJob, i uint32, m *machineEntry, a protocol.Attempt) message.Placement {
-	t := &placedTask{
-		task: protocol.TaskID{Job: o.ID, Index: i}, attempt: a, machine: m.ID, epoch: m.Epoch,
+// placeAttempt places one task on a machine in the owner's books.
+func (c *Core) placeAttempt(o *ownedJob, i uint32, m *machineEntry, a protocol.Attempt) message.Placement {
+	t := &attempt{
+		task: protocol.TaskID{Job: o.ID, Index: i}, number: a, machine: m.ID, epoch: m.Epoch,
 		zone: m.Record.Zone, estimate: c.estimateOf(o), trial: o.failing,
 	}
 	o.placed[t.task] = t
 	o.pending.Clear(uint(i))
-	m.mine[t.task] = t
-	o.waits++
-	if p := c.peers[c.Keeper(m.ID)]; p != nil {
+	m.ownAttempts[t.task] = t
+	o.waiting++
+	if p := c.peers[c.DispatcherOf(m.ID)]; p != nil {
 		// The Place that carries it is the next to the keeper.
-		c.expect(m, comingWait{c.Self, p.placed + 1, t.estimate * o.CPUs, o.level, resource.Need(&o.Job)})
+		c.addPendingWait(m, pendingWait{c.Self, p.placed + 1, t.estimate * o.CPUs, o.level, resource.Need(&o.Job)})
 	}
-	return message.Placement{Task: t.task, Attempt: a, Machine: m.ID, Epoch: m.Epoch, Tenure: c.Tenure(m.ID, m.Record.Zone), EstimateS: t.estimate, CPUs: o.CPUs, GPUs: o.GPUs, GB: o.MemoryGB, Level: int(o.level), Together: o.together()}
+	return message.Placement{Task: t.task, Attempt: a, Machine: m.ID, Epoch: m.Epoch, Tenure: c.ShardEpoch(m.ID, m.Record.Zone), EstimateS: t.estimate, CPUs: o.CPUs, GPUs: o.GPUs, GB: o.MemoryGB, Level: int(o.level), Together: o.isGang()}
 }
 
-// boundTo is the zone that a job's attempts hold it to, if they do.
-func (o *ownedJob) boundTo() protocol.Zone {
+// boundZone is the zone that a job's attempts hold it to, if they do.
+func (o *ownedJob) boundZone() protocol.Zone {
 	if o.OneZone {
 		for _, t := range o.placed {
-			return t.zone // of all of them
+			return t.zone // reservation all of them
 		}
 	}
 	return ""
@@ -219,7 +219,7 @@
 }
 
 // machinesInOrder lists the machines by name.
-func (c *Core) machinesInOrder() []*machineEntry { return c.sorted }
+func (c *Core) machinesInOrder() []*machineEntry { return c.sortedMachines }
 
 // addMachine puts a machine in its place, instead of another of its name if
 // there is one.
@@ -227,7 +227,7 @@
 	c.removeMachine(m.ID)
 	c.machines[m.ID], c.Records[m.ID] = m, m.Machine
 	i, _ := c.findMachine(m.ID)
-	c.sorted = slices.Insert(c.sorted, i, m)
+	c.sortedMachines = slices.Insert(c.sortedMachines, i, m)
 	if m.Record.Spot {
 		c.spotsUp++
 	}
@@ -241,7 +241,7 @@
 	delete(c.machines, id)
 	delete(c.Records, id)
 	if i, ok := c.findMachine(id); ok {
-		c.sorted = slices.Delete(c.sorted, i, i+1)
+		c.sortedMachines = slices.Delete(c.sortedMachines, i, i+1)
 	}
 	if m.Record.Spot {
 		c.spotsUp--
@@ -249,12 +249,12 @@
 }
 
 func (c *Core) findMachine(id protocol.MachineID) (int, bool) {
-	return slices.BinarySearchFunc(c.sorted, id, func(m *machineEntry, id protocol.MachineID) int { return cmp.Compare(m.ID, id) })
+	return slices.BinarySearchFunc(c.sortedMachines, id, func(m *machineEntry, id protocol.MachineID) int { return cmp.Compare(m.ID, id) })
 }
 
 // wait is the machine's expected wait, in processor seconds, as far as this
 // controller knows.
-func (m *machineEntry) wait() float64 { return math.Max(0, m.reported.Wait+m.copied+m.extra) }
+func (m *machineEntry) wait() float64 { return math.Max(0, m.reported.Wait+m.copiedWait+m.pendingSum) }
 
 // waitBefore is what of the machine's expected wait comes before a task of a
 // level: what is queued there at lower levels lets it go first.
@@ -272,7 +272,7 @@
 // with a queue has none: what waits there comes first.
 func (m *machineEntry) free() resource.Amount {
 	if m.reported.Epoch != m.Epoch {
-		return resource.Capacity(m.Info).Minus(m.taken.Firm(0)) // nothing told yet: as it came up
+		return resource.Capacity(m.Info).Minus(m.pendingUses.NonPreemptible(0)) // nothing told yet: as it came up
 	}
 	if m.reported.Queued > 0 {
 		return resource.Amount{}
@@ -281,31 +281,31 @@
 }
 
 // idle is what nothing runs in on a machine, whatever waits there: what room is
-// held for does not wait behind the rest.
+// announcedUses for does not wait behind the rest.
 func (m *machineEntry) idle() resource.Amount {
 	if m.reported.Epoch != m.Epoch {
 		return m.free()
 	}
-	return resource.Amount{CPUs: m.reported.FreeCPUs, GPUs: m.reported.FreeGPUs, GB: m.reported.FreeGB}.Minus(m.taken.Firm(0))
+	return resource.Amount{CPUs: m.reported.FreeCPUs, GPUs: m.reported.FreeGPUs, GB: m.reported.FreeGB}.Minus(m.pendingUses.NonPreemptible(0))
 }
 
 // unreserved is what a machine has free now beside what is held for reservations.
 func (m *machineEntry) unreserved() resource.Amount { return m.free().Minus(m.reserved) }
 
-// firmRoom is what a machine has for a task of a level once everything that may
+// nonPreemptibleFree is what a machine has for a task of a level once everything that may
 // be stopped for it is gone.
-func (m *machineEntry) firmRoom(l resource.Level) resource.Amount {
-	room := resource.Capacity(m.Info).Minus(m.taken.Firm(l))
+func (m *machineEntry) nonPreemptibleFree(l resource.Level) resource.Amount {
+	room := resource.Capacity(m.Info).Minus(m.pendingUses.NonPreemptible(l))
 	if m.reported.Epoch == m.Epoch {
-		room = room.Minus(m.held.Firm(l))
+		room = room.Minus(m.announcedUses.NonPreemptible(l))
 	}
 	return room
 }
 
-// roomBelow is what a machine has for work of a rank or below, beside what is
+// freeBelow is what a machine has for work of a rank or below, beside what is
 // more urgent.
-func (m *machineEntry) roomBelow(rank int) resource.Amount {
-	return resource.Capacity(m.Info).Minus(m.held.Above(rank)).Minus(m.taken.Above(rank))
+func (m *machineEntry) freeBelow(rank int) resource.Amount {
+	return resource.Capacity(m.Info).Minus(m.announcedUses.Above(rank)).Minus(m.pendingUses.Above(rank))
 }
 
 // waitFor is the wait per processor that a task has to expect before it runs,
@@ -358,27 +358,27 @@
 }
 
 // teamUsage sums what limited teams' attempts may take that are not proven
-// gone. Of a team just taken over, attempts that are not listed, of jobs that
+// attemptLost. Of a team just taken over, attempts that are not listed, of jobs that
 // are over too, can be only on machines that were not heard since: they take no
 // more than all there is of these.
 func (c *Core) teamUsage() map[protocol.Team]resource.Amount {
 	usage := map[protocol.Team]resource.Amount{}
 	for _, o := range c.owner.jobs {
 		if c.Limited(o.Team) {
-			c.use(o, usage, len(o.placed))
+			c.addUse(o, usage, len(o.placed))
 		}
 	}
-	for _, t := range c.owner.leaving {
+	for _, t := range c.owner.endedAttempts {
 		usage[t.team] = usage[t.team].Plus(t.need)
 	}
-	if len(c.owner.unsure) > 0 {
+	if len(c.owner.unverifiedTeams) > 0 {
 		var unheard resource.Amount
-		for id := range c.owner.pending {
+		for id := range c.owner.awaitedInventories {
 			if m := c.machines[id]; m != nil {
 				unheard = unheard.Plus(mostOn(m))
 			}
 		}
-		for team := range c.owner.unsure {
+		for team := range c.owner.unverifiedTeams {
 			usage[team] = usage[team].Plus(unheard)
 		}
 	}
@@ -388,12 +388,12 @@
 // mostOn is the most that attempts on a machine may take.
 func mostOn(m *machineEntry) resource.Amount {
 	if m.Info.Name == "" {
-		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)} // of a type that the cloud does not list
+		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)} // reservation a type that the cloud does not list
 	}
 	return resource.Capacity(m.Info)
 }
 
-func (c *Core) use(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) {
+func (c *Core) addUse(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) {
 	u := usage[o.Team]
 	u.CPUs += o.CPUs * float64(n)
 	u.GPUs += o.GPUs * float64(n)
@@ -425,7 +425,7 @@
 func (c *Core) queuesWithinLimit(o, other *ownedJob, usage map[protocol.Team]resource.Amount) bool {
 	left := map[protocol.Team]resource.Amount{o.Team: usage[o.Team]}
 	if other != nil && !(c.waitsForLimit(o) && bySince(o, other) < 0) {
-		c.use(other, left, 1)
+		c.addUse(other, left, 1)
 	}
 	return c.withinLimit(o, left, 1)
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -20,29 +20,29 @@
 
 // slots lists all room that is there or coming.
 func (c *Core) slots() []autoscaler.Slot {
-	f := &c.fleet
+	f := &c.autoscaler
 	var up autoscaler.Slots
 	for _, m := range c.machinesInOrder() {
-		if !c.usable(m) || len(c.reservations.Windows) > 0 && c.InWindow(m.ID, m.Record.Type, m.Record.Zone, c.Moment(), c.Moment()) {
+		if !c.usable(m) || len(c.reservations.Windows) > 0 && c.InWindow(m.ID, m.Record.Type, m.Record.Zone, c.WallTime(), c.WallTime()) {
 			continue
 		}
-		a := autoscaler.Alike{Kind: m.kind(), Free: m.unreserved(), Held: m.held}
+		a := autoscaler.Alike{Kind: m.kind(), Free: m.unreserved(), Held: m.announcedUses}
 		for r := range a.Held {
-			a.Held[r] = a.Held[r].Plus(m.taken[r])
+			a.Held[r] = a.Held[r].Plus(m.pendingUses[r])
 		}
 		up.Add(a, m.Info)
 	}
 	slots := up.List
-	for id, m := range ordered.Of(f.coming) {
-		if b := f.boots[m.kind]; b != nil && b.trial {
+	for id, m := range ordered.Of(f.bootingMachines) {
+		if b := f.bootHistory[m.kind]; b != nil && b.trial {
 			continue // not counted on
 		}
 		s := autoscaler.Fresh(c.Types[m.Type], m.kind, 1)
 		s.InS = math.Max(s.Info.BootS-c.Since(m.at).Seconds(), 1)
-		s.Free = s.Free.Minus(clusterstate.ReservedBy(c.reservations.Holds[id], c.Moment()))
+		s.Free = s.Free.Minus(clusterstate.ReservedBy(c.reservations.Holds[id], c.WallTime()))
 		slots = append(slots, s)
 	}
-	for _, r := range ordered.Of(f.rents) {
+	for _, r := range ordered.Of(f.provisionCalls) {
 		slots = append(slots, autoscaler.Fresh(c.Types[r.req.Type], r.kind(), r.req.Count))
 	}
 	return slots
@@ -57,14 +57,14 @@
 	}
 }
 
-// plan rents what the unstarted work needs beyond what is there or coming.
-func (c *Core) plan() {
+// planScaleOut rents what the unstarted work needs beyond what is there or coming.
+func (c *Core) planScaleOut() {
 	underWay := map[kind]int{}
-	for _, r := range c.fleet.rents {
+	for _, r := range c.autoscaler.provisionCalls {
 		underWay[r.kind()] += r.req.Count
 	}
 	p := autoscaler.New(c.openTypes(), c.slots(), underWay)
-	defer c.rentWanted(p)
+	defer c.provisionPlanned(p)
 	var demand, rest []message.Demand
 	for _, p := range c.peers {
 		demand = append(demand, p.demand...)
@@ -75,10 +75,10 @@
 	// Classes with room kept for them come first, then the room itself: the
 	// rest must not count on it.
 	for _, d := range demand {
-		switch j := c.wants(d); {
+		switch j := c.demandedJob(d); {
 		case j == nil:
-		case c.Awaited(&j.Job):
-			p.House(c.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted)
+		case c.HasStartObjective(&j.Job):
+			p.Reserve(c.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted)
 		default:
 			rest = append(rest, d)
 		}
@@ -87,7 +87,7 @@
 		j := &clusterstate.LiveJob{Job: k.job}
 		j.OneZone = false // it is kept for several jobs
 		if n := c.reserve(k); n > 0 {
-			p.House(c.work(j, resource.LevelOf(j.Priority, false), 0), n)
+			p.Reserve(c.work(j, resource.LevelOf(j.Priority, false), 0), n)
 		}
 	}
 	// What is left works off the rest, the most pressing first. Each job finds
@@ -102,10 +102,10 @@
 		runS += d.EstimateS * float64(d.Unstarted)
 		weight += float64(d.Unstarted)
 	}
-	c.rentReserved(p)
+	c.provisionReserved(p)
 	p.Gather(top, runS/math.Max(weight, 1))
 	for _, d := range rest {
-		j := c.wants(d)
+		j := c.demandedJob(d)
 		p.WorkOff(c.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, c.timeLeft(j, d))
 	}
 	// What is likely to come until another machine is up has to be begun by
@@ -119,8 +119,8 @@
 	}
 }
 
-// wants is the job of a demand, with the zone that is left to it.
-func (c *Core) wants(d message.Demand) *clusterstate.LiveJob {
+// demandedJob is the job of a demand, with the zone that is left to it.
+func (c *Core) demandedJob(d message.Demand) *clusterstate.LiveJob {
 	j := c.Live[d.Job]
 	if j == nil || d.Zone == "" {
 		return j
@@ -130,24 +130,24 @@
 	return &in
 }
 
-// rentWanted sends the plan's requests, as many at a time as the cloud answers
+// provisionPlanned sends the plan's requests, as many at a time as the cloud answers
 // in a second; the next plan asks for the rest.
-func (c *Core) rentWanted(p *autoscaler.Plan) {
+func (c *Core) provisionPlanned(p *autoscaler.Plan) {
 	for _, o := range p.Orders() {
-		if float64(len(c.fleet.rents)) >= math.Max(1, c.Settings.Site.Cloud.RPS) {
+		if float64(len(c.autoscaler.provisionCalls)) >= math.Max(1, c.Settings.Site.Cloud.RPS) {
 			return
 		}
-		if trial, _ := c.fleet.onTrial(o.Kind); trial {
+		if trial, _ := c.autoscaler.canary(o.Kind); trial {
 			o.Count = 1
 		}
-		c.fleet.requests++
-		req := protocol.RentRequest{
-			Name: fmt.Sprintf("%s-%d-%d-%d", c.Self, c.Session, c.View.Term, c.fleet.requests),
+		c.autoscaler.requests++
+		req := protocol.ProvisionRequest{
+			Name: fmt.Sprintf("%s-%d-%d-%d", c.Self, c.Session, c.View.Term, c.autoscaler.requests),
 			Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Count,
 		}
-		r := &rentCall{req: req, of: reservation.Name(o.For)}
-		c.fleet.rents[req.Name] = r
-		c.rent(r)
+		r := &provisionCall{req: req, reservation: reservation.Name(o.For)}
+		c.autoscaler.provisionCalls[req.Name] = r
+		c.provision(r)
 	}
 }
 
@@ -158,10 +158,10 @@
 // when it is due. Owners' estimates are often wrong by half. What nobody sets
 // a time for waits no longer than a machine takes to come.
 func (c *Core) timeLeft(j *clusterstate.LiveJob, d message.Demand) float64 {
-	if len(c.DueTimes(&j.Job)) == 0 {
+	if len(c.ObjectiveTimes(&j.Job)) == 0 {
 		return 0
 	}
-	return math.Max(0, time.Duration(j.Due-c.Now).Seconds()-1.5*d.EstimateS)
+	return math.Max(0, time.Duration(j.Deadline-c.Now).Seconds()-1.5*d.EstimateS)
 }
 
 // offers lists what may be rented for a job, the cheapest per task first.
@@ -173,17 +173,17 @@
 	var offers []offer
 	stretch, shun := c.spotStretch(&j.Job)*float64(j.Tasks), c.risky(&j.Job)
 	for _, t := range c.Types {
-		per := resource.Capacity(t).Fit(resource.Need(&j.Job))
+		per := resource.Capacity(t).CountFitting(resource.Need(&j.Job))
 		if per == 0 {
 			continue
 		}
 		for _, z := range t.AllowZones {
 			for _, spot := range []bool{true, false} {
 				k := kind{Type: t.Name, Zone: z, Spot: spot}
-				if !j.AllowsKind(t, z, spot) || spot && shun || c.fleet.refused[k].until > c.Now {
+				if !j.AllowsKind(t, z, spot) || spot && shun || c.autoscaler.refusals[k].until > c.Now {
 					continue
 				}
-				if _, tried := c.fleet.onTrial(k); tried {
+				if _, tried := c.autoscaler.canary(k); tried {
 					continue
 				}
 				price := t.Price
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -14,7 +14,7 @@
 // rentsOf is how many machines are asked for.
 func rentsOf(actions []message.Action) (n int) {
 	for _, a := range actions {
-		if r, ok := a.(message.Rent); ok {
+		if r, ok := a.(message.Provision); ok {
 			n += r.Request.Count
 		}
 	}
@@ -56,7 +56,7 @@
 	for round := range 3 {
 		var answer []message.Action
 		for _, a := range actions {
-			r, ok := a.(message.Rent)
+			r, ok := a.(message.Provision)
 			if !ok {
 				continue
 			}
@@ -64,7 +64,7 @@
 				t.Fatalf("%d in one request", r.Request.Count)
 			}
 			asked[r.Request.Zone] += r.Request.Count
-			got := message.Rented{Request: r.Request, Outcome: message.OutcomeDone}
+			got := message.ProvisionDone{Request: r.Request, Outcome: message.OutcomeDone}
 			if r.Request.Zone == "a" {
 				for i := range r.Request.Count {
 					got.Machines = append(got.Machines, protocol.MachineID(fmt.Sprint("vm-", round, "-", i)))
@@ -90,7 +90,7 @@
 	b.c.Live["job-1"] = o.LiveJob
 	var zones []protocol.Zone
 	for _, a := range append(b.relay(), b.relay()...) {
-		if r, ok := a.(message.Rent); ok {
+		if r, ok := a.(message.Provision); ok {
 			zones = append(zones, r.Request.Zone)
 			if r.Request.Count != 2 {
 				t.Errorf("%d machines asked for, want 2", r.Request.Count)
@@ -109,16 +109,16 @@
 	b.c.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}, Price: 1, SpotPrice: 1}
 	b.zoned("a", 20, false, resource.Uses{})
 	b.zoned("b", 1, false, resource.Uses{})
-	o := b.c.own(&clusterstate.LiveJob{Job: protocol.Job{
-		ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 60, OneZone: true,
+	o := b.c.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
+		ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 60, OneZone: true,
 	}, Since: b.c.Now})
 	o.loaded = true
 	o.pending.FlipRange(0, 60)
 	b.c.Live["job-1"] = o.LiveJob
-	b.c.put(o, 0, b.c.machines["vm-bfalse0"], 1)
+	b.c.placeAttempt(o, 0, b.c.machines["vm-bfalse0"], 1)
 	rented := 0
 	for _, a := range append(b.relay(), b.relay()...) {
-		if r, ok := a.(message.Rent); ok {
+		if r, ok := a.(message.Provision); ok {
 			rented += r.Request.Count
 			if r.Request.Zone != "b" {
 				t.Errorf("%d machines asked for in zone %s", r.Request.Count, r.Request.Zone)
--- a/internal/controller/ratelimit/lending.go
+++ b/internal/controller/ratelimit/lending.go
@@ -7,9 +7,9 @@
 // Why: a loan answers an ask and names it by the borrower's own clock. The
 // borrower uses it only until a while after it asked, the lender does without it
 // until a longer while after it lent, which is later: so a loan is never in use
-// by both, however long either message took. A controller that has begun anew
+// reportedBy both, however long either message took. A controller that has begun anew
 // and no longer knows what it lent holds back, for that while, all it may have
-// lent.
+// outstanding.
 package ratelimit
 
 import (
@@ -28,185 +28,187 @@
 // Times is so many times an amount.
 func (a Amount) Times(f float64) Amount { return Amount{a.Requests * f, a.Writes * f} }
 
-func each(a, b Amount, f func(a, b float64) float64) Amount {
+func combine(a, b Amount, f func(a, b float64) float64) Amount {
 	return Amount{f(a.Requests, b.Requests), f(a.Writes, b.Writes)}
 }
 
-// Ask says what a controller could use beyond its own share.
-type Ask struct {
-	At   clock.Time // by its own clock
+// Request says what a controller could use beyond its own share.
+type Request struct {
+	At   clock.Time // reportedBy its own clock
 	Want Amount
 }
 
-// Loan is the answer to an ask.
-type Loan struct {
+// Grant is the answer to an ask.
+type Grant struct {
 	Asked  clock.Time // the ask's At
 	Amount Amount
 }
 
 const (
-	// loanFor is how long after it asked a borrower may use a loan.
-	loanFor = clock.Time(4 * time.Second)
-	// backAfter is how long after it lent a lender does without it: longer, for
+	// grantDuration is how long after it asked a borrower may use a loan.
+	grantDuration = clock.Time(4 * time.Second)
+	// reclaimAfter is how long after it lent a lender does without it: longer, for
 	// clocks that differ by 0.05% each and for requests on their way.
-	backAfter = loanFor + loanFor/100 + clock.Time(500*time.Millisecond)
-	// lendMost is the part of its share that a controller lends at the most.
-	lendMost = 0.5
+	reclaimAfter = grantDuration + grantDuration/100 + clock.Time(500*time.Millisecond)
+	// maxGrantedFraction is the part of its share that a controller lends at the most.
+	maxGrantedFraction = 0.5
 	// headroom is how many times what it asked for lately a controller keeps.
 	headroom = 2.0
 )
 
-// Book is what one controller keeps of its share. Peers are known by a key that
+// Ledger is what one controller keeps of its share. Peers are known by a key that
 // another process or session of the same peer does not have: an ask is answered
 // to whom it came from, by whose clock it counts, or to nobody.
-type Book[K comparable] struct {
-	base  Amount
-	clean clock.Time // nothing lent before this book began is in use from then on
-	need  Amount
-	asks  map[K]heard
-	lent  map[K][]lent
-	got   map[K]Loan
+type Ledger[K comparable] struct {
+	base        Amount
+	settledAt   clock.Time // nothing lent before this book began is in use from then on
+	need        Amount
+	requests    map[K]peerRequest
+	outstanding map[K][]outstandingLoan
+	borrowed    map[K]Grant
 }
 
-type heard struct {
-	ask Ask
-	at  clock.Time
+type peerRequest struct {
+	request Request
+	at      clock.Time
 }
 
-type lent struct {
+type outstandingLoan struct {
 	amount Amount
 	back   clock.Time
 }
 
-// NewBook begins with an equal share.
-func NewBook[K comparable](base Amount, now clock.Time) *Book[K] {
-	return &Book[K]{base: base, clean: now + backAfter, asks: map[K]heard{}, lent: map[K][]lent{}, got: map[K]Loan{}}
+// NewLedger begins with an equal share.
+func NewLedger[K comparable](base Amount, now clock.Time) *Ledger[K] {
+	return &Ledger[K]{base: base, settledAt: now + reclaimAfter, requests: map[K]peerRequest{}, outstanding: map[K][]outstandingLoan{}, borrowed: map[K]Grant{}}
 }
 
-// NothingLent says that nothing can be lent that this book does not know.
-func (b *Book[K]) NothingLent() { b.clean = 0 }
+// NothingOutstanding says that nothing can be lent that this book does not know.
+func (b *Ledger[K]) NothingOutstanding() { b.settledAt = 0 }
 
-// LoanMost is how long a lender may do without what it has lent, at the most.
-const LoanMost = time.Duration(backAfter)
+// MaxGrantDuration is how long a lender may do without what it has lent, at the most.
+const MaxGrantDuration = time.Duration(reclaimAfter)
 
-// Used takes what was asked of the service in the last second, whether it was
+// NoteUse takes what was asked of the service in the last second, whether it was
 // within the share or not. What is needed grows at once and shrinks slowly.
-func (b *Book[K]) Used(last Amount) {
-	b.need = each(b.need, last, func(need, last float64) float64 { return math.Max(last, 0.7*need+0.3*last) })
+func (b *Ledger[K]) NoteUse(last Amount) {
+	b.need = combine(b.need, last, func(need, last float64) float64 { return math.Max(last, 0.7*need+0.3*last) })
 }
 
-// Asks is what to ask all peers for now.
-func (b *Book[K]) Asks(now clock.Time) Ask {
-	want := each(b.need, b.base, func(need, base float64) float64 { return math.Max(0, headroom*need-base) })
-	return Ask{At: now, Want: want}
+// Request is what to ask all peers for now.
+func (b *Ledger[K]) Request(now clock.Time) Request {
+	want := combine(b.need, b.base, func(need, base float64) float64 { return math.Max(0, headroom*need-base) })
+	return Request{At: now, Want: want}
 }
 
-// Heard takes a peer's ask.
-func (b *Book[K]) Heard(peer K, a Ask, now clock.Time) { b.asks[peer] = heard{a, now} }
+// NoteRequest takes a peer's ask.
+func (b *Ledger[K]) NoteRequest(peer K, a Request, now clock.Time) {
+	b.requests[peer] = peerRequest{a, now}
+}
 
-// Lend answers the peers' last asks, each once, out of what is not needed here.
-func (b *Book[K]) Lend(now clock.Time) map[K]Loan {
+// GrantRequests answers the peers' last asks, each once, out of what is not needed here.
+func (b *Ledger[K]) GrantRequests(now clock.Time) map[K]Grant {
 	b.forget(now)
-	spare := each(b.base.Times(lendMost), each(b.base, b.need, func(base, need float64) float64 { return base - headroom*need }), math.Min)
-	spare = each(spare, b.out(now), func(spare, out float64) float64 { return math.Max(0, spare-out) })
-	loans := map[K]Loan{}
+	spare := combine(b.base.Times(maxGrantedFraction), combine(b.base, b.need, func(base, need float64) float64 { return base - headroom*need }), math.Min)
+	spare = combine(spare, b.outstandingAt(now), func(spare, out float64) float64 { return math.Max(0, spare-out) })
+	loans := map[K]Grant{}
 	var wanted Amount
-	for _, h := range b.asks {
-		wanted = wanted.Plus(h.ask.Want)
+	for _, h := range b.requests {
+		wanted = wanted.Plus(h.request.Want)
 	}
-	part := each(spare, wanted, func(spare, wanted float64) float64 {
+	part := combine(spare, wanted, func(spare, wanted float64) float64 {
 		if wanted <= 0 {
 			return 0
 		}
 		return math.Min(1, spare/wanted)
 	})
-	for peer, h := range b.asks {
+	for peer, h := range b.requests {
 		// What it has of an earlier loan it need not be lent once more: the new
 		// loan stands in its place.
-		had := b.most(peer)
-		fresh := each(h.ask.Want, part, func(want, part float64) float64 { return want * part })
-		total := each(each(had, fresh, func(a, b float64) float64 { return a + b }), h.ask.Want, math.Min)
-		if total == (Amount{}) || now-h.at > loanFor {
+		had := b.maxOutstanding(peer)
+		fresh := combine(h.request.Want, part, func(want, part float64) float64 { return want * part })
+		total := combine(combine(had, fresh, func(a, b float64) float64 { return a + b }), h.request.Want, math.Min)
+		if total == (Amount{}) || now-h.at > grantDuration {
 			continue
 		}
-		b.lent[peer] = append(b.lent[peer], lent{total, now + backAfter})
-		loans[peer] = Loan{Asked: h.ask.At, Amount: total}
+		b.outstanding[peer] = append(b.outstanding[peer], outstandingLoan{total, now + reclaimAfter})
+		loans[peer] = Grant{Asked: h.request.At, Amount: total}
 	}
-	clear(b.asks)
+	clear(b.requests)
 	return loans
 }
 
-// Borrowed takes a peer's loan. One that answers an earlier ask than the last
+// NoteGrant takes a peer's loan. One that answers an earlier ask than the last
 // does not replace it.
-func (b *Book[K]) Borrowed(peer K, l Loan) {
-	if have, ok := b.got[peer]; !ok || l.Asked > have.Asked {
-		b.got[peer] = l
+func (b *Ledger[K]) NoteGrant(peer K, l Grant) {
+	if have, ok := b.borrowed[peer]; !ok || l.Asked > have.Asked {
+		b.borrowed[peer] = l
 	}
 }
 
-// Share is what may be used now.
-func (b *Book[K]) Share(now clock.Time) Amount {
+// Allotment is what may be used now.
+func (b *Ledger[K]) Allotment(now clock.Time) Amount {
 	s := b.Own(now)
-	for _, l := range b.got {
+	for _, l := range b.borrowed {
 		s = s.Plus(l.Amount)
 	}
 	return s
 }
 
 // Own is the part of Share that nobody lent.
-func (b *Book[K]) Own(now clock.Time) Amount {
+func (b *Ledger[K]) Own(now clock.Time) Amount {
 	b.forget(now)
-	return each(b.base, b.out(now), func(base, out float64) float64 { return base - out })
+	return combine(b.base, b.outstandingAt(now), func(base, out float64) float64 { return base - out })
 }
 
 // Until is when the first loan in use is over; ok if there is any.
-func (b *Book[K]) Until(now clock.Time) (until clock.Time, ok bool) {
+func (b *Ledger[K]) Until(now clock.Time) (until clock.Time, ok bool) {
 	b.forget(now)
-	for _, l := range b.got {
-		if end := l.Asked + loanFor; !ok || end < until {
+	for _, l := range b.borrowed {
+		if end := l.Asked + grantDuration; !ok || end < until {
 			until, ok = end, true
 		}
 	}
 	return until, ok
 }
 
-// out is what is lent to all peers, or may have been before this book began.
-func (b *Book[K]) out(now clock.Time) Amount {
-	if now < b.clean {
-		return b.base.Times(lendMost)
+// outstandingAt is what is lent to all peers, or may have been before this book began.
+func (b *Ledger[K]) outstandingAt(now clock.Time) Amount {
+	if now < b.settledAt {
+		return b.base.Times(maxGrantedFraction)
 	}
 	var sum Amount
-	for peer := range b.lent {
-		sum = sum.Plus(b.most(peer))
+	for peer := range b.outstanding {
+		sum = sum.Plus(b.maxOutstanding(peer))
 	}
 	return sum
 }
 
-// most is the largest loan that a peer may be using: it uses one at a time.
-func (b *Book[K]) most(peer K) Amount {
+// maxOutstanding is the largest loan that a peer may be using: it uses one at a time.
+func (b *Ledger[K]) maxOutstanding(peer K) Amount {
 	var m Amount
-	for _, l := range b.lent[peer] {
-		m = each(m, l.amount, math.Max)
+	for _, l := range b.outstanding[peer] {
+		m = combine(m, l.amount, math.Max)
 	}
 	return m
 }
 
 // forget drops the loans that are over.
-func (b *Book[K]) forget(now clock.Time) {
-	for peer, ls := range b.lent {
-		var left []lent
+func (b *Ledger[K]) forget(now clock.Time) {
+	for peer, ls := range b.outstanding {
+		var left []outstandingLoan
 		for _, l := range ls {
 			if l.back > now {
 				left = append(left, l)
 			}
 		}
-		if b.lent[peer] = left; len(left) == 0 {
-			delete(b.lent, peer)
+		if b.outstanding[peer] = left; len(left) == 0 {
+			delete(b.outstanding, peer)
 		}
 	}
-	for peer, l := range b.got {
-		if l.Asked+loanFor <= now {
-			delete(b.got, peer)
+	for peer, l := range b.borrowed {
+		if l.Asked+grantDuration <= now {
+			delete(b.borrowed, peer)
 		}
 	}
 }
--- a/internal/controller/ratelimit/lending_test.go
+++ b/internal/controller/ratelimit/lending_test.go
@@ -15,7 +15,7 @@
 
 // member is a controller in a test: its clock starts and runs as it likes.
 type member struct {
-	*Book[name]
+	*Ledger[name]
 	start, fast float64 // true seconds at its start; how much faster its clock runs
 	name
 }
@@ -35,13 +35,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		type letter struct {
 			from, to name
-			ask      Ask
-			loan     *Loan
+			ask      Request
+			loan     *Grant
 		}
 		var members []*member
 		begin := func(at float64, i, life int) *member {
 			m := &member{start: at, fast: 1 + float64(rapid.IntRange(0, 5).Draw(t, "fast"))/10000, name: name{i, life}}
-			m.Book = NewBook[name](base, m.now(at))
+			m.Ledger = NewLedger[name](base, m.now(at))
 			return m
 		}
 		for i := range 3 {
@@ -55,11 +55,11 @@
 			m := members[i]
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0:
-				m.Used(Amount{float64(rapid.IntRange(0, 120).Draw(t, "requests")), float64(rapid.IntRange(0, 40).Draw(t, "writes"))})
+				m.NoteUse(Amount{float64(rapid.IntRange(0, 120).Draw(t, "requests")), float64(rapid.IntRange(0, 40).Draw(t, "writes"))})
 			case 1, 2:
-				loans := m.Lend(m.now(at))
+				loans := m.GrantRequests(m.now(at))
 				for _, to := range members {
-					l := letter{from: m.name, to: to.name, ask: m.Asks(m.now(at))}
+					l := letter{from: m.name, to: to.name, ask: m.Request(m.now(at))}
 					if loan, ok := loans[to.name]; ok {
 						l.loan = &loan
 					}
@@ -75,9 +75,9 @@
 						wire = append(wire[:k:k], wire[k+1:]...)
 					}
 					if to := members[l.to.member]; to.name == l.to { // else of a session that is over
-						to.Heard(l.from, l.ask, to.now(at))
+						to.NoteRequest(l.from, l.ask, to.now(at))
 						if l.loan != nil {
-							to.Borrowed(l.from, *l.loan)
+							to.NoteGrant(l.from, *l.loan)
 						}
 					}
 				}
@@ -88,7 +88,7 @@
 			}
 			var sum Amount
 			for _, m := range members {
-				sum = sum.Plus(m.Share(m.now(at)))
+				sum = sum.Plus(m.Allotment(m.now(at)))
 			}
 			if sum.Requests > 3*base.Requests+1e-6 || sum.Writes > 3*base.Writes+1e-6 {
 				t.Fatalf("%v in use, %v of each", sum, base)
@@ -100,22 +100,22 @@
 // TestNeedIsMet: one that does nearly all the work gets what the others do not
 // need, soon, and they get it back when they need it.
 func TestNeedIsMet(t *testing.T) {
-	members := []*Book[int]{}
+	members := []*Ledger[int]{}
 	for range 3 {
-		members = append(members, NewBook[int](base, 0))
+		members = append(members, NewLedger[int](base, 0))
 	}
 	second := func(n int, used ...Amount) {
 		now := clock.Time(n) * clock.Time(time.Second)
 		for i, m := range members {
-			m.Used(used[i])
-			loans := m.Lend(now)
+			m.NoteUse(used[i])
+			loans := m.GrantRequests(now)
 			for to, other := range members {
 				if to == i {
 					continue
 				}
-				other.Heard(i, m.Asks(now), now)
+				other.NoteRequest(i, m.Request(now), now)
 				if l, ok := loans[to]; ok {
-					other.Borrowed(i, l)
+					other.NoteGrant(i, l)
 				}
 			}
 		}
@@ -124,21 +124,21 @@
 	for n := 10; n < 20; n++ {
 		second(n, busy, idle, idle)
 	}
-	if s := members[0].Share(clock.Time(20 * time.Second)); s.Requests < 80 || s.Writes < 28 {
+	if s := members[0].Allotment(clock.Time(20 * time.Second)); s.Requests < 80 || s.Writes < 28 {
 		t.Errorf("the busy one may use %v of its own %v", s, base)
 	}
 	for n := 20; n < 32; n++ {
 		second(n, idle, Amount{40, 14}, Amount{40, 14})
 	}
 	for _, m := range members[1:] {
-		if s := m.Share(clock.Time(32 * time.Second)); s.Requests < base.Requests || s.Writes < base.Writes {
+		if s := m.Allotment(clock.Time(32 * time.Second)); s.Requests < base.Requests || s.Writes < base.Writes {
 			t.Errorf("one that needs its share has %v of %v", s, base)
 		}
 	}
 	for n := 32; n < 40; n++ { // all silent: nothing is lent for longer
-		members[0].Used(busy)
+		members[0].NoteUse(busy)
 	}
-	if s := members[0].Share(clock.Time(40 * time.Second)); s.Requests > base.Requests+1e-9 {
+	if s := members[0].Allotment(clock.Time(40 * time.Second)); s.Requests > base.Requests+1e-9 {
 		t.Errorf("%v in use without anybody's loan", s)
 	}
 }
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -12,14 +12,14 @@
 // movableTasks are the tasks of one job that wait in queues: those of the
 // longest queues first and in them the last in line first.
 type movableTasks struct {
-	job   *ownedJob
-	need  resource.Amount
-	bars  func(*machineEntry) bool // see Core.bars
-	tasks []movableTask
+	job      *ownedJob
+	need     resource.Amount
+	excluded func(*machineEntry) bool // see Core.excludedByHolds
+	tasks    []movableTask
 }
 
 type movableTask struct {
-	*placedTask
+	*attempt
 	wait float64 // per processor, where it is queued
 }
 
@@ -34,11 +34,11 @@
 
 // rebalance lets a machine with room take unstarted tasks from the longest
 // queue: the owner has them released there and places them again. What was
-// left by the step before goes on where that ended: the machines before have
+// clearEndedAttempts by the step before goes on where that ended: the machines before have
 // their tasks on the way, which the table does not show yet.
 func (c *Core) rebalance(after protocol.MachineID) {
-	c.movedUpTo = ""
-	if !c.Acting() {
+	c.rebalancedUpTo = ""
+	if !c.HoldsLease() {
 		return
 	}
 	var roomy []*machineEntry
@@ -50,7 +50,7 @@
 	if len(roomy) == 0 {
 		return
 	}
-	movable := c.movable()
+	movable := c.movableTasksByJob()
 	if len(movable) == 0 {
 		return
 	}
@@ -61,22 +61,22 @@
 	cl, left := c.claims(), movesMost
 	for _, m := range roomy {
 		if m.idle().Covers(least) {
-			left -= c.takeFor(m, movable, cl, left)
+			left -= c.moveTasksTo(m, movable, cl, left)
 		}
 		if left <= 0 {
-			c.movedUpTo = m.ID
+			c.rebalancedUpTo = m.ID
 			return
 		}
 	}
 }
 
-// movable lists the tasks of this owner that wait in queues, by job.
-func (c *Core) movable() []*movableTasks {
+// movableTasksByJob lists the tasks of this owner that wait in queues, by job.
+func (c *Core) movableTasksByJob() []*movableTasks {
 	byJob := map[protocol.JobID]*movableTasks{}
 	var all []*movableTasks
 	var queued []*machineEntry
 	for _, m := range c.machinesInOrder() {
-		if m.reported.Queued > 0 && len(m.mine) > 0 {
+		if m.reported.Queued > 0 && len(m.ownAttempts) > 0 {
 			queued = append(queued, m)
 		}
 	}
@@ -88,14 +88,14 @@
 			break
 		}
 		wait := perCPU(m)
-		for _, t := range m.mine {
+		for _, t := range m.ownAttempts {
 			o := c.owner.jobs[t.task.Job]
-			if o == nil || t.started || t.stopping || t.moving || t.uncertain || o.Kind == protocol.KindGang && o.Tasks > 1 {
+			if o == nil || t.started || t.stopping || t.releaseAsked || t.unverified || o.Kind == protocol.KindGang && o.Tasks > 1 {
 				continue
 			}
 			g := byJob[o.ID]
 			if g == nil {
-				g = &movableTasks{job: o, need: resource.Need(&o.Job), bars: c.bars(o)}
+				g = &movableTasks{job: o, need: resource.Need(&o.Job), excluded: c.excludedByHolds(o)}
 				byJob[o.ID] = g
 				all = append(all, g)
 			}
@@ -105,15 +105,15 @@
 	}
 	for _, g := range all {
 		slices.SortFunc(g.tasks, func(a, b movableTask) int {
-			return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(b.attempt, a.attempt))
+			return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(b.number, a.number))
 		})
 	}
 	return all
 }
 
-// takeFor fills a machine's room with movable tasks, at most so many, the most
+// moveTasksTo fills a machine's room with movable tasks, at most so many, the most
 // urgent first, then those of the longest queues. It returns how many it took.
-func (c *Core) takeFor(m *machineEntry, movable []*movableTasks, cl *claims, most int) (taken int) {
+func (c *Core) moveTasksTo(m *machineEntry, movable []*movableTasks, cl *claims, most int) (taken int) {
 	free := m.idle()
 	for ; taken < most; taken++ {
 		var best *movableTasks
@@ -128,7 +128,7 @@
 		t := best.tasks[0]
 		best.tasks = best.tasks[1:]
 		free = free.Minus(best.need)
-		c.askStop(t.placedTask, false, 0)
+		c.sendStop(t.attempt, false, 0)
 		c.Log.Debug("moving a waiting task", "task", t.task, "from", t.machine, "to", m.ID)
 	}
 	return taken
@@ -138,7 +138,7 @@
 	a, b := g.tasks[0], h.tasks[0]
 	return cmp.Or(
 		cmp.Compare(h.job.Priority.Rank(), g.job.Priority.Rank()),
-		cmp.Compare(b.wait, a.wait), cmp.Compare(b.attempt, a.attempt)) < 0
+		cmp.Compare(b.wait, a.wait), cmp.Compare(b.number, a.number)) < 0
 }
 
 // mayMove reports whether a machine may take the next of a job's movable tasks.
@@ -152,8 +152,8 @@
 		zones = o.zones()
 		zones[t.zone]--
 	}
-	if g.bars != nil && g.bars(m) {
+	if g.excluded != nil && g.excluded(m) {
 		return false
 	}
-	return o.allows(m, zones) && cl.spared(o, m, g.need)
+	return o.allows(m, zones) && cl.leavesClaimed(o, m, g.need)
 }
--- a/internal/controller/recordblock/recordblock.go
+++ b/internal/controller/recordblock/recordblock.go
@@ -16,8 +16,8 @@
 // Limits bound what is written at once.
 type Limits struct {
 	Entries    int // machines in one block
-	ValueBytes int // of one block, in the form of JSON
-	TxnBytes   int // of all blocks of one transaction
+	ValueBytes int // reservation one block, in the form of JSON
+	TxnBytes   int // reservation all blocks of one transaction
 	Ops        int // puts and deletes of one transaction
 }
 
@@ -31,11 +31,11 @@
 	return Limits{Entries: entriesMost, ValueBytes: int(valueKB * 1024 * 3 / 4), TxnBytes: 48 << 10, Ops: max(txnOps, 1)}
 }
 
-// Shelf is all blocks as the records have them.
-type Shelf struct {
+// Index is all blocks as the records have them.
+type Index struct {
 	blocks map[string]*block
 	where  map[protocol.MachineID]string
-	last   uint64 // number of the newest block seen
+	last   uint64 // placeNumber of the newest block seen
 }
 
 type block struct {
@@ -44,23 +44,23 @@
 	bytes   int
 }
 
-// NewShelf has no blocks.
-func NewShelf() *Shelf {
-	return &Shelf{blocks: map[string]*block{}, where: map[protocol.MachineID]string{}}
+// NewIndex has no blocks.
+func NewIndex() *Index {
+	return &Index{blocks: map[string]*block{}, where: map[protocol.MachineID]string{}}
 }
 
 // Len is how many blocks there are.
-func (s *Shelf) Len() int { return len(s.blocks) }
+func (s *Index) Len() int { return len(s.blocks) }
 
-// Where is the block that holds a machine's record, if one does.
-func (s *Shelf) Where(id protocol.MachineID) (name string, ok bool) {
+// BlockOf is the block that holds a machine's record, if one does.
+func (s *Index) BlockOf(id protocol.MachineID) (name string, ok bool) {
 	name, ok = s.where[id]
 	return name, ok
 }
 
 // Set takes over a block's record. It returns the entries that are new or have
-// changed, and the machines that are in it no more, both in order.
-func (s *Shelf) Set(name string, version protocol.Version, entries []record.BlockEntry) (changed []record.BlockEntry, gone []protocol.MachineID) {
+// recordChanged, and the machines that are in it no more, both in order.
+func (s *Index) Set(name string, version protocol.Version, entries []record.BlockEntry) (changed []record.BlockEntry, gone []protocol.MachineID) {
 	was := s.blocks[name]
 	if was == nil {
 		was = &block{}
@@ -90,7 +90,7 @@
 
 // Drop takes over that a block has gone, and returns the machines that were in
 // it.
-func (s *Shelf) Drop(name string) (gone []protocol.MachineID) {
+func (s *Index) Drop(name string) (gone []protocol.MachineID) {
 	_, gone = s.Set(name, 0, nil)
 	delete(s.blocks, name)
 	return gone
@@ -134,7 +134,7 @@
 	ops     int
 }
 
-func (s *Shelf) draft(name string) *draft {
+func (s *Index) draft(name string) *draft {
 	d := &draft{name: name, entries: map[protocol.MachineID]record.BlockEntry{}, ops: 1}
 	if b := s.blocks[name]; b != nil {
 		d.version, d.bytes, d.entries = b.version, b.bytes, maps.Clone(b.entries)
@@ -159,7 +159,7 @@
 // and new machines into these, then into those with the most room, then into new
 // ones. Blocks that are being written are left alone. What does not fit the
 // limits is left for the next transaction.
-func (s *Shelf) Pack(changes []Change, busy func(block string) bool, l Limits) []Write {
+func (s *Index) Pack(changes []Change, busy func(block string) bool, l Limits) []Write {
 	byBlock := map[string][]Change{}
 	var fresh []Change
 	for _, c := range changes {
@@ -194,7 +194,7 @@
 			add(d)
 		}
 	}
-	room := s.roomiest(byBlock, busy, l)
+	room := s.leastFilled(byBlock, busy, l)
 	next := s.last
 	for _, c := range fresh {
 		cost := c.ops()
@@ -247,9 +247,9 @@
 	return writes
 }
 
-// roomiest lists the blocks that are at most half full, the emptiest first: to
+// leastFilled lists the blocks that are at most half full, the emptiest first: to
 // fill up one that is nearly full would cost a change for few machines.
-func (s *Shelf) roomiest(but map[string][]Change, busy func(string) bool, l Limits) []string {
+func (s *Index) leastFilled(but map[string][]Change, busy func(string) bool, l Limits) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(s.blocks)) {
 		b := s.blocks[name]
--- a/internal/controller/recordblock/recordblock_test.go
+++ b/internal/controller/recordblock/recordblock_test.go
@@ -29,7 +29,7 @@
 			Entries: rapid.IntRange(2, 9).Draw(t, "entries"), ValueBytes: rapid.IntRange(700, 4000).Draw(t, "value"),
 			TxnBytes: rapid.IntRange(4000, 9000).Draw(t, "txn"), Ops: rapid.IntRange(2, 8).Draw(t, "ops"),
 		}
-		s := NewShelf()
+		s := NewIndex()
 		version := protocol.Version(0)
 		singles := map[protocol.MachineID]protocol.Version{}
 		for i := range rapid.IntRange(0, 5).Draw(t, "singles") {
@@ -42,7 +42,7 @@
 				id := protocol.MachineID(fmt.Sprint("vm-", rapid.IntRange(0, 25).Draw(t, "machine")))
 				version++
 				c := Change{Machine: id, Entry: entry(id, version), Single: singles[id]}
-				if _, there := s.Where(id); there && rapid.Bool().Draw(t, "goes") {
+				if _, there := s.BlockOf(id); there && rapid.Bool().Draw(t, "goes") {
 					c.Entry = nil
 				}
 				wanted[id] = c
@@ -96,9 +96,9 @@
 }
 
 // TestBoundStaysWhereItWas: a machine that a write without an answer may have
-// put into a block is put into no other, however full others are.
+// placeAttempt into a block is put into no other, however full others are.
 func TestBoundStaysWhereItWas(t *testing.T) {
-	s := NewShelf()
+	s := NewIndex()
 	l := LimitsOf(16, 12)
 	c := Change{Machine: "vm-1", Entry: entry("vm-1", 1), Bound: blockOf(s, t, l)}
 	for _, busy := range []bool{false, true} {
@@ -117,7 +117,7 @@
 }
 
 // blockOf is the block that a first machine goes into.
-func blockOf(s *Shelf, t *testing.T, l Limits) string {
+func blockOf(s *Index, t *testing.T, l Limits) string {
 	w := s.Pack([]Change{{Machine: "vm-0", Entry: entry("vm-0", 1)}}, func(string) bool { return false }, l)
 	if len(w) != 1 {
 		t.Fatalf("%d writes", len(w))
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -14,25 +14,25 @@
 		return
 	}
 	if m != nil {
-		c.loseMachine(m)
+		c.machineLost(m)
 	}
-	c.noteBoot(id, rec)
-	m = &machineEntry{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}, mine: map[protocol.TaskID]*placedTask{}}
-	m.reserved = clusterstate.ReservedBy(c.reservations.Holds[id], c.Moment())
+	c.recordBoot(id, rec)
+	m = &machineEntry{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}, ownAttempts: map[protocol.TaskID]*attempt{}}
+	m.reserved = clusterstate.ReservedBy(c.reservations.Holds[id], c.WallTime())
 	c.addMachine(m)
-	c.owner.dirty = true
-	c.keeping.Recorded(m.Machine)
-	c.takeEarly(m)
+	c.owner.placementDue = true
+	c.dispatcher.RecordUpdated(m.Machine)
+	c.applyEarlyState(m)
 }
 
-// machineGone: the machine's record was deleted, on proof that nothing is left.
-func (c *Core) machineGone(id protocol.MachineID) {
+// machineDeregistered: the machine's record was deleted, on proof that nothing is left.
+func (c *Core) machineDeregistered(id protocol.MachineID) {
 	m := c.machines[id]
 	if m == nil {
 		return
 	}
-	c.noteLoss(m)
+	c.recordSpotLoss(m)
 	c.removeMachine(id)
-	c.loseMachine(m)
-	c.keeping.RecordGone(m.Machine)
+	c.machineLost(m)
+	c.dispatcher.RecordDeleted(m.Machine)
 }
--- a/internal/controller/relays.go
+++ b/internal/controller/relays.go
@@ -15,9 +15,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// peerReports is what is held of one peer's streams, and how far the peer holds
+// peerUpdates is what is held of one peer's streams, and how far the peer holds
 // this controller's.
-type peerReports struct {
+type peerUpdates struct {
 	machinesTo, jobsTo     replication.Cursor
 	machinesFrom, jobsFrom replication.Replica
 	// holdsTo and holdsFrom number what is held, as it has it of this controller
@@ -27,35 +27,35 @@
 	at                 Time // when its word on machines was last brought up to date in this term
 	// handled is, by owner, the last Place that the peer's word includes.
 	handled map[protocol.NodeName]uint64
-	// waits are the machines it keeps with placements that its word does not
+	// waiting are the machines it keeps with placements that its word does not
 	// include yet.
 	waits map[*machineEntry]bool
 	// early are states of machines whose records have not arrived here.
 	early map[protocol.MachineID]message.MachineState
 }
 
-func newPeerReports() peerReports {
-	return peerReports{handled: map[protocol.NodeName]uint64{}, waits: map[*machineEntry]bool{}, early: map[protocol.MachineID]message.MachineState{}}
+func newPeerUpdates() peerUpdates {
+	return peerUpdates{handled: map[protocol.NodeName]uint64{}, waits: map[*machineEntry]bool{}, early: map[protocol.MachineID]message.MachineState{}}
 }
 
 // statesMost bounds the machines that one message tells of: a full copy, as each
 // term begins with, goes out in pieces, one a tick.
 const statesMost = 1000
 
-// beginRelays begins the streams of a new term, with all there is as changed:
+// beginUpdates begins the streams of a new term, with all there is as changed:
 // what was told in the last one may have been told to, or by, a controller that
 // others have taken the machine or the job from since.
-func (c *Core) beginRelays() {
-	c.keeping.Begin()
-	c.ownedChanged = replication.Log[protocol.JobID]{}
+func (c *Core) beginUpdates() {
+	c.dispatcher.BeginTerm()
+	c.ownedChanges = replication.Log[protocol.JobID]{}
 	for id := range ordered.Of(c.owner.jobs) {
-		c.ownedChanged.Touch(id)
+		c.ownedChanges.Touch(id)
 	}
 	for _, m := range c.machines {
-		m.by = nil
+		m.reportedBy = nil
 	}
 	for _, p := range c.peers {
-		t := &p.reports
+		t := &p.updates
 		t.machinesTo, t.jobsTo = replication.Cursor{}, replication.Cursor{}
 		t.machinesFrom.Begin(uint64(c.View.Term))
 		t.jobsFrom.Begin(uint64(c.View.Term))
@@ -65,31 +65,31 @@
 	}
 }
 
-// dropComing forgets announced placements as a view changes: those on machines
+// dropPendingWaits forgets announced placements as a view changes: those on machines
 // that this peer keeps no more, or keeps in another session, and those by owners
 // that have another session now. None of them will be counted.
-func (c *Core) dropComing(name protocol.NodeName, p *peer, replaced map[protocol.NodeName]bool) {
-	for m := range p.reports.waits {
-		if replaced[name] || c.Keeper(m.ID) != name {
-			m.coming = nil
+func (c *Core) dropPendingWaits(name protocol.NodeName, p *peer, replaced map[protocol.NodeName]bool) {
+	for m := range p.updates.waits {
+		if replaced[name] || c.DispatcherOf(m.ID) != name {
+			m.pendingWaits = nil
 		} else {
-			m.coming = without(m.coming, func(w comingWait) bool { return replaced[w.owner] })
+			m.pendingWaits = removeWaits(m.pendingWaits, func(w pendingWait) bool { return replaced[w.owner] })
 		}
-		m.reckon()
-		if len(m.coming) == 0 {
-			delete(p.reports.waits, m)
+		m.recomputeWait()
+		if len(m.pendingWaits) == 0 {
+			delete(p.updates.waits, m)
 		}
 	}
 	for owner, gone := range replaced {
 		if gone {
-			delete(p.reports.handled, owner)
+			delete(p.updates.handled, owner)
 		}
 	}
 }
 
-// without is what is left of announced placements, in a slice of its own size.
-func without(ws []comingWait, drop func(comingWait) bool) []comingWait {
-	var left []comingWait
+// removeWaits is what is left of announced placements, in a slice of its own size.
+func removeWaits(ws []pendingWait, drop func(pendingWait) bool) []pendingWait {
+	var left []pendingWait
 	for _, w := range ws {
 		if !drop(w) {
 			left = append(left, w)
@@ -98,29 +98,29 @@
 	return left
 }
 
-// sendRelays passes on what changed: once a relay period to everybody, in
+// sendUpdates passes on what changed: once a relay period to everybody, in
 // between only to those who lack more than one message may hold.
-func (c *Core) sendRelays(regular bool) {
-	var loans map[protocol.LeaseID]ratelimit.Loan
+func (c *Core) sendUpdates(regular bool) {
+	var loans map[protocol.LeaseID]ratelimit.Grant
 	if regular {
-		loans = c.rates.Lend(c.Now)
-		c.setShare() // before anybody can use what is lent
+		loans = c.rates.GrantRequests(c.Now)
+		c.setRateAllotment() // before anybody can use what is lent
 	}
-	var same *message.Relay // as sent to the one before
+	var same *message.StateUpdate // as sent to the one before
 	for name, p := range ordered.Of(c.peers) {
-		t := &p.reports
+		t := &p.updates
 		if !regular && !t.short {
 			continue
 		}
-		r := &message.Relay{Term: c.View.Term, Acting: c.Acting(), Configuration: c.Configured.Effective().Revision, HaveMachines: t.machinesFrom.Have(), HaveJobs: t.jobsFrom.Have()}
-		r.Load = message.Load{LateMS: c.lateMS, Leaving: c.leaving}
-		r.Ask = c.rates.Asks(c.Now)
+		r := &message.StateUpdate{Term: c.View.Term, Acting: c.HoldsLease(), Configuration: c.Configuration.Effective().Revision, HaveMachines: t.machinesFrom.Have(), HaveJobs: t.jobsFrom.Have()}
+		r.Load = message.Load{LateMS: c.tickLatenessMS, Leaving: c.leaving}
+		r.Ask = c.rates.Request(c.Now)
 		if l, ok := loans[p.session]; ok {
 			r.Loan = &l
 		}
 		r.HaveHolds = t.holdsFrom
 		if c.reservations.number != 0 && c.reservations.number>>32 == uint64(c.View.Term) && t.holdsTo != c.reservations.number && name != c.Self {
-			r.Holds = &message.Holds{Number: c.reservations.number, List: c.reservations.List}
+			r.Holds = &message.ReservationHolds{Number: c.reservations.number, List: c.reservations.List}
 		}
 		if same == nil {
 			r.Demand = c.demand()
@@ -136,34 +136,34 @@
 }
 
 // fillMachines adds what changed of machines. Most peers lack the same: what was
-// put together for one serves the next.
-func (c *Core) fillMachines(r *message.Relay, to *replication.Cursor, same *message.Relay) {
+// placeAttempt together for one serves the next.
+func (c *Core) fillMachines(r *message.StateUpdate, to *replication.Cursor, same *message.StateUpdate) {
 	if same != nil && same.Machines.From == to.Next() {
 		r.Machines, r.States, r.Handled = same.Machines, same.States, same.Handled
 		to.Sent(r.Machines.Upto)
 		return
 	}
-	ids, upto := c.keeping.ChangedSince(to.Next(), statesMost)
-	r.Machines = replication.Piece{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
+	ids, upto := c.dispatcher.ChangedSince(to.Next(), statesMost)
+	r.Machines = replication.Range{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
 	to.Sent(upto)
 	r.States = make([]message.MachineState, 0, len(ids))
 	for _, id := range ids {
-		if st, kept := c.keeping.StateOf(id); kept {
+		if st, kept := c.dispatcher.StateOf(id); kept {
 			r.States = append(r.States, st)
 		}
 	}
-	if upto != c.keeping.Changes() {
+	if upto != c.dispatcher.Changes() {
 		return // the rest goes with the next
 	}
 	r.Handled = map[protocol.NodeName]uint64{}
 	for name := range c.peers {
-		r.Handled[name] = c.keeping.HandledOf(name)
+		r.Handled[name] = c.dispatcher.HandledOf(name)
 	}
 }
 
-func (c *Core) fillJobs(r *message.Relay, to *replication.Cursor) {
-	ids, upto := c.ownedChanged.Since(to.Next(), statesMost)
-	r.Jobs = replication.Piece{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
+func (c *Core) fillJobs(r *message.StateUpdate, to *replication.Cursor) {
+	ids, upto := c.ownedChanges.Since(to.Next(), statesMost)
+	r.Jobs = replication.Range{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
 	to.Sent(upto)
 	for _, id := range ids {
 		if o := c.owner.jobs[id]; o != nil {
@@ -172,28 +172,28 @@
 	}
 }
 
-// relayed takes a peer's regular message.
-func (c *Core) relayed(from protocol.NodeName, r *message.Relay) {
+// stateUpdated takes a peer's regular message.
+func (c *Core) stateUpdated(from protocol.NodeName, r *message.StateUpdate) {
 	p := c.peers[from]
 	if p == nil {
 		return
 	}
 	if r.Acting {
-		c.members.Acts(from)
+		c.members.NoteLeading(from)
 	}
-	c.members.Says(from, r.Load)
+	c.members.NoteLoad(from, r.Load)
 	p.configuration, p.configuredAt = r.Configuration, c.Now
 	p.demand = r.Demand
 	if from != c.Self {
-		c.rates.Heard(p.session, r.Ask, c.Now)
+		c.rates.NoteRequest(p.session, r.Ask, c.Now)
 		if r.Loan != nil {
-			c.rates.Borrowed(p.session, *r.Loan)
+			c.rates.NoteGrant(p.session, *r.Loan)
 		}
 	}
 	if r.Term == c.View.Term {
-		t := &p.reports
-		t.machinesTo.Heard(r.HaveMachines)
-		t.jobsTo.Heard(r.HaveJobs)
+		t := &p.updates
+		t.machinesTo.Acknowledged(r.HaveMachines)
+		t.jobsTo.Acknowledged(r.HaveJobs)
 		t.holdsTo = r.HaveHolds
 		if r.Holds != nil && from != c.Self {
 			t.holdsFrom = r.Holds.Number
@@ -203,7 +203,7 @@
 		if t.machinesFrom.Accept(r.Machines) {
 			t.at = c.Now
 			for _, st := range r.States {
-				c.takeState(from, p, st)
+				c.applyMachineState(from, p, st)
 			}
 			if r.Handled != nil {
 				c.counted(p, r.Handled)
@@ -217,7 +217,7 @@
 	}
 	for _, o := range c.owner.jobs {
 		if o.notBefore <= c.Now && o.pending.Any() {
-			c.owner.dirty = true
+			c.owner.placementDue = true
 			break
 		}
 	}
@@ -227,59 +227,59 @@
 // arrived: more than are registered while a watch answers.
 const earlyMost = 4096
 
-// takeState takes a keeper's word on one of its machines.
-func (c *Core) takeState(from protocol.NodeName, p *peer, st message.MachineState) {
+// applyMachineState takes a keeper's word on one of its machines.
+func (c *Core) applyMachineState(from protocol.NodeName, p *peer, st message.MachineState) {
 	m := c.machines[st.Machine]
 	switch {
 	case st.Epoch == 0:
-		if m != nil && c.Keeper(m.ID) == from {
-			m.by = nil
+		if m != nil && c.DispatcherOf(m.ID) == from {
+			m.reportedBy = nil
 		}
 	case m == nil || st.Epoch > m.Epoch:
 		// Its record is still to come. The keeper does not tell it again.
-		if len(p.reports.early) < earlyMost {
-			p.reports.early[st.Machine] = st
+		if len(p.updates.early) < earlyMost {
+			p.updates.early[st.Machine] = st
 		}
-	case st.Epoch == m.Epoch && c.Keeper(m.ID) == from:
+	case st.Epoch == m.Epoch && c.DispatcherOf(m.ID) == from:
 		if (m.reported.Closed || m.refused) && !st.Closed || m.reported.Epoch == 0 {
-			c.owner.dirty = true
+			c.owner.placementDue = true
 		}
-		if st.Runs = knewMore(m.reported.Runs, st.Runs); !st.Heard && m.reported.Epoch == m.Epoch {
+		if st.Runs = withKnownRuns(m.reported.Runs, st.Runs); !st.Heard && m.reported.Epoch == m.Epoch {
 			st.Runs = m.reported.Runs // it has not heard the machine yet
 		}
-		m.reported, m.by, m.at, m.copied, m.refused = st, p, c.Now, 0, false
-		m.held = resource.Uses{}
-		message.AddUses(&m.held, st.Uses)
+		m.reported, m.reportedBy, m.reportedAt, m.copiedWait, m.refused = st, p, c.Now, 0, false
+		m.announcedUses = resource.Uses{}
+		message.AddLevelUses(&m.announcedUses, st.Uses)
 	}
 }
 
-// takeEarly takes what the keeper of a machine said of it before its record
+// applyEarlyState takes what the keeper of a machine said of it before its record
 // arrived here.
-func (c *Core) takeEarly(m *machineEntry) {
-	keeper := c.Keeper(m.ID)
+func (c *Core) applyEarlyState(m *machineEntry) {
+	keeper := c.DispatcherOf(m.ID)
 	p := c.peers[keeper]
 	if p == nil {
 		return
 	}
-	if st, ok := p.reports.early[m.ID]; ok && st.Epoch <= m.Epoch {
-		delete(p.reports.early, m.ID)
-		c.takeState(keeper, p, st)
+	if st, ok := p.updates.early[m.ID]; ok && st.Epoch <= m.Epoch {
+		delete(p.updates.early, m.ID)
+		c.applyMachineState(keeper, p, st)
 	}
 }
 
 // counted drops the announced placements that a keeper's word includes now.
 func (c *Core) counted(p *peer, handled map[protocol.NodeName]uint64) {
 	for owner, n := range handled {
-		p.reports.handled[owner] = max(p.reports.handled[owner], n)
+		p.updates.handled[owner] = max(p.updates.handled[owner], n)
 	}
-	for m := range p.reports.waits {
-		included := func(w comingWait) bool { return w.number <= p.reports.handled[w.owner] }
-		if slices.ContainsFunc(m.coming, included) {
-			m.coming = without(m.coming, included)
-			m.reckon()
+	for m := range p.updates.waits {
+		included := func(w pendingWait) bool { return w.number <= p.updates.handled[w.owner] }
+		if slices.ContainsFunc(m.pendingWaits, included) {
+			m.pendingWaits = removeWaits(m.pendingWaits, included)
+			m.recomputeWait()
 		}
-		if len(m.coming) == 0 {
-			delete(p.reports.waits, m)
+		if len(m.pendingWaits) == 0 {
+			delete(p.updates.waits, m)
 		}
 	}
 }
@@ -287,31 +287,31 @@
 // recent reports whether what is known of a machine is its keeper's word in this
 // term, and that word is no older than so long.
 func (c *Core) recent(m *machineEntry, d time.Duration) bool {
-	return m.by != nil && m.by == c.peers[c.Keeper(m.ID)] && c.Since(m.by.reports.at) <= d
+	return m.reportedBy != nil && m.reportedBy == c.peers[c.DispatcherOf(m.ID)] && c.Since(m.reportedBy.updates.at) <= d
 }
 
-// equalShare is this controller's part of the state service's rates before
+// equalAllotment is this controller's part of the state service's rates before
 // anything is lent.
-func (c *Core) equalShare() ratelimit.Amount {
+func (c *Core) equalAllotment() ratelimit.Amount {
 	site := &c.Settings.Site
 	return ratelimit.Amount(kvstore.EqualAllotment(site.State.RPS, site.State.WriteRPS, site.Count))
 }
 
-// setShare has what may be used now set, if that has changed.
-func (c *Core) setShare() {
+// setRateAllotment has what may be used now set, if that has changed.
+func (c *Core) setRateAllotment() {
 	now := c.Now
-	s := message.SetShare{Own: c.rates.Own(now), All: c.rates.Share(now)}
+	s := message.SetRateAllotment{Own: c.rates.Own(now), All: c.rates.Allotment(now)}
 	if until, ok := c.rates.Until(now); ok {
 		s.Until = Time(until)
 	}
-	if s != c.share {
-		c.share = s
-		c.Do(s)
+	if s != c.rateAllotment {
+		c.rateAllotment = s
+		c.Emit(s)
 	}
 }
 
-// mergeRelays is one message that says what two in a row do.
-func mergeRelays(before, after *message.Relay) *message.Relay {
+// mergeUpdates is one message that says what two in a row do.
+func mergeUpdates(before, after *message.StateUpdate) *message.StateUpdate {
 	if before.Term != after.Term {
 		return after // another stream
 	}
@@ -345,10 +345,10 @@
 	return append(all, after...)
 }
 
-// knewMore corrects what a keeper tells of what it found on a machine by what the
+// withKnownRuns corrects what a keeper tells of what it found on a machine by what the
 // one before told: since when it has run, its worker does not say. Without that
 // all room held on the machines of a controller that ended would seem lost.
-func knewMore(before, now []reservation.Run) []reservation.Run {
+func withKnownRuns(before, now []reservation.Run) []reservation.Run {
 	for i := range now {
 		for _, r := range before {
 			if r.Task == now[i].Task && r.Attempt == now[i].Attempt {
--- a/internal/controller/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -17,7 +17,7 @@
 )
 
 // relaysTo lists the regular messages to a peer.
-func relaysTo(actions []message.Action, to protocol.NodeName) (rs []*message.Relay) {
+func relaysTo(actions []message.Action, to protocol.NodeName) (rs []*message.StateUpdate) {
 	for _, a := range actions {
 		if s, ok := a.(message.Send); ok && s.To == to && s.Message.Relay != nil {
 			rs = append(rs, s.Message.Relay)
@@ -47,11 +47,11 @@
 	if a, b := hear(30); a != 30 || b != 30 {
 		t.Errorf("%d and %d machines told of, 30 changed", a, b)
 	}
-	have := f.c.keeping.Changes()
+	have := f.c.dispatcher.Changes()
 	hear(20)
 	for range 4 { // the first lost the last message, the second has everything
-		f.c.relayed("node-1", &message.Relay{Term: 2, HaveMachines: have})
-		f.c.relayed("node-2", &message.Relay{Term: 2, HaveMachines: f.c.keeping.Changes()})
+		f.c.stateUpdated("node-1", &message.StateUpdate{Term: 2, HaveMachines: have})
+		f.c.stateUpdated("node-2", &message.StateUpdate{Term: 2, HaveMachines: f.c.dispatcher.Changes()})
 	}
 	if a, b := told(); a != 20 || b != 0 {
 		t.Errorf("%d and %d machines told of, want 20 and 0", a, b)
@@ -124,7 +124,7 @@
 		c := b.c
 		var ids []protocol.MachineID
 		for i := 0; len(ids) < 3; i++ {
-			if id := protocol.MachineID(fmt.Sprint("vm-", i)); clusterstate.MachineKeeper(c.View, id) == "node-2" {
+			if id := protocol.MachineID(fmt.Sprint("vm-", i)); clusterstate.RendezvousDispatcher(c.View, id) == "node-2" {
 				ids = append(ids, id)
 				b.machine(id, 1)
 			}
@@ -143,7 +143,7 @@
 			open         = map[uint64]placement{} // announced here, not included in the word held here
 			toKeeper     []placement
 			announced    []placement
-			word         []*message.Relay
+			word         []*message.StateUpdate
 			lastIncluded uint64
 		)
 		announce := func() {
@@ -152,8 +152,8 @@
 			if p.number > lastIncluded {
 				open[p.number] = p
 			}
-			c.addWaits("node-1", &message.Added{Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
-				Waits: []message.Wait{{Machine: p.id, Add: p.add, Taken: []message.Use{{CPUs: 1}}}}})
+			c.addWaits("node-1", &message.WaitsAdded{Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
+				Waits: []message.WaitChange{{Machine: p.id, Add: p.add, Taken: []message.LevelUse{{CPUs: 1}}}}})
 		}
 		handle := func() {
 			p := toKeeper[0]
@@ -162,11 +162,11 @@
 			if rapid.Bool().Draw(t, "taken") {
 				waits[p.id] += p.add
 			}
-			log.Touch(p.id) // refused: its owner needs a word all the same
+			log.Touch(p.id) // refusals: its owner needs a word all the same
 		}
 		say := func() {
 			ids, upto := log.Since(to.Next(), 2)
-			r := &message.Relay{Term: 1, Machines: replication.Piece{Stream: 1, From: to.Next(), Upto: upto}}
+			r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: to.Next(), Upto: upto}}
 			to.Sent(upto)
 			for _, id := range ids {
 				r.States = append(r.States, message.MachineState{Machine: id, Epoch: c.machines[id].Epoch, Wait: waits[id]})
@@ -179,8 +179,8 @@
 		hear := func() {
 			r := word[0]
 			word = word[1:]
-			before := c.peers["node-2"].reports.machinesFrom
-			c.relayed("node-2", r)
+			before := c.peers["node-2"].updates.machinesFrom
+			c.stateUpdated("node-2", r)
 			if before.Accept(r.Machines) && r.Handled != nil {
 				lastIncluded = max(lastIncluded, r.Handled["node-1"])
 				for n := range open {
@@ -196,7 +196,7 @@
 				want[p.id] += p.add
 			}
 			for _, id := range ids {
-				if got := c.machines[id].extra; got != want[id] {
+				if got := c.machines[id].pendingSum; got != want[id] {
 					t.Fatalf("%s: %v announced, want %v", id, got, want[id])
 				}
 			}
@@ -229,7 +229,7 @@
 				if len(word) > 0 && rapid.Bool().Draw(t, "lost") {
 					word = word[1:]
 				}
-				to.Heard(c.peers["node-2"].reports.machinesFrom.Have())
+				to.Acknowledged(c.peers["node-2"].updates.machinesFrom.Have())
 			}
 			check()
 		}
@@ -240,7 +240,7 @@
 			handle()
 		}
 		for range 20 {
-			to.Heard(c.peers["node-2"].reports.machinesFrom.Have())
+			to.Acknowledged(c.peers["node-2"].updates.machinesFrom.Have())
 			say()
 			for len(word) > 0 {
 				hear()
@@ -248,8 +248,8 @@
 			check()
 		}
 		for _, id := range ids {
-			if m := c.machines[id]; m.wait() != waits[id] || len(m.coming) > 0 {
-				t.Fatalf("%s: wait %v with %d still announced, its keeper says %v", id, m.wait(), len(m.coming), waits[id])
+			if m := c.machines[id]; m.wait() != waits[id] || len(m.pendingWaits) > 0 {
+				t.Fatalf("%s: wait %v with %d still announced, its keeper says %v", id, m.wait(), len(m.pendingWaits), waits[id])
 			}
 		}
 	})
@@ -260,7 +260,7 @@
 func TestWordBeforeRecord(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-1")
-	b.c.relayed("node-1", &message.Relay{Term: 1, Machines: replication.Piece{Stream: 1, Upto: 1}, States: []message.MachineState{
+	b.c.stateUpdated("node-1", &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, Upto: 1}, States: []message.MachineState{
 		{Machine: id, Epoch: b.version + 1, FreeCPUs: 3, FreeGB: 3, Heard: true},
 	}})
 	b.machine(id, 1)
@@ -281,14 +281,14 @@
 	b := newBench(t, "node-1")
 	b.zoned("a", 300, false, resource.Uses{})
 	b.zoned("b", 300, false, resource.Uses{})
-	o := b.c.own(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
+	o := b.c.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
 	o.loaded = true
 	i := uint32(0)
 	for _, m := range b.c.machinesInOrder() {
 		if m.Record.Zone == "b" { // full, and more waits there
 			m.reported.FreeCPUs, m.reported.Queued = 0, 12
 			for range 12 {
-				b.c.put(o, i, m, 1)
+				b.c.placeAttempt(o, i, m, 1)
 				i++
 			}
 		}
@@ -300,8 +300,8 @@
 		sizes = append(sizes, movingOf(o)-before)
 	}
 	moved("")
-	for b.c.movedUpTo != "" && len(sizes) < 9 {
-		moved(b.c.movedUpTo)
+	for b.c.rebalancedUpTo != "" && len(sizes) < 9 {
+		moved(b.c.rebalancedUpTo)
 	}
 	total := 0
 	for _, n := range sizes {
@@ -318,7 +318,7 @@
 func movingOf(o *ownedJob) int {
 	n := 0
 	for _, t := range o.placed {
-		if t.moving {
+		if t.releaseAsked {
 			n++
 		}
 	}
--- a/internal/controller/replication/log.go
+++ b/internal/controller/replication/log.go
@@ -69,7 +69,7 @@
 
 // Since lists the keys changed after a number, the oldest change first, at most
 // so many, and the number that they bring a receiver to. It looks at what
-// changed since, not at all keys.
+// recordChanged since, not at all keys.
 func (l *Log[K]) Since(number uint64, most int) (keys []K, upto uint64) {
 	n := 0
 	c := l.newest
@@ -96,16 +96,16 @@
 	return keys, max(upto, number)
 }
 
-// Piece says which changes a message brings: all after From up to and with
+// Range says which changes a message brings: all after From up to and with
 // Upto. Pieces of another stream never mix with it.
-type Piece struct {
+type Range struct {
 	Stream     uint64
 	From, Upto uint64
 }
 
 // Follows reports whether a piece goes on, without a gap, from where one before
 // it ended, so that both can be sent as one.
-func (p Piece) Follows(before Piece) bool {
+func (p Range) Follows(before Range) bool {
 	return p.Stream == before.Stream && before.From <= p.From && p.From <= before.Upto
 }
 
@@ -126,10 +126,10 @@
 // Sent notes that all changes up to a number were sent.
 func (c *Cursor) Sent(upto uint64) { c.sent = max(c.sent, upto) }
 
-// Heard takes the number that the receiver says it has. Where it does not get
+// Acknowledged takes the number that the receiver says it has. Where it does not get
 // on, something sent was lost on the way, and the sender goes back to what the
 // receiver has.
-func (c *Cursor) Heard(have uint64) {
+func (c *Cursor) Acknowledged(have uint64) {
 	switch {
 	case have > c.acked:
 		c.acked, c.stuck = have, 0
@@ -161,7 +161,7 @@
 // leaves a gap may not: a key changed in between would keep an old state for
 // ever. One that ends before what is held may not either: it may bring back an
 // older state.
-func (r *Replica) Accept(p Piece) bool {
+func (r *Replica) Accept(p Range) bool {
 	if p.Stream != r.stream || p.From > r.have || p.Upto < r.have {
 		return false
 	}
--- a/internal/controller/replication/log_test.go
+++ b/internal/controller/replication/log_test.go
@@ -13,7 +13,7 @@
 
 // message is a piece with the states that its keys had when it was sent.
 type message struct {
-	Piece
+	Range
 	states map[int]int
 }
 
@@ -32,7 +32,7 @@
 		var wire []message
 		send := func() {
 			keys, upto := l.Since(cur.Next(), rapid.IntRange(1, 5).Draw(t, "most"))
-			m := message{Piece{stream, cur.Next(), upto}, map[int]int{}}
+			m := message{Range{stream, cur.Next(), upto}, map[int]int{}}
 			for _, k := range keys {
 				m.states[k] = now[k]
 			}
@@ -40,7 +40,7 @@
 			wire = append(wire, m)
 		}
 		take := func(m message) {
-			if !rep.Accept(m.Piece) {
+			if !rep.Accept(m.Range) {
 				return
 			}
 			for k, v := range m.states {
@@ -76,11 +76,11 @@
 					wire = wire[1:]
 				}
 			case 6:
-				cur.Heard(rep.Have())
+				cur.Acknowledged(rep.Have())
 			}
 		}
 		for range 40 {
-			cur.Heard(rep.Have())
+			cur.Acknowledged(rep.Have())
 			wire = nil
 			send()
 			take(wire[0])
--- a/internal/controller/reports_test.go
+++ b/internal/controller/reports_test.go
@@ -14,11 +14,11 @@
 // long is refused rather than handed to the core; only an answer that renews the
 // lease counts.
 func TestReportsAreRefusedAtOnce(t *testing.T) {
-	r := newReports()
+	r := newHeartbeatQueue()
 	status := map[string]int{}
 	retry := map[string]int{}
 	add := func(now Time, id string) {
-		r.add(now, pendingReport{protocol.Report{Machine: protocol.MachineID(id)}, func(m *transport.Message) {
+		r.add(now, pendingHeartbeat{protocol.Heartbeat{Machine: protocol.MachineID(id)}, func(m *transport.Message) {
 			status[id], retry[id] = m.Status, m.RetryAfterS
 		}})
 	}
@@ -29,8 +29,8 @@
 		if !ok {
 			t.Fatal("none waits")
 		}
-		e.reply([]message.Action{message.ReplyReport{Status: code}})
-		return string(e.msg.(message.Reported).Report.Machine)
+		e.reply([]message.Action{message.ReplyHeartbeat{Status: code}})
+		return string(e.msg.(message.HeartbeatReceived).Heartbeat.Machine)
 	}
 	add(now, "vm-answered")
 	add(now, "vm-sent-on")
@@ -45,7 +45,7 @@
 	clear(status)
 	add(now, "vm-answered")
 	add(now, "vm-sent-on")
-	for i := range reportsMost - 1 {
+	for i := range maxPendingHeartbeats - 1 {
 		add(now, fmt.Sprint("vm-", i))
 	}
 	if len(status) != 1 || status["vm-answered"] != 503 || retry["vm-answered"] == 0 {
@@ -54,11 +54,11 @@
 	if id := answer(200); id != "vm-sent-on" {
 		t.Errorf("%s goes first", id)
 	}
-	now += Time(reportPatience) + 1
+	now += Time(heartbeatPatience) + 1
 	if _, ok := r.next(clock); ok {
 		t.Error("a report given up is handed to the core")
 	}
-	if len(status) != reportsMost+1 || status["vm-7"] != 503 {
-		t.Errorf("%d answered of %d", len(status), reportsMost+1)
+	if len(status) != maxPendingHeartbeats+1 || status["vm-7"] != 503 {
+		t.Errorf("%d answered of %d", len(status), maxPendingHeartbeats+1)
 	}
 }
--- a/internal/controller/reservation/book.go
+++ b/internal/controller/reservation/book.go
@@ -19,12 +19,12 @@
 
 const (
 	// Ahead is how far ahead the calendar is kept: what is promised is checked
-	// against all of it.
+	// blocks all of it.
 	Ahead = 366 * 24 * time.Hour
 	// behind is for how long occurrences that are over are kept.
 	behind = 25 * time.Hour
 	// extendAtOnce is for how long after its first one an entry's occurrences are
-	// listed when it comes; the rest follows, a few entries at a time.
+	// machinesListed when it comes; the rest follows, a few entries at a time.
 	extendAtOnce = 15 * 24 * time.Hour
 	// extendMost bounds the entries whose occurrences are listed in one go.
 	extendMost = 20
@@ -37,26 +37,26 @@
 	Name   Name
 	Window bool
 	Start  Moment
-	End    Moment // of a reservation: when its job should be over at the latest
+	End    Moment // reservation a reservation: when its job should be over at the latest
 }
 
 // Entry is a reservation or a window in the book; one of the two is set.
 type Entry struct {
 	*record.Reservation
 	*record.Window
-	Version protocol.Version // of its record
+	Version protocol.Version // reservation its record
 	When    When
 
 	length  time.Duration
-	keys    []int64 // of its occurrences in the tree
+	keys    []int64 // reservation its occurrences in the tree
 	upTo    Moment  // until when they are listed
 	awaited bool    // some of the time ahead is not listed yet
 }
 
-// Book is all entries, with an index by time: asking what overlaps a time costs
-// by what does.
-type Book struct {
-	entries map[bool]map[Name]*Entry // by whether they are windows
+// Calendar is all entries, with an index by time: asking what overlaps a time costs
+// reportedBy what does.
+type Calendar struct {
+	entries map[bool]map[Name]*Entry // reportedBy whether they are windows
 	tree    *interval.Tree[int64, Occurrence]
 	size    int
 	next    int64
@@ -64,9 +64,9 @@
 	listed  Moment   // when they were last
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book {
-	return &Book{entries: map[bool]map[Name]*Entry{false: {}, true: {}}, tree: interval.New[int64, Occurrence]()}
+// NewLedger makes an empty book.
+func NewCalendar() *Calendar {
+	return &Calendar{entries: map[bool]map[Name]*Entry{false: {}, true: {}}, tree: interval.New[int64, Occurrence]()}
 }
 
 // Starts in the tree have to differ: a number follows the time in them.
@@ -84,7 +84,7 @@
 }
 
 // PutReservation takes over a record; it takes the place of an earlier one.
-func (b *Book) PutReservation(r record.Reservation, v protocol.Version, now Moment) error {
+func (b *Calendar) PutReservation(r record.Reservation, v protocol.Version, now Moment) error {
 	w, err := ParseWhen(r.Spec.When)
 	if err != nil {
 		return fmt.Errorf("reservation %s: %w", r.Spec.Name, err)
@@ -100,7 +100,7 @@
 }
 
 // PutWindow takes over a record.
-func (b *Book) PutWindow(w record.Window, v protocol.Version, now Moment) error {
+func (b *Calendar) PutWindow(w record.Window, v protocol.Version, now Moment) error {
 	when, err := ParseWhen(w.Spec.When)
 	if err != nil {
 		return fmt.Errorf("window %s: %w", w.Spec.Name, err)
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (b *Book) put(window bool, n Name, e *Entry, now Moment) {
+func (b *Calendar) put(window bool, n Name, e *Entry, now Moment) {
 	b.Drop(window, n)
 	b.entries[window][n] = e
 	if !e.Valid() {
@@ -127,7 +127,7 @@
 }
 
 // list adds an entry's occurrences until before a moment.
-func (b *Book) list(e *Entry, window bool, n Name, to Moment) {
+func (b *Calendar) list(e *Entry, window bool, n Name, to Moment) {
 	for _, m := range e.When.Occurrences(e.upTo, to) {
 		if b.size >= occurrencesMost {
 			break
@@ -142,7 +142,7 @@
 }
 
 // Drop removes an entry.
-func (b *Book) Drop(window bool, n Name) {
+func (b *Calendar) Drop(window bool, n Name) {
 	e := b.entries[window][n]
 	if e == nil {
 		return
@@ -158,7 +158,7 @@
 
 // Extend lists further occurrences, of a few entries at a time, and forgets
 // those long over. It is called regularly.
-func (b *Book) Extend(now Moment) {
+func (b *Calendar) Extend(now Moment) {
 	for range min(extendMost, len(b.waiting)) {
 		e := b.waiting[0]
 		b.waiting = b.waiting[1:]
@@ -187,7 +187,7 @@
 
 // Complete reports whether all that was promised is listed: until then nothing
 // can be promised beside it.
-func (b *Book) Complete() bool {
+func (b *Calendar) Complete() bool {
 	return b.size < occurrencesMost && !slices.ContainsFunc(b.waiting, func(e *Entry) bool { return e.awaited })
 }
 
@@ -218,7 +218,7 @@
 }
 
 // Overlapping lists what overlaps a time, in the order of its beginnings.
-func (b *Book) Overlapping(from, to Moment) []Occurrence {
+func (b *Calendar) Overlapping(from, to Moment) []Occurrence {
 	var out []Occurrence
 	if to <= from {
 		to = from + 1
@@ -229,9 +229,9 @@
 	return out
 }
 
-// Due lists the reservations whose present occurrence overlaps a time, in the
+// Demand lists the reservations whose present occurrence overlaps a time, in the
 // order of their beginnings.
-func (b *Book) Due(from, to Moment) []*Entry {
+func (b *Calendar) Due(from, to Moment) []*Entry {
 	var out []*Entry
 	for _, o := range b.Overlapping(from, to) {
 		if e := b.Reservation(o.Name); !o.Window && e != nil && e.StartMS == o.Start {
@@ -241,29 +241,29 @@
 	return out
 }
 
-// Promised reports whether a reservation is still to be kept.
-func (e *Entry) Promised() bool {
+// Active reports whether a reservation is still to be kept.
+func (e *Entry) Active() bool {
 	return e.State == record.Accepted || e.State == record.Holding
 }
 
 // Reservation finds a reservation; nil if there is none.
-func (b *Book) Reservation(n Name) *Entry { return b.entries[false][n] }
+func (b *Calendar) Reservation(n Name) *Entry { return b.entries[false][n] }
 
 // Window finds a window; nil if there is none.
-func (b *Book) Window(n Name) *Entry { return b.entries[true][n] }
+func (b *Calendar) Window(n Name) *Entry { return b.entries[true][n] }
 
 // Reservations lists all of them by name.
-func (b *Book) Reservations() []*Entry { return b.sorted(false) }
+func (b *Calendar) Reservations() []*Entry { return b.sorted(false) }
 
 // Windows lists all of them by name.
-func (b *Book) Windows() []*Entry { return b.sorted(true) }
+func (b *Calendar) Windows() []*Entry { return b.sorted(true) }
 
-func (b *Book) sorted(window bool) []*Entry {
+func (b *Calendar) sorted(window bool) []*Entry {
 	return slices.SortedFunc(maps.Values(b.entries[window]), compareNames)
 }
 
 // Empty reports whether nothing is in the book.
-func (b *Book) Empty() bool { return len(b.entries[false]) == 0 && len(b.entries[true]) == 0 }
+func (b *Calendar) Empty() bool { return len(b.entries[false]) == 0 && len(b.entries[true]) == 0 }
 
 // Covers reports whether a window covers a machine.
 func Covers(s *record.WindowSpec, id protocol.MachineID, t protocol.MachineType, z protocol.Zone) bool {
--- a/internal/controller/reservation/book_test.go
+++ b/internal/controller/reservation/book_test.go
@@ -37,8 +37,8 @@
 }
 
 // accept decides on a reservation and puts it into the book if it can be kept.
-func accept(b *Book, s *record.ReservationSpec, f *Facts, order uint64) Answer {
-	a := b.Reserve(s, f, noon)
+func accept(b *Calendar, s *record.ReservationSpec, f *Facts, order uint64) Answer {
+	a := b.DecideReservation(s, f, noon)
 	if a.OK {
 		_ = b.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: a.First[0], Order: order}, 1, noon)
 	}
@@ -58,7 +58,7 @@
 		{1, 2, 2, "05:10", true, false}, // the first is over by then
 		{0, 2, 2, "04:10", true, true},  // as many machines as are asked for
 	} {
-		b := NewBook()
+		b := NewCalendar()
 		if a := accept(b, spec("one", "daily at 04:00", tc.first), facts(tc.machines), 1); !a.OK {
 			t.Fatal(a.Reason)
 		}
@@ -72,33 +72,33 @@
 
 // TestRefused: what can't be kept is refused by the name of what is in the way.
 func TestRefused(t *testing.T) {
-	b := NewBook()
+	b := NewCalendar()
 	_ = b.PutWindow(record.Window{Spec: record.WindowSpec{Name: "all", When: "daily at 03:50", LengthS: 1200}}, 1, noon)
 	_ = b.PutWindow(record.Window{Spec: record.WindowSpec{Name: "zone-a", When: "daily at 12:00", LengthS: 600, Zone: "a"}}, 1, noon)
-	if a := b.Reserve(spec("one", "daily at 04:00", 1), facts(9), noon); a.OK || !slices.Contains(a.InTheWay, "all") {
+	if a := b.DecideReservation(spec("one", "daily at 04:00", 1), facts(9), noon); a.OK || !slices.Contains(a.InTheWay, "all") {
 		t.Errorf("beside a window of the whole site: %+v", a)
 	}
-	if a := b.Reserve(spec("one", "daily at 12:05", 1), facts(9), noon); !a.OK {
+	if a := b.DecideReservation(spec("one", "daily at 12:05", 1), facts(9), noon); !a.OK {
 		t.Errorf("beside a window of the other zone: %+v", a)
 	}
 	in := spec("one", "daily at 12:05", 1)
-	if in.Zone = "a"; b.Reserve(in, facts(9), noon).OK {
+	if in.Zone = "a"; b.DecideReservation(in, facts(9), noon).OK {
 		t.Error("in a zone under maintenance")
 	}
 	// Of four machines each zone has two: a zone that is closed takes them with
 	// it, and what needs one zone finds no more in any.
-	if a := b.Reserve(spec("one", "daily at 12:05", 5), facts(4), noon); a.OK || !slices.Contains(a.InTheWay, "zone-a") {
+	if a := b.DecideReservation(spec("one", "daily at 12:05", 5), facts(4), noon); a.OK || !slices.Contains(a.InTheWay, "zone-a") {
 		t.Errorf("more than the zone that is left has: %+v", a)
 	}
 	whole := spec("one", "daily at 06:00", 5)
-	if a := b.Reserve(whole, facts(4), noon); !a.OK {
+	if a := b.DecideReservation(whole, facts(4), noon); !a.OK {
 		t.Errorf("in both zones: %+v", a)
 	}
-	if whole.OneZone = true; b.Reserve(whole, facts(4), noon).OK {
+	if whole.OneZone = true; b.DecideReservation(whole, facts(4), noon).OK {
 		t.Error("in one zone, which has not as many")
 	}
 	large := spec("one", "daily at 06:00", 1)
-	if large.CPUs = 9; b.Reserve(large, facts(0), noon).OK {
+	if large.CPUs = 9; b.DecideReservation(large, facts(0), noon).OK {
 		t.Error("larger than any machine")
 	}
 	team := spec("one", "daily at 06:00", 3)
@@ -108,13 +108,13 @@
 	}
 	more := spec("more", "daily at 06:20", 3)
 	more.Team = "small"
-	if a := b.Reserve(more, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
+	if a := b.DecideReservation(more, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
 		t.Errorf("over its team's limit: %+v", a)
 	}
-	if a := b.Close(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60}, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
+	if a := b.DecideWindow(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60}, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
 		t.Errorf("a window over what is promised: %+v", a)
 	}
-	if a := b.Close(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60, Zone: "b"}, facts(0), noon); !a.OK {
+	if a := b.DecideWindow(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60, Zone: "b"}, facts(0), noon); !a.OK {
 		t.Errorf("a window that leaves room: %+v", a)
 	}
 }
@@ -123,7 +123,7 @@
 // all of it, while entries come, change and go.
 func TestOverlappingIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook()
+		b := NewCalendar()
 		all := map[Name]Occurrence{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "entries") {
 			n := Name(fmt.Sprint("r", rapid.IntRange(0, 15).Draw(t, "name")))
@@ -165,7 +165,7 @@
 // A recurring reservation was, a day later, from 1970 on, and was in the way of
 // all that was asked for then.
 func TestCancelledStaysAway(t *testing.T) {
-	b := NewBook()
+	b := NewCalendar()
 	r := record.Reservation{Spec: *spec("one", "daily at 04:00", 1), State: record.Cancelled, Order: 1}
 	w := record.Window{Spec: record.WindowSpec{Name: "w", When: "daily at 04:00", LengthS: 60}, Cancelled: true}
 	if b.PutReservation(r, 1, noon) != nil || b.PutWindow(w, 1, noon) != nil {
@@ -183,9 +183,9 @@
 
 // TestThousandInAYear: asking what overlaps costs by what does: a thousand
 // recurring reservations of a year's calendar are listed in pieces, and what is
-// looked at is what overlaps.
+// candidatesExamined at is what overlaps.
 func TestThousandInAYear(t *testing.T) {
-	b := NewBook()
+	b := NewCalendar()
 	for i := range 1000 {
 		s := spec(fmt.Sprintf("r%04d", i), fmt.Sprintf("daily at %02d:%02d", i%24, i/24%60), 1)
 		s.HoldS, s.LengthS = 60, 60
@@ -204,7 +204,7 @@
 	if n := len(b.Overlapping(midnight, After(midnight, time.Minute))); n == 0 || n > 5 {
 		t.Errorf("%d overlap one minute", n)
 	}
-	if a := b.Reserve(spec("one", "daily at 04:30", 2), facts(0), noon); !a.OK || len(a.Beside) == 0 {
+	if a := b.DecideReservation(spec("one", "daily at 04:30", 2), facts(0), noon); !a.OK || len(a.Beside) == 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -216,7 +216,7 @@
 	start := w.Occurrences(noon, After(noon, Ahead))[0]
 	r := record.Reservation{Spec: *spec("one", "daily at 04:00", 4), State: record.Accepted, StartMS: start}
 	step := func(r record.Reservation, now Moment, came bool, started int, risk string) record.Reservation {
-		r, _ = Advance(r, w, Seen{Now: now, ClockError: time.Second, Lead: 5 * time.Minute, Came: came, Wanted: 4, Started: started, Risk: risk})
+		r, _ = Advance(r, w, Observation{Now: now, ClockError: time.Second, Lead: 5 * time.Minute, Came: came, Wanted: 4, Started: started, Risk: risk})
 		return r
 	}
 	if got := step(r, After(start, -6*time.Minute), false, 0, ""); got.State != record.Accepted {
@@ -243,7 +243,7 @@
 			t.Errorf("%v after: %+v", tc.now, got)
 		}
 	}
-	if _, changed := Advance(record.Reservation{State: record.Cancelled, Spec: r.Spec, StartMS: start}, w, Seen{Now: start}); changed {
+	if _, changed := Advance(record.Reservation{State: record.Cancelled, Spec: r.Spec, StartMS: start}, w, Observation{Now: start}); changed {
 		t.Error("cancelled goes on")
 	}
 }
@@ -264,16 +264,16 @@
 			}
 			machines = append(machines, m)
 		}
-		var dues []Due
+		var dues []Demand
 		for i := range rapid.IntRange(1, 3).Draw(t, "dues") {
 			r := &record.Reservation{Spec: *spec(fmt.Sprint("r", i), "daily at 04:00", rapid.IntRange(1, 6).Draw(t, "tasks")), Order: uint64(i), StartMS: After(now, time.Duration(rapid.IntRange(1, 90).Draw(t, "in"))*time.Minute)}
-			dues = append(dues, Due{Reservation: r, Left: r.Spec.Tasks, Clear: After(r.StartMS, -2*time.Minute)})
+			dues = append(dues, Demand{Reservation: r, Left: r.Spec.Tasks, Clear: After(r.StartMS, -2*time.Minute)})
 		}
-		usable := func(*Machine, *Due) bool { return true }
-		p := Choose(dues, machines, nil, usable, now)
+		usable := func(*Machine, *Demand) bool { return true }
+		p := ChooseHolds(dues, machines, nil, usable, now)
 		tasks := map[Name]int{}
 		for _, h := range p.Holds {
-			cpus := 0.0 // of all that are held there when this one is
+			cpus := 0.0 // reservation all that are held there when this one is
 			for _, o := range p.Holds {
 				if o.Machine == h.Machine && o.From <= h.From && h.From < o.Until {
 					cpus += o.Need.CPUs
@@ -294,7 +294,7 @@
 				t.Fatalf("room for %d of %d tasks, %d short", got, d.Left, p.Short[d.Spec.Name])
 			}
 		}
-		if again := Choose(dues, machines, p.Holds, usable, now); len(p.Short) == 0 && !slices.Equal(again.Holds, p.Holds) {
+		if again := ChooseHolds(dues, machines, p.Holds, usable, now); len(p.Short) == 0 && !slices.Equal(again.Holds, p.Holds) {
 			t.Fatalf("held elsewhere when nothing changed:\n%v\n%v", p.Holds, again.Holds)
 		}
 	})
@@ -317,12 +317,12 @@
 		{task(false, 2, 0, true, 9e9), 0, true},               // stopped in time
 		{task(false, 2, 0, false, 9e9), 0, false},             // would lose its work
 		{task(false, 2, 0, true, 9e9), 1190_000, false},       // too late to be stopped
-		{task(false, 2, 1, true, 9e9), 0, false},              // no less urgent
+		{task(false, 2, 1, true, 9e9), 0, false},              // refuse less urgent
 		{task(true, 2, 0, false, 9e9), 1200_000, true},        // it is what it is held for
 		{task(false, 2, 1, false, 1150_000), 1100_000, false}, // has to be clear now
 		{task(false, 2, 1, false, 9e9), 3000_000, true},       // over
 	} {
-		if got := Leaves(h, tc.t, resource.Amount{CPUs: 5}, tc.now); got != tc.want {
+		if got := LeavesRoom(h, tc.t, resource.Amount{CPUs: 5}, tc.now); got != tc.want {
 			t.Errorf("case %d: %v", i, got)
 		}
 	}
@@ -335,11 +335,11 @@
 	mine := Hold{For: "one", Need: resource.Amount{CPUs: 8}, From: 1000_000, Clear: 900_000, Until: 2000_000}
 	later := Hold{For: "two", Need: resource.Amount{CPUs: 8}, From: 2000_000, Clear: 1700_000, Until: 4000_000}
 	task := &Task{Of: func(n Name) bool { return n == "one" }, Need: resource.Amount{CPUs: 8}, Ends: 9000_000}
-	if !Leaves([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
+	if !LeavesRoom([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
 		t.Error("kept out by what was promised beside it")
 	}
 	later.From = 1500_000
-	if Leaves([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
+	if LeavesRoom([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
 		t.Error("starts where something else is held meanwhile")
 	}
 }
@@ -349,13 +349,13 @@
 func TestHeldStaysHeld(t *testing.T) {
 	info := facts(0).Types["m8"]
 	r := &record.Reservation{Spec: *spec("one", "daily at 04:00", 4), StartMS: After(noon, 10*time.Second)}
-	due := Due{Reservation: r, Left: 4, Clear: After(noon, -time.Minute)}
+	due := Demand{Reservation: r, Left: 4, Clear: After(noon, -time.Minute)}
 	half := Machine{ID: "vm-half", Info: info, Zone: "a", Runs: []Run{{Ends: noon + 1e7, Need: resource.Amount{CPUs: 4}, Level: 1}}}
 	large := info
 	large.CPUs = 64
 	free := Machine{ID: "vm-free", Info: large, Zone: "a"}
 	before := []Hold{{For: "one", Machine: "vm-half", Tasks: 1}, {For: "one", Machine: "vm-free", Tasks: 3}}
-	p := Choose([]Due{due}, []Machine{half, free}, before, func(*Machine, *Due) bool { return true }, noon)
+	p := ChooseHolds([]Demand{due}, []Machine{half, free}, before, func(*Machine, *Demand) bool { return true }, noon)
 	for _, h := range p.Holds {
 		if h.Machine == "vm-half" {
 			return
--- a/internal/controller/reservation/decide.go
+++ b/internal/controller/reservation/decide.go
@@ -45,9 +45,9 @@
 // firstTimes is how many of its times an answer lists.
 const firstTimes = 3
 
-// Reserve decides whether a reservation can be kept beside everything that is
+// DecideReservation decides whether a reservation can be kept beside everything that is
 // promised already.
-func (b *Book) Reserve(s *record.ReservationSpec, f *Facts, now Moment) Answer {
+func (b *Calendar) DecideReservation(s *record.ReservationSpec, f *Facts, now Moment) Answer {
 	fits := false
 	for _, t := range f.Types {
 		for _, z := range t.AllowZones {
@@ -67,14 +67,14 @@
 		return refused(nil, "%v", err)
 	}
 	beside := map[Name]bool{}
-	for m, active := range b.neighbours(times, Busy(s), s.Name, beside) {
+	for m, active := range b.adjacent(times, Busy(s), s.Name, beside) {
 		if a := b.fit(s, active, f); !a.OK {
 			a.Reason += " on " + clockTime(m)
 			return a
 		}
 	}
 	return Answer{
-		OK: true, Reason: promise(s, f), First: times[:min(len(times), firstTimes)],
+		OK: true, Reason: describePromise(s, f), First: times[:min(len(times), firstTimes)],
 		Beside: slices.Sorted(maps.Keys(beside)),
 	}
 }
@@ -94,19 +94,19 @@
 
 func clockTime(m Moment) string { return time.UnixMilli(int64(m)).UTC().Format("2006-01-02 15:04 MST") }
 
-// promise says what a reservation gets.
-func promise(s *record.ReservationSpec, f *Facts) string {
+// describePromise says what a reservation gets.
+func describePromise(s *record.ReservationSpec, f *Facts) string {
 	if len(f.Most) == 0 {
 		return fmt.Sprintf("room for %d tasks; what is not there is rented, as the cloud does not say how much it has", s.Tasks)
 	}
 	return fmt.Sprintf("room for %d tasks, within the machines that operators count on", s.Tasks)
 }
 
-// neighbours goes through what is active beside something at any of its times, at
+// adjacent goes through what is active beside something at any of its times, at
 // each moment within at which that changes for the worse, but through the same
 // set only once: most days are alike. Reservations among it are noted, one name is
-// left out.
-func (b *Book) neighbours(times []Moment, length time.Duration, but Name, beside map[Name]bool) iter.Seq2[Moment, []Occurrence] {
+// clearEndedAttempts out.
+func (b *Calendar) adjacent(times []Moment, length time.Duration, but Name, beside map[Name]bool) iter.Seq2[Moment, []Occurrence] {
 	return func(yield func(Moment, []Occurrence) bool) {
 		tried := map[string]bool{}
 		for _, start := range times {
@@ -127,7 +127,7 @@
 
 // changes are the moments within an occurrence at which what overlaps it
 // changes for the worse: its own beginning, and those of others.
-func (b *Book) changes(at Occurrence) []Moment {
+func (b *Calendar) changes(at Occurrence) []Moment {
 	ms := []Moment{at.Start}
 	for _, o := range b.Overlapping(at.Start, at.End) {
 		if o.Start > at.Start {
@@ -140,7 +140,7 @@
 
 // active lists what there is at a moment, but for one name; reservations are
 // noted.
-func (b *Book) active(m Moment, but Name, beside map[Name]bool) []Occurrence {
+func (b *Calendar) active(m Moment, but Name, beside map[Name]bool) []Occurrence {
 	var out []Occurrence
 	for _, o := range b.Overlapping(m, m+1) {
 		if !o.Window && o.Name == but {
@@ -166,7 +166,7 @@
 
 // entriesOf splits what is active: windows, and reservations in the order in which
 // they were accepted.
-func (b *Book) entriesOf(active []Occurrence) (windows, reservations []*Entry) {
+func (b *Calendar) entriesOf(active []Occurrence) (windows, reservations []*Entry) {
 	for _, o := range active {
 		if o.Window {
 			windows = append(windows, b.Window(o.Name))
@@ -180,7 +180,7 @@
 
 // fit tries to house a reservation beside those active at the same time.
 // Reservations accepted earlier go first.
-func (b *Book) fit(s *record.ReservationSpec, active []Occurrence, f *Facts) Answer {
+func (b *Calendar) fit(s *record.ReservationSpec, active []Occurrence, f *Facts) Answer {
 	windows, others := b.entriesOf(active)
 	if a := withinTeam(s, others, f); !a.OK {
 		return a
@@ -276,8 +276,8 @@
 	}
 }
 
-// Close decides whether a window leaves room for everything that is promised.
-func (b *Book) Close(s *record.WindowSpec, f *Facts, now Moment) Answer {
+// DecideWindow decides whether a window leaves room for everything that is promised.
+func (b *Calendar) DecideWindow(s *record.WindowSpec, f *Facts, now Moment) Answer {
 	if s.Type != "" {
 		if _, ok := f.Types[s.Type]; !ok {
 			return refused(nil, "the catalogue has no type %s", s.Type)
@@ -289,7 +289,7 @@
 	}
 	trial := &Entry{Window: &record.Window{Spec: *s}}
 	beside := map[Name]bool{}
-	for m, active := range b.neighbours(times, config.Seconds(s.LengthS), "", beside) {
+	for m, active := range b.adjacent(times, config.Seconds(s.LengthS), "", beside) {
 		if names := b.broken(trial, active, f); len(names) > 0 {
 			return refused(names, "what is promised would have no room on %s", clockTime(m))
 		}
@@ -299,7 +299,7 @@
 
 // broken names the reservations that have no room beside another window, and
 // had some without it.
-func (b *Book) broken(trial *Entry, active []Occurrence, f *Facts) (names []Name) {
+func (b *Calendar) broken(trial *Entry, active []Occurrence, f *Facts) (names []Name) {
 	windows, others := b.entriesOf(active)
 	windows = slices.DeleteFunc(windows, func(e *Entry) bool { return e.Name() == trial.Name() })
 	before, with := autoscaler.New(f.Types, slotsBeside(windows, f), nil), autoscaler.New(f.Types, slotsBeside(append(windows, trial), f), nil)
--- a/internal/controller/reservation/hold.go
+++ b/internal/controller/reservation/hold.go
@@ -34,22 +34,22 @@
 	Runs []Run
 }
 
-// Due is an occurrence of a reservation that room is held for.
-type Due struct {
+// Demand is an occurrence of a reservation that room is held for.
+type Demand struct {
 	*record.Reservation
-	Left int // of its tasks, not started yet
+	Left int // reservation its tasks, not started yet
 	// Clear is from when on the room has to be free of what can't be stopped for
 	// it: as long before its time as another machine takes to come.
 	Clear Moment
 }
 
 // level is that of the reserved work: no more than its priority gives it.
-func (d *Due) level() resource.Level { return resource.LevelOf(d.Spec.Priority, false) }
+func (d *Demand) level() resource.Level { return resource.LevelOf(d.Spec.Priority, false) }
 
-func (d *Due) size() resource.Amount { return Size(&d.Spec) }
+func (d *Demand) size() resource.Amount { return Size(&d.Spec) }
 
 // until is when its job should be over at the latest.
-func (d *Due) until() Moment { return afterS(d.StartMS, d.Spec.HoldS+d.Spec.LengthS) }
+func (d *Demand) until() Moment { return afterS(d.StartMS, d.Spec.HoldS+d.Spec.LengthS) }
 
 // Hold is room on one machine that is held for a reservation. What is not of it
 // may use the room until Clear, and what may be stopped for it until From.
@@ -57,7 +57,7 @@
 	For     Name               `cbor:"for"`
 	Machine protocol.MachineID `cbor:"machine"`
 	Tasks   int                `cbor:"tasks"`
-	Need    resource.Amount    `cbor:"need"` // of all of them
+	Need    resource.Amount    `cbor:"need"` // reservation all of them
 	Level   resource.Level     `cbor:"level"`
 	Clear   Moment             `cbor:"clear"`
 	From    Moment             `cbor:"from"`
@@ -72,11 +72,11 @@
 	// Short is how many tasks have no room that is sure: that is to be rented.
 	// Missing is how many of them are unlikely to have any at their time.
 	Short, Missing map[Name]int
-	Zones          map[Name]protocol.Zone // of those that are held in one zone
+	Zones          map[Name]protocol.Zone // reservation those that are held in one zone
 }
 
-// machineRoom is a machine while holds are chosen.
-type machineRoom struct {
+// machineCapacity is a machine while holds are chosen.
+type machineCapacity struct {
 	*Machine
 	taken []Hold
 }
@@ -84,7 +84,7 @@
 // free is what a machine has left for an occurrence that can be relied on: what
 // is there is likely to be over when it has to be clear, and from then on is
 // over. Firm counts what could be stopped as gone, too.
-func (m *machineRoom) free(d *Due, now Moment, firm bool) resource.Amount {
+func (m *machineCapacity) free(d *Demand, now Moment, firm bool) resource.Amount {
 	by := Moment(0)
 	if now <= d.Clear {
 		by = After(d.Clear, reportedLate)
@@ -97,7 +97,7 @@
 const reportedLate = 15 * time.Second
 
 // freeBy is what is left if everything is over that is likely to be by a moment.
-func (m *machineRoom) freeBy(d *Due, by Moment, firm bool) resource.Amount {
+func (m *machineCapacity) freeBy(d *Demand, by Moment, firm bool) resource.Amount {
 	free := resource.Capacity(m.Info)
 	for _, r := range m.Runs {
 		switch {
@@ -117,15 +117,15 @@
 	return free
 }
 
-// Choose holds room for what is due. What was held before stays where it is as
+// ChooseHolds holds room for what is due. What was held before stays where it is as
 // long as that will do; what comes sooner goes first, then what was accepted
 // earlier. Usable tells whether a machine may be held for a time: not one that
 // is leaving, or in a window then.
-func Choose(dues []Due, machines []Machine, before []Hold, usable func(*Machine, *Due) bool, now Moment) Plan {
+func ChooseHolds(dues []Demand, machines []Machine, before []Hold, usable func(*Machine, *Demand) bool, now Moment) Plan {
 	p := Plan{Short: map[Name]int{}, Missing: map[Name]int{}, Zones: map[Name]protocol.Zone{}}
-	rooms := make([]*machineRoom, len(machines))
+	rooms := make([]*machineCapacity, len(machines))
 	for i := range machines {
-		rooms[i] = &machineRoom{Machine: &machines[i]}
+		rooms[i] = &machineCapacity{Machine: &machines[i]}
 	}
 	held := map[Name]map[protocol.MachineID]int{} // tasks
 	for _, h := range before {
@@ -135,13 +135,13 @@
 		held[h.For][h.Machine] = h.Tasks
 	}
 	dues = slices.Clone(dues)
-	slices.SortFunc(dues, func(a, b Due) int {
+	slices.SortFunc(dues, func(a, b Demand) int {
 		return cmp.Or(cmp.Compare(a.StartMS, b.StartMS), cmp.Compare(a.Order, b.Order))
 	})
 	for i := range dues {
 		d := &dues[i]
 		was := held[d.Spec.Name]
-		var mine []*machineRoom
+		var mine []*machineCapacity
 		for _, m := range rooms {
 			if Allows(&d.Spec, m.Info, m.Zone, m.Spot) && usable(m.Machine, d) {
 				mine = append(mine, m)
@@ -153,7 +153,7 @@
 		}
 		if zone != "" {
 			p.Zones[d.Spec.Name] = zone
-			mine = slices.DeleteFunc(mine, func(m *machineRoom) bool { return m.Zone != zone })
+			mine = slices.DeleteFunc(mine, func(m *machineCapacity) bool { return m.Zone != zone })
 		}
 		left, spare := d.Left, 1+d.Left/spareLater
 		if now < d.Clear {
@@ -163,21 +163,21 @@
 		// What was held is taken first, and only then more of it elsewhere: the
 		// keepers hear of a change a moment later, and others start meanwhile in
 		// what was let go and what is not held yet.
-		chosen := map[*machineRoom]int{}
-		for _, most := range []func(*machineRoom) int{
-			func(m *machineRoom) int { return was[m.ID] },
-			func(m *machineRoom) int { return math.MaxInt },
+		chosen := map[*machineCapacity]int{}
+		for _, most := range []func(*machineCapacity) int{
+			func(m *machineCapacity) int { return was[m.ID] },
+			func(m *machineCapacity) int { return math.MaxInt },
 		} {
 			for _, m := range order {
-				n := min(left+spare, most(m.machineRoom)-chosen[m.machineRoom], m.firm-chosen[m.machineRoom])
+				n := min(left+spare, most(m.machineCapacity)-chosen[m.machineCapacity], m.firm-chosen[m.machineCapacity])
 				if n > 0 {
-					chosen[m.machineRoom] += n
+					chosen[m.machineCapacity] += n
 					left -= n
 				}
 			}
 		}
 		for _, m := range order {
-			p.hold(d, m.machineRoom, chosen[m.machineRoom])
+			p.hold(d, m.machineCapacity, chosen[m.machineCapacity])
 		}
 		if left <= 0 {
 			continue
@@ -190,7 +190,7 @@
 			if m.by > After(max(d.StartMS, now), lateBy) && p.Missing[d.Spec.Name] == 0 {
 				p.Missing[d.Spec.Name] = left
 			}
-			left -= p.hold(d, m.machineRoom, min(left, m.fits))
+			left -= p.hold(d, m.machineCapacity, min(left, m.fits))
 		}
 		if left > 0 {
 			p.Missing[d.Spec.Name] = max(left, p.Missing[d.Spec.Name])
@@ -201,7 +201,7 @@
 
 const (
 	// spareShare: beside each so many tasks room is held for one more until all
-	// of it has to be clear, as some of what runs there is not over by then.
+	// reservation it has to be clear, as some of what runs there is not over by then.
 	spareShare = 4
 	// spareLater is the same from then on, for machines that are lost.
 	spareLater = 8
@@ -210,7 +210,7 @@
 )
 
 // hold holds room for so many tasks on a machine, and returns that number.
-func (p *Plan) hold(d *Due, m *machineRoom, n int) int {
+func (p *Plan) hold(d *Demand, m *machineCapacity, n int) int {
 	if n <= 0 {
 		return 0
 	}
@@ -230,14 +230,14 @@
 
 // later is a machine that is likely to have room, and by when.
 type later struct {
-	*machineRoom
+	*machineCapacity
 	by   Moment
 	fits int
 }
 
 // soonest lists machines that have no room to rely on yet by when they are
 // likely to have some: it is held before it comes free, or others would take it.
-func soonest(d *Due, machines []*machineRoom, now Moment) []later {
+func soonest(d *Demand, machines []*machineCapacity, now Moment) []later {
 	var ls []later
 	for _, m := range machines {
 		if slices.ContainsFunc(m.taken, func(h Hold) bool { return h.For == d.Spec.Name }) {
@@ -250,7 +250,7 @@
 		slices.Sort(ends)
 		for _, by := range ends {
 			// What comes free until its time counts, whatever was first.
-			if n := m.freeBy(d, max(by, d.StartMS), true).Fit(d.size()); n > 0 {
+			if n := m.freeBy(d, max(by, d.StartMS), true).CountFitting(d.size()); n > 0 {
 				ls = append(ls, later{m, by, n})
 				break
 			}
@@ -263,7 +263,7 @@
 // place is how many tasks fit on a machine, without anything being stopped and
 // with that.
 type place struct {
-	*machineRoom
+	*machineCapacity
 	clear, firm int
 }
 
@@ -271,10 +271,10 @@
 // be stopped, of these those held already, ordinary machines before spot
 // machines, those that are up before those that come, those where the most tasks
 // fit, and the cheapest.
-func preferred(d *Due, machines []*machineRoom, was map[protocol.MachineID]int, now Moment) []place {
+func preferred(d *Demand, machines []*machineCapacity, was map[protocol.MachineID]int, now Moment) []place {
 	ps := make([]place, len(machines))
 	for i, m := range machines {
-		ps[i] = place{m, m.free(d, now, false).Fit(d.size()), m.free(d, now, true).Fit(d.size())}
+		ps[i] = place{m, m.free(d, now, false).CountFitting(d.size()), m.free(d, now, true).CountFitting(d.size())}
 	}
 	bit := func(b bool) int {
 		if b {
@@ -292,11 +292,11 @@
 
 // bestZone is where a reservation that needs all its room in one zone is held:
 // where it was, as long as that can hold it or no other can, else where the most
-// of it fits.
-func bestZone(d *Due, machines []*machineRoom, was map[protocol.MachineID]int, now Moment) protocol.Zone {
+// reservation it fits.
+func bestZone(d *Demand, machines []*machineCapacity, was map[protocol.MachineID]int, now Moment) protocol.Zone {
 	fits, best := map[protocol.Zone]int{}, protocol.Zone("")
 	for _, m := range machines {
-		fits[m.Zone] += m.free(d, now, true).Fit(d.size())
+		fits[m.Zone] += m.free(d, now, true).CountFitting(d.size())
 		if best == "" && (was[m.ID] > 0 || slices.ContainsFunc(m.Runs, func(r Run) bool { return r.For == d.Spec.Name })) {
 			best = m.Zone
 		}
@@ -318,12 +318,12 @@
 	Ends  Moment // when it is likely to be over, if it starts now
 }
 
-// Leaves reports whether a machine's held room lets a task start in what is
+// LeavesRoom reports whether a machine's held room lets a task start in what is
 // free.
-func Leaves(holds []Hold, t *Task, free resource.Amount, now Moment) bool {
+func LeavesRoom(holds []Hold, t *Task, free resource.Amount, now Moment) bool {
 	until := OwnUntil(holds, t.Of)
 	for i := range holds {
-		if h := &holds[i]; !h.lets(t, now) && (until == 0 || until > h.From) {
+		if h := &holds[i]; !h.allows(t, now) && (until == 0 || until > h.From) {
 			free = free.Minus(h.Need)
 		}
 	}
@@ -344,9 +344,9 @@
 	return until
 }
 
-// lets reports whether held room may be used by a task: it is held for it, the
+// allows reports whether held room may be used by a task: it is held for it, the
 // task is likely to end in time, or it can save and may be stopped in time.
-func (h *Hold) lets(t *Task, now Moment) bool {
+func (h *Hold) allows(t *Task, now Moment) bool {
 	return t.Of(h.For) || now >= h.Until || t.Ends <= h.Clear && now <= h.Clear ||
 		t.Saves && t.Level < h.Level && now < h.stopAt(stopLead)
 }
--- a/internal/controller/reservation/state.go
+++ b/internal/controller/reservation/state.go
@@ -6,10 +6,10 @@
 	"damsonkeel/internal/record"
 )
 
-// Seen is what is known of a reservation's present occurrence.
-type Seen struct {
+// Observation is what is known of a reservation's present occurrence.
+type Observation struct {
 	Now        Moment
-	ClockError time.Duration // by how much any controller's time of day may be off
+	ClockError time.Duration // reportedBy how much any controller's time of day may be off
 	Lead       time.Duration // how long before its time room is held
 	// Came: its job was accepted; Wanted of its tasks are within what is
 	// reserved, Started of them have started so far, or are done.
@@ -32,7 +32,7 @@
 //
 // One that was not seen in time, as nobody could act, goes through the same
 // states late. Cancelled is not left any more.
-func Advance(r record.Reservation, w When, s Seen) (record.Reservation, bool) {
+func Advance(r record.Reservation, w When, s Observation) (record.Reservation, bool) {
 	changed := false
 	to := func(state record.ReservationState) {
 		r.State, changed = state, true
--- a/internal/controller/reservation/when.go
+++ b/internal/controller/reservation/when.go
@@ -1,7 +1,7 @@
 // Package reservation keeps what is promised for later: reservations and
 // maintenance windows, when they are due, which can be promised beside which,
 // on which machines room is held and what state each is in. It has no clock and
-// no socket; what it knows it is told.
+// refuse socket; what it knows it is told.
 package reservation
 
 import (
@@ -42,7 +42,7 @@
 type When struct {
 	daily bool
 	days  []rrule.Weekday
-	date  time.Time // of one that does not recur; all dates and clocks are in UTC here, whatever the zone
+	date  time.Time // reservation one that does not recur; all dates and clocks are in UTC here, whatever the zone
 	clock time.Duration
 	zone  *time.Location
 	from  time.Time
@@ -139,7 +139,7 @@
 		return nil
 	}
 	// Zones are at most 14 hours from UTC; what is too early or late by that is
-	// left out below.
+	// clearEndedAttempts out below.
 	day := time.UnixMilli(int64(from)).UTC().Truncate(24 * time.Hour).Add(-48 * time.Hour)
 	if w.from.After(day) {
 		day = w.from
@@ -156,7 +156,7 @@
 	}
 	rule, err := rrule.NewRRule(o)
 	if err != nil {
-		return nil // no option here depends on what was parsed but for the days, which are known
+		return nil // refuse option here depends on what was parsed but for the days, which are known
 	}
 	var out []Moment
 	next := rule.Iterator()
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -20,18 +20,18 @@
 	stale   bool // it has changed since
 	// heldVersion is that of the list in the records, as followed.
 	heldVersion protocol.Version
-	number      uint64 // of the list, by the controller that chose it
+	number      uint64 // reservation the list, by the controller that chose it
 	teams       map[protocol.Team][]teamClaim
 
 	// byClass are the live jobs of the classes that something is due for within
 	// windowsAhead, as of the last relay period.
 	byClass map[string][]*clusterstate.LiveJob
 	seen    map[reservation.Name]*seenJob
-	dues    []reservation.Due                  // as last chosen for
+	demands []reservation.Demand               // as last chosen for
 	short   map[reservation.Name]int           // tasks that no sure room is held for, as last chosen
-	missing map[reservation.Name]int           // of these, unlikely to have any in time
+	missing map[reservation.Name]int           // reservation these, unlikely to have any in time
 	zones   map[reservation.Name]protocol.Zone // where one that needs one zone is held
-	risk    map[reservation.Name]string        // of the present occurrences
+	risk    map[reservation.Name]string        // reservation the present occurrences
 	swept   Time                               // when all reservations were last looked at
 	write   map[reservation.Name]bool          // transactions under way
 }
@@ -57,7 +57,7 @@
 }
 
 // calendarRecord takes over a record of the calendar.
-func (c *Core) calendarRecord(f record.Followed, value protocol.RawValue, version protocol.Version) (err error) {
+func (c *Core) calendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
 	pr := &c.reservations
 	switch {
 	case f.Calendar:
@@ -67,50 +67,50 @@
 	case f.Reservation != "":
 		var r record.Reservation
 		if err = protocol.Decode(value, &r); err == nil {
-			err = pr.Book.PutReservation(r, version, c.Moment())
+			err = pr.Calendar.PutReservation(r, version, c.WallTime())
 			if r.State != record.Accepted && r.State != record.Holding {
-				c.unhold(r.Spec.Name)
+				c.dropHolds(r.Spec.Name)
 			}
 		}
 	case f.Window != "":
 		var w record.Window
 		if err = protocol.Decode(value, &w); err == nil {
-			err = pr.Book.PutWindow(w, version, c.Moment())
+			err = pr.Calendar.PutWindow(w, version, c.WallTime())
 		}
 	}
-	c.somethingReserved()
+	c.reservationsChanged()
 	return err
 }
 
-// calendarGone takes over that a record was deleted.
-func (c *Core) calendarGone(f record.Followed) {
+// calendarDeleted takes over that a record was deleted.
+func (c *Core) calendarDeleted(f record.FollowedKey) {
 	if f.Reservation != "" {
-		c.reservations.Book.Drop(false, f.Reservation)
-		c.unhold(f.Reservation)
+		c.reservations.Calendar.Drop(false, f.Reservation)
+		c.dropHolds(f.Reservation)
 	} else {
-		c.reservations.Book.Drop(true, f.Window)
+		c.reservations.Calendar.Drop(true, f.Window)
 	}
-	c.somethingReserved()
+	c.reservationsChanged()
 }
 
-// unhold frees at once what was held for a reservation that is over: a controller
+// dropHolds frees at once what was held for a reservation that is over: a controller
 // that hears of that before the next list does not wait for it.
-func (c *Core) unhold(n reservation.Name) {
+func (c *Core) dropHolds(n reservation.Name) {
 	held := func(h reservation.Hold) bool { return h.For == n }
 	if slices.ContainsFunc(c.reservations.List, held) {
 		c.setHolds(slices.DeleteFunc(slices.Clone(c.reservations.List), held))
 	}
 }
 
-// somethingReserved notes whether there is anything in the book. What machines
+// reservationsChanged notes whether there is anything in the book. What machines
 // run is told from then on.
-func (c *Core) somethingReserved() {
-	is := !c.reservations.Book.Empty()
+func (c *Core) reservationsChanged() {
+	is := !c.reservations.Calendar.Empty()
 	if is == c.reservations.Any {
 		return
 	}
 	c.reservations.Any = is
-	c.keeping.TouchAll()
+	c.dispatcher.TouchAll()
 }
 
 // windowsAhead is for how long ahead windows are looked at when something is
@@ -123,14 +123,14 @@
 	if !pr.Any && len(pr.List) == 0 {
 		return
 	}
-	now, off := c.Moment(), c.Settings.Site.ClockError()
-	pr.Book.Extend(now)
+	now, off := c.WallTime(), c.Settings.Site.ClockError()
+	pr.Calendar.Extend(now)
 	pr.Windows, pr.teams = nil, map[protocol.Team][]teamClaim{}
-	soon := pr.Book.Overlapping(reservation.After(now, -2*off), reservation.After(now, windowsAhead))
+	soon := pr.Calendar.Overlapping(reservation.After(now, -2*off), reservation.After(now, windowsAhead))
 	pr.byClass = map[string][]*clusterstate.LiveJob{}
 	for _, o := range soon {
 		if !o.Window {
-			pr.byClass[pr.Book.Reservation(o.Name).Reservation.Spec.Class] = nil
+			pr.byClass[pr.Calendar.Reservation(o.Name).Reservation.Spec.Class] = nil
 		}
 	}
 	for _, l := range c.Live {
@@ -140,18 +140,18 @@
 	}
 	for _, o := range soon {
 		if o.Window {
-			pr.Windows = append(pr.Windows, clusterstate.OpenWindow{Spec: &pr.Book.Window(o.Name).Window.Spec, Start: reservation.After(o.Start, -off), End: reservation.After(o.End, off)})
+			pr.Windows = append(pr.Windows, clusterstate.OpenWindow{Spec: &pr.Calendar.Window(o.Name).Window.Spec, Start: reservation.After(o.Start, -off), End: reservation.After(o.End, off)})
 		}
 	}
-	for _, e := range pr.Book.Due(reservation.After(now, -2*off), reservation.After(now, windowsAhead)) {
+	for _, e := range pr.Calendar.Due(reservation.After(now, -2*off), reservation.After(now, windowsAhead)) {
 		c.claimLimit(e)
 	}
-	c.reckonReserved()
+	c.computeReserved()
 }
 
-// reckonReserved reckons what of each machine's room is held now.
-func (c *Core) reckonReserved() {
-	now := c.Moment()
+// computeReserved reckons what of each machine's room is held now.
+func (c *Core) computeReserved() {
+	now := c.WallTime()
 	for _, m := range c.machines {
 		m.reserved = clusterstate.ReservedBy(c.reservations.Holds[m.ID], now)
 	}
@@ -161,7 +161,7 @@
 // has not been used.
 func (c *Core) claimLimit(e *reservation.Entry) {
 	s := &e.Reservation.Spec
-	if !e.Promised() || !c.Limited(s.Team) {
+	if !e.Active() || !c.Limited(s.Team) {
 		return
 	}
 	_, wanted, started := c.jobsOf(e)
@@ -206,8 +206,8 @@
 	if !c.reservations.Any || l == nil {
 		return
 	}
-	now := c.Moment()
-	for _, e := range c.reservations.Book.Due(reservation.After(now, -time.Minute), reservation.After(now, time.Hour)) {
+	now := c.WallTime()
+	for _, e := range c.reservations.Calendar.Due(reservation.After(now, -time.Minute), reservation.After(now, time.Hour)) {
 		if !reservation.Matches(e.Reservation, &l.Job) {
 			continue
 		}
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -24,18 +24,18 @@
 
 // in is the text of a moment so much later.
 func (b *bench) in(d time.Duration) string {
-	return time.UnixMilli(int64(b.c.Moment())).Add(d).UTC().Format("2006-01-02 at 15:04:05")
+	return time.UnixMilli(int64(b.c.WallTime())).Add(d).UTC().Format("2006-01-02 at 15:04:05")
 }
 
-func (b *bench) operate(r operatorapi.Request) (operatorapi.Reply, *protocol.Txn) {
-	return b.c.Operate("ops", &r)
+func (b *bench) operate(r operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
+	return b.c.Decide("ops", &r)
 }
 
 // do puts a request and has its transaction followed.
 func (b *bench) do(r operatorapi.Request) operatorapi.Reply {
 	reply, txn := b.operate(r)
 	if txn != nil {
-		for _, ch := range txn.Then {
+		for _, ch := range txn.Changes {
 			b.put(ch.Put, ch.Value)
 		}
 	}
@@ -63,7 +63,7 @@
 	if reply := b.do(add); reply.Code != operatorapi.Done {
 		t.Fatalf("%+v", reply)
 	}
-	if stale.If[0].Key != record.CalendarKey || stale.If[0].Version == b.c.reservations.Version {
+	if stale.Conditions[0].Key != record.CalendarKey || stale.Conditions[0].Version == b.c.reservations.Version {
 		t.Error("decided before the first was accepted, and not conditional on that")
 	}
 	if reply, txn := b.operate(add); reply.Code != operatorapi.Done || txn != nil || len(reply.Reservations) != 1 {
@@ -73,7 +73,7 @@
 	if reply, _ := b.operate(add); reply.Code != operatorapi.Refused {
 		t.Errorf("its name is taken: %+v", reply)
 	}
-	made := b.c.reservations.Book.Reservation("one").Reservation.MadeMS
+	made := b.c.reservations.Calendar.Reservation("one").Reservation.MadeMS
 	if reply := b.do(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one", Made: made - 1}); reply.Code != operatorapi.Refused {
 		t.Errorf("another one is cancelled: %+v", reply)
 	}
@@ -82,7 +82,7 @@
 			t.Errorf("cancel: %+v", reply)
 		}
 	}
-	if b.c.reservations.Book.Reservation("one").State != record.Cancelled || len(b.c.reservations.Book.Overlapping(0, 1<<41)) != 0 {
+	if b.c.reservations.Calendar.Reservation("one").State != record.Cancelled || len(b.c.reservations.Calendar.Overlapping(0, 1<<41)) != 0 {
 		t.Error("not cancelled")
 	}
 }
@@ -92,14 +92,14 @@
 func TestWindowLetsRun(t *testing.T) {
 	b := promising(t)
 	b.ready("vm-1")
-	b.job("job-1", "free", 1) // of 10 s
+	b.job("job-1", "free", 1) // reservation 10 s
 	b.do(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "w", Spec: &record.WindowSpec{Name: "w", When: b.in(20 * time.Second), LengthS: 600, Zone: "a"}})
 	task := protocol.TaskID{Job: "job-1"}
 	e := b.kept("vm-1", task)
 	if e.Attempt == 0 {
 		t.Fatal("not placed")
 	}
-	b.report("vm-1", 1, 1, protocol.TaskReport{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning})
+	b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning})
 	b.now += Time(time.Second)
 	b.step(message.Tick{})
 	b.job("job-2", "free", 1)
@@ -113,11 +113,11 @@
 	}
 	b.now += Time(time.Minute)
 	b.step(message.Tick{})
-	if os := b.report("vm-1", 1, 1, protocol.TaskReport{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning}).Reply.Orders; len(os) != 0 || b.kept("vm-1", task).Kill {
+	if os := b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning}).Reply.Orders; len(os) != 0 || b.kept("vm-1", task).Kill {
 		t.Errorf("told %+v while the window is open", os)
 	}
 	b.now += Time(10 * time.Minute)
-	b.report("vm-1", 1, 1, protocol.TaskReport{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning})
+	b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning})
 	b.relay()
 	b.step(message.Tick{})
 	if b.kept("vm-1", protocol.TaskID{Job: "job-2"}).Attempt == 0 {
--- a/internal/controller/resource/amount.go
+++ b/internal/controller/resource/amount.go
@@ -11,7 +11,7 @@
 // Amount is what a task takes or a machine has.
 type Amount struct {
 	CPUs, GPUs float64
-	GB         float64 // of memory
+	GB         float64 // reservation memory
 }
 
 // Slack is by what sums of amounts may be wrong: they are decimal numbers.
@@ -47,8 +47,8 @@
 // fitMost bounds what Fit counts: a task that takes nothing fits any number of times.
 const fitMost = 1000
 
-// Fit is how many tasks of a size have room at the same time.
-func (a Amount) Fit(n Amount) int {
+// CountFitting is how many tasks of a size have room at the same time.
+func (a Amount) CountFitting(n Amount) int {
 	k := 0
 	for a.Covers(n) && k < fitMost {
 		a = a.Minus(n)
--- a/internal/controller/resource/uses.go
+++ b/internal/controller/resource/uses.go
@@ -29,9 +29,9 @@
 // Uses is what attempts take of a machine, by level.
 type Uses [Levels]Amount
 
-// Firm is what attempts of a level or above take: none of that level can have
+// NonPreemptible is what attempts of a level or above take: none of that level can have
 // them stopped.
-func (u *Uses) Firm(l Level) Amount {
+func (u *Uses) NonPreemptible(l Level) Amount {
 	var sum Amount
 	for _, r := range u[min(max(l, 0), Levels):] {
 		sum = sum.Plus(r)
--- a/internal/controller/runtimes.go
+++ b/internal/controller/runtimes.go
@@ -1,18 +1,18 @@
 package controller
 
-// noteRun learns from a task that is done how long the job's tasks run. One
+// recordRunTime learns from a task that is done how long the job's tasks run. One
 // that ran before may have saved its progress, and one taken over may have run
 // for long unseen: they tell nothing. Counted as short, the latter made all
 // others seem late after each takeover, and their machines slow.
-func (c *Core) noteRun(o *ownedJob, t *placedTask) {
-	if !t.running || t.midway || o.again.Test(uint(t.task.Index)) {
+func (c *Core) recordRunTime(o *ownedJob, t *attempt) {
+	if !t.running || t.startUnseen || o.retry.Test(uint(t.task.Index)) {
 		return
 	}
-	o.ran.Note(c.Since(t.runs).Seconds(), c.rng)
+	o.runTimes.Note(c.Since(t.runningSince).Seconds(), c.rng)
 }
 
 // usual is how long half of a job's tasks run at the most, once that is known.
-func (o *ownedJob) usual() (seconds float64, ok bool) { return o.ran.Usual(int(o.running)) }
+func (o *ownedJob) usual() (seconds float64, ok bool) { return o.runTimes.Usual(int(o.running)) }
 
 // estimateOf is a task's expected run time: what the job's other tasks took,
 // once enough of them are done, and before that its owner's estimate.
--- a/internal/controller/runtimes_test.go
+++ b/internal/controller/runtimes_test.go
@@ -14,14 +14,14 @@
 // from saved progress.
 func TestUsualRunTime(t *testing.T) {
 	b := newBench(t, "node-1")
-	o := b.c.own(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100}})
+	o := b.c.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100}})
 	start := func(i uint32) {
-		p := &placedTask{task: protocol.TaskID{Job: "job-1", Index: i}, attempt: 1, machine: "vm-1"}
+		p := &attempt{task: protocol.TaskID{Job: "job-1", Index: i}, number: 1, machine: "vm-1"}
 		o.placed[p.task] = p
-		b.c.event(message.TaskEvent{TaskRef: message.TaskRef{Task: p.task, Attempt: 1, Machine: "vm-1"}, What: message.WhatRunning})
+		b.c.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: p.task, Attempt: 1, Machine: "vm-1"}, What: message.EventRunning})
 	}
 	end := func(i uint32, cause protocol.EndCause) {
-		b.c.event(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: 1, Machine: "vm-1"}, What: message.WhatEnded, Cause: cause})
+		b.c.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: 1, Machine: "vm-1"}, What: message.EventEnded, Cause: cause})
 	}
 	for i := range uint32(20) {
 		start(i)
@@ -53,15 +53,15 @@
 	b.machine("vm-1", 1)
 	b.job("job-1", "free", 20)
 	b.view(3, "node-0") // a view was missed
-	b.step(message.JobLoaded{Job: "job-1", OK: true})
-	var held []message.Held
+	b.step(message.BitmapLoaded{Job: "job-1", OK: true})
+	var held []message.HeldAttempt
 	for i := range uint32(12) {
-		held = append(held, message.Held{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: 1, State: protocol.TaskRunning})
+		held = append(held, message.HeldAttempt{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: 1, State: protocol.TaskRunning})
 	}
 	b.inventory("vm-1", held...)
 	o := b.c.owner.jobs["job-1"]
 	for _, h := range held {
-		b.c.event(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: 1, Machine: "vm-1"}, What: message.WhatEnded, Cause: protocol.EndDone})
+		b.c.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: 1, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 	}
 	if o.nDone != 12 {
 		t.Fatalf("%d of 12 done", o.nDone)
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -17,21 +17,21 @@
 	"damsonkeel/internal/record"
 )
 
-// sessions keeps this controller a member: session after session, each as
+// runSessions keeps this controller a member: session after session, each as
 // long as its lease.
-func (n *Node) sessions(ctx context.Context) {
+func (n *Node) runSessions(ctx context.Context) {
 	for ctx.Err() == nil && !n.leaving.Load() { // one that leaves does not come back
-		if err := n.session(ctx); err != nil {
+		if err := n.runSession(ctx); err != nil {
 			n.log.Info("session", "err", err)
 		}
-		n.post(message.SessionOver{})
+		n.post(message.SessionEnded{})
 		sleep(ctx, 250*time.Millisecond)
 	}
 }
 
-// session reads the records, enters this controller into them under a new
+// runSession reads the records, enters this controller into them under a new
 // lease, and follows the records while it extends the lease.
-func (n *Node) session(ctx context.Context) error {
+func (n *Node) runSession(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// Read before entering: any view that names this session is then a later
@@ -54,9 +54,9 @@
 			have = it.Version
 		}
 	}
-	_, err = n.state.CompareAndSwap(ctx, protocol.Txn{
-		If:   []protocol.Condition{{Key: key, Version: have}},
-		Then: []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout()}, Lease: &lease}},
+	_, err = n.state.CompareAndSwap(ctx, protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: key, Version: have}},
+		Changes:    []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout()}, Lease: &lease}},
 	}, kvstore.First)
 	if err != nil {
 		return fmt.Errorf("enter: %w", err)
@@ -66,10 +66,10 @@
 	l := &leaseClock{ttl: ttl}
 	l.extended.Store(int64(sent))
 	l.followed.Store(int64(asked))
-	n.post(message.Entitled{Until: l.until()})
+	n.post(message.LeaseExtended{Until: l.until()})
 	followEnd := make(chan error, 1)
-	go func() { followEnd <- n.follow(ctx, rev, l) }()
-	return n.extend(ctx, lease, l, followEnd)
+	go func() { followEnd <- n.watchRecords(ctx, rev, l) }()
+	return n.keepLeaseAlive(ctx, lease, l, followEnd)
 }
 
 // layout is the latest layout of machines' records that this controller uses.
@@ -80,7 +80,7 @@
 	case n.op.NoShares:
 		return record.LayoutBlocks
 	case !n.op.Configurable():
-		return record.LayoutShares
+		return record.LayoutShards
 	}
 	return record.LayoutConfiguration
 }
@@ -99,22 +99,22 @@
 
 // until is the end of the lease as this clock has it.
 func (l *leaseClock) until() Time {
-	return ActsUntil(l.ttl, Time(l.extended.Load()), Time(l.followed.Load()))
+	return LeaseDeadline(l.ttl, Time(l.extended.Load()), Time(l.followed.Load()))
 }
 
-// ActsUntil is until when a session may act: its lease, counted from before the
+// LeaseDeadline is until when a session may act: its lease, counted from before the
 // extension was sent, shortened by drift and by a margin for what is under way; and
-// no longer than a lease and a slack after the last watch was opened that has been
+// refuse longer than a lease and a slack after the last watch was opened that has been
 // answered. That answer holds what had changed by then, whenever it arrives: one
-// held back by the network, or read after the process stood still, proves nothing
-// of the time since. What users are told of cancellations rests on it (docs/design.md,
+// announcedUses back by the network, or read after the process stood still, proves nothing
+// reservation the time since. What users are told of cancellations rests on it (docs/design.md,
 // "How long a cancelled task may stay").
-func ActsUntil(ttl time.Duration, extended, followed Time) Time {
+func LeaseDeadline(ttl time.Duration, extended, followed Time) Time {
 	lease := extended + Time(ttl) - Time(ttl/500) - Time(200*time.Millisecond)
 	return min(lease, followed+Time(config.FollowedWithin(ttl)))
 }
 
-func (n *Node) extend(ctx context.Context, lease protocol.LeaseID, l *leaseClock, followEnd <-chan error) error {
+func (n *Node) keepLeaseAlive(ctx context.Context, lease protocol.LeaseID, l *leaseClock, followEnd <-chan error) error {
 	every := l.ttl / 5
 	refused := false
 	for {
@@ -134,7 +134,7 @@
 			}
 			refused, every = false, l.ttl/5
 			l.extended.Store(int64(sent))
-			n.post(message.Entitled{Until: l.until()})
+			n.post(message.LeaseExtended{Until: l.until()})
 		case errors.Is(err, serviceclient.ErrNotFound):
 			return fmt.Errorf("session %d: lease lost", lease)
 		default:
@@ -146,8 +146,8 @@
 	}
 }
 
-// follow passes the changes of records to the core, in order.
-func (n *Node) follow(ctx context.Context, from protocol.Revision, l *leaseClock) error {
+// watchRecords passes the changes of records to the core, in order.
+func (n *Node) watchRecords(ctx context.Context, from protocol.Revision, l *leaseClock) error {
 	hold := min(followHold, l.ttl) // a short lease needs the watch to prove itself more often
 	for ctx.Err() == nil {
 		opened := n.now()
@@ -163,7 +163,7 @@
 			continue
 		}
 		for _, e := range ev.Events {
-			n.post(message.Changed{Event: e})
+			n.post(message.RecordChanged{Event: e})
 		}
 		from = max(from, ev.Revision)
 		l.followed.Store(int64(opened))
--- a/internal/controller/session_test.go
+++ b/internal/controller/session_test.go
@@ -46,13 +46,13 @@
 	l := &leaseClock{ttl: 8 * time.Second}
 	l.extended.Store(int64(time.Hour))
 	opened := n.now()
-	if err := n.follow(ctx, 4, l); err == nil || !strings.Contains(err.Error(), "deadline") {
+	if err := n.watchRecords(ctx, 4, l); err == nil || !strings.Contains(err.Error(), "deadline") {
 		t.Fatalf("the watch ended with %v", err)
 	}
 	if asked.Load() < 2 {
 		t.Fatal("no answer was taken: nothing is shown")
 	}
-	if late := time.Duration(l.until()) - time.Duration(ActsUntil(l.ttl, Time(time.Hour), opened)); late < 0 || late > heldBack/2 {
+	if late := time.Duration(l.until()) - time.Duration(LeaseDeadline(l.ttl, Time(time.Hour), opened)); late < 0 || late > heldBack/2 {
 		t.Errorf("acts %v longer than from when the watch was opened", late)
 	}
 }
--- a/internal/controller/sharding/assign.go
+++ b/internal/controller/sharding/assign.go
@@ -14,29 +14,29 @@
 	Name    protocol.NodeName
 	Session protocol.LeaseID
 	Zone    protocol.Zone
-	Weight  float64 // of what it can do, beside the others'; 0: it is to keep nothing
+	Weight  float64 // reservation what it can do, beside the others'; 0: it is to keep nothing
 }
 
 // slack is by which part of its due a member may keep more before a share moves:
-// without it each machine that comes or goes would move some.
+// removeWaits it each machine that comes or goes would move some.
 const slack = 0.15
 
 // assignment is who keeps what while it is reckoned.
 type assignment struct {
-	*record.Shares
-	load    []float64 // of each share
+	*record.ShardTable
+	load    []float64 // reservation each share
 	largest float64
 	members []Member // in order of their names
-	due     []float64
+	target  []float64
 	has     []float64
-	holder  []int // of each share: its place in members; -1: nobody
+	holder  []int // reservation each share: its place in members; -1: nobody
 	order   []ID  // shares that change hands, in the order in which they should
 }
 
-func newAssignment(s *record.Shares, load []float64, members []Member) *assignment {
-	a := &assignment{Shares: s, load: load, members: slices.Clone(members), holder: make([]int, len(s.List))}
+func newAssignment(s *record.ShardTable, load []float64, members []Member) *assignment {
+	a := &assignment{ShardTable: s, load: load, members: slices.Clone(members), holder: make([]int, len(s.List))}
 	slices.SortFunc(a.members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
-	a.due, a.has = make([]float64, len(a.members)), make([]float64, len(a.members))
+	a.target, a.has = make([]float64, len(a.members)), make([]float64, len(a.members))
 	total, weights := 0.0, 0.0
 	for _, l := range load {
 		total += l
@@ -47,7 +47,7 @@
 	}
 	for i, m := range a.members {
 		if weights > 0 {
-			a.due[i] = total * m.Weight / weights
+			a.target[i] = total * m.Weight / weights
 		}
 	}
 	for id, st := range s.List {
@@ -72,16 +72,16 @@
 
 // full is how much of what it may keep a member would have with a share more.
 func (a *assignment) full(i int, more float64) float64 {
-	if a.due[i] == 0 {
+	if a.target[i] == 0 {
 		return math.Inf(1)
 	}
-	return (a.has[i] + more) / a.due[i]
+	return (a.has[i] + more) / a.target[i]
 }
 
 // most is what a member may keep at the most.
-func (a *assignment) most(i int) float64 { return a.due[i] + max(slack*a.due[i], a.largest) }
+func (a *assignment) most(i int) float64 { return a.target[i] + max(slack*a.target[i], a.largest) }
 
-func (a *assignment) zone(id int) protocol.Zone { return ZoneOf(a.Shares, ID(id)) }
+func (a *assignment) zone(id int) protocol.Zone { return ZoneOf(a.ShardTable, ID(id)) }
 
 // home reports whether a member is in a share's zone. What is kept inside its
 // zone goes on while that is cut off, and what is outside does not notice.
@@ -127,12 +127,12 @@
 			if a.has[i] > a.most(i) && (from < 0 || a.full(i, 0) > a.full(from, 0)) {
 				from = i
 			}
-			if a.due[i] > 0 && (to < 0 || a.full(i, 0) < a.full(to, 0)) {
+			if a.target[i] > 0 && (to < 0 || a.full(i, 0) < a.full(to, 0)) {
 				to = i
 			}
 		}
 		// Who has nothing yet is due its part, though nobody has far too much.
-		if from < 0 && to >= 0 && a.has[to] < a.due[to]-max(slack*a.due[to], a.largest) {
+		if from < 0 && to >= 0 && a.has[to] < a.target[to]-max(slack*a.target[to], a.largest) {
 			for i := range a.members {
 				if i != to && (from < 0 || a.full(i, 0) > a.full(from, 0)) {
 					from = i
@@ -173,10 +173,10 @@
 			continue
 		}
 		for i := range a.members {
-			if !a.home(id, i) || a.due[i] == 0 {
+			if !a.home(id, i) || a.target[i] == 0 {
 				continue
 			}
-			if a.has[i]+a.load[id] <= a.due[i]+a.largest && a.has[h]-a.load[id] >= a.due[h]-max(slack*a.due[h], a.largest) {
+			if a.has[i]+a.load[id] <= a.target[i]+a.largest && a.has[h]-a.load[id] >= a.target[h]-max(slack*a.target[h], a.largest) {
 				a.give(id, i)
 				break
 			}
@@ -195,7 +195,7 @@
 // anyHome reports whether any member that may keep shares is in a share's zone.
 func (a *assignment) anyHome(id int) bool {
 	for i := range a.members {
-		if a.due[i] > 0 && a.home(id, i) {
+		if a.target[i] > 0 && a.home(id, i) {
 			return true
 		}
 	}
@@ -204,15 +204,15 @@
 
 // Orphans lists who takes over the shares whose holders are no members, or are to
 // keep nothing; all others stay where they are.
-func Orphans(s *record.Shares, load []float64, members []Member) []Move {
+func Orphans(s *record.ShardTable, load []float64, members []Member) []Move {
 	a := newAssignment(s, load, members)
 	a.settle()
 	return a.changes()
 }
 
-// Wanted lists the shares that should be elsewhere, and where, in the order in which
+// Rebalanced lists the shares that should be elsewhere, and where, in the order in which
 // they should move: after the first few have, the rest is wanted still.
-func Wanted(s *record.Shares, load []float64, members []Member) []Move {
+func Rebalanced(s *record.ShardTable, load []float64, members []Member) []Move {
 	a := newAssignment(s, load, members)
 	a.settle()
 	a.even()
@@ -231,7 +231,7 @@
 
 // Loads reckons the load of each share from the machines of each zone: alike in a
 // zone, since machines are spread over its shares by chance.
-func Loads(s *record.Shares, machines map[protocol.Zone]int) []float64 {
+func Loads(s *record.ShardTable, machines map[protocol.Zone]int) []float64 {
 	load := make([]float64, len(s.List))
 	for id := range load {
 		load[id] = 1 + float64(machines[ZoneOf(s, ID(id))])/float64(s.Slots)
--- a/internal/controller/sharding/balance.go
+++ b/internal/controller/sharding/balance.go
@@ -9,14 +9,14 @@
 	"damsonkeel/internal/record"
 )
 
-// Seen is what is known of a member that may keep shares.
-type Seen struct {
+// MemberLoad is what is known of a member that may keep shares.
+type MemberLoad struct {
 	Member
-	Late    time.Duration // of its ticks, on average
-	Leaving bool          // it is to end
-	Away    bool          // operators have told it to keep nothing
-	Deaf    bool
-	Warm    bool // it has taken part for a while, and its word is heard
+	Late        time.Duration // reservation its ticks, on average
+	Leaving     bool          // it is to end
+	Away        bool          // operators have told it to keep nothing
+	Unreachable bool
+	Warm        bool // it has taken part for a while, and its word is heard
 }
 
 // Move is a share that is to go from its holder to another member.
@@ -32,9 +32,9 @@
 	movesAtOnce   = 8
 	leavingAtOnce = 64
 	// moveWithin is how long a move may take; one that has not come about by then
-	// is not tried again for moveAgain.
-	moveWithin = 5 * time.Second
-	moveAgain  = 20 * time.Second
+	// is not tried again for moveCooldown.
+	moveWithin   = 5 * time.Second
+	moveCooldown = 20 * time.Second
 	// rest is what passes between one lot of moves and the next.
 	rest = time.Second
 	// lateTick is from when on ticks are late, and tooLate how many times as late as
@@ -59,7 +59,7 @@
 	paces   map[protocol.LeaseID]pace
 }
 
-// moving is a share that was asked to move in a tenure.
+// releaseAsked is a share that was asked to move in a tenure.
 type moving struct {
 	tenure protocol.Term
 	at     clock.Time
@@ -73,13 +73,13 @@
 }
 
 // Step lists the shares that are to begin to move now.
-func (b *Balancer) Step(now clock.Time, s *record.Shares, load []float64, seen []Seen) []Move {
+func (b *Balancer) Step(now clock.Time, s *record.ShardTable, load []float64, seen []MemberLoad) []Move {
 	leaving, away := b.weigh(now, seen), b.underWay(now, s)
 	if away > 0 && !leaving || now < b.restTil && !leaving {
 		return nil
 	}
 	members := make([]Member, 0, len(seen))
-	session := map[protocol.LeaseID]*Seen{}
+	session := map[protocol.LeaseID]*MemberLoad{}
 	for i := range seen {
 		m := seen[i].Member
 		m.Weight = b.weight(&seen[i])
@@ -90,7 +90,7 @@
 		}
 	}
 	var moves []Move
-	for _, m := range Wanted(s, load, members) {
+	for _, m := range Rebalanced(s, load, members) {
 		from := session[s.List[m.ID].Holder]
 		if _, asked := b.moving[m.ID]; asked || from == nil {
 			continue // what nobody keeps goes with the next view
@@ -104,7 +104,7 @@
 			continue // that comes first
 		case from.Away:
 			m.Cause = "away"
-		case from.Deaf:
+		case from.Unreachable:
 			m.Cause = "deaf"
 		case b.paces[from.Session].step > 0:
 			m.Cause = "slow"
@@ -120,15 +120,15 @@
 	return moves
 }
 
-// underWay forgets the moves that have come about, or did not in time, and counts
+// chunksInFlight forgets the moves that have come about, or did not in time, and counts
 // the rest.
-func (b *Balancer) underWay(now clock.Time, s *record.Shares) (n int) {
+func (b *Balancer) underWay(now clock.Time, s *record.ShardTable) (n int) {
 	if b.moving == nil {
 		b.moving = map[ID]moving{}
 	}
 	for id, m := range b.moving {
 		switch took := time.Duration(now - m.at); {
-		case int(id) >= len(s.List) || s.List[id].Since != m.tenure || took > moveAgain:
+		case int(id) >= len(s.List) || s.List[id].Since != m.tenure || took > moveCooldown:
 			delete(b.moving, id)
 			if took <= moveWithin {
 				b.restTil = max(b.restTil, now+clock.Time(rest))
@@ -140,9 +140,9 @@
 	return n
 }
 
-// weigh finds who is slower than the others, or no more, and reports whether
+// evaluate finds who is slower than the others, or no more, and reports whether
 // anybody is to end.
-func (b *Balancer) weigh(now clock.Time, seen []Seen) (leaving bool) {
+func (b *Balancer) weigh(now clock.Time, seen []MemberLoad) (leaving bool) {
 	if b.paces == nil {
 		b.paces = map[protocol.LeaseID]pace{}
 	}
@@ -184,8 +184,8 @@
 }
 
 // weight is what a member may keep beside the others.
-func (b *Balancer) weight(m *Seen) float64 {
-	if m.Leaving || m.Away || m.Deaf {
+func (b *Balancer) weight(m *MemberLoad) float64 {
+	if m.Leaving || m.Away || m.Unreachable {
 		return 0
 	}
 	return weights[b.paces[m.Session].step]
--- a/internal/controller/sharding/sharding.go
+++ b/internal/controller/sharding/sharding.go
@@ -24,9 +24,9 @@
 	most  = 512
 )
 
-// First is the record of the shares of a site, none of them kept by anybody.
-func First(zones []protocol.Zone) *record.Shares {
-	s := &record.Shares{Zones: slices.Clone(zones), Slots: slots}
+// InitialTable is the record of the shares of a site, none of them kept by anybody.
+func InitialTable(zones []protocol.Zone) *record.ShardTable {
+	s := &record.ShardTable{Zones: slices.Clone(zones), Slots: slots}
 	slices.Sort(s.Zones)
 	if s.Zones = slices.Compact(s.Zones); len(s.Zones) == 0 {
 		s.Zones = []protocol.Zone{""}
@@ -34,13 +34,13 @@
 	if len(s.Zones)*slots > most {
 		s.Slots = max(1, most/len(s.Zones))
 	}
-	s.List = make([]record.ShareState, len(s.Zones)*s.Slots)
+	s.List = make([]record.ShardAssignment, len(s.Zones)*s.Slots)
 	return s
 }
 
 // Of is the share of a machine. One of a zone that the record does not know has
 // its share among all.
-func Of(s *record.Shares, id protocol.MachineID, z protocol.Zone) ID {
+func Of(s *record.ShardTable, id protocol.MachineID, z protocol.Zone) ID {
 	h := xxhash.Sum64String(string(id))
 	if i, ok := slices.BinarySearch(s.Zones, z); ok {
 		return ID(i*s.Slots + int(h%uint64(s.Slots)))
@@ -49,26 +49,26 @@
 }
 
 // ZoneOf is the zone of a share.
-func ZoneOf(s *record.Shares, id ID) protocol.Zone { return s.Zones[int(id)/s.Slots] }
+func ZoneOf(s *record.ShardTable, id ID) protocol.Zone { return s.Zones[int(id)/s.Slots] }
 
 // Copy is a record that can be changed.
-func Copy(s *record.Shares) *record.Shares {
+func Copy(s *record.ShardTable) *record.ShardTable {
 	c := *s
 	c.List, c.Away = slices.Clone(s.List), slices.Clone(s.Away)
 	return &c
 }
 
-// Give gives a share to a holder, with an epoch above all there were.
-func Give(s *record.Shares, id ID, to protocol.LeaseID) {
+// Assign gives a share to a holder, with an epoch above all there were.
+func Assign(s *record.ShardTable, id ID, to protocol.LeaseID) {
 	s.Epoch++
-	s.List[id] = record.ShareState{Holder: to, Since: s.Epoch, Epoch: s.Epoch}
+	s.List[id] = record.ShardAssignment{Holder: to, Since: s.Epoch, Epoch: s.Epoch}
 }
 
-// Raise raises a share's epoch; its holder stays.
-func Raise(s *record.Shares, id ID) {
+// RaiseToken raises a share's epoch; its holder stays.
+func RaiseToken(s *record.ShardTable, id ID) {
 	s.Epoch++
 	s.List[id].Epoch = s.Epoch
 }
 
-// Above lifts the record above a token that was given out without it.
-func Above(s *record.Shares, t protocol.Term) { s.Epoch = max(s.Epoch, t) }
+// RaiseEpochAbove lifts the record above a token that was given out without it.
+func RaiseEpochAbove(s *record.ShardTable, t protocol.Term) { s.Epoch = max(s.Epoch, t) }
--- a/internal/controller/sharding/sharding_test.go
+++ b/internal/controller/sharding/sharding_test.go
@@ -17,9 +17,9 @@
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
 // draw is a site with a record of its shares, kept by anybody, some by nobody.
-func draw(t *rapid.T) (*record.Shares, []float64, []Member) {
+func draw(t *rapid.T) (*record.ShardTable, []float64, []Member) {
 	zones := []protocol.Zone{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "zones")]
-	s := First(zones)
+	s := InitialTable(zones)
 	machines := map[protocol.Zone]int{}
 	for _, z := range zones {
 		machines[z] = rapid.IntRange(0, 2000).Draw(t, "machines")
@@ -35,21 +35,21 @@
 	members[0].Weight = 1
 	for id := range s.List {
 		if n := rapid.IntRange(0, len(members)).Draw(t, "holder"); n > 0 {
-			Give(s, ID(id), members[n-1].Session)
+			Assign(s, ID(id), members[n-1].Session)
 		}
 	}
 	return s, Loads(s, machines), members
 }
 
 // TestWantedComesToRest: what is wanted is wanted no more once it is so, in few lots
-// of moves, however many of them come about each time; everybody then keeps about
+// reservation moves, however many of them come about each time; everybody then keeps about
 // what it may, and who may keep nothing keeps nothing. Nothing swings to and fro.
 func TestWantedComesToRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, load, members := draw(t)
 		moved := 0
 		for round := 0; ; round++ {
-			want := Wanted(s, load, members)
+			want := Rebalanced(s, load, members)
 			if len(want) == 0 {
 				break
 			}
@@ -58,7 +58,7 @@
 			}
 			n := rapid.IntRange(1, 60).Draw(t, "at once")
 			for _, m := range want[:min(n, len(want))] {
-				Give(s, m.ID, m.To)
+				Assign(s, m.ID, m.To)
 				moved++
 			}
 		}
@@ -81,7 +81,7 @@
 		s, load, members := draw(t)
 		before := Copy(s)
 		for _, m := range Orphans(s, load, members) {
-			Give(s, m.ID, m.To)
+			Assign(s, m.ID, m.To)
 		}
 		for id, now := range s.List {
 			was := before.List[id]
@@ -94,7 +94,7 @@
 			}
 		}
 		b, err := protocol.Encode(*s)
-		var read record.Shares
+		var read record.ShardTable
 		if err != nil || protocol.Decode(b, &read) != nil || read.Epoch != s.Epoch || fmt.Sprint(read.List) != fmt.Sprint(s.List) {
 			t.Fatalf("read %+v, %v", read, err)
 		}
@@ -104,7 +104,7 @@
 // TestShareOfAMachine: a machine's share is of its zone, and is the same whoever the
 // members are.
 func TestShareOfAMachine(t *testing.T) {
-	s := First([]protocol.Zone{"b", "a", "b"})
+	s := InitialTable([]protocol.Zone{"b", "a", "b"})
 	used := map[ID]bool{}
 	for i := range 2000 {
 		m := protocol.MachineID(fmt.Sprintf("vm-%06d", i))
@@ -122,18 +122,18 @@
 }
 
 // play lets the balancer decide each second, and moves come about at once.
-func play(b *Balancer, s *record.Shares, seconds int, seen func(second int) []Seen) (moves int) {
+func play(b *Balancer, s *record.ShardTable, seconds int, seen func(second int) []MemberLoad) (moves int) {
 	load := Loads(s, map[protocol.Zone]int{"a": 1300})
 	for i := range seconds {
 		for _, m := range b.Step(clock.Time(i+1)*clock.Time(time.Second), s, load, seen(i)) {
-			Give(s, m.ID, m.To)
+			Assign(s, m.ID, m.To)
 			moves++
 		}
 	}
 	return moves
 }
 
-func kept(s *record.Shares, session protocol.LeaseID) (n int) {
+func kept(s *record.ShardTable, session protocol.LeaseID) (n int) {
 	for _, st := range s.List {
 		if st.Holder == session {
 			n++
@@ -143,10 +143,10 @@
 }
 
 // three are members of which one is as slow as is said.
-func three(late time.Duration) []Seen {
-	var seen []Seen
+func three(late time.Duration) []MemberLoad {
+	var seen []MemberLoad
 	for i := range 3 {
-		seen = append(seen, Seen{Member: Member{Name: protocol.NodeName(fmt.Sprint("n", i)), Session: protocol.LeaseID(10 + i)}, Late: 20 * time.Millisecond, Warm: true})
+		seen = append(seen, MemberLoad{Member: Member{Name: protocol.NodeName(fmt.Sprint("n", i)), Session: protocol.LeaseID(10 + i)}, Late: 20 * time.Millisecond, Warm: true})
 	}
 	seen[2].Late = late
 	return seen
@@ -156,26 +156,26 @@
 // one that is as late as all others loses none; one that comes gets its part in
 // bounded lots; one that leaves hands over all at once.
 func TestBalance(t *testing.T) {
-	b, s := &Balancer{}, First([]protocol.Zone{"a"})
+	b, s := &Balancer{}, InitialTable([]protocol.Zone{"a"})
 	for id := range s.List {
-		Give(s, ID(id), protocol.LeaseID(10+id%2))
+		Assign(s, ID(id), protocol.LeaseID(10+id%2))
 	}
-	if n := play(b, s, 1, func(int) []Seen { return three(0) }); n == 0 || n > movesAtOnce {
+	if n := play(b, s, 1, func(int) []MemberLoad { return three(0) }); n == 0 || n > movesAtOnce {
 		t.Errorf("%d moves at once for one that has come", n)
 	}
-	play(b, s, 60, func(int) []Seen { return three(0) })
+	play(b, s, 60, func(int) []MemberLoad { return three(0) })
 	if n := kept(s, 12); n < 9 || n > 12 {
 		t.Fatalf("%d of %d shares for one of three", n, len(s.List))
 	}
-	if n := play(b, s, 300, func(int) []Seen { return three(0) }); n != 0 {
+	if n := play(b, s, 300, func(int) []MemberLoad { return three(0) }); n != 0 {
 		t.Errorf("%d moves though nothing changes", n)
 	}
 	b = &Balancer{}
-	if n := play(b, s, 4, func(int) []Seen { return three(time.Second) }); n != 0 {
+	if n := play(b, s, 4, func(int) []MemberLoad { return three(time.Second) }); n != 0 {
 		t.Errorf("%d moves for a moment of slowness", n)
 	}
 	b = &Balancer{}
-	play(b, s, 120, func(int) []Seen { return three(time.Second) })
+	play(b, s, 120, func(int) []MemberLoad { return three(time.Second) })
 	slow := kept(s, 12)
 	if slow < 2 || slow > 6 {
 		t.Errorf("the slow one keeps %d", slow)
@@ -186,11 +186,11 @@
 		p.slower, p.faster = 0, 0
 		b.paces[id] = p
 	}
-	play(b, s, 300, func(int) []Seen { return three(0) })
+	play(b, s, 300, func(int) []MemberLoad { return three(0) })
 	if n := kept(s, 12); n < 9 {
 		t.Errorf("%d after it was fast again", n)
 	}
-	all := func(int) []Seen {
+	all := func(int) []MemberLoad {
 		seen := three(time.Second)
 		seen[0].Late, seen[1].Late = time.Second, time.Second
 		return seen
@@ -198,7 +198,7 @@
 	if n := play(&Balancer{}, s, 100, all); n != 0 {
 		t.Errorf("%d moves though all are as late", n)
 	}
-	play(&Balancer{}, s, 2, func(int) []Seen {
+	play(&Balancer{}, s, 2, func(int) []MemberLoad {
 		seen := three(0)
 		seen[1].Leaving = true
 		return seen
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -23,87 +23,87 @@
 	slowMemory = time.Minute
 	// slowDelay is what reports of starts and ends may differ by in their delay.
 	slowDelay = 2 * time.Second
-	// slowShare: no more than one in so many machines is given up at a time.
+	// slowTaskFraction: no more than one in so many machines is given up at a time.
 	// Where more seem slow, something else is.
-	slowShare = 10
+	slowTaskFraction = 10
 	// slowChecks bounds the tasks looked at in one step.
 	slowChecks = 500
 )
 
-// overdue is a running task to be looked at, if it still runs then.
-type overdue struct {
+// runWatch is a running task to be looked at, if it still runs then.
+type runDeadline struct {
 	at Time
-	t  *placedTask
+	t  *attempt
 }
 
-type overdues []overdue
+type runDeadlines []runDeadline
 
-func (h overdues) Len() int { return len(h) }
-func (h overdues) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].t.attempt, h[j].t.attempt)) < 0
+func (h runDeadlines) Len() int { return len(h) }
+func (h runDeadlines) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].t.number, h[j].t.number)) < 0
 }
-func (h overdues) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h runDeadlines) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push is part of heap.Interface.
-func (h *overdues) Push(x any) { *h = append(*h, x.(overdue)) }
+func (h *runDeadlines) Push(x any) { *h = append(*h, x.(runDeadline)) }
 
 // Pop is part of heap.Interface.
-func (h *overdues) Pop() any {
+func (h *runDeadlines) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// tooLong is how long a task may run whose like take a time.
-func tooLong(usualS float64) Time {
+// lateThreshold is how long a task may run whose like take a time.
+func lateThreshold(usualS float64) Time {
 	return Time(slowFactor*usualS*float64(time.Second)) + Time(slowDelay)
 }
 
 // watchRun has a task that runs looked at when it should be done.
-func (c *Core) watchRun(o *ownedJob, t *placedTask) {
-	if o.Kind == protocol.KindArray {
-		heap.Push(&c.owner.overdue, overdue{t.runs + tooLong(c.estimateOf(o)), t})
+func (c *Core) watchRun(o *ownedJob, t *attempt) {
+	if o.Kind == protocol.KindJobArray {
+		heap.Push(&c.owner.runWatch, runDeadline{t.runningSince + lateThreshold(c.estimateOf(o)), t})
 	}
 }
 
 // watchSlow looks at the tasks that run longer than the others of their job,
 // and gives up the machines of which several do.
 func (c *Core) watchSlow() {
-	h := &c.owner.overdue
+	h := &c.owner.runWatch
 	for range slowChecks {
 		if len(*h) == 0 || (*h)[0].at > c.Now {
 			return
 		}
-		t := heap.Pop(h).(overdue).t
+		t := heap.Pop(h).(runDeadline).t
 		o := c.owner.jobs[t.task.Job]
 		m := c.machines[t.machine]
 		if o == nil || o.placed[t.task] != t || !t.running || t.stopping || m == nil || m.Epoch != t.epoch {
 			continue
 		}
 		usual, ok := o.usual()
-		switch late := t.runs + tooLong(usual); {
-		case !ok || c.owner.pending[m.ID] || !c.recent(m, 3*c.Op.RelayEvery) || m.reported.Silence != message.SilenceNone:
-			heap.Push(h, overdue{c.After(5 * time.Second), t}) // nothing can be said yet
+		switch late := t.runningSince + lateThreshold(usual); {
+		case !ok || c.owner.awaitedInventories[m.ID] || !c.recent(m, 3*c.Op.RelayEvery) || m.reported.Silence != message.SilenceNone:
+			heap.Push(h, runDeadline{c.After(5 * time.Second), t}) // nothing can be said yet
 		case late > c.Now:
-			heap.Push(h, overdue{late, t})
+			heap.Push(h, runDeadline{late, t})
 		default:
 			// One that goes on for far too long speaks for itself: it counts
 			// once more then.
-			if again := t.runs + tooLong(slowFactor*usual); again > c.Now {
-				heap.Push(h, overdue{again, t})
+			if again := t.runningSince + lateThreshold(slowFactor*usual); again > c.Now {
+				heap.Push(h, runDeadline{again, t})
 			}
-			c.runsLate(m)
+			c.countLateRun(m)
 		}
 	}
 }
 
-// runsLate counts a task that runs too long against its machine.
-func (c *Core) runsLate(m *machineEntry) {
-	if c.Since(m.lateAt) > slowMemory {
-		m.late = 0
+// countLateRun counts a task that runs too long against its machine.
+func (c *Core) countLateRun(m *machineEntry) {
+	if c.Since(m.lastLateRun) > slowMemory {
+		m.lateRuns = 0
 	}
-	m.late, m.lateAt = m.late+1, c.Now
-	if m.late < slowTasks || m.reported.Draining {
+	m.lateRuns, m.lastLateRun = m.lateRuns+1, c.Now
+	if m.lateRuns < slowTasks || m.reported.Draining {
 		return
 	}
 	draining := 0
@@ -112,24 +112,24 @@
 			draining++
 		}
 	}
-	if draining*slowShare > len(c.machines) {
+	if draining*slowTaskFraction > len(c.machines) {
 		return
 	}
-	m.reported.Draining = true // at once, though its keeper has not said so yet
+	m.reported.Draining = true // reportedAt once, though its keeper has not said so yet
 	c.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
-	c.Send(c.Keeper(m.ID), message.PeerMessage{Drain: &m.ID})
-	for _, t := range ordered.Tasks(m.mine) {
-		if o := c.owner.jobs[t.task.Job]; o != nil && o.Kind == protocol.KindArray && o.CheckpointS > 0 {
-			c.askStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
+	c.Send(c.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
+	for _, t := range ordered.Tasks(m.ownAttempts) {
+		if o := c.owner.jobs[t.task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
+			c.sendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
 		}
 	}
 }
 
-// runsWell takes back what was held against a machine.
-func (c *Core) runsWell(o *ownedJob, t *placedTask) {
+// clearLateRuns takes back what was held against a machine.
+func (c *Core) clearLateRuns(o *ownedJob, t *attempt) {
 	if m := c.machines[t.machine]; m != nil && t.running {
-		if usual, ok := o.usual(); ok && !t.midway && c.Since(t.runs).Seconds() < usual {
-			m.late = 0
+		if usual, ok := o.usual(); ok && !t.startUnseen && c.Since(t.runningSince).Seconds() < usual {
+			m.lateRuns = 0
 		}
 	}
 }
--- a/internal/controller/slow_test.go
+++ b/internal/controller/slow_test.go
@@ -33,8 +33,8 @@
 	} {
 		b := newBench(t, "node-1")
 		b.zoned("a", 20, false, resource.Uses{})
-		o := b.c.own(&clusterstate.LiveJob{Job: protocol.Job{
-			ID: "job-1", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 10, CheckpointS: 5, SaveS: 1,
+		o := b.c.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
+			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 10, CheckpointS: 5, SaveS: 1,
 		}})
 		o.loaded = true
 		ref := func(i int) message.TaskRef {
@@ -46,19 +46,19 @@
 		}
 		for i := range 12 {
 			r := ref(i)
-			p := b.c.put(o, uint32(i), b.c.machines[r.Machine], 1)
-			b.c.event(message.TaskEvent{TaskRef: message.TaskRef{Task: p.Task, Attempt: p.Attempt, Machine: p.Machine}, What: message.WhatRunning})
+			p := b.c.placeAttempt(o, uint32(i), b.c.machines[r.Machine], 1)
+			b.c.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: p.Task, Attempt: p.Attempt, Machine: p.Machine}, What: message.EventRunning})
 		}
 		b.c.Now += Time(tc.elsewhere)
 		for i := tc.slow; i < 12; i++ {
-			b.c.event(message.TaskEvent{TaskRef: ref(i), What: message.WhatEnded, Cause: protocol.EndDone})
+			b.c.taskEvent(message.TaskEvent{TaskRef: ref(i), What: message.EventEnded, Cause: protocol.EndDone})
 		}
 		b.c.Actions, b.c.Local = nil, nil
 		for range 2 {
 			b.c.Now += Time(tc.goesOn / 2)
 			for i, m := range b.c.machinesInOrder() {
-				if m.by = b.c.peers[b.c.Keeper(m.ID)]; tc.heard {
-					m.by.reports.at = b.c.Now
+				if m.reportedBy = b.c.peers[b.c.DispatcherOf(m.ID)]; tc.heard {
+					m.reportedBy.updates.at = b.c.Now
 				}
 				m.reported.Draining = i > 0 && i <= tc.draining
 			}
--- a/internal/controller/spot.go
+++ b/internal/controller/spot.go
@@ -11,8 +11,8 @@
 // than this part.
 const mostStretch = 0.1
 
-// noteLoss counts a machine whose record went as taken, if it looks so.
-func (c *Core) noteLoss(m *machineEntry) {
+// recordSpotLoss counts a machine whose record went as taken, if it looks so.
+func (c *Core) recordSpotLoss(m *machineEntry) {
 	if m.Record.Spot && !m.reported.Draining && (m.reported.Noticed || m.reported.Silence == message.SilenceLong) {
 		c.spots.Lost()
 	}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -16,8 +16,8 @@
 )
 
 // inventory plays the proof of all that is on a machine.
-func (b *bench) inventory(id protocol.MachineID, held ...message.Held) {
-	b.c.inventory(clusterstate.MachineKeeper(b.c.View, id), &message.Inventory{
+func (b *bench) inventory(id protocol.MachineID, held ...message.HeldAttempt) {
+	b.c.inventory(clusterstate.RendezvousDispatcher(b.c.View, id), &message.Inventory{
 		Term: b.c.View.Term, Machine: id, Epoch: b.c.machines[id].Epoch, Upto: 1 << 40, Held: held,
 	})
 }
@@ -33,22 +33,22 @@
 	task := protocol.TaskID{Job: "job-1"}
 	b.view(3, "node-0") // a view was missed: nothing known before counts
 	o := b.c.owner.jobs["job-1"]
-	if !o.unknown || o.pending.Any() || len(o.placed) > 0 {
+	if !o.unverified || o.pending.Any() || len(o.placed) > 0 {
 		t.Fatalf("after a missed view: %+v", o)
 	}
-	b.step(message.JobLoaded{Job: "job-1", OK: true})
-	b.inventory("vm-1", message.Held{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndError})
+	b.step(message.BitmapLoaded{Job: "job-1", OK: true})
+	b.inventory("vm-1", message.HeldAttempt{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndError})
 	if o.pending.Any() {
 		t.Fatal("placeable while vm-2 may run a later attempt")
 	}
-	b.inventory("vm-2", message.Held{Task: task, Attempt: 2, State: protocol.TaskRunning})
-	if o.pending.Any() || o.placed[task] == nil || o.placed[task].attempt != 2 {
+	b.inventory("vm-2", message.HeldAttempt{Task: task, Attempt: 2, State: protocol.TaskRunning})
+	if o.pending.Any() || o.placed[task] == nil || o.placed[task].number != 2 {
 		t.Fatal("the attempt that runs was not kept")
 	}
 }
 
 // TestChangedKeeperMakesUncertain: what was placed through a controller that is
-// gone is uncertain until its machine's new keeper has an inventory.
+// attemptLost is uncertain until its machine's new keeper has an inventory.
 func TestChangedKeeperMakesUncertain(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-1")
@@ -64,11 +64,11 @@
 		t.Fatalf("not placed: %+v", o)
 	}
 	b.view(2, "node-0")
-	if p := o.placed[task]; p == nil || !p.uncertain {
+	if p := o.placed[task]; p == nil || !p.unverified {
 		t.Fatalf("not uncertain: %+v", p)
 	}
 	b.inventory(id)
-	if o.placed[task] != nil && o.placed[task].attempt>>32 != 2 {
+	if o.placed[task] != nil && o.placed[task].number>>32 != 2 {
 		t.Error("not placed anew after the inventory without it")
 	}
 }
@@ -88,7 +88,7 @@
 		}
 	}
 	placed(8, "before the machine is heard")
-	running := protocol.TaskReport{Task: protocol.TaskID{Job: "job-0"}, Attempt: 1, State: protocol.TaskRunning}
+	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-0"}, Attempt: 1, State: protocol.TaskRunning}
 	b.report("vm-1", 1, 3, running)
 	placed(8, "while an attempt of a job that is over runs")
 	running.State, running.Cause = protocol.TaskEnded, protocol.EndStopped
@@ -126,7 +126,7 @@
 	if pass(3 * lease) {
 		t.Fatal("taken for dead while node-1 may answer by an earlier term")
 	}
-	b.step(message.Received{Batch: message.Batch{From: "node-1", FromSession: 101, ToSession: 100, Term: 1}})
+	b.step(message.BatchReceived{Batch: message.Batch{From: "node-1", FromSession: 101, ToSession: 100, Term: 1}})
 	if pass(lease) {
 		t.Fatal("taken for dead before its lease is over")
 	}
@@ -153,14 +153,14 @@
 // TestInventoryOfAQueueKept: who kept a queue without a break since the worker
 // saw a term of that knows all that may be on the machine, and says so at once
 // in a new term. After a missed term, or where the worker has begun a new
-// session, only its next report tells.
+// runSession, only its next report tells.
 func TestInventoryOfAQueueKept(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-0")
 	b.ready(id)
 	awaited := func(want bool, when string) {
 		t.Helper()
-		if b.c.owner.pending[id] != want {
+		if b.c.owner.awaitedInventories[id] != want {
 			t.Errorf("inventory awaited %v %s, want %v", !want, when, want)
 		}
 	}
@@ -171,7 +171,7 @@
 	awaited(true, "after a missed term")
 	b.report(id, 1, 4)
 	awaited(false, "after a report")
-	b.report(id, 2, 3) // of a worker that has not seen the term
+	b.report(id, 2, 3) // reservation a worker that has not seen the term
 	b.machine(id, 2)
 	b.view(5, "node-0")
 	awaited(true, "in a new session")
@@ -190,19 +190,19 @@
 			team = protocol.Team("bound" + string(rune('a'+i)))
 		}
 		b.c.Settings.Site.Teams = []config.Team{{Name: team, MaxCPUs: 4}}
-		b.c.Configured.Reset() // read anew
+		b.c.Configuration.Reset() // read anew
 		b.machine(id, 1)
 		for i := range 2 { // the first is over before the second is placed
 			job := protocol.JobID("job-" + string(rune('1'+i)))
 			b.job(job, team, 4)
 			if i == 0 {
-				b.step(message.Changed{Event: protocol.Event{Delete: record.LiveKey(job), Version: 90}})
-				clear(b.c.owner.leaving)
+				b.step(message.RecordChanged{Event: protocol.Event{Delete: record.LiveKey(job), Version: 90}})
+				clear(b.c.owner.endedAttempts)
 				b.step(message.Tick{})
 			}
 		}
 		end := func() {
-			b.step(message.Changed{Event: protocol.Event{Delete: record.LiveKey("job-2"), Version: 91}})
+			b.step(message.RecordChanged{Event: protocol.Event{Delete: record.LiveKey("job-2"), Version: 91}})
 		}
 		if over == "before the view" {
 			end()
@@ -212,11 +212,11 @@
 		if over == "after it" {
 			end()
 		}
-		if len(b.c.owner.leaving) != 4 {
-			t.Fatalf("over %s: %d attempts count", over, len(b.c.owner.leaving))
+		if len(b.c.owner.endedAttempts) != 4 {
+			t.Fatalf("over %s: %d attempts count", over, len(b.c.owner.endedAttempts))
 		}
 		b.c.inventory("node-1", &message.Inventory{Term: 2, Machine: id, Epoch: b.c.machines[id].Epoch})
-		if n := len(b.c.owner.leaving); n > 0 {
+		if n := len(b.c.owner.endedAttempts); n > 0 {
 			t.Errorf("over %s: %d attempts count for ever", over, n)
 		}
 	}
@@ -229,7 +229,7 @@
 		team = protocol.Team("bound" + string(rune('a'+i)))
 	}
 	b.c.Settings.Site.Teams = []config.Team{{Name: team, MaxCPUs: cpus}}
-	b.c.Configured.Reset() // read anew
+	b.c.Configuration.Reset() // read anew
 	return team
 }
 
@@ -245,21 +245,21 @@
 			team := b.limited(4)
 			b.machine(id, 1)
 			b.job("job-1", team, 4)
-			b.step(message.Changed{Event: protocol.Event{Delete: record.LiveKey("job-1"), Version: 90}})
+			b.step(message.RecordChanged{Event: protocol.Event{Delete: record.LiveKey("job-1"), Version: 90}})
 			if takenOver {
-				clear(b.c.owner.leaving)
-				b.c.owner.unsure[team], b.c.owner.pending[id] = true, true
+				clear(b.c.owner.endedAttempts)
+				b.c.owner.unverifiedTeams[team], b.c.owner.awaitedInventories[id] = true, true
 			}
-			var held []message.Held
+			var held []message.HeldAttempt
 			for i := range uint32(4) {
-				held = append(held, message.Held{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: protocol.Attempt(i + 1), State: state, Team: team, Need: resource.Amount{CPUs: 1}})
+				held = append(held, message.HeldAttempt{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: protocol.Attempt(i + 1), State: state, Team: team, Need: resource.Amount{CPUs: 1}})
 			}
 			b.c.inventory("node-1", &message.Inventory{Term: 1, Machine: id, Epoch: b.c.machines[id].Epoch, Upto: 99, Held: held})
 			if used := b.c.teamUsage()[team].CPUs; used != 4 {
 				t.Errorf("taken over %v, %q: %v processors count, want 4", takenOver, state, used)
 			}
 			for _, h := range held {
-				b.c.event(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: id}, What: message.WhatEnded, Cause: protocol.EndStopped})
+				b.c.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: id}, What: message.EventEnded, Cause: protocol.EndStopped})
 			}
 			if used := b.c.teamUsage()[team].CPUs; used != 0 {
 				t.Errorf("taken over %v, %q: %v processors count for ever", takenOver, state, used)
@@ -276,7 +276,7 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 3)
-	key := record.BitsKey("job-1", 0)
+	key := record.BitmapChunkKey("job-1", 0)
 	type write struct {
 		commit  *message.Commit
 		version protocol.Version
@@ -286,22 +286,22 @@
 			for _, a := range b.step(message.Tick{}) {
 				switch a := a.(type) {
 				case message.Commit:
-					if _, is := a.Tag.(bitsTag); !is {
+					if _, is := a.Tag.(bitmapTag); !is {
 						continue
 					}
 					w = write{commit: &a}
-					for _, cond := range a.Txn.If {
+					for _, cond := range a.Txn.Conditions {
 						if cond.Key == key {
 							w.version = cond.Version
 						}
 					}
-					if !slices.ContainsFunc(a.Txn.If, func(c protocol.Condition) bool { return c.Key == key }) {
+					if !slices.ContainsFunc(a.Txn.Conditions, func(c protocol.Condition) bool { return c.Key == key }) {
 						t.Fatal("written on any version")
 					}
 					return w, reads
-				case message.LoadBits:
+				case message.LoadBitmap:
 					reads = true
-					b.step(message.JobLoaded{Job: "job-1", OK: true, Chunks: []protocol.Item{{Key: key, Version: 77, Value: encoded(t, record.EncodeChunk(b.c.owner.jobs["job-1"].done, 0))}}})
+					b.step(message.BitmapLoaded{Job: "job-1", OK: true, Chunks: []protocol.Item{{Key: key, Version: 77, Value: encoded(t, record.EncodeChunk(b.c.owner.jobs["job-1"].done, 0))}}})
 				}
 			}
 		}
@@ -310,20 +310,20 @@
 	}
 	end := func(i uint32) {
 		b.step(message.Tick{})
-		b.c.event(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Machine: "vm-1"}, What: message.WhatEnded, Cause: protocol.EndDone})
+		b.c.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 	}
 	end(0)
 	first, _ := next()
 	if first.version != 0 {
 		t.Errorf("the first on version %d", first.version)
 	}
-	b.step(message.TxnDone{Tag: first.commit.Tag, Outcome: message.OutcomeDone, Revision: 55})
+	b.step(message.CommitDone{Tag: first.commit.Tag, Outcome: message.OutcomeDone, Revision: 55})
 	end(1)
 	second, reads := next()
 	if second.version != 55 || reads {
 		t.Errorf("the second on version %d, read again %v", second.version, reads)
 	}
-	b.step(message.TxnDone{Tag: second.commit.Tag, Outcome: message.OutcomeUnknown})
+	b.step(message.CommitDone{Tag: second.commit.Tag, Outcome: message.OutcomeUnknown})
 	if third, reads := next(); third.version != 77 || !reads {
 		t.Errorf("after no answer on version %d, read again %v", third.version, reads)
 	}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -17,25 +17,25 @@
 	wasMember := c.Member()
 	c.members.Adopt(v, version)
 	c.registrar.Adopted()
-	c.keeping.Settled()
+	c.dispatcher.TermAdopted()
 	c.adoptPeers(v)
-	c.keeping.ForgetOwners(old)
+	c.dispatcher.ForgetOwners(old)
 	if !c.Member() {
 		c.owner = newOwnerState()
-		c.keeping.Drop()
+		c.dispatcher.DropAll()
 		c.Log.Info("not in the view", "term", v.Term)
 		return
 	}
 	c.Log.Info("new term", "term", v.Term, "members", len(v.Members))
 	keeps := consecutive && wasMember
-	c.keeping.Adopt(old, keeps)
+	c.dispatcher.Adopt(old, keeps)
 	c.adoptJobs(old, keeps)
-	c.beginRelays()
-	c.keeping.BeginInventories()
+	c.beginUpdates()
+	c.dispatcher.BeginInventories()
 	if !wasMember {
 		c.askTables()
 	}
-	c.fleet.adopted(c.Now)
+	c.autoscaler.adopted(c.Now)
 }
 
 func (c *Core) adoptPeers(v record.View) {
@@ -44,14 +44,14 @@
 		replaced[name] = v.Members[name] != p.session
 	}
 	for name, p := range c.peers {
-		c.dropComing(name, p, replaced)
+		c.dropPendingWaits(name, p, replaced)
 		if replaced[name] {
 			delete(c.peers, name)
 		}
 	}
 	for name, session := range v.Members {
 		if c.peers[name] == nil {
-			c.peers[name] = &peer{session: session, progress: map[protocol.JobID]message.Progress{}, reports: newPeerReports()}
+			c.peers[name] = &peer{session: session, progress: map[protocol.JobID]message.Progress{}, updates: newPeerUpdates()}
 		}
 	}
 }
@@ -60,33 +60,33 @@
 func (c *Core) message(from protocol.NodeName, m message.PeerMessage) {
 	switch {
 	case m.Place != nil:
-		c.keeping.Place(from, m.Place)
+		c.dispatcher.Place(from, m.Place)
 	case m.Stop != nil:
-		c.keeping.Stop(*m.Stop)
+		c.dispatcher.Stop(*m.Stop)
 	case m.Event != nil:
-		c.event(*m.Event)
+		c.taskEvent(*m.Event)
 	case m.Released != nil:
 		for _, ref := range m.Released {
-			c.event(message.TaskEvent{TaskRef: ref, What: message.WhatReleased})
+			c.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
 		}
 	case m.Forget != nil:
-		c.keeping.Forget(*m.Forget)
+		c.dispatcher.Forget(*m.Forget)
 	case m.Inventory != nil:
 		c.inventory(from, m.Inventory)
 	case m.Added != nil:
 		c.addWaits(from, m.Added)
 	case m.Relay != nil:
-		c.relayed(from, m.Relay)
+		c.stateUpdated(from, m.Relay)
 	case m.Drain != nil:
-		c.keeping.Drain(*m.Drain)
+		c.dispatcher.Drain(*m.Drain)
 	case m.Record != nil:
-		c.registrar.Wanted(from, *m.Record)
+		c.registrar.RequestChange(from, *m.Record)
 	case m.Done != nil:
-		c.doneBefore(m.Done)
+		c.completedBefore(m.Done)
 	case m.Move != nil:
-		c.keeping.Move(m.Move)
+		c.dispatcher.HandOver(m.Move)
 	case m.Hand != nil:
-		c.keeping.Hand(m.Hand)
+		c.dispatcher.ReceiveHandover(m.Hand)
 	case m.AskTable:
 		c.sendTable(from)
 	case m.Table != nil:
@@ -96,10 +96,10 @@
 
 // adoptShares takes over a new record of the shares. Owners are sure of nothing that
 // was placed through a share's holder before; nobody else notices.
-func (c *Core) adoptShares(s *record.Shares, version protocol.Version) {
-	old := c.Shares
-	was := c.Sharing()
-	c.members.AdoptShares(s, version)
+func (c *Core) adoptShares(s *record.ShardTable, version protocol.Version) {
+	old := c.Shards
+	was := c.Sharded()
+	c.members.AdoptShards(s, version)
 	if !was || !c.Member() {
 		return // with the view that names the shares
 	}
@@ -110,7 +110,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		c.sharesMoved(changed)
+		c.shardsMoved(changed)
 	}
-	c.keeping.AdoptShares(old)
+	c.dispatcher.AdoptShards(old)
 }
--- a/internal/controller/waits.go
+++ b/internal/controller/waits.go
@@ -7,48 +7,48 @@
 	"damsonkeel/internal/protocol"
 )
 
-// comingWait is a placement, or what placing has added to a machine at once, that
+// pendingWait is a placement, or what placing has added to a machine at once, that
 // has been announced and that the machine's keeper has not counted yet.
-type comingWait struct {
+type pendingWait struct {
 	owner  protocol.NodeName // that placed it
-	number uint64            // of the owner's Place to the keeper that carries it
+	number uint64            // reservation the owner's Place to the keeper that carries it
 	add    float64           // processor seconds
 	level  resource.Level
 	taken  resource.Amount
 }
 
-// expect counts an announced placement until its keeper's word includes it.
-func (c *Core) expect(m *machineEntry, w comingWait) {
-	p := c.peers[c.Keeper(m.ID)]
+// addPendingWait counts an announced placement until its keeper's word includes it.
+func (c *Core) addPendingWait(m *machineEntry, w pendingWait) {
+	p := c.peers[c.DispatcherOf(m.ID)]
 	if p == nil {
 		return
 	}
-	m.coming = append(m.coming, w)
-	m.extra += w.add
-	m.taken.Add(w.level, w.taken)
-	p.reports.waits[m] = true
+	m.pendingWaits = append(m.pendingWaits, w)
+	m.pendingSum += w.add
+	m.pendingUses.Add(w.level, w.taken)
+	p.updates.waits[m] = true
 }
 
-// reckon sums what is announced anew: nothing is subtracted, so that nothing
+// recomputeWait sums what is announced anew: nothing is subtracted, so that nothing
 // adds up.
-func (m *machineEntry) reckon() {
-	m.extra, m.taken = 0, resource.Uses{}
-	for _, w := range m.coming {
-		m.extra += w.add
-		m.taken.Add(w.level, w.taken)
+func (m *machineEntry) recomputeWait() {
+	m.pendingSum, m.pendingUses = 0, resource.Uses{}
+	for _, w := range m.pendingWaits {
+		m.pendingSum += w.add
+		m.pendingUses.Add(w.level, w.taken)
 	}
 }
 
-// takeBack undoes the last n placements that this controller has just announced
+// dropPendingWaits undoes the last n placements that this controller has just announced
 // to nobody.
-func (m *machineEntry) takeBack(n int) {
-	m.coming = m.coming[:max(0, len(m.coming)-n)]
-	m.reckon()
+func (m *machineEntry) dropPendingWaits(n int) {
+	m.pendingWaits = m.pendingWaits[:max(0, len(m.pendingWaits)-n)]
+	m.recomputeWait()
 }
 
 // addWaits takes another controller's placements into the table, unless it
 // holds their keeper's word on them already: messages of two peers may cross.
-func (c *Core) addWaits(from protocol.NodeName, a *message.Added) {
+func (c *Core) addWaits(from protocol.NodeName, a *message.WaitsAdded) {
 	if a.Term != c.View.Term {
 		return // its keeper refuses them, or has told of them in this term
 	}
@@ -57,9 +57,9 @@
 		if m == nil {
 			continue
 		}
-		keeper := c.Keeper(m.ID)
+		keeper := c.DispatcherOf(m.ID)
 		n := a.Numbers[keeper]
-		if p := c.peers[keeper]; p == nil || n <= p.reports.handled[from] {
+		if p := c.peers[keeper]; p == nil || n <= p.updates.handled[from] {
 			continue
 		}
 		for i, u := range w.Taken {
@@ -67,7 +67,7 @@
 			if i == 0 {
 				add = w.Add
 			}
-			c.expect(m, comingWait{from, n, add, resource.Level(u.Level), resource.Amount{CPUs: u.CPUs, GPUs: u.GPUs, GB: u.GB}})
+			c.addPendingWait(m, pendingWait{from, n, add, resource.Level(u.Level), resource.Amount{CPUs: u.CPUs, GPUs: u.GPUs, GB: u.GB}})
 		}
 	}
 }
@@ -83,10 +83,10 @@
 	if len(added) == 0 {
 		return
 	}
-	a := &message.Added{Term: c.View.Term, Numbers: map[protocol.NodeName]uint64{}}
+	a := &message.WaitsAdded{Term: c.View.Term, Numbers: map[protocol.NodeName]uint64{}}
 	for id, w := range ordered.Of(added) {
-		a.Waits = append(a.Waits, message.Wait{Machine: id, Add: w.add, Taken: message.UsesIn(&w.taken)})
-		keeper := c.Keeper(id)
+		a.Waits = append(a.Waits, message.WaitChange{Machine: id, Add: w.add, Taken: message.LevelUses(&w.taken)})
+		keeper := c.DispatcherOf(id)
 		if p := c.peers[keeper]; p != nil {
 			a.Numbers[keeper] = p.placed
 		}
@@ -107,14 +107,14 @@
 	usage := c.teamUsage()
 	var ds []message.Demand
 	for _, o := range c.jobsInOrder() {
-		if !o.loaded || o.unknown || o.notBefore > c.Now {
+		if !o.loaded || o.unverified || o.notBefore > c.Now {
 			continue
 		}
 		n := c.mayStart(o, usage, min(o.mayTry(int(o.pending.Count())), demandMost))
-		c.use(o, usage, n)
-		n += o.waits
+		c.addUse(o, usage, n)
+		n += o.waiting
 		if n > 0 {
-			ds = append(ds, message.Demand{Job: o.ID, Zone: o.boundTo(), Unstarted: n, Level: int(o.level), EstimateS: c.estimateOf(o), OldestS: c.Since(o.since).Seconds()})
+			ds = append(ds, message.Demand{Job: o.ID, Zone: o.boundZone(), Unstarted: n, Level: int(o.level), EstimateS: c.estimateOf(o), OldestS: c.Since(o.since).Seconds()})
 		}
 	}
 	return ds
@@ -130,34 +130,34 @@
 // askTables has a restarted controller look for a table: it asks two peers, at
 // random, and two more after each wait in vain.
 func (c *Core) askTables() {
-	c.copy = tableCopy{}
+	c.tableCopy = tableCopy{}
 	for name := range ordered.Of(c.peers) {
 		if name != c.Self {
-			c.copy.left = append(c.copy.left, name)
+			c.tableCopy.left = append(c.tableCopy.left, name)
 		}
 	}
-	l := c.copy.left
+	l := c.tableCopy.left
 	c.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
 	c.askMoreTables()
 }
 
 func (c *Core) askMoreTables() {
-	if c.copy.got || len(c.copy.left) == 0 || c.copy.asked != 0 && c.Since(c.copy.asked) < c.Op.CopyWait {
+	if c.tableCopy.got || len(c.tableCopy.left) == 0 || c.tableCopy.asked != 0 && c.Since(c.tableCopy.asked) < c.Op.CopyWait {
 		return
 	}
-	n := min(2, len(c.copy.left))
-	for _, name := range c.copy.left[:n] {
+	n := min(2, len(c.tableCopy.left))
+	for _, name := range c.tableCopy.left[:n] {
 		c.Send(name, message.PeerMessage{AskTable: true})
 	}
-	c.copy.left, c.copy.asked = c.copy.left[n:], c.Now
+	c.tableCopy.left, c.tableCopy.asked = c.tableCopy.left[n:], c.Now
 }
 
 // sendTable answers a restarted controller, if this table is filled.
 func (c *Core) sendTable(to protocol.NodeName) {
-	var ws []message.Wait
+	var ws []message.WaitChange
 	for id, m := range ordered.Of(c.machines) {
 		if m.reported.Epoch == m.Epoch {
-			ws = append(ws, message.Wait{Machine: id, Add: m.wait()})
+			ws = append(ws, message.WaitChange{Machine: id, Add: m.wait()})
 		}
 	}
 	if len(ws) > 0 {
@@ -167,14 +167,14 @@
 
 // fillTable takes the first table that comes; what keepers say of their
 // machines replaces it.
-func (c *Core) fillTable(ws []message.Wait) {
-	if c.copy.got {
+func (c *Core) fillTable(ws []message.WaitChange) {
+	if c.tableCopy.got {
 		return
 	}
-	c.copy.got = true
+	c.tableCopy.got = true
 	for _, w := range ws {
 		if m := c.machines[w.Machine]; m != nil && m.reported.Epoch == 0 {
-			m.copied = w.Add
+			m.copiedWait = w.Add
 		}
 	}
 }
--- a/internal/controller/workerregistry/workerregistry.go
+++ b/internal/controller/workerregistry/workerregistry.go
@@ -1,5 +1,5 @@
 // Package workerregistry keeps the records of machines: several in one block, written
-// by one member at a time (docs/machine-records.md).
+// reportedBy one member at a time (docs/machine-records.md).
 package workerregistry
 
 import (
@@ -18,48 +18,48 @@
 // controller is the one member that writes them in a term, what it has to write.
 // Only one does, so that no machine is ever in two blocks.
 type Registrar struct {
-	clusterstate.Part
-	shelf *recordblock.Shelf
-	pen
+	clusterstate.Module
+	blocks *recordblock.Index
+	writeState
 }
 
 // New knows no records yet.
-func New(p clusterstate.Part) *Registrar {
-	g := &Registrar{Part: p}
+func New(p clusterstate.Module) *Registrar {
+	g := &Registrar{Module: p}
 	g.Reset()
 	return g
 }
 
 // Reset forgets everything a session knew.
-func (g *Registrar) Reset() { g.shelf, g.pen = recordblock.NewShelf(), newPen() }
+func (g *Registrar) Reset() { g.blocks, g.writeState = recordblock.NewIndex(), newWriteState() }
 
 // Adopted forgets what was to be written in the term before.
-func (g *Registrar) Adopted() { g.pen = newPen() }
+func (g *Registrar) Adopted() { g.writeState = newWriteState() }
 
 // InBlock reports whether a machine's record is in a block.
 func (g *Registrar) InBlock(id protocol.MachineID) bool {
-	_, in := g.shelf.Where(id)
+	_, in := g.blocks.BlockOf(id)
 	return in
 }
 
 // Blocks is how many blocks there are.
-func (g *Registrar) Blocks() int { return g.shelf.Len() }
+func (g *Registrar) Blocks() int { return g.blocks.Len() }
 
-// pen is what is to be written in a term.
-type pen struct {
+// writes is what is to be written in a term.
+type writeState struct {
 	asked   map[protocol.MachineID]message.RecordChange
 	busy    bool                  // a transaction is under way
 	writing map[string]clock.Time // blocks written whose change has not been seen yet, and when
 	// bound are the blocks that were to take machines that are in none. Such a
 	// write may be without an answer and executed late, so they go nowhere else:
-	// of two writes of the same block, on the same version, one at most happens.
+	// reservation two writes of the same block, on the same version, one at most happens.
 	bound   map[protocol.MachineID]string
 	stamps  uint64
 	retryAt clock.Time
 }
 
-func newPen() pen {
-	return pen{asked: map[protocol.MachineID]message.RecordChange{}, writing: map[string]clock.Time{}, bound: map[protocol.MachineID]string{}}
+func newWriteState() writeState {
+	return writeState{asked: map[protocol.MachineID]message.RecordChange{}, writing: map[string]clock.Time{}, bound: map[protocol.MachineID]string{}}
 }
 
 // Tag marks the transaction that writes blocks.
@@ -76,12 +76,12 @@
 	penPause   = 300 * time.Millisecond
 )
 
-// Wanted takes note of what a keeper asks for. What was asked for before
+// RequestChange takes note of what a keeper asks for. What was asked for before
 // for the same machine is out of date.
-func (g *Registrar) Wanted(from protocol.NodeName, r message.RecordChange) {
+func (g *Registrar) RequestChange(from protocol.NodeName, r message.RecordChange) {
 	r.From = from
-	if r.Term == g.View.Term && g.InBlocks() && g.Registrar() == g.Self {
-		g.pen.asked[r.Machine] = r
+	if r.Term == g.View.Term && g.UsesBlocks() && g.Registrar() == g.Self {
+		g.writeState.asked[r.Machine] = r
 	}
 }
 
@@ -90,16 +90,16 @@
 // machine: who reads the records after a new view misses none, and a registrar
 // that others have replaced writes nothing.
 func (g *Registrar) Write() {
-	p := &g.pen
-	if len(p.asked) == 0 || p.busy || g.Now < p.retryAt || !g.Acting() {
+	p := &g.writeState
+	if len(p.asked) == 0 || p.busy || g.Now < p.retryAt || !g.HoldsLease() {
 		return
 	}
 	limits := recordblock.LimitsOf(g.Settings.Site.State.ValueKB, g.Settings.Site.State.TxnOps)
-	txn := protocol.Txn{If: []protocol.Condition{g.InThisView()}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{g.ViewUnchanged()}}
 	dropSingle := func(id protocol.MachineID, version protocol.Version) {
 		key := record.MachineKey(id)
-		txn.If = append(txn.If, protocol.Condition{Key: key, Version: version})
-		txn.Then = append(txn.Then, protocol.Change{Delete: key})
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: version})
+		txn.Changes = append(txn.Changes, protocol.Change{Delete: key})
 	}
 	var tag Tag
 	var changes []recordblock.Change
@@ -107,7 +107,7 @@
 	for id, r := range ordered.Of(p.asked) {
 		ch, due := g.blockChange(id, r)
 		removal := r.To == nil && r.Tenure != 0
-		if byTenure = byTenure || due && removal; removal && !g.keptBy(r) {
+		if byTenure = byTenure || due && removal; removal && !g.dispatchedBy(r) {
 			due = false // another keeps it since, and may have answered it
 		}
 		switch {
@@ -116,7 +116,7 @@
 			delete(p.bound, id)
 		case ch.Entry == nil && ch.Single != 0:
 			// In no block, and not to be: its own record goes, that is all.
-			if 2*len(txn.Then) < limits.Ops {
+			if 2*len(txn.Changes) < limits.Ops {
 				dropSingle(id, ch.Single)
 				tag.dropped = append(tag.dropped, id)
 			}
@@ -128,41 +128,41 @@
 		at, ok := p.writing[name]
 		return ok && g.Since(at) < seenWithin
 	}
-	limits.Ops -= len(txn.Then)
-	tag.writes = g.shelf.Pack(changes, busy, limits)
+	limits.Ops -= len(txn.Changes)
+	tag.writes = g.blocks.Pack(changes, busy, limits)
 	for _, w := range tag.writes {
 		key := record.BlockKey(w.Block)
-		txn.If = append(txn.If, protocol.Condition{Key: key, Version: w.Version})
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: w.Version})
 		if len(w.Entries) == 0 {
-			txn.Then = append(txn.Then, protocol.Change{Delete: key})
+			txn.Changes = append(txn.Changes, protocol.Change{Delete: key})
 		} else {
-			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: record.Block{Machines: w.Entries}})
+			txn.Changes = append(txn.Changes, protocol.Change{Put: key, Value: record.Block{Machines: w.Entries}})
 		}
 		p.writing[w.Block] = g.Now
 		for _, ch := range w.Changes {
 			if ch.Single != 0 {
 				dropSingle(ch.Machine, ch.Single)
 			}
-			if _, ok := g.shelf.Where(ch.Machine); !ok {
+			if _, ok := g.blocks.BlockOf(ch.Machine); !ok {
 				p.bound[ch.Machine] = w.Block
 			}
 		}
 	}
-	if len(txn.Then) == 0 {
+	if len(txn.Changes) == 0 {
 		return
 	}
 	if byTenure {
-		txn.If = append(txn.If, protocol.Condition{Key: record.SharesKey, Version: g.SharesVersion})
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: record.ShardTableKey, Version: g.ShardsVersion})
 	}
 	p.busy = true
-	g.Do(message.Commit{Tag: tag, Txn: txn})
+	g.Emit(message.Commit{Tag: tag, Txn: txn})
 }
 
-// keptBy reports whether a machine is kept still by who asks, and in the tenure that
+// dispatchedBy reports whether a machine is kept still by who asks, and in the tenure that
 // is named.
-func (g *Registrar) keptBy(r message.RecordChange) bool {
+func (g *Registrar) dispatchedBy(r message.RecordChange) bool {
 	m := g.Records[r.Machine]
-	return m != nil && g.Tenure(r.Machine, m.Record.Zone) == r.Tenure && g.Keeper(r.Machine) == r.From
+	return m != nil && g.ShardEpoch(r.Machine, m.Record.Zone) == r.Tenure && g.DispatcherOf(r.Machine) == r.From
 }
 
 // blockChange is what a machine's record needs still, if anything.
@@ -175,15 +175,15 @@
 	if have != r.Have {
 		return ch, false // it has changed since: asked again if that is not enough
 	}
-	ch = recordblock.Change{Machine: id, Bound: g.pen.bound[id]}
-	if _, in := g.shelf.Where(id); m != nil && !in {
+	ch = recordblock.Change{Machine: id, Bound: g.writeState.bound[id]}
+	if _, in := g.blocks.BlockOf(id); m != nil && !in {
 		ch.Single = m.Epoch
 	}
 	if r.To != nil {
 		// Each stamp is above all before, and above the versions of records of
 		// the other layout: terms are above 0, revisions far below 2^32.
-		g.pen.stamps++
-		ch.Entry = &record.BlockEntry{ID: id, Epoch: protocol.Version(uint64(g.View.Term)<<32 | g.pen.stamps), Machine: *r.To}
+		g.writeState.stamps++
+		ch.Entry = &record.BlockEntry{ID: id, Epoch: protocol.Version(uint64(g.View.Term)<<32 | g.writeState.stamps), Machine: *r.To}
 	}
 	return ch, m != nil || r.To != nil
 }
@@ -191,7 +191,7 @@
 // Written takes the outcome. Only a change that is seen in the records
 // counts; until then a block that may have been written is left alone.
 func (g *Registrar) Written(tag Tag, out message.Outcome) {
-	p := &g.pen
+	p := &g.writeState
 	p.busy = false
 	if out == message.OutcomeDone {
 		for _, id := range tag.dropped {
@@ -205,15 +205,15 @@
 	}
 }
 
-// BlockSeen takes over a block's record, and returns the machines whose records
+// BlockUpdated takes over a block's record, and returns the machines whose records
 // have changed by that, and those whose records have gone.
-func (g *Registrar) BlockSeen(name string, b record.Block, version protocol.Version) (changed []record.BlockEntry, gone []protocol.MachineID) {
-	delete(g.pen.writing, name)
-	return g.shelf.Set(name, version, b.Machines)
+func (g *Registrar) BlockUpdated(name string, b record.Block, version protocol.Version) (changed []record.BlockEntry, gone []protocol.MachineID) {
+	delete(g.writeState.writing, name)
+	return g.blocks.Set(name, version, b.Machines)
 }
 
-// BlockGone: a block's record was deleted, and those of the machines returned.
-func (g *Registrar) BlockGone(name string) []protocol.MachineID {
-	delete(g.pen.writing, name)
-	return g.shelf.Drop(name)
+// BlockDeleted: a block's record was deleted, and those of the machines returned.
+func (g *Registrar) BlockDeleted(name string) []protocol.MachineID {
+	delete(g.writeState.writing, name)
+	return g.blocks.Drop(name)
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -8,7 +8,7 @@
 
 // Cloud models the cloud: its machines, and what it remembers of requests.
 type Cloud struct {
-	Machines map[protocol.MachineID]protocol.RentRequest
+	Machines map[protocol.MachineID]protocol.ProvisionRequest
 	Capacity int
 	PerZone  int // of these, in each zone at the most; 0: any number
 
@@ -18,11 +18,11 @@
 
 // NewClient makes a cloud that has so many machines to rent.
 func NewCloud(capacity int) *Cloud {
-	return &Cloud{Machines: map[protocol.MachineID]protocol.RentRequest{}, Capacity: capacity, answers: map[string][]protocol.MachineID{}}
+	return &Cloud{Machines: map[protocol.MachineID]protocol.ProvisionRequest{}, Capacity: capacity, answers: map[string][]protocol.MachineID{}}
 }
 
 // Rent rents machines; fresh ones are new by this request.
-func (c *Cloud) Rent(r protocol.RentRequest) (all, fresh []protocol.MachineID) {
+func (c *Cloud) Rent(r protocol.ProvisionRequest) (all, fresh []protocol.MachineID) {
 	if have, ok := c.answers[r.Name]; ok {
 		return have, nil
 	}
--- a/internal/fake/server/cloud.go
+++ b/internal/fake/server/cloud.go
@@ -21,7 +21,7 @@
 // Fleet is what runs the machines that a cloud rents.
 type Fleet interface {
 	// Rented has a machine come up.
-	Rented(protocol.MachineID, protocol.TypeInfo, protocol.RentRequest)
+	Rented(protocol.MachineID, protocol.TypeInfo, protocol.ProvisionRequest)
 	// Return ends machines and all that is on them, before it returns.
 	Return([]protocol.MachineID) error
 	// Machine is the address of a machine that is up, and when it came up.
@@ -73,13 +73,13 @@
 func (c *CloudService) Close() { _ = c.server.Close() } // nothing is left to lose
 
 // Rent rents machines as a request would.
-func (c *CloudService) Rent(req protocol.RentRequest) []protocol.MachineID {
+func (c *CloudService) Rent(req protocol.ProvisionRequest) []protocol.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rentNow(req)
 }
 
-func (c *CloudService) rent(req protocol.RentRequest) (int, any) {
+func (c *CloudService) rent(req protocol.ProvisionRequest) (int, any) {
 	all := c.rentNow(req)
 	if len(all) == 0 {
 		return 503, protocol.ErrorBody{Error: "no capacity"}
@@ -87,7 +87,7 @@
 	return 200, protocol.MachineNames{Machines: all}
 }
 
-func (c *CloudService) rentNow(req protocol.RentRequest) []protocol.MachineID {
+func (c *CloudService) rentNow(req protocol.ProvisionRequest) []protocol.MachineID {
 	i := slices.IndexFunc(c.types, func(t protocol.TypeInfo) bool { return t.Name == req.Type })
 	if i < 0 {
 		return nil
@@ -141,7 +141,7 @@
 }
 
 // listed is a machine's line of the list.
-func (c *CloudService) listed(id protocol.MachineID, req protocol.RentRequest) protocol.ListedMachine {
+func (c *CloudService) listed(id protocol.MachineID, req protocol.ProvisionRequest) protocol.ListedMachine {
 	l := protocol.ListedMachine{ID: id, Type: req.Type, Zone: req.Zone, Spot: req.Spot, State: "booting"}
 	up, ok := c.fleet.Machine(id)
 	if !ok {
