--- a/internal/fake/server/host.go
+++ b/internal/fake/server/host.go
@@ -317,10 +317,10 @@
 }
 
 // report is what it says now, with its address.
-func (w *worker) report() protocol.Report {
+func (w *worker) report() protocol.Heartbeat {
 	r := w.Report()
 	if r.Address = w.addr; r.Tasks == nil {
-		r.Tasks = []protocol.TaskReport{}
+		r.Tasks = []protocol.TaskStatus{}
 	}
 	return r
 }
@@ -410,7 +410,7 @@
 	case err != nil:
 		return following, retryPause, err
 	case m.Status == 200:
-		return at, h.takeAnswer(w, r.Session, sent, m.Body), nil
+		return at, h.takeAnswer(w, r.AgentEpoch, sent, m.Body), nil
 	case m.Status != 421:
 		return following, retryPause, nil
 	}
@@ -418,15 +418,15 @@
 	if err := protocol.Decode(m.Body, &to); err != nil {
 		return following, retryPause, err
 	}
-	if i := slices.Index(names, to.ReportTo); i >= 0 && i != at {
+	if i := slices.Index(names, to.Leader); i >= 0 && i != at {
 		return i, 0, nil
 	}
 	return following, retryPause, nil
 }
 
 // takeAnswer takes the answer to a report, and returns the time until the next one.
-func (h *Host) takeAnswer(w *worker, session protocol.Session, sent time.Duration, body []byte) time.Duration {
-	var reply protocol.ReportReply
+func (h *Host) takeAnswer(w *worker, session protocol.AgentEpoch, sent time.Duration, body []byte) time.Duration {
+	var reply protocol.HeartbeatReply
 	if err := protocol.Decode(body, &reply); err != nil {
 		return retryPause
 	}
@@ -445,7 +445,7 @@
 }
 
 // post sends a report to a controller.
-func (h *Host) post(c *transport.Client, r protocol.Report) (*transport.Message, error) {
+func (h *Host) post(c *transport.Client, r protocol.Heartbeat) (*transport.Message, error) {
 	body, err := protocol.Encode(r)
 	if err != nil {
 		return nil, err
--- a/internal/fake/server/platform.go
+++ b/internal/fake/server/platform.go
@@ -108,7 +108,7 @@
 func (p *Platform) now() time.Duration { return time.Since(p.begun) }
 
 // Rented has a machine come up after a while.
-func (p *Platform) Rented(id protocol.MachineID, info protocol.TypeInfo, req protocol.RentRequest) {
+func (p *Platform) Rented(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
 	boot := seconds((0.6 + 0.9*rand.Float64()) * info.BootS)
 	time.AfterFunc(boot, func() {
 		if p.isReturned(id) {
--- a/internal/fake/server/state.go
+++ b/internal/fake/server/state.go
@@ -115,7 +115,7 @@
 	revision := s.state.Revision
 	s.mu.Unlock()
 	if !ok {
-		answer(w, 404, protocol.TxnReply{Revision: revision})
+		answer(w, 404, protocol.TransactionReply{Revision: revision})
 		return
 	}
 	answer(w, 200, it)
@@ -144,30 +144,30 @@
 
 // transaction executes a transaction within the limit of changes.
 func (s *StateService) transaction(w http.ResponseWriter, r *http.Request) {
-	t, ok := read[protocol.Txn](w, r)
+	t, ok := read[protocol.Transaction](w, r)
 	if !ok {
 		return
 	}
-	if !s.changes.AllowN(time.Now(), len(t.Then)) {
+	if !s.changes.AllowN(time.Now(), len(t.Changes)) {
 		s.refuse(w, "too many changes")
 		return
 	}
-	s.Traffic.Add("changes", len(t.Then), 0, 0)
+	s.Traffic.Add("changes", len(t.Changes), 0, 0)
 	s.mu.Lock()
 	status, body := s.execute(t)
 	s.mu.Unlock()
 	answer(w, status, body)
 }
 
-func (s *StateService) execute(t protocol.Txn) (int, any) {
+func (s *StateService) execute(t protocol.Transaction) (int, any) {
 	if s.state.LeaseMissing(t) {
 		return 400, protocol.ErrorBody{Error: "no such lease"}
 	}
 	if !s.state.Txn(t) {
-		return 409, protocol.TxnReply{Failed: []string{}, Revision: s.state.Revision}
+		return 409, protocol.TransactionReply{Failed: []string{}, Revision: s.state.Revision}
 	}
 	s.wake()
-	return 200, protocol.TxnReply{Revision: s.state.Revision}
+	return 200, protocol.TransactionReply{Revision: s.state.Revision}
 }
 
 func (s *StateService) lease(l protocol.LeaseRequest) (int, any) {
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -98,8 +98,8 @@
 }
 
 // LeaseMissing reports whether a transaction writes with a lease that is over.
-func (s *State) LeaseMissing(t protocol.Txn) bool {
-	for _, c := range t.Then {
+func (s *State) LeaseMissing(t protocol.Transaction) bool {
+	for _, c := range t.Changes {
 		if c.Lease == nil {
 			continue
 		}
@@ -112,8 +112,8 @@
 
 // Txn executes a transaction and reports whether its conditions held and its
 // leases were there.
-func (s *State) Txn(t protocol.Txn) bool {
-	for _, c := range t.If {
+func (s *State) Txn(t protocol.Transaction) bool {
+	for _, c := range t.Conditions {
 		if s.items[c.Key].version != c.Version {
 			return false
 		}
@@ -122,7 +122,7 @@
 		return false
 	}
 	s.Revision++
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if c.Put == "" {
 			s.remove(c.Delete)
 			continue
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -23,7 +23,7 @@
 	// Mistaken, if set, tells which jobs fail on every machine, after a second.
 	Mistaken func(protocol.JobID) bool
 	Notice   *float64
-	Session  protocol.Session
+	Session  protocol.AgentEpoch
 	Term     protocol.Term
 	Seq      protocol.Seq
 
@@ -238,7 +238,7 @@
 // Part ends a running task of a gang that lost another.
 func (w *Worker) Part(id protocol.TaskID) {
 	if t := w.tasks[id]; t.state == protocol.TaskRunning {
-		cause := protocol.EndMatesGone
+		cause := protocol.EndGangLost
 		if w.Results[id] {
 			cause = protocol.EndDone
 		}
@@ -247,21 +247,21 @@
 }
 
 // Report is what the worker says now.
-func (w *Worker) Report() protocol.Report {
+func (w *Worker) Report() protocol.Heartbeat {
 	w.Seq++
-	r := protocol.Report{
+	r := protocol.Heartbeat{
 		Machine: w.ID, Address: "worker " + string(w.ID), Type: w.Info.Name, Zone: w.Zone, Spot: w.Spot,
-		Session: w.Session, Seq: w.Seq, Term: w.Term, NoticeS: w.Notice,
+		AgentEpoch: w.Session, Seq: w.Seq, Term: w.Term, NoticeS: w.Notice,
 	}
 	for _, id := range w.sorted() {
 		t := w.tasks[id]
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.saved})
 	}
 	return r
 }
 
 // Answer takes the answer to a report of a session, sent at a time.
-func (w *Worker) Answer(session protocol.Session, sent time.Duration, reply protocol.ReportReply) {
+func (w *Worker) Answer(session protocol.AgentEpoch, sent time.Duration, reply protocol.HeartbeatReply) {
 	if w.Dead || session != w.Session || reply.Term < w.Term {
 		return
 	}
@@ -272,7 +272,7 @@
 
 // Do takes direct commands and reports whether they were executed.
 func (w *Worker) Do(c protocol.Commands) bool {
-	if c.Term < w.Term || c.Session != w.Session {
+	if c.Term < w.Term || c.AgentEpoch != w.Session {
 		return false
 	}
 	w.Term = c.Term
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -185,17 +185,17 @@
 }
 
 // CompareAndSwap executes a transaction and returns its revision.
-func (s *Client) CompareAndSwap(ctx context.Context, t protocol.Txn, p Precedence) (protocol.Revision, error) {
-	if !s.ask(len(t.Then), p, true) {
+func (s *Client) CompareAndSwap(ctx context.Context, t protocol.Transaction, p Precedence) (protocol.Revision, error) {
+	if !s.ask(len(t.Changes), p, true) {
 		return 0, serviceclient.ErrRefused
 	}
-	if t.If == nil {
-		t.If = []protocol.Condition{}
+	if t.Conditions == nil {
+		t.Conditions = []protocol.Condition{}
 	}
-	if t.Then == nil {
-		t.Then = []protocol.Change{}
+	if t.Changes == nil {
+		t.Changes = []protocol.Change{}
 	}
-	var reply protocol.TxnReply
+	var reply protocol.TransactionReply
 	err := s.do(ctx, "POST", "/txn", t, &reply)
 	return reply.Revision, err
 }
@@ -207,8 +207,8 @@
 	if !s.ask(0, First, true) {
 		return nil, serviceclient.ErrRefused
 	}
-	var reply protocol.TxnReply
-	err := s.do(ctx, "POST", "/txn", protocol.Txn{If: conditions, Then: []protocol.Change{}}, &reply)
+	var reply protocol.TransactionReply
+	err := s.do(ctx, "POST", "/txn", protocol.Transaction{Conditions: conditions, Changes: []protocol.Change{}}, &reply)
 	if errors.Is(err, serviceclient.ErrConflict) {
 		s.mu.Lock()
 		s.writes.AllowN(time.Now(), 1)
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -68,7 +68,7 @@
 	var next *transport.Message
 	s := NewClient(serve(t, func(*transport.Message) *transport.Message { return next }), 1e6, 1e6, 1)
 	ctx := context.Background()
-	txn := protocol.Txn{Then: []protocol.Change{{Put: "a", Value: 1}}}
+	txn := protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1}}}
 	for _, tc := range []struct {
 		status int
 		want   error
@@ -126,7 +126,7 @@
 		s.writes = rate.NewLimiter(0, 20) // full, and nothing comes back
 		done := 0
 		for range 40 {
-			if _, err := s.CompareAndSwap(context.Background(), protocol.Txn{Then: []protocol.Change{{Put: "a", Value: 1}}}, p); err == nil {
+			if _, err := s.CompareAndSwap(context.Background(), protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1}}}, p); err == nil {
 				done++
 			}
 		}
@@ -134,7 +134,7 @@
 			t.Errorf("precedence %d: %d done of a burst of 20, want %d", p, done, want)
 		}
 		s.writes = rate.NewLimiter(0, 1)
-		if _, err := s.CompareAndSwap(context.Background(), protocol.Txn{Then: []protocol.Change{{Put: "a", Value: 1}}}, p); err != nil {
+		if _, err := s.CompareAndSwap(context.Background(), protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1}}}, p); err != nil {
 			t.Errorf("precedence %d: never done with a burst of one: %v", p, err)
 		}
 	}
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -19,8 +19,8 @@
 	Types []TypeInfo `cbor:"hulls"`
 }
 
-// RentRequest asks the cloud for machines.
-type RentRequest struct {
+// ProvisionRequest asks the cloud for machines.
+type ProvisionRequest struct {
 	Name  string      `cbor:"charter"`
 	Type  MachineType `cbor:"hull"`
 	Zone  Zone        `cbor:"quay"`
--- a/internal/protocol/ids.go
+++ b/internal/protocol/ids.go
@@ -39,8 +39,8 @@
 // Attempt numbers the starts of a task; it only ever grows for a task.
 type Attempt uint64
 
-// Session numbers a worker's leases on life.
-type Session uint64
+// AgentEpoch numbers a worker's leases on life.
+type AgentEpoch uint64
 
 // Seq orders the messages of one session.
 type Seq uint64
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -11,9 +11,9 @@
 
 // The kinds of jobs.
 const (
-	KindArray   Kind = "batch"
-	KindGang    Kind = "gang"
-	KindService Kind = "standing"
+	KindJobArray Kind = "batch"
+	KindGang     Kind = "gang"
+	KindService  Kind = "standing"
 )
 
 // Priority orders jobs for preemption.
@@ -148,7 +148,7 @@
 	default:
 		j.Tasks = uint32(*s.Tasks)
 	}
-	if j.Kind != KindArray && j.Kind != KindGang && j.Kind != KindService {
+	if j.Kind != KindJobArray && j.Kind != KindGang && j.Kind != KindService {
 		c.fail("rig", "unknown kind")
 	}
 	if _, ok := priorityRanks[j.Priority]; !ok {
--- a/internal/protocol/job_test.go
+++ b/internal/protocol/job_test.go
@@ -109,7 +109,7 @@
 		if j, err := ParseSubmission(b); err == nil && (j.Tasks < 1 || j.Tasks > MaxTasks || !(j.CPUs >= 0)) {
 			t.Fatalf("accepted %+v", j)
 		}
-		if r, err := ParseReport(b); err == nil && r.Machine == "" {
+		if r, err := ParseHeartbeat(b); err == nil && r.Machine == "" {
 			t.Fatal("accepted a report without a machine")
 		}
 	})
--- a/internal/protocol/state.go
+++ b/internal/protocol/state.go
@@ -29,14 +29,14 @@
 	Delete string   `cbor:"drop,omitempty"`
 }
 
-// Txn is a transaction: all of its changes if all of its conditions hold.
-type Txn struct {
-	If   []Condition `cbor:"if"`
-	Then []Change    `cbor:"then"`
+// Transaction is a transaction: all of its changes if all of its conditions hold.
+type Transaction struct {
+	Conditions []Condition `cbor:"if"`
+	Changes    []Change    `cbor:"then"`
 }
 
-// TxnReply answers a transaction.
-type TxnReply struct {
+// TransactionReply answers a transaction.
+type TransactionReply struct {
 	Failed   []string `cbor:"failed"`
 	Revision Revision `cbor:"ledgerline"`
 }
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -25,7 +25,7 @@
 const (
 	EndDone       EndCause = "done"
 	EndStopped    EndCause = "stopped"
-	EndMatesGone  EndCause = "mates_gone"
+	EndGangLost   EndCause = "mates_gone"
 	EndIncomplete EndCause = "incomplete"
 	EndError      EndCause = "error"
 	EndFull       EndCause = "full"
@@ -33,39 +33,39 @@
 	EndUnknown    EndCause = "unknown"
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    TaskID    `cbor:"haul"`
-	Attempt Attempt   `cbor:"launch"`
-	State   TaskState `cbor:"bearing"`
-	Cause   EndCause  `cbor:"wreckcause,omitempty"`
-	Saved   bool      `cbor:"saved,omitempty"`
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Task         TaskID    `cbor:"haul"`
+	Attempt      Attempt   `cbor:"launch"`
+	State        TaskState `cbor:"bearing"`
+	Cause        EndCause  `cbor:"wreckcause,omitempty"`
+	Checkpointed bool      `cbor:"saved,omitempty"`
 }
 
-// Report is what a worker says of itself.
-type Report struct {
-	Machine MachineID    `cbor:"vessel"`
-	Address string       `cbor:"address"`
-	Type    MachineType  `cbor:"hull"`
-	Zone    Zone         `cbor:"quay"`
-	Spot    bool         `cbor:"driftstock"`
-	Session Session      `cbor:"watch"`
-	Seq     Seq          `cbor:"logline"`
-	Term    Term         `cbor:"helm"`
-	NoticeS *float64     `cbor:"recall_s"`
-	Tasks   []TaskReport `cbor:"hauls"`
+// Heartbeat is what a worker says of itself.
+type Heartbeat struct {
+	Machine    MachineID    `cbor:"vessel"`
+	Address    string       `cbor:"address"`
+	Type       MachineType  `cbor:"hull"`
+	Zone       Zone         `cbor:"quay"`
+	Spot       bool         `cbor:"driftstock"`
+	AgentEpoch AgentEpoch   `cbor:"watch"`
+	Seq        Seq          `cbor:"logline"`
+	Term       Term         `cbor:"helm"`
+	NoticeS    *float64     `cbor:"recall_s"`
+	Tasks      []TaskStatus `cbor:"hauls"`
 }
 
-// ParseReport reads and checks a report.
-func ParseReport(body []byte) (Report, error) {
-	var r Report
+// ParseHeartbeat reads and checks a report.
+func ParseHeartbeat(body []byte) (Heartbeat, error) {
+	var r Heartbeat
 	if err := Decode(body, &r); err != nil {
 		return r, err
 	}
 	switch {
 	case r.Machine == "" || len(r.Machine) > 100:
 		return r, errors.New("report: no machine")
-	case r.Session == 0:
+	case r.AgentEpoch == 0:
 		return r, errors.New("report: no session")
 	case r.Type == "" || r.Zone == "":
 		return r, errors.New("report: no machine type or zone")
@@ -100,22 +100,22 @@
 	GraceS  *float64 `cbor:"slack_s,omitempty"`
 }
 
-// ReportReply answers a report.
-type ReportReply struct {
+// HeartbeatReply answers a report.
+type HeartbeatReply struct {
 	Term   Term    `cbor:"helm"`
 	Orders []Order `cbor:"orders"`
 }
 
 // Commands is sent straight to a worker.
 type Commands struct {
-	Term    Term    `cbor:"helm"`
-	Session Session `cbor:"watch"`
-	Orders  []Order `cbor:"orders"`
+	Term       Term       `cbor:"helm"`
+	AgentEpoch AgentEpoch `cbor:"watch"`
+	Orders     []Order    `cbor:"orders"`
 }
 
 // Redirect sends a worker to another controller.
 type Redirect struct {
-	ReportTo NodeName `cbor:"harbormaster,omitempty"`
+	Leader NodeName `cbor:"harbormaster,omitempty"`
 }
 
 // ErrorBody says in words what was wrong.
--- a/internal/record/calendar.go
+++ b/internal/record/calendar.go
@@ -7,10 +7,10 @@
 // other, each on what those before it left.
 const (
 	CalendarKey = "c/calendar"
-	// HeldKey is what was held for reservations a moment ago, for who starts anew.
-	HeldKey           = "c/held"
-	reservationPrefix = "c/reservation/"
-	windowPrefix      = "c/window/"
+	// ReservationHoldsKey is what was held for reservations a moment ago, for who starts anew.
+	ReservationHoldsKey = "c/held"
+	reservationPrefix   = "c/reservation/"
+	windowPrefix        = "c/window/"
 )
 
 // EntryName names a reservation or a window.
--- a/internal/record/records.go
+++ b/internal/record/records.go
@@ -53,69 +53,71 @@
 // MachineKey is a machine's session that may hold tasks, in a record of its own.
 func MachineKey(m protocol.MachineID) string { return machinePrefix + string(m) }
 
-// BitsPrefix is the prefix of the bitmaps of a job's finished tasks.
-func BitsPrefix(j protocol.JobID) string { return bitsPrefix + string(j) + "/" }
+// BitmapPrefix is the prefix of the bitmaps of a job's finished tasks.
+func BitmapPrefix(j protocol.JobID) string { return bitsPrefix + string(j) + "/" }
 
-// BitsKey is one chunk of such a bitmap.
-func BitsKey(j protocol.JobID, chunk int) string { return fmt.Sprintf("%s%d", BitsPrefix(j), chunk) }
+// BitmapChunkKey is one chunk of such a bitmap.
+func BitmapChunkKey(j protocol.JobID, chunk int) string {
+	return fmt.Sprintf("%s%d", BitmapPrefix(j), chunk)
+}
 
-// Followed is what a followed key is about; one field is set.
-type Followed struct {
+// FollowedKey is what a followed key is about; one field is set.
+type FollowedKey struct {
 	View    bool
 	Node    protocol.NodeName
 	Job     protocol.JobID
 	Machine protocol.MachineID
 	Block   string
 
-	Shares      bool
-	Calendar    bool
-	Held        bool
-	Reservation EntryName
-	Window      EntryName
+	ShardTable       bool
+	Calendar         bool
+	ReservationHolds bool
+	Reservation      EntryName
+	Window           EntryName
 
 	Configuration      bool
 	ConfigurationEntry EntryID
 }
 
-// ParseFollowed tells what a followed key is about.
-func ParseFollowed(key string) (Followed, bool) {
+// ParseFollowedKey tells what a followed key is about.
+func ParseFollowedKey(key string) (FollowedKey, bool) {
 	if key == ViewKey {
-		return Followed{View: true}, true
+		return FollowedKey{View: true}, true
 	}
-	if key == SharesKey {
-		return Followed{Shares: true}, true
+	if key == ShardTableKey {
+		return FollowedKey{ShardTable: true}, true
 	}
 	if n, ok := strings.CutPrefix(key, nodePrefix); ok {
-		return Followed{Node: protocol.NodeName(n)}, true
+		return FollowedKey{Node: protocol.NodeName(n)}, true
 	}
 	if j, ok := strings.CutPrefix(key, livePrefix); ok {
-		return Followed{Job: protocol.JobID(j)}, true
+		return FollowedKey{Job: protocol.JobID(j)}, true
 	}
 	if m, ok := strings.CutPrefix(key, machinePrefix); ok {
-		return Followed{Machine: protocol.MachineID(m)}, true
+		return FollowedKey{Machine: protocol.MachineID(m)}, true
 	}
 	if n, ok := strings.CutPrefix(key, blockPrefix); ok {
-		return Followed{Block: n}, true
+		return FollowedKey{Block: n}, true
 	}
 	if key == ConfigurationKey {
-		return Followed{Configuration: true}, true
+		return FollowedKey{Configuration: true}, true
 	}
 	if id, ok := entryOf(key); ok {
-		return Followed{ConfigurationEntry: id}, true
+		return FollowedKey{ConfigurationEntry: id}, true
 	}
-	if key == HeldKey {
-		return Followed{Held: true}, true
+	if key == ReservationHoldsKey {
+		return FollowedKey{ReservationHolds: true}, true
 	}
 	if key == CalendarKey {
-		return Followed{Calendar: true}, true
+		return FollowedKey{Calendar: true}, true
 	}
 	if n, ok := strings.CutPrefix(key, reservationPrefix); ok {
-		return Followed{Reservation: EntryName(n)}, true
+		return FollowedKey{Reservation: EntryName(n)}, true
 	}
 	if n, ok := strings.CutPrefix(key, windowPrefix); ok {
-		return Followed{Window: EntryName(n)}, true
+		return FollowedKey{Window: EntryName(n)}, true
 	}
-	return Followed{}, false
+	return FollowedKey{}, false
 }
 
 // Layout is how machines' sessions, and who keeps them, are recorded.
@@ -126,7 +128,7 @@
 const (
 	LayoutSingle Layout = 1 // each in a record of its own
 	LayoutBlocks Layout = 2 // several in one record
-	LayoutShares Layout = 3 // the same, and shares of the machines have their holders in a record
+	LayoutShards Layout = 3 // the same, and shares of the machines have their holders in a record
 	// LayoutConfiguration is the same, and all members follow the records of the
 	// configuration.
 	LayoutConfiguration Layout = 4
@@ -208,7 +210,7 @@
 // Machine is a machine's record: its tasks are of this session, and gone when
 // the record changes or goes.
 type Machine struct {
-	Session protocol.Session     `cbor:"session"`
+	Session protocol.AgentEpoch  `cbor:"session"`
 	Address string               `cbor:"address"`
 	Type    protocol.MachineType `cbor:"type"`
 	Zone    protocol.Zone        `cbor:"zone"`
@@ -233,13 +235,13 @@
 // under any value limit that a job's own record fits in.
 const ChunkTasks = 32768
 
-// Bits is one chunk of a bitmap. Values hold nothing binary, so it is text.
-type Bits struct {
+// BitmapChunk is one chunk of a bitmap. Values hold nothing binary, so it is text.
+type BitmapChunk struct {
 	Bits string `cbor:"bits"`
 }
 
 // EncodeChunk writes chunk number chunk of done.
-func EncodeChunk(done *bitset.BitSet, chunk int) Bits {
+func EncodeChunk(done *bitset.BitSet, chunk int) BitmapChunk {
 	out := make([]byte, 0, 64)
 	base := uint(chunk * ChunkTasks)
 	for i, ok := done.NextSet(base); ok && i < base+ChunkTasks; i, ok = done.NextSet(i + 1) {
@@ -249,7 +251,7 @@
 		}
 		out[at] |= 1 << ((i - base) % 8)
 	}
-	return Bits{Bits: base64.RawStdEncoding.EncodeToString(out)}
+	return BitmapChunk{Bits: base64.RawStdEncoding.EncodeToString(out)}
 }
 
 // ChunkNumber is the number of the chunk that a key of a bitmap is of.
@@ -259,7 +261,7 @@
 }
 
 // DecodeChunk adds a chunk, read from key, to done.
-func DecodeChunk(key string, b Bits, done *bitset.BitSet, tasks uint32) error {
+func DecodeChunk(key string, b BitmapChunk, done *bitset.BitSet, tasks uint32) error {
 	chunk, ok := ChunkNumber(key)
 	if !ok {
 		return fmt.Errorf("bitmap %s: no chunk number", key)
--- a/internal/record/records_test.go
+++ b/internal/record/records_test.go
@@ -27,7 +27,7 @@
 			if len(b.Bits) > 6<<10 {
 				t.Fatalf("chunk of %d bytes", len(b.Bits))
 			}
-			if err := DecodeChunk(BitsKey("job-1", chunk), b, back, tasks); err != nil {
+			if err := DecodeChunk(BitmapChunkKey("job-1", chunk), b, back, tasks); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -35,10 +35,10 @@
 			t.Fatalf("%d of %d bits came back", back.Count(), done.Count())
 		}
 	})
-	if err := DecodeChunk("bits/job-1/9", Bits{"//8"}, bitset.New(1), 1); err == nil {
+	if err := DecodeChunk("bits/job-1/9", BitmapChunk{"//8"}, bitset.New(1), 1); err == nil {
 		t.Error("a chunk past the largest job is taken")
 	}
-	if err := DecodeChunk("bits/job-1/0", Bits{"not base64!"}, bitset.New(1), 1); err == nil {
+	if err := DecodeChunk("bits/job-1/0", BitmapChunk{"not base64!"}, bitset.New(1), 1); err == nil {
 		t.Error("garbage is taken")
 	}
 }
--- a/internal/record/shares.go
+++ b/internal/record/shares.go
@@ -7,23 +7,23 @@
 	"damsonkeel/internal/protocol"
 )
 
-// SharesKey is the record of who keeps which share of the machines.
-const SharesKey = "c/shares"
+// ShardTableKey is the record of who keeps which share of the machines.
+const ShardTableKey = "c/shares"
 
-// Shares is who keeps which share of the machines: so many of each zone, in the
+// ShardTable is who keeps which share of the machines: so many of each zone, in the
 // order of the zones. Neither zones nor slots ever change once it is written.
-type Shares struct {
+type ShardTable struct {
 	// Epoch is the highest that any share has or ever had.
 	Epoch protocol.Term
 	Zones []protocol.Zone
 	Slots int // shares of each zone
 	// Away are the controllers that operators have told to keep nothing.
 	Away []protocol.NodeName
-	List []ShareState
+	List []ShardAssignment
 }
 
-// ShareState is one share of the machines.
-type ShareState struct {
+// ShardAssignment is one share of the machines.
+type ShardAssignment struct {
 	Holder protocol.LeaseID // session of the controller that keeps its machines
 	// Since is the epoch that it got when its holder took it.
 	Since protocol.Term
@@ -46,7 +46,7 @@
 }
 
 // MarshalCBOR writes shares in columns.
-func (s Shares) MarshalCBOR() ([]byte, error) {
+func (s ShardTable) MarshalCBOR() ([]byte, error) {
 	r := sharesRecord{Epoch: s.Epoch, Zones: s.Zones, Slots: s.Slots, Away: s.Away}
 	for _, h := range s.List {
 		i := slices.Index(r.Sessions, h.Holder)
@@ -62,7 +62,7 @@
 var errShares = errors.New("shares: columns of different lengths")
 
 // UnmarshalCBOR reads shares.
-func (s *Shares) UnmarshalCBOR(b []byte) error {
+func (s *ShardTable) UnmarshalCBOR(b []byte) error {
 	var r sharesRecord
 	if err := protocol.Decode(b, &r); err != nil {
 		return err
@@ -71,12 +71,12 @@
 	if r.Slots <= 0 || len(r.Holders) != n || len(r.Since) != n || len(r.Epochs) != n {
 		return errShares
 	}
-	*s = Shares{Epoch: r.Epoch, Zones: r.Zones, Slots: r.Slots, Away: r.Away, List: make([]ShareState, n)}
+	*s = ShardTable{Epoch: r.Epoch, Zones: r.Zones, Slots: r.Slots, Away: r.Away, List: make([]ShardAssignment, n)}
 	for i, h := range r.Holders {
 		if h < 0 || h >= len(r.Sessions) {
 			return errShares
 		}
-		s.List[i] = ShareState{Holder: r.Sessions[h], Since: r.Since[i], Epoch: r.Epochs[i]}
+		s.List[i] = ShardAssignment{Holder: r.Sessions[h], Since: r.Since[i], Epoch: r.Epochs[i]}
 	}
 	return nil
 }
--- a/internal/scale/gangs_test.go
+++ b/internal/scale/gangs_test.go
@@ -32,7 +32,7 @@
 	if kind := g.off(gangKey{job.ID, 1}, task, protocol.EndDone); kind != DirectGangDone {
 		t.Errorf("one is done: %v", kind)
 	}
-	if kind := g.off(gangKey{job.ID, 1}, task, protocol.EndMatesGone); kind != 0 {
+	if kind := g.off(gangKey{job.ID, 1}, task, protocol.EndGangLost); kind != 0 {
 		t.Errorf("the others follow: %v", kind)
 	}
 	on(g, 0, 2)
--- a/internal/scale/hub.go
+++ b/internal/scale/hub.go
@@ -202,7 +202,7 @@
 }
 
 // place has a machine come up in a process after a while. The lock is held.
-func (h *Hub) place(process string, id protocol.MachineID, info protocol.TypeInfo, req protocol.RentRequest, after time.Duration) {
+func (h *Hub) place(process string, id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest, after time.Duration) {
 	p := h.process(process)
 	p.workers = true
 	h.machines[id] = &hubMachine{process: p}
@@ -210,7 +210,7 @@
 }
 
 // Rented has a machine come up in its zone's shared process.
-func (h *Hub) Rented(id protocol.MachineID, info protocol.TypeInfo, req protocol.RentRequest) {
+func (h *Hub) Rented(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.initial != nil {
--- a/internal/scale/hub_test.go
+++ b/internal/scale/hub_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	h := newHub(site, 1)
-	h.Rented("vm-1", protocol.TypeInfo{Name: "m8"}, protocol.RentRequest{Zone: "r1z1"})
+	h.Rented("vm-1", protocol.TypeInfo{Name: "m8"}, protocol.ProvisionRequest{Zone: "r1z1"})
 	process := sharedProcess("r1z1")
 	exchange := func(number, carried uint64, events ...rules.MachineEvent) []Directive {
 		var out Directives
--- a/internal/scale/rules/check_test.go
+++ b/internal/scale/rules/check_test.go
@@ -47,9 +47,9 @@
 	s.up("a1", "a")
 	s.up("a2", "a")
 	s.up("b1", "b")
-	s.upload(protocol.Job{ID: "job-array", Kind: protocol.KindArray, Team: "bound", Tasks: 2, CPUs: 4, Zone: "a", Types: []protocol.MachineType{"m8"}})
+	s.upload(protocol.Job{ID: "job-array", Kind: protocol.KindJobArray, Team: "bound", Tasks: 2, CPUs: 4, Zone: "a", Types: []protocol.MachineType{"m8"}})
 	s.upload(protocol.Job{ID: "job-gang", Kind: protocol.KindGang, Team: "free", Tasks: 2, CPUs: 1, OneZone: true})
-	s.upload(protocol.Job{ID: "job-off", Kind: protocol.KindArray, Team: "free", Tasks: 1, CPUs: 1})
+	s.upload(protocol.Job{ID: "job-off", Kind: protocol.KindJobArray, Team: "free", Tasks: 1, CPUs: 1})
 	s.on(2*second, "a1", task("job-array", 0))
 	s.on(2*second, "a2", task("job-array", 1))
 	s.off(9*second, "a1", task("job-array", 0), protocol.EndStopped)
@@ -59,7 +59,7 @@
 	s.on(3*second, "b1", task("job-gang", 0))
 	s.on(4*second, "b1", task("job-gang", 1))
 	s.off(15*second, "b1", task("job-gang", 0), protocol.EndDone)
-	s.off(15*second, "b1", task("job-gang", 1), protocol.EndMatesGone)
+	s.off(15*second, "b1", task("job-gang", 1), protocol.EndGangLost)
 	s.on(3*second, "a1", task("job-off", 0))
 	s.ask(10*second, UserCancels, "job-off", 200, protocol.JobCancelled)
 	s.off(30*second, "a1", task("job-off", 0), protocol.EndStopped)
@@ -81,7 +81,7 @@
 		"started twice":                          {RanTwice, func(s *story) { s.on(5*second, "b1", task("job-off", 0)) }},
 		"started a moment before the other ends": {RanTwice, func(s *story) { s.on(9*second-1, "a2", task("job-array", 0)) }},
 		"over the limit": {Quota, func(s *story) {
-			s.upload(protocol.Job{ID: "job-more", Kind: protocol.KindArray, Team: "bound", Tasks: 1, CPUs: 0.5})
+			s.upload(protocol.Job{ID: "job-more", Kind: protocol.KindJobArray, Team: "bound", Tasks: 1, CPUs: 0.5})
 			s.on(5*second, "b1", task("job-more", 0))
 		}},
 		"in the wrong zone": {WrongPlace, func(s *story) { s.on(40*second, "b1", task("job-array", 0)) }},
@@ -90,7 +90,7 @@
 			s.on(40*second, "a3", task("job-array", 0))
 		}},
 		"spread over one zone": {WrongPlace, func(s *story) {
-			s.upload(protocol.Job{ID: "job-spread", Kind: protocol.KindArray, Team: "free", Tasks: 3, CPUs: 1, Spread: true})
+			s.upload(protocol.Job{ID: "job-spread", Kind: protocol.KindJobArray, Team: "free", Tasks: 3, CPUs: 1, Spread: true})
 			for i := range uint32(3) {
 				s.on(40*second, "a1", task("job-spread", i))
 			}
@@ -139,7 +139,7 @@
 	for at, broken := range map[time.Duration]bool{30 * second: false, 50 * second: false, 53 * second: true, 80 * second: true, 90 * second: false} {
 		s := &story{}
 		s.up("a1", "a")
-		s.upload(protocol.Job{ID: "job-1", Kind: protocol.KindArray, Team: "bound", Tasks: 2, CPUs: 4})
+		s.upload(protocol.Job{ID: "job-1", Kind: protocol.KindJobArray, Team: "bound", Tasks: 2, CPUs: 4})
 		s.on(at-second/2, "a1", task("job-1", 0))
 		s.machines = append(s.machines, MachineEvent{At: at, Kind: TaskOrdered, Machine: "a1", Task: task("job-1", 1)})
 		s.on(at+second/2, "a1", task("job-1", 1))
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -94,7 +94,7 @@
 		zone := site.ZoneName(i % site.Zones)
 		kind := dueType(site.Types, rented, i+1)
 		rented[kind]++
-		req := protocol.RentRequest{Name: fmt.Sprintf("start-%d", i), Type: site.Types[kind].Name, Zone: zone, Count: 1}
+		req := protocol.ProvisionRequest{Name: fmt.Sprintf("start-%d", i), Type: site.Types[kind].Name, Zone: zone, Count: 1}
 		if len(s.cloud.Rent(req)) == 0 {
 			return fmt.Errorf("machine %d of the start can't be rented", i)
 		}
--- a/internal/scale/site.go
+++ b/internal/scale/site.go
@@ -291,8 +291,8 @@
 		if l.Class == "" {
 			return errors.New(at + "class: missing")
 		}
-		if l.Kind != protocol.KindArray && l.Kind != protocol.KindGang {
-			return fmt.Errorf("%skind: %q is neither %q nor %q", at, l.Kind, protocol.KindArray, protocol.KindGang)
+		if l.Kind != protocol.KindJobArray && l.Kind != protocol.KindGang {
+			return fmt.Errorf("%skind: %q is neither %q nor %q", at, l.Kind, protocol.KindJobArray, protocol.KindGang)
 		}
 		if !l.Priority.Known() {
 			return fmt.Errorf("%spriority: %q is unknown", at, l.Priority)
--- a/internal/scale/tracker_test.go
+++ b/internal/scale/tracker_test.go
@@ -17,7 +17,7 @@
 	}
 	h := newHub(site, 1)
 	upload := func(at time.Duration, id protocol.JobID, cpus float64) {
-		job := protocol.Job{ID: id, Class: urgentClass, Team: "bound00", Kind: protocol.KindArray, Tasks: 1, CPUs: cpus}
+		job := protocol.Job{ID: id, Class: urgentClass, Team: "bound00", Kind: protocol.KindJobArray, Tasks: 1, CPUs: cpus}
 		h.jobs[id] = job
 		h.users = append(h.users, rules.UserEvent{Asked: at, Answered: at, Kind: rules.UserUploads, Job: id, Details: job})
 	}
--- a/internal/simulator/boots_test.go
+++ b/internal/simulator/boots_test.go
@@ -16,14 +16,14 @@
 	w := newWorld(t.Fatalf, 41, fake.Settings(), 40, 6)
 	rentedAt, asked, booting, most := map[protocol.MachineID]time.Duration{}, 0, map[protocol.MachineID]bool{}, 0
 	w.heldS = func(id protocol.MachineID) float64 { return (w.now - rentedAt[id]).Seconds() }
-	w.rented = func(id protocol.MachineID, r protocol.RentRequest) {
+	w.rented = func(id protocol.MachineID, r protocol.ProvisionRequest) {
 		rentedAt[id] = w.now
 		if r.Type == "large" {
 			asked++
 			booting[id] = true
 		}
 	}
-	w.bootTime = func(r protocol.RentRequest) time.Duration {
+	w.bootTime = func(r protocol.ProvisionRequest) time.Duration {
 		if r.Type == "large" {
 			return 24 * time.Hour
 		}
@@ -31,7 +31,7 @@
 	}
 	w.run(3 * time.Second)
 	for range 120 {
-		w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 40, CPUs: 2, EstimateS: 5, Spot: true})
+		w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 40, CPUs: 2, EstimateS: 5, Spot: true})
 		w.run(w.now + 3*time.Second)
 		up := 0
 		for id := range booting {
--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -75,7 +75,7 @@
 func (w *configuredWorld) busy(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		for _, team := range []protocol.Team{"bound", "other", "free"} {
-			w.submit(protocol.Job{Class: "array", Team: team, Kind: protocol.KindArray, Priority: "standard", Tasks: 10, CPUs: 1, EstimateS: 12, Spot: true})
+			w.submit(protocol.Job{Class: "array", Team: team, Kind: protocol.KindJobArray, Priority: "standard", Tasks: 10, CPUs: 1, EstimateS: 12, Spot: true})
 		}
 		w.run(w.now + time.Second)
 	}
@@ -89,7 +89,7 @@
 		if i := w.scanned - w.state.Before; i < len(w.loggedAt) {
 			at = w.loggedAt[i]
 		}
-		followed, _ := record.ParseFollowed(e.Put)
+		followed, _ := record.ParseFollowedKey(e.Put)
 		var head record.Configuration
 		var entry record.ConfigurationEntry
 		switch team, isTeam := record.TeamOf(followed.ConfigurationEntry); {
@@ -151,7 +151,7 @@
 			}
 		}
 		request := r
-		reply, txn := n.core.Operate("ops", &request)
+		reply, txn := n.core.Decide("ops", &request)
 		switch {
 		case txn == nil && reply.Code == operatorapi.Later:
 			next(at+1, 300*time.Millisecond)
@@ -376,20 +376,20 @@
 	w.limit(0, "bound", 24)
 	older := w.nodes[2]
 	w.crash(older)
-	w.after(100*time.Millisecond, func() { older.layout = record.LayoutShares })
-	w.layout = record.LayoutShares
+	w.after(100*time.Millisecond, func() { older.layout = record.LayoutShards })
+	w.layout = record.LayoutShards
 	w.run(w.now + 25*time.Second)
 	if older.core == nil || older.core.Member() {
 		t.Error("an older controller is a member")
 	}
-	reply, _ := w.nodes[0].core.Operate("ops", &operatorapi.Request{Op: operatorapi.OpConfigStatus})
+	reply, _ := w.nodes[0].core.Decide("ops", &operatorapi.Request{Op: operatorapi.OpConfigStatus})
 	if len(reply.Config.Controllers) != 3 || !reply.Config.Controllers[2].Older {
 		t.Errorf("it is not named: %+v", reply.Config)
 	}
 
 	mixed := newConfigured(t, 997, 3, 12, 2)
 	limit := 24.0
-	reply, txn := mixed.nodes[0].core.Operate("ops", &operatorapi.Request{Op: operatorapi.OpConfigure, Config: &operatorapi.ConfigRequest{
+	reply, txn := mixed.nodes[0].core.Decide("ops", &operatorapi.Request{Op: operatorapi.OpConfigure, Config: &operatorapi.ConfigRequest{
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}})
 	if txn != nil || reply.Code != operatorapi.Refused {
@@ -416,10 +416,10 @@
 				w := newConfigured(t, 1020+seed, 3, 12)
 				w.runTime = func(protocol.TaskID) time.Duration { return 30 * time.Second }
 				for range 4 { // what fills the machines comes first
-					w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 20, Spot: true})
+					w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 20, Spot: true})
 				}
 				w.run(w.now + 2*time.Second)
-				w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindArray, Priority: "standard", Tasks: 60, CPUs: 1, EstimateS: 20, Spot: true})
+				w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 60, CPUs: 1, EstimateS: 20, Spot: true})
 				w.run(w.now + 2*time.Second)
 				w.limit(0, "bound", 12)
 				w.after(100*time.Millisecond, func() { trouble(w) })
@@ -439,13 +439,13 @@
 	first := operatorapi.Request{Op: operatorapi.OpConfigure, ID: "first", Config: &operatorapi.ConfigRequest{
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}}
-	if _, txn := w.nodes[0].core.Operate("ops", &first); txn == nil || !w.state.Txn(*txn) {
+	if _, txn := w.nodes[0].core.Decide("ops", &first); txn == nil || !w.state.Txn(*txn) {
 		t.Fatal("not written") // its answer is lost
 	}
 	w.run(w.now + time.Second)
 	w.limit(1, "bound", 40)
 	w.run(w.now + 2*time.Second)
-	reply, txn := w.nodes[2].core.Operate("ops", &first)
+	reply, txn := w.nodes[2].core.Decide("ops", &first)
 	if txn != nil || reply.Code != operatorapi.Done || reply.Config.Revision != 1 {
 		t.Errorf("the repetition: %+v, %v", reply, txn)
 	}
--- a/internal/simulator/frontends_test.go
+++ b/internal/simulator/frontends_test.go
@@ -15,7 +15,7 @@
 	u       *users
 	n       *simNode
 	life    int // of the process that it belongs to
-	in      *admission.Intake
+	in      *admission.Admission
 	lastID  admission.RequestID
 	replies map[admission.RequestID]func(admission.Answer)
 }
@@ -40,7 +40,7 @@
 }
 
 // ask gives the process a request; nobody answers if there is none.
-func (f *frontend) ask(a admission.Asked, reply func(admission.Answer)) {
+func (f *frontend) ask(a admission.Request, reply func(admission.Answer)) {
 	if !f.begin() {
 		return
 	}
@@ -102,12 +102,12 @@
 		}, func(out message.Outcome) any { return admission.Compared{Look: a.Look, Outcome: out} })
 	case admission.Write:
 		w.transact(f.n, a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
-	case admission.Look:
-		f.step(f.n.core.LookFor(a))
+	case admission.QueryOwners:
+		f.step(f.n.core.AnswerOwnerQuery(a))
 	case admission.PassOn:
 		p := f.u.front(a.To)
 		w.carry(string(f.n.name), string(a.To), func() {
-			p.ask(admission.Asked{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
+			p.ask(admission.Request{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
 				w.carry(string(a.To), string(f.n.name), func() { f.later(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
 			})
 		})
--- a/internal/simulator/guests_test.go
+++ b/internal/simulator/guests_test.go
@@ -52,11 +52,11 @@
 		w.run(3 * time.Second)
 		for i := range 80 {
 			if i%2 == 0 {
-				w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindArray, Priority: "low", Tasks: uint32(20 + i%3*20), CPUs: 2, EstimateS: 5, Spot: true, DeadlineS: 20})
+				w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindJobArray, Priority: "low", Tasks: uint32(20 + i%3*20), CPUs: 2, EstimateS: 5, Spot: true, DeadlineS: 20})
 				came[w.jobOrder[len(w.jobOrder)-1]] = w.now
 			}
 			if guests && i%10 == 5 {
-				w.submit(protocol.Job{Class: "idle", Team: "guest", Kind: protocol.KindArray, Priority: "low", Tasks: 150, CPUs: 1, EstimateS: 90, Spot: true})
+				w.submit(protocol.Job{Class: "idle", Team: "guest", Kind: protocol.KindJobArray, Priority: "low", Tasks: 150, CPUs: 1, EstimateS: 90, Spot: true})
 			}
 			if i == 45 {
 				w.crash(w.nodes[i%3])
@@ -115,7 +115,7 @@
 	t.Parallel()
 	w, b := beginning(t, 22)
 	for i := range 200 {
-		w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindArray, Priority: "low", Tasks: 12, CPUs: 2, EstimateS: 12, Spot: true, DeadlineS: 60})
+		w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindJobArray, Priority: "low", Tasks: 12, CPUs: 2, EstimateS: 12, Spot: true, DeadlineS: 60})
 		if i%20 == 10 {
 			w.submit(protocol.Job{Class: "urgent", Team: "home", Kind: protocol.KindGang, Priority: "high", Tasks: 1, CPUs: 8, EstimateS: 60, Spot: true})
 			b.comes(w)
@@ -135,9 +135,9 @@
 	t.Parallel()
 	w, b := beginning(t, 23)
 	for i := range 240 {
-		w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindArray, Priority: "low", Tasks: uint32(4 + i%2), CPUs: 2, EstimateS: 12, Spot: true, DeadlineS: 60})
+		w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindJobArray, Priority: "low", Tasks: uint32(4 + i%2), CPUs: 2, EstimateS: 12, Spot: true, DeadlineS: 60})
 		if i%10 == 5 && i < 120 {
-			w.submit(protocol.Job{Class: "idle", Team: "guest", Kind: protocol.KindArray, Priority: "low", Tasks: uint32(20 + i), CPUs: 2, EstimateS: 90, Spot: true})
+			w.submit(protocol.Job{Class: "idle", Team: "guest", Kind: protocol.KindJobArray, Priority: "low", Tasks: uint32(20 + i), CPUs: 2, EstimateS: 90, Spot: true})
 			b.comes(w)
 		}
 		w.run(w.now + time.Second)
--- a/internal/simulator/hard_test.go
+++ b/internal/simulator/hard_test.go
@@ -18,7 +18,7 @@
 // then a gang.
 func fleetJob(w *world) protocol.Job {
 	j := protocol.Job{
-		Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: uint32(200+w.rng.IntN(200)) * uint32(hardFleet/hardUsual), CPUs: 4, EstimateS: 5,
+		Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(200+w.rng.IntN(200)) * uint32(hardFleet/hardUsual), CPUs: 4, EstimateS: 5,
 		Spot: true,
 	}
 	if w.rng.IntN(4) == 0 {
@@ -53,7 +53,7 @@
 	n := 0
 	for _, node := range w.nodes {
 		if node.core != nil {
-			n += node.core.Look().Heard
+			n += node.core.Status().Heard
 		}
 	}
 	return n
@@ -123,15 +123,15 @@
 	w.submit(fleetJob(w))
 	w.run(w.now + 100*time.Millisecond)
 	frozen.frozen = w.now + 40*time.Second
-	term := w.nodes[0].core.Look().Term
+	term := w.nodes[0].core.Status().Term
 	w.submitEvery(2*time.Second, 39*time.Second)
-	if w.nodes[0].core.Look().Term == term {
+	if w.nodes[0].core.Status().Term == term {
 		t.Error("nobody took over")
 	}
 	w.submitEvery(2*time.Second, 10*time.Second)
 	w.allEnd(t, 100*time.Second)
 	for _, n := range w.nodes {
-		if waits := n.core.Look().Waits; len(waits) > 0 {
+		if waits := n.core.Status().Waits; len(waits) > 0 {
 			t.Fatalf("%s: %v have waits with nothing left to run", n.name, waits)
 		}
 	}
@@ -164,7 +164,7 @@
 	w.submitEvery(time.Second, 18*time.Second)
 	lapsed, starts := w.lapsed, w.starts
 	w.submitEvery(time.Second, 30*time.Second)
-	if n := w.nodes[2].core.Look().Queues; n < hardFleet/2 {
+	if n := w.nodes[2].core.Status().Queues; n < hardFleet/2 {
 		t.Errorf("%d machines kept", n)
 	}
 	if w.lapsed > lapsed {
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -23,7 +23,7 @@
 	mute time.Duration
 }
 
-func (w *world) boot(id protocol.MachineID, r protocol.RentRequest) {
+func (w *world) boot(id protocol.MachineID, r protocol.ProvisionRequest) {
 	var info protocol.TypeInfo
 	for _, t := range w.types {
 		if t.Name == r.Type {
@@ -116,7 +116,7 @@
 	if w.lateReports > 0 && w.rng.Float64() < w.lateReports {
 		// Its answer goes to nobody, but whatever else it has the controller do.
 		w.after(2*time.Second+time.Duration(w.rng.Float64()*2*w.settings.Site.Workers.LeaseS*float64(time.Second)), func() {
-			w.stepNode(n, message.Reported{Report: r})
+			w.stepNode(n, message.HeartbeatReceived{Heartbeat: r})
 		})
 	}
 	w.carryToZone(n, sw.Zone, func() {
@@ -127,8 +127,8 @@
 			}
 			return
 		}
-		for _, a := range w.stepNode(n, message.Reported{Report: r}) {
-			rr, ok := a.(message.ReplyReport)
+		for _, a := range w.stepNode(n, message.HeartbeatReceived{Heartbeat: r}) {
+			rr, ok := a.(message.ReplyHeartbeat)
 			if !ok {
 				continue
 			}
@@ -146,7 +146,7 @@
 				case 200:
 					before := sw.Term
 					w.tickWorker(sw)
-					sw.Answer(r.Session, sent, rr.Reply)
+					sw.Answer(r.AgentEpoch, sent, rr.Reply)
 					sw.due = w.now
 					next(time.Duration(w.settings.Site.Workers.ReportS * float64(time.Second)))
 					if sw.Term != before || len(rr.Reply.Orders) > 0 {
@@ -154,7 +154,7 @@
 					}
 				case 421:
 					var at int
-					fmt.Sscanf(string(rr.ReportTo), "node-%d", &at)
+					fmt.Sscanf(string(rr.Leader), "node-%d", &at)
 					sw.target = at
 					next(w.delay())
 				default:
@@ -180,7 +180,7 @@
 	w.viewAt = it.Version
 	for _, r := range w.keptReports {
 		for _, n := range w.nodes {
-			w.after(time.Duration(w.rng.IntN(500))*time.Millisecond, func() { w.stepNode(n, message.Reported{Report: r}) })
+			w.after(time.Duration(w.rng.IntN(500))*time.Millisecond, func() { w.stepNode(n, message.HeartbeatReceived{Heartbeat: r}) })
 		}
 	}
 	w.keptReports = nil
--- a/internal/simulator/meetings_test.go
+++ b/internal/simulator/meetings_test.go
@@ -188,7 +188,7 @@
 	w.runTime = func(protocol.TaskID) time.Duration { return 10 * time.Minute }
 	w.run(3 * time.Second)
 	for range 40 { // some still fetch their images, or wait, when it begins
-		w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, SaveS: 2})
+		w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, SaveS: 2})
 		w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, SaveS: 2})
 		w.run(w.now + 250*time.Millisecond)
 	}
--- a/internal/simulator/mistakes_test.go
+++ b/internal/simulator/mistakes_test.go
@@ -25,7 +25,7 @@
 	w.started = func(_ protocol.MachineID, id protocol.TaskID) { starts[id.Job]++ }
 	aside, good := map[protocol.MachineID]bool{}, 0
 	for i := range 80 {
-		j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true}
+		j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true}
 		switch i % 4 {
 		case 0:
 			j.Class, j.Kind, j.Tasks, j.Priority = "gang", protocol.KindGang, 6, "high"
@@ -40,7 +40,7 @@
 		}
 		w.run(w.now + time.Second)
 		for _, n := range w.nodes {
-			for _, id := range n.core.Look().SetAside {
+			for _, id := range n.core.Status().SetAside {
 				if aside[id] = true; !faulty[id] {
 					good++
 				}
--- a/internal/simulator/nodes.go
+++ b/internal/simulator/nodes.go
@@ -103,7 +103,7 @@
 	})
 }
 
-// openSession does what Node.session does.
+// openSession does what Node.runSession does.
 func (w *world) openSession(n *simNode, life int) {
 	if n.life != life {
 		return
@@ -116,9 +116,9 @@
 	lease := w.state.Lease(w.now, simNodeLease)
 	key := record.NodeKey(n.name)
 	it, _ := w.state.Get(key)
-	w.state.Txn(protocol.Txn{
-		If:   []protocol.Condition{{Key: key, Version: it.Version}},
-		Then: []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout}, Lease: &lease}},
+	w.state.Txn(protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: key, Version: it.Version}},
+		Changes:    []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout}, Lease: &lease}},
 	})
 	n.session, n.followed, n.extendAt = lease, at, w.now
 	w.stepNode(n, message.Snapshot{Session: lease, Items: items, WallMS: w.wallMS()})
@@ -162,17 +162,17 @@
 			n.outboxes[a.To].Add(a)
 		case message.Commit:
 			w.commit(n, a)
-		case message.Configured:
+		case message.ConfigurationChanged:
 			w.configured(n, a.Effective)
-		case message.LoadBits:
+		case message.LoadBitmap:
 			ok := w.stateReachable(n)
-			w.later(n, message.JobLoaded{Job: a.Job, Chunks: w.state.List(record.BitsPrefix(a.Job)), OK: ok})
+			w.later(n, message.BitmapLoaded{Job: a.Job, Chunks: w.state.List(record.BitmapPrefix(a.Job)), OK: ok})
 		case message.Command:
 			w.ordered(n, a.Commands.Orders)
 			w.command(n, a)
-		case message.Rent:
+		case message.Provision:
 			if w.silent > w.now {
-				w.later(n, message.Rented{Request: a.Request, Outcome: message.OutcomeUnknown})
+				w.later(n, message.ProvisionDone{Request: a.Request, Outcome: message.OutcomeUnknown})
 				continue
 			}
 			all, fresh := w.cloud.Rent(a.Request)
@@ -188,20 +188,20 @@
 			if len(all) == 0 {
 				out = message.OutcomeFailed
 			}
-			w.later(n, message.Rented{Request: a.Request, Machines: all, Outcome: out})
-		case message.Delete:
+			w.later(n, message.ProvisionDone{Request: a.Request, Machines: all, Outcome: out})
+		case message.Terminate:
 			if w.silent > w.now {
-				w.later(n, message.Deleted{Machines: a.Machines})
+				w.later(n, message.TerminateDone{Machines: a.Machines})
 				continue
 			}
 			for _, id := range a.Machines {
 				w.kill(id)
 				delete(w.cloud.Machines, id)
 			}
-			w.later(n, message.Deleted{Machines: a.Machines, OK: true})
+			w.later(n, message.TerminateDone{Machines: a.Machines, OK: true})
 		case message.ListMachines:
 			if w.silent > w.now {
-				w.later(n, message.Listed{})
+				w.later(n, message.MachinesListed{})
 				continue
 			}
 			var list []protocol.ListedMachine
@@ -213,7 +213,7 @@
 				}
 				list = append(list, protocol.ListedMachine{ID: id, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: st, AgeS: w.heldS(id)})
 			}
-			w.later(n, message.Listed{Machines: list, OK: true})
+			w.later(n, message.MachinesListed{Machines: list, OK: true})
 		}
 	}
 }
@@ -222,13 +222,13 @@
 func (w *world) commit(n *simNode, a message.Commit) {
 	w.checkSize(a)
 	w.transact(n, a.Txn, func(out message.Outcome, at protocol.Revision) {
-		w.stepNode(n, message.TxnDone{Tag: a.Tag, Outcome: out, Revision: at})
+		w.stepNode(n, message.CommitDone{Tag: a.Tag, Outcome: out, Revision: at})
 	})
 }
 
 // transact applies a transaction of a process, which is told of the outcome unless it
 // has ended; behind a cut it may be applied late, with no answer.
-func (w *world) transact(n *simNode, txn protocol.Txn, done func(message.Outcome, protocol.Revision)) {
+func (w *world) transact(n *simNode, txn protocol.Transaction, done func(message.Outcome, protocol.Revision)) {
 	if !w.stateReachable(n) {
 		c := w.cuts[string(n.name)+">state"]
 		if c.hold && w.outage <= w.now {
@@ -266,7 +266,7 @@
 	w.alive(n, 1500*time.Millisecond, func() { done(message.OutcomeUnknown, 0) })
 }
 
-func (w *world) execute(n *simNode, txn protocol.Txn, done func(message.Outcome, protocol.Revision)) {
+func (w *world) execute(n *simNode, txn protocol.Transaction, done func(message.Outcome, protocol.Revision)) {
 	out := message.OutcomeFailed
 	if w.state.Txn(txn) {
 		out = message.OutcomeDone
@@ -284,11 +284,11 @@
 // checkSize holds a transaction against the limits of the state service.
 func (w *world) checkSize(a message.Commit) {
 	s := w.settings.Site.State
-	if ops := len(a.Txn.Then); ops > s.TxnOps || len(a.Txn.If) > 4*s.TxnOps {
-		w.fail("%v transaction %T of %d conditions and %d changes", w.now, a.Tag, len(a.Txn.If), ops)
+	if ops := len(a.Txn.Changes); ops > s.TxnOps || len(a.Txn.Conditions) > 4*s.TxnOps {
+		w.fail("%v transaction %T of %d conditions and %d changes", w.now, a.Tag, len(a.Txn.Conditions), ops)
 	}
 	total := 0
-	for _, ch := range a.Txn.Then {
+	for _, ch := range a.Txn.Changes {
 		if b, ok := ch.Value.(record.Block); ok {
 			w.blockWrites++
 			text, err := json.Marshal(b)
@@ -302,7 +302,7 @@
 func (w *world) command(n *simNode, a message.Command) {
 	life := n.life
 	answered := false
-	done := message.Commanded{Machine: a.Machine, Term: a.Commands.Term, Session: a.Commands.Session, Orders: a.Commands.Orders}
+	done := message.CommandDone{Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: a.Commands.AgentEpoch, Orders: a.Commands.Orders}
 	sw := w.workers[a.Machine]
 	if sw == nil {
 		sw = &simWorker{Worker: &fake.Worker{Dead: true}}
@@ -319,7 +319,7 @@
 		w.tickWorker(sw)
 		done.Executed = sw.Do(a.Commands)
 		sw.due = w.now
-		done.Report = sw.Report()
+		done.Heartbeat = sw.Report()
 		done.Answered = true
 		if w.rng.IntN(30) == 0 {
 			done.Answered = false // the answer is lost
@@ -365,7 +365,7 @@
 		ev := w.state.Change(n.followed)
 		n.followed++
 		if strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix) {
-			w.stepNode(n, message.Changed{Event: ev})
+			w.stepNode(n, message.RecordChanged{Event: ev})
 		}
 	}
 }
@@ -396,7 +396,7 @@
 			n.extendAt = w.now + time.Second
 			if !w.state.Extend(w.now, n.session) {
 				n.session = 0
-				w.stepNode(n, message.SessionOver{})
+				w.stepNode(n, message.SessionEnded{})
 				for _, o := range n.outboxes {
 					o.busyUntil = 0
 				}
@@ -404,7 +404,7 @@
 				w.after(300*time.Millisecond, func() { w.openSession(n, life) })
 				return
 			}
-			w.stepNode(n, message.Entitled{Until: controller.ActsUntil(w.ownLease, w.clock(n), w.clock(n)-controller.Time(w.slow+w.lag))})
+			w.stepNode(n, message.LeaseExtended{Until: controller.LeaseDeadline(w.ownLease, w.clock(n), w.clock(n)-controller.Time(w.slow+w.lag))})
 		}
 	}
 	if n.slowBy > 1 && w.now < n.slowUntil && int(w.now/w.step)%n.slowBy != 0 {
@@ -435,11 +435,11 @@
 		}
 	}
 	w.carry(string(n.name), string(to), func() {
-		for _, a := range w.stepNode(peer, message.Received{Batch: b}) {
+		for _, a := range w.stepNode(peer, message.BatchReceived{Batch: b}) {
 			if rb, ok := a.(message.ReplyBatch); ok {
 				w.carry(string(to), string(n.name), func() {
 					if n.life == life {
-						o.Settle(b, rb.Reply)
+						o.HandleReply(b, rb.Reply)
 						o.busyUntil = w.now
 					}
 				})
--- a/internal/simulator/plants_test.go
+++ b/internal/simulator/plants_test.go
@@ -66,7 +66,7 @@
 			u.after(10*second, func() {
 				for _, j := range u.jobs {
 					if j.bad != 0 {
-						u.state.Txn(protocol.Txn{Then: []protocol.Change{{Put: record.JobKey(j.id), Value: record.JobRecord{State: record.RecordLive, Tasks: 1}}}})
+						u.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.JobKey(j.id), Value: record.JobRecord{State: record.RecordLive, Tasks: 1}}}})
 						return
 					}
 				}
@@ -78,7 +78,7 @@
 				for _, n := range u.nodes {
 					u.crashFor(n, time.Hour)
 				}
-				j := protocol.Job{ID: "job-999999", Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 1, CPUs: 1, Spot: true}
+				j := protocol.Job{ID: "job-999999", Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, Spot: true}
 				u.world.jobs[j.ID], u.jobs[j.ID] = j, &userJob{id: j.ID, job: j, accepted: true}
 			})
 		}}, "left waiting"},
--- a/internal/simulator/play.go
+++ b/internal/simulator/play.go
@@ -129,7 +129,7 @@
 	}
 	w.runTime, w.saved = p.runs, func(id protocol.TaskID, left time.Duration) { p.left[id] = left }
 	w.bootTime = p.boots
-	w.rented = func(id protocol.MachineID, r protocol.RentRequest) {
+	w.rented = func(id protocol.MachineID, r protocol.ProvisionRequest) {
 		t := p.infos[r.Type]
 		price := t.Price
 		if r.Spot {
@@ -147,7 +147,7 @@
 
 // boots is how long a machine takes to come up: most 0.6 to 1.5 times what the
 // catalogue says, one in thirty three times as long, one in a hundred never.
-func (p *player) boots(r protocol.RentRequest) time.Duration {
+func (p *player) boots(r protocol.ProvisionRequest) time.Duration {
 	factor := 0.6 + 0.9*p.world.rng.Float64()
 	switch n := p.world.rng.IntN(300); {
 	case n < 3:
@@ -288,7 +288,7 @@
 		again()
 		return
 	}
-	reply, txn := n.core.Operate("emulator", &r)
+	reply, txn := n.core.Decide("emulator", &r)
 	switch {
 	case reply.Code == operatorapi.Later, txn != nil && !p.state.Txn(*txn):
 		again()
@@ -308,7 +308,7 @@
 	p.after(config.Seconds(p.rng.ExpFloat64()*l.EveryS), func() {
 		tasks := 1 + int(p.rng.ExpFloat64()*float64(l.Tasks-1)+0.5)
 		p.newJob(protocol.Job{
-			Class: l.Class, Team: l.Team, Kind: protocol.KindArray, Priority: l.Priority, Tasks: uint32(min(tasks, 20*l.Tasks)),
+			Class: l.Class, Team: l.Team, Kind: protocol.KindJobArray, Priority: l.Priority, Tasks: uint32(min(tasks, 20*l.Tasks)),
 			CPUs: l.CPUs, EstimateS: l.EstimateS, CheckpointS: l.CheckpointS, SaveS: l.SaveS, Spot: l.Spot,
 		}, l.Factor, nil, 0)
 		p.nextLoad(l)
@@ -317,7 +317,7 @@
 
 // comes submits the job of a reservation.
 func (p *player) comes(r *Reservation, o *Occurrence) {
-	kind := protocol.KindArray
+	kind := protocol.KindJobArray
 	if r.Gang {
 		kind = protocol.KindGang
 	}
@@ -385,7 +385,7 @@
 		if n.core == nil || n.session == 0 {
 			continue
 		}
-		reply, _ := n.core.Operate("emulator", &operatorapi.Request{Op: operatorapi.OpShow, Name: o.Name})
+		reply, _ := n.core.Decide("emulator", &operatorapi.Request{Op: operatorapi.OpShow, Name: o.Name})
 		for _, r := range reply.Reservations {
 			if int64(r.StartMS) == o.Start.UnixMilli() {
 				o.State, o.Risk = r.State, r.Risk
--- a/internal/simulator/play_test.go
+++ b/internal/simulator/play_test.go
@@ -57,8 +57,8 @@
 		"spot machines are taken 30 s before":            {before: 30 * time.Second, do: (*player).takeSpots},
 		"a machine that is held for it is lost": {before: 20 * time.Second, do: func(p *player) {
 			for _, n := range p.nodes {
-				if n.core != nil && len(n.core.Look().Holds) > 0 {
-					p.kill(n.core.Look().Holds[0].Machine)
+				if n.core != nil && len(n.core.Status().Holds) > 0 {
+					p.kill(n.core.Status().Holds[0].Machine)
 					return
 				}
 			}
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -49,7 +49,7 @@
 			if n.core == nil {
 				continue
 			}
-			if m := n.core.Look().Misplaced; len(m) > 0 {
+			if m := n.core.Status().Misplaced; len(m) > 0 {
 				w.fail("%v %s keeps %v of shares that it does not hold", w.now, n.name, m)
 			}
 		}
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -19,7 +19,7 @@
 // randomJob makes a job that the world's machines can run.
 func (w *world) randomJob() protocol.Job {
 	j := protocol.Job{
-		Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: uint32(1 + w.rng.IntN(12)),
+		Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(1 + w.rng.IntN(12)),
 		CPUs: float64(1 + w.rng.IntN(2)), EstimateS: 5, Spot: w.rng.IntN(2) == 0,
 	}
 	switch w.rng.IntN(8) {
@@ -40,7 +40,7 @@
 	if w.rng.IntN(3) == 0 {
 		j.Team = "bound"
 	}
-	if w.rng.IntN(3) == 0 && j.Kind == protocol.KindArray {
+	if w.rng.IntN(3) == 0 && j.Kind == protocol.KindJobArray {
 		j.CheckpointS, j.SaveS = 2, 2
 	}
 	return j
@@ -130,7 +130,7 @@
 			CPUs: 2, MemoryGB: 1, Priority: []protocol.Priority{"standard", "high"}[w.rng.IntN(2)], OneZone: w.rng.IntN(2) == 0,
 		}
 	}
-	if reply, txn := n.core.Operate("ops", &r); txn != nil && reply.Code == operatorapi.Done && w.state.Txn(*txn) {
+	if reply, txn := n.core.Decide("ops", &r); txn != nil && reply.Code == operatorapi.Done && w.state.Txn(*txn) {
 		w.promised++
 	}
 }
@@ -246,7 +246,7 @@
 	var b strings.Builder
 	for _, n := range w.nodes {
 		if n.core != nil {
-			b.WriteString(n.core.Whereabouts(id))
+			b.WriteString(n.core.DescribeJob(id))
 		}
 	}
 	return b.String()
@@ -292,7 +292,7 @@
 		case j.Team == "bound": // its limit is for the few
 		case j.Kind == protocol.KindGang:
 			j.Tasks = uint32(2 + w.rng.IntN(gang))
-		case j.Kind == protocol.KindArray:
+		case j.Kind == protocol.KindJobArray:
 			j.Tasks *= array
 		}
 		return j
@@ -366,7 +366,7 @@
 		j := w.randomJob()
 		j.Team = teams[w.rng.IntN(len(teams))].Name
 		j.Priority = []protocol.Priority{"high", "standard", "best_effort"}[w.rng.IntN(3)]
-		if n := uint32(teams[2].MaxCPUs / j.CPUs); j.Kind != protocol.KindArray {
+		if n := uint32(teams[2].MaxCPUs / j.CPUs); j.Kind != protocol.KindJobArray {
 			j.Tasks = min(j.Tasks, n)
 		}
 		return j
--- a/internal/simulator/shares.go
+++ b/internal/simulator/shares.go
@@ -12,8 +12,8 @@
 )
 
 // shares is the record of the shares, if there is one.
-func (w *world) shares() (s record.Shares, ok bool) {
-	it, there := w.state.Get(record.SharesKey)
+func (w *world) shares() (s record.ShardTable, ok bool) {
+	it, there := w.state.Get(record.ShardTableKey)
 	if !there {
 		return s, false
 	}
@@ -41,7 +41,7 @@
 		if n.core == nil || w.now < n.frozen {
 			continue
 		}
-		if reply, _ := n.core.Operate("ops", &operatorapi.Request{Op: operatorapi.OpMove, Shares: ids, Controller: to.name}); reply.Code == operatorapi.Done {
+		if reply, _ := n.core.Decide("ops", &operatorapi.Request{Op: operatorapi.OpMove, Shares: ids, Controller: to.name}); reply.Code == operatorapi.Done {
 			return true
 		}
 	}
@@ -65,7 +65,7 @@
 // its lease, and comes back after a while.
 func (w *world) leave(n *simNode) {
 	life, end := n.life, w.now+handOverWithin
-	w.stepNode(n, message.Leave{})
+	w.stepNode(n, message.Shutdown{})
 	var wait func()
 	wait = func() {
 		if n.life != life || n.core == nil {
@@ -85,11 +85,11 @@
 
 // noteMoves takes note of the moves of shares that a controller has seen end.
 func (w *world) noteMoves(n *simNode) {
-	for _, m := range n.core.MovesEnded() {
+	for _, m := range n.core.CompletedMoves() {
 		if m.GivenUp {
 			w.givenUp++
 		} else {
-			w.pauses, w.movedAt[m.Share] = append(w.pauses, m.Pause), w.now
+			w.pauses, w.movedAt[m.Shard] = append(w.pauses, m.Pause), w.now
 		}
 	}
 }
--- a/internal/simulator/shares_test.go
+++ b/internal/simulator/shares_test.go
@@ -30,7 +30,7 @@
 // busyJob is an array that fills a third of the machines, now and then a gang, all
 // of one priority: nothing is stopped for anything else.
 func busyJob(w *world, machines int) protocol.Job {
-	j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: uint32(machines/3 + w.rng.IntN(10)), CPUs: 2, EstimateS: 5, Spot: true}
+	j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(machines/3 + w.rng.IntN(10)), CPUs: 2, EstimateS: 5, Spot: true}
 	if w.rng.IntN(4) == 0 {
 		j.Class, j.Kind, j.Tasks, j.CPUs, j.Priority = "gang", protocol.KindGang, uint32(2+w.rng.IntN(5)), 4, "standard"
 	}
@@ -155,8 +155,8 @@
 func (w *world) sameTerm(t *testing.T, term protocol.Term) {
 	t.Helper()
 	for _, n := range w.nodes {
-		if n.core != nil && n.core.Look().Term != term {
-			t.Errorf("%s is in term %d, want %d", n.name, n.core.Look().Term, term)
+		if n.core != nil && n.core.Status().Term != term {
+			t.Errorf("%s is in term %d, want %d", n.name, n.core.Status().Term, term)
 		}
 	}
 }
@@ -169,8 +169,8 @@
 	for _, n := range w.nodes {
 		w.leave(n)
 		w.work(6 * time.Second)
-		if n.core != nil && n.core.Look().Queues > 0 {
-			t.Fatalf("%s keeps %d machines though it was told to end", n.name, n.core.Look().Queues)
+		if n.core != nil && n.core.Status().Queues > 0 {
+			t.Fatalf("%s keeps %d machines though it was told to end", n.name, n.core.Status().Queues)
 		}
 		w.work(12 * time.Second)
 	}
@@ -270,7 +270,7 @@
 			}
 		},
 		"the record of the shares is lost": func(w *world, _, _ *simNode) {
-			w.state.Txn(protocol.Txn{Then: []protocol.Change{{Delete: record.SharesKey}}})
+			w.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Delete: record.ShardTableKey}}})
 		},
 		"a third controller ends": func(w *world, _, _ *simNode) { w.crash(w.nodes[2]) },
 		"the move goes back":      func(w *world, a, b *simNode) { w.move(w.held(b), a) },
@@ -306,7 +306,7 @@
 	starts, tasks := w.starts, w.tasks()
 	for range 3 {
 		w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 9, CPUs: 4, EstimateS: 5, Spot: true})
-		w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true})
+		w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true})
 		for i := range 12 {
 			w.run(w.now + 250*time.Millisecond)
 			w.moveSome(12)
@@ -355,7 +355,7 @@
 	}
 	w.run(3 * time.Second)
 	w.work(5 * time.Second)
-	w.layout = record.LayoutShares
+	w.layout = record.LayoutShards
 	for i, n := range w.nodes[:2] {
 		w.crash(n)
 		w.work(15 * time.Second)
@@ -366,7 +366,7 @@
 	w.layout = record.LayoutBlocks // back
 	w.crash(w.nodes[0])
 	w.work(15 * time.Second)
-	w.layout = record.LayoutShares
+	w.layout = record.LayoutShards
 	for _, n := range w.nodes {
 		w.crash(n)
 		w.work(15 * time.Second)
--- a/internal/simulator/usermeetings_test.go
+++ b/internal/simulator/usermeetings_test.go
@@ -22,7 +22,7 @@
 // leader is the controller that writes machines' records, as far as anybody knows.
 func (w *world) leader() *simNode {
 	for _, n := range w.nodes {
-		if n.core != nil && n.core.Look().Writes {
+		if n.core != nil && n.core.Status().Writes {
 			return n
 		}
 	}
@@ -74,7 +74,7 @@
 func boundJob(w *world) protocol.Job {
 	j := w.randomJob()
 	j.Team = boundTeams[w.rng.IntN(len(boundTeams))].Name
-	if j.Kind != protocol.KindArray {
+	if j.Kind != protocol.KindJobArray {
 		j.Tasks = min(j.Tasks, uint32(8/j.CPUs))
 	}
 	return j
@@ -93,7 +93,7 @@
 
 // smallJob has one task.
 func smallJob(w *world) protocol.Job {
-	return protocol.Job{Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 3, Spot: true}
+	return protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 3, Spot: true}
 }
 
 // userMeetings are the operators' meetings, each by itself, with users at all
@@ -185,11 +185,11 @@
 			d.machines, d.every = 3, second/2
 			d.prepare = func(u *users) {
 				u.cloud.Capacity = 14
-				u.bootTime = func(protocol.RentRequest) time.Duration {
+				u.bootTime = func(protocol.ProvisionRequest) time.Duration {
 					return time.Duration(100+u.rng.IntN(1900)) * time.Millisecond
 				}
 				rented := u.rented
-				u.rented = func(id protocol.MachineID, r protocol.RentRequest) {
+				u.rented = func(id protocol.MachineID, r protocol.ProvisionRequest) {
 					rented(id, r)
 					if u.rng.IntN(3) == 0 && u.now < 100*second {
 						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.back(u.leader()) })
@@ -356,7 +356,7 @@
 				u.wellFormed = true
 				w.run(4 * time.Second)
 				for range 12 { // more than fit: some tasks wait, some fetch, some run
-					u.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 6, CPUs: 1, EstimateS: 300, Spot: true})
+					u.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, EstimateS: 300, Spot: true})
 					w.run(w.now + 400*time.Millisecond)
 				}
 				for slices.ContainsFunc(slices.Collect(maps.Values(u.jobs)), func(j *userJob) bool { return !j.accepted }) {
@@ -419,7 +419,7 @@
 func TestLeaderEndsAtEachStep(t *testing.T) {
 	for name, first := range map[string]func(*users){
 		"of a registration": func(u *users) {
-			r := protocol.RentRequest{Name: "new", Type: "large", Zone: "a", Count: 1}
+			r := protocol.ProvisionRequest{Name: "new", Type: "large", Zone: "a", Count: 1}
 			_, ids := u.cloud.Rent(r)
 			u.boot(ids[0], r)
 		},
@@ -436,7 +436,7 @@
 				u.wellFormed = true
 				w.run(8 * time.Second)
 				for range 8 { // more than fit
-					u.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindArray, Priority: "standard", Tasks: 6, CPUs: 1, EstimateS: 5, Spot: true})
+					u.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, EstimateS: 5, Spot: true})
 				}
 				w.run(w.now + time.Second)
 				w.slow, w.lateWrites = 100*time.Millisecond, 0.2
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -283,7 +283,7 @@
 		}
 	}
 	u.after(wait, func() { finish(admission.Answer{}) })
-	u.after(u.delay()/4, func() { f.ask(admission.Asked{Operation: op, Job: j.id, Body: j.body}, finish) })
+	u.after(u.delay()/4, func() { f.ask(admission.Request{Operation: op, Job: j.id, Body: j.body}, finish) })
 }
 
 // judge holds an answer against the rules.
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -55,8 +55,8 @@
 	operator config.Operator
 	runTime  func(protocol.TaskID) time.Duration
 	saved    func(protocol.TaskID, time.Duration) // see standin.Worker
-	bootTime func(protocol.RentRequest) time.Duration
-	rented   func(protocol.MachineID, protocol.RentRequest)
+	bootTime func(protocol.ProvisionRequest) time.Duration
+	rented   func(protocol.MachineID, protocol.ProvisionRequest)
 	gone     func(protocol.MachineID)
 	heldS    func(protocol.MachineID) float64          // how long a machine has been rented
 	started  func(protocol.MachineID, protocol.TaskID) // a task starts
@@ -87,7 +87,7 @@
 	// forNext has a copy of some reports kept until a new view is written, which then
 	// reaches every controller.
 	forNext     bool
-	keptReports []protocol.Report
+	keptReports []protocol.Heartbeat
 	viewAt      protocol.Version // as last seen
 	// heldUp is the share of commands, reports and their answers that take seconds.
 	heldUp   float64
@@ -146,10 +146,10 @@
 			{Name: "large", CPUs: 8, MemoryGB: 32, FetchGBPS: 1, Price: 2, SpotPrice: 0.6, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}},
 		},
 	}
-	w.layout = record.LayoutShares
+	w.layout = record.LayoutShards
 	w.step, w.startMS, w.operator, w.ownLease = usualStep, 1, config.DefaultOperator(), simNodeLease
 	w.runTime = func(protocol.TaskID) time.Duration { return time.Duration(1000+w.rng.IntN(9000)) * time.Millisecond }
-	w.bootTime = func(protocol.RentRequest) time.Duration { return time.Duration(3+w.rng.IntN(8)) * time.Second }
+	w.bootTime = func(protocol.ProvisionRequest) time.Duration { return time.Duration(3+w.rng.IntN(8)) * time.Second }
 	w.heldS = func(protocol.MachineID) float64 { return 30 }
 	w.started = func(protocol.MachineID, protocol.TaskID) {}
 	w.endedTask, w.movedAt = func(protocol.MachineID, protocol.TaskID, protocol.EndCause) {}, map[sharding.ID]time.Duration{}
@@ -159,14 +159,14 @@
 		return team.MaxCPUs
 	}
 	w.configured = func(*simNode, *dynamicconfig.Effective) {}
-	w.rented, w.gone = func(protocol.MachineID, protocol.RentRequest) {}, func(protocol.MachineID) {}
+	w.rented, w.gone = func(protocol.MachineID, protocol.ProvisionRequest) {}, func(protocol.MachineID) {}
 	for i := range up {
-		r := protocol.RentRequest{Name: fmt.Sprint("first", i), Type: w.types[i%2].Name, Zone: w.types[0].AllowZones[i/2%2], Spot: i%3 == 0, Count: 1}
+		r := protocol.ProvisionRequest{Name: fmt.Sprint("first", i), Type: w.types[i%2].Name, Zone: w.types[0].AllowZones[i/2%2], Spot: i%3 == 0, Count: 1}
 		_, ids := w.cloud.Rent(r)
 		w.boot(ids[0], r)
 	}
 	for i := range settings.Site.Count {
-		n := &simNode{name: protocol.NodeName(fmt.Sprint("node-", i)), layout: record.LayoutShares}
+		n := &simNode{name: protocol.NodeName(fmt.Sprint("node-", i)), layout: record.LayoutShards}
 		w.nodes = append(w.nodes, n)
 		w.startNode(n)
 	}
@@ -186,7 +186,7 @@
 	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", w.submitted))
 	j.SubmittedMS = w.wallMS()
 	j.Image, j.ImageGB, j.MemoryGB = "img", 1, 1
-	if w.outage > w.now || !w.state.Txn(admission.AcceptTxn(&j)) {
+	if w.outage > w.now || !w.state.Txn(admission.AcceptTransaction(&j)) {
 		return
 	}
 	w.submitted++
@@ -200,7 +200,7 @@
 		return
 	}
 	it, _ := w.state.Get(record.JobKey(id))
-	if w.outage <= w.now && w.state.Txn(admission.CancelTxn(id, it.Version, record.JobRecord{Tasks: w.jobs[id].Tasks})) {
+	if w.outage <= w.now && w.state.Txn(admission.CancelTransaction(id, it.Version, record.JobRecord{Tasks: w.jobs[id].Tasks})) {
 		w.cancelled[id] = w.now
 	}
 }
