--- /dev/null
+++ b/internal/simulator/digests_test.go
@@ -0,0 +1,210 @@
+package simulator
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/protocol"
+)
+
+// updateDigests writes digestsFile anew: go test ./internal/simulator -run TestDigests -update
+var updateDigests = flag.Bool("update", false, "write the golden digests anew")
+
+// digestsFile holds a name and a SHA-256 digest per line, sorted by name.
+const digestsFile = "testdata/digests.txt"
+
+// digestPlay is a site file to emulate, and for how long by which seed.
+type digestPlay struct {
+	name string
+	site string
+	play time.Duration
+	seed uint64
+	long bool // left out by -short
+}
+
+// digestPlays are the plays whose results are held. Those of the deployed sites are the
+// same bytes as "damsonkeel emulate --site SITE --for PLAY --seed SEED --output json"
+// prints. The week is held for its first ten minutes only: six hours of it take too long
+// for every run (with seed 3 their digest begins with 8216dde14c5af28b at the time of
+// writing).
+var digestPlays = []digestPlay{
+	{name: "spot-seed-1", site: "testdata/digests/spot.toml", play: time.Hour, seed: 1},
+	{name: "spot-seed-2", site: "testdata/digests/spot.toml", play: time.Hour, seed: 2},
+	{name: "reservations-seed-1", site: "testdata/digests/reservations.toml", play: 125 * time.Minute, seed: 1},
+	{name: "reservations-seed-2", site: "testdata/digests/reservations.toml", play: 125 * time.Minute, seed: 2},
+	{name: "shares-seed-1", site: "testdata/digests/shares.toml", play: 30 * time.Minute, seed: 1},
+	{name: "shares-seed-2", site: "testdata/digests/shares.toml", play: 30 * time.Minute, seed: 2},
+	{name: "deployed-week-10m-seed-3", site: "../../deploy/emulate-week.toml", play: 10 * time.Minute, seed: 3},
+	{name: "deployed-shares-2m-seed-7", site: "../../deploy/emulate-shares.toml", play: 2 * time.Minute, seed: 7, long: true},
+}
+
+// configurationDigest is the name of the digest of a configuration change.
+const configurationDigest = "configuration-change"
+
+// TestDigests compares the results of emulated sites, byte by byte, with those of the
+// version that wrote the golden digests. A change that is meant to change no behaviour
+// leaves all of them as they are; one that is meant to writes them anew by -update.
+func TestDigests(t *testing.T) {
+	golden := readDigests(t)
+	got := make([]string, len(digestPlays)+1)
+	t.Run("plays", func(t *testing.T) { // returns when all parallel subtests have ended
+		for i, play := range digestPlays {
+			t.Run(play.name, func(t *testing.T) {
+				if play.long && testing.Short() {
+					t.Skip("long")
+				}
+				t.Parallel()
+				got[i] = digestOf(resultJSON(t, play))
+				checkDigest(t, golden, play.name, got[i])
+			})
+		}
+		t.Run(configurationDigest, func(t *testing.T) {
+			t.Parallel()
+			got[len(digestPlays)] = digestOf(configurationChangeJSON(t))
+			checkDigest(t, golden, configurationDigest, got[len(digestPlays)])
+		})
+	})
+	if *updateDigests && !t.Failed() {
+		golden[configurationDigest] = got[len(digestPlays)]
+		for i, play := range digestPlays {
+			if got[i] != "" { // else it was left out, and its digest stays
+				golden[play.name] = got[i]
+			}
+		}
+		writeDigests(t, golden)
+	}
+}
+
+// TestDigestSitesHaveAllTroubles fails if a kind of trouble happens in none of the small
+// sites whose digests are held.
+func TestDigestSitesHaveAllTroubles(t *testing.T) {
+	had := map[string]bool{}
+	for _, play := range digestPlays {
+		if play.long {
+			continue
+		}
+		troubles := reflect.ValueOf(loadSite(t, play.site).Troubles)
+		for i := range troubles.NumField() {
+			if troubles.Field(i).Float()*play.play.Hours()/24 >= 1 {
+				had[troubles.Type().Field(i).Name] = true
+			}
+		}
+	}
+	for _, field := range reflect.VisibleFields(reflect.TypeFor[Troubles]()) {
+		if !had[field.Name] {
+			t.Errorf("no site has the trouble %s", field.Name)
+		}
+	}
+}
+
+// loadSite reads a site's file.
+func loadSite(t *testing.T, path string) *Site {
+	t.Helper()
+	site, err := LoadSite(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return site
+}
+
+// resultJSON plays a site and returns its result as the command prints it. Broken rules
+// are part of the result.
+func resultJSON(t *testing.T, play digestPlay) []byte {
+	t.Helper()
+	result := Play(loadSite(t, play.site), Options{For: play.play, Seed: play.seed})
+	return indentedJSON(t, []*Result{result})
+}
+
+// configurationChangeJSON lowers and raises teams' limits on a busy site of arrays and
+// a gang, and has shares move and a controller end meanwhile. It returns the outcome
+// with all records of the state service.
+func configurationChangeJSON(t *testing.T) []byte {
+	t.Helper()
+	w := newConfigured(t, 1100, 3, 20)
+	w.limit(0, "bound", 24)
+	w.after(2*time.Second, func() { w.moveSome(8) })
+	w.after(5*time.Second, func() { w.crash(w.nodes[1]) })
+	w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 3, CPUs: 4, EstimateS: 10})
+	w.busy(15 * time.Second)
+	w.limit(2, "other", 30)
+	w.limit(0, "bound", 50)
+	w.busy(15 * time.Second)
+	w.run(w.now + 30*time.Second)
+	w.allActBy(t, 3)
+	return indentedJSON(t, struct {
+		Starts, Submitted, Moves, GivenUp, Revisions, Changes int
+		Worst                                                 time.Duration
+		Final                                                 map[protocol.JobID]string
+		Records                                               []protocol.Item
+	}{w.starts, w.submitted, len(w.pauses), w.givenUp, len(w.commits), w.state.Changes(), w.worst, w.final, w.state.List("")})
+}
+
+// indentedJSON encodes a value as "damsonkeel emulate --output json" does.
+func indentedJSON(t *testing.T, value any) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	encoder := json.NewEncoder(&b)
+	encoder.SetIndent("", "  ")
+	if err := encoder.Encode(value); err != nil {
+		t.Fatal(err)
+	}
+	return b.Bytes()
+}
+
+// digestOf is a SHA-256 digest in hexadecimal digits.
+func digestOf(b []byte) string {
+	sum := sha256.Sum256(b)
+	return hex.EncodeToString(sum[:])
+}
+
+// checkDigest compares a digest with the golden one, unless those are written anew.
+func checkDigest(t *testing.T, golden map[string]string, name, got string) {
+	t.Helper()
+	if want := golden[name]; !*updateDigests && got != want {
+		t.Errorf("digest %s, want %q: the emulator's result has changed", got, want)
+	}
+}
+
+// readDigests reads the golden digests by name. It fails if one is listed that no play
+// has.
+func readDigests(t *testing.T) map[string]string {
+	t.Helper()
+	digests := map[string]string{}
+	file, err := os.ReadFile(digestsFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for lines := bufio.NewScanner(bytes.NewReader(file)); lines.Scan(); {
+		name, digest, _ := strings.Cut(lines.Text(), " ")
+		isPlay := slices.ContainsFunc(digestPlays, func(play digestPlay) bool { return play.name == name })
+		if !isPlay && name != configurationDigest {
+			t.Errorf("%s: %q is not played", digestsFile, name)
+		}
+		digests[name] = digest
+	}
+	return digests
+}
+
+// writeDigests writes the golden digests.
+func writeDigests(t *testing.T, digests map[string]string) {
+	t.Helper()
+	var b strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(digests)) {
+		fmt.Fprintf(&b, "%s %s\n", name, digests[name])
+	}
+	if err := os.WriteFile(digestsFile, []byte(b.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
