--- a/internal/controller/anymessage_test.go
+++ b/internal/controller/anymessage_test.go
@@ -92,7 +92,7 @@
 }
 
 // newSharedBench is a controller that keeps half of the shares, with machines that are
-// health and jobs.
+// up and jobs.
 func newSharedBench(t testing.TB) *bench {
 	b := newBench(t, "node-1")
 	shares := sharding.InitialTable([]protocol.Zone{"a", "b"})
--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -21,7 +21,7 @@
 	state    *fake.State
 	followed int
 	changes  int
-	outcome  func(message.Commit) message.Outcome // reservation a transaction; nil: executed
+	outcome  func(message.Commit) message.Outcome // of a transaction; nil: executed
 	late     []protocol.Transaction
 }
 
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -37,7 +37,7 @@
 
 // rank puts machines with room now before all that have none, and among them
 // those first whose room is held for the job, then those that no class has room
-// classReserve on.
+// kept on.
 type rank uint8
 
 const (
@@ -109,7 +109,7 @@
 }
 
 // feasible tells which machines a job may have a task on at present, given the zones
-// reservation its others. Where it has failed it goes only if there is no other.
+// of its others. Where it has failed it goes only if there is no other.
 func (c *Core) feasible(o *ownedJob, zones map[protocol.Zone]int) func(*machineEntry) bool {
 	nowhereElse := c.failedEverywhereElse(o)
 	return func(m *machineEntry) bool {
@@ -119,7 +119,7 @@
 
 // failedEverywhereElse reports whether a job failed on all machines that there are for it.
 // Where the only machine of a zone had failed it once, it was never tried again, and
-// refuse other was rented since that one had room.
+// no other was rented since that one had room.
 func (c *Core) failedEverywhereElse(o *ownedJob) bool {
 	if len(o.failedOn) == 0 {
 		return false
@@ -134,7 +134,7 @@
 
 // hasFailedEverywhere reports whether a job failed on several machines, no less often
 // than its tasks run, or on all that there are for it. The tasks of a gang fail
-// isGang: how many run then tells nothing.
+// together: how many run then tells nothing.
 func (c *Core) hasFailedEverywhere(o *ownedJob) bool {
 	return len(o.failedOn) >= failedMachines && (o.isGang() || o.failures >= int(o.running)) || c.failedEverywhereElse(o)
 }
@@ -191,7 +191,7 @@
 
 // queueTooLong reports whether a machine's queue takes no more of the job. One whose
 // tasks are to be stopped for the job does; what has only what others leave waits in
-// refuse queue.
+// no queue.
 func (s *candidates) queueTooLong(k *candidate) bool {
 	return k.rank == rankQueue && (s.job.usesHeadroom || k.wait > queueAtMost.Microseconds() && !k.m.nonPreemptibleFree(s.job.level).Covers(s.need))
 }
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestSmallestWait: placing a job from an ordered list of machines decides, task
-// reportedBy task, as looking at all machines for each task would, and looks at each
+// by task, as looking at all machines for each task would, and looks at each
 // machine once and at one more for each task.
 func TestSmallestWait(t *testing.T) {
 	tt := t
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -17,7 +17,7 @@
 	// gangs are the machines that gangs which could not be placed yet wait for,
 	// with their levels: a gang placed later in the same step that could not be
 	// stopped for it goes elsewhere. Without that, a large gang would be starved
-	// reportedBy steady small ones.
+	// by steady small ones.
 	gangs map[*machineEntry]resource.Level
 	// headroom is how many processors jobs may take that have only what others
 	// leave: see Core.headroom.
@@ -64,7 +64,7 @@
 	}
 }
 
-// leaveCluster takes a whole machine out of it, if that can be spared.
+// give takes a whole machine out of it, if that can be spared.
 func (cl *claims) release(m *machineEntry) bool {
 	all := resource.Capacity(m.Info)
 	for i := range cl.classes {
@@ -76,7 +76,7 @@
 	return true
 }
 
-// searchedAt notes what can be spared now, and returns how to go back to it when a
+// tried notes what can be spared now, and returns how to go back to it when a
 // gang could not be placed whole.
 func (cl *claims) tentative() (undo func()) {
 	before := slices.Clone(cl.classes)
--- a/internal/controller/classes.go
+++ b/internal/controller/classes.go
@@ -13,7 +13,7 @@
 // settings is about.
 type class struct {
 	job      protocol.Job // the last one seen
-	share    float64      // reservation its jobs that should keep the objective
+	share    float64      // of its jobs that should keep the objective
 	awaited  bool         // they should start within a time
 	arrivals forecast.Arrivals
 }
@@ -48,13 +48,13 @@
 	return up
 }
 
-// bootingMachine tells from what was seen how jobs of a class come.
+// coming tells from what was seen how jobs of a class come.
 func (c *Core) coming(k *class, size func(forecast.Arrival) float64) forecast.Arriving {
 	return k.arrivals.Coming(c.Now, c.upS(&k.job), k.share, size)
 }
 
 // comingWork is the work, in processor seconds, of a class that need not start
-// reportedAt once, as far as it is likely to come while a machine boots.
+// at once, as far as it is likely to come while a machine boots.
 func (c *Core) comingWork(k *class) float64 {
 	if k.awaited {
 		return 0
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -37,7 +37,7 @@
 	classes        map[string]*class
 	machines       map[protocol.MachineID]*machineEntry
 	sortedMachines []*machineEntry // the machines in order of their names
-	spotsUp        int             // reservation these, spot machines
+	spotsUp        int             // of these, spot machines
 
 	owner ownerState
 	// ownedChanges are the owned jobs, as their state changes: a stream for all
@@ -67,7 +67,7 @@
 // peer is what is known of another controller's present session.
 type peer struct {
 	session  protocol.LeaseID
-	placed   uint64      // placeNumber of the last Place sent to it
+	placed   uint64      // number of the last Place sent to it
 	updates  peerUpdates // its word on the machines it keeps
 	demand   []message.Demand
 	progress map[protocol.JobID]message.Progress
@@ -185,7 +185,7 @@
 }
 
 // placeEvery is how often pending tasks are placed at the most: what becomes
-// awaitedInventories meanwhile is placed in one go.
+// pending meanwhile is placed in one go.
 const placeEvery = 100 * time.Millisecond
 
 // settle handles messages to itself and places what became pending.
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -15,7 +15,7 @@
 )
 
 // fleetOf is a core that keeps and knows so many machines, with so many tasks
-// reservation ten jobs placed.
+// of ten jobs placed.
 func fleetOf(tb testing.TB, machines, tasks int) *bench {
 	b := newBench(tb)
 	for i := range machines {
@@ -283,7 +283,7 @@
 
 // TestHugeJobIsPaced: of a job far too large for the fleet, only what runs soon
 // is placed; the rest costs a bit each, others go on, and cancelling it is done
-// reportedAt once.
+// at once.
 func TestHugeJobIsPaced(t *testing.T) {
 	w := fleetOf(t, 20, 100)
 	w.job("job-huge", "free", protocol.MaxTasks)
--- a/internal/controller/due_test.go
+++ b/internal/controller/due_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestDue: a job is due at the first of its times that it can still keep, and
-// retry later when it can keep none, so that nothing waits for ever.
+// again later when it can keep none, so that nothing waits for ever.
 func TestDue(t *testing.T) {
 	tt := t
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -53,7 +53,7 @@
 	case message.EventEnded:
 		c.taskEnded(o, t, mine, e)
 		if c.leaving {
-			return // machinesListed until its next owner has taken it: the bitmap may not be written any more
+			return // listed until its next owner has taken it: the bitmap may not be written any more
 		}
 		c.Send(c.DispatcherOf(e.Machine), message.PeerMessage{Forget: &message.TaskRef{Task: e.Task, Attempt: e.Attempt, Machine: e.Machine}})
 	}
--- a/internal/controller/failedsearch.go
+++ b/internal/controller/failedsearch.go
@@ -21,7 +21,7 @@
 	types []protocol.MachineType
 	zone  protocol.Zone
 	spot  bool
-	// usesHeadroom: it may have only what others leave, and not wait in a queue.
+	// yields: it may have only what others leave, and not wait in a queue.
 	yields bool
 	until  Time
 }
--- a/internal/controller/failingjob.go
+++ b/internal/controller/failingjob.go
@@ -9,7 +9,7 @@
 
 // A failing job was submitted with an error in itself, and fails on every machine
 // until its user cancels it; a faulty machine fails every job. What tells them apart is the rest:
-// reservation a good job's tasks most run while a few faulty machines fail some, on a good
+// of a good job's tasks most run while a few faulty machines fail some, on a good
 // machine other jobs' tasks are done. The job's owner judges the job, and says so
 // to all; the machine's keeper judges the machine, and leaves out the failures of
 // failing jobs (package keeping).
@@ -26,8 +26,8 @@
 )
 
 // attemptFailed notes that a task of a job ended in an error, and judges the job: it is
-// searchedAt with one task at a time, ever later, once at least as many of its tasks have
-// attemptFailed as run.
+// tried with one task at a time, ever later, once at least as many of its tasks have
+// failed as run.
 func (c *Core) attemptFailed(o *ownedJob, t *attempt) {
 	o.failedOn[t.machine] = true
 	o.failures++
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -24,7 +24,7 @@
 	heardAt         Time // when a list last came
 	listing         bool
 	haveList        bool
-	orphan          map[protocol.MachineID]Time // machinesListed, not registered: since when
+	orphan          map[protocol.MachineID]Time // listed, not registered: since when
 	bootingMachines map[protocol.MachineID]bootingMachine
 	provisionCalls  map[string]*provisionCall
 	requests        uint64
@@ -33,7 +33,7 @@
 	deleting        map[protocol.MachineID]Time
 	terminated      map[protocol.MachineID]Time // lists may still show them
 	lastPlan        Time
-	seen            map[protocol.MachineID]bool // machinesListed as running at some time
+	seen            map[protocol.MachineID]bool // listed as running at some time
 }
 
 // kind is the kind of a machine that is up.
@@ -145,7 +145,7 @@
 	}
 }
 
-// historyOf is how machines of a kind come up.
+// booting is how machines of a kind come up.
 type bootRecord struct {
 	lastUp Time // when one last did
 	// trial: so many are overdue and none has come up for so long that no more than
@@ -241,7 +241,7 @@
 }
 
 // idleTimeout is how long a machine is kept idle, in seconds: as long as the boot
-// reservation another would cost. Where it is known what is likely to come meanwhile,
+// of another would cost. Where it is known what is likely to come meanwhile,
 // and there is room for that without the machine, it is not waited for. A
 // controller that has just begun knows that of no class.
 func (c *Core) idleTimeout(t protocol.TypeInfo, spare float64) float64 {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestReturnedRecordIsDroppedAgain: the record of a machine that the cloud has
-// terminated is dropped, again and again until that is done.
+// deleted is dropped, again and again until that is done.
 func TestReturnedRecordIsDroppedAgain(t *testing.T) {
 	b := planner(t)
 	b.ready("vm-1")
@@ -108,7 +108,7 @@
 func TestUnheardIsNotIdle(t *testing.T) {
 	b := planner(t)
 	b.c.spots = forecast.Spot{}
-	b.machine("vm-1", 1) // classReserve here, its worker is silent so far
+	b.machine("vm-1", 1) // kept here, its worker is silent so far
 	for range 5 {
 		if ids := b.returns(b.relay()); len(ids) > 0 {
 			t.Fatalf("returned %v", ids)
@@ -126,7 +126,7 @@
 
 // TestOrphans: a machine whose worker does not report is returned when that
 // lasts longer than a lease and a boot, counted from when it is up: one that
-// bootHistory can't report, and one that is cut off is back sooner than another.
+// boots can't report, and one that is cut off is back sooner than another.
 func TestOrphans(t *testing.T) {
 	b := planner(t)
 	list := func(state string) []protocol.MachineID {
@@ -153,7 +153,7 @@
 
 // TestJustBegun: a controller that has just begun does not know what is likely
 // to come, and keeps idle machines for as long as another would boot; what
-// waiting is room that can't be spared. Without, the one that came back after a
+// waits is room that can't be spared. Without, the one that came back after a
 // zone was cut off returned the zone's machines while 30 jobs waited.
 func TestJustBegun(t *testing.T) {
 	b := planner(t)
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -31,7 +31,7 @@
 	local   []any // messages of a step to itself
 	lastID  atomic.Uint64
 	replies map[admission.RequestID]transport.Reply
-	slots   chan struct{} // reservation operators' requests
+	slots   chan struct{} // of operators' requests
 	// configured holds the configuration in force that the intake has not taken yet.
 	configured chan *dynamicconfig.Effective
 	peers      map[protocol.NodeName]*transport.Peer // not the outbox's, whose calls may wait
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -17,7 +17,7 @@
 func (o *ownedJob) isGang() bool { return o.Kind == protocol.KindGang && o.Tasks > 1 }
 
 // placeGang places all tasks of a gang with one attempt number, when nothing
-// reservation its last attempt is left.
+// of its last attempt is left.
 func (c *Core) placeGang(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
 	n := int(o.Tasks)
 	if len(o.placed) > 0 && o.isGang() {
@@ -89,7 +89,7 @@
 
 // refillWithin is how long the others of a gang wait for a place for what was
 // released: longer than the move of a share takes. Stopped at once, gangs were begun
-// retry while all their shares moved.
+// again while all their shares moved.
 const refillWithin = 3 * time.Second
 
 // refill places what of a gang was released, under the attempt of the others; or has
@@ -204,7 +204,7 @@
 }
 
 // claimAgain claims what a gang claimed when it was last tried, until it is
-// searchedAt again.
+// tried again.
 func (c *Core) claimAgain(o *ownedJob, cl *claims) {
 	for _, m := range o.claimedMachines {
 		if c.machines[m.ID] == m && !cl.blocks(o, m) {
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -51,11 +51,11 @@
 }
 
 // TestGangZone: a gang bound to one zone goes where all of it has a place, and
-// reservation such zones to the one with more room now; nowhere in part.
+// of such zones to the one with more room now; nowhere in part.
 func TestGangZone(t *testing.T) {
 	b := newBench(t, "node-1")
 	b.zoned("a", 5, false, heldAt(2, 4)) // more machines, held by what is as urgent
-	b.zoned("b", 3, false, heldAt(1, 4)) // announcedUses by what may be stopped
+	b.zoned("b", 3, false, heldAt(1, 4)) // held by what may be stopped
 	b.zoned("c", 2, false, resource.Uses{})
 	if ps := b.placeGang(b.gang("job-1", 4), noClaims()); ps != nil {
 		t.Fatalf("%d of 4 tasks placed", len(ps))
@@ -116,7 +116,7 @@
 		m := &machineEntry{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, reported: message.MachineState{Noticed: true}}
 		b.c.recordSpotLoss(m)
 		m.reported = message.MachineState{Draining: true, Noticed: true}
-		b.c.recordSpotLoss(m) // terminated by ourselves
+		b.c.recordSpotLoss(m) // returned by ourselves
 	}
 	if b.c.spots.Losses() != 40 {
 		t.Errorf("%v losses counted, want 40", b.c.spots.Losses())
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -71,7 +71,7 @@
 	})
 }
 
-// heartbeat sends a worker's report and returns the answer.
+// report sends a worker's report and returns the answer.
 func (b *bench) report(id protocol.MachineID, session protocol.AgentEpoch, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
 	b.seq++
 	return b.reportSeq(id, session, b.seq, term, tasks...)
@@ -118,7 +118,7 @@
 	return id
 }
 
-// classReserve is the attempt of a task that the core keeps on a machine.
+// kept is the attempt of a task that the core keeps on a machine.
 func (b *bench) kept(id protocol.MachineID, task protocol.TaskID) (found dispatcher.Attempt) {
 	for _, a := range b.c.dispatcher.Attempts(id) {
 		if a.Task == task {
@@ -381,7 +381,7 @@
 
 // TestHeldBackReport: what a report of an earlier term lists is told to nobody
 // before the machine's inventory. The network may have held it back, and an
-// placeNumber it lists may be long gone: its owner would have it killed.
+// attempt it lists may be long gone: its owner would have it killed.
 func TestHeldBackReport(t *testing.T) {
 	b := newBench(t)
 	b.machine("vm-2", 1)
@@ -403,7 +403,7 @@
 }
 
 // TestOnlyMachineFailed: a job that failed on the only machine there is for it
-// waiting a moment and is tried there again.
+// waits a moment and is tried there again.
 func TestOnlyMachineFailed(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
--- a/internal/controller/holding.go
+++ b/internal/controller/holding.go
@@ -17,7 +17,7 @@
 )
 
 // Holding is the work of the controller that rents machines: it chooses on which
-// reservation them room is held for what is due, rents what is missing a boot ahead, and
+// of them room is held for what is due, rents what is missing a boot ahead, and
 // writes what becomes of reservations. What it chooses is told to all, who place
 // and start by it. It is chosen anew every two seconds, so it outlives nothing.
 
@@ -26,7 +26,7 @@
 	// what does not end until then starts elsewhere.
 	holdAhead = 2 * time.Hour
 	// keepAhead is how much longer than a boot a machine with held room is not
-	// terminated: the cloud may have none when it is needed.
+	// returned: the cloud may have none when it is needed.
 	keepAhead = 10 * time.Minute
 	// cloudQuiet is for how long the cloud may give no list before that is a risk.
 	cloudQuiet = 30 * time.Second
@@ -68,7 +68,7 @@
 const overrunning = time.Minute
 
 // reservableMachines lists the machines that room can be held on: those up, and those
-// provisioned that are still to come.
+// rented that are still to come.
 func (c *Core) reservableMachines() []reservation.Machine {
 	now := c.WallTime()
 	var ms []reservation.Machine
@@ -100,7 +100,7 @@
 		info := c.Types[m.Type]
 		up := config.Seconds(c.reservations.Boots.Likely(info.BootS)) - c.Since(m.at)
 		if up < 0 || c.machines[id] != nil {
-			continue // lateRuns, and may never come
+			continue // late, and may never come
 		}
 		ms = append(ms, reservation.Machine{ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, Up: reservation.After(now, up)})
 	}
--- a/internal/controller/holding_test.go
+++ b/internal/controller/holding_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestTakenOverRoom: what the next keeper of a machine finds there it can't judge
-// reportedBy itself: how far it is the table still knows from the keeper before, and how
+// by itself: how far it is the table still knows from the keeper before, and how
 // urgent it is its owner says. Without either, each controller that ended lost all
 // that was held on its machines.
 func TestTakenOverRoom(t *testing.T) {
--- a/internal/controller/insight.go
+++ b/internal/controller/insight.go
@@ -13,10 +13,10 @@
 type Status struct {
 	Term   protocol.Term
 	Queues int // machines kept
-	Heard  int // reservation these, registered and known to have nothing but what is listed
+	Heard  int // of these, registered and known to have nothing but what is listed
 	Holds  []reservation.Hold
 	Writes bool // machines' records
-	Shares int  // classReserve; 0 where there are none
+	Shares int  // kept; 0 where there are none
 	// Misplaced are machines kept though their share is not.
 	Misplaced []protocol.MachineID
 	// SetAside are machines kept that fail what they start.
--- a/internal/controller/leftover.go
+++ b/internal/controller/leftover.go
@@ -28,7 +28,7 @@
 
 // withoutObjective reports whether nobody says when a job should be done, its team is
 // guaranteed nothing, and its tasks run longer than another machine takes to be
-// health. Such jobs take only room that classes with objectives are not likely to
+// up. Such jobs take only room that classes with objectives are not likely to
 // need: what has the same priority can't be stopped for others, so guests' long
 // tasks, once they fill a fleet, would hold all of it until they end. More urgent than
 // all of these classes they yield to none: that they may wait is said by nobody.
@@ -116,7 +116,7 @@
 
 // headroom is how many processors this owner's jobs without an objective may take
 // now: its part, by what waits, of what the others leave of the machines that are
-// health. Where no class with an objective has been seen it has no bound.
+// up. Where no class with an objective has been seen it has no bound.
 func (c *Core) headroom() float64 {
 	if len(c.classes) == 0 {
 		return math.Inf(1)
--- a/internal/controller/limit_test.go
+++ b/internal/controller/limit_test.go
@@ -9,7 +9,7 @@
 
 // TestLimitIsLeftToWhatWaits: what waits in machines' queues counts against its team's
 // limit. A job of which nothing has begun for a while has a part of it left: else it
-// waiting beside machines with room for as long as others of its team fill the queues of
+// waits beside machines with room for as long as others of its team fill the queues of
 // those that have none.
 func TestLimitIsLeftToWhatWaits(t *testing.T) {
 	b := newBench(t, "node-1")
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -198,7 +198,7 @@
 	return decision{done, c.changeCalendar(record.ReservationKey(r.Name), e.Version, rec)}
 }
 
-// machinesListed at once: an answer is at most as large as a request.
+// listed at once: an answer is at most as large as a request.
 const listedMost = 40
 
 func (c *Core) showReserved(r *operatorapi.Request) decision {
@@ -225,7 +225,7 @@
 	}
 	for _, e := range es {
 		if e.Name() <= r.Name {
-			continue // machinesListed before
+			continue // listed before
 		}
 		if len(reply.Reservations)+len(reply.Windows) >= listedMost {
 			reply.More = true
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -28,7 +28,7 @@
 
 	mu       sync.Mutex
 	from, to protocol.LeaseID
-	next     uint64 // placeNumber of queue[0]
+	next     uint64 // number of queue[0]
 	inFlight int
 	queue    []message.Send
 }
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -42,7 +42,7 @@
 type endedAttempt struct {
 	team        protocol.Team
 	need        resource.Amount
-	placeNumber uint64 // reservation the Place that carried it; 0: any inventory counts
+	placeNumber uint64 // of the Place that carried it; 0: any inventory counts
 }
 
 // ownedJob is a job this controller owns.
@@ -50,7 +50,7 @@
 	*clusterstate.LiveJob
 	loaded     bool // the bitmap of finished tasks has been read
 	loading    bool
-	unverified bool // pendingUses over: tasks not listed may be anywhere until all inventories are in
+	unverified bool // taken over: tasks not listed may be anywhere until all inventories are in
 
 	done        *bitset.BitSet
 	nDone       uint32
@@ -77,8 +77,8 @@
 	// lacksSince is since when a gang lacks a place for what was released of it.
 	lacksSince Time
 
-	level        resource.Level // reportedAt the last placement
-	usesHeadroom bool           // reportedAt the last placement: has only what others leave
+	level        resource.Level // at the last placement
+	usesHeadroom bool           // at the last placement: has only what others leave
 	failedOn     map[protocol.MachineID]bool
 	failures     int  // attempts that ended in an error since a task was last done
 	failing      bool // it fails wherever it runs
@@ -96,7 +96,7 @@
 	machine      protocol.MachineID
 	epoch        protocol.Version
 	zone         protocol.Zone
-	placeNumber  uint64 // reservation the Place that carried it
+	placeNumber  uint64 // of the Place that carried it
 	estimate     float64
 	started      bool
 	running      bool
@@ -209,7 +209,7 @@
 	c.owner.placementDue = true
 	if o.Kind == protocol.KindGang {
 		// The rest of the attempt can't go on: its next one starts when all
-		// reservation this one are gone.
+		// of this one are gone.
 		for _, other := range ordered.Tasks(o.placed) {
 			c.sendStop(other, true, clusterstate.GraceS(&o.Job))
 		}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -22,7 +22,7 @@
 type placingRound struct {
 	usage   map[protocol.Team]resource.Amount
 	claims  *claims
-	batches map[protocol.NodeName][]message.Placement // reportedBy keeper
+	batches map[protocol.NodeName][]message.Placement // by keeper
 	waits   map[protocol.MachineID]*ownWaits
 	left    int // placements that the step may still make
 	stuck   int // gangs that found no place when they were last tried
@@ -122,7 +122,7 @@
 }
 
 // maxExaminedPerStep is how many machines may be looked at, a step, for gangs that found
-// refuse place when they were last tried. See failedSearch for arrays.
+// no place when they were last tried. See failedSearch for arrays.
 const maxExaminedPerStep = 30_000
 
 // retryEvery is how often such gangs are tried again, of so many: at each step
@@ -203,7 +203,7 @@
 func (o *ownedJob) boundZone() protocol.Zone {
 	if o.OneZone {
 		for _, t := range o.placed {
-			return t.zone // reservation all of them
+			return t.zone // of all of them
 		}
 	}
 	return ""
@@ -281,7 +281,7 @@
 }
 
 // idle is what nothing runs in on a machine, whatever waits there: what room is
-// announcedUses for does not wait behind the rest.
+// held for does not wait behind the rest.
 func (m *machineEntry) idle() resource.Amount {
 	if m.reported.Epoch != m.Epoch {
 		return m.free()
@@ -358,7 +358,7 @@
 }
 
 // teamUsage sums what limited teams' attempts may take that are not proven
-// attemptLost. Of a team just taken over, attempts that are not listed, of jobs that
+// gone. Of a team just taken over, attempts that are not listed, of jobs that
 // are over too, can be only on machines that were not heard since: they take no
 // more than all there is of these.
 func (c *Core) teamUsage() map[protocol.Team]resource.Amount {
@@ -388,7 +388,7 @@
 // mostOn is the most that attempts on a machine may take.
 func mostOn(m *machineEntry) resource.Amount {
 	if m.Info.Name == "" {
-		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)} // reservation a type that the cloud does not list
+		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)} // of a type that the cloud does not list
 	}
 	return resource.Capacity(m.Info)
 }
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -34,7 +34,7 @@
 
 // rebalance lets a machine with room take unstarted tasks from the longest
 // queue: the owner has them released there and places them again. What was
-// clearEndedAttempts by the step before goes on where that ended: the machines before have
+// left by the step before goes on where that ended: the machines before have
 // their tasks on the way, which the table does not show yet.
 func (c *Core) rebalance(after protocol.MachineID) {
 	c.rebalancedUpTo = ""
--- a/internal/controller/relays.go
+++ b/internal/controller/relays.go
@@ -27,7 +27,7 @@
 	at                 Time // when its word on machines was last brought up to date in this term
 	// handled is, by owner, the last Place that the peer's word includes.
 	handled map[protocol.NodeName]uint64
-	// waiting are the machines it keeps with placements that its word does not
+	// waits are the machines it keeps with placements that its word does not
 	// include yet.
 	waits map[*machineEntry]bool
 	// early are states of machines whose records have not arrived here.
@@ -136,7 +136,7 @@
 }
 
 // fillMachines adds what changed of machines. Most peers lack the same: what was
-// placeAttempt together for one serves the next.
+// put together for one serves the next.
 func (c *Core) fillMachines(r *message.StateUpdate, to *replication.Cursor, same *message.StateUpdate) {
 	if same != nil && same.Machines.From == to.Next() {
 		r.Machines, r.States, r.Handled = same.Machines, same.States, same.Handled
--- a/internal/controller/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -162,7 +162,7 @@
 			if rapid.Bool().Draw(t, "taken") {
 				waits[p.id] += p.add
 			}
-			log.Touch(p.id) // refusals: its owner needs a word all the same
+			log.Touch(p.id) // refused: its owner needs a word all the same
 		}
 		say := func() {
 			ids, upto := log.Since(to.Next(), 2)
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -25,7 +25,7 @@
 	reply     transport.Reply
 }
 
-// updates are the workers' reports between the server and the core. When more
+// reports are the workers' reports between the server and the core. When more
 // come than the core can take, those are answered whose leases are shortest.
 type heartbeatQueue struct {
 	ready chan struct{} // holds one while any wait
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -20,7 +20,7 @@
 	stale   bool // it has changed since
 	// heldVersion is that of the list in the records, as followed.
 	heldVersion protocol.Version
-	number      uint64 // reservation the list, by the controller that chose it
+	number      uint64 // of the list, by the controller that chose it
 	teams       map[protocol.Team][]teamClaim
 
 	// byClass are the live jobs of the classes that something is due for within
@@ -29,9 +29,9 @@
 	seen    map[reservation.Name]*seenJob
 	demands []reservation.Demand               // as last chosen for
 	short   map[reservation.Name]int           // tasks that no sure room is held for, as last chosen
-	missing map[reservation.Name]int           // reservation these, unlikely to have any in time
+	missing map[reservation.Name]int           // of these, unlikely to have any in time
 	zones   map[reservation.Name]protocol.Zone // where one that needs one zone is held
-	risk    map[reservation.Name]string        // reservation the present occurrences
+	risk    map[reservation.Name]string        // of the present occurrences
 	swept   Time                               // when all reservations were last looked at
 	write   map[reservation.Name]bool          // transactions under way
 }
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -92,7 +92,7 @@
 func TestWindowLetsRun(t *testing.T) {
 	b := promising(t)
 	b.ready("vm-1")
-	b.job("job-1", "free", 1) // reservation 10 s
+	b.job("job-1", "free", 1) // of 10 s
 	b.do(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "w", Spec: &record.WindowSpec{Name: "w", When: b.in(20 * time.Second), LengthS: 600, Zone: "a"}})
 	task := protocol.TaskID{Job: "job-1"}
 	e := b.kept("vm-1", task)
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -104,10 +104,10 @@
 
 // LeaseDeadline is until when a session may act: its lease, counted from before the
 // extension was sent, shortened by drift and by a margin for what is under way; and
-// refuse longer than a lease and a slack after the last watch was opened that has been
+// no longer than a lease and a slack after the last watch was opened that has been
 // answered. That answer holds what had changed by then, whenever it arrives: one
-// announcedUses back by the network, or read after the process stood still, proves nothing
-// reservation the time since. What users are told of cancellations rests on it (docs/design.md,
+// held back by the network, or read after the process stood still, proves nothing
+// of the time since. What users are told of cancellations rests on it (docs/design.md,
 // "How long a cancelled task may stay").
 func LeaseDeadline(ttl time.Duration, extended, followed Time) Time {
 	lease := extended + Time(ttl) - Time(ttl/500) - Time(200*time.Millisecond)
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -30,7 +30,7 @@
 	slowChecks = 500
 )
 
-// runWatch is a running task to be looked at, if it still runs then.
+// overdue is a running task to be looked at, if it still runs then.
 type runDeadline struct {
 	at Time
 	t  *attempt
@@ -115,7 +115,7 @@
 	if draining*slowTaskFraction > len(c.machines) {
 		return
 	}
-	m.reported.Draining = true // reportedAt once, though its keeper has not said so yet
+	m.reported.Draining = true // at once, though its keeper has not said so yet
 	c.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
 	c.Send(c.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
 	for _, t := range ordered.Tasks(m.ownAttempts) {
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -224,7 +224,7 @@
 func (c *Core) shardsMoved(moved map[sharding.ID]bool) {
 	for ref, t := range c.owner.endedAttempts {
 		if m := c.machines[ref.Machine]; m != nil && moved[sharding.Of(c.Shards, ref.Machine, m.Record.Zone)] {
-			t.placeNumber = 0 // reservation the keeper before
+			t.placeNumber = 0 // of the keeper before
 			c.owner.endedAttempts[ref] = t
 		}
 	}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestChangedKeeperMakesUncertain: what was placed through a controller that is
-// attemptLost is uncertain until its machine's new keeper has an inventory.
+// gone is uncertain until its machine's new keeper has an inventory.
 func TestChangedKeeperMakesUncertain(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-1")
@@ -153,7 +153,7 @@
 // TestInventoryOfAQueueKept: who kept a queue without a break since the worker
 // saw a term of that knows all that may be on the machine, and says so at once
 // in a new term. After a missed term, or where the worker has begun a new
-// runSession, only its next report tells.
+// session, only its next report tells.
 func TestInventoryOfAQueueKept(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-0")
@@ -171,7 +171,7 @@
 	awaited(true, "after a missed term")
 	b.report(id, 1, 4)
 	awaited(false, "after a report")
-	b.report(id, 2, 3) // reservation a worker that has not seen the term
+	b.report(id, 2, 3) // of a worker that has not seen the term
 	b.machine(id, 2)
 	b.view(5, "node-0")
 	awaited(true, "in a new session")
--- a/internal/controller/waits.go
+++ b/internal/controller/waits.go
@@ -11,7 +11,7 @@
 // has been announced and that the machine's keeper has not counted yet.
 type pendingWait struct {
 	owner  protocol.NodeName // that placed it
-	number uint64            // reservation the owner's Place to the keeper that carries it
+	number uint64            // of the owner's Place to the keeper that carries it
 	add    float64           // processor seconds
 	level  resource.Level
 	taken  resource.Amount
