--- a/internal/controller/autoscaler/plan.go
+++ b/internal/controller/binpack/plan.go
@@ -1,7 +1,7 @@
-// Package autoscaler plans which machines to rent: all work that waits is reckoned
+// Package binpack plans which machines to rent: all work that waits is reckoned
 // isGang against what is up, coming or asked for, and what is missing is
 // asked for from the cheapest kinds that will do.
-package autoscaler
+package binpack
 
 import (
 	"cmp"
--- a/internal/controller/autoscaler/pools_test.go
+++ b/internal/controller/binpack/pools_test.go
@@ -1,4 +1,4 @@
-package autoscaler
+package binpack
 
 import (
 	"testing"
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
@@ -65,36 +66,39 @@
 }
 
 // candidatesFor looks for the machines that may run a job's tasks.
-func (c *Core) candidatesFor(o *ownedJob, zones map[protocol.Zone]int, cl *claims) *candidates {
-	s := &candidates{job: o, need: resource.Need(&o.Job), bars: c.excludedByHolds(o), claims: cl, risk: c.spotStretch(&o.Job) * c.Estimate(&o.Job), shun: c.risky(&o.Job), pricePremiums: c.pricePremiums}
+func (pl *placer) candidatesFor(o *ownedJob, zones map[protocol.Zone]int, cl *claims) *candidates {
+	s := &candidates{job: o, need: resource.Need(&o.Job), bars: pl.reservations.excludedByHolds(o), claims: cl, risk: pl.workload.spotStretch(&o.Job) * pl.Estimate(&o.Job), shun: pl.workload.risky(&o.Job), pricePremiums: pl.pricePremiums}
 	if s.bars != nil {
-		s.own = func(m *machineEntry) bool { return c.holdsFor(o, m) }
+		s.own = func(m *machineEntry) bool { return pl.reservations.holdsFor(o, m) }
 	}
-	mayTake := c.feasible(o, zones)
-	for _, m := range c.machinesInOrder() {
+	mayTake := pl.feasible(o, zones)
+	for _, m := range pl.table.machinesInOrder() {
 		if mayTake(m) {
-			if k, ok := s.evaluate(m, c.rng.Uint32()); ok && !s.queueTooLong(&k) {
+			if k, ok := s.evaluate(m, pl.rng.Uint32()); ok && !s.queueTooLong(&k) {
 				s.heap = append(s.heap, k)
 			}
 		}
 	}
-	c.candidatesExamined += len(c.sortedMachines)
+	pl.candidatesExamined += len(pl.table.sortedMachines)
 	heap.Init(s)
 	return s
 }
 
+// refreshPrices takes over the prices last read.
+func (pl *placer) refreshPrices() { pl.pricePremiums = pl.computePricePremiums() }
+
 // computePricePremiums is how much more expensive each kind of machine is than the cheapest: the
 // part of its price, for a processor, that the cheapest would save. Among
 // machines with room it counts like the part of one that is free: the cheap and
 // the full ones are filled first, so that the expensive ones become idle.
-func (c *Core) computePricePremiums() map[kind]float64 {
+func (pl *placer) computePricePremiums() map[kind]float64 {
 	premiums := map[kind]float64{}
 	least := math.Inf(1)
-	for _, t := range c.Types {
+	for _, t := range pl.Types {
 		for _, z := range t.AllowZones {
 			for _, spot := range []bool{true, false} {
 				k := kind{Type: t.Name, Zone: z, Spot: spot}
-				premiums[k] = c.price(k)
+				premiums[k] = binpack.Price(pl.Types[k.Type], k.Spot)
 				least = math.Min(least, premiums[k])
 			}
 		}
@@ -110,22 +114,22 @@
 
 // feasible tells which machines a job may have a task on at present, given the zones
 // of its others. Where it has failed it goes only if there is no other.
-func (c *Core) feasible(o *ownedJob, zones map[protocol.Zone]int) func(*machineEntry) bool {
-	nowhereElse := c.failedEverywhereElse(o)
+func (pl *placer) feasible(o *ownedJob, zones map[protocol.Zone]int) func(*machineEntry) bool {
+	nowhereElse := pl.jobs.failedEverywhereElse(o)
 	return func(m *machineEntry) bool {
-		return c.usable(m) && (nowhereElse || !o.failedOn[m.ID]) && o.allows(m, zones)
+		return pl.table.usable(m) && (nowhereElse || !o.failedOn[m.ID]) && o.allows(m, zones)
 	}
 }
 
 // failedEverywhereElse reports whether a job failed on all machines that there are for it.
 // Where the only machine of a zone had failed it once, it was never tried again, and
 // no other was rented since that one had room.
-func (c *Core) failedEverywhereElse(o *ownedJob) bool {
+func (oj *ownedJobs) failedEverywhereElse(o *ownedJob) bool {
 	if len(o.failedOn) == 0 {
 		return false
 	}
-	for _, m := range c.machinesInOrder() {
-		if !o.failedOn[m.ID] && c.usable(m) && o.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
+	for _, m := range oj.table.machinesInOrder() {
+		if !o.failedOn[m.ID] && oj.table.usable(m) && o.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
 			return false
 		}
 	}
@@ -135,8 +139,8 @@
 // hasFailedEverywhere reports whether a job failed on several machines, no less often
 // than its tasks run, or on all that there are for it. The tasks of a gang fail
 // together: how many run then tells nothing.
-func (c *Core) hasFailedEverywhere(o *ownedJob) bool {
-	return len(o.failedOn) >= failedMachines && (o.isGang() || o.failures >= int(o.running)) || c.failedEverywhereElse(o)
+func (oj *ownedJobs) hasFailedEverywhere(o *ownedJob) bool {
+	return len(o.failedOn) >= failedMachines && (o.isGang() || o.failures >= int(o.running)) || oj.failedEverywhereElse(o)
 }
 
 // evaluate is what a machine is worth for the job's next task, if it is. A task
@@ -212,9 +216,9 @@
 }
 
 // noteExamined weighs the smallest again after it took a task.
-func (c *Core) noteExamined(s *candidates) {
-	c.candidatesExamined++
-	k, ok := s.evaluate(s.heap[0].m, c.rng.Uint32())
+func (pl *placer) noteExamined(s *candidates) {
+	pl.candidatesExamined++
+	k, ok := s.evaluate(s.heap[0].m, pl.rng.Uint32())
 	if !ok {
 		heap.Pop(s)
 		return
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -16,13 +16,13 @@
 
 // plainSmallest is the decision written plainly: it visits every machine for
 // every task. It returns all that tie for the smallest wait.
-func (c *Core) plainSmallest(o *ownedJob, zones map[protocol.Zone]int, cl *claims) map[*machineEntry]bool {
+func (pl *placer) plainSmallest(o *ownedJob, zones map[protocol.Zone]int, cl *claims) map[*machineEntry]bool {
 	const withRoom = 1e9
 	n := resource.Need(&o.Job)
 	best := math.Inf(1)
 	waits := map[*machineEntry]float64{}
-	for _, m := range c.machines {
-		if !c.feasible(o, zones)(m) {
+	for _, m := range pl.table.machines {
+		if !pl.feasible(o, zones)(m) {
 			continue
 		}
 		w, room := m.waitFor(&o.Job, o.level)
@@ -72,7 +72,7 @@
 		if m.reported.FreeCPUs == 0 && rapid.Bool().Draw(t, "queue") {
 			m.reported.Queued, m.reported.Wait = 3, m.reported.Wait+float64(rapid.IntRange(0, 50).Draw(t, "queued"))
 		}
-		c.addMachine(m)
+		c.table.addMachine(m)
 	}
 }
 
@@ -91,14 +91,14 @@
 			CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), MemoryGB: 1, ImageGB: 2, EstimateS: 7, Spot: rapid.Bool().Draw(t, "mayspot"),
 			OneZone: rapid.Bool().Draw(t, "onezone"), Spread: rapid.Bool().Draw(t, "spread"),
 		}
-		o := c.adoptJob(&clusterstate.LiveJob{Job: j})
+		o := c.jobs.adoptJob(&clusterstate.LiveJob{Job: j})
 		reserved := &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 8, Spot: true}}
 		cl := &claims{classes: []classReserve{{job: reserved, need: resource.Need(&reserved.Job), spare: rapid.IntRange(-2, 5).Draw(t, "spare")}}}
 		zones := map[protocol.Zone]int{}
-		from := c.candidatesFor(o, zones, cl)
+		from := c.placer.candidatesFor(o, zones, cl)
 		placed := 0
 		for i := range o.Tasks {
-			want := c.plainSmallest(o, zones, cl)
+			want := c.placer.plainSmallest(o, zones, cl)
 			m := from.smallest(zones)
 			if m == nil && len(want) > 0 || m != nil && !want[m] {
 				t.Fatalf("task %d goes to %+v, not to one of %d", i, m, len(want))
@@ -106,11 +106,11 @@
 			if m == nil {
 				break
 			}
-			c.placeFrom(from, i, m, c.nextAttempt(), zones)
+			c.placer.placeFrom(from, i, m, c.jobs.nextAttempt(), zones)
 			placed++
 		}
-		if c.candidatesExamined > machines+placed {
-			t.Errorf("%d machines looked at for %d tasks on %d machines", c.candidatesExamined, placed, machines)
+		if c.placer.candidatesExamined > machines+placed {
+			t.Errorf("%d machines looked at for %d tasks on %d machines", c.placer.candidatesExamined, placed, machines)
 		}
 	})
 }
@@ -123,15 +123,15 @@
 	for i, spot := range []bool{false, true, false, true} {
 		id := protocol.MachineID(fmt.Sprint("vm-", i))
 		b.ready(id)
-		m := b.c.machines[id]
+		m := b.c.table.machines[id]
 		m.Record.Spot, m.reported.Queued = spot, 0
 	}
 	j := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	b.put(record.LiveKey(j.ID), j)
 	b.step(message.Tick{})
 	on := map[bool]int{}
-	for _, p := range b.c.owner.jobs["job-1"].placed {
-		on[b.c.machines[p.machine].Record.Spot]++
+	for _, p := range b.c.jobs.byID["job-1"].placed {
+		on[b.c.table.machines[p.machine].Record.Spot]++
 	}
 	if on[true] != 6 {
 		t.Errorf("%d of 6 tasks on the cheap machines", on[true])
@@ -145,7 +145,7 @@
 	b.ready("vm-1")
 	b.ready("vm-2")
 	queued := func(id protocol.MachineID, l resource.Level, work float64) {
-		m := b.c.machines[id]
+		m := b.c.table.machines[id]
 		m.reported.Queued, m.reported.Wait, m.reported.Queue = 1, 100+work, make([]float64, l+1)
 		m.reported.Queue[l] = work
 	}
@@ -157,7 +157,7 @@
 	}{{"high", "vm-1"}, {"standard", "vm-2"}} {
 		id := protocol.JobID("job-" + tc.priority)
 		b.put(record.LiveKey(id), protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: tc.priority, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10})
-		for _, p := range b.c.owner.jobs[id].placed {
+		for _, p := range b.c.jobs.byID[id].placed {
 			if p.machine != tc.want {
 				t.Errorf("a task of priority %s is queued on %s, want %s", tc.priority, p.machine, tc.want)
 			}
--- a/internal/controller/claims.go
+++ b/internal/controller/claims.go
@@ -93,17 +93,17 @@
 
 // claims reckons what is claimed when a step begins: what is reserved for
 // classes, and how much more there is. Gangs add theirs as they are tried.
-func (c *Core) claims() *claims {
+func (pl *placer) claims() *claims {
 	cl := &claims{gangs: map[*machineEntry]resource.Level{}}
-	for _, k := range ordered.Of(c.classes) {
-		r := c.reserve(k)
+	for _, k := range ordered.Of(pl.workload.classes) {
+		r := pl.workload.reserve(k)
 		if r == 0 {
 			continue
 		}
 		l := &clusterstate.LiveJob{Job: k.job}
-		kp := classReserve{job: l, risky: c.risky(&l.Job), need: resource.Need(&l.Job), spare: -r}
-		for _, m := range c.machines {
-			if c.usable(m) && kp.fits(m) {
+		kp := classReserve{job: l, risky: pl.workload.risky(&l.Job), need: resource.Need(&l.Job), spare: -r}
+		for _, m := range pl.table.machines {
+			if pl.table.usable(m) && kp.fits(m) {
 				kp.spare += m.unreserved().CountFitting(kp.need)
 			}
 		}
--- a/internal/controller/classes.go
+++ b/internal/controller/classes.go
@@ -19,26 +19,26 @@
 }
 
 // recordArrival learns what jobs of a class look like and how often they come.
-func (c *Core) recordArrival(j *protocol.Job) {
-	share, awaited := c.objectiveShare(j.Class)
+func (wl *workload) recordArrival(j *protocol.Job) {
+	share, awaited := wl.objectiveShare(j.Class)
 	if share == 0 {
 		return
 	}
-	k := c.classes[j.Class]
+	k := wl.classes[j.Class]
 	if k == nil {
 		k = &class{}
-		c.classes[j.Class] = k
+		wl.classes[j.Class] = k
 	}
 	k.job, k.share, k.awaited = *j, share, awaited
-	work := float64(j.Tasks) * j.CPUs * c.Estimate(j)
-	k.arrivals.Note(forecast.Arrival{At: c.Now, Tasks: float64(j.Tasks), Work: work})
+	work := float64(j.Tasks) * j.CPUs * wl.Estimate(j)
+	k.arrivals.Note(forecast.Arrival{At: wl.Now, Tasks: float64(j.Tasks), Work: work})
 }
 
 // upS is how long the soonest machine that a job may use takes to be ready
 // for it, its image included, in seconds; infinite if there is none.
-func (c *Core) upS(j *protocol.Job) float64 {
+func (wl *workload) upS(j *protocol.Job) float64 {
 	up := math.Inf(1)
-	for _, t := range c.Types {
+	for _, t := range wl.Types {
 		l := clusterstate.LiveJob{Job: *j}
 		l.Zone = ""
 		if l.AllowsKind(t, "", false) {
@@ -49,39 +49,39 @@
 }
 
 // coming tells from what was seen how jobs of a class come.
-func (c *Core) coming(k *class, size func(forecast.Arrival) float64) forecast.Arriving {
-	return k.arrivals.Coming(c.Now, c.upS(&k.job), k.share, size)
+func (wl *workload) coming(k *class, size func(forecast.Arrival) float64) forecast.Arriving {
+	return k.arrivals.Coming(wl.Now, wl.upS(&k.job), k.share, size)
 }
 
 // comingWork is the work, in processor seconds, of a class that need not start
 // at once, as far as it is likely to come while a machine boots.
-func (c *Core) comingWork(k *class) float64 {
+func (wl *workload) comingWork(k *class) float64 {
 	if k.awaited {
 		return 0
 	}
-	return c.coming(k, func(a forecast.Arrival) float64 { return a.Work }).Within(c.upS(&k.job))
+	return wl.coming(k, func(a forecast.Arrival) float64 { return a.Work }).Within(wl.upS(&k.job))
 }
 
 // reserve is how much room is kept for a class whose tasks should start in
 // time: as many of them as are likely to come while a machine boots, beyond
 // those that find a place on what ends meanwhile.
-func (c *Core) reserve(k *class) int {
+func (wl *workload) reserve(k *class) int {
 	if !k.awaited {
 		return 0
 	}
-	return int(math.Ceil(c.coming(k, func(a forecast.Arrival) float64 { return a.Tasks }).Beyond(c.upS(&k.job), c.turnover(&k.job))))
+	return int(math.Ceil(wl.coming(k, func(a forecast.Arrival) float64 { return a.Tasks }).Beyond(wl.upS(&k.job), wl.turnover(&k.job))))
 }
 
 // turnover is how many places for a job's tasks come free each second where
 // tasks end by themselves. Tasks that need many at the same time, or most of a
 // machine, can't count on it: there is never enough at once.
-func (c *Core) turnover(j *protocol.Job) float64 {
+func (wl *workload) turnover(j *protocol.Job) float64 {
 	if j.Kind != protocol.KindJobArray {
 		return 0
 	}
 	l, sum := clusterstate.LiveJob{Job: *j}, 0.0
-	for _, m := range c.machinesInOrder() {
-		if c.usable(m) && l.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
+	for _, m := range wl.table.machinesInOrder() {
+		if wl.table.usable(m) && l.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
 			sum += resource.Amount{CPUs: m.reported.Ending.CPUs, GPUs: m.reported.Ending.GPUs, GB: m.reported.Ending.GB}.Places(resource.Need(j))
 		}
 	}
--- a/internal/controller/classes_test.go
+++ b/internal/controller/classes_test.go
@@ -18,24 +18,24 @@
 	gang := func(id protocol.JobID) {
 		j := &protocol.Job{ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 1, CPUs: 4, MemoryGB: 1}
 		b.c.Now = b.now
-		b.c.recordArrival(j)
+		b.c.workload.recordArrival(j)
 	}
 	for range 9 {
 		gang("job-1")
 	}
-	if n := len(b.c.classes["gang"].arrivals); n != 1 {
+	if n := len(b.c.workload.classes["gang"].arrivals); n != 1 {
 		t.Errorf("a burst counts as %d arrivals", n)
 	}
 	for range 3 {
 		b.now += Time(8 * time.Second)
 		gang("job-1")
 	}
-	if b.c.reserve(b.c.classes["gang"]) == 0 {
+	if b.c.workload.reserve(b.c.workload.classes["gang"]) == 0 {
 		t.Fatal("no room is kept")
 	}
 	b.ready("vm-1")
-	m := b.c.machines["vm-1"]
-	cl := b.c.claims()
+	m := b.c.table.machines["vm-1"]
+	cl := b.c.placer.claims()
 	small := &ownedJob{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
 	if ok := cl.leavesClaimed(small, m, resource.Need(&small.Job)); ok {
 		t.Error("a small task may take the last room kept")
@@ -45,7 +45,7 @@
 		t.Error("the class itself may not use it")
 	}
 	b.c.Now += Time(10 * time.Minute)
-	if n := b.c.reserve(b.c.classes["gang"]); n != 0 {
+	if n := b.c.workload.reserve(b.c.workload.classes["gang"]); n != 0 {
 		t.Errorf("room for %d is kept long after the last came", n)
 	}
 }
@@ -79,17 +79,17 @@
 	for i := range 10 {
 		k.arrivals = append(k.arrivals, forecast.Arrival{At: b.c.Now - Time(time.Duration(9-i)*4*time.Second), Tasks: float64(10 + i)})
 	}
-	none := b.c.reserve(k)
-	b.c.machines["vm-1"].reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
-	b.c.machines["vm-2"].reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
-	some := b.c.reserve(k)
-	b.c.machines["vm-2"].reported.Ending = message.LevelUse{CPUs: 20, GB: 80}
-	many := b.c.reserve(k)
+	none := b.c.workload.reserve(k)
+	b.c.table.machines["vm-1"].reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
+	b.c.table.machines["vm-2"].reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
+	some := b.c.workload.reserve(k)
+	b.c.table.machines["vm-2"].reported.Ending = message.LevelUse{CPUs: 20, GB: 80}
+	many := b.c.workload.reserve(k)
 	if some >= none || many > some || many < 15 {
 		t.Errorf("room kept for %d, with ends for %d, with many for %d", none, some, many)
 	}
 	k.job.Kind = protocol.KindGang
-	if n := b.c.reserve(k); n != none {
+	if n := b.c.workload.reserve(k); n != none {
 		t.Errorf("room kept for %d of a gang, want %d", n, none)
 	}
 }
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -38,6 +38,8 @@
 	// is no such record. It counts where the view's layout says so.
 	Shards        *record.ShardTable
 	ShardsVersion protocol.Version
+	// Leaving says that the process is to end: what it holds is handed over first.
+	Leaving bool
 	// HighestToken is the highest token that any worker has told since the process began.
 	HighestToken protocol.Term
 
--- a/internal/controller/configured.go
+++ b/internal/controller/configured.go
@@ -40,8 +40,8 @@
 	effective := c.Configuration.Effective()
 	c.Op = effective.Operator
 	c.Log.Info("configuration in force", "revision", uint64(effective.Revision))
-	c.owner.sorted = nil
-	c.owner.placementDue = true
+	c.jobs.sorted = nil
+	c.table.placementDue = true
 	c.refreshDeadlines()
 	c.dispatcher.AdoptConfiguration()
 	c.dispatcher.InvalidateOrder()
@@ -50,16 +50,16 @@
 
 // openTypes are the machine types, with the zones, in which the configuration lets
 // machines be rented.
-func (c *Core) openTypes() map[protocol.MachineType]protocol.TypeInfo {
-	if !c.Configuration.Effective().AnyPlaceClosed() {
-		return c.Types
+func (as *autoscalerState) openTypes() map[protocol.MachineType]protocol.TypeInfo {
+	if !as.Configuration.Effective().AnyPlaceClosed() {
+		return as.Types
 	}
 	open := map[protocol.MachineType]protocol.TypeInfo{}
-	for name, info := range c.Types {
+	for name, info := range as.Types {
 		zones := info.AllowZones
 		info.AllowZones = nil
 		for _, zone := range zones {
-			if !c.PlaceClosed(name, zone) {
+			if !as.PlaceClosed(name, zone) {
 				info.AllowZones = append(info.AllowZones, zone)
 			}
 		}
@@ -70,13 +70,13 @@
 
 // revisionOf is the revision that a controller says it acts by, and how long ago it
 // said so.
-func (c *Core) revisionOf(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
-	if name == c.Self {
-		return c.Configuration.Effective().Revision, 0
+func (ops *operations) revisionOf(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
+	if name == ops.Self {
+		return ops.Configuration.Effective().Revision, 0
 	}
-	p := c.peers[name]
+	p := ops.table.peers[name]
 	if p == nil || p.configuredAt == 0 {
 		return 0, 0
 	}
-	return p.configuration, c.Since(p.configuredAt)
+	return p.configuration, ops.Since(p.configuredAt)
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -12,75 +12,59 @@
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
-	"damsonkeel/internal/controller/forecast"
 	"damsonkeel/internal/controller/membership"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ratelimit"
-	"damsonkeel/internal/controller/replication"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/controller/workerregistry"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 )
 
-// Core is one controller's whole state between messages. It is not safe for
-// concurrent use: one actor owns it.
+// Core is one controller's whole state between messages: the modules, and the wiring
+// between them. It is not safe for concurrent use: one actor owns it.
 type Core struct {
 	clusterstate.Module
-	members    *membership.Members
-	registrar  *workerregistry.Registrar
-	dispatcher *dispatcher.Dispatcher
-	rng        *rand.Rand
+	members      *membership.Members
+	registrar    *workerregistry.Registrar
+	dispatcher   *dispatcher.Dispatcher
+	table        *waitTable
+	workload     *workload
+	reservations *reservationHolds
+	jobs         *ownedJobs
+	placer       *placer
+	autoscaler   *autoscalerState
+	planner      *reservationPlanner
+	operations   *operations
 
-	pricePremiums  map[kind]float64 // reportedBy the prices last read: see computePricePremiums
-	tableCopy      tableCopy
-	classes        map[string]*class
-	machines       map[protocol.MachineID]*machineEntry
-	sortedMachines []*machineEntry // the machines in order of their names
-	spotsUp        int             // of these, spot machines
-
-	owner ownerState
-	// ownedChanges are the owned jobs, as their state changes: a stream for all
-	// members in one term.
-	ownedChanges replication.Log[protocol.JobID]
 	// rates outlives sessions: what was lent in the last one is still lent.
-	rates         *ratelimit.Ledger[protocol.LeaseID]
-	rateAllotment message.SetRateAllotment // as last set
-	peers         map[protocol.NodeName]*peer
-	spots         forecast.Spot
-	autoscaler    autoscalerState
-	// promised is the calendar: reservations and windows.
-	reservations reservationState
-
-	leaving        bool    // the process is to end
-	tickLatenessMS float64 // how late ticks come, on average
+	rates          *ratelimit.Ledger[protocol.LeaseID]
+	rateAllotment  message.SetRateAllotment // as last set
+	tickLatenessMS float64                  // how late ticks come, on average
 	lastTick       Time
 	lastRelay      Time
 	refusedAt      Time // when an impossible message was last logged
-	nextPlaced     Time // not placed again before
-	// rebalancedUpTo is the machine at which the last rebalance left the rest to the
-	// next tick; empty: nothing is left.
-	rebalancedUpTo     protocol.MachineID
-	candidatesExamined int // machines looked at for placements, ever
-}
-
-// peer is what is known of another controller's present session.
-type peer struct {
-	session  protocol.LeaseID
-	placed   uint64      // number of the last Place sent to it
-	updates  peerUpdates // its word on the machines it keeps
-	demand   []message.Demand
-	progress map[protocol.JobID]message.Progress
-	// configuration is the revision that it says it acts by, and configuredAt when it
-	// last said so; 0: never.
-	configuration record.ConfigurationRevision
-	configuredAt  Time
 }
 
 // NewCore makes a controller's state before its first session.
 func NewCore(s *config.Settings, op config.Operator, rng *rand.Rand, log *slog.Logger) *Core {
 	p := clusterstate.Module{State: clusterstate.NewState(s, op, log), Output: &clusterstate.Output{}}
-	c := &Core{Module: p, members: membership.New(p), registrar: workerregistry.New(p), dispatcher: dispatcher.New(p), rng: rng}
+	table := &waitTable{Module: p, rng: rng}
+	work := &workload{Module: p, table: table}
+	watcher := dispatcher.New(p)
+	holds := &reservationHolds{Module: p, table: table, dispatcher: watcher}
+	jobs := &ownedJobs{Module: p, table: table, workload: work, reservations: holds, rng: rng}
+	holds.jobs = jobs
+	place := &placer{Module: p, table: table, workload: work, reservations: holds, jobs: jobs, rng: rng}
+	scaler := &autoscalerState{Module: p, table: table, workload: work, reservations: holds, placer: place}
+	planner := &reservationPlanner{Module: p, table: table, reservations: holds, autoscaler: scaler}
+	scaler.planner = planner
+	members := membership.New(p)
+	c := &Core{
+		Module: p, members: members, registrar: workerregistry.New(p), dispatcher: watcher,
+		table: table, workload: work, reservations: holds, jobs: jobs, placer: place, autoscaler: scaler, planner: planner,
+		operations: &operations{Module: p, members: members, table: table, reservations: holds, planner: planner},
+	}
 	c.reset()
 	return c
 }
@@ -90,15 +74,14 @@
 	c.State.Reset()
 	c.members.Reset()
 	c.registrar.Reset()
-	c.classes = map[string]*class{}
-	c.machines, c.sortedMachines, c.spotsUp = map[protocol.MachineID]*machineEntry{}, nil, 0
+	c.workload.reset()
+	c.table.reset()
 	c.dispatcher.Reset()
-	c.ownedChanges = replication.Log[protocol.JobID]{}
-	c.nextPlaced = 0
-	c.peers = map[protocol.NodeName]*peer{}
-	c.owner = newOwnerState()
-	c.autoscaler = newAutoscalerState()
-	c.reservations = newReservationState(c.Reservations)
+	c.jobs.reset()
+	c.placer.reset()
+	c.planner.reset()
+	c.autoscaler.reset()
+	c.reservations.reset()
 }
 
 // Step handles one message at a time of the steady clock.
@@ -142,7 +125,7 @@
 	case message.JobCancelled:
 		c.MarkCancelled(m.Job)
 	case message.Shutdown:
-		c.leaving = true
+		c.Leaving = true
 	case message.Tick:
 		c.measureTickLateness()
 		c.SetWallClock(m.WallMS)
@@ -154,17 +137,17 @@
 	case message.CommitDone:
 		c.commitDone(m)
 	case message.BitmapLoaded:
-		c.bitmapLoaded(m)
+		c.jobs.bitmapLoaded(m)
 	case message.CommandDone:
 		c.dispatcher.CommandDone(m)
 	case message.PeerLeads:
 		c.members.NoteLeading(m.Peer)
 	case message.ProvisionDone:
-		c.provisioned(m)
+		c.autoscaler.provisioned(m)
 	case message.TerminateDone:
-		c.terminated(m)
+		c.autoscaler.terminateDone(m)
 	case message.MachinesListed:
-		c.machinesListed(m)
+		c.autoscaler.machinesListed(m)
 	}
 	c.settle()
 	c.members.ChangeShards(c.dispatcher.ShardChangesWanted())
@@ -196,11 +179,9 @@
 			c.Local = c.Local[1:]
 			c.message(c.Self, m)
 		}
-		if !c.owner.placementDue || !c.HoldsLease() || c.Now < c.nextPlaced {
+		if !c.placer.placeIfDue() {
 			return
 		}
-		c.nextPlaced = c.After(placeEvery)
-		c.schedule()
 	}
 }
 
@@ -209,11 +190,8 @@
 	for _, t := range types {
 		c.Types[t.Name] = t
 	}
-	c.pricePremiums = c.computePricePremiums()
-	for _, m := range c.machines {
-		m.Info = c.Types[m.Record.Type]
-	}
-	c.owner.placementDue = true
+	c.placer.refreshPrices()
+	c.table.refreshTypes()
 }
 
 func (c *Core) recordChanged(ev protocol.Event) {
@@ -242,7 +220,7 @@
 			c.machineDeregistered(id)
 		}
 	case f.Reservation != "" || f.Window != "":
-		c.calendarDeleted(f)
+		c.reservations.calendarDeleted(f)
 	}
 }
 
@@ -270,7 +248,7 @@
 	case f.Job != "":
 		var j protocol.Job
 		if err = protocol.Decode(value, &j); err == nil {
-			c.jobAccepted(j, version, snapshot)
+			c.jobs.jobAccepted(j, version, snapshot)
 		}
 	case f.Machine != "":
 		var m record.Machine
@@ -294,11 +272,11 @@
 			c.adoptShares(&s, version)
 		}
 	case f.ReservationHolds:
-		err = c.holdsRecord(value, version)
+		err = c.reservations.holdsRecord(value, version)
 	case f.Configuration || f.ConfigurationEntry != "":
 		err = c.configurationRecord(f, value, version)
 	case f.Calendar || f.Reservation != "" || f.Window != "":
-		err = c.calendarRecord(f, value, version)
+		err = c.reservations.calendarRecord(f, value, version)
 	}
 	if err != nil {
 		c.Log.Error("record can't be read", "key", key, "err", err)
@@ -314,29 +292,29 @@
 	if c.Since(c.lastRelay) >= c.Op.RelayEvery {
 		c.lastRelay = c.Now
 		c.refreshDeadlines()
-		c.refreshReservations()
-		c.watchSpots()
-		c.watchSlow()
+		c.reservations.refreshReservations()
+		c.workload.watchSpots()
+		c.jobs.watchSlow()
 		c.dispatcher.ExpireSilent(c.members.AllAdopted(), c.members.ShardsFloor())
-		c.rebalance("")
-		c.dispatcher.Maintain(c.announcedLevel, c.isFailing)
-		c.writeBitmaps()
+		c.placer.rebalance("")
+		c.dispatcher.Maintain(c.announcedLevel, c.jobs.isFailing)
+		c.jobs.writeBitmaps()
 		c.sendUpdates(true)
 		c.members.Balance()
-		c.scaleStep()
+		c.autoscaler.scaleStep()
 	} else {
-		if c.rebalancedUpTo != "" {
-			c.rebalance(c.rebalancedUpTo)
+		if c.placer.rebalancedUpTo != "" {
+			c.placer.rebalance(c.placer.rebalancedUpTo)
 		}
-		if c.leaving {
-			c.writeBitmaps()
+		if c.Leaving {
+			c.jobs.writeBitmaps()
 		}
 		c.sendUpdates(false)
 		c.dispatcher.GiveInventories() // not in the step of the regular work: together they are long
 	}
 	c.registrar.Write()
-	c.askMoreTables()
-	c.retryJobs()
+	c.table.askMoreTables()
+	c.jobs.retryJobs()
 }
 
 func (c *Core) commitDone(m message.CommitDone) {
@@ -346,15 +324,15 @@
 	case membership.ViewTag:
 		c.members.ViewWritten(m.Outcome)
 	case reservationTag:
-		delete(c.reservations.write, tag.name)
+		delete(c.planner.planWrites, tag.name)
 	case dispatcher.RegisterTag:
 		c.dispatcher.RegistrationDone(tag, m.Outcome)
 	case finishTag:
-		c.finishWritten(tag, m.Outcome)
+		c.jobs.finishWritten(tag, m.Outcome)
 	case bitmapTag:
-		c.bitmapWritten(tag, m.Outcome, m.Revision)
+		c.jobs.bitmapWritten(tag, m.Outcome, m.Revision)
 	case holdsTag:
-		c.reservations.stale = c.reservations.stale || m.Outcome != message.OutcomeDone
+		c.reservations.holdsStale = c.reservations.holdsStale || m.Outcome != message.OutcomeDone
 	case workerregistry.Tag:
 		c.registrar.Written(tag, m.Outcome)
 	case dispatcher.RemoveTag:
@@ -367,14 +345,14 @@
 func (c *Core) refreshDeadlines() {
 	changed := false
 	for _, l := range c.Live {
-		if due := c.currentDeadline(l); due != l.Deadline {
+		if due := c.jobs.currentDeadline(l); due != l.Deadline {
 			l.Deadline, changed = due, true
 		}
 	}
 	if !changed {
 		return
 	}
-	c.owner.sorted = nil
+	c.jobs.sorted = nil
 	c.dispatcher.InvalidateOrder()
 }
 
@@ -382,18 +360,18 @@
 // nothing has begun for a while, goes first until something does: waiting behind all
 // that is due sooner, which keeps coming where there is more work than room, it would
 // not begin for minutes.
-func (c *Core) currentDeadline(l *clusterstate.LiveJob) Time {
-	if c.Since(l.Since) > beginsWithin && len(c.ObjectiveTimes(&l.Job)) == 0 && !c.HasStartObjective(&l.Job) {
-		if g, _ := c.JobProgress(l.ID); g.Running == 0 && g.Done == 0 {
+func (oj *ownedJobs) currentDeadline(l *clusterstate.LiveJob) Time {
+	if oj.Since(l.Since) > beginsWithin && len(oj.ObjectiveTimes(&l.Job)) == 0 && !oj.HasStartObjective(&l.Job) {
+		if g, _ := oj.JobProgress(l.ID); g.Running == 0 && g.Done == 0 {
 			return l.Since
 		}
 	}
-	return c.Deadline(l)
+	return oj.Deadline(l)
 }
 
 // announcedLevel is the level of a job, by its owner's word.
 func (c *Core) announcedLevel(id protocol.JobID) (resource.Level, bool) {
-	g, ok := c.JobProgress(id)
+	g, ok := c.jobs.JobProgress(id)
 	return resource.Level(g.Level - 1), ok && g.Level > 0
 }
 
@@ -431,16 +409,11 @@
 // HandedOver reports whether a controller that is told to end may: it keeps no
 // machines, and what it knows of its jobs is written.
 func (c *Core) HandedOver() bool {
-	if !c.leaving {
+	if !c.Leaving {
 		return false // not noticed yet
 	}
 	if !c.Member() {
 		return true
 	}
-	for _, o := range c.owner.jobs {
-		if len(o.dirtyChunks) > 0 || o.writing || o.finishInFlight {
-			return false
-		}
-	}
-	return c.dispatcher.ShardsHeld() == 0
+	return c.jobs.allWritten() && c.dispatcher.ShardsHeld() == 0
 }
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -52,7 +52,7 @@
 		f.machine(id, 1)
 	}
 	f.hear(0)
-	for i := 0; len(f.c.owner.jobs) < 10; i++ {
+	for i := 0; len(f.c.jobs.byID) < 10; i++ {
 		id := protocol.JobID(fmt.Sprint("job-", i))
 		if clusterstate.Rendezvous(f.c.View, "job "+string(id)) == "node-0" {
 			f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
@@ -65,7 +65,7 @@
 		f.second()
 	}
 	placed := 0
-	for _, o := range f.c.owner.jobs {
+	for _, o := range f.c.jobs.byID {
 		placed += len(o.placed)
 	}
 	if placed < tasks {
@@ -271,12 +271,12 @@
 // once and at one more for each task, however many wait already.
 func TestPlacingLooksOnce(t *testing.T) {
 	w := fleetOf(t, 300, 3000)
-	before := w.c.candidatesExamined
+	before := w.c.placer.candidatesExamined
 	w.job("job-new", "free", 300)
-	if o := w.c.owner.jobs["job-new"]; len(o.placed) != 300 {
+	if o := w.c.jobs.byID["job-new"]; len(o.placed) != 300 {
 		t.Fatalf("%d of 300 placed", len(o.placed))
 	}
-	if n := w.c.candidatesExamined - before; n > 600 {
+	if n := w.c.placer.candidatesExamined - before; n > 600 {
 		t.Errorf("%d machines looked at for 300 tasks on 300 machines", n)
 	}
 }
@@ -290,18 +290,18 @@
 	for range 50 { // workers that stay silent for longer are given nothing
 		w.step(message.Tick{})
 	}
-	huge := w.c.owner.jobs["job-huge"]
+	huge := w.c.jobs.byID["job-huge"]
 	most := 20 * 4 * (int(queueAtMost.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
 	if n := len(huge.placed); n == 0 || n > most {
 		t.Errorf("%d tasks placed, want up to %d", n, most)
 	}
 	w.c.Live["job-huge"].Deadline += Time(time.Hour) // it can't be done by its time
-	w.c.owner.sorted = nil
+	w.c.jobs.sorted = nil
 	w.put(record.LiveKey("job-urgent"), protocol.Job{
 		ID: "job-urgent", Team: "free", Kind: protocol.KindJobArray, Priority: "high", Tasks: 5, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
 	})
 	w.step(message.Tick{})
-	if n := len(w.c.owner.jobs["job-urgent"].placed); n != 5 {
+	if n := len(w.c.jobs.byID["job-urgent"].placed); n != 5 {
 		t.Errorf("%d of 5 more urgent tasks placed", n)
 	}
 	w.c.jobEnded("job-huge")
@@ -333,10 +333,10 @@
 				f.c.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: "soon", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, MemoryGB: 1, EstimateS: 10}}
 				demand = append(demand, message.Demand{Job: id, Unstarted: 20, EstimateS: 10})
 			}
-			f.c.peers["node-0"].demand = demand
+			f.c.table.peers["node-0"].demand = demand
 			for b.Loop() {
 				f.c.Actions = nil
-				f.c.planScaleOut()
+				f.c.autoscaler.planScaleOut()
 			}
 		})
 	}
@@ -351,10 +351,10 @@
 				for range 10 {
 					f.now += Time(placeEvery)
 					f.c.Now, f.c.Actions = f.now, nil
-					f.c.schedule()
+					f.c.placer.schedule()
 				}
 			}
-			b.ReportMetric(float64(f.c.candidatesExamined)/float64(b.N), "looked/op")
+			b.ReportMetric(float64(f.c.placer.candidatesExamined)/float64(b.N), "looked/op")
 		})
 	}
 }
@@ -373,7 +373,7 @@
 		}))
 	}
 	f.hear(0)
-	f.c.candidatesExamined = 0
+	f.c.placer.candidatesExamined = 0
 	return f
 }
 
@@ -385,12 +385,12 @@
 	f := stuckFleet(t, machines, 30000, gangs)
 	for range 20 {
 		f.now += Time(placeEvery)
-		f.c.owner.placementDue = true
+		f.c.table.placementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	// Two passes for each gang that is tried: one for room, one to claim.
-	if most := 2 * 20 * 2 * maxExaminedPerStep; f.c.candidatesExamined > most || f.c.candidatesExamined < gangs*machines {
-		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.candidatesExamined, gangs, most)
+	if most := 2 * 20 * 2 * maxExaminedPerStep; f.c.placer.candidatesExamined > most || f.c.placer.candidatesExamined < gangs*machines {
+		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.placer.candidatesExamined, gangs, most)
 	}
 	for i := range 8 { // machines come
 		id := protocol.MachineID(fmt.Sprintf("vm-new-%d", i))
@@ -400,11 +400,11 @@
 	f.hear(0)
 	for range 20 {
 		f.now += Time(placeEvery)
-		f.c.owner.placementDue = true
+		f.c.table.placementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	placed := 0
-	for _, o := range f.c.owner.jobs {
+	for _, o := range f.c.jobs.byID {
 		if o.Kind == protocol.KindGang && len(o.placed) > 0 {
 			placed++
 		}
--- a/internal/controller/failedsearch.go
+++ b/internal/controller/failedsearch.go
@@ -35,34 +35,34 @@
 )
 
 // noteFailedSearch remembers that a job's search for places found none any more.
-func (c *Core) noteFailedSearch(o *ownedJob) {
-	if o.OneZone || o.Spread || len(o.failedOn) > 0 || c.reservations.Any || len(c.owner.failedSearches) >= failedSearchesMost {
+func (pl *placer) noteFailedSearch(o *ownedJob) {
+	if o.OneZone || o.Spread || len(o.failedOn) > 0 || pl.reservations.Any || len(pl.failedSearches) >= failedSearchesMost {
 		return // where it may go depends on more than what is remembered
 	}
-	c.owner.failedSearches = append(c.owner.failedSearches, failedSearch{
+	pl.failedSearches = append(pl.failedSearches, failedSearch{
 		need: resource.Need(&o.Job), level: o.level, rank: o.Priority.Rank(), class: o.Class, types: o.Types, zone: o.Zone, spot: o.Spot, yields: o.usesHeadroom,
 	})
-	every := placeEvery * time.Duration(max(1, len(c.owner.failedSearches)*len(c.sortedMachines)/searchedAtOnce))
-	c.owner.failedSearches[len(c.owner.failedSearches)-1].until = c.After(every)
+	every := placeEvery * time.Duration(max(1, len(pl.failedSearches)*len(pl.table.sortedMachines)/searchedAtOnce))
+	pl.failedSearches[len(pl.failedSearches)-1].until = pl.After(every)
 }
 
 // forgetFailedSearches drops the searches that are too long ago to tell anything.
-func (c *Core) forgetFailedSearches() {
-	c.owner.failedSearches = slices.DeleteFunc(c.owner.failedSearches, func(v failedSearch) bool { return v.until <= c.Now })
+func (pl *placer) forgetFailedSearches() {
+	pl.failedSearches = slices.DeleteFunc(pl.failedSearches, func(v failedSearch) bool { return v.until <= pl.Now })
 }
 
 // wouldFindNone reports whether a job's search would find no place, as another's has not.
 // Room kept for a class is room for its own jobs.
-func (c *Core) wouldFindNone(o *ownedJob) bool {
-	if c.reservations.Any {
+func (pl *placer) wouldFindNone(o *ownedJob) bool {
+	if pl.reservations.Any {
 		return false
 	}
 	need := resource.Need(&o.Job)
-	for i := range c.owner.failedSearches {
-		v := &c.owner.failedSearches[i]
+	for i := range pl.failedSearches {
+		v := &pl.failedSearches[i]
 		if need.Covers(v.need) && o.level <= v.level && o.Priority.Rank() <= v.rank && (v.spot || !o.Spot) &&
 			(v.zone == "" || v.zone == o.Zone) && (len(v.types) == 0 || slices.Equal(v.types, o.Types)) &&
-			(v.class == o.Class || !c.HasStartObjective(&o.Job)) && (o.usesHeadroom || !v.yields) {
+			(v.class == o.Class || !pl.HasStartObjective(&o.Job)) && (o.usesHeadroom || !v.yields) {
 			return true
 		}
 	}
--- a/internal/controller/failingjob.go
+++ b/internal/controller/failingjob.go
@@ -28,55 +28,55 @@
 // attemptFailed notes that a task of a job ended in an error, and judges the job: it is
 // tried with one task at a time, ever later, once at least as many of its tasks have
 // failed as run.
-func (c *Core) attemptFailed(o *ownedJob, t *attempt) {
+func (oj *ownedJobs) attemptFailed(o *ownedJob, t *attempt) {
 	o.failedOn[t.machine] = true
 	o.failures++
 	if t.running {
-		o.failedAfter = max(o.failedAfter, c.Since(t.runningSince))
+		o.failedAfter = max(o.failedAfter, oj.Since(t.runningSince))
 	}
 	switch {
-	case o.failing && t.trial && o.notBefore <= c.Now: // the first of a trial's tasks
+	case o.failing && t.trial && o.notBefore <= oj.Now: // the first of a trial's tasks
 		o.backoff = min(2*o.backoff, retryMost)
-		o.notBefore = c.After(o.backoff)
-	case o.failing || !c.hasFailedEverywhere(o):
+		o.notBefore = oj.After(o.backoff)
+	case o.failing || !oj.hasFailedEverywhere(o):
 	default:
 		o.failing, o.backoff = true, retryFirst
 		if o.isGang() { // a trial takes the room of all its tasks
 			o.backoff = min(retryFirst*time.Duration(o.Tasks), retryMost)
 		}
-		o.notBefore = c.After(o.backoff)
-		c.ownedChanges.Touch(o.ID)
-		c.Log.Info("job fails wherever it runs: one task is tried now and then", "job", o.ID, "machines", len(o.failedOn))
+		o.notBefore = oj.After(o.backoff)
+		oj.ownedChanges.Touch(o.ID)
+		oj.Log.Info("job fails wherever it runs: one task is tried now and then", "job", o.ID, "machines", len(o.failedOn))
 		for _, other := range ordered.Tasks(o.placed) {
 			if !other.started && !other.stopping && o.Kind != protocol.KindGang {
-				c.sendStop(other, false, 0) // what waits in queues would fail as well
+				oj.sendStop(other, false, 0) // what waits in queues would fail as well
 			}
 		}
 	}
 }
 
 // clearFailures takes back what was held against a job.
-func (c *Core) clearFailures(o *ownedJob) {
+func (oj *ownedJobs) clearFailures(o *ownedJob) {
 	o.failures = 0
 	if !o.failing {
 		return
 	}
 	o.failing, o.backoff, o.notBefore = false, 0, 0
 	clear(o.failedOn)
-	c.ownedChanges.Touch(o.ID)
-	c.owner.placementDue = true
-	c.Log.Info("job no longer fails", "job", o.ID)
+	oj.ownedChanges.Touch(o.ID)
+	oj.table.placementDue = true
+	oj.Log.Info("job no longer fails", "job", o.ID)
 }
 
 // expireTrials looks whether the trial of a job that failed goes on for much longer
 // than its tasks took to fail.
-func (c *Core) expireTrials(o *ownedJob) {
+func (oj *ownedJobs) expireTrials(o *ownedJob) {
 	if !o.failing {
 		return
 	}
 	for _, t := range o.placed {
-		if t.trial && t.running && c.Since(t.runningSince) > trialFactor*o.failedAfter+trialSlack {
-			c.clearFailures(o)
+		if t.trial && t.running && oj.Since(t.runningSince) > trialFactor*o.failedAfter+trialSlack {
+			oj.clearFailures(o)
 			return
 		}
 	}
@@ -94,7 +94,7 @@
 }
 
 // isFailing reports whether a live job fails wherever it runs, by its owner's word.
-func (c *Core) isFailing(id protocol.JobID) bool {
-	g, ok := c.JobProgress(id)
+func (oj *ownedJobs) isFailing(id protocol.JobID) bool {
+	g, ok := oj.JobProgress(id)
 	return ok && g.Failing
 }
--- a/internal/controller/finish.go
+++ b/internal/controller/finish.go
@@ -7,30 +7,30 @@
 	"damsonkeel/internal/record"
 )
 
-func (c *Core) markTaskDone(o *ownedJob, i uint32) {
+func (oj *ownedJobs) markTaskDone(o *ownedJob, i uint32) {
 	o.pending.Clear(uint(i))
 	if o.done.Test(uint(i)) {
 		return
 	}
 	o.done.Set(uint(i))
 	o.nDone++
-	c.ownedChanges.Touch(o.ID)
+	oj.ownedChanges.Touch(o.ID)
 	o.dirtyChunks[int(i)/record.ChunkTasks] = true
-	c.clearFailures(o)
+	oj.clearFailures(o)
 }
 
 // finishIfDone has a job's end written once all its tasks are done. It is told
 // to nobody before that is durable.
-func (c *Core) finishIfDone(o *ownedJob) {
+func (oj *ownedJobs) finishIfDone(o *ownedJob) {
 	if !o.loaded || o.nDone < o.Tasks || o.finishDue {
 		return
 	}
 	o.finishDue = true
-	c.writeFinish(o)
+	oj.writeFinish(o)
 }
 
-func (c *Core) writeFinish(o *ownedJob) {
-	if o.finishInFlight || !c.HoldsLease() {
+func (oj *ownedJobs) writeFinish(o *ownedJob) {
+	if o.finishInFlight || !oj.HoldsLease() {
 		return
 	}
 	o.finishInFlight = true
@@ -44,11 +44,11 @@
 	for chunk := range ordered.Of(o.storedChunks) { // a short job has none: what is not there costs a change all the same
 		txn.Changes = append(txn.Changes, protocol.Change{Delete: record.BitmapChunkKey(o.ID, chunk)})
 	}
-	c.Emit(message.Commit{Tag: finishTag{o.ID}, Txn: txn})
+	oj.Emit(message.Commit{Tag: finishTag{o.ID}, Txn: txn})
 }
 
-func (c *Core) finishWritten(tag finishTag, out message.Outcome) {
-	o := c.owner.jobs[tag.job]
+func (oj *ownedJobs) finishWritten(tag finishTag, out message.Outcome) {
+	o := oj.byID[tag.job]
 	if o == nil {
 		return
 	}
@@ -56,21 +56,21 @@
 }
 
 // writeBitmaps writes the bitmaps that changed, a few at a time.
-func (c *Core) writeBitmaps() {
-	if !c.HoldsLease() {
+func (oj *ownedJobs) writeBitmaps() {
+	if !oj.HoldsLease() {
 		return
 	}
 	n := 0
-	for _, o := range ordered.Of(c.owner.jobs) {
+	for _, o := range ordered.Of(oj.byID) {
 		if len(o.dirtyChunks) == 0 || o.writing || o.finishDue || !o.loaded || o.rereadNeeded {
 			continue
 		}
-		if n++; n > c.Settings.Site.State.TxnOps {
+		if n++; n > oj.Settings.Site.State.TxnOps {
 			return
 		}
 		tag := bitmapTag{job: o.ID}
 		txn := protocol.Transaction{Conditions: []protocol.Condition{
-			{Key: record.ViewKey, Version: c.ViewVersion}, // a former owner writes nothing late
+			{Key: record.ViewKey, Version: oj.ViewVersion}, // a former owner writes nothing late
 			{Key: record.LiveKey(o.ID), Version: o.Version},
 		}}
 		for chunk := range ordered.Of(o.dirtyChunks) {
@@ -84,12 +84,12 @@
 		}
 		clear(o.dirtyChunks)
 		o.writing, o.chunksInFlight = true, tag.chunks
-		c.Emit(message.Commit{Tag: tag, Txn: txn})
+		oj.Emit(message.Commit{Tag: tag, Txn: txn})
 	}
 }
 
-func (c *Core) bitmapWritten(tag bitmapTag, out message.Outcome, at protocol.Revision) {
-	o := c.owner.jobs[tag.job]
+func (oj *ownedJobs) bitmapWritten(tag bitmapTag, out message.Outcome, at protocol.Revision) {
+	o := oj.byID[tag.job]
 	if o == nil {
 		return
 	}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -18,6 +18,13 @@
 
 // autoscalerState is what the controller that rents machines keeps of them.
 type autoscalerState struct {
+	clusterstate.Module
+	table        *waitTable
+	workload     *workload
+	reservations *reservationHolds
+	placer       *placer
+	planner      *reservationPlanner
+
 	since           Time // when this view was adopted
 	listed          map[protocol.MachineID]protocol.ListedMachine
 	listedAt        Time
@@ -67,8 +74,10 @@
 	return kind{Type: r.req.Type, Zone: r.req.Zone, Spot: r.req.Spot}
 }
 
-func newAutoscalerState() autoscalerState {
-	return autoscalerState{
+// reset forgets everything a session knew.
+func (as *autoscalerState) reset() {
+	*as = autoscalerState{
+		Module: as.Module, table: as.table, workload: as.workload, reservations: as.reservations, placer: as.placer, planner: as.planner,
 		listed: map[protocol.MachineID]protocol.ListedMachine{}, orphan: map[protocol.MachineID]Time{},
 		bootingMachines: map[protocol.MachineID]bootingMachine{}, provisionCalls: map[string]*provisionCall{}, refusals: map[kind]refusal{}, bootHistory: map[kind]*bootRecord{},
 		deleting: map[protocol.MachineID]Time{}, terminated: map[protocol.MachineID]Time{}, seen: map[protocol.MachineID]bool{},
@@ -87,60 +96,60 @@
 )
 
 // scaleStep rents and returns machines, if that is this controller's role.
-func (c *Core) scaleStep() {
-	f := &c.autoscaler
-	if !c.HoldsLease() || len(c.Types) == 0 || clusterstate.Rendezvous(c.View, "fleet") != c.Self {
+func (as *autoscalerState) scaleStep() {
+	f := as
+	if !as.HoldsLease() || len(as.Types) == 0 || clusterstate.Rendezvous(as.View, "fleet") != as.Self {
 		return
 	}
-	if !f.listing && (!f.haveList || c.Since(f.listedAt) > listEvery) {
+	if !f.listing && (!f.haveList || as.Since(f.listedAt) > listEvery) {
 		f.listing = true
-		c.Emit(message.ListMachines{})
+		as.Emit(message.ListMachines{})
 	}
 	for name, r := range ordered.Of(f.provisionCalls) {
 		switch {
-		case r.inFlight || c.Since(r.at) < 2*time.Second:
+		case r.inFlight || as.Since(r.at) < 2*time.Second:
 		case r.tries > 5:
 			delete(f.provisionCalls, name)
 		default:
 			// No answer came: the machines may be rented. Only the same name
 			// asks without renting twice.
-			c.provision(r)
+			as.provision(r)
 		}
 	}
-	if !c.isAutoscaler() || c.Since(f.lastPlan) < planEvery {
+	if !as.isAutoscaler() || as.Since(f.lastPlan) < planEvery {
 		return
 	}
-	f.lastPlan = c.Now
-	c.updateBooting()
-	c.chooseReserved()
-	c.planScaleOut()
-	c.scaleIn()
+	f.lastPlan = as.Now
+	as.updateBooting()
+	as.planner.chooseReserved()
+	as.planScaleOut()
+	as.scaleIn()
 }
 
 // updateBooting drops from the machines awaited those that came or never will.
-func (c *Core) updateBooting() {
-	f := &c.autoscaler
+func (as *autoscalerState) updateBooting() {
+	f := as
 	for id, l := range f.listed {
-		if _, ok := f.bootingMachines[id]; !ok && c.machines[id] == nil && l.State == "booting" && f.terminated[id] == 0 {
-			f.bootingMachines[id] = bootingMachine{kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}, c.Now - Time(l.AgeS*float64(time.Second))}
+		if _, ok := f.bootingMachines[id]; !ok && as.table.machines[id] == nil && l.State == "booting" && f.terminated[id] == 0 {
+			f.bootingMachines[id] = bootingMachine{kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}, as.Now - Time(l.AgeS*float64(time.Second))}
 		}
 	}
 	overdue := map[kind]int{}
 	for id, m := range f.bootingMachines {
-		up := c.machines[id] != nil
+		up := as.table.machines[id] != nil
 		if up {
-			*f.historyOf(m.kind) = bootRecord{lastUp: c.Now}
-		} else if c.Since(m.at) > c.bootTimeout(m.Type) {
+			*f.historyOf(m.kind) = bootRecord{lastUp: as.Now}
+		} else if as.Since(m.at) > as.bootTimeout(m.Type) {
 			overdue[m.kind]++
 		}
-		if up || c.Now-m.at > Time(c.bootDeadline(m.Type)) || f.terminated[id] != 0 {
+		if up || as.Now-m.at > Time(as.bootDeadline(m.Type)) || f.terminated[id] != 0 {
 			delete(f.bootingMachines, id)
 		}
 	}
 	for k, n := range overdue {
-		if b := f.historyOf(k); !b.trial && n >= maxOverdueBoots && c.Since(b.lastUp) > c.bootTimeout(k.Type) {
+		if b := f.historyOf(k); !b.trial && n >= maxOverdueBoots && as.Since(b.lastUp) > as.bootTimeout(k.Type) {
 			b.trial = true
-			c.Log.Info("machines of a kind do not come up: one at a time is tried", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "overdue", n)
+			as.Log.Info("machines of a kind do not come up: one at a time is tried", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "overdue", n)
 		}
 	}
 }
@@ -183,24 +192,24 @@
 }
 
 // bootTimeout is how long after it was rented a machine should be up.
-func (c *Core) bootTimeout(t protocol.MachineType) time.Duration {
-	return config.Seconds(2*c.Types[t].BootS) + 10*time.Second
+func (as *autoscalerState) bootTimeout(t protocol.MachineType) time.Duration {
+	return config.Seconds(2*as.Types[t].BootS) + 10*time.Second
 }
 
 // bootDeadline is how long a machine may take to come up before it is given up.
-func (c *Core) bootDeadline(t protocol.MachineType) time.Duration {
-	return time.Duration(4*c.Types[t].BootS*float64(time.Second)) + 30*time.Second
+func (as *autoscalerState) bootDeadline(t protocol.MachineType) time.Duration {
+	return time.Duration(4*as.Types[t].BootS*float64(time.Second)) + 30*time.Second
 }
 
-func (c *Core) provision(r *provisionCall) {
-	r.inFlight, r.at = true, c.Now
+func (as *autoscalerState) provision(r *provisionCall) {
+	r.inFlight, r.at = true, as.Now
 	r.tries++
-	c.Log.Debug("renting", "type", r.req.Type, "zone", r.req.Zone, "spot", r.req.Spot, "count", r.req.Count, "request", r.req.Name)
-	c.Emit(message.Provision{Request: r.req})
+	as.Log.Debug("renting", "type", r.req.Type, "zone", r.req.Zone, "spot", r.req.Spot, "count", r.req.Count, "request", r.req.Name)
+	as.Emit(message.Provision{Request: r.req})
 }
 
-func (c *Core) provisioned(m message.ProvisionDone) {
-	f := &c.autoscaler
+func (as *autoscalerState) provisioned(m message.ProvisionDone) {
+	f := as
 	r := f.provisionCalls[m.Request.Name]
 	if r == nil {
 		return
@@ -211,42 +220,42 @@
 	case message.OutcomeDone:
 		delete(f.provisionCalls, m.Request.Name)
 		for _, id := range m.Machines {
-			f.bootingMachines[id] = bootingMachine{k, c.Now}
+			f.bootingMachines[id] = bootingMachine{k, as.Now}
 		}
-		c.chooseReserved() // before anybody else uses them
-		c.Log.Info("rented", "machines", m.Machines, "request", m.Request.Name)
+		as.planner.chooseReserved() // before anybody else uses them
+		as.Log.Info("rented", "machines", m.Machines, "request", m.Request.Name)
 		delete(f.refusals, k)
 		if len(m.Machines) == m.Request.Count {
-			if c.isAutoscaler() {
-				c.planScaleOut() // there may be more of it
+			if as.isAutoscaler() {
+				as.planScaleOut() // there may be more of it
 			}
 			return
 		}
 	case message.OutcomeFailed, message.OutcomeRefused:
 		delete(f.provisionCalls, m.Request.Name)
-		c.Log.Debug("not rented", "type", k.Type, "zone", k.Zone, "spot", k.Spot)
+		as.Log.Debug("not rented", "type", k.Type, "zone", k.Zone, "spot", k.Spot)
 	default:
 		return // asked again by the same name
 	}
 	pause := min(max(2*f.refusals[k].pause, refusedPause), refusedAtMost)
-	f.refusals[k] = refusal{c.After(pause), pause}
-	if c.isAutoscaler() {
-		c.planScaleOut() // the next best kind, at once
+	f.refusals[k] = refusal{as.After(pause), pause}
+	if as.isAutoscaler() {
+		as.planScaleOut() // the next best kind, at once
 	}
 }
 
 // isAutoscaler reports whether this controller rents and returns machines.
-func (c *Core) isAutoscaler() bool {
-	return c.HoldsLease() && len(c.Types) > 0 && clusterstate.Rendezvous(c.View, "fleet") == c.Self && c.autoscaler.haveList && c.Since(c.autoscaler.since) >= settleTime
+func (as *autoscalerState) isAutoscaler() bool {
+	return as.HoldsLease() && len(as.Types) > 0 && clusterstate.Rendezvous(as.View, "fleet") == as.Self && as.haveList && as.Since(as.since) >= settleTime
 }
 
 // idleTimeout is how long a machine is kept idle, in seconds: as long as the boot
 // of another would cost. Where it is known what is likely to come meanwhile,
 // and there is room for that without the machine, it is not waited for. A
 // controller that has just begun knows that of no class.
-func (c *Core) idleTimeout(t protocol.TypeInfo, spare float64) float64 {
-	keep := math.Min(t.BootS, c.Op.IdleReturn.Seconds())
-	if !math.IsInf(spare, 1) && c.Since(c.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
+func (as *autoscalerState) idleTimeout(t protocol.TypeInfo, spare float64) float64 {
+	keep := math.Min(t.BootS, as.Op.IdleReturn.Seconds())
+	if !math.IsInf(spare, 1) && as.Since(as.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
 		keep = math.Min(keep, idleKnown.Seconds())
 	}
 	return keep
@@ -259,18 +268,18 @@
 // spareProcessors is how many processors there are beyond what is held by more
 // urgent work, what waits, and what the classes that need not start at once are
 // likely to need.
-func (c *Core) spareProcessors() float64 {
+func (as *autoscalerState) spareProcessors() float64 {
 	top, spare, any := 0, 0.0, false
-	for _, k := range ordered.Of(c.classes) {
-		if work := c.comingWork(k); work > 0 {
-			spare -= work / c.upS(&k.job)
+	for _, k := range ordered.Of(as.workload.classes) {
+		if work := as.workload.comingWork(k); work > 0 {
+			spare -= work / as.workload.upS(&k.job)
 			top, any = max(top, k.job.Priority.Rank()), true
 		}
 	}
 	waits := 0.0
-	for _, p := range ordered.Of(c.peers) {
+	for _, p := range ordered.Of(as.table.peers) {
 		for _, d := range p.demand {
-			if j := c.Live[d.Job]; j != nil && j.Priority.Rank() <= top { // the rest is held by queues
+			if j := as.Live[d.Job]; j != nil && j.Priority.Rank() <= top { // the rest is held by queues
 				waits += float64(d.Unstarted) * j.CPUs
 			}
 		}
@@ -279,8 +288,8 @@
 		return math.Inf(1)
 	}
 	spare -= waits
-	for _, m := range c.machinesInOrder() {
-		if c.usable(m) {
+	for _, m := range as.table.machinesInOrder() {
+		if as.table.usable(m) {
 			spare += m.freeBelow(top).CPUs
 		}
 	}
@@ -289,62 +298,62 @@
 
 // scaleIn gives back what is idle, failed, faulty or never came up. A
 // machine that may hold tasks is emptied first, or its lease is over.
-func (c *Core) scaleIn() {
-	f := &c.autoscaler
+func (as *autoscalerState) scaleIn() {
+	f := as
 	var gone []protocol.MachineID
-	cl, spare := c.claims(), c.spareProcessors()
-	machines := slices.Clone(c.machinesInOrder())
+	cl, spare := as.placer.claims(), as.spareProcessors()
+	machines := slices.Clone(as.table.machinesInOrder())
 	slices.SortStableFunc(machines, func(a, b *machineEntry) int { // the dearest first
-		return cmp.Compare(c.price(b.kind()), c.price(a.kind()))
+		return cmp.Compare(as.price(b.kind()), as.price(a.kind()))
 	})
 	for _, m := range machines {
 		id := m.ID
 		if f.terminated[id] != 0 {
 			// The cloud's word is there, only its record could not be written
 			// then: owners would wait out the lease of what is long gone.
-			c.dropRecord(m)
+			as.dropRecord(m)
 			continue
 		}
-		if m.reported.Epoch != m.Epoch || !c.recent(m, 5*time.Second) {
+		if m.reported.Epoch != m.Epoch || !as.table.recent(m, 5*time.Second) {
 			continue // nothing recent is known of it
 		}
 		l, listed := f.listed[id]
 		f.seen[id] = f.seen[id] || listed && l.State == "running"
-		silent, idleS := m.reported.Silence == message.SilenceLong, m.reported.IdleS+c.Since(m.reportedAt).Seconds()
+		silent, idleS := m.reported.Silence == message.SilenceLong, m.reported.IdleS+as.Since(m.reportedAt).Seconds()
 		switch empty := m.reported.Heard && m.reported.Held == 0 && m.pendingSum == 0; {
 		case silent && (m.reported.Noticed || f.seen[id] && !listed):
 			// Taken, by all signs. The cloud's answer to its deletion proves
 			// it, long before the worker's lease would.
-			c.Log.Info("deleting a silent machine that seems taken", "machine", id)
+			as.Log.Info("deleting a silent machine that seems taken", "machine", id)
 			gone = append(gone, id)
 		case empty && (m.reported.Draining || m.reported.Suspect):
 			gone = append(gone, id)
-		case c.keepForReservation(m):
-		case empty && !m.reported.Draining && idleS > c.idleTimeout(m.Info, spare) && spare >= m.Info.CPUs && cl.release(m):
+		case as.planner.keepForReservation(m):
+		case empty && !m.reported.Draining && idleS > as.idleTimeout(m.Info, spare) && spare >= m.Info.CPUs && cl.release(m):
 			spare -= m.Info.CPUs
-			c.Log.Info("returning an idle machine", "machine", id, "idle_s", int(idleS))
-			c.Send(c.DispatcherOf(id), message.PeerMessage{Drain: &id})
+			as.Log.Info("returning an idle machine", "machine", id, "idle_s", int(idleS))
+			as.Send(as.DispatcherOf(id), message.PeerMessage{Drain: &id})
 		}
 	}
 	for id, l := range ordered.Of(f.listed) {
-		if c.machines[id] != nil || f.terminated[id] != 0 {
+		if as.table.machines[id] != nil || f.terminated[id] != 0 {
 			delete(f.orphan, id)
-			if c.machines[id] != nil && l.State == "failed" && f.terminated[id] == 0 {
+			if as.table.machines[id] != nil && l.State == "failed" && f.terminated[id] == 0 {
 				gone = append(gone, id) // stopped by itself: nothing runs on it
 			}
 			continue
 		}
 		if f.orphan[id] == 0 || l.State == "booting" {
-			f.orphan[id] = c.Now // not up yet: its worker can't report
+			f.orphan[id] = as.Now // not up yet: its worker can't report
 		}
 		age := time.Duration(l.AgeS * float64(time.Second))
 		switch {
 		case l.State == "failed",
-			l.State == "booting" && age > c.bootDeadline(l.Type),
-			c.Since(f.orphan[id]) > c.WorkerLeaseBound()+config.Seconds(c.Types[l.Type].BootS):
+			l.State == "booting" && age > as.bootDeadline(l.Type),
+			as.Since(f.orphan[id]) > as.WorkerLeaseBound()+config.Seconds(as.Types[l.Type].BootS):
 			// Another takes as long to boot, and where a whole zone is cut
 			// off it could not report either.
-			c.Log.Info("returning a machine that does not report", "machine", id, "state", l.State)
+			as.Log.Info("returning a machine that does not report", "machine", id, "state", l.State)
 			gone = append(gone, id)
 		}
 	}
@@ -354,56 +363,56 @@
 		}
 	}
 	gone = slices.DeleteFunc(gone, func(id protocol.MachineID) bool {
-		return f.deleting[id] != 0 && c.Since(f.deleting[id]) < 8*time.Second
+		return f.deleting[id] != 0 && as.Since(f.deleting[id]) < 8*time.Second
 	})
 	if len(gone) > 100 {
 		gone = gone[:100]
 	}
 	if len(gone) > 0 {
 		for _, id := range gone {
-			f.deleting[id] = c.Now
+			f.deleting[id] = as.Now
 		}
-		c.Emit(message.Terminate{Machines: gone})
+		as.Emit(message.Terminate{Machines: gone})
 	}
 }
 
 // terminated: the cloud's word that machines are gone, and all on them. Their
 // records go, which tells every owner.
-func (c *Core) terminated(m message.TerminateDone) {
-	f := &c.autoscaler
+func (as *autoscalerState) terminateDone(m message.TerminateDone) {
+	f := as
 	for _, id := range m.Machines {
 		delete(f.deleting, id)
 		if !m.OK {
 			continue
 		}
-		f.terminated[id] = c.Now
+		f.terminated[id] = as.Now
 		delete(f.bootingMachines, id)
-		c.Log.Info("machine returned", "machine", id)
-		if have := c.machines[id]; have != nil {
-			c.dropRecord(have)
+		as.Log.Info("machine returned", "machine", id)
+		if have := as.table.machines[id]; have != nil {
+			as.dropRecord(have)
 		}
 	}
 }
 
 // dropRecord deletes the record of a machine that the cloud says is gone.
-func (c *Core) dropRecord(m *machineEntry) {
-	c.ChangeRecord(dispatcher.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
+func (as *autoscalerState) dropRecord(m *machineEntry) {
+	as.ChangeRecord(dispatcher.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
 }
 
-func (c *Core) machinesListed(m message.MachinesListed) {
-	f := &c.autoscaler
+func (as *autoscalerState) machinesListed(m message.MachinesListed) {
+	f := as
 	f.listing = false
-	f.listedAt = c.Now
+	f.listedAt = as.Now
 	if !m.OK {
 		return
 	}
-	f.haveList, f.heardAt = true, c.Now
+	f.haveList, f.heardAt = true, as.Now
 	clear(f.listed)
 	for _, l := range m.Machines {
 		f.listed[l.ID] = l
 	}
 	for id, at := range f.terminated {
-		if _, ok := f.listed[id]; !ok && c.Since(at) > 5*time.Minute {
+		if _, ok := f.listed[id]; !ok && as.Since(at) > 5*time.Minute {
 			delete(f.terminated, id)
 			delete(f.seen, id)
 		}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -107,19 +107,19 @@
 // that was cut off were returned, with all they ran.
 func TestUnheardIsNotIdle(t *testing.T) {
 	b := planner(t)
-	b.c.spots = forecast.Spot{}
+	b.c.workload.spots = forecast.Spot{}
 	b.machine("vm-1", 1) // kept here, its worker is silent so far
 	for range 5 {
 		if ids := b.returns(b.relay()); len(ids) > 0 {
 			t.Fatalf("returned %v", ids)
 		}
 	}
-	if b.c.machines["vm-1"].reported.Heard || b.c.machines["vm-1"].reported.IdleS > 0 {
-		t.Errorf("told %+v", b.c.machines["vm-1"].reported)
+	if b.c.table.machines["vm-1"].reported.Heard || b.c.table.machines["vm-1"].reported.IdleS > 0 {
+		t.Errorf("told %+v", b.c.table.machines["vm-1"].reported)
 	}
 	b.report("vm-1", 1, b.c.View.Term)
 	b.relay()
-	if !b.c.machines["vm-1"].reported.Heard {
+	if !b.c.table.machines["vm-1"].reported.Heard {
 		t.Error("not heard after a report")
 	}
 }
@@ -158,20 +158,20 @@
 func TestJustBegun(t *testing.T) {
 	b := planner(t)
 	info := protocol.TypeInfo{Name: "small", CPUs: 4, BootS: 20}
-	if s := b.c.idleTimeout(info, 100); s != info.BootS {
+	if s := b.c.autoscaler.idleTimeout(info, 100); s != info.BootS {
 		t.Errorf("kept %v s at first", s)
 	}
 	b.c.Now += Time(time.Duration(forecast.KnownBoots*info.BootS+1) * time.Second)
-	if s := b.c.idleTimeout(info, 100); s != idleKnown.Seconds() {
+	if s := b.c.autoscaler.idleTimeout(info, 100); s != idleKnown.Seconds() {
 		t.Errorf("kept %v s once arrivals are known", s)
 	}
-	if s := b.c.idleTimeout(info, math.Inf(1)); s != info.BootS {
+	if s := b.c.autoscaler.idleTimeout(info, math.Inf(1)); s != info.BootS {
 		t.Errorf("kept %v s where nothing comes", s)
 	}
 	b.ready("vm-1")
 	b.c.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Priority: "best_effort", CPUs: 2}}
-	b.c.peers["node-0"].demand = []message.Demand{{Job: "job-1", Unstarted: 9}}
-	if spare := b.c.spareProcessors(); spare != 4-18 {
+	b.c.table.peers["node-0"].demand = []message.Demand{{Job: "job-1", Unstarted: 9}}
+	if spare := b.c.autoscaler.spareProcessors(); spare != 4-18 {
 		t.Errorf("%v processors to spare of 4 while 18 are waited for", spare)
 	}
 }
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -302,7 +302,7 @@
 	jobs := make(map[protocol.JobID]admission.LiveJob, len(l.Jobs))
 	for _, id := range l.Jobs {
 		if j := c.Live[id]; j != nil {
-			p, _ := c.JobProgress(id)
+			p, _ := c.jobs.JobProgress(id)
 			jobs[id] = admission.LiveJob{Version: j.Version, Progress: p}
 		}
 	}
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -18,37 +18,37 @@
 
 // placeGang places all tasks of a gang with one attempt number, when nothing
 // of its last attempt is left.
-func (c *Core) placeGang(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
+func (pl *placer) placeGang(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
 	n := int(o.Tasks)
 	if len(o.placed) > 0 && o.isGang() {
-		return c.refill(o, usage, cl)
+		return pl.refill(o, usage, cl)
 	}
-	if len(o.placed) > 0 || o.unverified || !c.withinLimit(o, usage, n) || !cl.takeHeadroom(o, n) {
+	if len(o.placed) > 0 || o.unverified || !pl.withinLimit(o, usage, n) || !cl.takeHeadroom(o, n) {
 		return nil
 	}
 	var out []message.Placement
-	for _, zone := range c.gangZones(o, cl) {
-		if out = c.placeGangIn(o, zone, cl); out != nil {
-			c.addUse(o, usage, n)
+	for _, zone := range pl.gangZones(o, cl) {
+		if out = pl.placeGangIn(o, zone, cl); out != nil {
+			pl.jobs.addUse(o, usage, n)
 			return out
 		}
 	}
-	if o.isGang() && c.Since(o.since) < c.claimFor(o) {
-		c.claim(o, cl)
+	if o.isGang() && pl.Since(o.since) < pl.claimFor(o) {
+		pl.claim(o, cl)
 	}
 	return nil
 }
 
 // placeGangIn places a gang in a zone, or in any if none is named.
-func (c *Core) placeGangIn(o *ownedJob, zone protocol.Zone, cl *claims) []message.Placement {
-	return c.placeTogether(o, c.nextAttempt(), map[protocol.Zone]int{}, zone, cl)
+func (pl *placer) placeGangIn(o *ownedJob, zone protocol.Zone, cl *claims) []message.Placement {
+	return pl.placeTogether(o, pl.jobs.nextAttempt(), map[protocol.Zone]int{}, zone, cl)
 }
 
 // placeTogether places all pending tasks of a gang under one attempt, or none, given
 // the zones of the others.
-func (c *Core) placeTogether(o *ownedJob, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, cl *claims) []message.Placement {
+func (pl *placer) placeTogether(o *ownedJob, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, cl *claims) []message.Placement {
 	undo := cl.tentative()
-	from := c.candidatesFor(o, zones, cl)
+	from := pl.candidatesFor(o, zones, cl)
 	if zone != "" || len(cl.gangs) > 0 {
 		from.restrict(func(m *machineEntry) bool {
 			return (zone == "" || m.Record.Zone == zone) && !cl.blocks(o, m)
@@ -60,14 +60,14 @@
 		if m == nil {
 			for _, p := range out { // all or none
 				t := o.placed[p.Task]
-				c.machines[t.machine].dropPendingWaits(1)
-				c.removeAttempt(o, t)
+				pl.table.machines[t.machine].dropPendingWaits(1)
+				pl.jobs.removeAttempt(o, t)
 				o.pending.Set(uint(p.Task.Index))
 			}
 			undo()
 			return nil
 		}
-		out = append(out, c.placeFrom(from, uint32(i), m, attempt, zones))
+		out = append(out, pl.placeFrom(from, uint32(i), m, attempt, zones))
 	}
 	return out
 }
@@ -75,7 +75,7 @@
 // refillable reports whether a task of a gang that its keeper has released, never
 // sent, can be placed again under the same attempt: while nothing of the gang is
 // being stopped, as the others only wait for it.
-func (c *Core) refillable(o *ownedJob, t *attempt) bool {
+func (oj *ownedJobs) refillable(o *ownedJob, t *attempt) bool {
 	if !o.isGang() || o.unverified || t.started || t.releaseAsked || len(o.placed) < 2 {
 		return false
 	}
@@ -94,7 +94,7 @@
 
 // refill places what of a gang was released, under the attempt of the others; or has
 // these stopped, if there is no place for it for a while.
-func (c *Core) refill(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
+func (pl *placer) refill(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
 	n := int(o.pending.Count())
 	if o.unverified || n+len(o.placed) != int(o.Tasks) {
 		return nil
@@ -106,22 +106,22 @@
 		}
 		attempt = t.number
 	}
-	if c.withinLimit(o, usage, n) {
-		if out := c.placeTogether(o, attempt, o.zones(), "", cl); out != nil {
+	if pl.withinLimit(o, usage, n) {
+		if out := pl.placeTogether(o, attempt, o.zones(), "", cl); out != nil {
 			o.lacksSince = 0
-			c.addUse(o, usage, n)
+			pl.jobs.addUse(o, usage, n)
 			return out
 		}
 	}
 	if o.lacksSince == 0 {
-		o.lacksSince = c.Now
+		o.lacksSince = pl.Now
 	}
-	if c.Since(o.lacksSince) < refillWithin {
+	if pl.Since(o.lacksSince) < refillWithin {
 		return nil
 	}
 	o.lacksSince = 0
 	for _, t := range ordered.Tasks(o.placed) {
-		c.sendStop(t, true, clusterstate.GraceS(&o.Job))
+		pl.jobs.sendStop(t, true, clusterstate.GraceS(&o.Job))
 	}
 	return nil
 }
@@ -129,23 +129,23 @@
 // gangZones lists the zones to try for a gang: any, unless its tasks have to
 // be in the same one. Then those that can hold it come in the order of what
 // they have room for now.
-func (c *Core) gangZones(o *ownedJob, cl *claims) []protocol.Zone {
+func (pl *placer) gangZones(o *ownedJob, cl *claims) []protocol.Zone {
 	if !o.OneZone || !o.isGang() {
 		return []protocol.Zone{""}
 	}
 	n := int(o.Tasks)
 	var zones []protocol.Zone
-	now, firm := c.zoneRoom(o, cl, c.risky(&o.Job))
+	now, firm := pl.zoneRoom(o, cl, pl.workload.risky(&o.Job))
 	for range 2 {
 		for z := range ordered.Of(firm) {
 			if firm[z] >= n {
 				zones = append(zones, z)
 			}
 		}
-		if len(zones) > 0 || !c.risky(&o.Job) {
+		if len(zones) > 0 || !pl.workload.risky(&o.Job) {
 			break
 		}
-		now, firm = c.zoneRoom(o, cl, false) // rather on spot machines than not at all
+		now, firm = pl.zoneRoom(o, cl, false) // rather on spot machines than not at all
 	}
 	slices.SortStableFunc(zones, func(a, b protocol.Zone) int { return min(now[b], n) - min(now[a], n) })
 	return zones
@@ -153,15 +153,15 @@
 
 // zoneRoom is how many of a gang's tasks have room by zone: now, and once what
 // is less urgent is stopped. Spot machines may be left out.
-func (c *Core) zoneRoom(o *ownedJob, cl *claims, shun bool) (now, firm map[protocol.Zone]int) {
+func (pl *placer) zoneRoom(o *ownedJob, cl *claims, shun bool) (now, firm map[protocol.Zone]int) {
 	now, firm = map[protocol.Zone]int{}, map[protocol.Zone]int{}
 	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
-	c.candidatesExamined += len(c.sortedMachines)
-	mayTake := c.feasible(o, none)
-	for _, m := range c.machinesInOrder() {
+	pl.candidatesExamined += len(pl.table.sortedMachines)
+	mayTake := pl.feasible(o, none)
+	for _, m := range pl.table.machinesInOrder() {
 		if mayTake(m) && !cl.blocks(o, m) && !(shun && m.Record.Spot) {
 			free, most := m.free(), m.nonPreemptibleFree(o.level)
-			if c.holdsFor(o, m) {
+			if pl.reservations.holdsFor(o, m) {
 				free = m.idle() // it does not wait behind the rest
 				most = free
 			}
@@ -174,11 +174,11 @@
 
 // claim claims as many machines as a gang needs, where the most of them have
 // room for it.
-func (c *Core) claim(o *ownedJob, cl *claims) {
+func (pl *placer) claim(o *ownedJob, cl *claims) {
 	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
 	var best protocol.Zone
 	if o.OneZone {
-		_, firm := c.zoneRoom(o, cl, false)
+		_, firm := pl.zoneRoom(o, cl, false)
 		for z, n := range ordered.Of(firm) {
 			if best == "" || n > firm[best] {
 				best = z
@@ -186,9 +186,9 @@
 		}
 	}
 	left := int(o.Tasks)
-	c.candidatesExamined += len(c.sortedMachines)
-	mayTake := c.feasible(o, none)
-	for _, m := range c.machinesInOrder() {
+	pl.candidatesExamined += len(pl.table.sortedMachines)
+	mayTake := pl.feasible(o, none)
+	for _, m := range pl.table.machinesInOrder() {
 		if left <= 0 {
 			return
 		}
@@ -205,9 +205,9 @@
 
 // claimAgain claims what a gang claimed when it was last tried, until it is
 // tried again.
-func (c *Core) claimAgain(o *ownedJob, cl *claims) {
+func (pl *placer) claimAgain(o *ownedJob, cl *claims) {
 	for _, m := range o.claimedMachines {
-		if c.machines[m.ID] == m && !cl.blocks(o, m) {
+		if pl.table.machines[m.ID] == m && !cl.blocks(o, m) {
 			cl.gangs[m] = o.level
 		}
 	}
@@ -215,9 +215,9 @@
 
 // claimFor bounds how long a gang claims machines: what has not come in the
 // time that several boots take may never come.
-func (c *Core) claimFor(o *ownedJob) time.Duration {
+func (pl *placer) claimFor(o *ownedJob) time.Duration {
 	boot := 0.0
-	for _, t := range c.Types {
+	for _, t := range pl.Types {
 		if o.AllowsKind(t, o.Zone, false) {
 			boot = math.Max(boot, t.BootS)
 		}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -26,12 +26,12 @@
 		}
 		free := resource.Capacity(m.Info).Minus(held.NonPreemptible(0))
 		m.reported = message.MachineState{Machine: id, Epoch: 1, FreeCPUs: free.CPUs, FreeGB: free.GB}
-		b.c.addMachine(m)
+		b.c.table.addMachine(m)
 	}
 }
 
 func (b *bench) gang(id protocol.JobID, tasks uint32) *ownedJob {
-	o := b.c.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
+	o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: tasks, CPUs: 4, MemoryGB: 1,
 		EstimateS: 100, CheckpointS: 10, OneZone: true, Spot: true,
 	}, Since: b.c.Now})
@@ -42,7 +42,7 @@
 }
 
 func (b *bench) placeGang(o *ownedJob, l *claims) []message.Placement {
-	return b.c.placeGang(o, map[protocol.Team]resource.Amount{}, l)
+	return b.c.placer.placeGang(o, map[protocol.Team]resource.Amount{}, l)
 }
 
 func heldAt(l resource.Level, cpus float64) (u resource.Uses) {
@@ -109,22 +109,22 @@
 func TestSpotRisk(t *testing.T) {
 	b := newBench(t, "node-1")
 	o := b.gang("job-1", 2)
-	if b.c.risky(&o.Job) {
+	if b.c.workload.risky(&o.Job) {
 		t.Fatal("avoided before any was taken")
 	}
 	for range 40 {
 		m := &machineEntry{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, reported: message.MachineState{Noticed: true}}
-		b.c.recordSpotLoss(m)
+		b.c.workload.recordSpotLoss(m)
 		m.reported = message.MachineState{Draining: true, Noticed: true}
-		b.c.recordSpotLoss(m) // returned by ourselves
+		b.c.workload.recordSpotLoss(m) // returned by ourselves
 	}
-	if b.c.spots.Losses() != 40 {
-		t.Errorf("%v losses counted, want 40", b.c.spots.Losses())
+	if b.c.workload.spots.Losses() != 40 {
+		t.Errorf("%v losses counted, want 40", b.c.workload.spots.Losses())
 	}
-	if !b.c.risky(&o.Job) {
+	if !b.c.workload.risky(&o.Job) {
 		t.Fatal("not avoided though they are taken all the time")
 	}
-	if array := (&protocol.Job{Kind: protocol.KindJobArray, Tasks: 500, EstimateS: 10}); b.c.risky(array) {
+	if array := (&protocol.Job{Kind: protocol.KindJobArray, Tasks: 500, EstimateS: 10}); b.c.workload.risky(array) {
 		t.Error("avoided for an array")
 	}
 	b.zoned("a", 2, true, resource.Uses{})
@@ -135,8 +135,8 @@
 			t.Error("placed on a spot machine rather than where something may be stopped")
 		}
 	}
-	b.c.spots.Watch(0, 10*forecast.SpotMemory)
-	if b.c.risky(&o.Job) {
+	b.c.workload.spots.Watch(0, 10*forecast.SpotMemory)
+	if b.c.workload.risky(&o.Job) {
 		t.Error("avoided long after the last was taken")
 	}
 }
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -298,7 +298,7 @@
 			t.Fatalf("reply %v", r)
 		}
 	}
-	if got := b.c.machines["vm-1"].pendingSum; got != 5 {
+	if got := b.c.table.machines["vm-1"].pendingSum; got != 5 {
 		t.Errorf("wait %v: a repeated batch counts again", got)
 	}
 	old, late, ahead := good, good, good
@@ -308,7 +308,7 @@
 	if deliver(old) != message.BatchExcluded || deliver(late) != message.BatchStale || deliver(ahead) != message.BatchBehind {
 		t.Error("a batch of another session or term is taken")
 	}
-	if got := b.c.machines["vm-1"].pendingSum; got != 5 {
+	if got := b.c.table.machines["vm-1"].pendingSum; got != 5 {
 		t.Errorf("wait %v: a batch that is dropped counts", got)
 	}
 }
@@ -324,7 +324,7 @@
 	for i := range uint32(2) {
 		task := protocol.TaskID{Job: "job-1", Index: i}
 		b.step(message.Tick{})
-		b.c.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 		for _, a := range b.c.Actions {
 			if c, ok := a.(message.Commit); ok && c.Tag == (finishTag{"job-1"}) {
 				if i == 0 {
@@ -347,14 +347,14 @@
 // TestBadJobWaits: a job that fails on every machine waits ever longer.
 func TestBadJobWaits(t *testing.T) {
 	b := newBench(t)
-	o := func() *ownedJob { return b.c.owner.jobs["job-1"] }
+	o := func() *ownedJob { return b.c.jobs.byID["job-1"] }
 	b.job("job-1", "free", 1)
 	for i := range 3 {
 		id := protocol.MachineID(fmt.Sprint("vm-", i))
 		b.machine(id, 1)
 		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: id}
 		o().placed[ref.Task] = &attempt{task: ref.Task, number: 1, machine: id}
-		b.c.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
+		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
 	}
 	if o().notBefore <= b.now {
 		t.Error("it is tried again at once")
@@ -408,7 +408,7 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 1)
-	o := b.c.owner.jobs["job-1"]
+	o := b.c.jobs.byID["job-1"]
 	for _, p := range o.placed {
 		b.report("vm-1", 1, 1, protocol.TaskStatus{Task: p.task, Attempt: p.number, State: protocol.TaskEnded, Cause: protocol.EndError})
 	}
@@ -424,7 +424,7 @@
 		t.Error("not tried again")
 	}
 	b.machine("vm-2", 1)
-	if b.c.feasible(o, nil)(b.c.machines["vm-1"]) {
+	if b.c.placer.feasible(o, nil)(b.c.table.machines["vm-1"]) {
 		t.Error("tried there again though there is another machine")
 	}
 }
--- a/internal/controller/heldroom.go
+++ b/internal/controller/heldroom.go
@@ -9,16 +9,16 @@
 
 // excludedByHolds tells on which machines a job's tasks may not be placed for what is
 // promised there; nil: nothing is.
-func (c *Core) excludedByHolds(o *ownedJob) func(m *machineEntry) bool {
-	if len(c.reservations.Windows) == 0 && len(c.reservations.List) == 0 {
+func (rh *reservationHolds) excludedByHolds(o *ownedJob) func(m *machineEntry) bool {
+	if len(rh.Windows) == 0 && len(rh.List) == 0 {
 		return nil
 	}
-	now := c.WallTime()
-	likely := c.ExpectedRunSeconds(&o.Job, c.estimateOf(o))
-	t := reservation.Task{Of: c.ReservationFilter(&o.Job), Need: resource.Need(&o.Job), Level: o.level, Saves: o.CheckpointS > 0}
+	now := rh.WallTime()
+	likely := rh.ExpectedRunSeconds(&o.Job, rh.jobs.estimateOf(o))
+	t := reservation.Task{Of: rh.ReservationFilter(&o.Job), Need: resource.Need(&o.Job), Level: o.level, Saves: o.CheckpointS > 0}
 	return func(m *machineEntry) bool {
 		free, wait := m.free(), m.fetch(&o.Job)
-		if c.holdsFor(o, m) {
+		if rh.holdsFor(o, m) {
 			free = m.idle()
 		}
 		if !free.Covers(t.Need) {
@@ -27,8 +27,8 @@
 			wait += m.waitBefore(o.level) / max(m.Info.CPUs, 1)
 		}
 		t.Ends = reservation.After(now, config.Seconds(wait+likely))
-		holds := c.reservations.Holds[m.ID]
-		if c.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &t)) {
+		holds := rh.Holds[m.ID]
+		if rh.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &t)) {
 			return true
 		}
 		return len(holds) > 0 && !reservation.LeavesRoom(holds, &t, free, now)
@@ -36,6 +36,6 @@
 }
 
 // holdsFor reports whether room is held on a machine for a job.
-func (c *Core) holdsFor(o *ownedJob, m *machineEntry) bool {
-	return reservation.OwnUntil(c.reservations.Holds[m.ID], c.ReservationFilter(&o.Job)) != 0
+func (rh *reservationHolds) holdsFor(o *ownedJob, m *machineEntry) bool {
+	return reservation.OwnUntil(rh.Holds[m.ID], rh.ReservationFilter(&o.Job)) != 0
 }
--- a/internal/controller/holding.go
+++ b/internal/controller/holding.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
@@ -40,6 +40,31 @@
 	holdsTag       struct{}
 )
 
+// reservationPlanner provides for reservations on the controller that runs the
+// autoscaler.
+type reservationPlanner struct {
+	clusterstate.Module
+	table        *waitTable
+	reservations *reservationHolds
+	autoscaler   *autoscalerState
+
+	planDemands   []reservation.Demand               // as last chosen for
+	planShortfall map[reservation.Name]int           // tasks that no sure room is held for, as last chosen
+	planMissing   map[reservation.Name]int           // of these, unlikely to have any in time
+	planZones     map[reservation.Name]protocol.Zone // where one that needs one zone is held
+	planRisks     map[reservation.Name]string        // of the present occurrences
+	planSwept     Time                               // when all reservations were last looked at
+	planWrites    map[reservation.Name]bool          // transactions under way
+}
+
+// reset forgets everything a session knew.
+func (rp *reservationPlanner) reset() {
+	rp.planDemands, rp.planShortfall, rp.planMissing = nil, map[reservation.Name]int{}, nil
+	rp.planZones = map[reservation.Name]protocol.Zone{}
+	rp.planRisks, rp.planWrites = map[reservation.Name]string{}, map[reservation.Name]bool{}
+	rp.planSwept = 0
+}
+
 // jobOf is a job as a reservation describes it, on ordinary machines.
 func jobOf(s *record.ReservationSpec) *clusterstate.LiveJob {
 	return &clusterstate.LiveJob{Job: protocol.Job{
@@ -49,16 +74,16 @@
 }
 
 // reservationDemands lists the occurrences that room is held for now.
-func (c *Core) reservationDemands() []reservation.Demand {
-	now := c.WallTime()
+func (rp *reservationPlanner) reservationDemands() []reservation.Demand {
+	now := rp.WallTime()
 	var dues []reservation.Demand
-	for _, e := range c.reservations.Calendar.Due(now, reservation.After(now, holdAhead)) {
+	for _, e := range rp.reservations.Calendar.Due(now, reservation.After(now, holdAhead)) {
 		if !e.Active() {
 			continue
 		}
-		_, wanted, started := c.jobsOf(e)
+		_, wanted, started := rp.reservations.jobsOf(e)
 		if left := wanted - started; left > 0 {
-			dues = append(dues, reservation.Demand{Reservation: e.Reservation, Left: left, Clear: reservation.After(e.StartMS, -c.NoticeBefore(&e.Reservation.Spec))})
+			dues = append(dues, reservation.Demand{Reservation: e.Reservation, Left: left, Clear: reservation.After(e.StartMS, -rp.NoticeBefore(&e.Reservation.Spec))})
 		}
 	}
 	return dues
@@ -69,14 +94,14 @@
 
 // reservableMachines lists the machines that room can be held on: those up, and those
 // rented that are still to come.
-func (c *Core) reservableMachines() []reservation.Machine {
-	now := c.WallTime()
+func (rp *reservationPlanner) reservableMachines() []reservation.Machine {
+	now := rp.WallTime()
 	var ms []reservation.Machine
-	for _, m := range c.machinesInOrder() {
+	for _, m := range rp.table.machinesInOrder() {
 		if !m.open() {
 			continue
 		}
-		if !c.recent(m, 3*c.Op.RelayEvery) && len(c.reservations.Holds[m.ID]) == 0 || m.reported.Epoch != m.Epoch {
+		if !rp.table.recent(m, 3*rp.Op.RelayEvery) && len(rp.reservations.Holds[m.ID]) == 0 || m.reported.Epoch != m.Epoch {
 			// Nobody tells of it at present. Where room is held already it stays
 			// so: while a controller is away its machines would lose their holds
 			// to others, and be filled.
@@ -85,7 +110,7 @@
 		runs := slices.Clone(m.reported.Runs)
 		for i := range runs {
 			r := &runs[i]
-			for _, h := range c.reservations.Holds[m.ID] {
+			for _, h := range rp.reservations.Holds[m.ID] {
 				if !r.Sure && r.For != h.For && h.Ends != 0 {
 					r.Ends = min(r.Ends, h.Ends) // as was known of it before
 				}
@@ -96,10 +121,10 @@
 		}
 		ms = append(ms, reservation.Machine{ID: m.ID, Info: m.Info, Zone: m.Record.Zone, Spot: m.Record.Spot, Runs: runs})
 	}
-	for id, m := range ordered.Of(c.autoscaler.bootingMachines) {
-		info := c.Types[m.Type]
-		up := config.Seconds(c.reservations.Boots.Likely(info.BootS)) - c.Since(m.at)
-		if up < 0 || c.machines[id] != nil {
+	for id, m := range ordered.Of(rp.autoscaler.bootingMachines) {
+		info := rp.Types[m.Type]
+		up := config.Seconds(rp.reservations.Boots.Likely(info.BootS)) - rp.Since(m.at)
+		if up < 0 || rp.table.machines[id] != nil {
 			continue // late, and may never come
 		}
 		ms = append(ms, reservation.Machine{ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, Up: reservation.After(now, up)})
@@ -109,42 +134,42 @@
 
 // chooseReserved chooses where room is held, and writes what became of what is
 // promised.
-func (c *Core) chooseReserved() {
-	pr := &c.reservations
-	if !pr.Any && len(pr.List) == 0 || !c.isAutoscaler() {
+func (rp *reservationPlanner) chooseReserved() {
+	pr := rp.reservations
+	if !pr.Any && len(pr.List) == 0 || !rp.autoscaler.isAutoscaler() {
 		return
 	}
-	if !pr.Listed && c.Since(c.autoscaler.since) < clusterstate.SettleHolds && !c.mostMachinesInventoried() {
+	if !pr.Listed && rp.Since(rp.autoscaler.since) < clusterstate.SettleHolds && !rp.mostMachinesInventoried() {
 		return
 	}
 	pr.Listed = true
-	now := c.WallTime()
-	pr.demands = c.reservationDemands()
+	now := rp.WallTime()
+	rp.planDemands = rp.reservationDemands()
 	usable := func(m *reservation.Machine, d *reservation.Demand) bool {
 		latest := max(d.StartMS, reservation.After(now, time.Minute)) // what comes later is better than nothing
-		return m.Up <= latest && !c.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, reservation.After(d.StartMS, reservation.Busy(&d.Spec)))
+		return m.Up <= latest && !rp.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, reservation.After(d.StartMS, reservation.Busy(&d.Spec)))
 	}
-	plan := reservation.ChooseHolds(pr.demands, c.reservableMachines(), pr.List, usable, now)
-	pr.short, pr.missing, pr.zones = plan.Short, plan.Missing, plan.Zones
-	if !slices.Equal(plan.Holds, pr.List) || pr.number>>32 != uint64(c.View.Term) {
-		c.setHolds(plan.Holds)
-		pr.stale = true
-		pr.number = max(pr.number+1, uint64(c.View.Term)<<32|1)
+	plan := reservation.ChooseHolds(rp.planDemands, rp.reservableMachines(), pr.List, usable, now)
+	rp.planShortfall, rp.planMissing, rp.planZones = plan.Short, plan.Missing, plan.Zones
+	if !slices.Equal(plan.Holds, pr.List) || pr.holdsNumber>>32 != uint64(rp.View.Term) {
+		rp.reservations.setHolds(plan.Holds)
+		pr.holdsStale = true
+		pr.holdsNumber = max(pr.holdsNumber+1, uint64(rp.View.Term)<<32|1)
 	}
-	c.writeHolds()
-	c.noteRisks()
-	c.advanceReserved()
+	rp.reservations.writeHolds()
+	rp.noteRisks()
+	rp.advanceReserved()
 }
 
 // mostMachinesInventoried reports whether nearly all machines are told of.
-func (c *Core) mostMachinesInventoried() bool {
+func (rp *reservationPlanner) mostMachinesInventoried() bool {
 	heard := 0
-	for _, m := range c.machines {
-		if c.recent(m, 3*c.Op.RelayEvery) && m.reported.Heard {
+	for _, m := range rp.table.machines {
+		if rp.table.recent(m, 3*rp.Op.RelayEvery) && m.reported.Heard {
 			heard++
 		}
 	}
-	return 10*heard >= 9*len(c.machines)
+	return 10*heard >= 9*len(rp.table.machines)
 }
 
 // holdsRecord is what is held, as it is written for who starts anew.
@@ -163,153 +188,152 @@
 // record. Nothing depends on it but how soon the same is held again after all
 // controllers have ended: without it their machines are filled before any of
 // them knows what was held.
-func (c *Core) writeHolds() {
-	pr := &c.reservations
-	if !pr.stale || c.Since(pr.written) < writeHeldEvery {
+func (rh *reservationHolds) writeHolds() {
+	pr := rh
+	if !pr.holdsStale || rh.Since(pr.holdsWrittenAt) < writeHeldEvery {
 		return
 	}
-	pr.stale, pr.written = false, c.Now
-	list := pr.List[:min(len(pr.List), int(1024*c.Settings.Site.State.ValueKB/heldBytes))]
-	c.Emit(message.Commit{Tag: holdsTag{}, Txn: protocol.Transaction{
-		Conditions: []protocol.Condition{c.ViewUnchanged(), {Key: record.ReservationHoldsKey, Version: pr.heldVersion}},
+	pr.holdsStale, pr.holdsWrittenAt = false, rh.Now
+	list := pr.List[:min(len(pr.List), int(1024*rh.Settings.Site.State.ValueKB/heldBytes))]
+	rh.Emit(message.Commit{Tag: holdsTag{}, Txn: protocol.Transaction{
+		Conditions: []protocol.Condition{rh.ViewUnchanged(), {Key: record.ReservationHoldsKey, Version: pr.heldVersion}},
 		Changes:    []protocol.Change{{Put: record.ReservationHoldsKey, Value: holdsRecord{list}}},
 	}})
 }
 
 // holdsRecord takes over what was written, unless a list was heard already, which
 // is newer.
-func (c *Core) holdsRecord(value protocol.RawValue, version protocol.Version) error {
-	c.reservations.heldVersion = version
+func (rh *reservationHolds) holdsRecord(value protocol.RawValue, version protocol.Version) error {
+	rh.heldVersion = version
 	var r holdsRecord
-	if err := protocol.Decode(value, &r); err != nil || c.reservations.Listed {
+	if err := protocol.Decode(value, &r); err != nil || rh.Listed {
 		return err
 	}
-	c.reservations.Listed = true
-	c.setHolds(r.Holds)
+	rh.Listed = true
+	rh.setHolds(r.Holds)
 	return nil
 }
 
 // setHolds takes over what is held.
-func (c *Core) setHolds(list []reservation.Hold) {
-	pr := &c.reservations
+func (rh *reservationHolds) setHolds(list []reservation.Hold) {
+	pr := rh
 	pr.List = list
 	pr.Holds = map[protocol.MachineID][]reservation.Hold{}
 	for _, h := range list {
 		pr.Holds[h.Machine] = append(pr.Holds[h.Machine], h)
 	}
-	c.computeReserved()
-	c.owner.placementDue = true
+	rh.computeReserved()
+	rh.table.placementDue = true
 }
 
 // provisionReserved asks for machines for what no room could be held for, a boot
 // ahead.
-func (c *Core) provisionReserved(p *autoscaler.Plan) {
-	now := c.WallTime()
-	for _, d := range c.reservations.demands {
-		short := c.reservations.short[d.Spec.Name]
-		for _, r := range c.autoscaler.provisionCalls {
+func (rp *reservationPlanner) provisionReserved(p *binpack.Plan) {
+	now := rp.WallTime()
+	for _, d := range rp.planDemands {
+		short := rp.planShortfall[d.Spec.Name]
+		for _, r := range rp.autoscaler.provisionCalls {
 			if r.reservation == d.Spec.Name {
-				short -= r.req.Count * resource.Capacity(c.Types[r.req.Type]).CountFitting(reservation.Size(&d.Spec))
+				short -= r.req.Count * resource.Capacity(rp.Types[r.req.Type]).CountFitting(reservation.Size(&d.Spec))
 			}
 		}
 		if short <= 0 || now < d.Clear {
 			continue
 		}
 		j := jobOf(&d.Spec)
-		if z := c.reservations.zones[d.Spec.Name]; z != "" {
+		if z := rp.planZones[d.Spec.Name]; z != "" {
 			j.Zone = z
 		}
-		p.Provision(c.work(j, resource.LevelOf(d.Spec.Priority, false), d.Spec.LengthS), short, string(d.Spec.Name))
+		p.Provision(rp.autoscaler.work(j, resource.LevelOf(d.Spec.Priority, false), d.Spec.LengthS), short, string(d.Spec.Name))
 	}
 }
 
 // keepForReservation reports whether a machine is kept for what is held on it, though
 // it is idle.
-func (c *Core) keepForReservation(m *machineEntry) bool {
-	now := c.WallTime()
-	for _, h := range c.reservations.Holds[m.ID] {
+func (rp *reservationPlanner) keepForReservation(m *machineEntry) bool {
+	now := rp.WallTime()
+	for _, h := range rp.reservations.Holds[m.ID] {
 		if now >= reservation.After(h.Clear, -keepAhead) && now < h.Until {
 			return true
 		}
 	}
-	return len(c.reservations.Windows) > 0 && c.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, now)
+	return len(rp.reservations.Windows) > 0 && rp.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, now)
 }
 
 // noteRisks tells why what is due may not be kept.
-func (c *Core) noteRisks() {
-	pr := &c.reservations
-	now := c.WallTime()
-	clear(pr.risk)
-	for _, d := range pr.demands {
-		short, missing := pr.short[d.Spec.Name], pr.missing[d.Spec.Name]
+func (rp *reservationPlanner) noteRisks() {
+	now := rp.WallTime()
+	clear(rp.planRisks)
+	for _, d := range rp.planDemands {
+		short, missing := rp.planShortfall[d.Spec.Name], rp.planMissing[d.Spec.Name]
 		switch {
-		case short > 0 && c.Since(c.autoscaler.heardAt) > cloudQuiet && reservation.Between(now, d.Clear) < keepAhead:
-			pr.risk[d.Spec.Name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
+		case short > 0 && rp.Since(rp.autoscaler.heardAt) > cloudQuiet && reservation.Between(now, d.Clear) < keepAhead:
+			rp.planRisks[d.Spec.Name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
 		case missing > 0 && now >= d.Clear:
-			pr.risk[d.Spec.Name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
+			rp.planRisks[d.Spec.Name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
 		}
 	}
 }
 
 // advanceReserved has reservations go through their states, each in one
 // transaction on its record.
-func (c *Core) advanceReserved() {
-	pr := &c.reservations
-	now := c.WallTime()
-	if c.Since(pr.swept) > sweepEvery {
+func (rp *reservationPlanner) advanceReserved() {
+	pr := rp.reservations
+	now := rp.WallTime()
+	if rp.Since(rp.planSwept) > sweepEvery {
 		// What was due while nobody could act is long over.
-		pr.swept = c.Now
+		rp.planSwept = rp.Now
 		for _, e := range pr.Calendar.Reservations() {
 			if e.StartMS < now {
-				c.advance(e, now)
+				rp.advance(e, now)
 			}
 		}
 	}
 	for _, e := range pr.Calendar.Due(now, reservation.After(now, holdAhead)) {
-		c.advance(e, now)
+		rp.advance(e, now)
 	}
 }
 
 // advance has one reservation go on.
-func (c *Core) advance(e *reservation.Entry, now reservation.Moment) {
-	pr, name := &c.reservations, e.Name()
-	if pr.write[name] || e.State == record.Cancelled {
+func (rp *reservationPlanner) advance(e *reservation.Entry, now reservation.Moment) {
+	name := e.Name()
+	if rp.planWrites[name] || e.State == record.Cancelled {
 		return
 	}
-	came, wanted, started := c.jobsOf(e)
+	came, wanted, started := rp.reservations.jobsOf(e)
 	next, changed := reservation.Advance(*e.Reservation, e.When, reservation.Observation{
-		Now: now, ClockError: c.Settings.Site.ClockError(), Lead: c.NoticeBefore(&e.Reservation.Spec),
-		Came: came, Wanted: wanted, Started: started, Risk: pr.risk[name],
+		Now: now, ClockError: rp.Settings.Site.ClockError(), Lead: rp.NoticeBefore(&e.Reservation.Spec),
+		Came: came, Wanted: wanted, Started: started, Risk: rp.planRisks[name],
 	})
 	if !changed {
 		return
 	}
-	pr.write[name] = true
-	c.Log.Info("reservation", "name", name, "state", next.State, "start", next.StartMS, "risk", next.Risk)
-	c.Emit(message.Commit{Tag: reservationTag{name}, Txn: protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: record.ReservationKey(name), Version: e.Version}, c.ViewUnchanged()},
+	rp.planWrites[name] = true
+	rp.Log.Info("reservation", "name", name, "state", next.State, "start", next.StartMS, "risk", next.Risk)
+	rp.Emit(message.Commit{Tag: reservationTag{name}, Txn: protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: record.ReservationKey(name), Version: e.Version}, rp.ViewUnchanged()},
 		Changes:    []protocol.Change{{Put: record.ReservationKey(name), Value: next}},
 	}})
 }
 
 // recordBoot learns how long a machine took to come up.
-func (c *Core) recordBoot(id protocol.MachineID, rec record.Machine) {
-	if m, awaited := c.autoscaler.bootingMachines[id]; awaited && rec.Session == 1 {
-		c.reservations.Boots.Note(c.Since(m.at), c.Types[m.Type].BootS)
+func (rp *reservationPlanner) recordBoot(id protocol.MachineID, rec record.Machine) {
+	if m, awaited := rp.autoscaler.bootingMachines[id]; awaited && rec.Session == 1 {
+		rp.reservations.Boots.Note(rp.Since(m.at), rp.Types[m.Type].BootS)
 	}
 }
 
 // limitClaimed is what of a team's limit is promised to other jobs by the time
 // that a task of this one is likely to be over.
-func (c *Core) limitClaimed(o *ownedJob) (sum resource.Amount) {
-	claims := c.reservations.teams[o.Team]
+func (rh *reservationHolds) limitClaimed(o *ownedJob) (sum resource.Amount) {
+	claims := rh.teamClaims[o.Team]
 	if len(claims) == 0 {
 		return sum
 	}
-	ends := reservation.After(c.WallTime(), config.Seconds(c.ExpectedRunSeconds(&o.Job, c.estimateOf(o))))
-	of := c.ReservationFilter(&o.Job)
+	ends := reservation.After(rh.WallTime(), config.Seconds(rh.ExpectedRunSeconds(&o.Job, rh.jobs.estimateOf(o))))
+	of := rh.ReservationFilter(&o.Job)
 	for _, t := range claims {
-		if ends > t.from && !of(t.of) {
+		if ends > t.from && !of(t.reservation) {
 			sum = sum.Plus(t.need)
 		}
 	}
--- a/internal/controller/holding_test.go
+++ b/internal/controller/holding_test.go
@@ -34,18 +34,18 @@
 	b := promising(t)
 	b.ready("vm-1")
 	b.c.reservations.Any = true
-	m := b.c.machines["vm-1"]
+	m := b.c.table.machines["vm-1"]
 	task := protocol.TaskID{Job: "job-1"}
 	soon := reservation.After(b.c.WallTime(), time.Minute)
 	m.reported.Runs = []reservation.Run{{Task: task, Attempt: 3, Ends: soon, Level: 0}}
 	told := message.MachineState{Machine: "vm-1", Epoch: m.Epoch, Heard: true, Runs: []reservation.Run{{Task: task, Attempt: 3, Ends: soon + 1e6, Level: 4}}}
-	b.c.applyMachineState("node-0", b.c.peers["node-0"], message.MachineState{Machine: "vm-1", Epoch: m.Epoch}) // not heard yet
-	b.c.applyMachineState("node-0", b.c.peers["node-0"], told)
+	b.c.table.applyMachineState("node-0", b.c.table.peers["node-0"], message.MachineState{Machine: "vm-1", Epoch: m.Epoch}) // not heard yet
+	b.c.table.applyMachineState("node-0", b.c.table.peers["node-0"], told)
 	if r := m.reported.Runs[0]; r.Ends != soon {
 		t.Errorf("ends %d, want %d", r.Ends, soon)
 	}
 	b.job("job-1", "free", 1)
-	b.c.owner.jobs["job-1"].level = 2
+	b.c.jobs.byID["job-1"].level = 2
 	if l, ok := b.c.announcedLevel("job-1"); !ok || l != 2 {
 		t.Errorf("told at level %d, %v", l, ok)
 	}
@@ -57,9 +57,9 @@
 func TestRefusedIsNotClosed(t *testing.T) {
 	b := promising(t)
 	b.ready("vm-1")
-	m := b.c.machines["vm-1"]
+	m := b.c.table.machines["vm-1"]
 	m.refused = true
-	if b.c.usable(m) || !m.open() || len(b.c.reservableMachines()) != 1 {
-		t.Errorf("usable %v, open %v, %d machines to hold room on", b.c.usable(m), m.open(), len(b.c.reservableMachines()))
+	if b.c.table.usable(m) || !m.open() || len(b.c.planner.reservableMachines()) != 1 {
+		t.Errorf("usable %v, open %v, %d machines to hold room on", b.c.table.usable(m), m.open(), len(b.c.planner.reservableMachines()))
 	}
 }
--- a/internal/controller/leftover.go
+++ b/internal/controller/leftover.go
@@ -14,8 +14,8 @@
 
 // objectiveShare is the largest share of a class's jobs that an objective of the settings
 // names, 0 if none does, and whether they should start within a time.
-func (c *Core) objectiveShare(class string) (share float64, awaited bool) {
-	for _, o := range c.Objectives() {
+func (wl *workload) objectiveShare(class string) (share float64, awaited bool) {
+	for _, o := range wl.Objectives() {
 		switch {
 		case o.Class != class:
 		case o.Kind == "wait" || o.Kind == "deadline" || o.Kind == "finished":
@@ -32,14 +32,14 @@
 // need: what has the same priority can't be stopped for others, so guests' long
 // tasks, once they fill a fleet, would hold all of it until they end. More urgent than
 // all of these classes they yield to none: that they may wait is said by nobody.
-func (c *Core) withoutObjective(j *protocol.Job) bool {
-	share, _ := c.objectiveShare(j.Class)
-	return share == 0 && !c.HasGuarantee(j.Team) && c.Estimate(j) > c.upS(j) && c.someAsUrgent(j)
+func (wl *workload) withoutObjective(j *protocol.Job) bool {
+	share, _ := wl.objectiveShare(j.Class)
+	return share == 0 && !wl.HasGuarantee(j.Team) && wl.Estimate(j) > wl.upS(j) && wl.someAsUrgent(j)
 }
 
 // someAsUrgent reports whether a class with an objective is as urgent as a job.
-func (c *Core) someAsUrgent(j *protocol.Job) bool {
-	for _, k := range c.classes {
+func (wl *workload) someAsUrgent(j *protocol.Job) bool {
+	for _, k := range wl.classes {
 		if k.job.Priority.Rank() >= j.Priority.Rank() {
 			return true
 		}
@@ -55,19 +55,19 @@
 // first task, or all of a gang, then goes where any other's would, and may wait in a
 // queue; the rest has what others leave. Else, where all that is up is likely to be
 // needed, such jobs would not begin at all.
-func (c *Core) overdueToBegin(o *ownedJob) bool {
-	return c.notBegunFor(o, beginsWithin)
+func (pl *placer) overdueToBegin(o *ownedJob) bool {
+	return pl.notBegunFor(o, beginsWithin)
 }
 
 // notBegunFor reports whether nothing of a job has been placed for so long.
-func (c *Core) notBegunFor(o *ownedJob, d time.Duration) bool {
-	return len(o.placed) == 0 && o.nDone == 0 && c.Since(o.since) > d
+func (pl *placer) notBegunFor(o *ownedJob, d time.Duration) bool {
+	return len(o.placed) == 0 && o.nDone == 0 && pl.Since(o.since) > d
 }
 
 // isReserved reports whether room is held for a job by what is promised.
-func (c *Core) isReserved(o *ownedJob) bool {
-	of := c.ReservationFilter(&o.Job)
-	return slices.ContainsFunc(c.reservations.List, func(h reservation.Hold) bool { return of(h.For) })
+func (rh *reservationHolds) isReserved(o *ownedJob) bool {
+	of := rh.ReservationFilter(&o.Job)
+	return slices.ContainsFunc(rh.List, func(h reservation.Hold) bool { return of(h.For) })
 }
 
 // reservedForObjectives is how many processors the classes with objectives are likely to need:
@@ -75,21 +75,21 @@
 // beyond that, the deviations of the classes taken as independent. Until arrivals
 // have been watched for a while that is all that is up, but for leastLeft: tasks that
 // begin then hold for minutes what a fleet that comes up was rented for.
-func (c *Core) reservedForObjectives(up float64) (cpus float64) {
+func (wl *workload) reservedForObjectives(up float64) (cpus float64) {
 	squares, least := 0.0, 0.0
-	for _, k := range ordered.Of(c.classes) {
-		bootS := c.upS(&k.job)
+	for _, k := range ordered.Of(wl.classes) {
+		bootS := wl.upS(&k.job)
 		if math.IsInf(bootS, 1) {
 			continue
 		}
-		if c.Since(c.SessionStart).Seconds() < forecast.KnownBoots*bootS {
+		if wl.Since(wl.SessionStart).Seconds() < forecast.KnownBoots*bootS {
 			least = up
 		}
-		work := c.coming(k, func(a forecast.Arrival) float64 { return a.Work })
+		work := wl.coming(k, func(a forecast.Arrival) float64 { return a.Work })
 		cpus += work.Mean()
-		beyond := float64(c.reserve(k)) * k.job.CPUs
+		beyond := float64(wl.reserve(k)) * k.job.CPUs
 		if !k.awaited {
-			slack := c.slackSeconds(&k.job, bootS)
+			slack := wl.slackSeconds(&k.job, bootS)
 			beyond = math.Max(0, work.Within(slack)/slack-work.Mean())
 		}
 		squares += beyond * beyond
@@ -99,10 +99,10 @@
 
 // slackSeconds is how long tasks of a job that comes may wait and be done in time, in
 // seconds; no less than a machine takes to be up.
-func (c *Core) slackSeconds(j *protocol.Job, upS float64) float64 {
+func (wl *workload) slackSeconds(j *protocol.Job, upS float64) float64 {
 	slack := math.Inf(1)
-	for _, by := range c.ObjectiveTimes(j) {
-		slack = math.Min(slack, by-c.Estimate(j))
+	for _, by := range wl.ObjectiveTimes(j) {
+		slack = math.Min(slack, by-wl.Estimate(j))
 	}
 	if math.IsInf(slack, 1) {
 		return upS
@@ -117,16 +117,16 @@
 // headroom is how many processors this owner's jobs without an objective may take
 // now: its part, by what waits, of what the others leave of the machines that are
 // up. Where no class with an objective has been seen it has no bound.
-func (c *Core) headroom() float64 {
-	if len(c.classes) == 0 {
+func (pl *placer) headroom() float64 {
+	if len(pl.workload.classes) == 0 {
 		return math.Inf(1)
 	}
 	held, waits, all, one := 0.0, 0.0, 0.0, 0.0
-	for id, l := range c.Live { // sums of processors, rounded below
-		if !c.withoutObjective(&l.Job) {
+	for id, l := range pl.Live { // sums of processors, rounded below
+		if !pl.workload.withoutObjective(&l.Job) {
 			continue
 		}
-		if o := c.owner.jobs[id]; o != nil {
+		if o := pl.jobs.byID[id]; o != nil {
 			held += float64(len(o.placed)) * l.CPUs
 			waits += float64(o.pending.Count()) * l.CPUs
 			each := l.CPUs
@@ -136,7 +136,7 @@
 			one = math.Max(one, each)
 			continue
 		}
-		g, _ := c.JobProgress(id)
+		g, _ := pl.jobs.JobProgress(id)
 		held += float64(g.Running) * l.CPUs
 		all += float64(l.Tasks-min(l.Tasks, g.Done+g.Running)) * l.CPUs
 	}
@@ -145,12 +145,12 @@
 	}
 	held, waits, all = resource.Round(held), resource.Round(waits), resource.Round(all)
 	up := 0.0
-	for _, m := range c.machinesInOrder() {
-		if c.usable(m) {
+	for _, m := range pl.table.machinesInOrder() {
+		if pl.table.usable(m) {
 			up += m.Info.CPUs
 		}
 	}
-	left := math.Max(up-c.reservedForObjectives(up), leastLeft*up)
+	left := math.Max(up-pl.workload.reservedForObjectives(up), leastLeft*up)
 	if held == 0 {
 		left = math.Max(left, all/waits*one) // one task or gang at least, however small the fleet
 	}
--- a/internal/controller/limit_test.go
+++ b/internal/controller/limit_test.go
@@ -24,13 +24,13 @@
 	load("job-1")
 	b.job("job-2", team, 2)
 	load("job-2")
-	first, second := b.c.owner.jobs["job-1"], b.c.owner.jobs["job-2"]
+	first, second := b.c.jobs.byID["job-1"], b.c.jobs.byID["job-2"]
 	if len(first.placed) != 6 || len(second.placed) != 0 {
 		t.Fatalf("%d and %d placed of a limit of 6", len(first.placed), len(second.placed))
 	}
 	end := func(i uint32) {
 		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: first.placed[protocol.TaskID{Job: "job-1", Index: i}].number, Machine: id}
-		b.c.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndDone})
 		b.step(message.Tick{})
 	}
 	end(0)
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -12,6 +12,8 @@
 
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/membership"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
@@ -30,16 +32,25 @@
 	return decision{reply: operatorapi.Reply{Code: code, Reason: reason}}
 }
 
+// operations answers operators' requests.
+type operations struct {
+	clusterstate.Module
+	members      *membership.Members
+	table        *waitTable
+	reservations *reservationHolds
+	planner      *reservationPlanner
+}
+
 // facts is what decisions on the calendar know of the site.
-func (c *Core) facts() *reservation.Facts {
+func (ops *operations) facts() *reservation.Facts {
 	return &reservation.Facts{
-		Types: c.Types, Most: c.Op.Machines,
+		Types: ops.Types, Most: ops.Op.Machines,
 		Team: func(name protocol.Team) (config.Team, bool) {
-			t, ok := c.Team(name)
+			t, ok := ops.Team(name)
 			return t.Team, ok
 		},
 		Machine: func(id protocol.MachineID) (protocol.MachineType, protocol.Zone, bool) {
-			m := c.machines[id]
+			m := ops.table.machines[id]
 			if m == nil {
 				return "", "", false
 			}
@@ -51,12 +62,12 @@
 // Decide decides an operator's request by what this controller has followed:
 // the answer, and the transaction that has to hold before it is given, if any.
 func (c *Core) Decide(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
-	d := c.decideRequest(by, r)
+	d := c.operations.decideRequest(by, r)
 	return d.reply, d.transaction
 }
 
-func (c *Core) decideRequest(by string, r *operatorapi.Request) decision {
-	if c.Session == 0 || len(c.Types) == 0 || c.WallMS == 0 {
+func (ops *operations) decideRequest(by string, r *operatorapi.Request) decision {
+	if ops.Session == 0 || len(ops.Types) == 0 || ops.WallMS == 0 {
 		return refuse(operatorapi.Later, "not ready")
 	}
 	if r.Config == nil {
@@ -64,37 +75,37 @@
 	}
 	switch {
 	case r.Op == operatorapi.OpConfig:
-		return c.showConfiguration(r)
+		return ops.showConfiguration(r)
 	case r.Op == operatorapi.OpConfigure:
-		return c.configure(by, r)
+		return ops.configure(by, r)
 	case r.Op == operatorapi.OpConfigStatus:
-		return c.configurationStatus()
+		return ops.configurationStatus()
 	case r.Op == operatorapi.OpShares:
-		return c.listShards()
+		return ops.listShards()
 	case r.Op == operatorapi.OpMove:
-		return c.moveShards(r)
+		return ops.moveShards(r)
 	case r.Op == operatorapi.OpAway:
-		return c.moveAllAway(r)
+		return ops.moveAllAway(r)
 	case r.Op == operatorapi.OpList || r.Op == operatorapi.OpShow:
-		return c.showReserved(r)
+		return ops.showReserved(r)
 	case r.Op == operatorapi.OpCancel:
-		return c.cancelReserved(r)
+		return ops.cancelReserved(r)
 	case r.Op == operatorapi.OpAdd && !r.Window && r.Reservation != nil:
-		return c.addReservation(by, r)
+		return ops.addReservation(by, r)
 	case r.Op == operatorapi.OpAdd && r.Window && r.Spec != nil:
-		return c.addWindow(by, r)
+		return ops.addWindow(by, r)
 	}
 	return refuse(operatorapi.Refused, "no such operation")
 }
 
-func (c *Core) addReservation(by string, r *operatorapi.Request) decision {
-	pr, s := &c.reservations, *r.Reservation
+func (ops *operations) addReservation(by string, r *operatorapi.Request) decision {
+	pr, s := ops.reservations, *r.Reservation
 	if err := reservation.CheckReservation(&s); err != nil {
 		return refuse(operatorapi.Refused, err.Error())
 	}
 	have := pr.Calendar.Reservation(s.Name)
 	if have != nil && r.ID != "" && have.Reservation.Request == r.ID {
-		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Reservations: []operatorapi.Reservation{c.reservationView(have)}}}
+		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Reservations: []operatorapi.Reservation{ops.reservationView(have)}}}
 	}
 	if have != nil && !r.Replace && have.State != record.Cancelled && have.State != record.Used && have.State != record.Expired {
 		return refuse(operatorapi.Refused, "there is a reservation of this name")
@@ -102,31 +113,31 @@
 	if !pr.Calendar.Complete() {
 		return refuse(operatorapi.Later, "the calendar is still being read, or is full")
 	}
-	a := pr.Calendar.DecideReservation(&s, c.facts(), c.WallTime())
+	a := pr.Calendar.DecideReservation(&s, ops.facts(), ops.WallTime())
 	d := answered(a)
 	if !a.OK {
 		return d
 	}
 	rec := record.Reservation{
-		Spec: s, Request: r.ID, By: by, MadeMS: c.WallTime(), Order: pr.Changes + 1, State: record.Accepted, StartMS: a.First[0],
+		Spec: s, Request: r.ID, By: by, MadeMS: ops.WallTime(), Order: pr.Changes + 1, State: record.Accepted, StartMS: a.First[0],
 	}
 	if r.DryRun {
 		rec.State = record.Proposed
 	} else {
-		d.transaction = c.changeCalendar(record.ReservationKey(s.Name), versionOf(have), rec)
+		d.transaction = ops.changeCalendar(record.ReservationKey(s.Name), versionOf(have), rec)
 	}
 	d.reply.Reservations = []operatorapi.Reservation{{Reservation: rec}}
 	return d
 }
 
-func (c *Core) addWindow(by string, r *operatorapi.Request) decision {
-	pr, s := &c.reservations, *r.Spec
+func (ops *operations) addWindow(by string, r *operatorapi.Request) decision {
+	pr, s := ops.reservations, *r.Spec
 	if err := reservation.CheckWindow(&s); err != nil {
 		return refuse(operatorapi.Refused, err.Error())
 	}
 	have := pr.Calendar.Window(s.Name)
 	if have != nil && r.ID != "" && have.Window.Request == r.ID {
-		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Windows: []operatorapi.Window{c.windowView(have)}}}
+		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Windows: []operatorapi.Window{ops.windowView(have)}}}
 	}
 	if have != nil && !r.Replace && !have.Cancelled {
 		return refuse(operatorapi.Refused, "there is a window of this name")
@@ -134,16 +145,16 @@
 	if !pr.Calendar.Complete() {
 		return refuse(operatorapi.Later, "the calendar is still being read, or is full")
 	}
-	a := pr.Calendar.DecideWindow(&s, c.facts(), c.WallTime())
+	a := pr.Calendar.DecideWindow(&s, ops.facts(), ops.WallTime())
 	d := answered(a)
 	if !a.OK {
 		return d
 	}
-	rec := record.Window{Spec: s, Request: r.ID, By: by, MadeMS: c.WallTime()}
+	rec := record.Window{Spec: s, Request: r.ID, By: by, MadeMS: ops.WallTime()}
 	if !r.DryRun {
-		d.transaction = c.changeCalendar(record.WindowKey(s.Name), versionOf(have), rec)
+		d.transaction = ops.changeCalendar(record.WindowKey(s.Name), versionOf(have), rec)
 	}
-	d.reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.First[0], Overruns: c.overruns(&s, a.First[0])}}
+	d.reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.First[0], Overruns: ops.overruns(&s, a.First[0])}}
 	return d
 }
 
@@ -164,18 +175,18 @@
 
 // changeCalendar puts a record, if neither it nor any other promise has changed
 // since this was decided.
-func (c *Core) changeCalendar(key string, version protocol.Version, value any) *protocol.Transaction {
+func (ops *operations) changeCalendar(key string, version protocol.Version, value any) *protocol.Transaction {
 	return &protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: record.CalendarKey, Version: c.reservations.Version}, {Key: key, Version: version}},
+		Conditions: []protocol.Condition{{Key: record.CalendarKey, Version: ops.reservations.Version}, {Key: key, Version: version}},
 		Changes: []protocol.Change{
 			{Put: key, Value: value},
-			{Put: record.CalendarKey, Value: record.Calendar{Changes: c.reservations.Changes + 1}},
+			{Put: record.CalendarKey, Value: record.Calendar{Changes: ops.reservations.Changes + 1}},
 		},
 	}
 }
 
-func (c *Core) cancelReserved(r *operatorapi.Request) decision {
-	pr := &c.reservations
+func (ops *operations) cancelReserved(r *operatorapi.Request) decision {
+	pr := ops.reservations
 	done := operatorapi.Reply{Code: operatorapi.Done, Reason: "cancelled"}
 	e, what := pr.Calendar.Reservation(r.Name), "reservation"
 	if r.Window {
@@ -191,18 +202,18 @@
 	case r.Window:
 		rec := *e.Window
 		rec.Cancelled = true
-		return decision{done, c.changeCalendar(record.WindowKey(r.Name), e.Version, rec)}
+		return decision{done, ops.changeCalendar(record.WindowKey(r.Name), e.Version, rec)}
 	}
 	rec := *e.Reservation
 	rec.State, rec.Risk, rec.RiskMS = record.Cancelled, "", 0
-	return decision{done, c.changeCalendar(record.ReservationKey(r.Name), e.Version, rec)}
+	return decision{done, ops.changeCalendar(record.ReservationKey(r.Name), e.Version, rec)}
 }
 
 // listed at once: an answer is at most as large as a request.
 const listedMost = 40
 
-func (c *Core) showReserved(r *operatorapi.Request) decision {
-	pr := &c.reservations
+func (ops *operations) showReserved(r *operatorapi.Request) decision {
+	pr := ops.reservations
 	reply := operatorapi.Reply{Code: operatorapi.Done}
 	if r.Op == operatorapi.OpShow {
 		e := pr.Calendar.Reservation(r.Name)
@@ -213,9 +224,9 @@
 		case e == nil:
 			return refuse(operatorapi.NotFound, "nothing of this name")
 		case r.Window:
-			reply.Windows = []operatorapi.Window{c.windowView(e)}
+			reply.Windows = []operatorapi.Window{ops.windowView(e)}
 		default:
-			reply.Reservations = []operatorapi.Reservation{c.reservationView(e)}
+			reply.Reservations = []operatorapi.Reservation{ops.reservationView(e)}
 		}
 		return decision{reply: reply}
 	}
@@ -232,11 +243,11 @@
 			break
 		}
 		if r.Window {
-			v := c.windowView(e)
+			v := ops.windowView(e)
 			v.Overruns = nil
 			reply.Windows = append(reply.Windows, v)
 		} else {
-			v := c.reservationView(e)
+			v := ops.reservationView(e)
 			v.On, v.Past = nil, nil
 			reply.Reservations = append(reply.Reservations, v)
 		}
@@ -244,23 +255,23 @@
 	return decision{reply: reply}
 }
 
-func (c *Core) reservationView(e *reservation.Entry) operatorapi.Reservation {
+func (ops *operations) reservationView(e *reservation.Entry) operatorapi.Reservation {
 	v := operatorapi.Reservation{Reservation: *e.Reservation}
-	for _, h := range c.reservations.List {
+	for _, h := range ops.reservations.List {
 		if h.For == e.Name() {
 			v.Held += h.Tasks
 			v.On = append(v.On, h.Machine)
 		}
 	}
-	if risk, ok := c.reservations.risk[e.Name()]; ok {
+	if risk, ok := ops.planner.planRisks[e.Name()]; ok {
 		v.Risk = risk // newer than its record
 	}
-	_, _, v.Started = c.jobsOf(e)
+	_, _, v.Started = ops.reservations.jobsOf(e)
 	return v
 }
 
-func (c *Core) windowView(e *reservation.Entry) operatorapi.Window {
-	now := c.WallTime()
+func (ops *operations) windowView(e *reservation.Entry) operatorapi.Window {
+	now := ops.WallTime()
 	v := operatorapi.Window{Window: *e.Window}
 	if e.Cancelled {
 		return v
@@ -268,17 +279,17 @@
 	length := config.Seconds(e.Window.Spec.LengthS)
 	if times := e.When.Occurrences(reservation.After(now, -length), reservation.After(now, reservation.Ahead)); len(times) > 0 {
 		v.NextMS, v.Open = times[0], times[0] <= now
-		v.Overruns = c.overruns(&e.Window.Spec, v.NextMS)
+		v.Overruns = ops.overruns(&e.Window.Spec, v.NextMS)
 	}
 	return v
 }
 
 // overruns lists the machines whose work is likely to go on after a window has
 // opened, the longest first.
-func (c *Core) overruns(s *record.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
+func (ops *operations) overruns(s *record.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
 	const most = 50
 	var out []operatorapi.Overrun
-	for _, m := range c.machinesInOrder() {
+	for _, m := range ops.table.machinesInOrder() {
 		if !reservation.Covers(s, m.ID, m.Record.Type, m.Record.Zone) {
 			continue
 		}
@@ -311,7 +322,7 @@
 		return f.configurationHistory(ctx)
 	}
 	for ctx.Err() == nil {
-		d, ok := ask(f.n, func(c *Core) decision { return c.decideRequest(by, &r) })
+		d, ok := ask(f.n, func(c *Core) decision { return c.operations.decideRequest(by, &r) })
 		if !ok {
 			break
 		}
--- a/internal/controller/operateconfig.go
+++ b/internal/controller/operateconfig.go
@@ -16,27 +16,27 @@
 const configListed = 200
 
 // configure decides an operator's change of the configuration.
-func (c *Core) configure(by string, r *operatorapi.Request) decision {
-	followed := c.Configuration
+func (ops *operations) configure(by string, r *operatorapi.Request) decision {
+	followed := ops.Configuration
 	if revision, done := followed.DoneBefore(r.ID); done {
-		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: c.configuredWithinS()}}
+		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: ops.configuredWithinS()}}
 		return decision{reply: reply}
 	}
 	present := followed.Effective().Revision
 	switch {
-	case !c.HoldsLease():
+	case !ops.HoldsLease():
 		return refuse(operatorapi.Later, "may not act now")
-	case c.View.Layout < record.LayoutConfiguration:
-		return refuse(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", c.members.BlockingLayout(record.LayoutConfiguration)))
+	case ops.View.Layout < record.LayoutConfiguration:
+		return refuse(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", ops.members.BlockingLayout(record.LayoutConfiguration)))
 	case r.Config.Revision != nil && *r.Config.Revision != present:
 		return refuse(operatorapi.Refused, fmt.Sprintf("revision %d is in force, not %d", present, *r.Config.Revision))
 	}
-	plan, err := followed.Decide(c.configurationFacts(), r.Config.Changes)
+	plan, err := followed.Decide(ops.configurationFacts(), r.Config.Changes)
 	if err != nil {
 		return refuse(operatorapi.Refused, err.Error())
 	}
-	plan.Request, plan.By, plan.AtMS = r.ID, by, c.WallTime()
-	d := decision{reply: operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: c.configuredWithinS()}}}
+	plan.Request, plan.By, plan.AtMS = r.ID, by, ops.WallTime()
+	d := decision{reply: operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: ops.configuredWithinS()}}}
 	switch {
 	case len(plan.Changes) == 0:
 		d.reply.Reason, d.reply.Config.Revision = "nothing changes", present
@@ -50,16 +50,16 @@
 }
 
 // configuredWithinS is how long a controller may act by an earlier revision, in seconds.
-func (c *Core) configuredWithinS() float64 {
-	return config.FollowedWithin(c.Op.NodeLease).Seconds()
+func (ops *operations) configuredWithinS() float64 {
+	return config.FollowedWithin(ops.Op.NodeLease).Seconds()
 }
 
 // configurationFacts is what decisions on the configuration know of the site.
-func (c *Core) configurationFacts() *dynamicconfig.Facts {
+func (ops *operations) configurationFacts() *dynamicconfig.Facts {
 	facts := &dynamicconfig.Facts{
-		Zones: c.Settings.Site.Zones, Types: slices.Sorted(maps.Keys(c.Types)), MaxChanges: c.Settings.Site.State.TxnOps,
+		Zones: ops.Settings.Site.Zones, Types: slices.Sorted(maps.Keys(ops.Types)), MaxChanges: ops.Settings.Site.State.TxnOps,
 		LiveJobs: func(team protocol.Team) (n int) {
-			for _, job := range c.Live {
+			for _, job := range ops.Live {
 				if job.Team == team {
 					n++
 				}
@@ -67,17 +67,17 @@
 			return n
 		},
 	}
-	for name, count := range c.Op.Machines {
-		facts.Processors += float64(count) * c.Types[name].CPUs
+	for name, count := range ops.Op.Machines {
+		facts.Processors += float64(count) * ops.Types[name].CPUs
 	}
 	return facts
 }
 
 // showConfiguration lists entries as they are in force.
-func (c *Core) showConfiguration(r *operatorapi.Request) decision {
-	effective := c.Configuration.Effective()
+func (ops *operations) showConfiguration(r *operatorapi.Request) decision {
+	effective := ops.Configuration.Effective()
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: effective.Revision}}
-	for _, id := range c.configurationIDs() {
+	for _, id := range ops.configurationIDs() {
 		if id <= r.Config.After || !r.Config.Wants(id) {
 			continue
 		}
@@ -85,7 +85,7 @@
 			reply.More = true
 			break
 		}
-		reply.Config.Entries = append(reply.Config.Entries, c.configurationView(id))
+		reply.Config.Entries = append(reply.Config.Entries, ops.configurationView(id))
 	}
 	if len(reply.Config.Entries) == 0 && r.Config.Entry != "" {
 		return refuse(operatorapi.NotFound, "there is no such entry")
@@ -95,35 +95,35 @@
 
 // configurationIDs names all entries: those of the platform's file and those that
 // were changed.
-func (c *Core) configurationIDs() []record.EntryID {
+func (ops *operations) configurationIDs() []record.EntryID {
 	ids := map[record.EntryID]bool{}
-	for _, team := range c.Configuration.Effective().Teams() {
+	for _, team := range ops.Configuration.Effective().Teams() {
 		ids[record.NewEntryID(record.EntryTeam, string(team))] = true
 	}
-	for _, o := range c.Objectives() {
+	for _, o := range ops.Objectives() {
 		if o.Class != "" {
 			ids[record.NewEntryID(record.EntryClass, o.Class)] = true
 		}
 	}
-	for _, zone := range c.Settings.Site.Zones {
+	for _, zone := range ops.Settings.Site.Zones {
 		ids[record.NewEntryID(record.EntryZone, string(zone))] = true
 	}
-	for name := range c.Types {
+	for name := range ops.Types {
 		ids[record.NewEntryID(record.EntryType, string(name))] = true
 	}
 	for _, name := range dynamicconfig.Settings() {
 		ids[record.NewEntryID(record.EntrySetting, name)] = true
 	}
-	for id := range c.Configuration.Entries() {
+	for id := range ops.Configuration.Entries() {
 		ids[id] = true
 	}
 	return slices.Sorted(maps.Keys(ids))
 }
 
 // configurationView is an entry as it is in force.
-func (c *Core) configurationView(id record.EntryID) operatorapi.ConfigEntry {
-	effective := c.Configuration.Effective()
-	v := operatorapi.ConfigEntry{Entry: id, Revision: c.Configuration.Entry(id).Revision}
+func (ops *operations) configurationView(id record.EntryID) operatorapi.ConfigEntry {
+	effective := ops.Configuration.Effective()
+	v := operatorapi.ConfigEntry{Entry: id, Revision: ops.Configuration.Entry(id).Revision}
 	switch kind, name := id.Split(); kind {
 	case record.EntryTeam:
 		t, known := effective.Team(protocol.Team(name))
@@ -145,20 +145,20 @@
 }
 
 // configurationStatus tells who acts by which revision.
-func (c *Core) configurationStatus() decision {
-	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: c.Configuration.Effective().Revision, WithinS: c.configuredWithinS()}}
-	outdated := c.members.Outdated()
-	names := append(slices.Collect(maps.Keys(c.View.Members)), outdated...)
-	names = append(names, c.Self)
-	for _, m := range c.Settings.Members {
+func (ops *operations) configurationStatus() decision {
+	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: ops.Configuration.Effective().Revision, WithinS: ops.configuredWithinS()}}
+	outdated := ops.members.Outdated()
+	names := append(slices.Collect(maps.Keys(ops.View.Members)), outdated...)
+	names = append(names, ops.Self)
+	for _, m := range ops.Settings.Members {
 		names = append(names, m.Name)
 	}
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
-		revision, ago := c.revisionOf(name)
+		revision, ago := ops.revisionOf(name)
 		reply.Config.Controllers = append(reply.Config.Controllers, operatorapi.ConfigController{
-			Name: name, Revision: revision, Member: c.View.Members[name] != 0, Older: slices.Contains(outdated, name), HeardS: ago.Seconds(),
-			Acting: name == c.Self && c.HoldsLease(),
+			Name: name, Revision: revision, Member: ops.View.Members[name] != 0, Older: slices.Contains(outdated, name), HeardS: ago.Seconds(),
+			Acting: name == ops.Self && ops.HoldsLease(),
 		})
 	}
 	return decision{reply: reply}
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 
@@ -10,31 +11,57 @@
 	"damsonkeel/internal/controller/forecast"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/replication"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 
 	"github.com/bits-and-blooms/bitset"
 )
 
-// ownerState is what a controller keeps of the jobs it owns.
-type ownerState struct {
-	jobs               map[protocol.JobID]*ownedJob
+// ownedJobs is what a controller keeps of the jobs it owns.
+type ownedJobs struct {
+	clusterstate.Module
+	table        *waitTable
+	workload     *workload
+	reservations *reservationHolds
+
+	byID               map[protocol.JobID]*ownedJob
 	sorted             []*ownedJob                      // in order of placement; nil: to be sorted again
-	placementDue       bool                             // something may have become placeable
 	awaitedInventories map[protocol.MachineID]bool      // machines whose inventory of this term is awaited
 	endedAttempts      map[message.TaskRef]endedAttempt // attempts of limited teams' jobs that are over, not proven gone
 	unverifiedTeams    map[protocol.Team]bool           // limited teams just taken over, whose use is not known yet
 	attemptCounter     uint64
 	retryAt            Time
 	runWatch           runDeadlines
-	failedSearches     []failedSearch
+	// ownedChanges are the owned jobs, as their state changes: a stream for all members
+	// in one term.
+	ownedChanges replication.Log[protocol.JobID]
+	rng          *rand.Rand
+}
+
+// reset forgets everything a session knew.
+func (oj *ownedJobs) reset() {
+	oj.drop()
+	oj.ownedChanges = replication.Log[protocol.JobID]{}
 }
 
-func newOwnerState() ownerState {
-	return ownerState{
-		jobs: map[protocol.JobID]*ownedJob{}, awaitedInventories: map[protocol.MachineID]bool{},
-		endedAttempts: map[message.TaskRef]endedAttempt{}, unverifiedTeams: map[protocol.Team]bool{},
+// drop forgets all owned jobs: this controller is not in the view.
+func (oj *ownedJobs) drop() {
+	oj.byID, oj.sorted = map[protocol.JobID]*ownedJob{}, nil
+	oj.awaitedInventories = map[protocol.MachineID]bool{}
+	oj.endedAttempts = map[message.TaskRef]endedAttempt{}
+	oj.unverifiedTeams = map[protocol.Team]bool{}
+	oj.attemptCounter, oj.retryAt, oj.runWatch = 0, 0, nil
+}
+
+// allWritten reports whether all that is known of the owned jobs is in their records.
+func (oj *ownedJobs) allWritten() bool {
+	for _, o := range oj.byID {
+		if len(o.dirtyChunks) > 0 || o.writing || o.finishInFlight {
+			return false
+		}
 	}
+	return true
 }
 
 // endedAttempt is an attempt of a job that is over. It counts against its
@@ -117,67 +144,71 @@
 )
 
 // jobAccepted takes over the record of an accepted job.
-func (c *Core) jobAccepted(j protocol.Job, version protocol.Version, snapshot bool) {
-	if c.Live[j.ID] != nil {
+func (oj *ownedJobs) jobAccepted(j protocol.Job, version protocol.Version, snapshot bool) {
+	if oj.Live[j.ID] != nil {
 		return
 	}
-	l := &clusterstate.LiveJob{Job: j, Version: version, Since: c.SubmissionTime(&j)}
-	l.Deadline = c.Deadline(l)
-	c.Live[j.ID] = l
-	c.recordArrival(&l.Job)
-	if snapshot || !c.Member() || c.OwnerOf(l) != c.Self {
+	l := &clusterstate.LiveJob{Job: j, Version: version, Since: oj.SubmissionTime(&j)}
+	l.Deadline = oj.Deadline(l)
+	oj.Live[j.ID] = l
+	oj.workload.recordArrival(&l.Job)
+	if snapshot || !oj.Member() || oj.OwnerOf(l) != oj.Self {
 		return
 	}
 	// Its record is new, so no attempt of it can exist and no bitmap either.
-	o := c.adoptJob(l)
+	o := oj.adoptJob(l)
 	o.loaded = true
 	o.pending.FlipRange(0, uint(j.Tasks))
-	c.Log.Debug("job", "id", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks)
+	oj.Log.Debug("job", "id", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks)
 }
 
-func (c *Core) adoptJob(l *clusterstate.LiveJob) *ownedJob {
+func (oj *ownedJobs) adoptJob(l *clusterstate.LiveJob) *ownedJob {
 	o := &ownedJob{
 		LiveJob: l, done: bitset.New(uint(l.Tasks)), pending: bitset.New(uint(l.Tasks)),
 		retry: bitset.New(uint(l.Tasks)), placed: map[protocol.TaskID]*attempt{}, dirtyChunks: map[int]bool{}, storedChunks: map[int]protocol.Version{}, failedOn: map[protocol.MachineID]bool{}, since: l.Since,
 	}
-	c.owner.jobs[l.ID] = o
-	c.ownedChanges.Touch(l.ID)
-	c.owner.sorted = nil
-	c.owner.placementDue = true
+	oj.byID[l.ID] = o
+	oj.ownedChanges.Touch(l.ID)
+	oj.sorted = nil
+	oj.table.placementDue = true
 	return o
 }
 
 // jobEnded: the job's record says done or cancelled.
 func (c *Core) jobEnded(id protocol.JobID) {
-	c.reservedJobOver(c.Live[id])
-	failing := c.isFailing(id)
+	c.reservations.reservedJobOver(c.Live[id])
+	failing := c.jobs.isFailing(id)
 	delete(c.Live, id)
 	c.MarkEnded(id)
-	for _, p := range c.peers {
-		delete(p.progress, id)
-	}
-	if o := c.owner.jobs[id]; o != nil {
+	c.table.forgetProgress(id)
+	c.jobs.endJob(id)
+	c.dispatcher.JobOver(id, failing)
+}
+
+// endJob drops an owned job whose record says that it is over, and has its attempts
+// killed.
+func (oj *ownedJobs) endJob(id protocol.JobID) {
+	if o := oj.byID[id]; o != nil {
 		for _, t := range ordered.Tasks(o.placed) {
-			if c.Limited(o.Team) {
+			if oj.Limited(o.Team) {
 				left := endedAttempt{o.Team, resource.Need(&o.Job), t.placeNumber}
 				if t.unverified {
 					left.placeNumber = 0
 				}
-				c.owner.endedAttempts[message.TaskRef{Task: t.task, Attempt: t.number, Machine: t.machine}] = left
+				oj.endedAttempts[message.TaskRef{Task: t.task, Attempt: t.number, Machine: t.machine}] = left
 			}
-			c.sendStop(t, true, 0)
-			c.removeAttempt(o, t)
+			oj.sendStop(t, true, 0)
+			oj.removeAttempt(o, t)
 		}
-		delete(c.owner.jobs, id)
-		c.ownedChanges.Drop(id)
-		c.owner.sorted = nil
-		c.owner.placementDue = true
+		delete(oj.byID, id)
+		oj.ownedChanges.Drop(id)
+		oj.sorted = nil
+		oj.table.placementDue = true
 	}
-	c.dispatcher.JobOver(id, failing)
 }
 
 // removeAttempt forgets an attempt that is proven gone, or not this job's concern.
-func (c *Core) removeAttempt(o *ownedJob, t *attempt) {
+func (oj *ownedJobs) removeAttempt(o *ownedJob, t *attempt) {
 	if o.placed[t.task] == t {
 		delete(o.placed, t.task)
 		if !t.started {
@@ -188,101 +219,101 @@
 		o.running--
 		t.running = false
 	}
-	c.ownedChanges.Touch(o.ID)
-	if m := c.machines[t.machine]; m != nil && m.ownAttempts[t.task] == t {
+	oj.ownedChanges.Touch(o.ID)
+	if m := oj.table.machines[t.machine]; m != nil && m.ownAttempts[t.task] == t {
 		delete(m.ownAttempts, t.task)
 	}
 }
 
 // attemptLost makes a task whose attempt is proven gone placeable again.
-func (c *Core) attemptLost(o *ownedJob, t *attempt) {
+func (oj *ownedJobs) attemptLost(o *ownedJob, t *attempt) {
 	if t.started {
 		o.retry.Set(uint(t.task.Index))
 	}
-	c.removeAttempt(o, t)
+	oj.removeAttempt(o, t)
 	// Of a job just taken over, an attempt that is gone proves nothing of the
 	// others: a later one may run on a machine not heard yet. What is missing
 	// when all are heard becomes placeable then.
 	if !o.unverified && !o.done.Test(uint(t.task.Index)) {
 		o.pending.Set(uint(t.task.Index))
 	}
-	c.owner.placementDue = true
+	oj.table.placementDue = true
 	if o.Kind == protocol.KindGang {
 		// The rest of the attempt can't go on: its next one starts when all
 		// of this one are gone.
 		for _, other := range ordered.Tasks(o.placed) {
-			c.sendStop(other, true, clusterstate.GraceS(&o.Job))
+			oj.sendStop(other, true, clusterstate.GraceS(&o.Job))
 		}
 	}
 }
 
 // sendStop asks the machine's keeper to end an attempt.
-func (c *Core) sendStop(t *attempt, kill bool, grace float64) {
+func (oj *ownedJobs) sendStop(t *attempt, kill bool, grace float64) {
 	if t.stopping && kill && grace > 0 {
 		return
 	}
 	t.stopping, t.releaseAsked = t.stopping || kill, !kill
-	c.Send(c.DispatcherOf(t.machine), message.PeerMessage{Stop: &message.Stop{
+	oj.Send(oj.DispatcherOf(t.machine), message.PeerMessage{Stop: &message.Stop{
 		TaskRef: message.TaskRef{Task: t.task, Attempt: t.number, Machine: t.machine}, Kill: kill, GraceS: grace,
 	}})
 }
 
 // machineLost: everything placed by the machine's present record is gone.
-func (c *Core) machineLost(m *machineEntry) {
-	delete(c.owner.awaitedInventories, m.ID)
-	c.clearEndedAttempts(m.ID, math.MaxUint64)
+func (oj *ownedJobs) machineLost(m *machineEntry) {
+	delete(oj.awaitedInventories, m.ID)
+	oj.clearEndedAttempts(m.ID, math.MaxUint64)
 	for _, t := range ordered.Tasks(m.ownAttempts) {
-		if o := c.owner.jobs[t.task.Job]; o != nil && o.placed[t.task] == t {
-			c.attemptLost(o, t)
+		if o := oj.byID[t.task.Job]; o != nil && o.placed[t.task] == t {
+			oj.attemptLost(o, t)
 		}
 	}
-	c.owner.placementDue = true
-	c.resolveUnverified()
+	oj.table.placementDue = true
+	oj.resolveUnverified()
 }
 
 // clearEndedAttempts: a machine holds no attempts of jobs that are over, of those placed up
 // to a number.
-func (c *Core) clearEndedAttempts(id protocol.MachineID, upto uint64) {
-	for ref, t := range c.owner.endedAttempts {
+func (oj *ownedJobs) clearEndedAttempts(id protocol.MachineID, upto uint64) {
+	for ref, t := range oj.endedAttempts {
 		if ref.Machine == id && t.placeNumber <= upto {
-			delete(c.owner.endedAttempts, ref)
-			c.owner.placementDue = true
+			delete(oj.endedAttempts, ref)
+			oj.table.placementDue = true
 		}
 	}
 }
 
 // retryJobs repeats what the state service did not do.
-func (c *Core) retryJobs() {
-	if c.Now < c.owner.retryAt || !c.HoldsLease() {
+func (oj *ownedJobs) retryJobs() {
+	if oj.Now < oj.retryAt || !oj.HoldsLease() {
 		return
 	}
-	c.owner.retryAt = c.After(time.Second)
-	for id, o := range ordered.Of(c.owner.jobs) {
+	oj.retryAt = oj.After(time.Second)
+	for id, o := range ordered.Of(oj.byID) {
 		if o.finishDue {
-			c.writeFinish(o)
+			oj.writeFinish(o)
 		}
 		if (!o.loaded || o.rereadNeeded) && !o.loading {
 			o.loading = true
-			c.Emit(message.LoadBitmap{Job: id})
+			oj.Emit(message.LoadBitmap{Job: id})
 		}
-		if o.notBefore > 0 && c.Now >= o.notBefore {
+		if o.notBefore > 0 && oj.Now >= o.notBefore {
 			o.notBefore = 0
-			c.owner.placementDue = true
+			oj.table.placementDue = true
 		}
-		c.expireTrials(o)
+		oj.expireTrials(o)
 	}
 }
 
 // jobsInOrder returns the owned jobs in the order they are placed: the more urgent
 // priority first, then what is due first, then by creation.
-func (c *Core) jobsInOrder() []*ownedJob {
-	if c.owner.sorted == nil {
-		for _, o := range c.owner.jobs {
-			c.owner.sorted = append(c.owner.sorted, o)
+func (oj *ownedJobs) jobsInOrder() []*ownedJob {
+	if oj.sorted == nil {
+		for _, o := range oj.byID {
+			oj.sorted = append(oj.sorted, o)
 		}
-		slices.SortFunc(c.owner.sorted, func(a, b *ownedJob) int {
+		slices.SortFunc(oj.sorted, func(a, b *ownedJob) int {
 			return cmp.Or(cmp.Compare(b.Priority.Rank(), a.Priority.Rank()), cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.SubmittedMS, b.SubmittedMS), cmp.Compare(a.ID, b.ID))
 		})
 	}
-	return c.owner.sorted
+	return oj.sorted
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"sort"
 	"time"
@@ -18,6 +19,44 @@
 // hold up everything else; the rest follows at the next one.
 const maxPerStep = 2000
 
+// placer chooses the machines of owned jobs' tasks.
+type placer struct {
+	clusterstate.Module
+	table        *waitTable
+	workload     *workload
+	reservations *reservationHolds
+	jobs         *ownedJobs
+	rng          *rand.Rand
+
+	pricePremiums  map[kind]float64 // by the prices last read: see computePricePremiums
+	failedSearches []failedSearch
+	nextPlaced     Time // not placed again before
+	// rebalancedUpTo is the machine at which the last rebalance left the rest to the
+	// next tick; empty: nothing is left.
+	rebalancedUpTo     protocol.MachineID
+	candidatesExamined int // machines looked at for placements, ever
+}
+
+// reset forgets everything a session knew.
+func (pl *placer) reset() {
+	pl.forgetSearches()
+	pl.nextPlaced = 0
+}
+
+// forgetSearches forgets the searches that found no place.
+func (pl *placer) forgetSearches() { pl.failedSearches = nil }
+
+// placeIfDue places what became pending, at most once in placeEvery. It reports whether
+// it did.
+func (pl *placer) placeIfDue() bool {
+	if !pl.table.placementDue || !pl.HoldsLease() || pl.Now < pl.nextPlaced {
+		return false
+	}
+	pl.nextPlaced = pl.After(placeEvery)
+	pl.schedule()
+	return true
+}
+
 // placingRound is one pass over the jobs that wait to be placed.
 type placingRound struct {
 	usage   map[protocol.Team]resource.Amount
@@ -30,68 +69,68 @@
 
 // schedule places what is pending: each task once, on the machine with the
 // smallest expected wait per processor among those that can run it.
-func (c *Core) schedule() {
-	c.owner.placementDue = false
-	if len(c.Types) == 0 {
+func (pl *placer) schedule() {
+	pl.table.placementDue = false
+	if len(pl.Types) == 0 {
 		return
 	}
 	r := &placingRound{
-		usage: c.teamUsage(), claims: c.claims(), batches: map[protocol.NodeName][]message.Placement{},
+		usage: pl.jobs.teamUsage(), claims: pl.claims(), batches: map[protocol.NodeName][]message.Placement{},
 		waits: map[protocol.MachineID]*ownWaits{}, left: maxPerStep,
 	}
-	r.claims.leftOver = c.headroom() // nothing but placing asks for it
-	c.setLevels()
-	c.forgetFailedSearches()
-	for _, o := range c.jobsInOrder() {
+	r.claims.leftOver = pl.headroom() // nothing but placing asks for it
+	pl.setLevels()
+	pl.forgetFailedSearches()
+	for _, o := range pl.jobs.jobsInOrder() {
 		if o.searchFailed && !o.pending.None() {
 			r.stuck++
 		}
 	}
-	for _, o := range c.jobsInOrder() {
-		if !o.loaded || o.finishDue || o.notBefore > c.Now || o.pending.None() {
+	for _, o := range pl.jobs.jobsInOrder() {
+		if !o.loaded || o.finishDue || o.notBefore > pl.Now || o.pending.None() {
 			continue
 		}
-		c.recordPlacements(r, c.placeJob(o, r))
+		pl.recordPlacements(r, pl.placeJob(o, r))
 		if r.left <= 0 {
-			c.owner.placementDue = true
+			pl.table.placementDue = true
 			break
 		}
 	}
-	c.sendPlacements(r.batches)
-	c.sendWaits(r.waits)
+	pl.sendPlacements(r.batches)
+	pl.table.sendWaits(r.waits)
 }
 
 // placeJob places what is pending of one job.
-func (c *Core) placeJob(o *ownedJob, r *placingRound) []message.Placement {
-	o.usesHeadroom = !math.IsInf(r.claims.leftOver, 1) && c.withoutObjective(&o.Job) && !c.isReserved(o)
+func (pl *placer) placeJob(o *ownedJob, r *placingRound) []message.Placement {
+	o.usesHeadroom = !math.IsInf(r.claims.leftOver, 1) && pl.workload.withoutObjective(&o.Job) && !pl.reservations.isReserved(o)
 	most := r.left
-	if o.usesHeadroom && c.overdueToBegin(o) {
+	if o.usesHeadroom && pl.overdueToBegin(o) {
 		o.usesHeadroom, most = false, min(r.left, 1)
 	}
-	if o.searchFailed && c.Since(o.searchedAt) < c.retryEvery(r.stuck) {
-		c.claimAgain(o, r.claims)
+	if o.searchFailed && pl.Since(o.searchedAt) < pl.retryEvery(r.stuck) {
+		pl.claimAgain(o, r.claims)
 		return nil
 	}
-	if o.Kind != protocol.KindGang && c.wouldFindNone(o) {
+	if o.Kind != protocol.KindGang && pl.wouldFindNone(o) {
 		return nil
 	}
 	var chosen []message.Placement
-	looked := c.candidatesExamined
+	looked := pl.candidatesExamined
 	o.claimedMachines = nil
 	if o.Kind == protocol.KindGang {
-		chosen = c.placeGang(o, r.usage, r.claims)
+		chosen = pl.placeGang(o, r.usage, r.claims)
 	} else {
-		chosen = c.placeArray(o, r.usage, most, r.claims)
+		chosen = pl.placeArray(o, r.usage, most, r.claims)
 	}
-	o.searchFailed, o.searchedAt = o.Kind == protocol.KindGang && len(chosen) == 0 && c.candidatesExamined > looked, c.Now
+	o.searchFailed, o.searchedAt = o.Kind == protocol.KindGang && len(chosen) == 0 && pl.candidatesExamined > looked, pl.Now
 	return chosen
 }
 
 // recordPlacements adds the placements of a job to a round.
-func (c *Core) recordPlacements(r *placingRound, chosen []message.Placement) {
+func (pl *placer) recordPlacements(r *placingRound, chosen []message.Placement) {
 	r.left -= len(chosen)
 	for _, p := range chosen {
-		keeper := c.DispatcherOf(p.Machine)
+		keeper := pl.DispatcherOf(p.Machine)
 		r.batches[keeper] = append(r.batches[keeper], p)
 		w := r.waits[p.Machine]
 		if w == nil {
@@ -104,20 +143,20 @@
 }
 
 // sendPlacements hands placements to the machines' keepers.
-func (c *Core) sendPlacements(batches map[protocol.NodeName][]message.Placement) {
-	revision := c.Configuration.Effective().Revision
+func (pl *placer) sendPlacements(batches map[protocol.NodeName][]message.Placement) {
+	revision := pl.Configuration.Effective().Revision
 	for keeper, tasks := range ordered.Of(batches) {
-		p := c.peers[keeper]
+		p := pl.table.peers[keeper]
 		if p == nil {
 			continue
 		}
 		p.placed++
 		for _, t := range tasks {
-			if o := c.owner.jobs[t.Task.Job]; o != nil && o.placed[t.Task] != nil {
+			if o := pl.jobs.byID[t.Task.Job]; o != nil && o.placed[t.Task] != nil {
 				o.placed[t.Task].placeNumber = p.placed
 			}
 		}
-		c.Send(keeper, message.PeerMessage{Place: &message.Place{Number: p.placed, Term: c.View.Term, Configuration: revision, Tasks: tasks}})
+		pl.Send(keeper, message.PeerMessage{Place: &message.Place{Number: p.placed, Term: pl.View.Term, Configuration: revision, Tasks: tasks}})
 	}
 }
 
@@ -127,12 +166,12 @@
 
 // retryEvery is how often such gangs are tried again, of so many: at each step
 // where that is cheap, less often where many wait on a large fleet.
-func (c *Core) retryEvery(stuck int) time.Duration {
-	return placeEvery * time.Duration(stuck*len(c.sortedMachines)/maxExaminedPerStep)
+func (pl *placer) retryEvery(stuck int) time.Duration {
+	return placeEvery * time.Duration(stuck*len(pl.table.sortedMachines)/maxExaminedPerStep)
 }
 
 // placeArray places pending tasks one by one.
-func (c *Core) placeArray(o *ownedJob, usage map[protocol.Team]resource.Amount, left int, cl *claims) []message.Placement {
+func (pl *placer) placeArray(o *ownedJob, usage map[protocol.Team]resource.Amount, left int, cl *claims) []message.Placement {
 	var out []message.Placement
 	zones := o.zones()
 	var from *candidates
@@ -142,61 +181,61 @@
 		if o.placed[protocol.TaskID{Job: o.ID, Index: uint32(i)}] != nil {
 			continue // its last attempt is not gone
 		}
-		if !c.withinLimit(o, usage, 1) {
+		if !pl.withinLimit(o, usage, 1) {
 			break
 		}
 		if !cl.takeHeadroom(o, 1) {
 			break
 		}
 		if from == nil {
-			from, waits = c.candidatesFor(o, zones, cl), c.longestWaiting(o)
+			from, waits = pl.candidatesFor(o, zones, cl), pl.longestWaiting(o)
 		}
 		m := from.smallest(zones)
 		if m == nil {
-			c.noteFailedSearch(o)
+			pl.noteFailedSearch(o)
 			break
 		}
-		if from.heap[0].rank == rankQueue && !c.queuesWithinLimit(o, waits, usage) {
+		if from.heap[0].rank == rankQueue && !pl.queuesWithinLimit(o, waits, usage) {
 			break
 		}
-		out = append(out, c.placeFrom(from, uint32(i), m, c.nextAttempt(), zones))
-		c.addUse(o, usage, 1)
+		out = append(out, pl.placeFrom(from, uint32(i), m, pl.jobs.nextAttempt(), zones))
+		pl.jobs.addUse(o, usage, 1)
 	}
 	return out
 }
 
-func (c *Core) nextAttempt() protocol.Attempt {
-	c.owner.attemptCounter++
-	return protocol.Attempt(uint64(c.View.Term)<<32 | c.owner.attemptCounter)
+func (oj *ownedJobs) nextAttempt() protocol.Attempt {
+	oj.attemptCounter++
+	return protocol.Attempt(uint64(oj.View.Term)<<32 | oj.attemptCounter)
 }
 
 // placeFrom places one task on the smallest of its job's candidates, and reckons
 // with that for the next.
-func (c *Core) placeFrom(from *candidates, i uint32, m *machineEntry, a protocol.Attempt, zones map[protocol.Zone]int) message.Placement {
+func (pl *placer) placeFrom(from *candidates, i uint32, m *machineEntry, a protocol.Attempt, zones map[protocol.Zone]int) message.Placement {
 	if from.heap[0].rank != rankQueue {
 		from.claims.spend(m, from.need)
 	}
-	p := c.placeAttempt(from.job, i, m, a)
-	c.noteExamined(from)
+	p := pl.placeAttempt(from.job, i, m, a)
+	pl.noteExamined(from)
 	zones[m.Record.Zone]++
 	return p
 }
 
 // placeAttempt places one task on a machine in the owner's books.
-func (c *Core) placeAttempt(o *ownedJob, i uint32, m *machineEntry, a protocol.Attempt) message.Placement {
+func (pl *placer) placeAttempt(o *ownedJob, i uint32, m *machineEntry, a protocol.Attempt) message.Placement {
 	t := &attempt{
 		task: protocol.TaskID{Job: o.ID, Index: i}, number: a, machine: m.ID, epoch: m.Epoch,
-		zone: m.Record.Zone, estimate: c.estimateOf(o), trial: o.failing,
+		zone: m.Record.Zone, estimate: pl.jobs.estimateOf(o), trial: o.failing,
 	}
 	o.placed[t.task] = t
 	o.pending.Clear(uint(i))
 	m.ownAttempts[t.task] = t
 	o.waiting++
-	if p := c.peers[c.DispatcherOf(m.ID)]; p != nil {
+	if p := pl.table.peers[pl.DispatcherOf(m.ID)]; p != nil {
 		// The Place that carries it is the next to the keeper.
-		c.addPendingWait(m, pendingWait{c.Self, p.placed + 1, t.estimate * o.CPUs, o.level, resource.Need(&o.Job)})
+		pl.table.addPendingWait(m, pendingWait{pl.Self, p.placed + 1, t.estimate * o.CPUs, o.level, resource.Need(&o.Job)})
 	}
-	return message.Placement{Task: t.task, Attempt: a, Machine: m.ID, Epoch: m.Epoch, Tenure: c.ShardEpoch(m.ID, m.Record.Zone), EstimateS: t.estimate, CPUs: o.CPUs, GPUs: o.GPUs, GB: o.MemoryGB, Level: int(o.level), Together: o.isGang()}
+	return message.Placement{Task: t.task, Attempt: a, Machine: m.ID, Epoch: m.Epoch, Tenure: pl.ShardEpoch(m.ID, m.Record.Zone), EstimateS: t.estimate, CPUs: o.CPUs, GPUs: o.GPUs, GB: o.MemoryGB, Level: int(o.level), Together: o.isGang()}
 }
 
 // boundZone is the zone that a job's attempts hold it to, if they do.
@@ -209,7 +248,7 @@
 	return ""
 }
 
-// zones counts the attempts of a job that may exist by zone.
+// planZones counts the attempts of a job that may exist by zone.
 func (o *ownedJob) zones() map[protocol.Zone]int {
 	z := map[protocol.Zone]int{}
 	for _, t := range o.placed {
@@ -219,37 +258,37 @@
 }
 
 // machinesInOrder lists the machines by name.
-func (c *Core) machinesInOrder() []*machineEntry { return c.sortedMachines }
+func (wt *waitTable) machinesInOrder() []*machineEntry { return wt.sortedMachines }
 
 // addMachine puts a machine in its place, instead of another of its name if
 // there is one.
-func (c *Core) addMachine(m *machineEntry) {
-	c.removeMachine(m.ID)
-	c.machines[m.ID], c.Records[m.ID] = m, m.Machine
-	i, _ := c.findMachine(m.ID)
-	c.sortedMachines = slices.Insert(c.sortedMachines, i, m)
+func (wt *waitTable) addMachine(m *machineEntry) {
+	wt.removeMachine(m.ID)
+	wt.machines[m.ID], wt.Records[m.ID] = m, m.Machine
+	i, _ := wt.findMachine(m.ID)
+	wt.sortedMachines = slices.Insert(wt.sortedMachines, i, m)
 	if m.Record.Spot {
-		c.spotsUp++
+		wt.spotsUp++
 	}
 }
 
-func (c *Core) removeMachine(id protocol.MachineID) {
-	m := c.machines[id]
+func (wt *waitTable) removeMachine(id protocol.MachineID) {
+	m := wt.machines[id]
 	if m == nil {
 		return
 	}
-	delete(c.machines, id)
-	delete(c.Records, id)
-	if i, ok := c.findMachine(id); ok {
-		c.sortedMachines = slices.Delete(c.sortedMachines, i, i+1)
+	delete(wt.machines, id)
+	delete(wt.Records, id)
+	if i, ok := wt.findMachine(id); ok {
+		wt.sortedMachines = slices.Delete(wt.sortedMachines, i, i+1)
 	}
 	if m.Record.Spot {
-		c.spotsUp--
+		wt.spotsUp--
 	}
 }
 
-func (c *Core) findMachine(id protocol.MachineID) (int, bool) {
-	return slices.BinarySearchFunc(c.sortedMachines, id, func(m *machineEntry, id protocol.MachineID) int { return cmp.Compare(m.ID, id) })
+func (wt *waitTable) findMachine(id protocol.MachineID) (int, bool) {
+	return slices.BinarySearchFunc(wt.sortedMachines, id, func(m *machineEntry, id protocol.MachineID) int { return cmp.Compare(m.ID, id) })
 }
 
 // wait is the machine's expected wait, in processor seconds, as far as this
@@ -330,8 +369,8 @@
 }
 
 // usable reports whether tasks may be placed on a machine at all.
-func (c *Core) usable(m *machineEntry) bool {
-	return m.open() && !m.refused && !c.PlaceClosed(m.Record.Type, m.Record.Zone)
+func (wt *waitTable) usable(m *machineEntry) bool {
+	return m.open() && !m.refused && !wt.PlaceClosed(m.Record.Type, m.Record.Zone)
 }
 
 // open reports whether its keeper lets tasks be placed on a machine.
@@ -361,24 +400,24 @@
 // gone. Of a team just taken over, attempts that are not listed, of jobs that
 // are over too, can be only on machines that were not heard since: they take no
 // more than all there is of these.
-func (c *Core) teamUsage() map[protocol.Team]resource.Amount {
+func (oj *ownedJobs) teamUsage() map[protocol.Team]resource.Amount {
 	usage := map[protocol.Team]resource.Amount{}
-	for _, o := range c.owner.jobs {
-		if c.Limited(o.Team) {
-			c.addUse(o, usage, len(o.placed))
+	for _, o := range oj.byID {
+		if oj.Limited(o.Team) {
+			oj.addUse(o, usage, len(o.placed))
 		}
 	}
-	for _, t := range c.owner.endedAttempts {
+	for _, t := range oj.endedAttempts {
 		usage[t.team] = usage[t.team].Plus(t.need)
 	}
-	if len(c.owner.unverifiedTeams) > 0 {
+	if len(oj.unverifiedTeams) > 0 {
 		var unheard resource.Amount
-		for id := range c.owner.awaitedInventories {
-			if m := c.machines[id]; m != nil {
+		for id := range oj.awaitedInventories {
+			if m := oj.table.machines[id]; m != nil {
 				unheard = unheard.Plus(mostOn(m))
 			}
 		}
-		for team := range c.owner.unverifiedTeams {
+		for team := range oj.unverifiedTeams {
 			usage[team] = usage[team].Plus(unheard)
 		}
 	}
@@ -393,7 +432,7 @@
 	return resource.Capacity(m.Info)
 }
 
-func (c *Core) addUse(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) {
+func (oj *ownedJobs) addUse(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) {
 	u := usage[o.Team]
 	u.CPUs += o.CPUs * float64(n)
 	u.GPUs += o.GPUs * float64(n)
@@ -401,12 +440,12 @@
 }
 
 // withinLimit reports whether n more tasks keep the team within its limit.
-func (c *Core) withinLimit(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) bool {
-	t, ok := c.Team(o.Team)
+func (pl *placer) withinLimit(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) bool {
+	t, ok := pl.Team(o.Team)
 	if !ok {
 		return false
 	}
-	u := usage[o.Team].Plus(c.limitClaimed(o))
+	u := usage[o.Team].Plus(pl.reservations.limitClaimed(o))
 	return (t.MaxCPUs == 0 || u.CPUs+o.CPUs*float64(n) <= t.MaxCPUs+resource.Slack) &&
 		(t.MaxGPUs == 0 || u.GPUs+o.GPUs*float64(n) <= t.MaxGPUs+resource.Slack)
 }
@@ -422,30 +461,30 @@
 // wait beside machines with room, for a limit that is used up by what does not run. Left
 // to all such jobs, nothing would be queued where many wait, and whatever is large would
 // take what comes free.
-func (c *Core) queuesWithinLimit(o, other *ownedJob, usage map[protocol.Team]resource.Amount) bool {
+func (pl *placer) queuesWithinLimit(o, other *ownedJob, usage map[protocol.Team]resource.Amount) bool {
 	left := map[protocol.Team]resource.Amount{o.Team: usage[o.Team]}
-	if other != nil && !(c.waitsForLimit(o) && bySince(o, other) < 0) {
-		c.addUse(other, left, 1)
+	if other != nil && !(pl.waitsForLimit(o) && bySince(o, other) < 0) {
+		pl.jobs.addUse(other, left, 1)
 	}
-	return c.withinLimit(o, left, 1)
+	return pl.withinLimit(o, left, 1)
 }
 
 // longestWaiting is that other job of a job's team, if the team has a limit, of which
 // nothing has begun for longest, and for a while.
-func (c *Core) longestWaiting(o *ownedJob) (first *ownedJob) {
-	if !c.Limited(o.Team) {
+func (pl *placer) longestWaiting(o *ownedJob) (first *ownedJob) {
+	if !pl.Limited(o.Team) {
 		return nil
 	}
-	for _, other := range c.owner.jobs {
-		if other != o && other.Team == o.Team && c.waitsForLimit(other) && (first == nil || bySince(other, first) < 0) {
+	for _, other := range pl.jobs.byID {
+		if other != o && other.Team == o.Team && pl.waitsForLimit(other) && (first == nil || bySince(other, first) < 0) {
 			first = other
 		}
 	}
 	return first
 }
 
-func (c *Core) waitsForLimit(o *ownedJob) bool {
-	return o.Kind != protocol.KindGang && c.notBegunFor(o, keptWaiting)
+func (pl *placer) waitsForLimit(o *ownedJob) bool {
+	return o.Kind != protocol.KindGang && pl.notBegunFor(o, keptWaiting)
 }
 
 func bySince(a, b *ownedJob) int {
@@ -453,6 +492,6 @@
 }
 
 // mayStart is how many of n more tasks keep the team within its limit.
-func (c *Core) mayStart(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) int {
-	return sort.Search(n, func(k int) bool { return !c.withinLimit(o, usage, k+1) })
+func (pl *placer) mayStart(o *ownedJob, usage map[protocol.Team]resource.Amount, n int) int {
+	return sort.Search(n, func(k int) bool { return !pl.withinLimit(o, usage, k+1) })
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
@@ -16,17 +16,17 @@
 	"damsonkeel/internal/protocol"
 )
 
-type kind = autoscaler.Kind
+type kind = binpack.Kind
 
 // slots lists all room that is there or coming.
-func (c *Core) slots() []autoscaler.Slot {
-	f := &c.autoscaler
-	var up autoscaler.Slots
-	for _, m := range c.machinesInOrder() {
-		if !c.usable(m) || len(c.reservations.Windows) > 0 && c.InWindow(m.ID, m.Record.Type, m.Record.Zone, c.WallTime(), c.WallTime()) {
+func (as *autoscalerState) slots() []binpack.Slot {
+	f := as
+	var up binpack.Slots
+	for _, m := range as.table.machinesInOrder() {
+		if !as.table.usable(m) || len(as.reservations.Windows) > 0 && as.InWindow(m.ID, m.Record.Type, m.Record.Zone, as.WallTime(), as.WallTime()) {
 			continue
 		}
-		a := autoscaler.Alike{Kind: m.kind(), Free: m.unreserved(), Held: m.announcedUses}
+		a := binpack.Alike{Kind: m.kind(), Free: m.unreserved(), Held: m.announcedUses}
 		for r := range a.Held {
 			a.Held[r] = a.Held[r].Plus(m.pendingUses[r])
 		}
@@ -37,36 +37,36 @@
 		if b := f.bootHistory[m.kind]; b != nil && b.trial {
 			continue // not counted on
 		}
-		s := autoscaler.Fresh(c.Types[m.Type], m.kind, 1)
-		s.InS = math.Max(s.Info.BootS-c.Since(m.at).Seconds(), 1)
-		s.Free = s.Free.Minus(clusterstate.ReservedBy(c.reservations.Holds[id], c.WallTime()))
+		s := binpack.Fresh(as.Types[m.Type], m.kind, 1)
+		s.InS = math.Max(s.Info.BootS-as.Since(m.at).Seconds(), 1)
+		s.Free = s.Free.Minus(clusterstate.ReservedBy(as.reservations.Holds[id], as.WallTime()))
 		slots = append(slots, s)
 	}
 	for _, r := range ordered.Of(f.provisionCalls) {
-		slots = append(slots, autoscaler.Fresh(c.Types[r.req.Type], r.kind(), r.req.Count))
+		slots = append(slots, binpack.Fresh(as.Types[r.req.Type], r.kind(), r.req.Count))
 	}
 	return slots
 }
 
 // work is tasks of a job as a plan reckons with them.
-func (c *Core) work(j *clusterstate.LiveJob, l resource.Level, estimateS float64) autoscaler.Work {
-	return autoscaler.Work{
-		Need: resource.Need(&j.Job), Level: l, OneZone: j.OneZone && j.Zone == "", Shun: c.risky(&j.Job),
+func (as *autoscalerState) work(j *clusterstate.LiveJob, l resource.Level, estimateS float64) binpack.Work {
+	return binpack.Work{
+		Need: resource.Need(&j.Job), Level: l, OneZone: j.OneZone && j.Zone == "", Shun: as.workload.risky(&j.Job),
 		EstimateS: estimateS, FetchS: func(t protocol.TypeInfo) float64 { return clusterstate.FetchS(t, &j.Job) },
-		Allows: j.AllowsKind, Offers: c.offers(j),
+		Allows: j.AllowsKind, Offers: as.offers(j),
 	}
 }
 
 // planScaleOut rents what the unstarted work needs beyond what is there or coming.
-func (c *Core) planScaleOut() {
+func (as *autoscalerState) planScaleOut() {
 	underWay := map[kind]int{}
-	for _, r := range c.autoscaler.provisionCalls {
+	for _, r := range as.provisionCalls {
 		underWay[r.kind()] += r.req.Count
 	}
-	p := autoscaler.New(c.openTypes(), c.slots(), underWay)
-	defer c.provisionPlanned(p)
+	p := binpack.New(as.openTypes(), as.slots(), underWay)
+	defer as.provisionPlanned(p)
 	var demand, rest []message.Demand
-	for _, p := range c.peers {
+	for _, p := range as.table.peers {
 		demand = append(demand, p.demand...)
 	}
 	slices.SortFunc(demand, func(a, b message.Demand) int {
@@ -75,53 +75,53 @@
 	// Classes with room kept for them come first, then the room itself: the
 	// rest must not count on it.
 	for _, d := range demand {
-		switch j := c.demandedJob(d); {
+		switch j := as.demandedJob(d); {
 		case j == nil:
-		case c.HasStartObjective(&j.Job):
-			p.Reserve(c.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted)
+		case as.HasStartObjective(&j.Job):
+			p.Reserve(as.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted)
 		default:
 			rest = append(rest, d)
 		}
 	}
-	for _, k := range ordered.Of(c.classes) {
+	for _, k := range ordered.Of(as.workload.classes) {
 		j := &clusterstate.LiveJob{Job: k.job}
 		j.OneZone = false // it is kept for several jobs
-		if n := c.reserve(k); n > 0 {
-			p.Reserve(c.work(j, resource.LevelOf(j.Priority, false), 0), n)
+		if n := as.workload.reserve(k); n > 0 {
+			p.Reserve(as.work(j, resource.LevelOf(j.Priority, false), 0), n)
 		}
 	}
 	// What is left works off the rest, the most pressing first. Each job finds
 	// what those before it leave of the time until it has to be done.
 	slices.SortStableFunc(rest, func(a, b message.Demand) int {
-		ja, jb := c.Live[a.Job], c.Live[b.Job]
-		return cmp.Or(cmp.Compare(b.Level, a.Level), cmp.Compare(c.timeLeft(ja, a), c.timeLeft(jb, b)))
+		ja, jb := as.Live[a.Job], as.Live[b.Job]
+		return cmp.Or(cmp.Compare(b.Level, a.Level), cmp.Compare(as.timeLeft(ja, a), as.timeLeft(jb, b)))
 	})
 	top, runS, weight := 0, 0.0, 0.0
 	for _, d := range rest {
-		top = max(top, c.Live[d.Job].Priority.Rank())
+		top = max(top, as.Live[d.Job].Priority.Rank())
 		runS += d.EstimateS * float64(d.Unstarted)
 		weight += float64(d.Unstarted)
 	}
-	c.provisionReserved(p)
+	as.planner.provisionReserved(p)
 	p.Gather(top, runS/math.Max(weight, 1))
 	for _, d := range rest {
-		j := c.demandedJob(d)
-		p.WorkOff(c.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, c.timeLeft(j, d))
+		j := as.demandedJob(d)
+		p.WorkOff(as.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, as.timeLeft(j, d))
 	}
 	// What is likely to come until another machine is up has to be begun by
 	// then: else each burst would wait for the boots that the last one needed.
-	for _, k := range ordered.Of(c.classes) {
-		if work := c.comingWork(k); work > 0 {
-			estimateS := c.Estimate(&k.job)
+	for _, k := range ordered.Of(as.workload.classes) {
+		if work := as.workload.comingWork(k); work > 0 {
+			estimateS := as.Estimate(&k.job)
 			n := int(work / (estimateS * math.Max(k.job.CPUs, resource.Slack)))
-			p.WorkOff(c.work(&clusterstate.LiveJob{Job: k.job}, 0, estimateS), n, c.upS(&k.job))
+			p.WorkOff(as.work(&clusterstate.LiveJob{Job: k.job}, 0, estimateS), n, as.workload.upS(&k.job))
 		}
 	}
 }
 
 // demandedJob is the job of a demand, with the zone that is left to it.
-func (c *Core) demandedJob(d message.Demand) *clusterstate.LiveJob {
-	j := c.Live[d.Job]
+func (as *autoscalerState) demandedJob(d message.Demand) *clusterstate.LiveJob {
+	j := as.Live[d.Job]
 	if j == nil || d.Zone == "" {
 		return j
 	}
@@ -132,47 +132,47 @@
 
 // provisionPlanned sends the plan's requests, as many at a time as the cloud answers
 // in a second; the next plan asks for the rest.
-func (c *Core) provisionPlanned(p *autoscaler.Plan) {
+func (as *autoscalerState) provisionPlanned(p *binpack.Plan) {
 	for _, o := range p.Orders() {
-		if float64(len(c.autoscaler.provisionCalls)) >= math.Max(1, c.Settings.Site.Cloud.RPS) {
+		if float64(len(as.provisionCalls)) >= math.Max(1, as.Settings.Site.Cloud.RPS) {
 			return
 		}
-		if trial, _ := c.autoscaler.canary(o.Kind); trial {
+		if trial, _ := as.canary(o.Kind); trial {
 			o.Count = 1
 		}
-		c.autoscaler.requests++
+		as.requests++
 		req := protocol.ProvisionRequest{
-			Name: fmt.Sprintf("%s-%d-%d-%d", c.Self, c.Session, c.View.Term, c.autoscaler.requests),
+			Name: fmt.Sprintf("%s-%d-%d-%d", as.Self, as.Session, as.View.Term, as.requests),
 			Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Count,
 		}
 		r := &provisionCall{req: req, reservation: reservation.Name(o.For)}
-		c.autoscaler.provisionCalls[req.Name] = r
-		c.provision(r)
+		as.provisionCalls[req.Name] = r
+		as.provision(r)
 	}
 }
 
 // price of a kind, for a processor and an hour.
-func (c *Core) price(k kind) float64 { return autoscaler.Price(c.Types[k.Type], k.Spot) }
+func (as *autoscalerState) price(k kind) float64 { return binpack.Price(as.Types[k.Type], k.Spot) }
 
 // timeLeft is how long a job's tasks may still wait, in seconds, and be done
 // when it is due. Owners' estimates are often wrong by half. What nobody sets
 // a time for waits no longer than a machine takes to come.
-func (c *Core) timeLeft(j *clusterstate.LiveJob, d message.Demand) float64 {
-	if len(c.ObjectiveTimes(&j.Job)) == 0 {
+func (as *autoscalerState) timeLeft(j *clusterstate.LiveJob, d message.Demand) float64 {
+	if len(as.ObjectiveTimes(&j.Job)) == 0 {
 		return 0
 	}
-	return math.Max(0, time.Duration(j.Deadline-c.Now).Seconds()-1.5*d.EstimateS)
+	return math.Max(0, time.Duration(j.Deadline-as.Now).Seconds()-1.5*d.EstimateS)
 }
 
 // offers lists what may be rented for a job, the cheapest per task first.
-func (c *Core) offers(j *clusterstate.LiveJob) []kind {
+func (as *autoscalerState) offers(j *clusterstate.LiveJob) []kind {
 	type offer struct {
 		kind
 		price float64
 	}
 	var offers []offer
-	stretch, shun := c.spotStretch(&j.Job)*float64(j.Tasks), c.risky(&j.Job)
-	for _, t := range c.Types {
+	stretch, shun := as.workload.spotStretch(&j.Job)*float64(j.Tasks), as.workload.risky(&j.Job)
+	for _, t := range as.Types {
 		per := resource.Capacity(t).CountFitting(resource.Need(&j.Job))
 		if per == 0 {
 			continue
@@ -180,10 +180,10 @@
 		for _, z := range t.AllowZones {
 			for _, spot := range []bool{true, false} {
 				k := kind{Type: t.Name, Zone: z, Spot: spot}
-				if !j.AllowsKind(t, z, spot) || spot && shun || c.autoscaler.refusals[k].until > c.Now {
+				if !j.AllowsKind(t, z, spot) || spot && shun || as.refusals[k].until > as.Now {
 					continue
 				}
-				if _, tried := c.autoscaler.canary(k); tried {
+				if _, tried := as.canary(k); tried {
 					continue
 				}
 				price := t.Price
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/resource"
@@ -60,7 +60,7 @@
 			if !ok {
 				continue
 			}
-			if r.Request.Count > autoscaler.AskAtMost {
+			if r.Request.Count > binpack.AskAtMost {
 				t.Fatalf("%d in one request", r.Request.Count)
 			}
 			asked[r.Request.Zone] += r.Request.Count
@@ -109,13 +109,13 @@
 	b.c.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}, Price: 1, SpotPrice: 1}
 	b.zoned("a", 20, false, resource.Uses{})
 	b.zoned("b", 1, false, resource.Uses{})
-	o := b.c.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
+	o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 60, OneZone: true,
 	}, Since: b.c.Now})
 	o.loaded = true
 	o.pending.FlipRange(0, 60)
 	b.c.Live["job-1"] = o.LiveJob
-	b.c.placeAttempt(o, 0, b.c.machines["vm-bfalse0"], 1)
+	b.c.placer.placeAttempt(o, 0, b.c.table.machines["vm-bfalse0"], 1)
 	rented := 0
 	for _, a := range append(b.relay(), b.relay()...) {
 		if r, ok := a.(message.Provision); ok {
--- a/internal/controller/preempt_test.go
+++ b/internal/controller/preempt_test.go
@@ -14,11 +14,11 @@
 	for i, tasks := range []uint32{5, 3, 1} {
 		id := protocol.JobID("job-" + string(rune('1'+i)))
 		b.job(id, "bound", tasks) // guaranteed 8 processors
-		b.c.owner.jobs[id].SubmittedMS = int64(i)
+		b.c.jobs.byID[id].SubmittedMS = int64(i)
 	}
-	b.c.setLevels()
+	b.c.placer.setLevels()
 	for id, within := range map[protocol.JobID]bool{"job-1": true, "job-2": true, "job-3": false} {
-		if o := b.c.owner.jobs[id]; o.level != resource.LevelOf(o.Priority, within) {
+		if o := b.c.jobs.byID[id]; o.level != resource.LevelOf(o.Priority, within) {
 			t.Errorf("%s is at level %d", id, o.level)
 		}
 	}
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -36,21 +36,21 @@
 // queue: the owner has them released there and places them again. What was
 // left by the step before goes on where that ended: the machines before have
 // their tasks on the way, which the table does not show yet.
-func (c *Core) rebalance(after protocol.MachineID) {
-	c.rebalancedUpTo = ""
-	if !c.HoldsLease() {
+func (pl *placer) rebalance(after protocol.MachineID) {
+	pl.rebalancedUpTo = ""
+	if !pl.HoldsLease() {
 		return
 	}
 	var roomy []*machineEntry
-	for _, m := range c.machinesInOrder() {
-		if m.ID > after && c.usable(m) && m.reported.Epoch == m.Epoch && (m.reported.Queued == 0 && m.free().CPUs > resource.Slack || len(c.reservations.Holds[m.ID]) > 0 && m.idle().CPUs > resource.Slack) {
+	for _, m := range pl.table.machinesInOrder() {
+		if m.ID > after && pl.table.usable(m) && m.reported.Epoch == m.Epoch && (m.reported.Queued == 0 && m.free().CPUs > resource.Slack || len(pl.reservations.Holds[m.ID]) > 0 && m.idle().CPUs > resource.Slack) {
 			roomy = append(roomy, m)
 		}
 	}
 	if len(roomy) == 0 {
 		return
 	}
-	movable := c.movableTasksByJob()
+	movable := pl.movableTasksByJob()
 	if len(movable) == 0 {
 		return
 	}
@@ -58,24 +58,24 @@
 	for _, g := range movable {
 		least = resource.Amount{CPUs: min(least.CPUs, g.need.CPUs), GPUs: min(least.GPUs, g.need.GPUs), GB: min(least.GB, g.need.GB)}
 	}
-	cl, left := c.claims(), movesMost
+	cl, left := pl.claims(), movesMost
 	for _, m := range roomy {
 		if m.idle().Covers(least) {
-			left -= c.moveTasksTo(m, movable, cl, left)
+			left -= pl.moveTasksTo(m, movable, cl, left)
 		}
 		if left <= 0 {
-			c.rebalancedUpTo = m.ID
+			pl.rebalancedUpTo = m.ID
 			return
 		}
 	}
 }
 
 // movableTasksByJob lists the tasks of this owner that wait in queues, by job.
-func (c *Core) movableTasksByJob() []*movableTasks {
+func (pl *placer) movableTasksByJob() []*movableTasks {
 	byJob := map[protocol.JobID]*movableTasks{}
 	var all []*movableTasks
 	var queued []*machineEntry
-	for _, m := range c.machinesInOrder() {
+	for _, m := range pl.table.machinesInOrder() {
 		if m.reported.Queued > 0 && len(m.ownAttempts) > 0 {
 			queued = append(queued, m)
 		}
@@ -89,13 +89,13 @@
 		}
 		wait := perCPU(m)
 		for _, t := range m.ownAttempts {
-			o := c.owner.jobs[t.task.Job]
+			o := pl.jobs.byID[t.task.Job]
 			if o == nil || t.started || t.stopping || t.releaseAsked || t.unverified || o.Kind == protocol.KindGang && o.Tasks > 1 {
 				continue
 			}
 			g := byJob[o.ID]
 			if g == nil {
-				g = &movableTasks{job: o, need: resource.Need(&o.Job), excluded: c.excludedByHolds(o)}
+				g = &movableTasks{job: o, need: resource.Need(&o.Job), excluded: pl.reservations.excludedByHolds(o)}
 				byJob[o.ID] = g
 				all = append(all, g)
 			}
@@ -113,12 +113,12 @@
 
 // moveTasksTo fills a machine's room with movable tasks, at most so many, the most
 // urgent first, then those of the longest queues. It returns how many it took.
-func (c *Core) moveTasksTo(m *machineEntry, movable []*movableTasks, cl *claims, most int) (taken int) {
+func (pl *placer) moveTasksTo(m *machineEntry, movable []*movableTasks, cl *claims, most int) (taken int) {
 	free := m.idle()
 	for ; taken < most; taken++ {
 		var best *movableTasks
 		for _, g := range movable {
-			if len(g.tasks) > 0 && free.Covers(g.need) && (m.reported.Queued == 0 || c.holdsFor(g.job, m)) && (best == nil || g.before(best)) && c.mayMove(g, m, cl) {
+			if len(g.tasks) > 0 && free.Covers(g.need) && (m.reported.Queued == 0 || pl.reservations.holdsFor(g.job, m)) && (best == nil || g.before(best)) && pl.mayMove(g, m, cl) {
 				best = g
 			}
 		}
@@ -128,8 +128,8 @@
 		t := best.tasks[0]
 		best.tasks = best.tasks[1:]
 		free = free.Minus(best.need)
-		c.sendStop(t.attempt, false, 0)
-		c.Log.Debug("moving a waiting task", "task", t.task, "from", t.machine, "to", m.ID)
+		pl.jobs.sendStop(t.attempt, false, 0)
+		pl.Log.Debug("moving a waiting task", "task", t.task, "from", t.machine, "to", m.ID)
 	}
 	return taken
 }
@@ -142,7 +142,7 @@
 }
 
 // mayMove reports whether a machine may take the next of a job's movable tasks.
-func (c *Core) mayMove(g *movableTasks, m *machineEntry, cl *claims) bool {
+func (pl *placer) mayMove(g *movableTasks, m *machineEntry, cl *claims) bool {
 	o, t := g.job, g.tasks[0]
 	if t.machine == m.ID || o.failedOn[m.ID] {
 		return false
--- a/internal/controller/relays.go
+++ b/internal/controller/relays.go
@@ -47,14 +47,14 @@
 // others have taken the machine or the job from since.
 func (c *Core) beginUpdates() {
 	c.dispatcher.BeginTerm()
-	c.ownedChanges = replication.Log[protocol.JobID]{}
-	for id := range ordered.Of(c.owner.jobs) {
-		c.ownedChanges.Touch(id)
+	c.jobs.ownedChanges = replication.Log[protocol.JobID]{}
+	for id := range ordered.Of(c.jobs.byID) {
+		c.jobs.ownedChanges.Touch(id)
 	}
-	for _, m := range c.machines {
+	for _, m := range c.table.machines {
 		m.reportedBy = nil
 	}
-	for _, p := range c.peers {
+	for _, p := range c.table.peers {
 		t := &p.updates
 		t.machinesTo, t.jobsTo = replication.Cursor{}, replication.Cursor{}
 		t.machinesFrom.Begin(uint64(c.View.Term))
@@ -68,9 +68,9 @@
 // dropPendingWaits forgets announced placements as a view changes: those on machines
 // that this peer keeps no more, or keeps in another session, and those by owners
 // that have another session now. None of them will be counted.
-func (c *Core) dropPendingWaits(name protocol.NodeName, p *peer, replaced map[protocol.NodeName]bool) {
+func (wt *waitTable) dropPendingWaits(name protocol.NodeName, p *peer, replaced map[protocol.NodeName]bool) {
 	for m := range p.updates.waits {
-		if replaced[name] || c.DispatcherOf(m.ID) != name {
+		if replaced[name] || wt.DispatcherOf(m.ID) != name {
 			m.pendingWaits = nil
 		} else {
 			m.pendingWaits = removeWaits(m.pendingWaits, func(w pendingWait) bool { return replaced[w.owner] })
@@ -107,29 +107,29 @@
 		c.setRateAllotment() // before anybody can use what is lent
 	}
 	var same *message.StateUpdate // as sent to the one before
-	for name, p := range ordered.Of(c.peers) {
+	for name, p := range ordered.Of(c.table.peers) {
 		t := &p.updates
 		if !regular && !t.short {
 			continue
 		}
 		r := &message.StateUpdate{Term: c.View.Term, Acting: c.HoldsLease(), Configuration: c.Configuration.Effective().Revision, HaveMachines: t.machinesFrom.Have(), HaveJobs: t.jobsFrom.Have()}
-		r.Load = message.Load{LateMS: c.tickLatenessMS, Leaving: c.leaving}
+		r.Load = message.Load{LateMS: c.tickLatenessMS, Leaving: c.Leaving}
 		r.Ask = c.rates.Request(c.Now)
 		if l, ok := loans[p.session]; ok {
 			r.Loan = &l
 		}
 		r.HaveHolds = t.holdsFrom
-		if c.reservations.number != 0 && c.reservations.number>>32 == uint64(c.View.Term) && t.holdsTo != c.reservations.number && name != c.Self {
-			r.Holds = &message.ReservationHolds{Number: c.reservations.number, List: c.reservations.List}
+		if c.reservations.holdsNumber != 0 && c.reservations.holdsNumber>>32 == uint64(c.View.Term) && t.holdsTo != c.reservations.holdsNumber && name != c.Self {
+			r.Holds = &message.ReservationHolds{Number: c.reservations.holdsNumber, List: c.reservations.List}
 		}
 		if same == nil {
-			r.Demand = c.demand()
+			r.Demand = c.placer.demand()
 		} else {
 			r.Demand = same.Demand
 		}
 		c.fillMachines(r, &t.machinesTo, same)
 		t.short = r.Handled == nil
-		c.fillJobs(r, &t.jobsTo)
+		c.jobs.fillJobs(r, &t.jobsTo)
 		c.Send(name, message.PeerMessage{Relay: r})
 		same = r
 	}
@@ -156,25 +156,25 @@
 		return // the rest goes with the next
 	}
 	r.Handled = map[protocol.NodeName]uint64{}
-	for name := range c.peers {
+	for name := range c.table.peers {
 		r.Handled[name] = c.dispatcher.HandledOf(name)
 	}
 }
 
-func (c *Core) fillJobs(r *message.StateUpdate, to *replication.Cursor) {
-	ids, upto := c.ownedChanges.Since(to.Next(), statesMost)
-	r.Jobs = replication.Range{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
+func (oj *ownedJobs) fillJobs(r *message.StateUpdate, to *replication.Cursor) {
+	ids, upto := oj.ownedChanges.Since(to.Next(), statesMost)
+	r.Jobs = replication.Range{Stream: uint64(oj.View.Term), From: to.Next(), Upto: upto}
 	to.Sent(upto)
 	for _, id := range ids {
-		if o := c.owner.jobs[id]; o != nil {
-			r.Progress = append(r.Progress, c.progressOf(o))
+		if o := oj.byID[id]; o != nil {
+			r.Progress = append(r.Progress, oj.progressOf(o))
 		}
 	}
 }
 
 // stateUpdated takes a peer's regular message.
 func (c *Core) stateUpdated(from protocol.NodeName, r *message.StateUpdate) {
-	p := c.peers[from]
+	p := c.table.peers[from]
 	if p == nil {
 		return
 	}
@@ -198,15 +198,15 @@
 		if r.Holds != nil && from != c.Self {
 			t.holdsFrom = r.Holds.Number
 			c.reservations.Listed = true
-			c.setHolds(r.Holds.List)
+			c.reservations.setHolds(r.Holds.List)
 		}
 		if t.machinesFrom.Accept(r.Machines) {
 			t.at = c.Now
 			for _, st := range r.States {
-				c.applyMachineState(from, p, st)
+				c.table.applyMachineState(from, p, st)
 			}
 			if r.Handled != nil {
-				c.counted(p, r.Handled)
+				c.table.counted(p, r.Handled)
 			}
 		}
 		if t.jobsFrom.Accept(r.Jobs) {
@@ -215,9 +215,9 @@
 			}
 		}
 	}
-	for _, o := range c.owner.jobs {
+	for _, o := range c.jobs.byID {
 		if o.notBefore <= c.Now && o.pending.Any() {
-			c.owner.placementDue = true
+			c.table.placementDue = true
 			break
 		}
 	}
@@ -228,11 +228,11 @@
 const earlyMost = 4096
 
 // applyMachineState takes a keeper's word on one of its machines.
-func (c *Core) applyMachineState(from protocol.NodeName, p *peer, st message.MachineState) {
-	m := c.machines[st.Machine]
+func (wt *waitTable) applyMachineState(from protocol.NodeName, p *peer, st message.MachineState) {
+	m := wt.machines[st.Machine]
 	switch {
 	case st.Epoch == 0:
-		if m != nil && c.DispatcherOf(m.ID) == from {
+		if m != nil && wt.DispatcherOf(m.ID) == from {
 			m.reportedBy = nil
 		}
 	case m == nil || st.Epoch > m.Epoch:
@@ -240,14 +240,14 @@
 		if len(p.updates.early) < earlyMost {
 			p.updates.early[st.Machine] = st
 		}
-	case st.Epoch == m.Epoch && c.DispatcherOf(m.ID) == from:
+	case st.Epoch == m.Epoch && wt.DispatcherOf(m.ID) == from:
 		if (m.reported.Closed || m.refused) && !st.Closed || m.reported.Epoch == 0 {
-			c.owner.placementDue = true
+			wt.placementDue = true
 		}
 		if st.Runs = withKnownRuns(m.reported.Runs, st.Runs); !st.Heard && m.reported.Epoch == m.Epoch {
 			st.Runs = m.reported.Runs // it has not heard the machine yet
 		}
-		m.reported, m.reportedBy, m.reportedAt, m.copiedWait, m.refused = st, p, c.Now, 0, false
+		m.reported, m.reportedBy, m.reportedAt, m.copiedWait, m.refused = st, p, wt.Now, 0, false
 		m.announcedUses = resource.Uses{}
 		message.AddLevelUses(&m.announcedUses, st.Uses)
 	}
@@ -255,20 +255,20 @@
 
 // applyEarlyState takes what the keeper of a machine said of it before its record
 // arrived here.
-func (c *Core) applyEarlyState(m *machineEntry) {
-	keeper := c.DispatcherOf(m.ID)
-	p := c.peers[keeper]
+func (wt *waitTable) applyEarlyState(m *machineEntry) {
+	keeper := wt.DispatcherOf(m.ID)
+	p := wt.peers[keeper]
 	if p == nil {
 		return
 	}
 	if st, ok := p.updates.early[m.ID]; ok && st.Epoch <= m.Epoch {
 		delete(p.updates.early, m.ID)
-		c.applyMachineState(keeper, p, st)
+		wt.applyMachineState(keeper, p, st)
 	}
 }
 
 // counted drops the announced placements that a keeper's word includes now.
-func (c *Core) counted(p *peer, handled map[protocol.NodeName]uint64) {
+func (wt *waitTable) counted(p *peer, handled map[protocol.NodeName]uint64) {
 	for owner, n := range handled {
 		p.updates.handled[owner] = max(p.updates.handled[owner], n)
 	}
@@ -286,8 +286,8 @@
 
 // recent reports whether what is known of a machine is its keeper's word in this
 // term, and that word is no older than so long.
-func (c *Core) recent(m *machineEntry, d time.Duration) bool {
-	return m.reportedBy != nil && m.reportedBy == c.peers[c.DispatcherOf(m.ID)] && c.Since(m.reportedBy.updates.at) <= d
+func (wt *waitTable) recent(m *machineEntry, d time.Duration) bool {
+	return m.reportedBy != nil && m.reportedBy == wt.peers[wt.DispatcherOf(m.ID)] && wt.Since(m.reportedBy.updates.at) <= d
 }
 
 // equalAllotment is this controller's part of the state service's rates before
--- a/internal/controller/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -152,7 +152,7 @@
 			if p.number > lastIncluded {
 				open[p.number] = p
 			}
-			c.addWaits("node-1", &message.WaitsAdded{Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
+			c.table.addWaits("node-1", &message.WaitsAdded{Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
 				Waits: []message.WaitChange{{Machine: p.id, Add: p.add, Taken: []message.LevelUse{{CPUs: 1}}}}})
 		}
 		handle := func() {
@@ -169,7 +169,7 @@
 			r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: to.Next(), Upto: upto}}
 			to.Sent(upto)
 			for _, id := range ids {
-				r.States = append(r.States, message.MachineState{Machine: id, Epoch: c.machines[id].Epoch, Wait: waits[id]})
+				r.States = append(r.States, message.MachineState{Machine: id, Epoch: c.table.machines[id].Epoch, Wait: waits[id]})
 			}
 			if upto == log.Version() {
 				r.Handled = map[protocol.NodeName]uint64{"node-1": handled}
@@ -179,7 +179,7 @@
 		hear := func() {
 			r := word[0]
 			word = word[1:]
-			before := c.peers["node-2"].updates.machinesFrom
+			before := c.table.peers["node-2"].updates.machinesFrom
 			c.stateUpdated("node-2", r)
 			if before.Accept(r.Machines) && r.Handled != nil {
 				lastIncluded = max(lastIncluded, r.Handled["node-1"])
@@ -196,7 +196,7 @@
 				want[p.id] += p.add
 			}
 			for _, id := range ids {
-				if got := c.machines[id].pendingSum; got != want[id] {
+				if got := c.table.machines[id].pendingSum; got != want[id] {
 					t.Fatalf("%s: %v announced, want %v", id, got, want[id])
 				}
 			}
@@ -229,7 +229,7 @@
 				if len(word) > 0 && rapid.Bool().Draw(t, "lost") {
 					word = word[1:]
 				}
-				to.Acknowledged(c.peers["node-2"].updates.machinesFrom.Have())
+				to.Acknowledged(c.table.peers["node-2"].updates.machinesFrom.Have())
 			}
 			check()
 		}
@@ -240,7 +240,7 @@
 			handle()
 		}
 		for range 20 {
-			to.Acknowledged(c.peers["node-2"].updates.machinesFrom.Have())
+			to.Acknowledged(c.table.peers["node-2"].updates.machinesFrom.Have())
 			say()
 			for len(word) > 0 {
 				hear()
@@ -248,7 +248,7 @@
 			check()
 		}
 		for _, id := range ids {
-			if m := c.machines[id]; m.wait() != waits[id] || len(m.pendingWaits) > 0 {
+			if m := c.table.machines[id]; m.wait() != waits[id] || len(m.pendingWaits) > 0 {
 				t.Fatalf("%s: wait %v with %d still announced, its keeper says %v", id, m.wait(), len(m.pendingWaits), waits[id])
 			}
 		}
@@ -264,12 +264,12 @@
 		{Machine: id, Epoch: b.version + 1, FreeCPUs: 3, FreeGB: 3, Heard: true},
 	}})
 	b.machine(id, 1)
-	m := b.c.machines[id]
-	if m.free().CPUs != 3 || !b.c.recent(m, time.Minute) {
+	m := b.c.table.machines[id]
+	if m.free().CPUs != 3 || !b.c.table.recent(m, time.Minute) {
 		t.Errorf("room %+v, told %+v", m.free(), m.reported)
 	}
 	b.view(2, "node-0", "node-1")
-	if b.c.recent(m, time.Minute) {
+	if b.c.table.recent(m, time.Minute) {
 		t.Error("a word of an earlier term counts as recent")
 	}
 }
@@ -281,14 +281,14 @@
 	b := newBench(t, "node-1")
 	b.zoned("a", 300, false, resource.Uses{})
 	b.zoned("b", 300, false, resource.Uses{})
-	o := b.c.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
+	o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
 	o.loaded = true
 	i := uint32(0)
-	for _, m := range b.c.machinesInOrder() {
+	for _, m := range b.c.table.machinesInOrder() {
 		if m.Record.Zone == "b" { // full, and more waits there
 			m.reported.FreeCPUs, m.reported.Queued = 0, 12
 			for range 12 {
-				b.c.placeAttempt(o, i, m, 1)
+				b.c.placer.placeAttempt(o, i, m, 1)
 				i++
 			}
 		}
@@ -296,12 +296,12 @@
 	var sizes []int
 	moved := func(after protocol.MachineID) {
 		before := movingOf(o)
-		b.c.rebalance(after)
+		b.c.placer.rebalance(after)
 		sizes = append(sizes, movingOf(o)-before)
 	}
 	moved("")
-	for b.c.rebalancedUpTo != "" && len(sizes) < 9 {
-		moved(b.c.rebalancedUpTo)
+	for b.c.placer.rebalancedUpTo != "" && len(sizes) < 9 {
+		moved(b.c.placer.rebalancedUpTo)
 	}
 	total := 0
 	for _, n := range sizes {
--- a/internal/controller/reservation/decide.go
+++ b/internal/controller/reservation/decide.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
@@ -185,7 +185,7 @@
 	if a := withinTeam(s, others, f); !a.OK {
 		return a
 	}
-	p := autoscaler.New(f.Types, slotsBeside(windows, f), nil)
+	p := binpack.New(f.Types, slotsBeside(windows, f), nil)
 	for _, e := range others {
 		p.Fill(workOf(&e.Reservation.Spec), e.Reservation.Spec.Tasks)
 	}
@@ -239,8 +239,8 @@
 const unbounded = 1 << 20
 
 // slotsBeside is the room there can be while windows are open.
-func slotsBeside(windows []*Entry, f *Facts) []autoscaler.Slot {
-	var slots []autoscaler.Slot
+func slotsBeside(windows []*Entry, f *Facts) []binpack.Slot {
+	var slots []binpack.Slot
 	for _, name := range slices.Sorted(maps.Keys(f.Types)) {
 		t := f.Types[name]
 		most, known := f.Most[name]
@@ -262,15 +262,15 @@
 					}
 				}
 			}
-			slots = append(slots, autoscaler.Fresh(t, autoscaler.Kind{Type: name, Zone: z}, max(0, n)))
+			slots = append(slots, binpack.Fresh(t, binpack.Kind{Type: name, Zone: z}, max(0, n)))
 		}
 	}
 	return slots
 }
 
 // workOf is a reservation's tasks as a plan reckons with them.
-func workOf(s *record.ReservationSpec) autoscaler.Work {
-	return autoscaler.Work{
+func workOf(s *record.ReservationSpec) binpack.Work {
+	return binpack.Work{
 		Need: Size(s), Level: resource.LevelOf(s.Priority, false), OneZone: s.OneZone && s.Zone == "",
 		Allows: func(t protocol.TypeInfo, z protocol.Zone, spot bool) bool { return Allows(s, t, z, spot) },
 	}
@@ -302,7 +302,7 @@
 func (b *Calendar) broken(trial *Entry, active []Occurrence, f *Facts) (names []Name) {
 	windows, others := b.entriesOf(active)
 	windows = slices.DeleteFunc(windows, func(e *Entry) bool { return e.Name() == trial.Name() })
-	before, with := autoscaler.New(f.Types, slotsBeside(windows, f), nil), autoscaler.New(f.Types, slotsBeside(append(windows, trial), f), nil)
+	before, with := binpack.New(f.Types, slotsBeside(windows, f), nil), binpack.New(f.Types, slotsBeside(append(windows, trial), f), nil)
 	for _, e := range others {
 		s := &e.Reservation.Spec
 		if before.Fill(workOf(s), s.Tasks) < with.Fill(workOf(s), s.Tasks) {
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -5,42 +5,40 @@
 	"time"
 
 	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 )
 
-// reservationState is what a controller reckons of the calendar as an owner, and as the
+// reservationHolds is what a controller reckons of the calendar as an owner, and as the
 // one that chooses where room is held.
-type reservationState struct {
+type reservationHolds struct {
+	clusterstate.Module
 	*clusterstate.Reservations
+	table      *waitTable
+	jobs       *ownedJobs
+	dispatcher *dispatcher.Dispatcher
 
-	written Time // when the list was last written
-	stale   bool // it has changed since
+	holdsWrittenAt Time // when the list was last written
+	holdsStale     bool // it has changed since
 	// heldVersion is that of the list in the records, as followed.
 	heldVersion protocol.Version
-	number      uint64 // of the list, by the controller that chose it
-	teams       map[protocol.Team][]teamClaim
+	holdsNumber uint64 // of the list, by the controller that chose it
+	teamClaims  map[protocol.Team][]teamClaim
 
-	// byClass are the live jobs of the classes that something is due for within
+	// liveByClass are the live jobs of the classes that something is due for within
 	// windowsAhead, as of the last relay period.
-	byClass map[string][]*clusterstate.LiveJob
-	seen    map[reservation.Name]*seenJob
-	demands []reservation.Demand               // as last chosen for
-	short   map[reservation.Name]int           // tasks that no sure room is held for, as last chosen
-	missing map[reservation.Name]int           // of these, unlikely to have any in time
-	zones   map[reservation.Name]protocol.Zone // where one that needs one zone is held
-	risk    map[reservation.Name]string        // of the present occurrences
-	swept   Time                               // when all reservations were last looked at
-	write   map[reservation.Name]bool          // transactions under way
+	liveByClass map[string][]*clusterstate.LiveJob
+	seenJobs    map[reservation.Name]*seenJob
 }
 
 // teamClaim is what of a team's limit is promised from a time on.
 type teamClaim struct {
-	of   reservation.Name
-	need resource.Amount
-	from reservation.Moment
+	reservation reservation.Name
+	need        resource.Amount
+	from        reservation.Moment
 }
 
 // seenJob is what was seen of the jobs of one occurrence that are over.
@@ -49,16 +47,17 @@
 	tasks int
 }
 
-func newReservationState(p *clusterstate.Reservations) reservationState {
-	return reservationState{
-		Reservations: p, seen: map[reservation.Name]*seenJob{}, short: map[reservation.Name]int{}, zones: map[reservation.Name]protocol.Zone{},
-		risk: map[reservation.Name]string{}, write: map[reservation.Name]bool{},
+// reset forgets everything a session knew.
+func (rh *reservationHolds) reset() {
+	*rh = reservationHolds{
+		Module: rh.Module, Reservations: rh.State.Reservations, table: rh.table, jobs: rh.jobs, dispatcher: rh.dispatcher,
+		seenJobs: map[reservation.Name]*seenJob{},
 	}
 }
 
 // calendarRecord takes over a record of the calendar.
-func (c *Core) calendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
-	pr := &c.reservations
+func (rh *reservationHolds) calendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
+	pr := rh
 	switch {
 	case f.Calendar:
 		var r record.Calendar
@@ -67,50 +66,50 @@
 	case f.Reservation != "":
 		var r record.Reservation
 		if err = protocol.Decode(value, &r); err == nil {
-			err = pr.Calendar.PutReservation(r, version, c.WallTime())
+			err = pr.Calendar.PutReservation(r, version, rh.WallTime())
 			if r.State != record.Accepted && r.State != record.Holding {
-				c.dropHolds(r.Spec.Name)
+				rh.dropHolds(r.Spec.Name)
 			}
 		}
 	case f.Window != "":
 		var w record.Window
 		if err = protocol.Decode(value, &w); err == nil {
-			err = pr.Calendar.PutWindow(w, version, c.WallTime())
+			err = pr.Calendar.PutWindow(w, version, rh.WallTime())
 		}
 	}
-	c.reservationsChanged()
+	rh.reservationsChanged()
 	return err
 }
 
 // calendarDeleted takes over that a record was deleted.
-func (c *Core) calendarDeleted(f record.FollowedKey) {
+func (rh *reservationHolds) calendarDeleted(f record.FollowedKey) {
 	if f.Reservation != "" {
-		c.reservations.Calendar.Drop(false, f.Reservation)
-		c.dropHolds(f.Reservation)
+		rh.Calendar.Drop(false, f.Reservation)
+		rh.dropHolds(f.Reservation)
 	} else {
-		c.reservations.Calendar.Drop(true, f.Window)
+		rh.Calendar.Drop(true, f.Window)
 	}
-	c.reservationsChanged()
+	rh.reservationsChanged()
 }
 
 // dropHolds frees at once what was held for a reservation that is over: a controller
 // that hears of that before the next list does not wait for it.
-func (c *Core) dropHolds(n reservation.Name) {
+func (rh *reservationHolds) dropHolds(n reservation.Name) {
 	held := func(h reservation.Hold) bool { return h.For == n }
-	if slices.ContainsFunc(c.reservations.List, held) {
-		c.setHolds(slices.DeleteFunc(slices.Clone(c.reservations.List), held))
+	if slices.ContainsFunc(rh.List, held) {
+		rh.setHolds(slices.DeleteFunc(slices.Clone(rh.List), held))
 	}
 }
 
 // reservationsChanged notes whether there is anything in the book. What machines
 // run is told from then on.
-func (c *Core) reservationsChanged() {
-	is := !c.reservations.Calendar.Empty()
-	if is == c.reservations.Any {
+func (rh *reservationHolds) reservationsChanged() {
+	is := !rh.Calendar.Empty()
+	if is == rh.Any {
 		return
 	}
-	c.reservations.Any = is
-	c.dispatcher.TouchAll()
+	rh.Any = is
+	rh.dispatcher.TouchAll()
 }
 
 // windowsAhead is for how long ahead windows are looked at when something is
@@ -118,24 +117,24 @@
 const windowsAhead = 24 * time.Hour
 
 // refreshReservations reckons once a relay period what is open, held and claimed now.
-func (c *Core) refreshReservations() {
-	pr := &c.reservations
+func (rh *reservationHolds) refreshReservations() {
+	pr := rh
 	if !pr.Any && len(pr.List) == 0 {
 		return
 	}
-	now, off := c.WallTime(), c.Settings.Site.ClockError()
+	now, off := rh.WallTime(), rh.Settings.Site.ClockError()
 	pr.Calendar.Extend(now)
-	pr.Windows, pr.teams = nil, map[protocol.Team][]teamClaim{}
+	pr.Windows, pr.teamClaims = nil, map[protocol.Team][]teamClaim{}
 	soon := pr.Calendar.Overlapping(reservation.After(now, -2*off), reservation.After(now, windowsAhead))
-	pr.byClass = map[string][]*clusterstate.LiveJob{}
+	pr.liveByClass = map[string][]*clusterstate.LiveJob{}
 	for _, o := range soon {
 		if !o.Window {
-			pr.byClass[pr.Calendar.Reservation(o.Name).Reservation.Spec.Class] = nil
+			pr.liveByClass[pr.Calendar.Reservation(o.Name).Reservation.Spec.Class] = nil
 		}
 	}
-	for _, l := range c.Live {
-		if _, asked := pr.byClass[l.Class]; asked {
-			pr.byClass[l.Class] = append(pr.byClass[l.Class], l)
+	for _, l := range rh.Live {
+		if _, asked := pr.liveByClass[l.Class]; asked {
+			pr.liveByClass[l.Class] = append(pr.liveByClass[l.Class], l)
 		}
 	}
 	for _, o := range soon {
@@ -144,53 +143,53 @@
 		}
 	}
 	for _, e := range pr.Calendar.Due(reservation.After(now, -2*off), reservation.After(now, windowsAhead)) {
-		c.claimLimit(e)
+		rh.claimLimit(e)
 	}
-	c.computeReserved()
+	rh.computeReserved()
 }
 
 // computeReserved reckons what of each machine's room is held now.
-func (c *Core) computeReserved() {
-	now := c.WallTime()
-	for _, m := range c.machines {
-		m.reserved = clusterstate.ReservedBy(c.reservations.Holds[m.ID], now)
+func (rh *reservationHolds) computeReserved() {
+	now := rh.WallTime()
+	for _, m := range rh.table.machines {
+		m.reserved = clusterstate.ReservedBy(rh.Holds[m.ID], now)
 	}
 }
 
 // claimLimit notes what of its team's limit a reservation claims, as far as it
 // has not been used.
-func (c *Core) claimLimit(e *reservation.Entry) {
+func (rh *reservationHolds) claimLimit(e *reservation.Entry) {
 	s := &e.Reservation.Spec
-	if !e.Active() || !c.Limited(s.Team) {
+	if !e.Active() || !rh.Limited(s.Team) {
 		return
 	}
-	_, wanted, started := c.jobsOf(e)
+	_, wanted, started := rh.jobsOf(e)
 	if n := float64(wanted - started); n > 0 {
-		c.reservations.teams[s.Team] = append(c.reservations.teams[s.Team], teamClaim{s.Name, reservation.Size(s).Times(n), e.StartMS})
+		rh.teamClaims[s.Team] = append(rh.teamClaims[s.Team], teamClaim{s.Name, reservation.Size(s).Times(n), e.StartMS})
 	}
 }
 
 // jobsOf is what became of the jobs of a reservation's present occurrence:
 // whether one came, and how many of the tasks that are within it have started.
-func (c *Core) jobsOf(e *reservation.Entry) (came bool, wanted, started int) {
+func (rh *reservationHolds) jobsOf(e *reservation.Entry) (came bool, wanted, started int) {
 	wanted = e.Reservation.Spec.Tasks
 	tasks := 0
-	if s := c.reservations.seen[e.Reservation.Spec.Name]; s != nil && s.start == e.StartMS {
+	if s := rh.seenJobs[e.Reservation.Spec.Name]; s != nil && s.start == e.StartMS {
 		came, tasks, started = true, s.tasks, s.tasks
 	}
 	each := func(l *clusterstate.LiveJob) {
 		if reservation.Matches(e.Reservation, &l.Job) {
-			g, _ := c.JobProgress(l.ID)
+			g, _ := rh.jobs.JobProgress(l.ID)
 			came, tasks, started = true, tasks+int(l.Tasks), started+int(g.Done+g.Running)
 		}
 	}
 	if id := e.Reservation.Spec.Job; id != "" {
-		if l := c.Live[id]; l != nil {
+		if l := rh.Live[id]; l != nil {
 			each(l)
 		}
 	} else {
-		for _, l := range c.reservations.byClass[e.Reservation.Spec.Class] {
-			if c.Live[l.ID] == l {
+		for _, l := range rh.liveByClass[e.Reservation.Spec.Class] {
+			if rh.Live[l.ID] == l {
 				each(l)
 			}
 		}
@@ -202,19 +201,19 @@
 }
 
 // reservedJobOver remembers a job of a reservation that is over.
-func (c *Core) reservedJobOver(l *clusterstate.LiveJob) {
-	if !c.reservations.Any || l == nil {
+func (rh *reservationHolds) reservedJobOver(l *clusterstate.LiveJob) {
+	if !rh.Any || l == nil {
 		return
 	}
-	now := c.WallTime()
-	for _, e := range c.reservations.Calendar.Due(reservation.After(now, -time.Minute), reservation.After(now, time.Hour)) {
+	now := rh.WallTime()
+	for _, e := range rh.Calendar.Due(reservation.After(now, -time.Minute), reservation.After(now, time.Hour)) {
 		if !reservation.Matches(e.Reservation, &l.Job) {
 			continue
 		}
-		s := c.reservations.seen[e.Name()]
+		s := rh.seenJobs[e.Name()]
 		if s == nil || s.start != e.StartMS {
 			s = &seenJob{start: e.StartMS}
-			c.reservations.seen[e.Name()] = s
+			rh.seenJobs[e.Name()] = s
 		}
 		s.tasks += int(l.Tasks)
 	}
--- a/internal/controller/runtimes.go
+++ b/internal/controller/runtimes.go
@@ -4,11 +4,11 @@
 // that ran before may have saved its progress, and one taken over may have run
 // for long unseen: they tell nothing. Counted as short, the latter made all
 // others seem late after each takeover, and their machines slow.
-func (c *Core) recordRunTime(o *ownedJob, t *attempt) {
+func (oj *ownedJobs) recordRunTime(o *ownedJob, t *attempt) {
 	if !t.running || t.startUnseen || o.retry.Test(uint(t.task.Index)) {
 		return
 	}
-	o.runTimes.Note(c.Since(t.runningSince).Seconds(), c.rng)
+	o.runTimes.Note(oj.Since(t.runningSince).Seconds(), oj.rng)
 }
 
 // usual is how long half of a job's tasks run at the most, once that is known.
@@ -16,9 +16,9 @@
 
 // estimateOf is a task's expected run time: what the job's other tasks took,
 // once enough of them are done, and before that its owner's estimate.
-func (c *Core) estimateOf(o *ownedJob) float64 {
+func (oj *ownedJobs) estimateOf(o *ownedJob) float64 {
 	if s, ok := o.usual(); ok {
 		return s
 	}
-	return c.Estimate(&o.Job)
+	return oj.Estimate(&o.Job)
 }
