--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -60,75 +60,75 @@
 }
 
 // watchRun has a task that runs looked at when it should be done.
-func (c *Core) watchRun(o *ownedJob, t *attempt) {
+func (oj *ownedJobs) watchRun(o *ownedJob, t *attempt) {
 	if o.Kind == protocol.KindJobArray {
-		heap.Push(&c.owner.runWatch, runDeadline{t.runningSince + lateThreshold(c.estimateOf(o)), t})
+		heap.Push(&oj.runWatch, runDeadline{t.runningSince + lateThreshold(oj.estimateOf(o)), t})
 	}
 }
 
 // watchSlow looks at the tasks that run longer than the others of their job,
 // and gives up the machines of which several do.
-func (c *Core) watchSlow() {
-	h := &c.owner.runWatch
+func (oj *ownedJobs) watchSlow() {
+	h := &oj.runWatch
 	for range slowChecks {
-		if len(*h) == 0 || (*h)[0].at > c.Now {
+		if len(*h) == 0 || (*h)[0].at > oj.Now {
 			return
 		}
 		t := heap.Pop(h).(runDeadline).t
-		o := c.owner.jobs[t.task.Job]
-		m := c.machines[t.machine]
+		o := oj.byID[t.task.Job]
+		m := oj.table.machines[t.machine]
 		if o == nil || o.placed[t.task] != t || !t.running || t.stopping || m == nil || m.Epoch != t.epoch {
 			continue
 		}
 		usual, ok := o.usual()
 		switch late := t.runningSince + lateThreshold(usual); {
-		case !ok || c.owner.awaitedInventories[m.ID] || !c.recent(m, 3*c.Op.RelayEvery) || m.reported.Silence != message.SilenceNone:
-			heap.Push(h, runDeadline{c.After(5 * time.Second), t}) // nothing can be said yet
-		case late > c.Now:
+		case !ok || oj.awaitedInventories[m.ID] || !oj.table.recent(m, 3*oj.Op.RelayEvery) || m.reported.Silence != message.SilenceNone:
+			heap.Push(h, runDeadline{oj.After(5 * time.Second), t}) // nothing can be said yet
+		case late > oj.Now:
 			heap.Push(h, runDeadline{late, t})
 		default:
 			// One that goes on for far too long speaks for itself: it counts
 			// once more then.
-			if again := t.runningSince + lateThreshold(slowFactor*usual); again > c.Now {
+			if again := t.runningSince + lateThreshold(slowFactor*usual); again > oj.Now {
 				heap.Push(h, runDeadline{again, t})
 			}
-			c.countLateRun(m)
+			oj.countLateRun(m)
 		}
 	}
 }
 
 // countLateRun counts a task that runs too long against its machine.
-func (c *Core) countLateRun(m *machineEntry) {
-	if c.Since(m.lastLateRun) > slowMemory {
+func (oj *ownedJobs) countLateRun(m *machineEntry) {
+	if oj.Since(m.lastLateRun) > slowMemory {
 		m.lateRuns = 0
 	}
-	m.lateRuns, m.lastLateRun = m.lateRuns+1, c.Now
+	m.lateRuns, m.lastLateRun = m.lateRuns+1, oj.Now
 	if m.lateRuns < slowTasks || m.reported.Draining {
 		return
 	}
 	draining := 0
-	for _, other := range c.machines {
+	for _, other := range oj.table.machines {
 		if other.reported.Draining {
 			draining++
 		}
 	}
-	if draining*slowTaskFraction > len(c.machines) {
+	if draining*slowTaskFraction > len(oj.table.machines) {
 		return
 	}
 	m.reported.Draining = true // at once, though its keeper has not said so yet
-	c.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
-	c.Send(c.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
+	oj.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
+	oj.Send(oj.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
 	for _, t := range ordered.Tasks(m.ownAttempts) {
-		if o := c.owner.jobs[t.task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
-			c.sendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
+		if o := oj.byID[t.task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
+			oj.sendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
 		}
 	}
 }
 
 // clearLateRuns takes back what was held against a machine.
-func (c *Core) clearLateRuns(o *ownedJob, t *attempt) {
-	if m := c.machines[t.machine]; m != nil && t.running {
-		if usual, ok := o.usual(); ok && !t.startUnseen && c.Since(t.runningSince).Seconds() < usual {
+func (oj *ownedJobs) clearLateRuns(o *ownedJob, t *attempt) {
+	if m := oj.table.machines[t.machine]; m != nil && t.running {
+		if usual, ok := o.usual(); ok && !t.startUnseen && oj.Since(t.runningSince).Seconds() < usual {
 			m.lateRuns = 0
 		}
 	}
--- a/internal/controller/spot.go
+++ b/internal/controller/spot.go
@@ -12,35 +12,35 @@
 const mostStretch = 0.1
 
 // recordSpotLoss counts a machine whose record went as taken, if it looks so.
-func (c *Core) recordSpotLoss(m *machineEntry) {
+func (wl *workload) recordSpotLoss(m *machineEntry) {
 	if m.Record.Spot && !m.reported.Draining && (m.reported.Noticed || m.reported.Silence == message.SilenceLong) {
-		c.spots.Lost()
+		wl.spots.Lost()
 	}
 }
 
 // watchSpots counts the spot machines once a relay.
-func (c *Core) watchSpots() {
-	c.spots.Watch(c.spotsUp, c.Op.RelayEvery)
+func (wl *workload) watchSpots() {
+	wl.spots.Watch(wl.table.spotsUp, wl.Op.RelayEvery)
 }
 
 // spotStretch is by which part one spot machine lengthens a gang that runs on
 // it: each time it is taken, all tasks go back to their last checkpoint and
 // wait for another machine. An array loses one task only, which counts little.
-func (c *Core) spotStretch(j *protocol.Job) float64 {
+func (wl *workload) spotStretch(j *protocol.Job) float64 {
 	if j.Kind != protocol.KindGang || j.Tasks < 2 {
 		return 0
 	}
-	lost := c.Estimate(j) / 2
+	lost := wl.Estimate(j) / 2
 	if j.CheckpointS > 0 {
 		lost = math.Min(lost, j.CheckpointS/2)
 	}
-	if up := c.upS(j); !math.IsInf(up, 1) {
+	if up := wl.upS(j); !math.IsInf(up, 1) {
 		lost += up
 	}
-	return c.spots.Rate() * lost
+	return wl.spots.Rate() * lost
 }
 
 // risky reports whether spot machines are to be avoided for a job.
-func (c *Core) risky(j *protocol.Job) bool {
-	return c.spotStretch(j)*float64(j.Tasks) > mostStretch
+func (wl *workload) risky(j *protocol.Job) bool {
+	return wl.spotStretch(j)*float64(j.Tasks) > mostStretch
 }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -18,10 +18,12 @@
 	c.members.Adopt(v, version)
 	c.registrar.Adopted()
 	c.dispatcher.TermAdopted()
-	c.adoptPeers(v)
+	c.table.adoptPeers(v)
 	c.dispatcher.ForgetOwners(old)
 	if !c.Member() {
-		c.owner = newOwnerState()
+		c.jobs.drop()
+		c.placer.forgetSearches()
+		c.table.placementDue = false
 		c.dispatcher.DropAll()
 		c.Log.Info("not in the view", "term", v.Term)
 		return
@@ -29,29 +31,29 @@
 	c.Log.Info("new term", "term", v.Term, "members", len(v.Members))
 	keeps := consecutive && wasMember
 	c.dispatcher.Adopt(old, keeps)
-	c.adoptJobs(old, keeps)
+	c.jobs.adoptJobs(old, keeps)
 	c.beginUpdates()
 	c.dispatcher.BeginInventories()
 	if !wasMember {
-		c.askTables()
+		c.table.askTables()
 	}
 	c.autoscaler.adopted(c.Now)
 }
 
-func (c *Core) adoptPeers(v record.View) {
+func (wt *waitTable) adoptPeers(v record.View) {
 	replaced := map[protocol.NodeName]bool{}
-	for name, p := range c.peers {
+	for name, p := range wt.peers {
 		replaced[name] = v.Members[name] != p.session
 	}
-	for name, p := range c.peers {
-		c.dropPendingWaits(name, p, replaced)
+	for name, p := range wt.peers {
+		wt.dropPendingWaits(name, p, replaced)
 		if replaced[name] {
-			delete(c.peers, name)
+			delete(wt.peers, name)
 		}
 	}
 	for name, session := range v.Members {
-		if c.peers[name] == nil {
-			c.peers[name] = &peer{session: session, progress: map[protocol.JobID]message.Progress{}, updates: newPeerUpdates()}
+		if wt.peers[name] == nil {
+			wt.peers[name] = &peer{session: session, progress: map[protocol.JobID]message.Progress{}, updates: newPeerUpdates()}
 		}
 	}
 }
@@ -64,17 +66,17 @@
 	case m.Stop != nil:
 		c.dispatcher.Stop(*m.Stop)
 	case m.Event != nil:
-		c.taskEvent(*m.Event)
+		c.jobs.taskEvent(*m.Event)
 	case m.Released != nil:
 		for _, ref := range m.Released {
-			c.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
+			c.jobs.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
 		}
 	case m.Forget != nil:
 		c.dispatcher.Forget(*m.Forget)
 	case m.Inventory != nil:
-		c.inventory(from, m.Inventory)
+		c.jobs.inventory(from, m.Inventory)
 	case m.Added != nil:
-		c.addWaits(from, m.Added)
+		c.table.addWaits(from, m.Added)
 	case m.Relay != nil:
 		c.stateUpdated(from, m.Relay)
 	case m.Drain != nil:
@@ -82,15 +84,15 @@
 	case m.Record != nil:
 		c.registrar.RequestChange(from, *m.Record)
 	case m.Done != nil:
-		c.completedBefore(m.Done)
+		c.jobs.completedBefore(m.Done)
 	case m.Move != nil:
 		c.dispatcher.HandOver(m.Move)
 	case m.Hand != nil:
 		c.dispatcher.ReceiveHandover(m.Hand)
 	case m.AskTable:
-		c.sendTable(from)
+		c.table.sendTable(from)
 	case m.Table != nil:
-		c.fillTable(m.Table)
+		c.table.fillTable(m.Table)
 	}
 }
 
@@ -110,7 +112,8 @@
 		}
 	}
 	if len(changed) > 0 {
-		c.shardsMoved(changed)
+		c.jobs.shardsMoved(changed)
+		c.table.tableShardsMoved(changed)
 	}
 	c.dispatcher.AdoptShards(old)
 }
--- a/internal/controller/waits.go
+++ b/internal/controller/waits.go
@@ -7,6 +7,13 @@
 	"damsonkeel/internal/protocol"
 )
 
+// forgetProgress drops what peers told of a job that is over.
+func (wt *waitTable) forgetProgress(id protocol.JobID) {
+	for _, p := range wt.peers {
+		delete(p.progress, id)
+	}
+}
+
 // pendingWait is a placement, or what placing has added to a machine at once, that
 // has been announced and that the machine's keeper has not counted yet.
 type pendingWait struct {
@@ -18,8 +25,8 @@
 }
 
 // addPendingWait counts an announced placement until its keeper's word includes it.
-func (c *Core) addPendingWait(m *machineEntry, w pendingWait) {
-	p := c.peers[c.DispatcherOf(m.ID)]
+func (wt *waitTable) addPendingWait(m *machineEntry, w pendingWait) {
+	p := wt.peers[wt.DispatcherOf(m.ID)]
 	if p == nil {
 		return
 	}
@@ -48,18 +55,18 @@
 
 // addWaits takes another controller's placements into the table, unless it
 // holds their keeper's word on them already: messages of two peers may cross.
-func (c *Core) addWaits(from protocol.NodeName, a *message.WaitsAdded) {
-	if a.Term != c.View.Term {
+func (wt *waitTable) addWaits(from protocol.NodeName, a *message.WaitsAdded) {
+	if a.Term != wt.View.Term {
 		return // its keeper refuses them, or has told of them in this term
 	}
 	for _, w := range a.Waits {
-		m := c.machines[w.Machine]
+		m := wt.machines[w.Machine]
 		if m == nil {
 			continue
 		}
-		keeper := c.DispatcherOf(m.ID)
+		keeper := wt.DispatcherOf(m.ID)
 		n := a.Numbers[keeper]
-		if p := c.peers[keeper]; p == nil || n <= p.updates.handled[from] {
+		if p := wt.peers[keeper]; p == nil || n <= p.updates.handled[from] {
 			continue
 		}
 		for i, u := range w.Taken {
@@ -67,7 +74,7 @@
 			if i == 0 {
 				add = w.Add
 			}
-			c.addPendingWait(m, pendingWait{from, n, add, resource.Level(u.Level), resource.Amount{CPUs: u.CPUs, GPUs: u.GPUs, GB: u.GB}})
+			wt.addPendingWait(m, pendingWait{from, n, add, resource.Level(u.Level), resource.Amount{CPUs: u.CPUs, GPUs: u.GPUs, GB: u.GB}})
 		}
 	}
 }
@@ -79,21 +86,21 @@
 }
 
 // sendWaits tells every peer, in one message, what placing a job has added.
-func (c *Core) sendWaits(added map[protocol.MachineID]*ownWaits) {
+func (wt *waitTable) sendWaits(added map[protocol.MachineID]*ownWaits) {
 	if len(added) == 0 {
 		return
 	}
-	a := &message.WaitsAdded{Term: c.View.Term, Numbers: map[protocol.NodeName]uint64{}}
+	a := &message.WaitsAdded{Term: wt.View.Term, Numbers: map[protocol.NodeName]uint64{}}
 	for id, w := range ordered.Of(added) {
 		a.Waits = append(a.Waits, message.WaitChange{Machine: id, Add: w.add, Taken: message.LevelUses(&w.taken)})
-		keeper := c.DispatcherOf(id)
-		if p := c.peers[keeper]; p != nil {
+		keeper := wt.DispatcherOf(id)
+		if p := wt.peers[keeper]; p != nil {
 			a.Numbers[keeper] = p.placed
 		}
 	}
-	for name := range ordered.Of(c.peers) {
-		if name != c.Self {
-			c.Send(name, message.PeerMessage{Added: a})
+	for name := range ordered.Of(wt.peers) {
+		if name != wt.Self {
+			wt.Send(name, message.PeerMessage{Added: a})
 		}
 	}
 }
@@ -103,18 +110,18 @@
 
 // demand lists the work of owned jobs that has not started and may start now.
 // What a team's limit holds back is none.
-func (c *Core) demand() []message.Demand {
-	usage := c.teamUsage()
+func (pl *placer) demand() []message.Demand {
+	usage := pl.jobs.teamUsage()
 	var ds []message.Demand
-	for _, o := range c.jobsInOrder() {
-		if !o.loaded || o.unverified || o.notBefore > c.Now {
+	for _, o := range pl.jobs.jobsInOrder() {
+		if !o.loaded || o.unverified || o.notBefore > pl.Now {
 			continue
 		}
-		n := c.mayStart(o, usage, min(o.mayTry(int(o.pending.Count())), demandMost))
-		c.addUse(o, usage, n)
+		n := pl.mayStart(o, usage, min(o.mayTry(int(o.pending.Count())), demandMost))
+		pl.jobs.addUse(o, usage, n)
 		n += o.waiting
 		if n > 0 {
-			ds = append(ds, message.Demand{Job: o.ID, Zone: o.boundZone(), Unstarted: n, Level: int(o.level), EstimateS: c.estimateOf(o), OldestS: c.Since(o.since).Seconds()})
+			ds = append(ds, message.Demand{Job: o.ID, Zone: o.boundZone(), Unstarted: n, Level: int(o.level), EstimateS: pl.jobs.estimateOf(o), OldestS: pl.Since(o.since).Seconds()})
 		}
 	}
 	return ds
@@ -129,72 +136,72 @@
 
 // askTables has a restarted controller look for a table: it asks two peers, at
 // random, and two more after each wait in vain.
-func (c *Core) askTables() {
-	c.tableCopy = tableCopy{}
-	for name := range ordered.Of(c.peers) {
-		if name != c.Self {
-			c.tableCopy.left = append(c.tableCopy.left, name)
+func (wt *waitTable) askTables() {
+	wt.tableCopy = tableCopy{}
+	for name := range ordered.Of(wt.peers) {
+		if name != wt.Self {
+			wt.tableCopy.left = append(wt.tableCopy.left, name)
 		}
 	}
-	l := c.tableCopy.left
-	c.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-	c.askMoreTables()
+	l := wt.tableCopy.left
+	wt.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
+	wt.askMoreTables()
 }
 
-func (c *Core) askMoreTables() {
-	if c.tableCopy.got || len(c.tableCopy.left) == 0 || c.tableCopy.asked != 0 && c.Since(c.tableCopy.asked) < c.Op.CopyWait {
+func (wt *waitTable) askMoreTables() {
+	if wt.tableCopy.got || len(wt.tableCopy.left) == 0 || wt.tableCopy.asked != 0 && wt.Since(wt.tableCopy.asked) < wt.Op.CopyWait {
 		return
 	}
-	n := min(2, len(c.tableCopy.left))
-	for _, name := range c.tableCopy.left[:n] {
-		c.Send(name, message.PeerMessage{AskTable: true})
+	n := min(2, len(wt.tableCopy.left))
+	for _, name := range wt.tableCopy.left[:n] {
+		wt.Send(name, message.PeerMessage{AskTable: true})
 	}
-	c.tableCopy.left, c.tableCopy.asked = c.tableCopy.left[n:], c.Now
+	wt.tableCopy.left, wt.tableCopy.asked = wt.tableCopy.left[n:], wt.Now
 }
 
 // sendTable answers a restarted controller, if this table is filled.
-func (c *Core) sendTable(to protocol.NodeName) {
+func (wt *waitTable) sendTable(to protocol.NodeName) {
 	var ws []message.WaitChange
-	for id, m := range ordered.Of(c.machines) {
+	for id, m := range ordered.Of(wt.machines) {
 		if m.reported.Epoch == m.Epoch {
 			ws = append(ws, message.WaitChange{Machine: id, Add: m.wait()})
 		}
 	}
 	if len(ws) > 0 {
-		c.Send(to, message.PeerMessage{Table: ws})
+		wt.Send(to, message.PeerMessage{Table: ws})
 	}
 }
 
 // fillTable takes the first table that comes; what keepers say of their
 // machines replaces it.
-func (c *Core) fillTable(ws []message.WaitChange) {
-	if c.tableCopy.got {
+func (wt *waitTable) fillTable(ws []message.WaitChange) {
+	if wt.tableCopy.got {
 		return
 	}
-	c.tableCopy.got = true
+	wt.tableCopy.got = true
 	for _, w := range ws {
-		if m := c.machines[w.Machine]; m != nil && m.reported.Epoch == 0 {
+		if m := wt.machines[w.Machine]; m != nil && m.reported.Epoch == 0 {
 			m.copiedWait = w.Add
 		}
 	}
 }
 
 // progressOf is how far an owned job is.
-func (c *Core) progressOf(o *ownedJob) message.Progress {
+func (oj *ownedJobs) progressOf(o *ownedJob) message.Progress {
 	g := message.Progress{Job: o.ID, Done: o.nDone, Running: o.running, Failing: o.failing}
-	if c.reservations.Any {
+	if oj.reservations.Any {
 		g.Level = int(o.level) + 1
 	}
 	return g
 }
 
 // JobProgress is how far a live job is, as far as this controller knows.
-func (c *Core) JobProgress(id protocol.JobID) (message.Progress, bool) {
-	if o := c.owner.jobs[id]; o != nil {
-		return c.progressOf(o), true
+func (oj *ownedJobs) JobProgress(id protocol.JobID) (message.Progress, bool) {
+	if o := oj.byID[id]; o != nil {
+		return oj.progressOf(o), true
 	}
-	if l := c.Live[id]; l != nil {
-		if p := c.peers[c.OwnerOf(l)]; p != nil {
+	if l := oj.Live[id]; l != nil {
+		if p := oj.table.peers[oj.OwnerOf(l)]; p != nil {
 			g, ok := p.progress[id]
 			return g, ok
 		}
