--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -22,9 +22,9 @@
 	risk          float64 // what a spot machine adds to the wait, in seconds
 	shun          bool    // spot machines only if there is no other way
 	claims        *claims
-	bars          func(*machineEntry) bool // see Core.excludedByHolds; nil: nothing is promised
+	bars          func(*machineEntry) bool // see placer.excludedByHolds; nil: nothing is promised
 	own           func(*machineEntry) bool // whether room is held there for the job
-	pricePremiums map[kind]float64
+	pricePremiums map[binpack.Kind]float64
 	heap          []candidate
 }
 
@@ -67,9 +67,9 @@
 
 // candidatesFor looks for the machines that may run a job's tasks.
 func (pl *placer) candidatesFor(o *ownedJob, zones map[protocol.Zone]int, cl *claims) *candidates {
-	s := &candidates{job: o, need: resource.Need(&o.Job), bars: pl.reservations.excludedByHolds(o), claims: cl, risk: pl.workload.spotStretch(&o.Job) * pl.Estimate(&o.Job), shun: pl.workload.risky(&o.Job), pricePremiums: pl.pricePremiums}
+	s := &candidates{job: o, need: resource.Need(&o.Job), bars: pl.excludedByHolds(o), claims: cl, risk: pl.workload.spotStretch(&o.Job) * pl.Estimate(&o.Job), shun: pl.workload.risky(&o.Job), pricePremiums: pl.pricePremiums}
 	if s.bars != nil {
-		s.own = func(m *machineEntry) bool { return pl.reservations.holdsFor(o, m) }
+		s.own = func(m *machineEntry) bool { return pl.reservations.holdsFor(&o.Job, m) }
 	}
 	mayTake := pl.feasible(o, zones)
 	for _, m := range pl.table.machinesInOrder() {
@@ -91,13 +91,13 @@
 // part of its price, for a processor, that the cheapest would save. Among
 // machines with room it counts like the part of one that is free: the cheap and
 // the full ones are filled first, so that the expensive ones become idle.
-func (pl *placer) computePricePremiums() map[kind]float64 {
-	premiums := map[kind]float64{}
+func (pl *placer) computePricePremiums() map[binpack.Kind]float64 {
+	premiums := map[binpack.Kind]float64{}
 	least := math.Inf(1)
 	for _, t := range pl.Types {
 		for _, z := range t.AllowZones {
 			for _, spot := range []bool{true, false} {
-				k := kind{Type: t.Name, Zone: z, Spot: spot}
+				k := binpack.Kind{Type: t.Name, Zone: z, Spot: spot}
 				premiums[k] = binpack.Price(pl.Types[k.Type], k.Spot)
 				least = math.Min(least, premiums[k])
 			}
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -58,7 +58,6 @@
 			info = protocol.TypeInfo{Name: "large", CPUs: 16, MemoryGB: 64, FetchGBPS: 1}
 		}
 		m := &machineEntry{
-			ownAttempts: map[protocol.TaskID]*attempt{},
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: info,
 				Record: record.Machine{Zone: rapid.SampledFrom([]protocol.Zone{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -51,17 +51,16 @@
 	p := clusterstate.Module{State: clusterstate.NewState(s, op, log), Output: &clusterstate.Output{}}
 	table := &waitTable{Module: p, rng: rng}
 	work := &workload{Module: p, table: table}
-	watcher := dispatcher.New(p)
-	holds := &reservationHolds{Module: p, table: table, dispatcher: watcher}
-	jobs := &ownedJobs{Module: p, table: table, workload: work, reservations: holds, rng: rng}
-	holds.jobs = jobs
+	queues := dispatcher.New(p)
+	jobs := &ownedJobs{Module: p, table: table, workload: work, rng: rng}
+	holds := &reservationHolds{Module: p, table: table, progress: jobs.JobProgress, announce: queues.TouchAll}
 	place := &placer{Module: p, table: table, workload: work, reservations: holds, jobs: jobs, rng: rng}
 	scaler := &autoscalerState{Module: p, table: table, workload: work, reservations: holds, placer: place}
 	planner := &reservationPlanner{Module: p, table: table, reservations: holds, autoscaler: scaler}
 	scaler.planner = planner
 	members := membership.New(p)
 	c := &Core{
-		Module: p, members: members, registrar: workerregistry.New(p), dispatcher: watcher,
+		Module: p, members: members, registrar: workerregistry.New(p), dispatcher: queues,
 		table: table, workload: work, reservations: holds, jobs: jobs, placer: place, autoscaler: scaler, planner: planner,
 		operations: &operations{Module: p, members: members, table: table, reservations: holds, planner: planner},
 	}
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -45,7 +45,7 @@
 		b.c.table.placementDue = true
 		b.step(message.Tick{})
 	}
-	if len(m.ownAttempts) == 0 || b.c.jobs.byID[first].placed[protocol.TaskID{Job: first}] == nil {
-		t.Errorf("%s is not placed on the machine that has room: %v", first, m.ownAttempts)
+	if len(b.c.jobs.attemptsOn[m.ID]) == 0 || b.c.jobs.byID[first].placed[protocol.TaskID{Job: first}] == nil {
+		t.Errorf("%s is not placed on the machine that has room: %v", first, b.c.jobs.attemptsOn[m.ID])
 	}
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/forecast"
@@ -35,8 +36,8 @@
 	bootingMachines map[protocol.MachineID]bootingMachine
 	provisionCalls  map[string]*provisionCall
 	requests        uint64
-	refusals        map[kind]refusal
-	bootHistory     map[kind]*bootRecord
+	refusals        map[binpack.Kind]refusal
+	bootHistory     map[binpack.Kind]*bootRecord
 	deleting        map[protocol.MachineID]Time
 	terminated      map[protocol.MachineID]Time // lists may still show them
 	lastPlan        Time
@@ -44,13 +45,13 @@
 }
 
 // kind is the kind of a machine that is up.
-func (m *machineEntry) kind() kind {
-	return kind{Type: m.Record.Type, Zone: m.Record.Zone, Spot: m.Record.Spot}
+func (m *machineEntry) kind() binpack.Kind {
+	return binpack.Kind{Type: m.Record.Type, Zone: m.Record.Zone, Spot: m.Record.Spot}
 }
 
 // bootingMachine is a machine rented that has not reported yet.
 type bootingMachine struct {
-	kind
+	binpack.Kind
 	at Time
 }
 
@@ -70,8 +71,8 @@
 }
 
 // kind is what was asked for.
-func (r *provisionCall) kind() kind {
-	return kind{Type: r.req.Type, Zone: r.req.Zone, Spot: r.req.Spot}
+func (r *provisionCall) kind() binpack.Kind {
+	return binpack.Kind{Type: r.req.Type, Zone: r.req.Zone, Spot: r.req.Spot}
 }
 
 // reset forgets everything a session knew.
@@ -79,7 +80,7 @@
 	*as = autoscalerState{
 		Module: as.Module, table: as.table, workload: as.workload, reservations: as.reservations, placer: as.placer, planner: as.planner,
 		listed: map[protocol.MachineID]protocol.ListedMachine{}, orphan: map[protocol.MachineID]Time{},
-		bootingMachines: map[protocol.MachineID]bootingMachine{}, provisionCalls: map[string]*provisionCall{}, refusals: map[kind]refusal{}, bootHistory: map[kind]*bootRecord{},
+		bootingMachines: map[protocol.MachineID]bootingMachine{}, provisionCalls: map[string]*provisionCall{}, refusals: map[binpack.Kind]refusal{}, bootHistory: map[binpack.Kind]*bootRecord{},
 		deleting: map[protocol.MachineID]Time{}, terminated: map[protocol.MachineID]Time{}, seen: map[protocol.MachineID]bool{},
 	}
 }
@@ -131,16 +132,16 @@
 	f := as
 	for id, l := range f.listed {
 		if _, ok := f.bootingMachines[id]; !ok && as.table.machines[id] == nil && l.State == "booting" && f.terminated[id] == 0 {
-			f.bootingMachines[id] = bootingMachine{kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}, as.Now - Time(l.AgeS*float64(time.Second))}
+			f.bootingMachines[id] = bootingMachine{binpack.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}, as.Now - Time(l.AgeS*float64(time.Second))}
 		}
 	}
-	overdue := map[kind]int{}
+	overdue := map[binpack.Kind]int{}
 	for id, m := range f.bootingMachines {
 		up := as.table.machines[id] != nil
 		if up {
-			*f.historyOf(m.kind) = bootRecord{lastUp: as.Now}
+			*f.historyOf(m.Kind) = bootRecord{lastUp: as.Now}
 		} else if as.Since(m.at) > as.bootTimeout(m.Type) {
-			overdue[m.kind]++
+			overdue[m.Kind]++
 		}
 		if up || as.Now-m.at > Time(as.bootDeadline(m.Type)) || f.terminated[id] != 0 {
 			delete(f.bootingMachines, id)
@@ -167,7 +168,7 @@
 const maxOverdueBoots = 3
 
 // historyOf is how machines of a kind come up.
-func (f *autoscalerState) historyOf(k kind) *bootRecord {
+func (f *autoscalerState) historyOf(k binpack.Kind) *bootRecord {
 	b := f.bootHistory[k]
 	if b == nil {
 		b = &bootRecord{}
@@ -178,12 +179,12 @@
 
 // canary reports whether machines of a kind do not come up at present, and whether
 // one is under way to find out.
-func (f *autoscalerState) canary(k kind) (trial, underWay bool) {
+func (f *autoscalerState) canary(k binpack.Kind) (trial, underWay bool) {
 	if b := f.bootHistory[k]; b == nil || !b.trial {
 		return false, false
 	}
 	for _, m := range f.bootingMachines {
-		underWay = underWay || m.kind == k
+		underWay = underWay || m.Kind == k
 	}
 	for _, r := range f.provisionCalls {
 		underWay = underWay || r.kind() == k
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -161,7 +161,7 @@
 	for _, m := range pl.table.machinesInOrder() {
 		if mayTake(m) && !cl.blocks(o, m) && !(shun && m.Record.Spot) {
 			free, most := m.free(), m.nonPreemptibleFree(o.level)
-			if pl.reservations.holdsFor(o, m) {
+			if pl.reservations.holdsFor(&o.Job, m) {
 				free = m.idle() // it does not wait behind the rest
 				most = free
 			}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -22,7 +22,7 @@
 				ID: id, Epoch: 1, Info: protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16},
 				Record: record.Machine{Zone: z, Spot: spot},
 			},
-			announcedUses: held, ownAttempts: map[protocol.TaskID]*attempt{},
+			announcedUses: held,
 		}
 		free := resource.Capacity(m.Info).Minus(held.NonPreemptible(0))
 		m.reported = message.MachineState{Machine: id, Epoch: 1, FreeCPUs: free.CPUs, FreeGB: free.GB}
--- a/internal/controller/heldroom.go
+++ b/internal/controller/heldroom.go
@@ -5,26 +5,27 @@
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/protocol"
 )
 
+// any reports whether anything is held or closed at present.
+func (rh *reservationHolds) any() bool { return len(rh.Windows) > 0 || len(rh.List) > 0 }
+
 // excludedByHolds tells on which machines a job's tasks may not be placed for what is
-// promised there; nil: nothing is.
-func (rh *reservationHolds) excludedByHolds(o *ownedJob) func(m *machineEntry) bool {
-	if len(rh.Windows) == 0 && len(rh.List) == 0 {
-		return nil
-	}
+// promised there.
+func (rh *reservationHolds) excludedByHolds(j *protocol.Job, level resource.Level, estimateS float64) func(m *machineEntry) bool {
 	now := rh.WallTime()
-	likely := rh.ExpectedRunSeconds(&o.Job, rh.jobs.estimateOf(o))
-	t := reservation.Task{Of: rh.ReservationFilter(&o.Job), Need: resource.Need(&o.Job), Level: o.level, Saves: o.CheckpointS > 0}
+	likely := rh.ExpectedRunSeconds(j, estimateS)
+	t := reservation.Task{Of: rh.ReservationFilter(j), Need: resource.Need(j), Level: level, Saves: j.CheckpointS > 0}
 	return func(m *machineEntry) bool {
-		free, wait := m.free(), m.fetch(&o.Job)
-		if rh.holdsFor(o, m) {
+		free, wait := m.free(), m.fetch(j)
+		if rh.holdsFor(j, m) {
 			free = m.idle()
 		}
 		if !free.Covers(t.Need) {
 			// It would wait there: for what has room beside all that is held.
 			free = resource.Capacity(m.Info)
-			wait += m.waitBefore(o.level) / max(m.Info.CPUs, 1)
+			wait += m.waitBefore(level) / max(m.Info.CPUs, 1)
 		}
 		t.Ends = reservation.After(now, config.Seconds(wait+likely))
 		holds := rh.Holds[m.ID]
@@ -36,6 +37,6 @@
 }
 
 // holdsFor reports whether room is held on a machine for a job.
-func (rh *reservationHolds) holdsFor(o *ownedJob, m *machineEntry) bool {
-	return reservation.OwnUntil(rh.Holds[m.ID], rh.ReservationFilter(&o.Job)) != 0
+func (rh *reservationHolds) holdsFor(j *protocol.Job, m *machineEntry) bool {
+	return reservation.OwnUntil(rh.Holds[m.ID], rh.ReservationFilter(j)) != 0
 }
--- a/internal/controller/holding.go
+++ b/internal/controller/holding.go
@@ -325,13 +325,10 @@
 
 // limitClaimed is what of a team's limit is promised to other jobs by the time
 // that a task of this one is likely to be over.
-func (rh *reservationHolds) limitClaimed(o *ownedJob) (sum resource.Amount) {
-	claims := rh.teamClaims[o.Team]
-	if len(claims) == 0 {
-		return sum
-	}
-	ends := reservation.After(rh.WallTime(), config.Seconds(rh.ExpectedRunSeconds(&o.Job, rh.jobs.estimateOf(o))))
-	of := rh.ReservationFilter(&o.Job)
+func (rh *reservationHolds) limitClaimed(j *protocol.Job, estimateS float64) (sum resource.Amount) {
+	claims := rh.teamClaims[j.Team]
+	ends := reservation.After(rh.WallTime(), config.Seconds(rh.ExpectedRunSeconds(j, estimateS)))
+	of := rh.ReservationFilter(j)
 	for _, t := range claims {
 		if ends > t.from && !of(t.reservation) {
 			sum = sum.Plus(t.need)
--- a/internal/controller/holding_test.go
+++ b/internal/controller/holding_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/reservation"
@@ -18,7 +19,7 @@
 	before := b.c.NoticeBefore(reserve("one", "daily at 04:00", 2))
 	for _, z := range []protocol.Zone{"a", "b"} {
 		for _, spot := range []bool{true, false} {
-			b.c.autoscaler.refusals[kind{Type: "small", Zone: z, Spot: spot}] = refusal{until: b.c.After(time.Minute)}
+			b.c.autoscaler.refusals[binpack.Kind{Type: "small", Zone: z, Spot: spot}] = refusal{until: b.c.After(time.Minute)}
 		}
 	}
 	if after := b.c.NoticeBefore(reserve("one", "daily at 04:00", 2)); after != before || before <= clusterstate.LeadSlack {
--- a/internal/controller/leftover.go
+++ b/internal/controller/leftover.go
@@ -65,8 +65,8 @@
 }
 
 // isReserved reports whether room is held for a job by what is promised.
-func (rh *reservationHolds) isReserved(o *ownedJob) bool {
-	of := rh.ReservationFilter(&o.Job)
+func (rh *reservationHolds) isReserved(j *protocol.Job) bool {
+	of := rh.ReservationFilter(j)
 	return slices.ContainsFunc(rh.List, func(h reservation.Hold) bool { return of(h.For) })
 }
 
--- a/internal/controller/owner.go
+++ b/internal/controller/owner.go
@@ -21,10 +21,10 @@
 // ownedJobs is what a controller keeps of the jobs it owns.
 type ownedJobs struct {
 	clusterstate.Module
-	table        *waitTable
-	workload     *workload
-	reservations *reservationHolds
-
+	table    *waitTable
+	workload *workload
+	// attemptsOn are the attempts placed on each machine by its present record.
+	attemptsOn         map[protocol.MachineID]map[protocol.TaskID]*attempt
 	byID               map[protocol.JobID]*ownedJob
 	sorted             []*ownedJob                      // in order of placement; nil: to be sorted again
 	awaitedInventories map[protocol.MachineID]bool      // machines whose inventory of this term is awaited
@@ -42,6 +42,7 @@
 // reset forgets everything a session knew.
 func (oj *ownedJobs) reset() {
 	oj.drop()
+	oj.attemptsOn = map[protocol.MachineID]map[protocol.TaskID]*attempt{}
 	oj.ownedChanges = replication.Log[protocol.JobID]{}
 }
 
@@ -207,6 +208,16 @@
 	}
 }
 
+// track notes that an attempt is on a machine.
+func (oj *ownedJobs) track(t *attempt) {
+	on := oj.attemptsOn[t.machine]
+	if on == nil {
+		on = map[protocol.TaskID]*attempt{}
+		oj.attemptsOn[t.machine] = on
+	}
+	on[t.task] = t
+}
+
 // removeAttempt forgets an attempt that is proven gone, or not this job's concern.
 func (oj *ownedJobs) removeAttempt(o *ownedJob, t *attempt) {
 	if o.placed[t.task] == t {
@@ -220,8 +231,8 @@
 		t.running = false
 	}
 	oj.ownedChanges.Touch(o.ID)
-	if m := oj.table.machines[t.machine]; m != nil && m.ownAttempts[t.task] == t {
-		delete(m.ownAttempts, t.task)
+	if oj.attemptsOn[t.machine][t.task] == t {
+		delete(oj.attemptsOn[t.machine], t.task)
 	}
 }
 
@@ -262,11 +273,12 @@
 func (oj *ownedJobs) machineLost(m *machineEntry) {
 	delete(oj.awaitedInventories, m.ID)
 	oj.clearEndedAttempts(m.ID, math.MaxUint64)
-	for _, t := range ordered.Tasks(m.ownAttempts) {
+	for _, t := range ordered.Tasks(oj.attemptsOn[m.ID]) {
 		if o := oj.byID[t.task.Job]; o != nil && o.placed[t.task] == t {
 			oj.attemptLost(o, t)
 		}
 	}
+	delete(oj.attemptsOn, m.ID)
 	oj.table.placementDue = true
 	oj.resolveUnverified()
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -8,6 +8,7 @@
 	"sort"
 	"time"
 
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
@@ -28,7 +29,7 @@
 	jobs         *ownedJobs
 	rng          *rand.Rand
 
-	pricePremiums  map[kind]float64 // by the prices last read: see computePricePremiums
+	pricePremiums  map[binpack.Kind]float64 // by the prices last read: see computePricePremiums
 	failedSearches []failedSearch
 	nextPlaced     Time // not placed again before
 	// rebalancedUpTo is the machine at which the last rebalance left the rest to the
@@ -102,7 +103,7 @@
 
 // placeJob places what is pending of one job.
 func (pl *placer) placeJob(o *ownedJob, r *placingRound) []message.Placement {
-	o.usesHeadroom = !math.IsInf(r.claims.leftOver, 1) && pl.workload.withoutObjective(&o.Job) && !pl.reservations.isReserved(o)
+	o.usesHeadroom = !math.IsInf(r.claims.leftOver, 1) && pl.workload.withoutObjective(&o.Job) && !pl.reservations.isReserved(&o.Job)
 	most := r.left
 	if o.usesHeadroom && pl.overdueToBegin(o) {
 		o.usesHeadroom, most = false, min(r.left, 1)
@@ -229,7 +230,7 @@
 	}
 	o.placed[t.task] = t
 	o.pending.Clear(uint(i))
-	m.ownAttempts[t.task] = t
+	pl.jobs.track(t)
 	o.waiting++
 	if p := pl.table.peers[pl.DispatcherOf(m.ID)]; p != nil {
 		// The Place that carries it is the next to the keeper.
@@ -445,11 +446,29 @@
 	if !ok {
 		return false
 	}
-	u := usage[o.Team].Plus(pl.reservations.limitClaimed(o))
+	u := usage[o.Team].Plus(pl.limitClaimed(o))
 	return (t.MaxCPUs == 0 || u.CPUs+o.CPUs*float64(n) <= t.MaxCPUs+resource.Slack) &&
 		(t.MaxGPUs == 0 || u.GPUs+o.GPUs*float64(n) <= t.MaxGPUs+resource.Slack)
 }
 
+// limitClaimed is what of a team's limit is promised to other jobs by the time that a
+// task of this one is likely to be over.
+func (pl *placer) limitClaimed(o *ownedJob) resource.Amount {
+	if !pl.reservations.claimsLimitOf(o.Team) {
+		return resource.Amount{}
+	}
+	return pl.reservations.limitClaimed(&o.Job, pl.jobs.estimateOf(o))
+}
+
+// excludedByHolds tells on which machines a job's tasks may not be placed for what is
+// promised there; nil: nothing is.
+func (pl *placer) excludedByHolds(o *ownedJob) func(m *machineEntry) bool {
+	if !pl.reservations.any() {
+		return nil
+	}
+	return pl.reservations.excludedByHolds(&o.Job, o.level, pl.jobs.estimateOf(o))
+}
+
 // keptWaiting is how long a job waits before others of its team leave it a part of the
 // team's limit.
 const keptWaiting = 30 * time.Second
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -16,8 +16,6 @@
 	"damsonkeel/internal/protocol"
 )
 
-type kind = binpack.Kind
-
 // slots lists all room that is there or coming.
 func (as *autoscalerState) slots() []binpack.Slot {
 	f := as
@@ -34,10 +32,10 @@
 	}
 	slots := up.List
 	for id, m := range ordered.Of(f.bootingMachines) {
-		if b := f.bootHistory[m.kind]; b != nil && b.trial {
+		if b := f.bootHistory[m.Kind]; b != nil && b.trial {
 			continue // not counted on
 		}
-		s := binpack.Fresh(as.Types[m.Type], m.kind, 1)
+		s := binpack.Fresh(as.Types[m.Type], m.Kind, 1)
 		s.InS = math.Max(s.Info.BootS-as.Since(m.at).Seconds(), 1)
 		s.Free = s.Free.Minus(clusterstate.ReservedBy(as.reservations.Holds[id], as.WallTime()))
 		slots = append(slots, s)
@@ -59,7 +57,7 @@
 
 // planScaleOut rents what the unstarted work needs beyond what is there or coming.
 func (as *autoscalerState) planScaleOut() {
-	underWay := map[kind]int{}
+	underWay := map[binpack.Kind]int{}
 	for _, r := range as.provisionCalls {
 		underWay[r.kind()] += r.req.Count
 	}
@@ -152,7 +150,9 @@
 }
 
 // price of a kind, for a processor and an hour.
-func (as *autoscalerState) price(k kind) float64 { return binpack.Price(as.Types[k.Type], k.Spot) }
+func (as *autoscalerState) price(k binpack.Kind) float64 {
+	return binpack.Price(as.Types[k.Type], k.Spot)
+}
 
 // timeLeft is how long a job's tasks may still wait, in seconds, and be done
 // when it is due. Owners' estimates are often wrong by half. What nobody sets
@@ -165,9 +165,9 @@
 }
 
 // offers lists what may be rented for a job, the cheapest per task first.
-func (as *autoscalerState) offers(j *clusterstate.LiveJob) []kind {
+func (as *autoscalerState) offers(j *clusterstate.LiveJob) []binpack.Kind {
 	type offer struct {
-		kind
+		binpack.Kind
 		price float64
 	}
 	var offers []offer
@@ -179,7 +179,7 @@
 		}
 		for _, z := range t.AllowZones {
 			for _, spot := range []bool{true, false} {
-				k := kind{Type: t.Name, Zone: z, Spot: spot}
+				k := binpack.Kind{Type: t.Name, Zone: z, Spot: spot}
 				if !j.AllowsKind(t, z, spot) || spot && shun || as.refusals[k].until > as.Now {
 					continue
 				}
@@ -197,9 +197,9 @@
 	slices.SortFunc(offers, func(a, b offer) int {
 		return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
 	})
-	kinds := make([]kind, len(offers))
+	kinds := make([]binpack.Kind, len(offers))
 	for i, o := range offers {
-		kinds[i] = o.kind
+		kinds[i] = o.Kind
 	}
 	return kinds
 }
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -14,7 +14,7 @@
 type movableTasks struct {
 	job      *ownedJob
 	need     resource.Amount
-	excluded func(*machineEntry) bool // see Core.excludedByHolds
+	excluded func(*machineEntry) bool // see placer.excludedByHolds
 	tasks    []movableTask
 }
 
@@ -76,7 +76,7 @@
 	var all []*movableTasks
 	var queued []*machineEntry
 	for _, m := range pl.table.machinesInOrder() {
-		if m.reported.Queued > 0 && len(m.ownAttempts) > 0 {
+		if m.reported.Queued > 0 && len(pl.jobs.attemptsOn[m.ID]) > 0 {
 			queued = append(queued, m)
 		}
 	}
@@ -88,14 +88,14 @@
 			break
 		}
 		wait := perCPU(m)
-		for _, t := range m.ownAttempts {
+		for _, t := range pl.jobs.attemptsOn[m.ID] {
 			o := pl.jobs.byID[t.task.Job]
 			if o == nil || t.started || t.stopping || t.releaseAsked || t.unverified || o.Kind == protocol.KindGang && o.Tasks > 1 {
 				continue
 			}
 			g := byJob[o.ID]
 			if g == nil {
-				g = &movableTasks{job: o, need: resource.Need(&o.Job), excluded: pl.reservations.excludedByHolds(o)}
+				g = &movableTasks{job: o, need: resource.Need(&o.Job), excluded: pl.excludedByHolds(o)}
 				byJob[o.ID] = g
 				all = append(all, g)
 			}
@@ -118,7 +118,7 @@
 	for ; taken < most; taken++ {
 		var best *movableTasks
 		for _, g := range movable {
-			if len(g.tasks) > 0 && free.Covers(g.need) && (m.reported.Queued == 0 || pl.reservations.holdsFor(g.job, m)) && (best == nil || g.before(best)) && pl.mayMove(g, m, cl) {
+			if len(g.tasks) > 0 && free.Covers(g.need) && (m.reported.Queued == 0 || pl.reservations.holdsFor(&g.job.Job, m)) && (best == nil || g.before(best)) && pl.mayMove(g, m, cl) {
 				best = g
 			}
 		}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -17,7 +17,7 @@
 		c.jobs.machineLost(m)
 	}
 	c.planner.recordBoot(id, rec)
-	m = &machineEntry{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}, ownAttempts: map[protocol.TaskID]*attempt{}}
+	m = &machineEntry{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}}
 	m.reserved = clusterstate.ReservedBy(c.reservations.Holds[id], c.WallTime())
 	c.table.addMachine(m)
 	c.table.placementDue = true
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"damsonkeel/internal/controller/clusterstate"
-	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
@@ -17,9 +17,11 @@
 type reservationHolds struct {
 	clusterstate.Module
 	*clusterstate.Reservations
-	table      *waitTable
-	jobs       *ownedJobs
-	dispatcher *dispatcher.Dispatcher
+	table *waitTable
+	// progress tells how far a live job is, as far as this controller knows.
+	progress func(protocol.JobID) (message.Progress, bool)
+	// announce has what is told of every machine told anew.
+	announce func()
 
 	holdsWrittenAt Time // when the list was last written
 	holdsStale     bool // it has changed since
@@ -50,7 +52,7 @@
 // reset forgets everything a session knew.
 func (rh *reservationHolds) reset() {
 	*rh = reservationHolds{
-		Module: rh.Module, Reservations: rh.State.Reservations, table: rh.table, jobs: rh.jobs, dispatcher: rh.dispatcher,
+		Module: rh.Module, Reservations: rh.State.Reservations, table: rh.table, progress: rh.progress, announce: rh.announce,
 		seenJobs: map[reservation.Name]*seenJob{},
 	}
 }
@@ -109,7 +111,7 @@
 		return
 	}
 	rh.Any = is
-	rh.dispatcher.TouchAll()
+	rh.announce()
 }
 
 // windowsAhead is for how long ahead windows are looked at when something is
@@ -169,6 +171,11 @@
 	}
 }
 
+// claimsLimitOf reports whether a part of a team's limit is promised to reserved jobs.
+func (rh *reservationHolds) claimsLimitOf(team protocol.Team) bool {
+	return len(rh.teamClaims[team]) > 0
+}
+
 // jobsOf is what became of the jobs of a reservation's present occurrence:
 // whether one came, and how many of the tasks that are within it have started.
 func (rh *reservationHolds) jobsOf(e *reservation.Entry) (came bool, wanted, started int) {
@@ -179,7 +186,7 @@
 	}
 	each := func(l *clusterstate.LiveJob) {
 		if reservation.Matches(e.Reservation, &l.Job) {
-			g, _ := rh.jobs.JobProgress(l.ID)
+			g, _ := rh.progress(l.ID)
 			came, tasks, started = true, tasks+int(l.Tasks), started+int(g.Done+g.Running)
 		}
 	}
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -118,7 +118,7 @@
 	m.reported.Draining = true // at once, though its keeper has not said so yet
 	oj.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
 	oj.Send(oj.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
-	for _, t := range ordered.Tasks(m.ownAttempts) {
+	for _, t := range ordered.Tasks(oj.attemptsOn[m.ID]) {
 		if o := oj.byID[t.task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
 			oj.sendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
 		}
--- a/internal/controller/table.go
+++ b/internal/controller/table.go
@@ -26,7 +26,6 @@
 	refused       bool                 // its keeper refused something and has not said since why
 	lateRuns      int                  // tasks of this owner that ran too long there lately
 	lastLateRun   Time                 // the last of them
-	ownAttempts   map[protocol.TaskID]*attempt
 }
 
 // waitTable is this controller's table of expected waits: of each machine what its
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -35,12 +35,12 @@
 			oj.unverifiedTeams[team] = true
 		}
 	}
-	for id, m := range oj.table.machines {
+	for id := range oj.table.machines {
 		oj.awaitedInventories[id] = true
 		if !keeps {
-			clear(m.ownAttempts)
-		} else if len(m.ownAttempts) > 0 && oj.dispatcherChanged(old, id) {
-			for _, t := range m.ownAttempts {
+			clear(oj.attemptsOn[id])
+		} else if len(oj.attemptsOn[id]) > 0 && oj.dispatcherChanged(old, id) {
+			for _, t := range oj.attemptsOn[id] {
 				t.unverified = true
 			}
 		}
@@ -70,8 +70,8 @@
 	}
 	oj.sendCompletedTasks(o)
 	for _, t := range o.placed {
-		if m := oj.table.machines[t.machine]; m != nil && m.ownAttempts[t.task] == t {
-			delete(m.ownAttempts, t.task)
+		if oj.attemptsOn[t.machine][t.task] == t {
+			delete(oj.attemptsOn[t.machine], t.task)
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		listed[h.Task] = true
 		oj.adoptAttempt(o, m, h)
 	}
-	for _, t := range ordered.Tasks(m.ownAttempts) {
+	for _, t := range ordered.Tasks(oj.attemptsOn[m.ID]) {
 		o := oj.byID[t.task.Job]
 		if o == nil || listed[t.task] || (!t.unverified && t.placeNumber > inv.Upto) {
 			continue
@@ -196,7 +196,7 @@
 		}
 		o.placed[h.Task] = t
 		o.waiting++
-		m.ownAttempts[h.Task] = t
+		oj.track(t)
 		if o.done.Test(uint(h.Task.Index)) {
 			oj.sendStop(t, true, 0)
 		}
@@ -232,7 +232,7 @@
 		if !moved[sharding.Of(oj.Shards, id, m.Record.Zone)] {
 			continue
 		}
-		for _, t := range m.ownAttempts {
+		for _, t := range oj.attemptsOn[id] {
 			t.unverified = true
 		}
 	}
--- a/internal/controller/waits.go
+++ b/internal/controller/waits.go
@@ -189,7 +189,7 @@
 // progressOf is how far an owned job is.
 func (oj *ownedJobs) progressOf(o *ownedJob) message.Progress {
 	g := message.Progress{Job: o.ID, Done: o.nDone, Running: o.running, Failing: o.failing}
-	if oj.reservations.Any {
+	if oj.Reservations.Any {
 		g.Level = int(o.level) + 1
 	}
 	return g
