--- a/internal/controller/binpack/plan.go
+++ b/internal/controller/binpack/plan.go
@@ -1,5 +1,5 @@
 // Package binpack plans which machines to rent: all work that waits is reckoned
-// isGang against what is up, coming or asked for, and what is missing is
+// IsGang against what is up, coming or asked for, and what is missing is
 // asked for from the cheapest kinds that will do.
 package binpack
 
@@ -33,7 +33,7 @@
 type Alike struct {
 	Kind
 	Free resource.Amount // now, or when they are up
-	Held resource.Uses   // reportedBy attempts on each or in its queue
+	Held resource.Uses   // ReportedBy attempts on each or in its queue
 	InS  float64         // when they are up, in seconds
 }
 
@@ -205,7 +205,7 @@
 const AskAtMost = 50
 
 // ask takes note of machines to be rented, and returns how many of them the
-// planScaleOut may count on: no more of a kind at a time than one request, whose answer
+// PlanScaleOut may count on: no more of a kind at a time than one request, whose answer
 // tells whether there are more.
 func (p *Plan) ask(k Kind, count int) int {
 	count = max(0, min(count, AskAtMost-p.wanted[k]-p.underWay[k]))
--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -90,7 +90,7 @@
 
 func (r *recorder) registered(session protocol.AgentEpoch) int {
 	n := 0
-	for _, m := range r.c.table.machines {
+	for _, m := range r.c.table.Machines {
 		if m.Record.Session == session {
 			n++
 		}
@@ -173,11 +173,11 @@
 	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
 	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
 	r.settle(2)
-	epoch := r.c.table.machines["vm-000000"].Epoch
+	epoch := r.c.table.Machines["vm-000000"].Epoch
 	r.wave(1, 2) // comes back with a later session: moves into a block
 	r.settle(5)
 	inBlock := r.c.registrar.InBlock("vm-000000")
-	if m := r.c.table.machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
+	if m := r.c.table.Machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
 		t.Fatalf("not moved into a block: %+v", m)
 	}
 	if _, there := r.state.Get(record.MachineKey("vm-000000")); there {
@@ -185,8 +185,8 @@
 	}
 	r.now += Time(r.c.WorkerLeaseBound())
 	r.settle(60)
-	if len(r.c.table.machines) != 0 || r.c.registrar.Blocks() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
-		t.Errorf("%d machines, %d blocks, records %v", len(r.c.table.machines), r.c.registrar.Blocks(), r.state.List(record.FollowedPrefix))
+	if len(r.c.table.Machines) != 0 || r.c.registrar.Blocks() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
+		t.Errorf("%d machines, %d blocks, records %v", len(r.c.table.Machines), r.c.registrar.Blocks(), r.state.List(record.FollowedPrefix))
 	}
 }
 
--- a/internal/controller/candidates.go
+++ b/internal/controller/candidates.go
@@ -17,20 +17,20 @@
 // once for all that are placed in one go, and after each task only the one
 // that took it again.
 type candidates struct {
-	job           *ownedJob
+	job           *Job
 	need          resource.Amount
 	risk          float64 // what a spot machine adds to the wait, in seconds
 	shun          bool    // spot machines only if there is no other way
-	claims        *claims
-	bars          func(*machineEntry) bool // see placer.excludedByHolds; nil: nothing is promised
-	own           func(*machineEntry) bool // whether room is held there for the job
+	claims        *Claims
+	bars          func(*Machine) bool // see Placer.Excluded; nil: nothing is promised
+	own           func(*Machine) bool // whether room is held there for the job
 	pricePremiums map[binpack.Kind]float64
 	heap          []candidate
 }
 
 // candidate is a machine as the job's next task would find it.
 type candidate struct {
-	m    *machineEntry
+	m    *Machine
 	rank rank
 	wait int64 // per processor, in microseconds: sums of decimal numbers are not exact
 	tie  uint32
@@ -65,33 +65,33 @@
 	return last
 }
 
-// candidatesFor looks for the machines that may run a job's tasks.
-func (pl *placer) candidatesFor(o *ownedJob, zones map[protocol.Zone]int, cl *claims) *candidates {
-	s := &candidates{job: o, need: resource.Need(&o.Job), bars: pl.excludedByHolds(o), claims: cl, risk: pl.workload.spotStretch(&o.Job) * pl.Estimate(&o.Job), shun: pl.workload.risky(&o.Job), pricePremiums: pl.pricePremiums}
+// CandidatesFor looks for the machines that may run a job's tasks.
+func (pl *Placer) CandidatesFor(o *Job, zones map[protocol.Zone]int, cl *Claims) *candidates {
+	s := &candidates{job: o, need: resource.Need(&o.Job), bars: pl.excludedByHolds(o), claims: cl, risk: pl.workload.SpotStretch(&o.Job) * pl.Estimate(&o.Job), shun: pl.workload.AvoidsSpot(&o.Job), pricePremiums: pl.pricePremiums}
 	if s.bars != nil {
-		s.own = func(m *machineEntry) bool { return pl.reservations.holdsFor(&o.Job, m) }
+		s.own = func(m *Machine) bool { return pl.reservations.HeldFor(&o.Job, m) }
 	}
-	mayTake := pl.feasible(o, zones)
-	for _, m := range pl.table.machinesInOrder() {
+	mayTake := pl.Feasible(o, zones)
+	for _, m := range pl.table.InOrder() {
 		if mayTake(m) {
 			if k, ok := s.evaluate(m, pl.rng.Uint32()); ok && !s.queueTooLong(&k) {
 				s.heap = append(s.heap, k)
 			}
 		}
 	}
-	pl.candidatesExamined += len(pl.table.sortedMachines)
+	pl.Examined += len(pl.table.InOrder())
 	heap.Init(s)
 	return s
 }
 
-// refreshPrices takes over the prices last read.
-func (pl *placer) refreshPrices() { pl.pricePremiums = pl.computePricePremiums() }
+// RefreshPrices takes over the prices last read.
+func (pl *Placer) RefreshPrices() { pl.pricePremiums = pl.computePricePremiums() }
 
 // computePricePremiums is how much more expensive each kind of machine is than the cheapest: the
 // part of its price, for a processor, that the cheapest would save. Among
 // machines with room it counts like the part of one that is free: the cheap and
 // the full ones are filled first, so that the expensive ones become idle.
-func (pl *placer) computePricePremiums() map[binpack.Kind]float64 {
+func (pl *Placer) computePricePremiums() map[binpack.Kind]float64 {
 	premiums := map[binpack.Kind]float64{}
 	least := math.Inf(1)
 	for _, t := range pl.Types {
@@ -112,67 +112,45 @@
 	return premiums
 }
 
-// feasible tells which machines a job may have a task on at present, given the zones
+// Feasible tells which machines a job may have a task on at present, given the zones
 // of its others. Where it has failed it goes only if there is no other.
-func (pl *placer) feasible(o *ownedJob, zones map[protocol.Zone]int) func(*machineEntry) bool {
-	nowhereElse := pl.jobs.failedEverywhereElse(o)
-	return func(m *machineEntry) bool {
-		return pl.table.usable(m) && (nowhereElse || !o.failedOn[m.ID]) && o.allows(m, zones)
+func (pl *Placer) Feasible(o *Job, zones map[protocol.Zone]int) func(*Machine) bool {
+	nowhereElse := pl.jobs.FailedEverywhereElse(o)
+	return func(m *Machine) bool {
+		return pl.table.Usable(m) && (nowhereElse || !o.FailedOn[m.ID]) && o.Allows(m, zones)
 	}
 }
 
-// failedEverywhereElse reports whether a job failed on all machines that there are for it.
-// Where the only machine of a zone had failed it once, it was never tried again, and
-// no other was rented since that one had room.
-func (oj *ownedJobs) failedEverywhereElse(o *ownedJob) bool {
-	if len(o.failedOn) == 0 {
-		return false
-	}
-	for _, m := range oj.table.machinesInOrder() {
-		if !o.failedOn[m.ID] && oj.table.usable(m) && o.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
-			return false
-		}
-	}
-	return true
-}
-
-// hasFailedEverywhere reports whether a job failed on several machines, no less often
-// than its tasks run, or on all that there are for it. The tasks of a gang fail
-// together: how many run then tells nothing.
-func (oj *ownedJobs) hasFailedEverywhere(o *ownedJob) bool {
-	return len(o.failedOn) >= failedMachines && (o.isGang() || o.failures >= int(o.running)) || oj.failedEverywhereElse(o)
-}
-
 // evaluate is what a machine is worth for the job's next task, if it is. A task
 // that others wait for goes only where nothing but less urgent work is in its
 // way, which is stopped for it: behind the rest it would keep the machines of
 // all others idle until they give it up.
-func (s *candidates) evaluate(m *machineEntry, tie uint32) (candidate, bool) {
+func (s *candidates) evaluate(m *Machine, tie uint32) (candidate, bool) {
 	if s.bars != nil && s.bars(m) {
 		return candidate{}, false
 	}
 	own := s.own != nil && s.own(m)
-	w, room := m.waitFor(&s.job.Job, s.job.level)
-	if own && !room && m.idle().Covers(s.need) {
-		w, room = m.fetch(&s.job.Job), true
+	w, room := m.WaitFor(&s.job.Job, s.job.Level)
+	if own && !room && m.Idle().Covers(s.need) {
+		w, room = m.FetchSeconds(&s.job.Job), true
 	}
-	if !room && s.job.isGang() {
-		firm := m.nonPreemptibleFree(s.job.level)
+	if !room && s.job.IsGang() {
+		firm := m.NonPreemptibleFree(s.job.Level)
 		if !firm.Covers(s.need) {
 			return candidate{}, false
 		}
-		w = m.fetch(&s.job.Job) + (firm.CPUs-math.Max(0, m.free().CPUs))/math.Max(m.Info.CPUs, 1)
+		w = m.FetchSeconds(&s.job.Job) + (firm.CPUs-math.Max(0, m.Free().CPUs))/math.Max(m.Info.CPUs, 1)
 	}
 	if m.Record.Spot {
 		w += s.risk
 	}
 	if room {
-		w += s.pricePremiums[m.kind()]
+		w += s.pricePremiums[m.Kind()]
 	}
 	k := candidate{m: m, rank: rankQueue, wait: int64(math.Round(w * 1e6)), tie: tie}
 	if room && !(s.shun && m.Record.Spot) {
 		k.rank = rankFree
-		if s.claims.isClaimed(s.job, m) {
+		if s.claims.IsClaimed(s.job, m) {
 			k.rank = rankWanted
 		}
 	}
@@ -183,30 +161,30 @@
 }
 
 // restrict drops the machines that do not meet a condition.
-func (s *candidates) restrict(ok func(*machineEntry) bool) {
+func (s *candidates) restrict(ok func(*Machine) bool) {
 	s.heap = slices.DeleteFunc(s.heap, func(k candidate) bool { return !ok(k.m) })
 	heap.Init(s)
 }
 
-// queueAtMost is how long a wait a task is queued for. What would wait longer
+// QueueAtMost is how long a wait a task is queued for. What would wait longer
 // stays with its owner: a job of 100,000 tasks on a small fleet would else
 // fill every controller's memory and hold up all that is queued after it.
-const queueAtMost = 2 * time.Minute
+const QueueAtMost = 2 * time.Minute
 
 // queueTooLong reports whether a machine's queue takes no more of the job. One whose
 // tasks are to be stopped for the job does; what has only what others leave waits in
 // no queue.
 func (s *candidates) queueTooLong(k *candidate) bool {
-	return k.rank == rankQueue && (s.job.usesHeadroom || k.wait > queueAtMost.Microseconds() && !k.m.nonPreemptibleFree(s.job.level).Covers(s.need))
+	return k.rank == rankQueue && (s.job.UsesHeadroom || k.wait > QueueAtMost.Microseconds() && !k.m.NonPreemptibleFree(s.job.Level).Covers(s.need))
 }
 
-// smallest is the machine with the smallest expected wait per processor, ties
+// Smallest is the machine with the smallest expected wait per processor, ties
 // broken at random, or nil. What does not suit any more is dropped: zones and
 // queues only fill while a job is placed, and room kept only shrinks.
-func (s *candidates) smallest(zones map[protocol.Zone]int) *machineEntry {
+func (s *candidates) Smallest(zones map[protocol.Zone]int) *Machine {
 	for len(s.heap) > 0 {
 		top := &s.heap[0]
-		if !s.job.allowsZone(top.m, zones) || s.queueTooLong(top) || top.rank != rankQueue && top.rank != rankOwn && !s.claims.leavesClaimed(s.job, top.m, s.need) {
+		if !s.job.AllowsZone(top.m, zones) || s.queueTooLong(top) || top.rank != rankQueue && top.rank != rankOwn && !s.claims.LeavesClaimed(s.job, top.m, s.need) {
 			heap.Pop(s)
 			continue
 		}
@@ -216,8 +194,8 @@
 }
 
 // noteExamined weighs the smallest again after it took a task.
-func (pl *placer) noteExamined(s *candidates) {
-	pl.candidatesExamined++
+func (pl *Placer) noteExamined(s *candidates) {
+	pl.Examined++
 	k, ok := s.evaluate(s.heap[0].m, pl.rng.Uint32())
 	if !ok {
 		heap.Pop(s)
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -16,31 +16,31 @@
 
 // plainSmallest is the decision written plainly: it visits every machine for
 // every task. It returns all that tie for the smallest wait.
-func (pl *placer) plainSmallest(o *ownedJob, zones map[protocol.Zone]int, cl *claims) map[*machineEntry]bool {
+func (pl *Placer) plainSmallest(o *Job, zones map[protocol.Zone]int, cl *Claims) map[*Machine]bool {
 	const withRoom = 1e9
 	n := resource.Need(&o.Job)
 	best := math.Inf(1)
-	waits := map[*machineEntry]float64{}
-	for _, m := range pl.table.machines {
-		if !pl.feasible(o, zones)(m) {
+	waits := map[*Machine]float64{}
+	for _, m := range pl.table.Machines {
+		if !pl.Feasible(o, zones)(m) {
 			continue
 		}
-		w, room := m.waitFor(&o.Job, o.level)
+		w, room := m.WaitFor(&o.Job, o.Level)
 		if room {
-			if !cl.leavesClaimed(o, m, n) {
+			if !cl.LeavesClaimed(o, m, n) {
 				continue
 			}
 			w -= withRoom
-			if !cl.isClaimed(o, m) {
+			if !cl.IsClaimed(o, m) {
 				w -= withRoom
 			}
-		} else if w > queueAtMost.Seconds() && !m.nonPreemptibleFree(o.level).Covers(n) {
+		} else if w > QueueAtMost.Seconds() && !m.NonPreemptibleFree(o.Level).Covers(n) {
 			continue
 		}
 		waits[m] = w
 		best = math.Min(best, w)
 	}
-	ties := map[*machineEntry]bool{}
+	ties := map[*Machine]bool{}
 	for m, w := range waits {
 		if w <= best+2e-6 {
 			ties[m] = true
@@ -57,21 +57,21 @@
 		if rapid.Bool().Draw(t, "large") {
 			info = protocol.TypeInfo{Name: "large", CPUs: 16, MemoryGB: 64, FetchGBPS: 1}
 		}
-		m := &machineEntry{
+		m := &Machine{
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: info,
 				Record: record.Machine{Zone: rapid.SampledFrom([]protocol.Zone{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
 			},
 		}
 		busy := float64(rapid.IntRange(0, int(info.CPUs)).Draw(t, "busy"))
-		m.reported = message.MachineState{
+		m.Reported = message.MachineState{
 			Machine: id, Epoch: 1, FreeCPUs: info.CPUs - busy, FreeGB: info.MemoryGB - busy, Wait: 10 * busy,
 			Suspect: rapid.IntRange(0, 9).Draw(t, "suspect") == 0,
 		}
-		if m.reported.FreeCPUs == 0 && rapid.Bool().Draw(t, "queue") {
-			m.reported.Queued, m.reported.Wait = 3, m.reported.Wait+float64(rapid.IntRange(0, 50).Draw(t, "queued"))
+		if m.Reported.FreeCPUs == 0 && rapid.Bool().Draw(t, "queue") {
+			m.Reported.Queued, m.Reported.Wait = 3, m.Reported.Wait+float64(rapid.IntRange(0, 50).Draw(t, "queued"))
 		}
-		c.table.addMachine(m)
+		c.table.Add(m)
 	}
 }
 
@@ -90,26 +90,26 @@
 			CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), MemoryGB: 1, ImageGB: 2, EstimateS: 7, Spot: rapid.Bool().Draw(t, "mayspot"),
 			OneZone: rapid.Bool().Draw(t, "onezone"), Spread: rapid.Bool().Draw(t, "spread"),
 		}
-		o := c.jobs.adoptJob(&clusterstate.LiveJob{Job: j})
+		o := c.jobs.Adopt(&clusterstate.LiveJob{Job: j})
 		reserved := &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 8, Spot: true}}
-		cl := &claims{classes: []classReserve{{job: reserved, need: resource.Need(&reserved.Job), spare: rapid.IntRange(-2, 5).Draw(t, "spare")}}}
+		cl := &Claims{Classes: []ClassReserve{{Job: reserved, Need: resource.Need(&reserved.Job), Spare: rapid.IntRange(-2, 5).Draw(t, "spare")}}}
 		zones := map[protocol.Zone]int{}
-		from := c.placer.candidatesFor(o, zones, cl)
+		from := c.placer.CandidatesFor(o, zones, cl)
 		placed := 0
 		for i := range o.Tasks {
 			want := c.placer.plainSmallest(o, zones, cl)
-			m := from.smallest(zones)
+			m := from.Smallest(zones)
 			if m == nil && len(want) > 0 || m != nil && !want[m] {
 				t.Fatalf("task %d goes to %+v, not to one of %d", i, m, len(want))
 			}
 			if m == nil {
 				break
 			}
-			c.placer.placeFrom(from, i, m, c.jobs.nextAttempt(), zones)
+			c.placer.PlaceFrom(from, i, m, c.jobs.NextAttempt(), zones)
 			placed++
 		}
-		if c.placer.candidatesExamined > machines+placed {
-			t.Errorf("%d machines looked at for %d tasks on %d machines", c.placer.candidatesExamined, placed, machines)
+		if c.placer.Examined > machines+placed {
+			t.Errorf("%d machines looked at for %d tasks on %d machines", c.placer.Examined, placed, machines)
 		}
 	})
 }
@@ -122,15 +122,15 @@
 	for i, spot := range []bool{false, true, false, true} {
 		id := protocol.MachineID(fmt.Sprint("vm-", i))
 		b.ready(id)
-		m := b.c.table.machines[id]
-		m.Record.Spot, m.reported.Queued = spot, 0
+		m := b.c.table.Machines[id]
+		m.Record.Spot, m.Reported.Queued = spot, 0
 	}
 	j := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	b.put(record.LiveKey(j.ID), j)
 	b.step(message.Tick{})
 	on := map[bool]int{}
-	for _, p := range b.c.jobs.byID["job-1"].placed {
-		on[b.c.table.machines[p.machine].Record.Spot]++
+	for _, p := range b.c.jobs.ByID["job-1"].Placed {
+		on[b.c.table.Machines[p.Machine].Record.Spot]++
 	}
 	if on[true] != 6 {
 		t.Errorf("%d of 6 tasks on the cheap machines", on[true])
@@ -144,9 +144,9 @@
 	b.ready("vm-1")
 	b.ready("vm-2")
 	queued := func(id protocol.MachineID, l resource.Level, work float64) {
-		m := b.c.table.machines[id]
-		m.reported.Queued, m.reported.Wait, m.reported.Queue = 1, 100+work, make([]float64, l+1)
-		m.reported.Queue[l] = work
+		m := b.c.table.Machines[id]
+		m.Reported.Queued, m.Reported.Wait, m.Reported.Queue = 1, 100+work, make([]float64, l+1)
+		m.Reported.Queue[l] = work
 	}
 	queued("vm-1", resource.LevelOf("standard", false), 900)
 	queued("vm-2", resource.LevelOf("high", false), 400)
@@ -156,9 +156,9 @@
 	}{{"high", "vm-1"}, {"standard", "vm-2"}} {
 		id := protocol.JobID("job-" + tc.priority)
 		b.put(record.LiveKey(id), protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: tc.priority, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10})
-		for _, p := range b.c.jobs.byID[id].placed {
-			if p.machine != tc.want {
-				t.Errorf("a task of priority %s is queued on %s, want %s", tc.priority, p.machine, tc.want)
+		for _, p := range b.c.jobs.ByID[id].Placed {
+			if p.Machine != tc.want {
+				t.Errorf("a task of priority %s is queued on %s, want %s", tc.priority, p.Machine, tc.want)
 			}
 		}
 	}
--- a/internal/controller/classes_test.go
+++ b/internal/controller/classes_test.go
@@ -18,34 +18,34 @@
 	gang := func(id protocol.JobID) {
 		j := &protocol.Job{ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 1, CPUs: 4, MemoryGB: 1}
 		b.c.Now = b.now
-		b.c.workload.recordArrival(j)
+		b.c.workload.RecordArrival(j)
 	}
 	for range 9 {
 		gang("job-1")
 	}
-	if n := len(b.c.workload.classes["gang"].arrivals); n != 1 {
+	if n := len(b.c.workload.Classes["gang"].Arrivals); n != 1 {
 		t.Errorf("a burst counts as %d arrivals", n)
 	}
 	for range 3 {
 		b.now += Time(8 * time.Second)
 		gang("job-1")
 	}
-	if b.c.workload.reserve(b.c.workload.classes["gang"]) == 0 {
+	if b.c.workload.Reserve(b.c.workload.Classes["gang"]) == 0 {
 		t.Fatal("no room is kept")
 	}
 	b.ready("vm-1")
-	m := b.c.table.machines["vm-1"]
-	cl := b.c.placer.claims()
-	small := &ownedJob{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
-	if ok := cl.leavesClaimed(small, m, resource.Need(&small.Job)); ok {
+	m := b.c.table.Machines["vm-1"]
+	cl := b.c.placer.NewClaims()
+	small := &Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
+	if ok := cl.LeavesClaimed(small, m, resource.Need(&small.Job)); ok {
 		t.Error("a small task may take the last room kept")
 	}
-	big := &ownedJob{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 1}}}
-	if ok := cl.leavesClaimed(big, m, resource.Need(&big.Job)); !ok {
+	big := &Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 1}}}
+	if ok := cl.LeavesClaimed(big, m, resource.Need(&big.Job)); !ok {
 		t.Error("the class itself may not use it")
 	}
 	b.c.Now += Time(10 * time.Minute)
-	if n := b.c.workload.reserve(b.c.workload.classes["gang"]); n != 0 {
+	if n := b.c.workload.Reserve(b.c.workload.Classes["gang"]); n != 0 {
 		t.Errorf("room for %d is kept long after the last came", n)
 	}
 }
@@ -75,21 +75,21 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.ready("vm-2")
-	k := &class{job: protocol.Job{Class: "cert", Kind: protocol.KindJobArray, CPUs: 1, MemoryGB: 1}, share: 0.8, awaited: true}
+	k := &Class{Job: protocol.Job{Class: "cert", Kind: protocol.KindJobArray, CPUs: 1, MemoryGB: 1}, Share: 0.8, HasStartObjective: true}
 	for i := range 10 {
-		k.arrivals = append(k.arrivals, forecast.Arrival{At: b.c.Now - Time(time.Duration(9-i)*4*time.Second), Tasks: float64(10 + i)})
+		k.Arrivals = append(k.Arrivals, forecast.Arrival{At: b.c.Now - Time(time.Duration(9-i)*4*time.Second), Tasks: float64(10 + i)})
 	}
-	none := b.c.workload.reserve(k)
-	b.c.table.machines["vm-1"].reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
-	b.c.table.machines["vm-2"].reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
-	some := b.c.workload.reserve(k)
-	b.c.table.machines["vm-2"].reported.Ending = message.LevelUse{CPUs: 20, GB: 80}
-	many := b.c.workload.reserve(k)
+	none := b.c.workload.Reserve(k)
+	b.c.table.Machines["vm-1"].Reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
+	b.c.table.Machines["vm-2"].Reported.Ending = message.LevelUse{CPUs: 2, GB: 8}
+	some := b.c.workload.Reserve(k)
+	b.c.table.Machines["vm-2"].Reported.Ending = message.LevelUse{CPUs: 20, GB: 80}
+	many := b.c.workload.Reserve(k)
 	if some >= none || many > some || many < 15 {
 		t.Errorf("room kept for %d, with ends for %d, with many for %d", none, some, many)
 	}
-	k.job.Kind = protocol.KindGang
-	if n := b.c.workload.reserve(k); n != none {
+	k.Job.Kind = protocol.KindGang
+	if n := b.c.workload.Reserve(k); n != none {
 		t.Errorf("room kept for %d of a gang, want %d", n, none)
 	}
 }
--- a/internal/controller/copy_test.go
+++ b/internal/controller/copy_test.go
@@ -19,7 +19,7 @@
 		}
 		return names
 	}
-	if n := len(b.c.table.tableCopy.left); n != 2 {
+	if n := len(b.c.table.Copy.ToAsk); n != 2 {
 		t.Fatalf("%d left to ask at first", n)
 	}
 	if got := asked(b.step(message.Tick{})); len(got) != 0 {
@@ -30,9 +30,9 @@
 		t.Fatalf("asked %v after the wait", got)
 	}
 	b.machine("vm-1", 1)
-	b.c.table.fillTable([]message.WaitChange{{Machine: "vm-1", Add: 7}})
-	b.c.table.fillTable([]message.WaitChange{{Machine: "vm-1", Add: 9}})
-	if got := b.c.table.machines["vm-1"].wait(); got != 7 {
+	b.c.table.Fill([]message.WaitChange{{Machine: "vm-1", Add: 7}})
+	b.c.table.Fill([]message.WaitChange{{Machine: "vm-1", Add: 9}})
+	if got := b.c.table.Machines["vm-1"].Wait(); got != 7 {
 		t.Errorf("wait %v, want the first table's", got)
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -17,6 +17,7 @@
 	"damsonkeel/internal/controller/ratelimit"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/controller/workerregistry"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 )
@@ -28,14 +29,14 @@
 	members      *membership.Members
 	registrar    *workerregistry.Registrar
 	dispatcher   *dispatcher.Dispatcher
-	table        *waitTable
-	workload     *workload
-	reservations *reservationHolds
-	jobs         *ownedJobs
-	placer       *placer
-	autoscaler   *autoscalerState
-	planner      *reservationPlanner
-	operations   *operations
+	table        *Table
+	workload     *Workload
+	reservations *Holds
+	jobs         *Owned
+	placer       *Placer
+	autoscaler   *Autoscaler
+	planner      *ReservationPlanner
+	operations   *Handler
 
 	// rates outlives sessions: what was lent in the last one is still lent.
 	rates          *ratelimit.Ledger[protocol.LeaseID]
@@ -49,38 +50,36 @@
 // NewCore makes a controller's state before its first session.
 func NewCore(s *config.Settings, op config.Operator, rng *rand.Rand, log *slog.Logger) *Core {
 	p := clusterstate.Module{State: clusterstate.NewState(s, op, log), Output: &clusterstate.Output{}}
-	table := &waitTable{Module: p, rng: rng}
-	work := &workload{Module: p, table: table}
+	table := NewTable(p, rng)
+	work := New(p, table)
 	queues := dispatcher.New(p)
-	jobs := &ownedJobs{Module: p, table: table, workload: work, rng: rng}
-	holds := &reservationHolds{Module: p, table: table, progress: jobs.JobProgress, announce: queues.TouchAll}
-	place := &placer{Module: p, table: table, workload: work, reservations: holds, jobs: jobs, rng: rng}
-	scaler := &autoscalerState{Module: p, table: table, workload: work, reservations: holds, placer: place}
-	planner := &reservationPlanner{Module: p, table: table, reservations: holds, autoscaler: scaler}
-	scaler.planner = planner
+	owned := New_(p, table, work, rng)
+	held := NewHolds(p, table, owned.JobProgress, queues.TouchAll)
+	place := New__(p, table, work, held, owned, rng)
+	scaler, planner := New___(p, table, work, held, place)
 	members := membership.New(p)
 	c := &Core{
 		Module: p, members: members, registrar: workerregistry.New(p), dispatcher: queues,
-		table: table, workload: work, reservations: holds, jobs: jobs, placer: place, autoscaler: scaler, planner: planner,
-		operations: &operations{Module: p, members: members, table: table, reservations: holds, planner: planner},
+		table: table, workload: work, reservations: held, jobs: owned, placer: place, autoscaler: scaler, planner: planner,
+		operations: NewHandler(p, members, table, held, planner),
 	}
 	c.reset()
 	return c
 }
 
-// reset forgets everything a session knew. What matters is in the records.
+// Reset forgets everything a session knew. What matters is in the records.
 func (c *Core) reset() {
 	c.State.Reset()
 	c.members.Reset()
 	c.registrar.Reset()
-	c.workload.reset()
-	c.table.reset()
+	c.workload.Reset()
+	c.table.Reset()
 	c.dispatcher.Reset()
-	c.jobs.reset()
-	c.placer.reset()
-	c.planner.reset()
-	c.autoscaler.reset()
-	c.reservations.reset()
+	c.jobs.Reset()
+	c.placer.Reset()
+	c.planner.Reset()
+	c.autoscaler.Reset()
+	c.reservations.Reset()
 }
 
 // Step handles one message at a time of the steady clock.
@@ -136,17 +135,17 @@
 	case message.CommitDone:
 		c.commitDone(m)
 	case message.BitmapLoaded:
-		c.jobs.bitmapLoaded(m)
+		c.jobs.BitmapLoaded(m)
 	case message.CommandDone:
 		c.dispatcher.CommandDone(m)
 	case message.PeerLeads:
 		c.members.NoteLeading(m.Peer)
 	case message.ProvisionDone:
-		c.autoscaler.provisioned(m)
+		c.autoscaler.Provisioned(m)
 	case message.TerminateDone:
-		c.autoscaler.terminateDone(m)
+		c.autoscaler.Terminated(m)
 	case message.MachinesListed:
-		c.autoscaler.machinesListed(m)
+		c.autoscaler.MachinesListed(m)
 	}
 	c.settle()
 	c.members.ChangeShards(c.dispatcher.ShardChangesWanted())
@@ -166,10 +165,6 @@
 	}
 }
 
-// placeEvery is how often pending tasks are placed at the most: what becomes
-// pending meanwhile is placed in one go.
-const placeEvery = 100 * time.Millisecond
-
 // settle handles messages to itself and places what became pending.
 func (c *Core) settle() {
 	for range 8 {
@@ -178,7 +173,7 @@
 			c.Local = c.Local[1:]
 			c.message(c.Self, m)
 		}
-		if !c.placer.placeIfDue() {
+		if !c.placer.PlaceIfDue() {
 			return
 		}
 	}
@@ -189,8 +184,8 @@
 	for _, t := range types {
 		c.Types[t.Name] = t
 	}
-	c.placer.refreshPrices()
-	c.table.refreshTypes()
+	c.placer.RefreshPrices()
+	c.table.RefreshTypes()
 }
 
 func (c *Core) recordChanged(ev protocol.Event) {
@@ -219,7 +214,7 @@
 			c.machineDeregistered(id)
 		}
 	case f.Reservation != "" || f.Window != "":
-		c.reservations.calendarDeleted(f)
+		c.reservations.CalendarDeleted(f)
 	}
 }
 
@@ -247,7 +242,7 @@
 	case f.Job != "":
 		var j protocol.Job
 		if err = protocol.Decode(value, &j); err == nil {
-			c.jobs.jobAccepted(j, version, snapshot)
+			c.jobs.Accepted(j, version, snapshot)
 		}
 	case f.Machine != "":
 		var m record.Machine
@@ -271,11 +266,11 @@
 			c.adoptShares(&s, version)
 		}
 	case f.ReservationHolds:
-		err = c.reservations.holdsRecord(value, version)
+		err = c.reservations.RecordSeen(value, version)
 	case f.Configuration || f.ConfigurationEntry != "":
 		err = c.configurationRecord(f, value, version)
 	case f.Calendar || f.Reservation != "" || f.Window != "":
-		err = c.reservations.calendarRecord(f, value, version)
+		err = c.reservations.CalendarRecord(f, value, version)
 	}
 	if err != nil {
 		c.Log.Error("record can't be read", "key", key, "err", err)
@@ -291,29 +286,27 @@
 	if c.Since(c.lastRelay) >= c.Op.RelayEvery {
 		c.lastRelay = c.Now
 		c.refreshDeadlines()
-		c.reservations.refreshReservations()
-		c.workload.watchSpots()
-		c.jobs.watchSlow()
+		c.reservations.Refresh()
+		c.workload.WatchSpots()
+		c.jobs.WatchSlow()
 		c.dispatcher.ExpireSilent(c.members.AllAdopted(), c.members.ShardsFloor())
-		c.placer.rebalance("")
-		c.dispatcher.Maintain(c.announcedLevel, c.jobs.isFailing)
-		c.jobs.writeBitmaps()
+		c.placer.Rebalance("")
+		c.dispatcher.Maintain(c.announcedLevel, c.jobs.IsFailing)
+		c.jobs.WriteBitmaps()
 		c.sendUpdates(true)
 		c.members.Balance()
-		c.autoscaler.scaleStep()
+		c.autoscaler.Step()
 	} else {
-		if c.placer.rebalancedUpTo != "" {
-			c.placer.rebalance(c.placer.rebalancedUpTo)
-		}
+		c.placer.ContinueRebalance()
 		if c.Leaving {
-			c.jobs.writeBitmaps()
+			c.jobs.WriteBitmaps()
 		}
 		c.sendUpdates(false)
 		c.dispatcher.GiveInventories() // not in the step of the regular work: together they are long
 	}
 	c.registrar.Write()
-	c.table.askMoreTables()
-	c.jobs.retryJobs()
+	c.table.AskMorePeers()
+	c.jobs.Retry()
 }
 
 func (c *Core) commitDone(m message.CommitDone) {
@@ -322,16 +315,16 @@
 		c.members.ShardsWritten(m.Outcome)
 	case membership.ViewTag:
 		c.members.ViewWritten(m.Outcome)
-	case reservationTag:
-		delete(c.planner.planWrites, tag.name)
+	case ReservationTag:
+		c.planner.Written(tag)
 	case dispatcher.RegisterTag:
 		c.dispatcher.RegistrationDone(tag, m.Outcome)
-	case finishTag:
-		c.jobs.finishWritten(tag, m.Outcome)
-	case bitmapTag:
-		c.jobs.bitmapWritten(tag, m.Outcome, m.Revision)
-	case holdsTag:
-		c.reservations.holdsStale = c.reservations.holdsStale || m.Outcome != message.OutcomeDone
+	case FinishTag:
+		c.jobs.FinishWritten(tag, m.Outcome)
+	case BitmapTag:
+		c.jobs.BitmapWritten(tag, m.Outcome, m.Revision)
+	case Tag:
+		c.reservations.Written(m.Outcome)
 	case workerregistry.Tag:
 		c.registrar.Written(tag, m.Outcome)
 	case dispatcher.RemoveTag:
@@ -344,30 +337,17 @@
 func (c *Core) refreshDeadlines() {
 	changed := false
 	for _, l := range c.Live {
-		if due := c.jobs.currentDeadline(l); due != l.Deadline {
+		if due := c.jobs.CurrentDeadline(l); due != l.Deadline {
 			l.Deadline, changed = due, true
 		}
 	}
 	if !changed {
 		return
 	}
-	c.jobs.sorted = nil
+	c.jobs.InvalidateOrder()
 	c.dispatcher.InvalidateOrder()
 }
 
-// currentDeadline is when a job should be done. One of which nobody says when, and of which
-// nothing has begun for a while, goes first until something does: waiting behind all
-// that is due sooner, which keeps coming where there is more work than room, it would
-// not begin for minutes.
-func (oj *ownedJobs) currentDeadline(l *clusterstate.LiveJob) Time {
-	if oj.Since(l.Since) > beginsWithin && len(oj.ObjectiveTimes(&l.Job)) == 0 && !oj.HasStartObjective(&l.Job) {
-		if g, _ := oj.JobProgress(l.ID); g.Running == 0 && g.Done == 0 {
-			return l.Since
-		}
-	}
-	return oj.Deadline(l)
-}
-
 // announcedLevel is the level of a job, by its owner's word.
 func (c *Core) announcedLevel(id protocol.JobID) (resource.Level, bool) {
 	g, ok := c.jobs.JobProgress(id)
@@ -414,5 +394,12 @@
 	if !c.Member() {
 		return true
 	}
-	return c.jobs.allWritten() && c.dispatcher.ShardsHeld() == 0
+	return c.jobs.AllWritten() && c.dispatcher.ShardsHeld() == 0
+}
+
+// Decide decides an operator's request by what this controller has followed:
+// the answer, and the transaction that has to hold before it is given, if any.
+func (c *Core) Decide(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
+	d := c.operations.Decide(by, r)
+	return d.Reply, d.Transaction
 }
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -24,7 +24,7 @@
 	for i := range 10 {
 		b.job(protocol.JobID(fmt.Sprint("job-", i)), "free", uint32(tasks/10))
 	}
-	for range 1 + tasks/maxPerStep {
+	for range 1 + tasks/MaxPerStep {
 		b.step(message.Tick{})
 	}
 	return b
@@ -52,7 +52,7 @@
 		f.machine(id, 1)
 	}
 	f.hear(0)
-	for i := 0; len(f.c.jobs.byID) < 10; i++ {
+	for i := 0; len(f.c.jobs.ByID) < 10; i++ {
 		id := protocol.JobID(fmt.Sprint("job-", i))
 		if clusterstate.Rendezvous(f.c.View, "job "+string(id)) == "node-0" {
 			f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
@@ -60,13 +60,13 @@
 			}))
 		}
 	}
-	for range 10 + tasks/maxPerStep {
+	for range 10 + tasks/MaxPerStep {
 		f.hear(0)
 		f.second()
 	}
 	placed := 0
-	for _, o := range f.c.jobs.byID {
-		placed += len(o.placed)
+	for _, o := range f.c.jobs.ByID {
+		placed += len(o.Placed)
 	}
 	if placed < tasks {
 		tb.Fatalf("%d of %d tasks placed", placed, tasks)
@@ -271,12 +271,12 @@
 // once and at one more for each task, however many wait already.
 func TestPlacingLooksOnce(t *testing.T) {
 	w := fleetOf(t, 300, 3000)
-	before := w.c.placer.candidatesExamined
+	before := w.c.placer.Examined
 	w.job("job-new", "free", 300)
-	if o := w.c.jobs.byID["job-new"]; len(o.placed) != 300 {
-		t.Fatalf("%d of 300 placed", len(o.placed))
+	if o := w.c.jobs.ByID["job-new"]; len(o.Placed) != 300 {
+		t.Fatalf("%d of 300 placed", len(o.Placed))
 	}
-	if n := w.c.placer.candidatesExamined - before; n > 600 {
+	if n := w.c.placer.Examined - before; n > 600 {
 		t.Errorf("%d machines looked at for 300 tasks on 300 machines", n)
 	}
 }
@@ -290,18 +290,18 @@
 	for range 50 { // workers that stay silent for longer are given nothing
 		w.step(message.Tick{})
 	}
-	huge := w.c.jobs.byID["job-huge"]
-	most := 20 * 4 * (int(queueAtMost.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
-	if n := len(huge.placed); n == 0 || n > most {
+	huge := w.c.jobs.ByID["job-huge"]
+	most := 20 * 4 * (int(QueueAtMost.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
+	if n := len(huge.Placed); n == 0 || n > most {
 		t.Errorf("%d tasks placed, want up to %d", n, most)
 	}
 	w.c.Live["job-huge"].Deadline += Time(time.Hour) // it can't be done by its time
-	w.c.jobs.sorted = nil
+	w.c.jobs.InvalidateOrder()
 	w.put(record.LiveKey("job-urgent"), protocol.Job{
 		ID: "job-urgent", Team: "free", Kind: protocol.KindJobArray, Priority: "high", Tasks: 5, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
 	})
 	w.step(message.Tick{})
-	if n := len(w.c.jobs.byID["job-urgent"].placed); n != 5 {
+	if n := len(w.c.jobs.ByID["job-urgent"].Placed); n != 5 {
 		t.Errorf("%d of 5 more urgent tasks placed", n)
 	}
 	w.c.jobEnded("job-huge")
@@ -324,7 +324,7 @@
 	for _, s := range []struct{ machines, tasks int }{{900, 10000}, {15000, 150000}} {
 		b.Run(fmt.Sprintf("%d machines, 300 jobs", s.machines), func(b *testing.B) {
 			f := newBusyFleet(b, s.machines, s.tasks)
-			f.c.autoscaler.haveList = true
+			f.c.autoscaler.HaveList = true
 			f.c.Settings.Site.Objectives = append(f.c.Settings.Site.Objectives, config.Objective{Kind: "wait", Class: "soon", WithinS: 10, Share: 0.9})
 			f.c.Configuration.Reset() // read anew
 			var demand []message.Demand
@@ -333,10 +333,10 @@
 				f.c.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: "soon", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, MemoryGB: 1, EstimateS: 10}}
 				demand = append(demand, message.Demand{Job: id, Unstarted: 20, EstimateS: 10})
 			}
-			f.c.table.peers["node-0"].demand = demand
+			f.c.table.Peers["node-0"].Demand = demand
 			for b.Loop() {
 				f.c.Actions = nil
-				f.c.autoscaler.planScaleOut()
+				f.c.autoscaler.PlanScaleOut()
 			}
 		})
 	}
@@ -349,12 +349,12 @@
 			f := stuckFleet(b, s.machines, s.tasks, 60)
 			for b.Loop() {
 				for range 10 {
-					f.now += Time(placeEvery)
+					f.now += Time(Interval)
 					f.c.Now, f.c.Actions = f.now, nil
-					f.c.placer.schedule()
+					f.c.placer.Schedule()
 				}
 			}
-			b.ReportMetric(float64(f.c.placer.candidatesExamined)/float64(b.N), "looked/op")
+			b.ReportMetric(float64(f.c.placer.Examined)/float64(b.N), "looked/op")
 		})
 	}
 }
@@ -373,7 +373,7 @@
 		}))
 	}
 	f.hear(0)
-	f.c.placer.candidatesExamined = 0
+	f.c.placer.Examined = 0
 	return f
 }
 
@@ -384,13 +384,13 @@
 	const machines, gangs = 3000, 100
 	f := stuckFleet(t, machines, 30000, gangs)
 	for range 20 {
-		f.now += Time(placeEvery)
-		f.c.table.placementDue = true
+		f.now += Time(Interval)
+		f.c.table.PlacementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	// Two passes for each gang that is tried: one for room, one to claim.
-	if most := 2 * 20 * 2 * maxExaminedPerStep; f.c.placer.candidatesExamined > most || f.c.placer.candidatesExamined < gangs*machines {
-		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.placer.candidatesExamined, gangs, most)
+	if most := 2 * 20 * 2 * MaxExaminedPerStep; f.c.placer.Examined > most || f.c.placer.Examined < gangs*machines {
+		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.placer.Examined, gangs, most)
 	}
 	for i := range 8 { // machines come
 		id := protocol.MachineID(fmt.Sprintf("vm-new-%d", i))
@@ -399,13 +399,13 @@
 	}
 	f.hear(0)
 	for range 20 {
-		f.now += Time(placeEvery)
-		f.c.table.placementDue = true
+		f.now += Time(Interval)
+		f.c.table.PlacementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	placed := 0
-	for _, o := range f.c.jobs.byID {
-		if o.Kind == protocol.KindGang && len(o.placed) > 0 {
+	for _, o := range f.c.jobs.ByID {
+		if o.Kind == protocol.KindGang && len(o.Placed) > 0 {
 			placed++
 		}
 	}
--- a/internal/controller/due_test.go
+++ b/internal/controller/due_test.go
@@ -56,14 +56,14 @@
 func TestDueOrder(t *testing.T) {
 	b := newBench(t)
 	for id, deadline := range map[protocol.JobID]float64{"job-1": 20, "job-2": 60} {
-		b.c.jobs.jobAccepted(protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, 1, false)
+		b.c.jobs.Accepted(protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, 1, false)
 	}
-	if b.c.jobs.jobsInOrder()[0].ID != "job-1" {
+	if b.c.jobs.InOrder()[0].ID != "job-1" {
 		t.Fatal("what is due first does not go first")
 	}
 	b.c.Now += Time(35 * time.Second)
 	b.c.refreshDeadlines()
-	if b.c.jobs.jobsInOrder()[0].ID != "job-2" {
+	if b.c.jobs.InOrder()[0].ID != "job-2" {
 		t.Error("what is late anyway goes before what is not")
 	}
 }
--- a/internal/controller/heldroom.go
+++ b/internal/controller/exclusion.go
@@ -8,24 +8,24 @@
 	"damsonkeel/internal/protocol"
 )
 
-// any reports whether anything is held or closed at present.
-func (rh *reservationHolds) any() bool { return len(rh.Windows) > 0 || len(rh.List) > 0 }
+// Any_ reports whether anything is held or closed at present.
+func (rh *Holds) Any_() bool { return len(rh.Windows) > 0 || len(rh.List) > 0 }
 
-// excludedByHolds tells on which machines a job's tasks may not be placed for what is
+// Excluded tells on which machines a job's tasks may not be placed for what is
 // promised there.
-func (rh *reservationHolds) excludedByHolds(j *protocol.Job, level resource.Level, estimateS float64) func(m *machineEntry) bool {
+func (rh *Holds) Excluded(j *protocol.Job, level resource.Level, estimateS float64) func(m *Machine) bool {
 	now := rh.WallTime()
 	likely := rh.ExpectedRunSeconds(j, estimateS)
 	t := reservation.Task{Of: rh.ReservationFilter(j), Need: resource.Need(j), Level: level, Saves: j.CheckpointS > 0}
-	return func(m *machineEntry) bool {
-		free, wait := m.free(), m.fetch(j)
-		if rh.holdsFor(j, m) {
-			free = m.idle()
+	return func(m *Machine) bool {
+		free, wait := m.Free(), m.FetchSeconds(j)
+		if rh.HeldFor(j, m) {
+			free = m.Idle()
 		}
 		if !free.Covers(t.Need) {
 			// It would wait there: for what has room beside all that is held.
 			free = resource.Capacity(m.Info)
-			wait += m.waitBefore(level) / max(m.Info.CPUs, 1)
+			wait += m.WaitBefore(level) / max(m.Info.CPUs, 1)
 		}
 		t.Ends = reservation.After(now, config.Seconds(wait+likely))
 		holds := rh.Holds[m.ID]
@@ -36,7 +36,7 @@
 	}
 }
 
-// holdsFor reports whether room is held on a machine for a job.
-func (rh *reservationHolds) holdsFor(j *protocol.Job, m *machineEntry) bool {
+// HeldFor reports whether room is held on a machine for a job.
+func (rh *Holds) HeldFor(j *protocol.Job, m *Machine) bool {
 	return reservation.OwnUntil(rh.Holds[m.ID], rh.ReservationFilter(j)) != 0
 }
--- a/internal/controller/failedsearch.go
+++ b/internal/controller/failedsearch.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
@@ -23,46 +24,46 @@
 	spot  bool
 	// yields: it may have only what others leave, and not wait in a queue.
 	yields bool
-	until  Time
+	until  clock.Time
 }
 
 const (
-	// searchedAtOnce is how many machines may be looked at, a step, for arrays that
+	// SearchedAtOnce is how many machines may be looked at, a step, for arrays that
 	// are likely to find no place.
-	searchedAtOnce = 3000
+	SearchedAtOnce = 3000
 	// failedSearchesMost bounds the searches remembered.
 	failedSearchesMost = 64
 )
 
 // noteFailedSearch remembers that a job's search for places found none any more.
-func (pl *placer) noteFailedSearch(o *ownedJob) {
-	if o.OneZone || o.Spread || len(o.failedOn) > 0 || pl.reservations.Any || len(pl.failedSearches) >= failedSearchesMost {
+func (pl *Placer) noteFailedSearch(o *Job) {
+	if o.OneZone || o.Spread || len(o.FailedOn) > 0 || pl.reservations.Any || len(pl.failedSearches) >= failedSearchesMost {
 		return // where it may go depends on more than what is remembered
 	}
 	pl.failedSearches = append(pl.failedSearches, failedSearch{
-		need: resource.Need(&o.Job), level: o.level, rank: o.Priority.Rank(), class: o.Class, types: o.Types, zone: o.Zone, spot: o.Spot, yields: o.usesHeadroom,
+		need: resource.Need(&o.Job), level: o.Level, rank: o.Priority.Rank(), class: o.Class, types: o.Types, zone: o.Zone, spot: o.Spot, yields: o.UsesHeadroom,
 	})
-	every := placeEvery * time.Duration(max(1, len(pl.failedSearches)*len(pl.table.sortedMachines)/searchedAtOnce))
+	every := Interval * time.Duration(max(1, len(pl.failedSearches)*len(pl.table.InOrder())/SearchedAtOnce))
 	pl.failedSearches[len(pl.failedSearches)-1].until = pl.After(every)
 }
 
 // forgetFailedSearches drops the searches that are too long ago to tell anything.
-func (pl *placer) forgetFailedSearches() {
+func (pl *Placer) forgetFailedSearches() {
 	pl.failedSearches = slices.DeleteFunc(pl.failedSearches, func(v failedSearch) bool { return v.until <= pl.Now })
 }
 
 // wouldFindNone reports whether a job's search would find no place, as another's has not.
 // Room kept for a class is room for its own jobs.
-func (pl *placer) wouldFindNone(o *ownedJob) bool {
+func (pl *Placer) wouldFindNone(o *Job) bool {
 	if pl.reservations.Any {
 		return false
 	}
 	need := resource.Need(&o.Job)
 	for i := range pl.failedSearches {
 		v := &pl.failedSearches[i]
-		if need.Covers(v.need) && o.level <= v.level && o.Priority.Rank() <= v.rank && (v.spot || !o.Spot) &&
+		if need.Covers(v.need) && o.Level <= v.level && o.Priority.Rank() <= v.rank && (v.spot || !o.Spot) &&
 			(v.zone == "" || v.zone == o.Zone) && (len(v.types) == 0 || slices.Equal(v.types, o.Types)) &&
-			(v.class == o.Class || !pl.HasStartObjective(&o.Job)) && (o.usesHeadroom || !v.yields) {
+			(v.class == o.Class || !pl.HasStartObjective(&o.Job)) && (o.UsesHeadroom || !v.yields) {
 			return true
 		}
 	}
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -16,36 +16,36 @@
 	b := newBench(t, "node-1")
 	const machines, jobs, ticks = 600, 300, 20
 	b.zoned("a", machines, false, heldAt(2, 4))
-	for _, m := range b.c.table.machinesInOrder() {
-		m.reported.Wait = 10_000
+	for _, m := range b.c.table.InOrder() {
+		m.Reported.Wait = 10_000
 	}
 	var first protocol.JobID
 	for i := range 2 * jobs {
 		id := protocol.JobID(fmt.Sprintf("job-%06d", i))
 		b.job(id, "free", 1)
-		if first == "" && b.c.jobs.byID[id] != nil {
+		if first == "" && b.c.jobs.ByID[id] != nil {
 			first = id
 		}
 	}
-	if n := len(b.c.jobs.byID); n < jobs*3/4 {
+	if n := len(b.c.jobs.ByID); n < jobs*3/4 {
 		t.Fatalf("%d jobs owned", n)
 	}
-	before := b.c.placer.candidatesExamined
+	before := b.c.placer.Examined
 	for range ticks {
-		b.c.table.placementDue = true
+		b.c.table.PlacementDue = true
 		b.step(message.Tick{})
 	}
-	if n := b.c.placer.candidatesExamined - before; n < machines || n > 2*ticks*searchedAtOnce {
+	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*SearchedAtOnce {
 		t.Errorf("%d machines looked at in %d steps", n, ticks)
 	}
-	all := b.c.table.machinesInOrder()
-	m := all[slices.IndexFunc(all, func(m *machineEntry) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // here nobody keeps the rest
-	m.reported.FreeCPUs, m.reported.FreeGB, m.reported.Wait = 1, 4, 0
+	all := b.c.table.InOrder()
+	m := all[slices.IndexFunc(all, func(m *Machine) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // here nobody keeps the rest
+	m.Reported.FreeCPUs, m.Reported.FreeGB, m.Reported.Wait = 1, 4, 0
 	for range ticks {
-		b.c.table.placementDue = true
+		b.c.table.PlacementDue = true
 		b.step(message.Tick{})
 	}
-	if len(b.c.jobs.attemptsOn[m.ID]) == 0 || b.c.jobs.byID[first].placed[protocol.TaskID{Job: first}] == nil {
-		t.Errorf("%s is not placed on the machine that has room: %v", first, b.c.jobs.attemptsOn[m.ID])
+	if len(b.c.jobs.AttemptsOn[m.ID]) == 0 || b.c.jobs.ByID[first].Placed[protocol.TaskID{Job: first}] == nil {
+		t.Errorf("%s is not placed on the machine that has room: %v", first, b.c.jobs.AttemptsOn[m.ID])
 	}
 }
--- a/internal/controller/failingjob.go
+++ b/internal/controller/failingjob.go
@@ -28,73 +28,84 @@
 // attemptFailed notes that a task of a job ended in an error, and judges the job: it is
 // tried with one task at a time, ever later, once at least as many of its tasks have
 // failed as run.
-func (oj *ownedJobs) attemptFailed(o *ownedJob, t *attempt) {
-	o.failedOn[t.machine] = true
+func (oj *Owned) attemptFailed(o *Job, t *Attempt) {
+	o.FailedOn[t.Machine] = true
 	o.failures++
 	if t.running {
 		o.failedAfter = max(o.failedAfter, oj.Since(t.runningSince))
 	}
 	switch {
-	case o.failing && t.trial && o.notBefore <= oj.Now: // the first of a trial's tasks
+	case o.Failing && t.Trial && o.NotBefore <= oj.Now: // the first of a trial's tasks
 		o.backoff = min(2*o.backoff, retryMost)
-		o.notBefore = oj.After(o.backoff)
-	case o.failing || !oj.hasFailedEverywhere(o):
+		o.NotBefore = oj.After(o.backoff)
+	case o.Failing || !oj.hasFailedEverywhere(o):
 	default:
-		o.failing, o.backoff = true, retryFirst
-		if o.isGang() { // a trial takes the room of all its tasks
+		o.Failing, o.backoff = true, retryFirst
+		if o.IsGang() { // a trial takes the room of all its tasks
 			o.backoff = min(retryFirst*time.Duration(o.Tasks), retryMost)
 		}
-		o.notBefore = oj.After(o.backoff)
+		o.NotBefore = oj.After(o.backoff)
 		oj.ownedChanges.Touch(o.ID)
-		oj.Log.Info("job fails wherever it runs: one task is tried now and then", "job", o.ID, "machines", len(o.failedOn))
-		for _, other := range ordered.Tasks(o.placed) {
-			if !other.started && !other.stopping && o.Kind != protocol.KindGang {
-				oj.sendStop(other, false, 0) // what waits in queues would fail as well
+		oj.Log.Info("job fails wherever it runs: one task is tried now and then", "job", o.ID, "machines", len(o.FailedOn))
+		for _, other := range ordered.Tasks(o.Placed) {
+			if !other.Started && !other.Stopping && o.Kind != protocol.KindGang {
+				oj.SendStop(other, false, 0) // what waits in queues would fail as well
 			}
 		}
 	}
 }
 
 // clearFailures takes back what was held against a job.
-func (oj *ownedJobs) clearFailures(o *ownedJob) {
+func (oj *Owned) clearFailures(o *Job) {
 	o.failures = 0
-	if !o.failing {
+	if !o.Failing {
 		return
 	}
-	o.failing, o.backoff, o.notBefore = false, 0, 0
-	clear(o.failedOn)
+	o.Failing, o.backoff, o.NotBefore = false, 0, 0
+	clear(o.FailedOn)
 	oj.ownedChanges.Touch(o.ID)
-	oj.table.placementDue = true
+	oj.table.PlacementDue = true
 	oj.Log.Info("job no longer fails", "job", o.ID)
 }
 
 // expireTrials looks whether the trial of a job that failed goes on for much longer
 // than its tasks took to fail.
-func (oj *ownedJobs) expireTrials(o *ownedJob) {
-	if !o.failing {
+func (oj *Owned) expireTrials(o *Job) {
+	if !o.Failing {
 		return
 	}
-	for _, t := range o.placed {
-		if t.trial && t.running && oj.Since(t.runningSince) > trialFactor*o.failedAfter+trialSlack {
+	for _, t := range o.Placed {
+		if t.Trial && t.running && oj.Since(t.runningSince) > trialFactor*o.failedAfter+trialSlack {
 			oj.clearFailures(o)
 			return
 		}
 	}
 }
 
-// mayTry is how many of n tasks of a job may be placed now.
-func (o *ownedJob) mayTry(n int) int {
-	switch {
-	case !o.failing:
-		return n
-	case len(o.placed) > 0:
-		return 0 // until all that is known to be there has ended
+// IsFailing reports whether a live job fails wherever it runs, by its owner's word.
+func (oj *Owned) IsFailing(id protocol.JobID) bool {
+	g, ok := oj.JobProgress(id)
+	return ok && g.Failing
+}
+
+// FailedEverywhereElse reports whether a job failed on all machines that there are for it.
+// Where the only machine of a zone had failed it once, it was never tried again, and
+// no other was rented since that one had room.
+func (oj *Owned) FailedEverywhereElse(o *Job) bool {
+	if len(o.FailedOn) == 0 {
+		return false
 	}
-	return min(n, 1)
+	for _, m := range oj.table.InOrder() {
+		if !o.FailedOn[m.ID] && oj.table.Usable(m) && o.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
+			return false
+		}
+	}
+	return true
 }
 
-// isFailing reports whether a live job fails wherever it runs, by its owner's word.
-func (oj *ownedJobs) isFailing(id protocol.JobID) bool {
-	g, ok := oj.JobProgress(id)
-	return ok && g.Failing
+// hasFailedEverywhere reports whether a job failed on several machines, no less often
+// than its tasks run, or on all that there are for it. The tasks of a gang fail
+// together: how many run then tells nothing.
+func (oj *Owned) hasFailedEverywhere(o *Job) bool {
+	return len(o.FailedOn) >= failedMachines && (o.IsGang() || o.failures >= int(o.running)) || oj.FailedEverywhereElse(o)
 }
--- a/internal/controller/finish.go
+++ b/internal/controller/finish.go
@@ -7,13 +7,13 @@
 	"damsonkeel/internal/record"
 )
 
-func (oj *ownedJobs) markTaskDone(o *ownedJob, i uint32) {
-	o.pending.Clear(uint(i))
-	if o.done.Test(uint(i)) {
+func (oj *Owned) markTaskDone(o *Job, i uint32) {
+	o.Pending.Clear(uint(i))
+	if o.Done.Test(uint(i)) {
 		return
 	}
-	o.done.Set(uint(i))
-	o.nDone++
+	o.Done.Set(uint(i))
+	o.DoneCount++
 	oj.ownedChanges.Touch(o.ID)
 	o.dirtyChunks[int(i)/record.ChunkTasks] = true
 	oj.clearFailures(o)
@@ -21,15 +21,15 @@
 
 // finishIfDone has a job's end written once all its tasks are done. It is told
 // to nobody before that is durable.
-func (oj *ownedJobs) finishIfDone(o *ownedJob) {
-	if !o.loaded || o.nDone < o.Tasks || o.finishDue {
+func (oj *Owned) finishIfDone(o *Job) {
+	if !o.Loaded || o.DoneCount < o.Tasks || o.FinishDue {
 		return
 	}
-	o.finishDue = true
+	o.FinishDue = true
 	oj.writeFinish(o)
 }
 
-func (oj *ownedJobs) writeFinish(o *ownedJob) {
+func (oj *Owned) writeFinish(o *Job) {
 	if o.finishInFlight || !oj.HoldsLease() {
 		return
 	}
@@ -44,31 +44,31 @@
 	for chunk := range ordered.Of(o.storedChunks) { // a short job has none: what is not there costs a change all the same
 		txn.Changes = append(txn.Changes, protocol.Change{Delete: record.BitmapChunkKey(o.ID, chunk)})
 	}
-	oj.Emit(message.Commit{Tag: finishTag{o.ID}, Txn: txn})
+	oj.Emit(message.Commit{Tag: FinishTag{o.ID}, Txn: txn})
 }
 
-func (oj *ownedJobs) finishWritten(tag finishTag, out message.Outcome) {
-	o := oj.byID[tag.job]
+func (oj *Owned) FinishWritten(tag FinishTag, out message.Outcome) {
+	o := oj.ByID[tag.job]
 	if o == nil {
 		return
 	}
 	o.finishInFlight = out == message.OutcomeDone // otherwise again at a later tick; a conflict shows in the records
 }
 
-// writeBitmaps writes the bitmaps that changed, a few at a time.
-func (oj *ownedJobs) writeBitmaps() {
+// WriteBitmaps writes the bitmaps that changed, a few at a time.
+func (oj *Owned) WriteBitmaps() {
 	if !oj.HoldsLease() {
 		return
 	}
 	n := 0
-	for _, o := range ordered.Of(oj.byID) {
-		if len(o.dirtyChunks) == 0 || o.writing || o.finishDue || !o.loaded || o.rereadNeeded {
+	for _, o := range ordered.Of(oj.ByID) {
+		if len(o.dirtyChunks) == 0 || o.writing || o.FinishDue || !o.Loaded || o.rereadNeeded {
 			continue
 		}
 		if n++; n > oj.Settings.Site.State.TxnOps {
 			return
 		}
-		tag := bitmapTag{job: o.ID}
+		tag := BitmapTag{job: o.ID}
 		txn := protocol.Transaction{Conditions: []protocol.Condition{
 			{Key: record.ViewKey, Version: oj.ViewVersion}, // a former owner writes nothing late
 			{Key: record.LiveKey(o.ID), Version: o.Version},
@@ -80,7 +80,7 @@
 			key, have := record.BitmapChunkKey(o.ID, chunk), o.storedChunks[chunk]
 			txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: have})
 			o.storedChunks[chunk] = have // perhaps in the records from now on
-			txn.Changes = append(txn.Changes, protocol.Change{Put: key, Value: record.EncodeChunk(o.done, chunk)})
+			txn.Changes = append(txn.Changes, protocol.Change{Put: key, Value: record.EncodeChunk(o.Done, chunk)})
 		}
 		clear(o.dirtyChunks)
 		o.writing, o.chunksInFlight = true, tag.chunks
@@ -88,8 +88,8 @@
 	}
 }
 
-func (oj *ownedJobs) bitmapWritten(tag bitmapTag, out message.Outcome, at protocol.Revision) {
-	o := oj.byID[tag.job]
+func (oj *Owned) BitmapWritten(tag BitmapTag, out message.Outcome, at protocol.Revision) {
+	o := oj.ByID[tag.job]
 	if o == nil {
 		return
 	}
@@ -103,3 +103,11 @@
 	}
 	o.rereadNeeded = out == message.OutcomeUnknown || out == message.OutcomeFailed
 }
+
+type (
+	FinishTag struct{ job protocol.JobID }
+	BitmapTag struct {
+		job    protocol.JobID
+		chunks []int
+	}
+)
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -8,6 +8,7 @@
 
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/binpack"
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/forecast"
@@ -17,133 +18,135 @@
 	"damsonkeel/internal/protocol"
 )
 
-// autoscalerState is what the controller that rents machines keeps of them.
-type autoscalerState struct {
+// Autoscaler is what the controller that rents machines keeps of them.
+type Autoscaler struct {
 	clusterstate.Module
-	table        *waitTable
-	workload     *workload
-	reservations *reservationHolds
-	placer       *placer
-	planner      *reservationPlanner
+	table        *Table
+	workload     *Workload
+	reservations *Holds
+	placer       *Placer
+	planner      *ReservationPlanner
 
-	since           Time // when this view was adopted
+	since           clock.Time // when this view was adopted
 	listed          map[protocol.MachineID]protocol.ListedMachine
-	listedAt        Time
-	heardAt         Time // when a list last came
+	listedAt        clock.Time
+	heardAt         clock.Time // when a list last came
 	listing         bool
-	haveList        bool
-	orphan          map[protocol.MachineID]Time // listed, not registered: since when
+	HaveList        bool
+	orphan          map[protocol.MachineID]clock.Time // listed, not registered: since when
 	bootingMachines map[protocol.MachineID]bootingMachine
-	provisionCalls  map[string]*provisionCall
+	ProvisionCalls  map[string]*provisionCall
 	requests        uint64
-	refusals        map[binpack.Kind]refusal
+	Refusals        map[binpack.Kind]Refusal
 	bootHistory     map[binpack.Kind]*bootRecord
-	deleting        map[protocol.MachineID]Time
-	terminated      map[protocol.MachineID]Time // lists may still show them
-	lastPlan        Time
+	deleting        map[protocol.MachineID]clock.Time
+	terminated      map[protocol.MachineID]clock.Time // lists may still show them
+	lastPlan        clock.Time
 	seen            map[protocol.MachineID]bool // listed as running at some time
 }
 
-// kind is the kind of a machine that is up.
-func (m *machineEntry) kind() binpack.Kind {
-	return binpack.Kind{Type: m.Record.Type, Zone: m.Record.Zone, Spot: m.Record.Spot}
-}
-
 // bootingMachine is a machine rented that has not reported yet.
 type bootingMachine struct {
 	binpack.Kind
-	at Time
+	at clock.Time
 }
 
-// refusal is a kind the cloud had none of: not asked for again for a while,
+// Refusal is a kind the cloud had none of: not asked for again for a while,
 // longer each time.
-type refusal struct {
-	until Time
+type Refusal struct {
+	Until clock.Time
 	pause time.Duration
 }
 
 type provisionCall struct {
-	req         protocol.ProvisionRequest
-	at          Time
+	Request     protocol.ProvisionRequest
+	at          clock.Time
 	reservation reservation.Name // the reservation that it is for, if any
 	tries       int
 	inFlight    bool
 }
 
-// kind is what was asked for.
+// Kind is what was asked for.
 func (r *provisionCall) kind() binpack.Kind {
-	return binpack.Kind{Type: r.req.Type, Zone: r.req.Zone, Spot: r.req.Spot}
+	return binpack.Kind{Type: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot}
+}
+
+// New___ makes an autoscaler with its planner of reservations.
+func New___(p clusterstate.Module, table *Table, work *Workload, held *Holds, place *Placer) (*Autoscaler, *ReservationPlanner) {
+	as := &Autoscaler{Module: p, table: table, workload: work, reservations: held, placer: place}
+	as.planner = &ReservationPlanner{Module: p, table: table, reservations: held, autoscaler: as}
+	return as, as.planner
 }
 
-// reset forgets everything a session knew.
-func (as *autoscalerState) reset() {
-	*as = autoscalerState{
+// Reset forgets everything a session knew.
+func (as *Autoscaler) Reset() {
+	*as = Autoscaler{
 		Module: as.Module, table: as.table, workload: as.workload, reservations: as.reservations, placer: as.placer, planner: as.planner,
-		listed: map[protocol.MachineID]protocol.ListedMachine{}, orphan: map[protocol.MachineID]Time{},
-		bootingMachines: map[protocol.MachineID]bootingMachine{}, provisionCalls: map[string]*provisionCall{}, refusals: map[binpack.Kind]refusal{}, bootHistory: map[binpack.Kind]*bootRecord{},
-		deleting: map[protocol.MachineID]Time{}, terminated: map[protocol.MachineID]Time{}, seen: map[protocol.MachineID]bool{},
+		listed: map[protocol.MachineID]protocol.ListedMachine{}, orphan: map[protocol.MachineID]clock.Time{},
+		bootingMachines: map[protocol.MachineID]bootingMachine{}, ProvisionCalls: map[string]*provisionCall{}, Refusals: map[binpack.Kind]Refusal{}, bootHistory: map[binpack.Kind]*bootRecord{},
+		deleting: map[protocol.MachineID]clock.Time{}, terminated: map[protocol.MachineID]clock.Time{}, seen: map[protocol.MachineID]bool{},
 	}
 }
 
-func (f *autoscalerState) adopted(now Time) { f.since = now }
+func (f *Autoscaler) ViewAdopted(now clock.Time) { f.since = now }
 
 // Timings of the fleet. They follow from how machines boot and the list lags.
 const (
-	planEvery     = 2 * time.Second
+	PlanEvery     = 2 * time.Second
 	listEvery     = 5 * time.Second
 	refusedPause  = 10 * time.Second
 	refusedAtMost = time.Minute
-	settleTime    = 4 * time.Second
+	SettleTime    = 4 * time.Second
 )
 
-// scaleStep rents and returns machines, if that is this controller's role.
-func (as *autoscalerState) scaleStep() {
+// Step rents and returns machines, if that is this controller's role.
+func (as *Autoscaler) Step() {
 	f := as
 	if !as.HoldsLease() || len(as.Types) == 0 || clusterstate.Rendezvous(as.View, "fleet") != as.Self {
 		return
 	}
-	if !f.listing && (!f.haveList || as.Since(f.listedAt) > listEvery) {
+	if !f.listing && (!f.HaveList || as.Since(f.listedAt) > listEvery) {
 		f.listing = true
 		as.Emit(message.ListMachines{})
 	}
-	for name, r := range ordered.Of(f.provisionCalls) {
+	for name, r := range ordered.Of(f.ProvisionCalls) {
 		switch {
 		case r.inFlight || as.Since(r.at) < 2*time.Second:
 		case r.tries > 5:
-			delete(f.provisionCalls, name)
+			delete(f.ProvisionCalls, name)
 		default:
 			// No answer came: the machines may be rented. Only the same name
 			// asks without renting twice.
 			as.provision(r)
 		}
 	}
-	if !as.isAutoscaler() || as.Since(f.lastPlan) < planEvery {
+	if !as.isAutoscaler() || as.Since(f.lastPlan) < PlanEvery {
 		return
 	}
 	f.lastPlan = as.Now
 	as.updateBooting()
 	as.planner.chooseReserved()
-	as.planScaleOut()
+	as.PlanScaleOut()
 	as.scaleIn()
 }
 
 // updateBooting drops from the machines awaited those that came or never will.
-func (as *autoscalerState) updateBooting() {
+func (as *Autoscaler) updateBooting() {
 	f := as
 	for id, l := range f.listed {
-		if _, ok := f.bootingMachines[id]; !ok && as.table.machines[id] == nil && l.State == "booting" && f.terminated[id] == 0 {
-			f.bootingMachines[id] = bootingMachine{binpack.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}, as.Now - Time(l.AgeS*float64(time.Second))}
+		if _, ok := f.bootingMachines[id]; !ok && as.table.Machines[id] == nil && l.State == "booting" && f.terminated[id] == 0 {
+			f.bootingMachines[id] = bootingMachine{binpack.Kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}, as.Now - clock.Time(l.AgeS*float64(time.Second))}
 		}
 	}
 	overdue := map[binpack.Kind]int{}
 	for id, m := range f.bootingMachines {
-		up := as.table.machines[id] != nil
+		up := as.table.Machines[id] != nil
 		if up {
 			*f.historyOf(m.Kind) = bootRecord{lastUp: as.Now}
 		} else if as.Since(m.at) > as.bootTimeout(m.Type) {
 			overdue[m.Kind]++
 		}
-		if up || as.Now-m.at > Time(as.bootDeadline(m.Type)) || f.terminated[id] != 0 {
+		if up || as.Now-m.at > clock.Time(as.bootDeadline(m.Type)) || f.terminated[id] != 0 {
 			delete(f.bootingMachines, id)
 		}
 	}
@@ -157,8 +160,8 @@
 
 // booting is how machines of a kind come up.
 type bootRecord struct {
-	lastUp Time // when one last did
-	// trial: so many are overdue and none has come up for so long that no more than
+	lastUp clock.Time // when one last did
+	// Trial: so many are overdue and none has come up for so long that no more than
 	// one is asked for at a time, and none is counted on, until one comes up.
 	trial bool
 }
@@ -168,7 +171,7 @@
 const maxOverdueBoots = 3
 
 // historyOf is how machines of a kind come up.
-func (f *autoscalerState) historyOf(k binpack.Kind) *bootRecord {
+func (f *Autoscaler) historyOf(k binpack.Kind) *bootRecord {
 	b := f.bootHistory[k]
 	if b == nil {
 		b = &bootRecord{}
@@ -179,39 +182,39 @@
 
 // canary reports whether machines of a kind do not come up at present, and whether
 // one is under way to find out.
-func (f *autoscalerState) canary(k binpack.Kind) (trial, underWay bool) {
+func (f *Autoscaler) canary(k binpack.Kind) (trial, underWay bool) {
 	if b := f.bootHistory[k]; b == nil || !b.trial {
 		return false, false
 	}
 	for _, m := range f.bootingMachines {
 		underWay = underWay || m.Kind == k
 	}
-	for _, r := range f.provisionCalls {
+	for _, r := range f.ProvisionCalls {
 		underWay = underWay || r.kind() == k
 	}
 	return true, underWay
 }
 
 // bootTimeout is how long after it was rented a machine should be up.
-func (as *autoscalerState) bootTimeout(t protocol.MachineType) time.Duration {
+func (as *Autoscaler) bootTimeout(t protocol.MachineType) time.Duration {
 	return config.Seconds(2*as.Types[t].BootS) + 10*time.Second
 }
 
 // bootDeadline is how long a machine may take to come up before it is given up.
-func (as *autoscalerState) bootDeadline(t protocol.MachineType) time.Duration {
+func (as *Autoscaler) bootDeadline(t protocol.MachineType) time.Duration {
 	return time.Duration(4*as.Types[t].BootS*float64(time.Second)) + 30*time.Second
 }
 
-func (as *autoscalerState) provision(r *provisionCall) {
+func (as *Autoscaler) provision(r *provisionCall) {
 	r.inFlight, r.at = true, as.Now
 	r.tries++
-	as.Log.Debug("renting", "type", r.req.Type, "zone", r.req.Zone, "spot", r.req.Spot, "count", r.req.Count, "request", r.req.Name)
-	as.Emit(message.Provision{Request: r.req})
+	as.Log.Debug("renting", "type", r.Request.Type, "zone", r.Request.Zone, "spot", r.Request.Spot, "count", r.Request.Count, "request", r.Request.Name)
+	as.Emit(message.Provision{Request: r.Request})
 }
 
-func (as *autoscalerState) provisioned(m message.ProvisionDone) {
+func (as *Autoscaler) Provisioned(m message.ProvisionDone) {
 	f := as
-	r := f.provisionCalls[m.Request.Name]
+	r := f.ProvisionCalls[m.Request.Name]
 	if r == nil {
 		return
 	}
@@ -219,67 +222,67 @@
 	k := r.kind()
 	switch m.Outcome {
 	case message.OutcomeDone:
-		delete(f.provisionCalls, m.Request.Name)
+		delete(f.ProvisionCalls, m.Request.Name)
 		for _, id := range m.Machines {
 			f.bootingMachines[id] = bootingMachine{k, as.Now}
 		}
 		as.planner.chooseReserved() // before anybody else uses them
 		as.Log.Info("rented", "machines", m.Machines, "request", m.Request.Name)
-		delete(f.refusals, k)
+		delete(f.Refusals, k)
 		if len(m.Machines) == m.Request.Count {
 			if as.isAutoscaler() {
-				as.planScaleOut() // there may be more of it
+				as.PlanScaleOut() // there may be more of it
 			}
 			return
 		}
 	case message.OutcomeFailed, message.OutcomeRefused:
-		delete(f.provisionCalls, m.Request.Name)
+		delete(f.ProvisionCalls, m.Request.Name)
 		as.Log.Debug("not rented", "type", k.Type, "zone", k.Zone, "spot", k.Spot)
 	default:
 		return // asked again by the same name
 	}
-	pause := min(max(2*f.refusals[k].pause, refusedPause), refusedAtMost)
-	f.refusals[k] = refusal{as.After(pause), pause}
+	pause := min(max(2*f.Refusals[k].pause, refusedPause), refusedAtMost)
+	f.Refusals[k] = Refusal{as.After(pause), pause}
 	if as.isAutoscaler() {
-		as.planScaleOut() // the next best kind, at once
+		as.PlanScaleOut() // the next best kind, at once
 	}
 }
 
 // isAutoscaler reports whether this controller rents and returns machines.
-func (as *autoscalerState) isAutoscaler() bool {
-	return as.HoldsLease() && len(as.Types) > 0 && clusterstate.Rendezvous(as.View, "fleet") == as.Self && as.haveList && as.Since(as.since) >= settleTime
+func (as *Autoscaler) isAutoscaler() bool {
+	return as.HoldsLease() && len(as.Types) > 0 && clusterstate.Rendezvous(as.View, "fleet") == as.Self && as.HaveList && as.Since(as.since) >= SettleTime
 }
 
-// idleTimeout is how long a machine is kept idle, in seconds: as long as the boot
+// IdleTimeout is how long a machine is kept idle, in seconds: as long as the boot
 // of another would cost. Where it is known what is likely to come meanwhile,
 // and there is room for that without the machine, it is not waited for. A
 // controller that has just begun knows that of no class.
-func (as *autoscalerState) idleTimeout(t protocol.TypeInfo, spare float64) float64 {
+func (as *Autoscaler) IdleTimeout(t protocol.TypeInfo, spare float64) float64 {
 	keep := math.Min(t.BootS, as.Op.IdleReturn.Seconds())
 	if !math.IsInf(spare, 1) && as.Since(as.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
-		keep = math.Min(keep, idleKnown.Seconds())
+		keep = math.Min(keep, IdleKnown.Seconds())
 	}
 	return keep
 }
 
-// idleKnown is how long a machine is idle before that is more than the moment
+// IdleKnown is how long a machine is idle before that is more than the moment
 // between two tasks.
-const idleKnown = 2 * planEvery
+const IdleKnown = 2 * PlanEvery
 
-// spareProcessors is how many processors there are beyond what is held by more
+// SpareProcessors is how many processors there are beyond what is held by more
 // urgent work, what waits, and what the classes that need not start at once are
 // likely to need.
-func (as *autoscalerState) spareProcessors() float64 {
+func (as *Autoscaler) SpareProcessors() float64 {
 	top, spare, any := 0, 0.0, false
-	for _, k := range ordered.Of(as.workload.classes) {
-		if work := as.workload.comingWork(k); work > 0 {
-			spare -= work / as.workload.upS(&k.job)
-			top, any = max(top, k.job.Priority.Rank()), true
+	for _, k := range ordered.Of(as.workload.Classes) {
+		if work := as.workload.ComingWork(k); work > 0 {
+			spare -= work / as.workload.BootSeconds(&k.Job)
+			top, any = max(top, k.Job.Priority.Rank()), true
 		}
 	}
 	waits := 0.0
-	for _, p := range ordered.Of(as.table.peers) {
-		for _, d := range p.demand {
+	for _, p := range ordered.Of(as.table.Peers) {
+		for _, d := range p.Demand {
 			if j := as.Live[d.Job]; j != nil && j.Priority.Rank() <= top { // the rest is held by queues
 				waits += float64(d.Unstarted) * j.CPUs
 			}
@@ -289,9 +292,9 @@
 		return math.Inf(1)
 	}
 	spare -= waits
-	for _, m := range as.table.machinesInOrder() {
-		if as.table.usable(m) {
-			spare += m.freeBelow(top).CPUs
+	for _, m := range as.table.InOrder() {
+		if as.table.Usable(m) {
+			spare += m.FreeBelow(top).CPUs
 		}
 	}
 	return spare
@@ -299,13 +302,13 @@
 
 // scaleIn gives back what is idle, failed, faulty or never came up. A
 // machine that may hold tasks is emptied first, or its lease is over.
-func (as *autoscalerState) scaleIn() {
+func (as *Autoscaler) scaleIn() {
 	f := as
 	var gone []protocol.MachineID
-	cl, spare := as.placer.claims(), as.spareProcessors()
-	machines := slices.Clone(as.table.machinesInOrder())
-	slices.SortStableFunc(machines, func(a, b *machineEntry) int { // the dearest first
-		return cmp.Compare(as.price(b.kind()), as.price(a.kind()))
+	cl, spare := as.placer.NewClaims(), as.SpareProcessors()
+	machines := slices.Clone(as.table.InOrder())
+	slices.SortStableFunc(machines, func(a, b *Machine) int { // the dearest first
+		return cmp.Compare(as.price(b.Kind()), as.price(a.Kind()))
 	})
 	for _, m := range machines {
 		id := m.ID
@@ -315,31 +318,31 @@
 			as.dropRecord(m)
 			continue
 		}
-		if m.reported.Epoch != m.Epoch || !as.table.recent(m, 5*time.Second) {
+		if m.Reported.Epoch != m.Epoch || !as.table.Recent(m, 5*time.Second) {
 			continue // nothing recent is known of it
 		}
 		l, listed := f.listed[id]
 		f.seen[id] = f.seen[id] || listed && l.State == "running"
-		silent, idleS := m.reported.Silence == message.SilenceLong, m.reported.IdleS+as.Since(m.reportedAt).Seconds()
-		switch empty := m.reported.Heard && m.reported.Held == 0 && m.pendingSum == 0; {
-		case silent && (m.reported.Noticed || f.seen[id] && !listed):
+		silent, idleS := m.Reported.Silence == message.SilenceLong, m.Reported.IdleS+as.Since(m.ReportedAt).Seconds()
+		switch empty := m.Reported.Heard && m.Reported.Held == 0 && m.PendingSum == 0; {
+		case silent && (m.Reported.Noticed || f.seen[id] && !listed):
 			// Taken, by all signs. The cloud's answer to its deletion proves
 			// it, long before the worker's lease would.
 			as.Log.Info("deleting a silent machine that seems taken", "machine", id)
 			gone = append(gone, id)
-		case empty && (m.reported.Draining || m.reported.Suspect):
+		case empty && (m.Reported.Draining || m.Reported.Suspect):
 			gone = append(gone, id)
 		case as.planner.keepForReservation(m):
-		case empty && !m.reported.Draining && idleS > as.idleTimeout(m.Info, spare) && spare >= m.Info.CPUs && cl.release(m):
+		case empty && !m.Reported.Draining && idleS > as.IdleTimeout(m.Info, spare) && spare >= m.Info.CPUs && cl.Release(m):
 			spare -= m.Info.CPUs
 			as.Log.Info("returning an idle machine", "machine", id, "idle_s", int(idleS))
 			as.Send(as.DispatcherOf(id), message.PeerMessage{Drain: &id})
 		}
 	}
 	for id, l := range ordered.Of(f.listed) {
-		if as.table.machines[id] != nil || f.terminated[id] != 0 {
+		if as.table.Machines[id] != nil || f.terminated[id] != 0 {
 			delete(f.orphan, id)
-			if as.table.machines[id] != nil && l.State == "failed" && f.terminated[id] == 0 {
+			if as.table.Machines[id] != nil && l.State == "failed" && f.terminated[id] == 0 {
 				gone = append(gone, id) // stopped by itself: nothing runs on it
 			}
 			continue
@@ -379,7 +382,7 @@
 
 // terminated: the cloud's word that machines are gone, and all on them. Their
 // records go, which tells every owner.
-func (as *autoscalerState) terminateDone(m message.TerminateDone) {
+func (as *Autoscaler) Terminated(m message.TerminateDone) {
 	f := as
 	for _, id := range m.Machines {
 		delete(f.deleting, id)
@@ -389,25 +392,25 @@
 		f.terminated[id] = as.Now
 		delete(f.bootingMachines, id)
 		as.Log.Info("machine returned", "machine", id)
-		if have := as.table.machines[id]; have != nil {
+		if have := as.table.Machines[id]; have != nil {
 			as.dropRecord(have)
 		}
 	}
 }
 
 // dropRecord deletes the record of a machine that the cloud says is gone.
-func (as *autoscalerState) dropRecord(m *machineEntry) {
+func (as *Autoscaler) dropRecord(m *Machine) {
 	as.ChangeRecord(dispatcher.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
 }
 
-func (as *autoscalerState) machinesListed(m message.MachinesListed) {
+func (as *Autoscaler) MachinesListed(m message.MachinesListed) {
 	f := as
 	f.listing = false
 	f.listedAt = as.Now
 	if !m.OK {
 		return
 	}
-	f.haveList, f.heardAt = true, as.Now
+	f.HaveList, f.heardAt = true, as.Now
 	clear(f.listed)
 	for _, l := range m.Machines {
 		f.listed[l.ID] = l
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -16,14 +16,14 @@
 // planner is a bench whose core has the fleet's role and a first list.
 func planner(t *testing.T) *bench {
 	b := newBench(t)
-	b.now += Time(settleTime)
+	b.now += Time(SettleTime)
 	b.step(message.MachinesListed{OK: true})
 	return b
 }
 
 // relay lets a second pass and plays one tick.
 func (b *bench) relay() []message.Action {
-	b.now += Time(planEvery)
+	b.now += Time(PlanEvery)
 	return b.step(message.Tick{})
 }
 
@@ -74,12 +74,12 @@
 	if len(names) != 1 {
 		t.Fatalf("rentals %v", names)
 	}
-	b.step(message.ProvisionDone{Request: b.c.autoscaler.provisionCalls[names[0]].req, Outcome: message.OutcomeUnknown})
+	b.step(message.ProvisionDone{Request: b.c.autoscaler.ProvisionCalls[names[0]].Request, Outcome: message.OutcomeUnknown})
 	rents(b.relay())
 	if len(names) != 2 || names[0] != names[1] {
 		t.Fatalf("rentals %v, want the same again", names)
 	}
-	rents(b.step(message.ProvisionDone{Request: b.c.autoscaler.provisionCalls[names[0]].req, Outcome: message.OutcomeFailed}))
+	rents(b.step(message.ProvisionDone{Request: b.c.autoscaler.ProvisionCalls[names[0]].Request, Outcome: message.OutcomeFailed}))
 	b.now += Time(time.Minute)
 	rents(b.relay())
 	if len(names) < 3 || names[2] == names[0] {
@@ -107,19 +107,19 @@
 // that was cut off were returned, with all they ran.
 func TestUnheardIsNotIdle(t *testing.T) {
 	b := planner(t)
-	b.c.workload.spots = forecast.Spot{}
+	b.c.workload.Spots = forecast.Spot{}
 	b.machine("vm-1", 1) // kept here, its worker is silent so far
 	for range 5 {
 		if ids := b.returns(b.relay()); len(ids) > 0 {
 			t.Fatalf("returned %v", ids)
 		}
 	}
-	if b.c.table.machines["vm-1"].reported.Heard || b.c.table.machines["vm-1"].reported.IdleS > 0 {
-		t.Errorf("told %+v", b.c.table.machines["vm-1"].reported)
+	if b.c.table.Machines["vm-1"].Reported.Heard || b.c.table.Machines["vm-1"].Reported.IdleS > 0 {
+		t.Errorf("told %+v", b.c.table.Machines["vm-1"].Reported)
 	}
 	b.report("vm-1", 1, b.c.View.Term)
 	b.relay()
-	if !b.c.table.machines["vm-1"].reported.Heard {
+	if !b.c.table.Machines["vm-1"].Reported.Heard {
 		t.Error("not heard after a report")
 	}
 }
@@ -140,12 +140,12 @@
 		}
 	}
 	up := b.now
-	for b.now < up+Time(wait)-2*Time(planEvery) {
+	for b.now < up+Time(wait)-2*Time(PlanEvery) {
 		if ids := list("running"); len(ids) > 0 {
 			t.Fatalf("returned %v after %v", ids, time.Duration(b.now-up))
 		}
 	}
-	b.now += Time(2 * planEvery)
+	b.now += Time(2 * PlanEvery)
 	if ids := append(list("running"), list("running")...); len(ids) == 0 {
 		t.Error("not returned though it never reports")
 	}
@@ -158,20 +158,20 @@
 func TestJustBegun(t *testing.T) {
 	b := planner(t)
 	info := protocol.TypeInfo{Name: "small", CPUs: 4, BootS: 20}
-	if s := b.c.autoscaler.idleTimeout(info, 100); s != info.BootS {
+	if s := b.c.autoscaler.IdleTimeout(info, 100); s != info.BootS {
 		t.Errorf("kept %v s at first", s)
 	}
 	b.c.Now += Time(time.Duration(forecast.KnownBoots*info.BootS+1) * time.Second)
-	if s := b.c.autoscaler.idleTimeout(info, 100); s != idleKnown.Seconds() {
+	if s := b.c.autoscaler.IdleTimeout(info, 100); s != IdleKnown.Seconds() {
 		t.Errorf("kept %v s once arrivals are known", s)
 	}
-	if s := b.c.autoscaler.idleTimeout(info, math.Inf(1)); s != info.BootS {
+	if s := b.c.autoscaler.IdleTimeout(info, math.Inf(1)); s != info.BootS {
 		t.Errorf("kept %v s where nothing comes", s)
 	}
 	b.ready("vm-1")
 	b.c.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Priority: "best_effort", CPUs: 2}}
-	b.c.table.peers["node-0"].demand = []message.Demand{{Job: "job-1", Unstarted: 9}}
-	if spare := b.c.autoscaler.spareProcessors(); spare != 4-18 {
+	b.c.table.Peers["node-0"].Demand = []message.Demand{{Job: "job-1", Unstarted: 9}}
+	if spare := b.c.autoscaler.SpareProcessors(); spare != 4-18 {
 		t.Errorf("%v processors to spare of 4 while 18 are waited for", spare)
 	}
 }
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -17,32 +17,32 @@
 func (b *bench) zoned(z protocol.Zone, n int, spot bool, held resource.Uses) {
 	for i := range n {
 		id := protocol.MachineID(fmt.Sprintf("vm-%s%v%d", z, spot, i))
-		m := &machineEntry{
+		m := &Machine{
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16},
 				Record: record.Machine{Zone: z, Spot: spot},
 			},
-			announcedUses: held,
+			AnnouncedUses: held,
 		}
 		free := resource.Capacity(m.Info).Minus(held.NonPreemptible(0))
-		m.reported = message.MachineState{Machine: id, Epoch: 1, FreeCPUs: free.CPUs, FreeGB: free.GB}
-		b.c.table.addMachine(m)
+		m.Reported = message.MachineState{Machine: id, Epoch: 1, FreeCPUs: free.CPUs, FreeGB: free.GB}
+		b.c.table.Add(m)
 	}
 }
 
-func (b *bench) gang(id protocol.JobID, tasks uint32) *ownedJob {
-	o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
+func (b *bench) gang(id protocol.JobID, tasks uint32) *Job {
+	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: tasks, CPUs: 4, MemoryGB: 1,
 		EstimateS: 100, CheckpointS: 10, OneZone: true, Spot: true,
 	}, Since: b.c.Now})
-	o.loaded = true
-	o.pending.FlipRange(0, uint(tasks))
-	o.level = resource.LevelOf(o.Priority, false)
+	o.Loaded = true
+	o.Pending.FlipRange(0, uint(tasks))
+	o.Level = resource.LevelOf(o.Priority, false)
 	return o
 }
 
-func (b *bench) placeGang(o *ownedJob, l *claims) []message.Placement {
-	return b.c.placer.placeGang(o, map[protocol.Team]resource.Amount{}, l)
+func (b *bench) placeGang(o *Job, l *Claims) []message.Placement {
+	return b.c.placer.PlaceGang(o, map[protocol.Team]resource.Amount{}, l)
 }
 
 func heldAt(l resource.Level, cpus float64) (u resource.Uses) {
@@ -69,9 +69,9 @@
 		if ps := b.placeGang(o, noClaims()); len(ps) != int(tc.tasks) {
 			t.Fatalf("%s: %d tasks placed", tc.id, len(ps))
 		}
-		for _, p := range o.placed {
-			if p.zone != tc.zone {
-				t.Errorf("%s is in zone %s, want %s", tc.id, p.zone, tc.zone)
+		for _, p := range o.Placed {
+			if p.Zone != tc.zone {
+				t.Errorf("%s is in zone %s, want %s", tc.id, p.Zone, tc.zone)
 			}
 		}
 	}
@@ -84,22 +84,22 @@
 	b.zoned("a", 3, false, resource.Uses{})
 	l := noClaims()
 	large, small := b.gang("job-1", 4), b.gang("job-2", 2)
-	if b.placeGang(large, l) != nil || len(l.gangs) != 3 {
-		t.Fatalf("%d machines claimed, want 3", len(l.gangs))
+	if b.placeGang(large, l) != nil || len(l.Gangs) != 3 {
+		t.Fatalf("%d machines claimed, want 3", len(l.Gangs))
 	}
 	if ps := b.placeGang(small, l); ps != nil {
 		t.Error("a gang after it takes what is claimed")
 	}
 	urgent := b.gang("job-3", 2)
-	urgent.level = resource.LevelOf("production", false)
-	array := &ownedJob{LiveJob: &clusterstate.LiveJob{}, level: resource.LevelOf("standard", false)}
-	for m := range l.gangs {
-		if !l.blocks(urgent, m) || l.blocks(array, m) {
+	urgent.Level = resource.LevelOf("production", false)
+	array := &Job{LiveJob: &clusterstate.LiveJob{}, Level: resource.LevelOf("standard", false)}
+	for m := range l.Gangs {
+		if !l.Blocks(urgent, m) || l.Blocks(array, m) {
 			t.Error("claims hold against what could be stopped, or not against the rest")
 		}
 	}
 	b.c.Now += Time(4 * 8 * time.Second)
-	if b.placeGang(large, noClaims()); b.placeGang(small, &claims{gangs: map[*machineEntry]resource.Level{}}) == nil {
+	if b.placeGang(large, noClaims()); b.placeGang(small, &Claims{Gangs: map[*Machine]resource.Level{}}) == nil {
 		t.Error("a claim without end")
 	}
 }
@@ -109,36 +109,36 @@
 func TestSpotRisk(t *testing.T) {
 	b := newBench(t, "node-1")
 	o := b.gang("job-1", 2)
-	if b.c.workload.risky(&o.Job) {
+	if b.c.workload.AvoidsSpot(&o.Job) {
 		t.Fatal("avoided before any was taken")
 	}
 	for range 40 {
-		m := &machineEntry{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, reported: message.MachineState{Noticed: true}}
-		b.c.workload.recordSpotLoss(m)
-		m.reported = message.MachineState{Draining: true, Noticed: true}
-		b.c.workload.recordSpotLoss(m) // returned by ourselves
+		m := &Machine{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, Reported: message.MachineState{Noticed: true}}
+		b.c.workload.RecordSpotLoss(m)
+		m.Reported = message.MachineState{Draining: true, Noticed: true}
+		b.c.workload.RecordSpotLoss(m) // returned by ourselves
 	}
-	if b.c.workload.spots.Losses() != 40 {
-		t.Errorf("%v losses counted, want 40", b.c.workload.spots.Losses())
+	if b.c.workload.Spots.Losses() != 40 {
+		t.Errorf("%v losses counted, want 40", b.c.workload.Spots.Losses())
 	}
-	if !b.c.workload.risky(&o.Job) {
+	if !b.c.workload.AvoidsSpot(&o.Job) {
 		t.Fatal("not avoided though they are taken all the time")
 	}
-	if array := (&protocol.Job{Kind: protocol.KindJobArray, Tasks: 500, EstimateS: 10}); b.c.workload.risky(array) {
+	if array := (&protocol.Job{Kind: protocol.KindJobArray, Tasks: 500, EstimateS: 10}); b.c.workload.AvoidsSpot(array) {
 		t.Error("avoided for an array")
 	}
 	b.zoned("a", 2, true, resource.Uses{})
 	b.zoned("b", 2, false, heldAt(1, 4))
 	b.placeGang(o, noClaims())
-	for _, p := range o.placed {
-		if p.zone != "b" {
+	for _, p := range o.Placed {
+		if p.Zone != "b" {
 			t.Error("placed on a spot machine rather than where something may be stopped")
 		}
 	}
-	b.c.workload.spots.Watch(0, 10*forecast.SpotMemory)
-	if b.c.workload.risky(&o.Job) {
+	b.c.workload.Spots.Watch(0, 10*forecast.SpotMemory)
+	if b.c.workload.AvoidsSpot(&o.Job) {
 		t.Error("avoided long after the last was taken")
 	}
 }
 
-func noClaims() *claims { return &claims{gangs: map[*machineEntry]resource.Level{}} }
+func noClaims() *Claims { return &Claims{Gangs: map[*Machine]resource.Level{}} }
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -38,7 +38,7 @@
 }
 
 func (b *bench) step(msg any) []message.Action {
-	b.now += Time(placeEvery)
+	b.now += Time(Interval)
 	return b.c.Step(b.now, msg)
 }
 
@@ -298,7 +298,7 @@
 			t.Fatalf("reply %v", r)
 		}
 	}
-	if got := b.c.table.machines["vm-1"].pendingSum; got != 5 {
+	if got := b.c.table.Machines["vm-1"].PendingSum; got != 5 {
 		t.Errorf("wait %v: a repeated batch counts again", got)
 	}
 	old, late, ahead := good, good, good
@@ -308,7 +308,7 @@
 	if deliver(old) != message.BatchExcluded || deliver(late) != message.BatchStale || deliver(ahead) != message.BatchBehind {
 		t.Error("a batch of another session or term is taken")
 	}
-	if got := b.c.table.machines["vm-1"].pendingSum; got != 5 {
+	if got := b.c.table.Machines["vm-1"].PendingSum; got != 5 {
 		t.Errorf("wait %v: a batch that is dropped counts", got)
 	}
 }
@@ -324,9 +324,9 @@
 	for i := range uint32(2) {
 		task := protocol.TaskID{Job: "job-1", Index: i}
 		b.step(message.Tick{})
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 		for _, a := range b.c.Actions {
-			if c, ok := a.(message.Commit); ok && c.Tag == (finishTag{"job-1"}) {
+			if c, ok := a.(message.Commit); ok && c.Tag == (FinishTag{"job-1"}) {
 				if i == 0 {
 					t.Fatal("finished with a task left")
 				}
@@ -347,16 +347,16 @@
 // TestBadJobWaits: a job that fails on every machine waits ever longer.
 func TestBadJobWaits(t *testing.T) {
 	b := newBench(t)
-	o := func() *ownedJob { return b.c.jobs.byID["job-1"] }
+	o := func() *Job { return b.c.jobs.ByID["job-1"] }
 	b.job("job-1", "free", 1)
 	for i := range 3 {
 		id := protocol.MachineID(fmt.Sprint("vm-", i))
 		b.machine(id, 1)
 		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: id}
-		o().placed[ref.Task] = &attempt{task: ref.Task, number: 1, machine: id}
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
+		o().Placed[ref.Task] = &Attempt{Task: ref.Task, Number: 1, Machine: id}
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
 	}
-	if o().notBefore <= b.now {
+	if o().NotBefore <= b.now {
 		t.Error("it is tried again at once")
 	}
 }
@@ -408,23 +408,23 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 1)
-	o := b.c.jobs.byID["job-1"]
-	for _, p := range o.placed {
-		b.report("vm-1", 1, 1, protocol.TaskStatus{Task: p.task, Attempt: p.number, State: protocol.TaskEnded, Cause: protocol.EndError})
+	o := b.c.jobs.ByID["job-1"]
+	for _, p := range o.Placed {
+		b.report("vm-1", 1, 1, protocol.TaskStatus{Task: p.Task, Attempt: p.Number, State: protocol.TaskEnded, Cause: protocol.EndError})
 	}
 	b.report("vm-1", 1, 1) // forgotten there
 	b.step(message.Tick{})
-	if len(o.placed) > 0 {
+	if len(o.Placed) > 0 {
 		t.Error("tried again at once")
 	}
 	b.now += Time(6 * time.Second)
 	b.report("vm-1", 1, 1)
 	b.step(message.Tick{})
-	if b.step(message.Tick{}); len(o.placed) == 0 {
+	if b.step(message.Tick{}); len(o.Placed) == 0 {
 		t.Error("not tried again")
 	}
 	b.machine("vm-2", 1)
-	if b.c.placer.feasible(o, nil)(b.c.table.machines["vm-1"]) {
+	if b.c.placer.Feasible(o, nil)(b.c.table.Machines["vm-1"]) {
 		t.Error("tried there again though there is another machine")
 	}
 }
--- a/internal/controller/holding.go
+++ b/internal/controller/holding.go
@@ -35,36 +35,6 @@
 // sweepEvery is how often all reservations are looked at for what was missed.
 const sweepEvery = time.Minute
 
-type (
-	reservationTag struct{ name reservation.Name }
-	holdsTag       struct{}
-)
-
-// reservationPlanner provides for reservations on the controller that runs the
-// autoscaler.
-type reservationPlanner struct {
-	clusterstate.Module
-	table        *waitTable
-	reservations *reservationHolds
-	autoscaler   *autoscalerState
-
-	planDemands   []reservation.Demand               // as last chosen for
-	planShortfall map[reservation.Name]int           // tasks that no sure room is held for, as last chosen
-	planMissing   map[reservation.Name]int           // of these, unlikely to have any in time
-	planZones     map[reservation.Name]protocol.Zone // where one that needs one zone is held
-	planRisks     map[reservation.Name]string        // of the present occurrences
-	planSwept     Time                               // when all reservations were last looked at
-	planWrites    map[reservation.Name]bool          // transactions under way
-}
-
-// reset forgets everything a session knew.
-func (rp *reservationPlanner) reset() {
-	rp.planDemands, rp.planShortfall, rp.planMissing = nil, map[reservation.Name]int{}, nil
-	rp.planZones = map[reservation.Name]protocol.Zone{}
-	rp.planRisks, rp.planWrites = map[reservation.Name]string{}, map[reservation.Name]bool{}
-	rp.planSwept = 0
-}
-
 // jobOf is a job as a reservation describes it, on ordinary machines.
 func jobOf(s *record.ReservationSpec) *clusterstate.LiveJob {
 	return &clusterstate.LiveJob{Job: protocol.Job{
@@ -74,14 +44,14 @@
 }
 
 // reservationDemands lists the occurrences that room is held for now.
-func (rp *reservationPlanner) reservationDemands() []reservation.Demand {
+func (rp *ReservationPlanner) reservationDemands() []reservation.Demand {
 	now := rp.WallTime()
 	var dues []reservation.Demand
 	for _, e := range rp.reservations.Calendar.Due(now, reservation.After(now, holdAhead)) {
 		if !e.Active() {
 			continue
 		}
-		_, wanted, started := rp.reservations.jobsOf(e)
+		_, wanted, started := rp.reservations.JobsOf(e)
 		if left := wanted - started; left > 0 {
 			dues = append(dues, reservation.Demand{Reservation: e.Reservation, Left: left, Clear: reservation.After(e.StartMS, -rp.NoticeBefore(&e.Reservation.Spec))})
 		}
@@ -92,22 +62,22 @@
 // overrunning is how much longer work is reckoned to run that should be over.
 const overrunning = time.Minute
 
-// reservableMachines lists the machines that room can be held on: those up, and those
+// ReservableMachines lists the machines that room can be held on: those up, and those
 // rented that are still to come.
-func (rp *reservationPlanner) reservableMachines() []reservation.Machine {
+func (rp *ReservationPlanner) ReservableMachines() []reservation.Machine {
 	now := rp.WallTime()
 	var ms []reservation.Machine
-	for _, m := range rp.table.machinesInOrder() {
-		if !m.open() {
+	for _, m := range rp.table.InOrder() {
+		if !m.Open() {
 			continue
 		}
-		if !rp.table.recent(m, 3*rp.Op.RelayEvery) && len(rp.reservations.Holds[m.ID]) == 0 || m.reported.Epoch != m.Epoch {
+		if !rp.table.Recent(m, 3*rp.Op.RelayEvery) && len(rp.reservations.Holds[m.ID]) == 0 || m.Reported.Epoch != m.Epoch {
 			// Nobody tells of it at present. Where room is held already it stays
 			// so: while a controller is away its machines would lose their holds
 			// to others, and be filled.
 			continue
 		}
-		runs := slices.Clone(m.reported.Runs)
+		runs := slices.Clone(m.Reported.Runs)
 		for i := range runs {
 			r := &runs[i]
 			for _, h := range rp.reservations.Holds[m.ID] {
@@ -124,7 +94,7 @@
 	for id, m := range ordered.Of(rp.autoscaler.bootingMachines) {
 		info := rp.Types[m.Type]
 		up := config.Seconds(rp.reservations.Boots.Likely(info.BootS)) - rp.Since(m.at)
-		if up < 0 || rp.table.machines[id] != nil {
+		if up < 0 || rp.table.Machines[id] != nil {
 			continue // late, and may never come
 		}
 		ms = append(ms, reservation.Machine{ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, Up: reservation.After(now, up)})
@@ -134,7 +104,7 @@
 
 // chooseReserved chooses where room is held, and writes what became of what is
 // promised.
-func (rp *reservationPlanner) chooseReserved() {
+func (rp *ReservationPlanner) chooseReserved() {
 	pr := rp.reservations
 	if !pr.Any && len(pr.List) == 0 || !rp.autoscaler.isAutoscaler() {
 		return
@@ -149,92 +119,38 @@
 		latest := max(d.StartMS, reservation.After(now, time.Minute)) // what comes later is better than nothing
 		return m.Up <= latest && !rp.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, reservation.After(d.StartMS, reservation.Busy(&d.Spec)))
 	}
-	plan := reservation.ChooseHolds(rp.planDemands, rp.reservableMachines(), pr.List, usable, now)
+	plan := reservation.ChooseHolds(rp.planDemands, rp.ReservableMachines(), pr.List, usable, now)
 	rp.planShortfall, rp.planMissing, rp.planZones = plan.Short, plan.Missing, plan.Zones
-	if !slices.Equal(plan.Holds, pr.List) || pr.holdsNumber>>32 != uint64(rp.View.Term) {
-		rp.reservations.setHolds(plan.Holds)
-		pr.holdsStale = true
-		pr.holdsNumber = max(pr.holdsNumber+1, uint64(rp.View.Term)<<32|1)
+	if !slices.Equal(plan.Holds, pr.List) || pr.Number>>32 != uint64(rp.View.Term) {
+		rp.reservations.Set(plan.Holds)
+		pr.Stale = true
+		pr.Number = max(pr.Number+1, uint64(rp.View.Term)<<32|1)
 	}
-	rp.reservations.writeHolds()
+	rp.reservations.Write()
 	rp.noteRisks()
 	rp.advanceReserved()
 }
 
 // mostMachinesInventoried reports whether nearly all machines are told of.
-func (rp *reservationPlanner) mostMachinesInventoried() bool {
+func (rp *ReservationPlanner) mostMachinesInventoried() bool {
 	heard := 0
-	for _, m := range rp.table.machines {
-		if rp.table.recent(m, 3*rp.Op.RelayEvery) && m.reported.Heard {
+	for _, m := range rp.table.Machines {
+		if rp.table.Recent(m, 3*rp.Op.RelayEvery) && m.Reported.Heard {
 			heard++
 		}
 	}
-	return 10*heard >= 9*len(rp.table.machines)
-}
-
-// holdsRecord is what is held, as it is written for who starts anew.
-type holdsRecord struct {
-	Holds []reservation.Hold `cbor:"holds"`
-}
-
-const (
-	// writeHeldEvery is how often it is written at the most.
-	writeHeldEvery = 5 * time.Second
-	// heldBytes is more than one hold takes in a record.
-	heldBytes = 350
-)
-
-// writeHolds writes what is held, what is due first if not all of it fits into a
-// record. Nothing depends on it but how soon the same is held again after all
-// controllers have ended: without it their machines are filled before any of
-// them knows what was held.
-func (rh *reservationHolds) writeHolds() {
-	pr := rh
-	if !pr.holdsStale || rh.Since(pr.holdsWrittenAt) < writeHeldEvery {
-		return
-	}
-	pr.holdsStale, pr.holdsWrittenAt = false, rh.Now
-	list := pr.List[:min(len(pr.List), int(1024*rh.Settings.Site.State.ValueKB/heldBytes))]
-	rh.Emit(message.Commit{Tag: holdsTag{}, Txn: protocol.Transaction{
-		Conditions: []protocol.Condition{rh.ViewUnchanged(), {Key: record.ReservationHoldsKey, Version: pr.heldVersion}},
-		Changes:    []protocol.Change{{Put: record.ReservationHoldsKey, Value: holdsRecord{list}}},
-	}})
-}
-
-// holdsRecord takes over what was written, unless a list was heard already, which
-// is newer.
-func (rh *reservationHolds) holdsRecord(value protocol.RawValue, version protocol.Version) error {
-	rh.heldVersion = version
-	var r holdsRecord
-	if err := protocol.Decode(value, &r); err != nil || rh.Listed {
-		return err
-	}
-	rh.Listed = true
-	rh.setHolds(r.Holds)
-	return nil
-}
-
-// setHolds takes over what is held.
-func (rh *reservationHolds) setHolds(list []reservation.Hold) {
-	pr := rh
-	pr.List = list
-	pr.Holds = map[protocol.MachineID][]reservation.Hold{}
-	for _, h := range list {
-		pr.Holds[h.Machine] = append(pr.Holds[h.Machine], h)
-	}
-	rh.computeReserved()
-	rh.table.placementDue = true
+	return 10*heard >= 9*len(rp.table.Machines)
 }
 
 // provisionReserved asks for machines for what no room could be held for, a boot
 // ahead.
-func (rp *reservationPlanner) provisionReserved(p *binpack.Plan) {
+func (rp *ReservationPlanner) provisionReserved(p *binpack.Plan) {
 	now := rp.WallTime()
 	for _, d := range rp.planDemands {
 		short := rp.planShortfall[d.Spec.Name]
-		for _, r := range rp.autoscaler.provisionCalls {
+		for _, r := range rp.autoscaler.ProvisionCalls {
 			if r.reservation == d.Spec.Name {
-				short -= r.req.Count * resource.Capacity(rp.Types[r.req.Type]).CountFitting(reservation.Size(&d.Spec))
+				short -= r.Request.Count * resource.Capacity(rp.Types[r.Request.Type]).CountFitting(reservation.Size(&d.Spec))
 			}
 		}
 		if short <= 0 || now < d.Clear {
@@ -250,7 +166,7 @@
 
 // keepForReservation reports whether a machine is kept for what is held on it, though
 // it is idle.
-func (rp *reservationPlanner) keepForReservation(m *machineEntry) bool {
+func (rp *ReservationPlanner) keepForReservation(m *Machine) bool {
 	now := rp.WallTime()
 	for _, h := range rp.reservations.Holds[m.ID] {
 		if now >= reservation.After(h.Clear, -keepAhead) && now < h.Until {
@@ -261,23 +177,23 @@
 }
 
 // noteRisks tells why what is due may not be kept.
-func (rp *reservationPlanner) noteRisks() {
+func (rp *ReservationPlanner) noteRisks() {
 	now := rp.WallTime()
-	clear(rp.planRisks)
+	clear(rp.Risks)
 	for _, d := range rp.planDemands {
 		short, missing := rp.planShortfall[d.Spec.Name], rp.planMissing[d.Spec.Name]
 		switch {
 		case short > 0 && rp.Since(rp.autoscaler.heardAt) > cloudQuiet && reservation.Between(now, d.Clear) < keepAhead:
-			rp.planRisks[d.Spec.Name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
+			rp.Risks[d.Spec.Name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
 		case missing > 0 && now >= d.Clear:
-			rp.planRisks[d.Spec.Name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
+			rp.Risks[d.Spec.Name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
 		}
 	}
 }
 
 // advanceReserved has reservations go through their states, each in one
 // transaction on its record.
-func (rp *reservationPlanner) advanceReserved() {
+func (rp *ReservationPlanner) advanceReserved() {
 	pr := rp.reservations
 	now := rp.WallTime()
 	if rp.Since(rp.planSwept) > sweepEvery {
@@ -295,44 +211,30 @@
 }
 
 // advance has one reservation go on.
-func (rp *reservationPlanner) advance(e *reservation.Entry, now reservation.Moment) {
+func (rp *ReservationPlanner) advance(e *reservation.Entry, now reservation.Moment) {
 	name := e.Name()
 	if rp.planWrites[name] || e.State == record.Cancelled {
 		return
 	}
-	came, wanted, started := rp.reservations.jobsOf(e)
+	came, wanted, started := rp.reservations.JobsOf(e)
 	next, changed := reservation.Advance(*e.Reservation, e.When, reservation.Observation{
 		Now: now, ClockError: rp.Settings.Site.ClockError(), Lead: rp.NoticeBefore(&e.Reservation.Spec),
-		Came: came, Wanted: wanted, Started: started, Risk: rp.planRisks[name],
+		Came: came, Wanted: wanted, Started: started, Risk: rp.Risks[name],
 	})
 	if !changed {
 		return
 	}
 	rp.planWrites[name] = true
 	rp.Log.Info("reservation", "name", name, "state", next.State, "start", next.StartMS, "risk", next.Risk)
-	rp.Emit(message.Commit{Tag: reservationTag{name}, Txn: protocol.Transaction{
+	rp.Emit(message.Commit{Tag: ReservationTag{name}, Txn: protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.ReservationKey(name), Version: e.Version}, rp.ViewUnchanged()},
 		Changes:    []protocol.Change{{Put: record.ReservationKey(name), Value: next}},
 	}})
 }
 
-// recordBoot learns how long a machine took to come up.
-func (rp *reservationPlanner) recordBoot(id protocol.MachineID, rec record.Machine) {
+// RecordBoot learns how long a machine took to come up.
+func (rp *ReservationPlanner) RecordBoot(id protocol.MachineID, rec record.Machine) {
 	if m, awaited := rp.autoscaler.bootingMachines[id]; awaited && rec.Session == 1 {
 		rp.reservations.Boots.Note(rp.Since(m.at), rp.Types[m.Type].BootS)
 	}
 }
-
-// limitClaimed is what of a team's limit is promised to other jobs by the time
-// that a task of this one is likely to be over.
-func (rh *reservationHolds) limitClaimed(j *protocol.Job, estimateS float64) (sum resource.Amount) {
-	claims := rh.teamClaims[j.Team]
-	ends := reservation.After(rh.WallTime(), config.Seconds(rh.ExpectedRunSeconds(j, estimateS)))
-	of := rh.ReservationFilter(j)
-	for _, t := range claims {
-		if ends > t.from && !of(t.reservation) {
-			sum = sum.Plus(t.need)
-		}
-	}
-	return sum
-}
--- a/internal/controller/holding_test.go
+++ b/internal/controller/holding_test.go
@@ -19,7 +19,7 @@
 	before := b.c.NoticeBefore(reserve("one", "daily at 04:00", 2))
 	for _, z := range []protocol.Zone{"a", "b"} {
 		for _, spot := range []bool{true, false} {
-			b.c.autoscaler.refusals[binpack.Kind{Type: "small", Zone: z, Spot: spot}] = refusal{until: b.c.After(time.Minute)}
+			b.c.autoscaler.Refusals[binpack.Kind{Type: "small", Zone: z, Spot: spot}] = Refusal{Until: b.c.After(time.Minute)}
 		}
 	}
 	if after := b.c.NoticeBefore(reserve("one", "daily at 04:00", 2)); after != before || before <= clusterstate.LeadSlack {
@@ -35,18 +35,18 @@
 	b := promising(t)
 	b.ready("vm-1")
 	b.c.reservations.Any = true
-	m := b.c.table.machines["vm-1"]
+	m := b.c.table.Machines["vm-1"]
 	task := protocol.TaskID{Job: "job-1"}
 	soon := reservation.After(b.c.WallTime(), time.Minute)
-	m.reported.Runs = []reservation.Run{{Task: task, Attempt: 3, Ends: soon, Level: 0}}
+	m.Reported.Runs = []reservation.Run{{Task: task, Attempt: 3, Ends: soon, Level: 0}}
 	told := message.MachineState{Machine: "vm-1", Epoch: m.Epoch, Heard: true, Runs: []reservation.Run{{Task: task, Attempt: 3, Ends: soon + 1e6, Level: 4}}}
-	b.c.table.applyMachineState("node-0", b.c.table.peers["node-0"], message.MachineState{Machine: "vm-1", Epoch: m.Epoch}) // not heard yet
-	b.c.table.applyMachineState("node-0", b.c.table.peers["node-0"], told)
-	if r := m.reported.Runs[0]; r.Ends != soon {
+	b.c.table.ApplyMachineState("node-0", b.c.table.Peers["node-0"], message.MachineState{Machine: "vm-1", Epoch: m.Epoch}) // not heard yet
+	b.c.table.ApplyMachineState("node-0", b.c.table.Peers["node-0"], told)
+	if r := m.Reported.Runs[0]; r.Ends != soon {
 		t.Errorf("ends %d, want %d", r.Ends, soon)
 	}
 	b.job("job-1", "free", 1)
-	b.c.jobs.byID["job-1"].level = 2
+	b.c.jobs.ByID["job-1"].Level = 2
 	if l, ok := b.c.announcedLevel("job-1"); !ok || l != 2 {
 		t.Errorf("told at level %d, %v", l, ok)
 	}
@@ -58,9 +58,9 @@
 func TestRefusedIsNotClosed(t *testing.T) {
 	b := promising(t)
 	b.ready("vm-1")
-	m := b.c.table.machines["vm-1"]
-	m.refused = true
-	if b.c.table.usable(m) || !m.open() || len(b.c.planner.reservableMachines()) != 1 {
-		t.Errorf("usable %v, open %v, %d machines to hold room on", b.c.table.usable(m), m.open(), len(b.c.planner.reservableMachines()))
+	m := b.c.table.Machines["vm-1"]
+	m.Refused = true
+	if b.c.table.Usable(m) || !m.Open() || len(b.c.planner.ReservableMachines()) != 1 {
+		t.Errorf("usable %v, open %v, %d machines to hold room on", b.c.table.Usable(m), m.Open(), len(b.c.planner.ReservableMachines()))
 	}
 }
--- a/internal/controller/insight.go
+++ b/internal/controller/insight.go
@@ -41,8 +41,8 @@
 			in.SetAside = append(in.SetAside, id)
 		}
 	}
-	for _, m := range c.table.machinesInOrder() {
-		if len(m.pendingWaits) > 0 || m.wait() != 0 {
+	for _, m := range c.table.InOrder() {
+		if len(m.PendingWaits) > 0 || m.Wait() != 0 {
 			in.Waits = append(in.Waits, m.ID)
 		}
 	}
@@ -52,14 +52,14 @@
 // DescribeJob tells what it knows of a job that does not end.
 func (c *Core) DescribeJob(id protocol.JobID) string {
 	var b strings.Builder
-	if o := c.jobs.byID[id]; o != nil {
+	if o := c.jobs.ByID[id]; o != nil {
 		fmt.Fprintf(&b, "owner %s: unknown %v, pending %d, not before %v, its team uses %+v, awaited %d, leaving %v, failed on %v\n",
-			c.Self, o.unverified, o.pending.Count(), c.Since(o.notBefore), c.jobs.teamUsage()[o.Team], len(c.jobs.awaitedInventories), c.jobs.endedAttempts, o.failedOn)
-		for _, t := range o.placed {
+			c.Self, o.Unverified, o.Pending.Count(), c.Since(o.NotBefore), c.jobs.TeamUsage()[o.Team], len(c.jobs.AwaitedInventories), c.jobs.EndedAttempts, o.FailedOn)
+		for _, t := range o.Placed {
 			fmt.Fprintf(&b, "  placed %+v\n", *t)
 		}
-		for _, m := range c.table.machinesInOrder() {
-			fmt.Fprintf(&b, "  %s in %s, spot %v, kept by %s: usable %v, room %+v, told %+v\n", m.ID, m.Record.Zone, m.Record.Spot, c.DispatcherOf(m.ID), c.table.usable(m), m.free(), m.reported)
+		for _, m := range c.table.InOrder() {
+			fmt.Fprintf(&b, "  %s in %s, spot %v, kept by %s: usable %v, room %+v, told %+v\n", m.ID, m.Record.Zone, m.Record.Spot, c.DispatcherOf(m.ID), c.table.Usable(m), m.Free(), m.Reported)
 		}
 	}
 	for _, m := range c.dispatcher.Machines() {
--- a/internal/controller/levels.go
+++ b/internal/controller/levels.go
@@ -8,19 +8,19 @@
 	"damsonkeel/internal/protocol"
 )
 
-// setLevels tells which owned jobs fit into their team's guarantee, together
+// SetLevels tells which owned jobs fit into their team's guarantee, together
 // with the team's earlier unfinished jobs.
-func (pl *placer) setLevels() {
+func (pl *Placer) SetLevels() {
 	used := map[protocol.Team]resource.Amount{}
-	jobs := slices.Clone(pl.jobs.jobsInOrder())
-	slices.SortStableFunc(jobs, func(a, b *ownedJob) int { return cmp.Compare(a.SubmittedMS, b.SubmittedMS) })
+	jobs := slices.Clone(pl.jobs.InOrder())
+	slices.SortStableFunc(jobs, func(a, b *Job) int { return cmp.Compare(a.SubmittedMS, b.SubmittedMS) })
 	for _, o := range jobs {
 		t, ok := pl.Team(o.Team)
 		if !ok || !pl.HasGuarantee(o.Team) {
 			pl.setLevel(o, resource.LevelOf(o.Priority, false))
 			continue
 		}
-		n := float64(o.Tasks - o.nDone)
+		n := float64(o.Tasks - o.DoneCount)
 		u := used[o.Team].Plus(resource.Amount{CPUs: n * o.CPUs, GPUs: n * o.GPUs})
 		used[o.Team] = u
 		pl.setLevel(o, resource.LevelOf(o.Priority, u.CPUs <= t.CPUs+resource.Slack && u.GPUs <= t.GPUs+resource.Slack))
@@ -28,9 +28,9 @@
 }
 
 // setLevel sets a job's level, and has it told if anybody reckons with it.
-func (pl *placer) setLevel(o *ownedJob, l resource.Level) {
-	if o.level != l && pl.reservations.Any {
-		pl.jobs.ownedChanges.Touch(o.ID)
+func (pl *Placer) setLevel(o *Job, l resource.Level) {
+	if o.Level != l && pl.reservations.Any {
+		pl.jobs.Touch(o)
 	}
-	o.level = l
+	o.Level = l
 }
--- a/internal/controller/limit_test.go
+++ b/internal/controller/limit_test.go
@@ -24,27 +24,27 @@
 	load("job-1")
 	b.job("job-2", team, 2)
 	load("job-2")
-	first, second := b.c.jobs.byID["job-1"], b.c.jobs.byID["job-2"]
-	if len(first.placed) != 6 || len(second.placed) != 0 {
-		t.Fatalf("%d and %d placed of a limit of 6", len(first.placed), len(second.placed))
+	first, second := b.c.jobs.ByID["job-1"], b.c.jobs.ByID["job-2"]
+	if len(first.Placed) != 6 || len(second.Placed) != 0 {
+		t.Fatalf("%d and %d placed of a limit of 6", len(first.Placed), len(second.Placed))
 	}
 	end := func(i uint32) {
-		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: first.placed[protocol.TaskID{Job: "job-1", Index: i}].number, Machine: id}
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndDone})
+		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: first.Placed[protocol.TaskID{Job: "job-1", Index: i}].Number, Machine: id}
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndDone})
 		b.step(message.Tick{})
 	}
 	end(0)
-	if len(second.placed) != 0 || len(first.placed) != 6 {
-		t.Errorf("%d and %d placed: it has just come", len(first.placed), len(second.placed))
+	if len(second.Placed) != 0 || len(first.Placed) != 6 {
+		t.Errorf("%d and %d placed: it has just come", len(first.Placed), len(second.Placed))
 	}
-	b.now += Time(keptWaiting)
+	b.now += Time(LimitPatience)
 	b.step(message.Tick{})
 	end(1)
-	if len(second.placed) != 1 || len(first.placed) != 5 {
-		t.Errorf("%d and %d placed: nothing is left to a job that waits", len(first.placed), len(second.placed))
+	if len(second.Placed) != 1 || len(first.Placed) != 5 {
+		t.Errorf("%d and %d placed: nothing is left to a job that waits", len(first.Placed), len(second.Placed))
 	}
 	end(2)
-	if len(first.placed) != 5 || len(second.placed) != 1 {
-		t.Errorf("%d and %d placed: more than one task is kept", len(first.placed), len(second.placed))
+	if len(first.Placed) != 5 || len(second.Placed) != 1 {
+		t.Errorf("%d and %d placed: more than one task is kept", len(first.Placed), len(second.Placed))
 	}
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -276,7 +276,7 @@
 // precedence is how a transaction of the core yields to others.
 func precedence(tag any) kvstore.Precedence {
 	switch tag.(type) {
-	case bitmapTag:
+	case BitmapTag:
 		return kvstore.Spare
 	case dispatcher.RegisterTag, dispatcher.RemoveTag, workerregistry.Tag:
 		return kvstore.Later
--- a/internal/controller/notice_test.go
+++ b/internal/controller/notice_test.go
@@ -23,17 +23,17 @@
 		{"nearly done", 0, 9, false},
 	} {
 		b := newBench(t, "node-1")
-		o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
+		o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
 			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, CheckpointS: tc.checkpointS,
 		}})
-		task := &attempt{task: protocol.TaskID{Job: "job-1"}, number: 1, machine: "vm-1", estimate: 10}
-		o.placed[task.task] = task
-		ref := message.TaskRef{Task: task.task, Attempt: 1, Machine: "vm-1"}
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
+		task := &Attempt{Task: protocol.TaskID{Job: "job-1"}, Number: 1, Machine: "vm-1", Estimate: 10}
+		o.Placed[task.Task] = task
+		ref := message.TaskRef{Task: task.Task, Attempt: 1, Machine: "vm-1"}
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
 		b.c.Now += Time(time.Duration(tc.ranS) * time.Second)
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventNotice, LeftS: 5})
-		if task.stopping != tc.stopped {
-			t.Errorf("%s: stopped %v", tc.name, task.stopping)
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventNotice, LeftS: 5})
+		if task.Stopping != tc.stopped {
+			t.Errorf("%s: stopped %v", tc.name, task.Stopping)
 		}
 	}
 }
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -1,48 +1,44 @@
 package controller
 
 import (
-	"context"
-	"errors"
 	"slices"
-	"time"
-
-	"damsonkeel/internal/serviceclient"
-
-	"damsonkeel/internal/kvstore"
 
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/membership"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
-	"damsonkeel/internal/transport"
 )
 
-// decision is what the core answers to an operator's request: the answer, and
+// Decision is what the core answers to an operator's request: the answer, and
 // the transaction that has to hold first, if any.
-type decision struct {
-	reply       operatorapi.Reply
-	transaction *protocol.Transaction
+type Decision struct {
+	Reply       operatorapi.Reply
+	Transaction *protocol.Transaction
 }
 
-func refuse(code operatorapi.Code, reason string) decision {
-	return decision{reply: operatorapi.Reply{Code: code, Reason: reason}}
+func refuse(code operatorapi.Code, reason string) Decision {
+	return Decision{Reply: operatorapi.Reply{Code: code, Reason: reason}}
 }
 
-// operations answers operators' requests.
-type operations struct {
+// Handler answers operators' requests.
+type Handler struct {
 	clusterstate.Module
 	members      *membership.Members
-	table        *waitTable
-	reservations *reservationHolds
-	planner      *reservationPlanner
+	table        *Table
+	reservations *Holds
+	planner      *ReservationPlanner
+}
+
+// NewHandler makes a handler of operators' requests.
+func NewHandler(p clusterstate.Module, members *membership.Members, table *Table, held *Holds, planner *ReservationPlanner) *Handler {
+	return &Handler{Module: p, members: members, table: table, reservations: held, planner: planner}
 }
 
 // facts is what decisions on the calendar know of the site.
-func (ops *operations) facts() *reservation.Facts {
+func (ops *Handler) facts() *reservation.Facts {
 	return &reservation.Facts{
 		Types: ops.Types, Most: ops.Op.Machines,
 		Team: func(name protocol.Team) (config.Team, bool) {
@@ -50,7 +46,7 @@
 			return t.Team, ok
 		},
 		Machine: func(id protocol.MachineID) (protocol.MachineType, protocol.Zone, bool) {
-			m := ops.table.machines[id]
+			m := ops.table.Machines[id]
 			if m == nil {
 				return "", "", false
 			}
@@ -59,14 +55,7 @@
 	}
 }
 
-// Decide decides an operator's request by what this controller has followed:
-// the answer, and the transaction that has to hold before it is given, if any.
-func (c *Core) Decide(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
-	d := c.operations.decideRequest(by, r)
-	return d.reply, d.transaction
-}
-
-func (ops *operations) decideRequest(by string, r *operatorapi.Request) decision {
+func (ops *Handler) Decide(by string, r *operatorapi.Request) Decision {
 	if ops.Session == 0 || len(ops.Types) == 0 || ops.WallMS == 0 {
 		return refuse(operatorapi.Later, "not ready")
 	}
@@ -98,14 +87,14 @@
 	return refuse(operatorapi.Refused, "no such operation")
 }
 
-func (ops *operations) addReservation(by string, r *operatorapi.Request) decision {
+func (ops *Handler) addReservation(by string, r *operatorapi.Request) Decision {
 	pr, s := ops.reservations, *r.Reservation
 	if err := reservation.CheckReservation(&s); err != nil {
 		return refuse(operatorapi.Refused, err.Error())
 	}
 	have := pr.Calendar.Reservation(s.Name)
 	if have != nil && r.ID != "" && have.Reservation.Request == r.ID {
-		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Reservations: []operatorapi.Reservation{ops.reservationView(have)}}}
+		return Decision{Reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Reservations: []operatorapi.Reservation{ops.reservationView(have)}}}
 	}
 	if have != nil && !r.Replace && have.State != record.Cancelled && have.State != record.Used && have.State != record.Expired {
 		return refuse(operatorapi.Refused, "there is a reservation of this name")
@@ -124,20 +113,20 @@
 	if r.DryRun {
 		rec.State = record.Proposed
 	} else {
-		d.transaction = ops.changeCalendar(record.ReservationKey(s.Name), versionOf(have), rec)
+		d.Transaction = ops.changeCalendar(record.ReservationKey(s.Name), versionOf(have), rec)
 	}
-	d.reply.Reservations = []operatorapi.Reservation{{Reservation: rec}}
+	d.Reply.Reservations = []operatorapi.Reservation{{Reservation: rec}}
 	return d
 }
 
-func (ops *operations) addWindow(by string, r *operatorapi.Request) decision {
+func (ops *Handler) addWindow(by string, r *operatorapi.Request) Decision {
 	pr, s := ops.reservations, *r.Spec
 	if err := reservation.CheckWindow(&s); err != nil {
 		return refuse(operatorapi.Refused, err.Error())
 	}
 	have := pr.Calendar.Window(s.Name)
 	if have != nil && r.ID != "" && have.Window.Request == r.ID {
-		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Windows: []operatorapi.Window{ops.windowView(have)}}}
+		return Decision{Reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Windows: []operatorapi.Window{ops.windowView(have)}}}
 	}
 	if have != nil && !r.Replace && !have.Cancelled {
 		return refuse(operatorapi.Refused, "there is a window of this name")
@@ -152,18 +141,18 @@
 	}
 	rec := record.Window{Spec: s, Request: r.ID, By: by, MadeMS: ops.WallTime()}
 	if !r.DryRun {
-		d.transaction = ops.changeCalendar(record.WindowKey(s.Name), versionOf(have), rec)
+		d.Transaction = ops.changeCalendar(record.WindowKey(s.Name), versionOf(have), rec)
 	}
-	d.reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.First[0], Overruns: ops.overruns(&s, a.First[0])}}
+	d.Reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.First[0], Overruns: ops.overruns(&s, a.First[0])}}
 	return d
 }
 
-func answered(a reservation.Answer) decision {
+func answered(a reservation.Answer) Decision {
 	code := operatorapi.Done
 	if !a.OK {
 		code = operatorapi.Refused
 	}
-	return decision{reply: operatorapi.Reply{Code: code, Reason: a.Reason, InTheWay: a.InTheWay, Beside: a.Beside, FirstMS: a.First}}
+	return Decision{Reply: operatorapi.Reply{Code: code, Reason: a.Reason, InTheWay: a.InTheWay, Beside: a.Beside, FirstMS: a.First}}
 }
 
 func versionOf(e *reservation.Entry) protocol.Version {
@@ -175,7 +164,7 @@
 
 // changeCalendar puts a record, if neither it nor any other promise has changed
 // since this was decided.
-func (ops *operations) changeCalendar(key string, version protocol.Version, value any) *protocol.Transaction {
+func (ops *Handler) changeCalendar(key string, version protocol.Version, value any) *protocol.Transaction {
 	return &protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.CalendarKey, Version: ops.reservations.Version}, {Key: key, Version: version}},
 		Changes: []protocol.Change{
@@ -185,7 +174,7 @@
 	}
 }
 
-func (ops *operations) cancelReserved(r *operatorapi.Request) decision {
+func (ops *Handler) cancelReserved(r *operatorapi.Request) Decision {
 	pr := ops.reservations
 	done := operatorapi.Reply{Code: operatorapi.Done, Reason: "cancelled"}
 	e, what := pr.Calendar.Reservation(r.Name), "reservation"
@@ -198,21 +187,21 @@
 	case r.Made != 0 && e.Made() != r.Made:
 		return refuse(operatorapi.Refused, "it was made anew since")
 	case !e.Valid():
-		return decision{reply: done}
+		return Decision{Reply: done}
 	case r.Window:
 		rec := *e.Window
 		rec.Cancelled = true
-		return decision{done, ops.changeCalendar(record.WindowKey(r.Name), e.Version, rec)}
+		return Decision{done, ops.changeCalendar(record.WindowKey(r.Name), e.Version, rec)}
 	}
 	rec := *e.Reservation
 	rec.State, rec.Risk, rec.RiskMS = record.Cancelled, "", 0
-	return decision{done, ops.changeCalendar(record.ReservationKey(r.Name), e.Version, rec)}
+	return Decision{done, ops.changeCalendar(record.ReservationKey(r.Name), e.Version, rec)}
 }
 
 // listed at once: an answer is at most as large as a request.
 const listedMost = 40
 
-func (ops *operations) showReserved(r *operatorapi.Request) decision {
+func (ops *Handler) showReserved(r *operatorapi.Request) Decision {
 	pr := ops.reservations
 	reply := operatorapi.Reply{Code: operatorapi.Done}
 	if r.Op == operatorapi.OpShow {
@@ -228,7 +217,7 @@
 		default:
 			reply.Reservations = []operatorapi.Reservation{ops.reservationView(e)}
 		}
-		return decision{reply: reply}
+		return Decision{Reply: reply}
 	}
 	es := pr.Calendar.Reservations()
 	if r.Window {
@@ -252,10 +241,10 @@
 			reply.Reservations = append(reply.Reservations, v)
 		}
 	}
-	return decision{reply: reply}
+	return Decision{Reply: reply}
 }
 
-func (ops *operations) reservationView(e *reservation.Entry) operatorapi.Reservation {
+func (ops *Handler) reservationView(e *reservation.Entry) operatorapi.Reservation {
 	v := operatorapi.Reservation{Reservation: *e.Reservation}
 	for _, h := range ops.reservations.List {
 		if h.For == e.Name() {
@@ -263,14 +252,14 @@
 			v.On = append(v.On, h.Machine)
 		}
 	}
-	if risk, ok := ops.planner.planRisks[e.Name()]; ok {
+	if risk, ok := ops.planner.Risks[e.Name()]; ok {
 		v.Risk = risk // newer than its record
 	}
-	_, _, v.Started = ops.reservations.jobsOf(e)
+	_, _, v.Started = ops.reservations.JobsOf(e)
 	return v
 }
 
-func (ops *operations) windowView(e *reservation.Entry) operatorapi.Window {
+func (ops *Handler) windowView(e *reservation.Entry) operatorapi.Window {
 	now := ops.WallTime()
 	v := operatorapi.Window{Window: *e.Window}
 	if e.Cancelled {
@@ -286,15 +275,15 @@
 
 // overruns lists the machines whose work is likely to go on after a window has
 // opened, the longest first.
-func (ops *operations) overruns(s *record.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
+func (ops *Handler) overruns(s *record.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
 	const most = 50
 	var out []operatorapi.Overrun
-	for _, m := range ops.table.machinesInOrder() {
+	for _, m := range ops.table.InOrder() {
 		if !reservation.Covers(s, m.ID, m.Record.Type, m.Record.Zone) {
 			continue
 		}
 		last := reservation.Moment(0)
-		for _, r := range m.reported.Runs {
+		for _, r := range m.Reported.Runs {
 			last = max(last, r.Ends)
 		}
 		if last > opens {
@@ -304,53 +293,3 @@
 	slices.SortStableFunc(out, func(a, b operatorapi.Overrun) int { return int(b.ByS - a.ByS) })
 	return out[:min(len(out), most)]
 }
-
-// operate answers an operator's request. A change is tried again while others
-// change the calendar, or while it is not known what became of it: its id tells.
-func (f *frontend) operate(ctx context.Context, body []byte) *transport.Message {
-	keys, err := operatorapi.ReadKeys(f.n.op.OperatorKeys) // anew each time: keys are changed without a restart
-	if err != nil {
-		f.n.log.Error("operators' keys can't be read", "err", err)
-		return failure(503, "operators' keys can't be read")
-	}
-	r, by, err := operatorapi.Open(body, keys, time.Now(), f.n.settings.Site.ClockError())
-	if err != nil {
-		f.n.log.Info("operator's request refused", "err", err)
-		return success(403, operatorapi.Reply{Code: operatorapi.Denied, Reason: operatorapi.ErrSeal.Error()})
-	}
-	if r.Op == operatorapi.OpConfigHistory {
-		return f.configurationHistory(ctx)
-	}
-	for ctx.Err() == nil {
-		d, ok := ask(f.n, func(c *Core) decision { return c.operations.decideRequest(by, &r) })
-		if !ok {
-			break
-		}
-		if d.transaction == nil {
-			return operatorAnswer(d.reply)
-		}
-		_, err := f.n.state.CompareAndSwap(ctx, *d.transaction, kvstore.First)
-		switch {
-		case err == nil:
-			f.n.log.Info("operator's change", "by", by, "op", r.Op, "window", r.Window, "name", r.Name, "controller", r.Controller, "id", r.ID)
-			return operatorAnswer(d.reply)
-		case errors.Is(err, serviceclient.ErrMalformed):
-			f.n.log.Error("state service refuses an operator's record", "err", err)
-			return operatorAnswer(operatorapi.Reply{Code: operatorapi.Refused, Reason: "too large to be stored"})
-		case errors.Is(err, serviceclient.ErrRefused):
-			f.n.log.Debug("operator", "err", err)
-			return failure(503, "state service can't be asked")
-		}
-		sleep(ctx, 100*time.Millisecond) // until what is followed has caught up
-	}
-	return failure(503, "not settled yet")
-}
-
-func operatorAnswer(r operatorapi.Reply) *transport.Message {
-	status := map[operatorapi.Code]int{operatorapi.Done: 200, operatorapi.Refused: 409, operatorapi.NotFound: 404, operatorapi.Later: 503}[r.Code]
-	m := success(status, r)
-	if status == 503 {
-		m.RetryAfterS = admission.RetryAfterS
-	}
-	return m
-}
--- a/internal/controller/operateconfig.go
+++ b/internal/controller/operateconfig.go
@@ -16,11 +16,11 @@
 const configListed = 200
 
 // configure decides an operator's change of the configuration.
-func (ops *operations) configure(by string, r *operatorapi.Request) decision {
+func (ops *Handler) configure(by string, r *operatorapi.Request) Decision {
 	followed := ops.Configuration
 	if revision, done := followed.DoneBefore(r.ID); done {
 		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: ops.configuredWithinS()}}
-		return decision{reply: reply}
+		return Decision{Reply: reply}
 	}
 	present := followed.Effective().Revision
 	switch {
@@ -36,26 +36,26 @@
 		return refuse(operatorapi.Refused, err.Error())
 	}
 	plan.Request, plan.By, plan.AtMS = r.ID, by, ops.WallTime()
-	d := decision{reply: operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: ops.configuredWithinS()}}}
+	d := Decision{Reply: operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: ops.configuredWithinS()}}}
 	switch {
 	case len(plan.Changes) == 0:
-		d.reply.Reason, d.reply.Config.Revision = "nothing changes", present
+		d.Reply.Reason, d.Reply.Config.Revision = "nothing changes", present
 	case r.DryRun:
-		d.reply.Reason = "nothing was changed: a dry run"
+		d.Reply.Reason = "nothing was changed: a dry run"
 	default:
 		txn := plan.Transaction()
-		d.transaction = &txn
+		d.Transaction = &txn
 	}
 	return d
 }
 
 // configuredWithinS is how long a controller may act by an earlier revision, in seconds.
-func (ops *operations) configuredWithinS() float64 {
+func (ops *Handler) configuredWithinS() float64 {
 	return config.FollowedWithin(ops.Op.NodeLease).Seconds()
 }
 
 // configurationFacts is what decisions on the configuration know of the site.
-func (ops *operations) configurationFacts() *dynamicconfig.Facts {
+func (ops *Handler) configurationFacts() *dynamicconfig.Facts {
 	facts := &dynamicconfig.Facts{
 		Zones: ops.Settings.Site.Zones, Types: slices.Sorted(maps.Keys(ops.Types)), MaxChanges: ops.Settings.Site.State.TxnOps,
 		LiveJobs: func(team protocol.Team) (n int) {
@@ -74,7 +74,7 @@
 }
 
 // showConfiguration lists entries as they are in force.
-func (ops *operations) showConfiguration(r *operatorapi.Request) decision {
+func (ops *Handler) showConfiguration(r *operatorapi.Request) Decision {
 	effective := ops.Configuration.Effective()
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: effective.Revision}}
 	for _, id := range ops.configurationIDs() {
@@ -90,12 +90,12 @@
 	if len(reply.Config.Entries) == 0 && r.Config.Entry != "" {
 		return refuse(operatorapi.NotFound, "there is no such entry")
 	}
-	return decision{reply: reply}
+	return Decision{Reply: reply}
 }
 
 // configurationIDs names all entries: those of the platform's file and those that
 // were changed.
-func (ops *operations) configurationIDs() []record.EntryID {
+func (ops *Handler) configurationIDs() []record.EntryID {
 	ids := map[record.EntryID]bool{}
 	for _, team := range ops.Configuration.Effective().Teams() {
 		ids[record.NewEntryID(record.EntryTeam, string(team))] = true
@@ -121,7 +121,7 @@
 }
 
 // configurationView is an entry as it is in force.
-func (ops *operations) configurationView(id record.EntryID) operatorapi.ConfigEntry {
+func (ops *Handler) configurationView(id record.EntryID) operatorapi.ConfigEntry {
 	effective := ops.Configuration.Effective()
 	v := operatorapi.ConfigEntry{Entry: id, Revision: ops.Configuration.Entry(id).Revision}
 	switch kind, name := id.Split(); kind {
@@ -145,7 +145,7 @@
 }
 
 // configurationStatus tells who acts by which revision.
-func (ops *operations) configurationStatus() decision {
+func (ops *Handler) configurationStatus() Decision {
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: ops.Configuration.Effective().Revision, WithinS: ops.configuredWithinS()}}
 	outdated := ops.members.Outdated()
 	names := append(slices.Collect(maps.Keys(ops.View.Members)), outdated...)
@@ -161,5 +161,5 @@
 			Acting: name == ops.Self && ops.HoldsLease(),
 		})
 	}
-	return decision{reply: reply}
+	return Decision{Reply: reply}
 }
--- a/internal/controller/operateshares.go
+++ b/internal/controller/operateshares.go
@@ -12,7 +12,7 @@
 var errNotSharded = refuse(operatorapi.Refused, "machines are not kept by shares here")
 
 // listShards tells who keeps what.
-func (ops *operations) listShards() decision {
+func (ops *Handler) listShards() Decision {
 	if !ops.Sharded() {
 		return errNotSharded
 	}
@@ -35,12 +35,12 @@
 			reply.Controllers[k].Machines += machines[i]
 		}
 	}
-	return decision{reply: reply}
+	return Decision{Reply: reply}
 }
 
 // moveShards has shares moved to a controller. It is asked of their keepers: what
 // has become of it the list tells.
-func (ops *operations) moveShards(r *operatorapi.Request) decision {
+func (ops *Handler) moveShards(r *operatorapi.Request) Decision {
 	session := ops.View.Members[r.Controller]
 	switch {
 	case !ops.Sharded():
@@ -64,11 +64,11 @@
 		}
 	}
 	ops.members.RequestMoves(moves)
-	return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "asked of their keepers"}}
+	return Decision{Reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "asked of their keepers"}}
 }
 
 // moveAllAway has a controller keep nothing, or some again.
-func (ops *operations) moveAllAway(r *operatorapi.Request) decision {
+func (ops *Handler) moveAllAway(r *operatorapi.Request) Decision {
 	switch {
 	case !ops.Sharded():
 		return errNotSharded
@@ -81,7 +81,7 @@
 		done.Reason = "shares move to it again"
 	}
 	if away != r.End {
-		return decision{reply: done}
+		return Decision{Reply: done}
 	}
 	next := sharding.Copy(ops.Shards)
 	if r.End {
@@ -92,7 +92,7 @@
 	if len(next.Away) >= len(ops.View.Members) && !r.End {
 		return refuse(operatorapi.Refused, "no controller would be left to keep machines")
 	}
-	return decision{reply: done, transaction: &protocol.Transaction{
+	return Decision{Reply: done, Transaction: &protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.ShardTableKey, Version: ops.ShardsVersion}},
 		Changes:    []protocol.Change{{Put: record.ShardTableKey, Value: *next}},
 	}}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -17,16 +17,16 @@
 )
 
 // slots lists all room that is there or coming.
-func (as *autoscalerState) slots() []binpack.Slot {
+func (as *Autoscaler) slots() []binpack.Slot {
 	f := as
 	var up binpack.Slots
-	for _, m := range as.table.machinesInOrder() {
-		if !as.table.usable(m) || len(as.reservations.Windows) > 0 && as.InWindow(m.ID, m.Record.Type, m.Record.Zone, as.WallTime(), as.WallTime()) {
+	for _, m := range as.table.InOrder() {
+		if !as.table.Usable(m) || len(as.reservations.Windows) > 0 && as.InWindow(m.ID, m.Record.Type, m.Record.Zone, as.WallTime(), as.WallTime()) {
 			continue
 		}
-		a := binpack.Alike{Kind: m.kind(), Free: m.unreserved(), Held: m.announcedUses}
+		a := binpack.Alike{Kind: m.Kind(), Free: m.Unreserved(), Held: m.AnnouncedUses}
 		for r := range a.Held {
-			a.Held[r] = a.Held[r].Plus(m.pendingUses[r])
+			a.Held[r] = a.Held[r].Plus(m.PendingUses[r])
 		}
 		up.Add(a, m.Info)
 	}
@@ -40,32 +40,32 @@
 		s.Free = s.Free.Minus(clusterstate.ReservedBy(as.reservations.Holds[id], as.WallTime()))
 		slots = append(slots, s)
 	}
-	for _, r := range ordered.Of(f.provisionCalls) {
-		slots = append(slots, binpack.Fresh(as.Types[r.req.Type], r.kind(), r.req.Count))
+	for _, r := range ordered.Of(f.ProvisionCalls) {
+		slots = append(slots, binpack.Fresh(as.Types[r.Request.Type], r.kind(), r.Request.Count))
 	}
 	return slots
 }
 
 // work is tasks of a job as a plan reckons with them.
-func (as *autoscalerState) work(j *clusterstate.LiveJob, l resource.Level, estimateS float64) binpack.Work {
+func (as *Autoscaler) work(j *clusterstate.LiveJob, l resource.Level, estimateS float64) binpack.Work {
 	return binpack.Work{
-		Need: resource.Need(&j.Job), Level: l, OneZone: j.OneZone && j.Zone == "", Shun: as.workload.risky(&j.Job),
+		Need: resource.Need(&j.Job), Level: l, OneZone: j.OneZone && j.Zone == "", Shun: as.workload.AvoidsSpot(&j.Job),
 		EstimateS: estimateS, FetchS: func(t protocol.TypeInfo) float64 { return clusterstate.FetchS(t, &j.Job) },
 		Allows: j.AllowsKind, Offers: as.offers(j),
 	}
 }
 
-// planScaleOut rents what the unstarted work needs beyond what is there or coming.
-func (as *autoscalerState) planScaleOut() {
+// PlanScaleOut rents what the unstarted work needs beyond what is there or coming.
+func (as *Autoscaler) PlanScaleOut() {
 	underWay := map[binpack.Kind]int{}
-	for _, r := range as.provisionCalls {
-		underWay[r.kind()] += r.req.Count
+	for _, r := range as.ProvisionCalls {
+		underWay[r.kind()] += r.Request.Count
 	}
 	p := binpack.New(as.openTypes(), as.slots(), underWay)
 	defer as.provisionPlanned(p)
 	var demand, rest []message.Demand
-	for _, p := range as.table.peers {
-		demand = append(demand, p.demand...)
+	for _, p := range as.table.Peers {
+		demand = append(demand, p.Demand...)
 	}
 	slices.SortFunc(demand, func(a, b message.Demand) int {
 		return cmp.Or(cmp.Compare(b.OldestS, a.OldestS), cmp.Compare(a.Job, b.Job))
@@ -81,10 +81,10 @@
 			rest = append(rest, d)
 		}
 	}
-	for _, k := range ordered.Of(as.workload.classes) {
-		j := &clusterstate.LiveJob{Job: k.job}
+	for _, k := range ordered.Of(as.workload.Classes) {
+		j := &clusterstate.LiveJob{Job: k.Job}
 		j.OneZone = false // it is kept for several jobs
-		if n := as.workload.reserve(k); n > 0 {
+		if n := as.workload.Reserve(k); n > 0 {
 			p.Reserve(as.work(j, resource.LevelOf(j.Priority, false), 0), n)
 		}
 	}
@@ -108,17 +108,17 @@
 	}
 	// What is likely to come until another machine is up has to be begun by
 	// then: else each burst would wait for the boots that the last one needed.
-	for _, k := range ordered.Of(as.workload.classes) {
-		if work := as.workload.comingWork(k); work > 0 {
-			estimateS := as.Estimate(&k.job)
-			n := int(work / (estimateS * math.Max(k.job.CPUs, resource.Slack)))
-			p.WorkOff(as.work(&clusterstate.LiveJob{Job: k.job}, 0, estimateS), n, as.workload.upS(&k.job))
+	for _, k := range ordered.Of(as.workload.Classes) {
+		if work := as.workload.ComingWork(k); work > 0 {
+			estimateS := as.Estimate(&k.Job)
+			n := int(work / (estimateS * math.Max(k.Job.CPUs, resource.Slack)))
+			p.WorkOff(as.work(&clusterstate.LiveJob{Job: k.Job}, 0, estimateS), n, as.workload.BootSeconds(&k.Job))
 		}
 	}
 }
 
 // demandedJob is the job of a demand, with the zone that is left to it.
-func (as *autoscalerState) demandedJob(d message.Demand) *clusterstate.LiveJob {
+func (as *Autoscaler) demandedJob(d message.Demand) *clusterstate.LiveJob {
 	j := as.Live[d.Job]
 	if j == nil || d.Zone == "" {
 		return j
@@ -130,9 +130,9 @@
 
 // provisionPlanned sends the plan's requests, as many at a time as the cloud answers
 // in a second; the next plan asks for the rest.
-func (as *autoscalerState) provisionPlanned(p *binpack.Plan) {
+func (as *Autoscaler) provisionPlanned(p *binpack.Plan) {
 	for _, o := range p.Orders() {
-		if float64(len(as.provisionCalls)) >= math.Max(1, as.Settings.Site.Cloud.RPS) {
+		if float64(len(as.ProvisionCalls)) >= math.Max(1, as.Settings.Site.Cloud.RPS) {
 			return
 		}
 		if trial, _ := as.canary(o.Kind); trial {
@@ -143,21 +143,21 @@
 			Name: fmt.Sprintf("%s-%d-%d-%d", as.Self, as.Session, as.View.Term, as.requests),
 			Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Count,
 		}
-		r := &provisionCall{req: req, reservation: reservation.Name(o.For)}
-		as.provisionCalls[req.Name] = r
+		r := &provisionCall{Request: req, reservation: reservation.Name(o.For)}
+		as.ProvisionCalls[req.Name] = r
 		as.provision(r)
 	}
 }
 
 // price of a kind, for a processor and an hour.
-func (as *autoscalerState) price(k binpack.Kind) float64 {
+func (as *Autoscaler) price(k binpack.Kind) float64 {
 	return binpack.Price(as.Types[k.Type], k.Spot)
 }
 
 // timeLeft is how long a job's tasks may still wait, in seconds, and be done
 // when it is due. Owners' estimates are often wrong by half. What nobody sets
 // a time for waits no longer than a machine takes to come.
-func (as *autoscalerState) timeLeft(j *clusterstate.LiveJob, d message.Demand) float64 {
+func (as *Autoscaler) timeLeft(j *clusterstate.LiveJob, d message.Demand) float64 {
 	if len(as.ObjectiveTimes(&j.Job)) == 0 {
 		return 0
 	}
@@ -165,13 +165,13 @@
 }
 
 // offers lists what may be rented for a job, the cheapest per task first.
-func (as *autoscalerState) offers(j *clusterstate.LiveJob) []binpack.Kind {
+func (as *Autoscaler) offers(j *clusterstate.LiveJob) []binpack.Kind {
 	type offer struct {
 		binpack.Kind
 		price float64
 	}
 	var offers []offer
-	stretch, shun := as.workload.spotStretch(&j.Job)*float64(j.Tasks), as.workload.risky(&j.Job)
+	stretch, shun := as.workload.SpotStretch(&j.Job)*float64(j.Tasks), as.workload.AvoidsSpot(&j.Job)
 	for _, t := range as.Types {
 		per := resource.Capacity(t).CountFitting(resource.Need(&j.Job))
 		if per == 0 {
@@ -180,7 +180,7 @@
 		for _, z := range t.AllowZones {
 			for _, spot := range []bool{true, false} {
 				k := binpack.Kind{Type: t.Name, Zone: z, Spot: spot}
-				if !j.AllowsKind(t, z, spot) || spot && shun || as.refusals[k].until > as.Now {
+				if !j.AllowsKind(t, z, spot) || spot && shun || as.Refusals[k].Until > as.Now {
 					continue
 				}
 				if _, tried := as.canary(k); tried {
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -109,13 +109,13 @@
 	b.c.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}, Price: 1, SpotPrice: 1}
 	b.zoned("a", 20, false, resource.Uses{})
 	b.zoned("b", 1, false, resource.Uses{})
-	o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
+	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 60, OneZone: true,
 	}, Since: b.c.Now})
-	o.loaded = true
-	o.pending.FlipRange(0, 60)
+	o.Loaded = true
+	o.Pending.FlipRange(0, 60)
 	b.c.Live["job-1"] = o.LiveJob
-	b.c.placer.placeAttempt(o, 0, b.c.table.machines["vm-bfalse0"], 1)
+	b.c.placer.PlaceAttempt(o, 0, b.c.table.Machines["vm-bfalse0"], 1)
 	rented := 0
 	for _, a := range append(b.relay(), b.relay()...) {
 		if r, ok := a.(message.Provision); ok {
--- a/internal/controller/rebalance.go
+++ b/internal/controller/rebalance.go
@@ -12,38 +12,38 @@
 // movableTasks are the tasks of one job that wait in queues: those of the
 // longest queues first and in them the last in line first.
 type movableTasks struct {
-	job      *ownedJob
+	job      *Job
 	need     resource.Amount
-	excluded func(*machineEntry) bool // see placer.excludedByHolds
+	excluded func(*Machine) bool // see Placer.Excluded
 	tasks    []movableTask
 }
 
 type movableTask struct {
-	*attempt
+	*Attempt
 	wait float64 // per processor, where it is queued
 }
 
 const (
-	// movesMost bounds the tasks moved in one step. When thousands of machines
+	// MovesMost bounds the tasks moved in one step. When thousands of machines
 	// come back at once, the rest follows with the next ticks.
-	movesMost = 500
+	MovesMost = 500
 	// movableMost bounds the waiting tasks looked at in one step: those of the
 	// longest queues.
 	movableMost = 20000
 )
 
-// rebalance lets a machine with room take unstarted tasks from the longest
+// Rebalance lets a machine with room take unstarted tasks from the longest
 // queue: the owner has them released there and places them again. What was
 // left by the step before goes on where that ended: the machines before have
 // their tasks on the way, which the table does not show yet.
-func (pl *placer) rebalance(after protocol.MachineID) {
-	pl.rebalancedUpTo = ""
+func (pl *Placer) Rebalance(after protocol.MachineID) {
+	pl.RebalancedUpTo = ""
 	if !pl.HoldsLease() {
 		return
 	}
-	var roomy []*machineEntry
-	for _, m := range pl.table.machinesInOrder() {
-		if m.ID > after && pl.table.usable(m) && m.reported.Epoch == m.Epoch && (m.reported.Queued == 0 && m.free().CPUs > resource.Slack || len(pl.reservations.Holds[m.ID]) > 0 && m.idle().CPUs > resource.Slack) {
+	var roomy []*Machine
+	for _, m := range pl.table.InOrder() {
+		if m.ID > after && pl.table.Usable(m) && m.Reported.Epoch == m.Epoch && (m.Reported.Queued == 0 && m.Free().CPUs > resource.Slack || len(pl.reservations.Holds[m.ID]) > 0 && m.Idle().CPUs > resource.Slack) {
 			roomy = append(roomy, m)
 		}
 	}
@@ -58,39 +58,46 @@
 	for _, g := range movable {
 		least = resource.Amount{CPUs: min(least.CPUs, g.need.CPUs), GPUs: min(least.GPUs, g.need.GPUs), GB: min(least.GB, g.need.GB)}
 	}
-	cl, left := pl.claims(), movesMost
+	cl, left := pl.NewClaims(), MovesMost
 	for _, m := range roomy {
-		if m.idle().Covers(least) {
+		if m.Idle().Covers(least) {
 			left -= pl.moveTasksTo(m, movable, cl, left)
 		}
 		if left <= 0 {
-			pl.rebalancedUpTo = m.ID
+			pl.RebalancedUpTo = m.ID
 			return
 		}
 	}
 }
 
+// ContinueRebalance does what the last rebalance left.
+func (pl *Placer) ContinueRebalance() {
+	if pl.RebalancedUpTo != "" {
+		pl.Rebalance(pl.RebalancedUpTo)
+	}
+}
+
 // movableTasksByJob lists the tasks of this owner that wait in queues, by job.
-func (pl *placer) movableTasksByJob() []*movableTasks {
+func (pl *Placer) movableTasksByJob() []*movableTasks {
 	byJob := map[protocol.JobID]*movableTasks{}
 	var all []*movableTasks
-	var queued []*machineEntry
-	for _, m := range pl.table.machinesInOrder() {
-		if m.reported.Queued > 0 && len(pl.jobs.attemptsOn[m.ID]) > 0 {
+	var queued []*Machine
+	for _, m := range pl.table.InOrder() {
+		if m.Reported.Queued > 0 && len(pl.jobs.AttemptsOn[m.ID]) > 0 {
 			queued = append(queued, m)
 		}
 	}
-	perCPU := func(m *machineEntry) float64 { return m.wait() / m.Info.CPUs }
-	slices.SortStableFunc(queued, func(a, b *machineEntry) int { return cmp.Compare(perCPU(b), perCPU(a)) })
+	perCPU := func(m *Machine) float64 { return m.Wait() / m.Info.CPUs }
+	slices.SortStableFunc(queued, func(a, b *Machine) int { return cmp.Compare(perCPU(b), perCPU(a)) })
 	n := 0
 	for _, m := range queued {
 		if n >= movableMost {
 			break
 		}
 		wait := perCPU(m)
-		for _, t := range pl.jobs.attemptsOn[m.ID] {
-			o := pl.jobs.byID[t.task.Job]
-			if o == nil || t.started || t.stopping || t.releaseAsked || t.unverified || o.Kind == protocol.KindGang && o.Tasks > 1 {
+		for _, t := range pl.jobs.AttemptsOn[m.ID] {
+			o := pl.jobs.ByID[t.Task.Job]
+			if o == nil || t.Started || t.Stopping || t.ReleaseAsked || t.Unverified || o.Kind == protocol.KindGang && o.Tasks > 1 {
 				continue
 			}
 			g := byJob[o.ID]
@@ -105,7 +112,7 @@
 	}
 	for _, g := range all {
 		slices.SortFunc(g.tasks, func(a, b movableTask) int {
-			return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(b.number, a.number))
+			return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(b.Number, a.Number))
 		})
 	}
 	return all
@@ -113,12 +120,12 @@
 
 // moveTasksTo fills a machine's room with movable tasks, at most so many, the most
 // urgent first, then those of the longest queues. It returns how many it took.
-func (pl *placer) moveTasksTo(m *machineEntry, movable []*movableTasks, cl *claims, most int) (taken int) {
-	free := m.idle()
+func (pl *Placer) moveTasksTo(m *Machine, movable []*movableTasks, cl *Claims, most int) (taken int) {
+	free := m.Idle()
 	for ; taken < most; taken++ {
 		var best *movableTasks
 		for _, g := range movable {
-			if len(g.tasks) > 0 && free.Covers(g.need) && (m.reported.Queued == 0 || pl.reservations.holdsFor(&g.job.Job, m)) && (best == nil || g.before(best)) && pl.mayMove(g, m, cl) {
+			if len(g.tasks) > 0 && free.Covers(g.need) && (m.Reported.Queued == 0 || pl.reservations.HeldFor(&g.job.Job, m)) && (best == nil || g.before(best)) && pl.mayMove(g, m, cl) {
 				best = g
 			}
 		}
@@ -128,8 +135,8 @@
 		t := best.tasks[0]
 		best.tasks = best.tasks[1:]
 		free = free.Minus(best.need)
-		pl.jobs.sendStop(t.attempt, false, 0)
-		pl.Log.Debug("moving a waiting task", "task", t.task, "from", t.machine, "to", m.ID)
+		pl.jobs.SendStop(t.Attempt, false, 0)
+		pl.Log.Debug("moving a waiting task", "task", t.Task, "from", t.Machine, "to", m.ID)
 	}
 	return taken
 }
@@ -138,22 +145,22 @@
 	a, b := g.tasks[0], h.tasks[0]
 	return cmp.Or(
 		cmp.Compare(h.job.Priority.Rank(), g.job.Priority.Rank()),
-		cmp.Compare(b.wait, a.wait), cmp.Compare(b.number, a.number)) < 0
+		cmp.Compare(b.wait, a.wait), cmp.Compare(b.Number, a.Number)) < 0
 }
 
 // mayMove reports whether a machine may take the next of a job's movable tasks.
-func (pl *placer) mayMove(g *movableTasks, m *machineEntry, cl *claims) bool {
+func (pl *Placer) mayMove(g *movableTasks, m *Machine, cl *Claims) bool {
 	o, t := g.job, g.tasks[0]
-	if t.machine == m.ID || o.failedOn[m.ID] {
+	if t.Machine == m.ID || o.FailedOn[m.ID] {
 		return false
 	}
 	var zones map[protocol.Zone]int
 	if o.OneZone || o.Spread { // else they don't matter, and counting them for each task is costly
-		zones = o.zones()
-		zones[t.zone]--
+		zones = o.ZoneCounts()
+		zones[t.Zone]--
 	}
 	if g.excluded != nil && g.excluded(m) {
 		return false
 	}
-	return o.allows(m, zones) && cl.leavesClaimed(o, m, g.need)
+	return o.Allows(m, zones) && cl.LeavesClaimed(o, m, g.need)
 }
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -9,30 +9,41 @@
 // machineRegistered takes over a machine's record. A changed record proves
 // that everything placed by the one before is gone.
 func (c *Core) machineRegistered(id protocol.MachineID, rec record.Machine, version protocol.Version) {
-	m := c.table.machines[id]
+	m := c.table.Machines[id]
 	if m != nil && m.Epoch >= version {
 		return
 	}
 	if m != nil {
-		c.jobs.machineLost(m)
+		c.jobs.MachineLost(m)
 	}
-	c.planner.recordBoot(id, rec)
-	m = &machineEntry{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}}
-	m.reserved = clusterstate.ReservedBy(c.reservations.Holds[id], c.WallTime())
-	c.table.addMachine(m)
-	c.table.placementDue = true
+	c.planner.RecordBoot(id, rec)
+	m = &Machine{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}}
+	m.Reserved = clusterstate.ReservedBy(c.reservations.Holds[id], c.WallTime())
+	c.table.Add(m)
+	c.table.PlacementDue = true
 	c.dispatcher.RecordUpdated(m.Machine)
-	c.table.applyEarlyState(m)
+	c.table.ApplyEarlyState(m)
 }
 
 // machineDeregistered: the machine's record was deleted, on proof that nothing is left.
 func (c *Core) machineDeregistered(id protocol.MachineID) {
-	m := c.table.machines[id]
+	m := c.table.Machines[id]
 	if m == nil {
 		return
 	}
-	c.workload.recordSpotLoss(m)
-	c.table.removeMachine(id)
-	c.jobs.machineLost(m)
+	c.workload.RecordSpotLoss(m)
+	c.table.Remove(id)
+	c.jobs.MachineLost(m)
 	c.dispatcher.RecordDeleted(m.Machine)
 }
+
+// jobEnded: the job's record says done or cancelled.
+func (c *Core) jobEnded(id protocol.JobID) {
+	c.reservations.JobEnded(c.Live[id])
+	failing := c.jobs.IsFailing(id)
+	delete(c.Live, id)
+	c.MarkEnded(id)
+	c.table.ForgetProgress(id)
+	c.jobs.End(id)
+	c.dispatcher.JobOver(id, failing)
+}
--- a/internal/controller/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -152,7 +152,7 @@
 			if p.number > lastIncluded {
 				open[p.number] = p
 			}
-			c.table.addWaits("node-1", &message.WaitsAdded{Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
+			c.table.WaitsAdded("node-1", &message.WaitsAdded{Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
 				Waits: []message.WaitChange{{Machine: p.id, Add: p.add, Taken: []message.LevelUse{{CPUs: 1}}}}})
 		}
 		handle := func() {
@@ -169,7 +169,7 @@
 			r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: to.Next(), Upto: upto}}
 			to.Sent(upto)
 			for _, id := range ids {
-				r.States = append(r.States, message.MachineState{Machine: id, Epoch: c.table.machines[id].Epoch, Wait: waits[id]})
+				r.States = append(r.States, message.MachineState{Machine: id, Epoch: c.table.Machines[id].Epoch, Wait: waits[id]})
 			}
 			if upto == log.Version() {
 				r.Handled = map[protocol.NodeName]uint64{"node-1": handled}
@@ -179,7 +179,7 @@
 		hear := func() {
 			r := word[0]
 			word = word[1:]
-			before := c.table.peers["node-2"].updates.machinesFrom
+			before := c.table.Peers["node-2"].Updates.MachinesFrom
 			c.stateUpdated("node-2", r)
 			if before.Accept(r.Machines) && r.Handled != nil {
 				lastIncluded = max(lastIncluded, r.Handled["node-1"])
@@ -196,7 +196,7 @@
 				want[p.id] += p.add
 			}
 			for _, id := range ids {
-				if got := c.table.machines[id].pendingSum; got != want[id] {
+				if got := c.table.Machines[id].PendingSum; got != want[id] {
 					t.Fatalf("%s: %v announced, want %v", id, got, want[id])
 				}
 			}
@@ -229,7 +229,7 @@
 				if len(word) > 0 && rapid.Bool().Draw(t, "lost") {
 					word = word[1:]
 				}
-				to.Acknowledged(c.table.peers["node-2"].updates.machinesFrom.Have())
+				to.Acknowledged(c.table.Peers["node-2"].Updates.MachinesFrom.Have())
 			}
 			check()
 		}
@@ -240,7 +240,7 @@
 			handle()
 		}
 		for range 20 {
-			to.Acknowledged(c.table.peers["node-2"].updates.machinesFrom.Have())
+			to.Acknowledged(c.table.Peers["node-2"].Updates.MachinesFrom.Have())
 			say()
 			for len(word) > 0 {
 				hear()
@@ -248,8 +248,8 @@
 			check()
 		}
 		for _, id := range ids {
-			if m := c.table.machines[id]; m.wait() != waits[id] || len(m.pendingWaits) > 0 {
-				t.Fatalf("%s: wait %v with %d still announced, its keeper says %v", id, m.wait(), len(m.pendingWaits), waits[id])
+			if m := c.table.Machines[id]; m.Wait() != waits[id] || len(m.PendingWaits) > 0 {
+				t.Fatalf("%s: wait %v with %d still announced, its keeper says %v", id, m.Wait(), len(m.PendingWaits), waits[id])
 			}
 		}
 	})
@@ -264,12 +264,12 @@
 		{Machine: id, Epoch: b.version + 1, FreeCPUs: 3, FreeGB: 3, Heard: true},
 	}})
 	b.machine(id, 1)
-	m := b.c.table.machines[id]
-	if m.free().CPUs != 3 || !b.c.table.recent(m, time.Minute) {
-		t.Errorf("room %+v, told %+v", m.free(), m.reported)
+	m := b.c.table.Machines[id]
+	if m.Free().CPUs != 3 || !b.c.table.Recent(m, time.Minute) {
+		t.Errorf("room %+v, told %+v", m.Free(), m.Reported)
 	}
 	b.view(2, "node-0", "node-1")
-	if b.c.table.recent(m, time.Minute) {
+	if b.c.table.Recent(m, time.Minute) {
 		t.Error("a word of an earlier term counts as recent")
 	}
 }
@@ -281,14 +281,14 @@
 	b := newBench(t, "node-1")
 	b.zoned("a", 300, false, resource.Uses{})
 	b.zoned("b", 300, false, resource.Uses{})
-	o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
-	o.loaded = true
+	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
+	o.Loaded = true
 	i := uint32(0)
-	for _, m := range b.c.table.machinesInOrder() {
+	for _, m := range b.c.table.InOrder() {
 		if m.Record.Zone == "b" { // full, and more waits there
-			m.reported.FreeCPUs, m.reported.Queued = 0, 12
+			m.Reported.FreeCPUs, m.Reported.Queued = 0, 12
 			for range 12 {
-				b.c.placer.placeAttempt(o, i, m, 1)
+				b.c.placer.PlaceAttempt(o, i, m, 1)
 				i++
 			}
 		}
@@ -296,16 +296,16 @@
 	var sizes []int
 	moved := func(after protocol.MachineID) {
 		before := movingOf(o)
-		b.c.placer.rebalance(after)
+		b.c.placer.Rebalance(after)
 		sizes = append(sizes, movingOf(o)-before)
 	}
 	moved("")
-	for b.c.placer.rebalancedUpTo != "" && len(sizes) < 9 {
-		moved(b.c.placer.rebalancedUpTo)
+	for b.c.placer.RebalancedUpTo != "" && len(sizes) < 9 {
+		moved(b.c.placer.RebalancedUpTo)
 	}
 	total := 0
 	for _, n := range sizes {
-		if total += n; n > movesMost {
+		if total += n; n > MovesMost {
 			t.Errorf("%d moved in one step", n)
 		}
 	}
@@ -315,10 +315,10 @@
 }
 
 // movingOf is how many of a job's tasks were asked back.
-func movingOf(o *ownedJob) int {
+func movingOf(o *Job) int {
 	n := 0
-	for _, t := range o.placed {
-		if t.releaseAsked {
+	for _, t := range o.Placed {
+		if t.ReleaseAsked {
 			n++
 		}
 	}
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -38,7 +38,7 @@
 	return &heartbeatQueue{ready: make(chan struct{}, 1), queue: heartbeat.New[pendingHeartbeat](maxPendingHeartbeats, heartbeatPatience)}
 }
 
-// add takes a report. It runs on the event loop and never waits.
+// Add takes a report. It runs on the event loop and never waits.
 func (r *heartbeatQueue) add(now Time, p pendingHeartbeat) {
 	r.mu.Lock()
 	refused, any := r.queue.Add(now, p.heartbeat.Machine, p)
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -1,64 +1,16 @@
 package controller
 
 import (
-	"slices"
 	"time"
 
 	"damsonkeel/internal/controller/clusterstate"
-	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/reservation"
-	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 )
 
-// reservationHolds is what a controller reckons of the calendar as an owner, and as the
-// one that chooses where room is held.
-type reservationHolds struct {
-	clusterstate.Module
-	*clusterstate.Reservations
-	table *waitTable
-	// progress tells how far a live job is, as far as this controller knows.
-	progress func(protocol.JobID) (message.Progress, bool)
-	// announce has what is told of every machine told anew.
-	announce func()
-
-	holdsWrittenAt Time // when the list was last written
-	holdsStale     bool // it has changed since
-	// heldVersion is that of the list in the records, as followed.
-	heldVersion protocol.Version
-	holdsNumber uint64 // of the list, by the controller that chose it
-	teamClaims  map[protocol.Team][]teamClaim
-
-	// liveByClass are the live jobs of the classes that something is due for within
-	// windowsAhead, as of the last relay period.
-	liveByClass map[string][]*clusterstate.LiveJob
-	seenJobs    map[reservation.Name]*seenJob
-}
-
-// teamClaim is what of a team's limit is promised from a time on.
-type teamClaim struct {
-	reservation reservation.Name
-	need        resource.Amount
-	from        reservation.Moment
-}
-
-// seenJob is what was seen of the jobs of one occurrence that are over.
-type seenJob struct {
-	start reservation.Moment
-	tasks int
-}
-
-// reset forgets everything a session knew.
-func (rh *reservationHolds) reset() {
-	*rh = reservationHolds{
-		Module: rh.Module, Reservations: rh.State.Reservations, table: rh.table, progress: rh.progress, announce: rh.announce,
-		seenJobs: map[reservation.Name]*seenJob{},
-	}
-}
-
-// calendarRecord takes over a record of the calendar.
-func (rh *reservationHolds) calendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
+// CalendarRecord takes over a record of the calendar.
+func (rh *Holds) CalendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
 	pr := rh
 	switch {
 	case f.Calendar:
@@ -83,8 +35,8 @@
 	return err
 }
 
-// calendarDeleted takes over that a record was deleted.
-func (rh *reservationHolds) calendarDeleted(f record.FollowedKey) {
+// CalendarDeleted takes over that a record was deleted.
+func (rh *Holds) CalendarDeleted(f record.FollowedKey) {
 	if f.Reservation != "" {
 		rh.Calendar.Drop(false, f.Reservation)
 		rh.dropHolds(f.Reservation)
@@ -94,18 +46,9 @@
 	rh.reservationsChanged()
 }
 
-// dropHolds frees at once what was held for a reservation that is over: a controller
-// that hears of that before the next list does not wait for it.
-func (rh *reservationHolds) dropHolds(n reservation.Name) {
-	held := func(h reservation.Hold) bool { return h.For == n }
-	if slices.ContainsFunc(rh.List, held) {
-		rh.setHolds(slices.DeleteFunc(slices.Clone(rh.List), held))
-	}
-}
-
 // reservationsChanged notes whether there is anything in the book. What machines
 // run is told from then on.
-func (rh *reservationHolds) reservationsChanged() {
+func (rh *Holds) reservationsChanged() {
 	is := !rh.Calendar.Empty()
 	if is == rh.Any {
 		return
@@ -118,8 +61,8 @@
 // placed: more than tasks are likely to run.
 const windowsAhead = 24 * time.Hour
 
-// refreshReservations reckons once a relay period what is open, held and claimed now.
-func (rh *reservationHolds) refreshReservations() {
+// Refresh reckons once a relay period what is open, held and claimed now.
+func (rh *Holds) Refresh() {
 	pr := rh
 	if !pr.Any && len(pr.List) == 0 {
 		return
@@ -151,34 +94,29 @@
 }
 
 // computeReserved reckons what of each machine's room is held now.
-func (rh *reservationHolds) computeReserved() {
+func (rh *Holds) computeReserved() {
 	now := rh.WallTime()
-	for _, m := range rh.table.machines {
-		m.reserved = clusterstate.ReservedBy(rh.Holds[m.ID], now)
+	for _, m := range rh.table.Machines {
+		m.Reserved = clusterstate.ReservedBy(rh.Holds[m.ID], now)
 	}
 }
 
 // claimLimit notes what of its team's limit a reservation claims, as far as it
 // has not been used.
-func (rh *reservationHolds) claimLimit(e *reservation.Entry) {
+func (rh *Holds) claimLimit(e *reservation.Entry) {
 	s := &e.Reservation.Spec
 	if !e.Active() || !rh.Limited(s.Team) {
 		return
 	}
-	_, wanted, started := rh.jobsOf(e)
+	_, wanted, started := rh.JobsOf(e)
 	if n := float64(wanted - started); n > 0 {
 		rh.teamClaims[s.Team] = append(rh.teamClaims[s.Team], teamClaim{s.Name, reservation.Size(s).Times(n), e.StartMS})
 	}
 }
 
-// claimsLimitOf reports whether a part of a team's limit is promised to reserved jobs.
-func (rh *reservationHolds) claimsLimitOf(team protocol.Team) bool {
-	return len(rh.teamClaims[team]) > 0
-}
-
-// jobsOf is what became of the jobs of a reservation's present occurrence:
+// JobsOf is what became of the jobs of a reservation's present occurrence:
 // whether one came, and how many of the tasks that are within it have started.
-func (rh *reservationHolds) jobsOf(e *reservation.Entry) (came bool, wanted, started int) {
+func (rh *Holds) JobsOf(e *reservation.Entry) (came bool, wanted, started int) {
 	wanted = e.Reservation.Spec.Tasks
 	tasks := 0
 	if s := rh.seenJobs[e.Reservation.Spec.Name]; s != nil && s.start == e.StartMS {
@@ -207,8 +145,8 @@
 	return came, wanted, min(started, wanted)
 }
 
-// reservedJobOver remembers a job of a reservation that is over.
-func (rh *reservationHolds) reservedJobOver(l *clusterstate.LiveJob) {
+// JobEnded remembers a job of a reservation that is over.
+func (rh *Holds) JobEnded(l *clusterstate.LiveJob) {
 	if !rh.Any || l == nil {
 		return
 	}
--- a/internal/controller/runtimes_test.go
+++ b/internal/controller/runtimes_test.go
@@ -14,21 +14,21 @@
 // from saved progress.
 func TestUsualRunTime(t *testing.T) {
 	b := newBench(t, "node-1")
-	o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100}})
+	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100}})
 	start := func(i uint32) {
-		p := &attempt{task: protocol.TaskID{Job: "job-1", Index: i}, number: 1, machine: "vm-1"}
-		o.placed[p.task] = p
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: p.task, Attempt: 1, Machine: "vm-1"}, What: message.EventRunning})
+		p := &Attempt{Task: protocol.TaskID{Job: "job-1", Index: i}, Number: 1, Machine: "vm-1"}
+		o.Placed[p.Task] = p
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: p.Task, Attempt: 1, Machine: "vm-1"}, What: message.EventRunning})
 	}
 	end := func(i uint32, cause protocol.EndCause) {
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: 1, Machine: "vm-1"}, What: message.EventEnded, Cause: cause})
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: 1, Machine: "vm-1"}, What: message.EventEnded, Cause: cause})
 	}
 	for i := range uint32(20) {
 		start(i)
 	}
 	for i := range uint32(20) {
 		b.c.Now += Time(time.Second)
-		if i == 9 && b.c.jobs.estimateOf(o) != 100 {
+		if i == 9 && b.c.jobs.EstimateOf(o) != 100 {
 			t.Fatal("learned from the shortest tasks alone")
 		}
 		if i < 4 {
@@ -39,7 +39,7 @@
 		}
 		end(i, protocol.EndDone)
 	}
-	if s := b.c.jobs.estimateOf(o); s < 12 || s > 14 {
+	if s := b.c.jobs.EstimateOf(o); s < 12 || s > 14 {
 		t.Errorf("estimate %v s, tasks took 5 to 20 s", s)
 	}
 }
@@ -59,14 +59,14 @@
 		held = append(held, message.HeldAttempt{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: 1, State: protocol.TaskRunning})
 	}
 	b.inventory("vm-1", held...)
-	o := b.c.jobs.byID["job-1"]
+	o := b.c.jobs.ByID["job-1"]
 	for _, h := range held {
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: 1, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: 1, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 	}
-	if o.nDone != 12 {
-		t.Fatalf("%d of 12 done", o.nDone)
+	if o.DoneCount != 12 {
+		t.Fatalf("%d of 12 done", o.DoneCount)
 	}
-	if s, ok := o.usual(); ok {
+	if s, ok := o.UsualSeconds(); ok {
 		t.Errorf("tasks are said to take %v s", s)
 	}
 }
--- a/internal/controller/session.go
+++ b/internal/controller/session.go
@@ -97,7 +97,7 @@
 	extended, followed atomic.Int64 // when the last extension that was answered was sent; when the last watch that was answered was opened
 }
 
-// until is the end of the lease as this clock has it.
+// Until is the end of the lease as this clock has it.
 func (l *leaseClock) until() Time {
 	return LeaseDeadline(l.ttl, Time(l.extended.Load()), Time(l.followed.Load()))
 }
--- a/internal/controller/slow.go
+++ b/internal/controller/slow.go
@@ -5,6 +5,7 @@
 	"container/heap"
 	"time"
 
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
@@ -32,15 +33,15 @@
 
 // overdue is a running task to be looked at, if it still runs then.
 type runDeadline struct {
-	at Time
-	t  *attempt
+	at clock.Time
+	t  *Attempt
 }
 
 type runDeadlines []runDeadline
 
 func (h runDeadlines) Len() int { return len(h) }
 func (h runDeadlines) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].t.number, h[j].t.number)) < 0
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].t.Number, h[j].t.Number)) < 0
 }
 func (h runDeadlines) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
@@ -55,34 +56,34 @@
 }
 
 // lateThreshold is how long a task may run whose like take a time.
-func lateThreshold(usualS float64) Time {
-	return Time(slowFactor*usualS*float64(time.Second)) + Time(slowDelay)
+func lateThreshold(usualS float64) clock.Time {
+	return clock.Time(slowFactor*usualS*float64(time.Second)) + clock.Time(slowDelay)
 }
 
 // watchRun has a task that runs looked at when it should be done.
-func (oj *ownedJobs) watchRun(o *ownedJob, t *attempt) {
+func (oj *Owned) watchRun(o *Job, t *Attempt) {
 	if o.Kind == protocol.KindJobArray {
-		heap.Push(&oj.runWatch, runDeadline{t.runningSince + lateThreshold(oj.estimateOf(o)), t})
+		heap.Push(&oj.runWatch, runDeadline{t.runningSince + lateThreshold(oj.EstimateOf(o)), t})
 	}
 }
 
-// watchSlow looks at the tasks that run longer than the others of their job,
+// WatchSlow looks at the tasks that run longer than the others of their job,
 // and gives up the machines of which several do.
-func (oj *ownedJobs) watchSlow() {
+func (oj *Owned) WatchSlow() {
 	h := &oj.runWatch
 	for range slowChecks {
 		if len(*h) == 0 || (*h)[0].at > oj.Now {
 			return
 		}
 		t := heap.Pop(h).(runDeadline).t
-		o := oj.byID[t.task.Job]
-		m := oj.table.machines[t.machine]
-		if o == nil || o.placed[t.task] != t || !t.running || t.stopping || m == nil || m.Epoch != t.epoch {
+		o := oj.ByID[t.Task.Job]
+		m := oj.table.Machines[t.Machine]
+		if o == nil || o.Placed[t.Task] != t || !t.running || t.Stopping || m == nil || m.Epoch != t.Epoch {
 			continue
 		}
-		usual, ok := o.usual()
+		usual, ok := o.UsualSeconds()
 		switch late := t.runningSince + lateThreshold(usual); {
-		case !ok || oj.awaitedInventories[m.ID] || !oj.table.recent(m, 3*oj.Op.RelayEvery) || m.reported.Silence != message.SilenceNone:
+		case !ok || oj.AwaitedInventories[m.ID] || !oj.table.Recent(m, 3*oj.Op.RelayEvery) || m.Reported.Silence != message.SilenceNone:
 			heap.Push(h, runDeadline{oj.After(5 * time.Second), t}) // nothing can be said yet
 		case late > oj.Now:
 			heap.Push(h, runDeadline{late, t})
@@ -98,38 +99,38 @@
 }
 
 // countLateRun counts a task that runs too long against its machine.
-func (oj *ownedJobs) countLateRun(m *machineEntry) {
-	if oj.Since(m.lastLateRun) > slowMemory {
-		m.lateRuns = 0
+func (oj *Owned) countLateRun(m *Machine) {
+	if oj.Since(m.LastLateRun) > slowMemory {
+		m.LateRuns = 0
 	}
-	m.lateRuns, m.lastLateRun = m.lateRuns+1, oj.Now
-	if m.lateRuns < slowTasks || m.reported.Draining {
+	m.LateRuns, m.LastLateRun = m.LateRuns+1, oj.Now
+	if m.LateRuns < slowTasks || m.Reported.Draining {
 		return
 	}
 	draining := 0
-	for _, other := range oj.table.machines {
-		if other.reported.Draining {
+	for _, other := range oj.table.Machines {
+		if other.Reported.Draining {
 			draining++
 		}
 	}
-	if draining*slowTaskFraction > len(oj.table.machines) {
+	if draining*slowTaskFraction > len(oj.table.Machines) {
 		return
 	}
-	m.reported.Draining = true // at once, though its keeper has not said so yet
+	m.Reported.Draining = true // at once, though its keeper has not said so yet
 	oj.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
 	oj.Send(oj.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
-	for _, t := range ordered.Tasks(oj.attemptsOn[m.ID]) {
-		if o := oj.byID[t.task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
-			oj.sendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
+	for _, t := range ordered.Tasks(oj.AttemptsOn[m.ID]) {
+		if o := oj.ByID[t.Task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
+			oj.SendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
 		}
 	}
 }
 
 // clearLateRuns takes back what was held against a machine.
-func (oj *ownedJobs) clearLateRuns(o *ownedJob, t *attempt) {
-	if m := oj.table.machines[t.machine]; m != nil && t.running {
-		if usual, ok := o.usual(); ok && !t.startUnseen && oj.Since(t.runningSince).Seconds() < usual {
-			m.lateRuns = 0
+func (oj *Owned) clearLateRuns(o *Job, t *Attempt) {
+	if m := oj.table.Machines[t.Machine]; m != nil && t.running {
+		if usual, ok := o.UsualSeconds(); ok && !t.startUnseen && oj.Since(t.runningSince).Seconds() < usual {
+			m.LateRuns = 0
 		}
 	}
 }
--- a/internal/controller/slow_test.go
+++ b/internal/controller/slow_test.go
@@ -33,36 +33,36 @@
 	} {
 		b := newBench(t, "node-1")
 		b.zoned("a", 20, false, resource.Uses{})
-		o := b.c.jobs.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{
+		o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
 			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 10, CheckpointS: 5, SaveS: 1,
 		}})
-		o.loaded = true
+		o.Loaded = true
 		ref := func(i int) message.TaskRef {
-			m := b.c.table.machinesInOrder()[max(0, i-tc.slow+1)] // the slow ones share the first
+			m := b.c.table.InOrder()[max(0, i-tc.slow+1)] // the slow ones share the first
 			if i < tc.slow {
-				m = b.c.table.machinesInOrder()[0]
+				m = b.c.table.InOrder()[0]
 			}
 			return message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: uint32(i)}, Attempt: 1, Machine: m.ID}
 		}
 		for i := range 12 {
 			r := ref(i)
-			p := b.c.placer.placeAttempt(o, uint32(i), b.c.table.machines[r.Machine], 1)
-			b.c.jobs.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: p.Task, Attempt: p.Attempt, Machine: p.Machine}, What: message.EventRunning})
+			p := b.c.placer.PlaceAttempt(o, uint32(i), b.c.table.Machines[r.Machine], 1)
+			b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: p.Task, Attempt: p.Attempt, Machine: p.Machine}, What: message.EventRunning})
 		}
 		b.c.Now += Time(tc.elsewhere)
 		for i := tc.slow; i < 12; i++ {
-			b.c.jobs.taskEvent(message.TaskEvent{TaskRef: ref(i), What: message.EventEnded, Cause: protocol.EndDone})
+			b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref(i), What: message.EventEnded, Cause: protocol.EndDone})
 		}
 		b.c.Actions, b.c.Local = nil, nil
 		for range 2 {
 			b.c.Now += Time(tc.goesOn / 2)
-			for i, m := range b.c.table.machinesInOrder() {
-				if m.reportedBy = b.c.table.peers[b.c.DispatcherOf(m.ID)]; tc.heard {
-					m.reportedBy.updates.at = b.c.Now
+			for i, m := range b.c.table.InOrder() {
+				if m.ReportedBy = b.c.table.Peers[b.c.DispatcherOf(m.ID)]; tc.heard {
+					m.ReportedBy.Updates.At = b.c.Now
 				}
-				m.reported.Draining = i > 0 && i <= tc.draining
+				m.Reported.Draining = i > 0 && i <= tc.draining
 			}
-			b.c.jobs.watchSlow()
+			b.c.jobs.WatchSlow()
 		}
 		drained := false
 		for _, m := range b.c.Local {
@@ -75,7 +75,7 @@
 		if drained != tc.drained {
 			t.Errorf("%s: given up %v, want %v", tc.name, drained, tc.drained)
 		}
-		if tc.drained != o.placed[protocol.TaskID{Job: "job-1"}].stopping {
+		if tc.drained != o.Placed[protocol.TaskID{Job: "job-1"}].Stopping {
 			t.Errorf("%s: a task that can save is stopped: %v", tc.name, !tc.drained)
 		}
 	}
--- a/internal/controller/spot.go
+++ b/internal/controller/spot.go
@@ -11,22 +11,22 @@
 // than this part.
 const mostStretch = 0.1
 
-// recordSpotLoss counts a machine whose record went as taken, if it looks so.
-func (wl *workload) recordSpotLoss(m *machineEntry) {
-	if m.Record.Spot && !m.reported.Draining && (m.reported.Noticed || m.reported.Silence == message.SilenceLong) {
-		wl.spots.Lost()
+// RecordSpotLoss counts a machine whose record went as taken, if it looks so.
+func (wl *Workload) RecordSpotLoss(m *Machine) {
+	if m.Record.Spot && !m.Reported.Draining && (m.Reported.Noticed || m.Reported.Silence == message.SilenceLong) {
+		wl.Spots.Lost()
 	}
 }
 
-// watchSpots counts the spot machines once a relay.
-func (wl *workload) watchSpots() {
-	wl.spots.Watch(wl.table.spotsUp, wl.Op.RelayEvery)
+// WatchSpots counts the spot machines once a relay.
+func (wl *Workload) WatchSpots() {
+	wl.Spots.Watch(wl.table.SpotMachines, wl.Op.RelayEvery)
 }
 
-// spotStretch is by which part one spot machine lengthens a gang that runs on
+// SpotStretch is by which part one spot machine lengthens a gang that runs on
 // it: each time it is taken, all tasks go back to their last checkpoint and
 // wait for another machine. An array loses one task only, which counts little.
-func (wl *workload) spotStretch(j *protocol.Job) float64 {
+func (wl *Workload) SpotStretch(j *protocol.Job) float64 {
 	if j.Kind != protocol.KindGang || j.Tasks < 2 {
 		return 0
 	}
@@ -34,13 +34,13 @@
 	if j.CheckpointS > 0 {
 		lost = math.Min(lost, j.CheckpointS/2)
 	}
-	if up := wl.upS(j); !math.IsInf(up, 1) {
+	if up := wl.BootSeconds(j); !math.IsInf(up, 1) {
 		lost += up
 	}
-	return wl.spots.Rate() * lost
+	return wl.Spots.Rate() * lost
 }
 
-// risky reports whether spot machines are to be avoided for a job.
-func (wl *workload) risky(j *protocol.Job) bool {
-	return wl.spotStretch(j)*float64(j.Tasks) > mostStretch
+// AvoidsSpot reports whether spot machines are to be avoided for a job.
+func (wl *Workload) AvoidsSpot(j *protocol.Job) bool {
+	return wl.SpotStretch(j)*float64(j.Tasks) > mostStretch
 }
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -11,37 +11,37 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// adoptJobs goes over to a new view: jobs owned without a break are kept, with
+// AdoptView goes over to a new view: jobs owned without a break are kept, with
 // what changed hands made uncertain; others are taken over or let go.
-func (oj *ownedJobs) adoptJobs(old record.View, keeps bool) {
-	before := oj.byID
-	oj.byID = map[protocol.JobID]*ownedJob{}
+func (oj *Owned) AdoptView(old record.View, keeps bool) {
+	before := oj.ByID
+	oj.ByID = map[protocol.JobID]*Job{}
 	oj.sorted = nil
-	oj.table.placementDue = true
-	oj.awaitedInventories = map[protocol.MachineID]bool{}
+	oj.table.PlacementDue = true
+	oj.AwaitedInventories = map[protocol.MachineID]bool{}
 	if !keeps {
-		clear(oj.endedAttempts)
+		clear(oj.EndedAttempts)
 	}
-	for ref, t := range oj.endedAttempts {
+	for ref, t := range oj.EndedAttempts {
 		// A keeper's new session counts placements anew: held against its
 		// count, an attempt long gone would take of its team's limit for ever.
 		if oj.dispatcherChanged(old, ref.Machine) {
 			t.placeNumber = 0
-			oj.endedAttempts[ref] = t
+			oj.EndedAttempts[ref] = t
 		}
 	}
 	for _, team := range oj.Configuration.Effective().TeamsEver() {
 		if j := (&protocol.Job{Team: team}); oj.Limited(team) && oj.JobOwner(oj.View, j) == oj.Self && (!keeps || oj.JobOwner(old, j) != oj.Self) {
-			oj.unverifiedTeams[team] = true
+			oj.UnverifiedTeams[team] = true
 		}
 	}
-	for id := range oj.table.machines {
-		oj.awaitedInventories[id] = true
+	for id := range oj.table.Machines {
+		oj.AwaitedInventories[id] = true
 		if !keeps {
-			clear(oj.attemptsOn[id])
-		} else if len(oj.attemptsOn[id]) > 0 && oj.dispatcherChanged(old, id) {
-			for _, t := range oj.attemptsOn[id] {
-				t.unverified = true
+			clear(oj.AttemptsOn[id])
+		} else if len(oj.AttemptsOn[id]) > 0 && oj.dispatcherChanged(old, id) {
+			for _, t := range oj.AttemptsOn[id] {
+				t.Unverified = true
 			}
 		}
 	}
@@ -52,43 +52,43 @@
 			continue
 		}
 		if o == nil || !keeps {
-			o = oj.adoptJob(l)
-			o.unverified = true
+			o = oj.Adopt(l)
+			o.Unverified = true
 			o.loading = true
 			oj.Emit(message.LoadBitmap{Job: id})
 			continue
 		}
-		oj.byID[id] = o
+		oj.ByID[id] = o
 	}
 	oj.resolveUnverified()
 }
 
 // releaseJob: a job has another owner now.
-func (oj *ownedJobs) releaseJob(o *ownedJob) {
+func (oj *Owned) releaseJob(o *Job) {
 	if o == nil {
 		return
 	}
 	oj.sendCompletedTasks(o)
-	for _, t := range o.placed {
-		if oj.attemptsOn[t.machine][t.task] == t {
-			delete(oj.attemptsOn[t.machine], t.task)
+	for _, t := range o.Placed {
+		if oj.AttemptsOn[t.Machine][t.Task] == t {
+			delete(oj.AttemptsOn[t.Machine], t.Task)
 		}
 	}
 }
 
 // dispatcherChanged reports whether a machine is kept by another controller, or
 // another session of the same, than by an earlier view.
-func (oj *ownedJobs) dispatcherChanged(old record.View, id protocol.MachineID) bool {
+func (oj *Owned) dispatcherChanged(old record.View, id protocol.MachineID) bool {
 	if old.Layout >= record.LayoutShards && oj.Sharded() {
-		return false // the record of the shares has told: see shardsMoved
+		return false // the record of the shares has told: see ShardsMoved
 	}
 	keeper := oj.DispatcherOf(id)
 	return clusterstate.RendezvousDispatcher(old, id) != keeper || !clusterstate.SameMemberSession(old, oj.View, keeper)
 }
 
-func (oj *ownedJobs) bitmapLoaded(m message.BitmapLoaded) {
-	o := oj.byID[m.Job]
-	if o == nil || o.loaded && !o.rereadNeeded {
+func (oj *Owned) BitmapLoaded(m message.BitmapLoaded) {
+	o := oj.ByID[m.Job]
+	if o == nil || o.Loaded && !o.rereadNeeded {
 		return
 	}
 	o.loading = false
@@ -104,18 +104,18 @@
 		var b record.BitmapChunk
 		err := protocol.Decode(it.Value, &b)
 		if err == nil {
-			err = record.DecodeChunk(it.Key, b, o.done, o.Tasks)
+			err = record.DecodeChunk(it.Key, b, o.Done, o.Tasks)
 		}
 		if err != nil {
 			oj.Log.Error("bitmap can't be read", "job", m.Job, "err", err)
 		}
 	}
-	o.loaded = true
-	o.nDone = uint32(o.done.Count())
+	o.Loaded = true
+	o.DoneCount = uint32(o.Done.Count())
 	oj.ownedChanges.Touch(o.ID)
-	for id, t := range ordered.Tasks(o.placed) {
-		if o.done.Test(uint(id.Index)) {
-			oj.sendStop(t, true, 0)
+	for id, t := range ordered.Tasks(o.Placed) {
+		if o.Done.Test(uint(id.Index)) {
+			oj.SendStop(t, true, 0)
 		}
 	}
 	oj.finishIfDone(o)
@@ -124,52 +124,52 @@
 
 // resolveUnverified makes the unlisted tasks of jobs taken over placeable, once
 // every machine that might hold one has been heard or is proven empty.
-func (oj *ownedJobs) resolveUnverified() {
-	if len(oj.awaitedInventories) > 0 {
+func (oj *Owned) resolveUnverified() {
+	if len(oj.AwaitedInventories) > 0 {
 		return
 	}
-	clear(oj.unverifiedTeams)
-	oj.table.placementDue = true
-	for _, o := range oj.byID {
-		if !o.unverified || !o.loaded {
+	clear(oj.UnverifiedTeams)
+	oj.table.PlacementDue = true
+	for _, o := range oj.ByID {
+		if !o.Unverified || !o.Loaded {
 			continue
 		}
-		o.unverified = false
+		o.Unverified = false
 		for i := uint32(0); i < o.Tasks; i++ {
-			if !o.done.Test(uint(i)) && o.placed[protocol.TaskID{Job: o.ID, Index: i}] == nil {
-				o.pending.Set(uint(i))
+			if !o.Done.Test(uint(i)) && o.Placed[protocol.TaskID{Job: o.ID, Index: i}] == nil {
+				o.Pending.Set(uint(i))
 			}
 		}
-		oj.table.placementDue = true
-		oj.Log.Debug("job taken over", "id", o.ID, "done", o.nDone, "placed", len(o.placed))
+		oj.table.PlacementDue = true
+		oj.Log.Debug("job taken over", "id", o.ID, "done", o.DoneCount, "placed", len(o.Placed))
 	}
 }
 
-// inventory takes a keeper's proof of all that is on a machine.
-func (oj *ownedJobs) inventory(from protocol.NodeName, inv *message.Inventory) {
-	m := oj.table.machines[inv.Machine]
+// Inventory takes a keeper's proof of all that is on a machine.
+func (oj *Owned) Inventory(from protocol.NodeName, inv *message.Inventory) {
+	m := oj.table.Machines[inv.Machine]
 	if inv.Term != oj.View.Term || m == nil || m.Epoch != inv.Epoch || oj.DispatcherOf(inv.Machine) != from || inv.Tenure != oj.ShardEpoch(inv.Machine, m.Record.Zone) {
 		return
 	}
 	listed := map[protocol.TaskID]bool{}
 	for _, h := range inv.Held {
-		o := oj.byID[h.Task.Job]
+		o := oj.ByID[h.Task.Job]
 		if o == nil || h.Task.Index >= o.Tasks {
 			continue
 		}
 		listed[h.Task] = true
 		oj.adoptAttempt(o, m, h)
 	}
-	for _, t := range ordered.Tasks(oj.attemptsOn[m.ID]) {
-		o := oj.byID[t.task.Job]
-		if o == nil || listed[t.task] || (!t.unverified && t.placeNumber > inv.Upto) {
+	for _, t := range ordered.Tasks(oj.AttemptsOn[m.ID]) {
+		o := oj.ByID[t.Task.Job]
+		if o == nil || listed[t.Task] || (!t.Unverified && t.PlaceNumber > inv.Upto) {
 			continue
 		}
 		oj.attemptLost(o, t)
 	}
 	oj.clearEndedAttempts(inv.Machine, inv.Upto)
 	oj.noteEndedAttempts(inv)
-	delete(oj.awaitedInventories, inv.Machine)
+	delete(oj.AwaitedInventories, inv.Machine)
 	oj.resolveUnverified()
 }
 
@@ -177,103 +177,85 @@
 // what its keeper has followed: it has not been killed, and may even be started, until
 // the keeper follows. It counts against its team's limit until the keeper says that it
 // is gone. Taken for gone, its room was given to others of the team, beyond the limit.
-func (oj *ownedJobs) noteEndedAttempts(inv *message.Inventory) {
+func (oj *Owned) noteEndedAttempts(inv *message.Inventory) {
 	for _, h := range inv.Held {
 		if oj.Live[h.Task.Job] == nil && h.State != protocol.TaskEnded && oj.Limited(h.Team) {
-			oj.endedAttempts[message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: inv.Machine}] = endedAttempt{h.Team, h.Need, 0}
+			oj.EndedAttempts[message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: inv.Machine}] = endedAttempt{h.Team, h.Need, 0}
 		}
 	}
 }
 
 // adoptAttempt takes one attempt of an inventory.
-func (oj *ownedJobs) adoptAttempt(o *ownedJob, m *machineEntry, h message.HeldAttempt) {
+func (oj *Owned) adoptAttempt(o *Job, m *Machine, h message.HeldAttempt) {
 	ref := message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: m.ID}
-	t := o.placed[h.Task]
-	if t == nil && o.unverified {
-		t = &attempt{
-			task: h.Task, number: h.Attempt, machine: m.ID, epoch: m.Epoch, zone: m.Record.Zone,
-			estimate: oj.Estimate(&o.Job), startUnseen: true,
+	t := o.Placed[h.Task]
+	if t == nil && o.Unverified {
+		t = &Attempt{
+			Task: h.Task, Number: h.Attempt, Machine: m.ID, Epoch: m.Epoch, Zone: m.Record.Zone,
+			Estimate: oj.Estimate(&o.Job), startUnseen: true,
 		}
-		o.placed[h.Task] = t
-		o.waiting++
-		oj.track(t)
-		if o.done.Test(uint(h.Task.Index)) {
-			oj.sendStop(t, true, 0)
+		o.Placed[h.Task] = t
+		o.Waiting++
+		oj.Track(t)
+		if o.Done.Test(uint(h.Task.Index)) {
+			oj.SendStop(t, true, 0)
 		}
 	}
-	if t != nil && t.number == h.Attempt && t.machine == m.ID {
-		t.startUnseen = t.startUnseen || t.unverified && !t.running
-		if t.unverified {
-			t.placeNumber, t.unverified = 0, false // counted by a session that is over
+	if t != nil && t.Number == h.Attempt && t.Machine == m.ID {
+		t.startUnseen = t.startUnseen || t.Unverified && !t.running
+		if t.Unverified {
+			t.PlaceNumber, t.Unverified = 0, false // counted by a session that is over
 		}
 	}
 	switch h.State {
 	case "":
 	case protocol.TaskEnded:
-		oj.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: h.Cause, Saved: h.Saved})
+		oj.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: h.Cause, Saved: h.Saved})
 	case protocol.TaskRunning:
-		oj.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
+		oj.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
 	default:
-		oj.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventPresent})
+		oj.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventPresent})
 	}
 }
 
-// shardsMoved: what was placed on the machines of some shares is uncertain until
+// ShardsMoved: what was placed on the machines of some shares is uncertain until
 // their new keepers' inventories, and what was told of these machines is no longer
 // the word of who keeps them.
-func (oj *ownedJobs) shardsMoved(moved map[sharding.ID]bool) {
-	for ref, t := range oj.endedAttempts {
-		if m := oj.table.machines[ref.Machine]; m != nil && moved[sharding.Of(oj.Shards, ref.Machine, m.Record.Zone)] {
+func (oj *Owned) ShardsMoved(moved map[sharding.ID]bool) {
+	for ref, t := range oj.EndedAttempts {
+		if m := oj.table.Machines[ref.Machine]; m != nil && moved[sharding.Of(oj.Shards, ref.Machine, m.Record.Zone)] {
 			t.placeNumber = 0 // of the keeper before
-			oj.endedAttempts[ref] = t
+			oj.EndedAttempts[ref] = t
 		}
 	}
-	for id, m := range oj.table.machines {
+	for id, m := range oj.table.Machines {
 		if !moved[sharding.Of(oj.Shards, id, m.Record.Zone)] {
 			continue
 		}
-		for _, t := range oj.attemptsOn[id] {
-			t.unverified = true
-		}
-	}
-}
-
-// tableShardsMoved: what was told of the machines of some shards is no longer the word
-// of the controller that holds them.
-func (wt *waitTable) tableShardsMoved(moved map[sharding.ID]bool) {
-	for id, m := range wt.machines {
-		if !moved[sharding.Of(wt.Shards, id, m.Record.Zone)] {
-			continue
-		}
-		m.reportedBy = nil
-		if len(m.pendingWaits) > 0 {
-			m.pendingWaits = nil
-			m.recomputeWait()
-			for _, p := range wt.peers {
-				delete(p.updates.waits, m)
-			}
+		for _, t := range oj.AttemptsOn[id] {
+			t.Unverified = true
 		}
 	}
 }
 
 // sendCompletedTasks tells a job's next owner what was done here and is not written yet. Its
 // workers have been told to forget it: else it would be done again.
-func (oj *ownedJobs) sendCompletedTasks(o *ownedJob) {
+func (oj *Owned) sendCompletedTasks(o *Job) {
 	d := message.CompletedTasks{Job: o.ID, Chunks: map[int]record.BitmapChunk{}}
 	for chunk := range o.dirtyChunks {
-		d.Chunks[chunk] = record.EncodeChunk(o.done, chunk)
+		d.Chunks[chunk] = record.EncodeChunk(o.Done, chunk)
 	}
 	for _, chunk := range o.chunksInFlight {
-		d.Chunks[chunk] = record.EncodeChunk(o.done, chunk)
+		d.Chunks[chunk] = record.EncodeChunk(o.Done, chunk)
 	}
 	if len(d.Chunks) > 0 {
 		oj.Send(oj.OwnerOf(o.LiveJob), message.PeerMessage{Done: &d})
 	}
 }
 
-// completedBefore takes what the owner before has seen done.
-func (oj *ownedJobs) completedBefore(d *message.CompletedTasks) {
-	o := oj.byID[d.Job]
+// CompletedBefore takes what the owner before has seen done.
+func (oj *Owned) CompletedBefore(d *message.CompletedTasks) {
+	o := oj.ByID[d.Job]
 	if o == nil {
 		return
 	}
@@ -285,8 +267,8 @@
 	}
 	for i, ok := seen.NextSet(0); ok; i, ok = seen.NextSet(i + 1) {
 		oj.markTaskDone(o, uint32(i))
-		if t := o.placed[protocol.TaskID{Job: o.ID, Index: uint32(i)}]; t != nil {
-			oj.sendStop(t, true, 0)
+		if t := o.Placed[protocol.TaskID{Job: o.ID, Index: uint32(i)}]; t != nil {
+			oj.SendStop(t, true, 0)
 		}
 	}
 	oj.finishIfDone(o)
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -15,10 +15,10 @@
 	"damsonkeel/internal/record"
 )
 
-// inventory plays the proof of all that is on a machine.
+// Inventory plays the proof of all that is on a machine.
 func (b *bench) inventory(id protocol.MachineID, held ...message.HeldAttempt) {
-	b.c.jobs.inventory(clusterstate.RendezvousDispatcher(b.c.View, id), &message.Inventory{
-		Term: b.c.View.Term, Machine: id, Epoch: b.c.table.machines[id].Epoch, Upto: 1 << 40, Held: held,
+	b.c.jobs.Inventory(clusterstate.RendezvousDispatcher(b.c.View, id), &message.Inventory{
+		Term: b.c.View.Term, Machine: id, Epoch: b.c.table.Machines[id].Epoch, Upto: 1 << 40, Held: held,
 	})
 }
 
@@ -32,17 +32,17 @@
 	b.job("job-1", "free", 1)
 	task := protocol.TaskID{Job: "job-1"}
 	b.view(3, "node-0") // a view was missed: nothing known before counts
-	o := b.c.jobs.byID["job-1"]
-	if !o.unverified || o.pending.Any() || len(o.placed) > 0 {
+	o := b.c.jobs.ByID["job-1"]
+	if !o.Unverified || o.Pending.Any() || len(o.Placed) > 0 {
 		t.Fatalf("after a missed view: %+v", o)
 	}
 	b.step(message.BitmapLoaded{Job: "job-1", OK: true})
 	b.inventory("vm-1", message.HeldAttempt{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndError})
-	if o.pending.Any() {
+	if o.Pending.Any() {
 		t.Fatal("placeable while vm-2 may run a later attempt")
 	}
 	b.inventory("vm-2", message.HeldAttempt{Task: task, Attempt: 2, State: protocol.TaskRunning})
-	if o.pending.Any() || o.placed[task] == nil || o.placed[task].number != 2 {
+	if o.Pending.Any() || o.Placed[task] == nil || o.Placed[task].Number != 2 {
 		t.Fatal("the attempt that runs was not kept")
 	}
 }
@@ -58,17 +58,17 @@
 		job = protocol.JobID("job-" + string(rune('a'+i)))
 	}
 	b.job(job, "free", 1)
-	o := b.c.jobs.byID[job]
+	o := b.c.jobs.ByID[job]
 	task := protocol.TaskID{Job: job}
-	if o.placed[task] == nil || o.placed[task].machine != id {
+	if o.Placed[task] == nil || o.Placed[task].Machine != id {
 		t.Fatalf("not placed: %+v", o)
 	}
 	b.view(2, "node-0")
-	if p := o.placed[task]; p == nil || !p.unverified {
+	if p := o.Placed[task]; p == nil || !p.Unverified {
 		t.Fatalf("not uncertain: %+v", p)
 	}
 	b.inventory(id)
-	if o.placed[task] != nil && o.placed[task].number>>32 != 2 {
+	if o.Placed[task] != nil && o.Placed[task].Number>>32 != 2 {
 		t.Error("not placed anew after the inventory without it")
 	}
 }
@@ -83,7 +83,7 @@
 	b.job("job-1", "bound", 20) // limited to 12
 	placed := func(want int, when string) {
 		t.Helper()
-		if n := len(b.c.jobs.byID["job-1"].placed); n != want {
+		if n := len(b.c.jobs.ByID["job-1"].Placed); n != want {
 			t.Fatalf("%d placed %s, want %d", n, when, want)
 		}
 	}
@@ -95,8 +95,8 @@
 	b.report("vm-1", 1, 3, running)
 	placed(12, "when all is known")
 	b.view(5, "node-0")
-	b.c.table.machines["vm-1"].Info = protocol.TypeInfo{}
-	if usage := b.c.jobs.teamUsage()["bound"]; !math.IsInf(usage.CPUs, 1) {
+	b.c.table.Machines["vm-1"].Info = protocol.TypeInfo{}
+	if usage := b.c.jobs.TeamUsage()["bound"]; !math.IsInf(usage.CPUs, 1) {
 		t.Fatalf("a machine of unknown size takes %v", usage.CPUs)
 	}
 }
@@ -160,7 +160,7 @@
 	b.ready(id)
 	awaited := func(want bool, when string) {
 		t.Helper()
-		if b.c.jobs.awaitedInventories[id] != want {
+		if b.c.jobs.AwaitedInventories[id] != want {
 			t.Errorf("inventory awaited %v %s, want %v", !want, when, want)
 		}
 	}
@@ -197,7 +197,7 @@
 			b.job(job, team, 4)
 			if i == 0 {
 				b.step(message.RecordChanged{Event: protocol.Event{Delete: record.LiveKey(job), Version: 90}})
-				clear(b.c.jobs.endedAttempts)
+				clear(b.c.jobs.EndedAttempts)
 				b.step(message.Tick{})
 			}
 		}
@@ -212,11 +212,11 @@
 		if over == "after it" {
 			end()
 		}
-		if len(b.c.jobs.endedAttempts) != 4 {
-			t.Fatalf("over %s: %d attempts count", over, len(b.c.jobs.endedAttempts))
+		if len(b.c.jobs.EndedAttempts) != 4 {
+			t.Fatalf("over %s: %d attempts count", over, len(b.c.jobs.EndedAttempts))
 		}
-		b.c.jobs.inventory("node-1", &message.Inventory{Term: 2, Machine: id, Epoch: b.c.table.machines[id].Epoch})
-		if n := len(b.c.jobs.endedAttempts); n > 0 {
+		b.c.jobs.Inventory("node-1", &message.Inventory{Term: 2, Machine: id, Epoch: b.c.table.Machines[id].Epoch})
+		if n := len(b.c.jobs.EndedAttempts); n > 0 {
 			t.Errorf("over %s: %d attempts count for ever", over, n)
 		}
 	}
@@ -247,21 +247,21 @@
 			b.job("job-1", team, 4)
 			b.step(message.RecordChanged{Event: protocol.Event{Delete: record.LiveKey("job-1"), Version: 90}})
 			if takenOver {
-				clear(b.c.jobs.endedAttempts)
-				b.c.jobs.unverifiedTeams[team], b.c.jobs.awaitedInventories[id] = true, true
+				clear(b.c.jobs.EndedAttempts)
+				b.c.jobs.UnverifiedTeams[team], b.c.jobs.AwaitedInventories[id] = true, true
 			}
 			var held []message.HeldAttempt
 			for i := range uint32(4) {
 				held = append(held, message.HeldAttempt{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: protocol.Attempt(i + 1), State: state, Team: team, Need: resource.Amount{CPUs: 1}})
 			}
-			b.c.jobs.inventory("node-1", &message.Inventory{Term: 1, Machine: id, Epoch: b.c.table.machines[id].Epoch, Upto: 99, Held: held})
-			if used := b.c.jobs.teamUsage()[team].CPUs; used != 4 {
+			b.c.jobs.Inventory("node-1", &message.Inventory{Term: 1, Machine: id, Epoch: b.c.table.Machines[id].Epoch, Upto: 99, Held: held})
+			if used := b.c.jobs.TeamUsage()[team].CPUs; used != 4 {
 				t.Errorf("taken over %v, %q: %v processors count, want 4", takenOver, state, used)
 			}
 			for _, h := range held {
-				b.c.jobs.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: id}, What: message.EventEnded, Cause: protocol.EndStopped})
+				b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: id}, What: message.EventEnded, Cause: protocol.EndStopped})
 			}
-			if used := b.c.jobs.teamUsage()[team].CPUs; used != 0 {
+			if used := b.c.jobs.TeamUsage()[team].CPUs; used != 0 {
 				t.Errorf("taken over %v, %q: %v processors count for ever", takenOver, state, used)
 			}
 		}
@@ -286,7 +286,7 @@
 			for _, a := range b.step(message.Tick{}) {
 				switch a := a.(type) {
 				case message.Commit:
-					if _, is := a.Tag.(bitmapTag); !is {
+					if _, is := a.Tag.(BitmapTag); !is {
 						continue
 					}
 					w = write{commit: &a}
@@ -301,7 +301,7 @@
 					return w, reads
 				case message.LoadBitmap:
 					reads = true
-					b.step(message.BitmapLoaded{Job: "job-1", OK: true, Chunks: []protocol.Item{{Key: key, Version: 77, Value: encoded(t, record.EncodeChunk(b.c.jobs.byID["job-1"].done, 0))}}})
+					b.step(message.BitmapLoaded{Job: "job-1", OK: true, Chunks: []protocol.Item{{Key: key, Version: 77, Value: encoded(t, record.EncodeChunk(b.c.jobs.ByID["job-1"].Done, 0))}}})
 				}
 			}
 		}
@@ -310,7 +310,7 @@
 	}
 	end := func(i uint32) {
 		b.step(message.Tick{})
-		b.c.jobs.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 	}
 	end(0)
 	first, _ := next()
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -18,12 +18,12 @@
 	c.members.Adopt(v, version)
 	c.registrar.Adopted()
 	c.dispatcher.TermAdopted()
-	c.table.adoptPeers(v)
+	c.table.AdoptPeers(v)
 	c.dispatcher.ForgetOwners(old)
 	if !c.Member() {
-		c.jobs.drop()
-		c.placer.forgetSearches()
-		c.table.placementDue = false
+		c.jobs.Drop()
+		c.placer.ForgetSearches()
+		c.table.PlacementDue = false
 		c.dispatcher.DropAll()
 		c.Log.Info("not in the view", "term", v.Term)
 		return
@@ -31,31 +31,13 @@
 	c.Log.Info("new term", "term", v.Term, "members", len(v.Members))
 	keeps := consecutive && wasMember
 	c.dispatcher.Adopt(old, keeps)
-	c.jobs.adoptJobs(old, keeps)
+	c.jobs.AdoptView(old, keeps)
 	c.beginUpdates()
 	c.dispatcher.BeginInventories()
 	if !wasMember {
-		c.table.askTables()
-	}
-	c.autoscaler.adopted(c.Now)
-}
-
-func (wt *waitTable) adoptPeers(v record.View) {
-	replaced := map[protocol.NodeName]bool{}
-	for name, p := range wt.peers {
-		replaced[name] = v.Members[name] != p.session
-	}
-	for name, p := range wt.peers {
-		wt.dropPendingWaits(name, p, replaced)
-		if replaced[name] {
-			delete(wt.peers, name)
-		}
-	}
-	for name, session := range v.Members {
-		if wt.peers[name] == nil {
-			wt.peers[name] = &peer{session: session, progress: map[protocol.JobID]message.Progress{}, updates: newPeerUpdates()}
-		}
+		c.table.AskPeers()
 	}
+	c.autoscaler.ViewAdopted(c.Now)
 }
 
 // message handles one message of a peer, or of itself.
@@ -66,17 +48,17 @@
 	case m.Stop != nil:
 		c.dispatcher.Stop(*m.Stop)
 	case m.Event != nil:
-		c.jobs.taskEvent(*m.Event)
+		c.jobs.TaskEvent(*m.Event)
 	case m.Released != nil:
 		for _, ref := range m.Released {
-			c.jobs.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
+			c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
 		}
 	case m.Forget != nil:
 		c.dispatcher.Forget(*m.Forget)
 	case m.Inventory != nil:
-		c.jobs.inventory(from, m.Inventory)
+		c.jobs.Inventory(from, m.Inventory)
 	case m.Added != nil:
-		c.table.addWaits(from, m.Added)
+		c.table.WaitsAdded(from, m.Added)
 	case m.Relay != nil:
 		c.stateUpdated(from, m.Relay)
 	case m.Drain != nil:
@@ -84,15 +66,15 @@
 	case m.Record != nil:
 		c.registrar.RequestChange(from, *m.Record)
 	case m.Done != nil:
-		c.jobs.completedBefore(m.Done)
+		c.jobs.CompletedBefore(m.Done)
 	case m.Move != nil:
 		c.dispatcher.HandOver(m.Move)
 	case m.Hand != nil:
 		c.dispatcher.ReceiveHandover(m.Hand)
 	case m.AskTable:
-		c.table.sendTable(from)
+		c.table.SendCopy(from)
 	case m.Table != nil:
-		c.table.fillTable(m.Table)
+		c.table.Fill(m.Table)
 	}
 }
 
@@ -112,8 +94,8 @@
 		}
 	}
 	if len(changed) > 0 {
-		c.jobs.shardsMoved(changed)
-		c.table.tableShardsMoved(changed)
+		c.jobs.ShardsMoved(changed)
+		c.table.ShardsMoved(changed)
 	}
 	c.dispatcher.AdoptShards(old)
 }
--- a/internal/controller/workload.go
+++ b/internal/controller/workload.go
@@ -5,14 +5,19 @@
 	"damsonkeel/internal/controller/forecast"
 )
 
-// workload is what has been seen of the work that comes: classes of jobs with an
+// Workload is what has been seen of the work that comes: classes of jobs with an
 // objective, and how often spot machines are taken.
-type workload struct {
+type Workload struct {
 	clusterstate.Module
-	table   *waitTable
-	classes map[string]*class
-	spots   forecast.Spot // outlives sessions
+	table   *Table
+	Classes map[string]*Class
+	Spots   forecast.Spot // outlives sessions
 }
 
-// reset forgets the classes of jobs seen.
-func (wl *workload) reset() { wl.classes = map[string]*class{} }
+// New has seen nothing yet.
+func New(p clusterstate.Module, table *Table) *Workload {
+	return &Workload{Module: p, table: table}
+}
+
+// Reset forgets the classes of jobs seen.
+func (wl *Workload) Reset() { wl.Classes = map[string]*Class{} }
