--- a/internal/controller/fleet.go
+++ b/internal/controller/autoscaler/fleet.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"cmp"
@@ -6,6 +6,11 @@
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/holds"
+	"damsonkeel/internal/controller/placement"
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/controller/workload"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clock"
@@ -21,10 +26,10 @@
 // Autoscaler is what the controller that rents machines keeps of them.
 type Autoscaler struct {
 	clusterstate.Module
-	table        *Table
-	workload     *Workload
-	reservations *Holds
-	placer       *Placer
+	table        *waittable.Table
+	workload     *workload.Workload
+	reservations *holds.Holds
+	placer       *placement.Placer
 	planner      *ReservationPlanner
 
 	since           clock.Time // when this view was adopted
@@ -71,8 +76,8 @@
 	return binpack.Kind{Type: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot}
 }
 
-// New___ makes an autoscaler with its planner of reservations.
-func New___(p clusterstate.Module, table *Table, work *Workload, held *Holds, place *Placer) (*Autoscaler, *ReservationPlanner) {
+// New makes an autoscaler with its planner of reservations.
+func New(p clusterstate.Module, table *waittable.Table, work *workload.Workload, held *holds.Holds, place *placement.Placer) (*Autoscaler, *ReservationPlanner) {
 	as := &Autoscaler{Module: p, table: table, workload: work, reservations: held, placer: place}
 	as.planner = &ReservationPlanner{Module: p, table: table, reservations: held, autoscaler: as}
 	return as, as.planner
@@ -307,7 +312,7 @@
 	var gone []protocol.MachineID
 	cl, spare := as.placer.NewClaims(), as.SpareProcessors()
 	machines := slices.Clone(as.table.InOrder())
-	slices.SortStableFunc(machines, func(a, b *Machine) int { // the dearest first
+	slices.SortStableFunc(machines, func(a, b *waittable.Machine) int { // the dearest first
 		return cmp.Compare(as.price(b.Kind()), as.price(a.Kind()))
 	})
 	for _, m := range machines {
@@ -399,7 +404,7 @@
 }
 
 // dropRecord deletes the record of a machine that the cloud says is gone.
-func (as *Autoscaler) dropRecord(m *Machine) {
+func (as *Autoscaler) dropRecord(m *waittable.Machine) {
 	as.ChangeRecord(dispatcher.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
 }
 
--- a/internal/controller/holding.go
+++ b/internal/controller/autoscaler/holding.go
@@ -1,10 +1,12 @@
-package controller
+package autoscaler
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
@@ -166,7 +168,7 @@
 
 // keepForReservation reports whether a machine is kept for what is held on it, though
 // it is idle.
-func (rp *ReservationPlanner) keepForReservation(m *Machine) bool {
+func (rp *ReservationPlanner) keepForReservation(m *waittable.Machine) bool {
 	now := rp.WallTime()
 	for _, h := range rp.reservations.Holds[m.ID] {
 		if now >= reservation.After(h.Clear, -keepAhead) && now < h.Until {
--- a/internal/controller/plan.go
+++ b/internal/controller/autoscaler/plan.go
@@ -1,4 +1,4 @@
-package controller
+package autoscaler
 
 import (
 	"cmp"
--- a/internal/controller/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -1,9 +1,11 @@
-package controller
+package autoscaler
 
 import (
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/holds"
 	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
@@ -11,8 +13,8 @@
 // autoscaler.
 type ReservationPlanner struct {
 	clusterstate.Module
-	table        *Table
-	reservations *Holds
+	table        *waittable.Table
+	reservations *holds.Holds
 	autoscaler   *Autoscaler
 
 	planDemands   []reservation.Demand               // as last chosen for
@@ -35,7 +37,5 @@
 	rp.planSwept = 0
 }
 
-type (
-	ReservationTag struct{ name reservation.Name }
-	Tag            struct{}
-)
+// ReservationTag marks the transaction by which a reservation goes on.
+type ReservationTag struct{ name reservation.Name }
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -5,6 +5,10 @@
 	"math"
 	"testing"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/placement"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/resource"
@@ -16,13 +20,13 @@
 
 // plainSmallest is the decision written plainly: it visits every machine for
 // every task. It returns all that tie for the smallest wait.
-func (pl *Placer) plainSmallest(o *Job, zones map[protocol.Zone]int, cl *Claims) map[*Machine]bool {
+func plainSmallest(c *Core, o *jobs.Job, zones map[protocol.Zone]int, cl *placement.Claims) map[*waittable.Machine]bool {
 	const withRoom = 1e9
 	n := resource.Need(&o.Job)
 	best := math.Inf(1)
-	waits := map[*Machine]float64{}
-	for _, m := range pl.table.Machines {
-		if !pl.Feasible(o, zones)(m) {
+	waits := map[*waittable.Machine]float64{}
+	for _, m := range c.table.Machines {
+		if !c.placer.Feasible(o, zones)(m) {
 			continue
 		}
 		w, room := m.WaitFor(&o.Job, o.Level)
@@ -34,13 +38,13 @@
 			if !cl.IsClaimed(o, m) {
 				w -= withRoom
 			}
-		} else if w > QueueAtMost.Seconds() && !m.NonPreemptibleFree(o.Level).Covers(n) {
+		} else if w > placement.QueueAtMost.Seconds() && !m.NonPreemptibleFree(o.Level).Covers(n) {
 			continue
 		}
 		waits[m] = w
 		best = math.Min(best, w)
 	}
-	ties := map[*Machine]bool{}
+	ties := map[*waittable.Machine]bool{}
 	for m, w := range waits {
 		if w <= best+2e-6 {
 			ties[m] = true
@@ -57,7 +61,7 @@
 		if rapid.Bool().Draw(t, "large") {
 			info = protocol.TypeInfo{Name: "large", CPUs: 16, MemoryGB: 64, FetchGBPS: 1}
 		}
-		m := &Machine{
+		m := &waittable.Machine{
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: info,
 				Record: record.Machine{Zone: rapid.SampledFrom([]protocol.Zone{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
@@ -92,12 +96,12 @@
 		}
 		o := c.jobs.Adopt(&clusterstate.LiveJob{Job: j})
 		reserved := &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 8, Spot: true}}
-		cl := &Claims{Classes: []ClassReserve{{Job: reserved, Need: resource.Need(&reserved.Job), Spare: rapid.IntRange(-2, 5).Draw(t, "spare")}}}
+		cl := &placement.Claims{Classes: []placement.ClassReserve{{Job: reserved, Need: resource.Need(&reserved.Job), Spare: rapid.IntRange(-2, 5).Draw(t, "spare")}}}
 		zones := map[protocol.Zone]int{}
 		from := c.placer.CandidatesFor(o, zones, cl)
 		placed := 0
 		for i := range o.Tasks {
-			want := c.placer.plainSmallest(o, zones, cl)
+			want := plainSmallest(c, o, zones, cl)
 			m := from.Smallest(zones)
 			if m == nil && len(want) > 0 || m != nil && !want[m] {
 				t.Fatalf("task %d goes to %+v, not to one of %d", i, m, len(want))
--- a/internal/controller/classes_test.go
+++ b/internal/controller/classes_test.go
@@ -4,6 +4,9 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/workload"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/forecast"
 	"damsonkeel/internal/controller/message"
@@ -36,11 +39,11 @@
 	b.ready("vm-1")
 	m := b.c.table.Machines["vm-1"]
 	cl := b.c.placer.NewClaims()
-	small := &Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
+	small := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
 	if ok := cl.LeavesClaimed(small, m, resource.Need(&small.Job)); ok {
 		t.Error("a small task may take the last room kept")
 	}
-	big := &Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 1}}}
+	big := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 1}}}
 	if ok := cl.LeavesClaimed(big, m, resource.Need(&big.Job)); !ok {
 		t.Error("the class itself may not use it")
 	}
@@ -75,7 +78,7 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.ready("vm-2")
-	k := &Class{Job: protocol.Job{Class: "cert", Kind: protocol.KindJobArray, CPUs: 1, MemoryGB: 1}, Share: 0.8, HasStartObjective: true}
+	k := &workload.Class{Job: protocol.Job{Class: "cert", Kind: protocol.KindJobArray, CPUs: 1, MemoryGB: 1}, Share: 0.8, HasStartObjective: true}
 	for i := range 10 {
 		k.Arrivals = append(k.Arrivals, forecast.Arrival{At: b.c.Now - Time(time.Duration(9-i)*4*time.Second), Tasks: float64(10 + i)})
 	}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -9,6 +9,14 @@
 	"math/rand/v2"
 	"time"
 
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/holds"
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/operatorrequest"
+	"damsonkeel/internal/controller/placement"
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/controller/workload"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
@@ -29,14 +37,14 @@
 	members      *membership.Members
 	registrar    *workerregistry.Registrar
 	dispatcher   *dispatcher.Dispatcher
-	table        *Table
-	workload     *Workload
-	reservations *Holds
-	jobs         *Owned
-	placer       *Placer
-	autoscaler   *Autoscaler
-	planner      *ReservationPlanner
-	operations   *Handler
+	table        *waittable.Table
+	workload     *workload.Workload
+	reservations *holds.Holds
+	jobs         *jobs.Owned
+	placer       *placement.Placer
+	autoscaler   *autoscaler.Autoscaler
+	planner      *autoscaler.ReservationPlanner
+	operations   *operatorrequest.Handler
 
 	// rates outlives sessions: what was lent in the last one is still lent.
 	rates          *ratelimit.Ledger[protocol.LeaseID]
@@ -50,18 +58,18 @@
 // NewCore makes a controller's state before its first session.
 func NewCore(s *config.Settings, op config.Operator, rng *rand.Rand, log *slog.Logger) *Core {
 	p := clusterstate.Module{State: clusterstate.NewState(s, op, log), Output: &clusterstate.Output{}}
-	table := NewTable(p, rng)
-	work := New(p, table)
+	table := waittable.New(p, rng)
+	work := workload.New(p, table)
 	queues := dispatcher.New(p)
-	owned := New_(p, table, work, rng)
-	held := NewHolds(p, table, owned.JobProgress, queues.TouchAll)
-	place := New__(p, table, work, held, owned, rng)
-	scaler, planner := New___(p, table, work, held, place)
+	owned := jobs.New(p, table, work, rng)
+	held := holds.New(p, table, owned.JobProgress, queues.TouchAll)
+	place := placement.New(p, table, work, held, owned, rng)
+	scaler, planner := autoscaler.New(p, table, work, held, place)
 	members := membership.New(p)
 	c := &Core{
 		Module: p, members: members, registrar: workerregistry.New(p), dispatcher: queues,
 		table: table, workload: work, reservations: held, jobs: owned, placer: place, autoscaler: scaler, planner: planner,
-		operations: NewHandler(p, members, table, held, planner),
+		operations: operatorrequest.New(p, members, table, held, planner),
 	}
 	c.reset()
 	return c
@@ -315,15 +323,15 @@
 		c.members.ShardsWritten(m.Outcome)
 	case membership.ViewTag:
 		c.members.ViewWritten(m.Outcome)
-	case ReservationTag:
+	case autoscaler.ReservationTag:
 		c.planner.Written(tag)
 	case dispatcher.RegisterTag:
 		c.dispatcher.RegistrationDone(tag, m.Outcome)
-	case FinishTag:
+	case jobs.FinishTag:
 		c.jobs.FinishWritten(tag, m.Outcome)
-	case BitmapTag:
+	case jobs.BitmapTag:
 		c.jobs.BitmapWritten(tag, m.Outcome, m.Revision)
-	case Tag:
+	case holds.Tag:
 		c.reservations.Written(m.Outcome)
 	case workerregistry.Tag:
 		c.registrar.Written(tag, m.Outcome)
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/placement"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
@@ -24,7 +26,7 @@
 	for i := range 10 {
 		b.job(protocol.JobID(fmt.Sprint("job-", i)), "free", uint32(tasks/10))
 	}
-	for range 1 + tasks/MaxPerStep {
+	for range 1 + tasks/placement.MaxPerStep {
 		b.step(message.Tick{})
 	}
 	return b
@@ -60,7 +62,7 @@
 			}))
 		}
 	}
-	for range 10 + tasks/MaxPerStep {
+	for range 10 + tasks/placement.MaxPerStep {
 		f.hear(0)
 		f.second()
 	}
@@ -291,7 +293,7 @@
 		w.step(message.Tick{})
 	}
 	huge := w.c.jobs.ByID["job-huge"]
-	most := 20 * 4 * (int(QueueAtMost.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
+	most := 20 * 4 * (int(placement.QueueAtMost.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
 	if n := len(huge.Placed); n == 0 || n > most {
 		t.Errorf("%d tasks placed, want up to %d", n, most)
 	}
@@ -349,7 +351,7 @@
 			f := stuckFleet(b, s.machines, s.tasks, 60)
 			for b.Loop() {
 				for range 10 {
-					f.now += Time(Interval)
+					f.now += Time(placement.Interval)
 					f.c.Now, f.c.Actions = f.now, nil
 					f.c.placer.Schedule()
 				}
@@ -384,12 +386,12 @@
 	const machines, gangs = 3000, 100
 	f := stuckFleet(t, machines, 30000, gangs)
 	for range 20 {
-		f.now += Time(Interval)
+		f.now += Time(placement.Interval)
 		f.c.table.PlacementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	// Two passes for each gang that is tried: one for room, one to claim.
-	if most := 2 * 20 * 2 * MaxExaminedPerStep; f.c.placer.Examined > most || f.c.placer.Examined < gangs*machines {
+	if most := 2 * 20 * 2 * placement.MaxExaminedPerStep; f.c.placer.Examined > most || f.c.placer.Examined < gangs*machines {
 		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.placer.Examined, gangs, most)
 	}
 	for i := range 8 { // machines come
@@ -399,7 +401,7 @@
 	}
 	f.hear(0)
 	for range 20 {
-		f.now += Time(Interval)
+		f.now += Time(placement.Interval)
 		f.c.table.PlacementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -5,6 +5,9 @@
 	"slices"
 	"testing"
 
+	"damsonkeel/internal/controller/placement"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
@@ -35,11 +38,11 @@
 		b.c.table.PlacementDue = true
 		b.step(message.Tick{})
 	}
-	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*SearchedAtOnce {
+	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*placement.SearchedAtOnce {
 		t.Errorf("%d machines looked at in %d steps", n, ticks)
 	}
 	all := b.c.table.InOrder()
-	m := all[slices.IndexFunc(all, func(m *Machine) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // here nobody keeps the rest
+	m := all[slices.IndexFunc(all, func(m *waittable.Machine) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // here nobody keeps the rest
 	m.Reported.FreeCPUs, m.Reported.FreeGB, m.Reported.Wait = 1, 4, 0
 	for range ticks {
 		b.c.table.PlacementDue = true
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/autoscaler"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/forecast"
@@ -16,14 +18,14 @@
 // planner is a bench whose core has the fleet's role and a first list.
 func planner(t *testing.T) *bench {
 	b := newBench(t)
-	b.now += Time(SettleTime)
+	b.now += Time(autoscaler.SettleTime)
 	b.step(message.MachinesListed{OK: true})
 	return b
 }
 
 // relay lets a second pass and plays one tick.
 func (b *bench) relay() []message.Action {
-	b.now += Time(PlanEvery)
+	b.now += Time(autoscaler.PlanEvery)
 	return b.step(message.Tick{})
 }
 
@@ -140,12 +142,12 @@
 		}
 	}
 	up := b.now
-	for b.now < up+Time(wait)-2*Time(PlanEvery) {
+	for b.now < up+Time(wait)-2*Time(autoscaler.PlanEvery) {
 		if ids := list("running"); len(ids) > 0 {
 			t.Fatalf("returned %v after %v", ids, time.Duration(b.now-up))
 		}
 	}
-	b.now += Time(2 * PlanEvery)
+	b.now += Time(2 * autoscaler.PlanEvery)
 	if ids := append(list("running"), list("running")...); len(ids) == 0 {
 		t.Error("not returned though it never reports")
 	}
@@ -162,7 +164,7 @@
 		t.Errorf("kept %v s at first", s)
 	}
 	b.c.Now += Time(time.Duration(forecast.KnownBoots*info.BootS+1) * time.Second)
-	if s := b.c.autoscaler.IdleTimeout(info, 100); s != IdleKnown.Seconds() {
+	if s := b.c.autoscaler.IdleTimeout(info, 100); s != autoscaler.IdleKnown.Seconds() {
 		t.Errorf("kept %v s once arrivals are known", s)
 	}
 	if s := b.c.autoscaler.IdleTimeout(info, math.Inf(1)); s != info.BootS {
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -5,6 +5,10 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/placement"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/forecast"
 	"damsonkeel/internal/controller/message"
@@ -17,7 +21,7 @@
 func (b *bench) zoned(z protocol.Zone, n int, spot bool, held resource.Uses) {
 	for i := range n {
 		id := protocol.MachineID(fmt.Sprintf("vm-%s%v%d", z, spot, i))
-		m := &Machine{
+		m := &waittable.Machine{
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16},
 				Record: record.Machine{Zone: z, Spot: spot},
@@ -30,7 +34,7 @@
 	}
 }
 
-func (b *bench) gang(id protocol.JobID, tasks uint32) *Job {
+func (b *bench) gang(id protocol.JobID, tasks uint32) *jobs.Job {
 	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: tasks, CPUs: 4, MemoryGB: 1,
 		EstimateS: 100, CheckpointS: 10, OneZone: true, Spot: true,
@@ -41,7 +45,7 @@
 	return o
 }
 
-func (b *bench) placeGang(o *Job, l *Claims) []message.Placement {
+func (b *bench) placeGang(o *jobs.Job, l *placement.Claims) []message.Placement {
 	return b.c.placer.PlaceGang(o, map[protocol.Team]resource.Amount{}, l)
 }
 
@@ -92,14 +96,14 @@
 	}
 	urgent := b.gang("job-3", 2)
 	urgent.Level = resource.LevelOf("production", false)
-	array := &Job{LiveJob: &clusterstate.LiveJob{}, Level: resource.LevelOf("standard", false)}
+	array := &jobs.Job{LiveJob: &clusterstate.LiveJob{}, Level: resource.LevelOf("standard", false)}
 	for m := range l.Gangs {
 		if !l.Blocks(urgent, m) || l.Blocks(array, m) {
 			t.Error("claims hold against what could be stopped, or not against the rest")
 		}
 	}
 	b.c.Now += Time(4 * 8 * time.Second)
-	if b.placeGang(large, noClaims()); b.placeGang(small, &Claims{Gangs: map[*Machine]resource.Level{}}) == nil {
+	if b.placeGang(large, noClaims()); b.placeGang(small, &placement.Claims{Gangs: map[*waittable.Machine]resource.Level{}}) == nil {
 		t.Error("a claim without end")
 	}
 }
@@ -113,7 +117,7 @@
 		t.Fatal("avoided before any was taken")
 	}
 	for range 40 {
-		m := &Machine{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, Reported: message.MachineState{Noticed: true}}
+		m := &waittable.Machine{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, Reported: message.MachineState{Noticed: true}}
 		b.c.workload.RecordSpotLoss(m)
 		m.Reported = message.MachineState{Draining: true, Noticed: true}
 		b.c.workload.RecordSpotLoss(m) // returned by ourselves
@@ -141,4 +145,6 @@
 	}
 }
 
-func noClaims() *Claims { return &Claims{Gangs: map[*Machine]resource.Level{}} }
+func noClaims() *placement.Claims {
+	return &placement.Claims{Gangs: map[*waittable.Machine]resource.Level{}}
+}
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -7,6 +7,9 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/placement"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
@@ -38,7 +41,7 @@
 }
 
 func (b *bench) step(msg any) []message.Action {
-	b.now += Time(Interval)
+	b.now += Time(placement.Interval)
 	return b.c.Step(b.now, msg)
 }
 
@@ -326,7 +329,7 @@
 		b.step(message.Tick{})
 		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 		for _, a := range b.c.Actions {
-			if c, ok := a.(message.Commit); ok && c.Tag == (FinishTag{"job-1"}) {
+			if c, ok := a.(message.Commit); ok && c.Tag == (jobs.FinishTag{Job: "job-1"}) {
 				if i == 0 {
 					t.Fatal("finished with a task left")
 				}
@@ -347,13 +350,13 @@
 // TestBadJobWaits: a job that fails on every machine waits ever longer.
 func TestBadJobWaits(t *testing.T) {
 	b := newBench(t)
-	o := func() *Job { return b.c.jobs.ByID["job-1"] }
+	o := func() *jobs.Job { return b.c.jobs.ByID["job-1"] }
 	b.job("job-1", "free", 1)
 	for i := range 3 {
 		id := protocol.MachineID(fmt.Sprint("vm-", i))
 		b.machine(id, 1)
 		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: id}
-		o().Placed[ref.Task] = &Attempt{Task: ref.Task, Number: 1, Machine: id}
+		o().Placed[ref.Task] = &jobs.Attempt{Task: ref.Task, Number: 1, Machine: id}
 		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
 	}
 	if o().NotBefore <= b.now {
--- a/internal/controller/holding_test.go
+++ b/internal/controller/holding_test.go
@@ -4,6 +4,8 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/autoscaler"
+
 	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
@@ -19,7 +21,7 @@
 	before := b.c.NoticeBefore(reserve("one", "daily at 04:00", 2))
 	for _, z := range []protocol.Zone{"a", "b"} {
 		for _, spot := range []bool{true, false} {
-			b.c.autoscaler.Refusals[binpack.Kind{Type: "small", Zone: z, Spot: spot}] = Refusal{Until: b.c.After(time.Minute)}
+			b.c.autoscaler.Refusals[binpack.Kind{Type: "small", Zone: z, Spot: spot}] = autoscaler.Refusal{Until: b.c.After(time.Minute)}
 		}
 	}
 	if after := b.c.NoticeBefore(reserve("one", "daily at 04:00", 2)); after != before || before <= clusterstate.LeadSlack {
--- a/internal/controller/exclusion.go
+++ b/internal/controller/holds/exclusion.go
@@ -1,23 +1,24 @@
-package controller
+package holds
 
 import (
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
-// Any_ reports whether anything is held or closed at present.
-func (rh *Holds) Any_() bool { return len(rh.Windows) > 0 || len(rh.List) > 0 }
+// Active reports whether anything is held or closed at present.
+func (rh *Holds) Active() bool { return len(rh.Windows) > 0 || len(rh.List) > 0 }
 
 // Excluded tells on which machines a job's tasks may not be placed for what is
 // promised there.
-func (rh *Holds) Excluded(j *protocol.Job, level resource.Level, estimateS float64) func(m *Machine) bool {
+func (rh *Holds) Excluded(j *protocol.Job, level resource.Level, estimateS float64) func(m *waittable.Machine) bool {
 	now := rh.WallTime()
 	likely := rh.ExpectedRunSeconds(j, estimateS)
 	t := reservation.Task{Of: rh.ReservationFilter(j), Need: resource.Need(j), Level: level, Saves: j.CheckpointS > 0}
-	return func(m *Machine) bool {
+	return func(m *waittable.Machine) bool {
 		free, wait := m.Free(), m.FetchSeconds(j)
 		if rh.HeldFor(j, m) {
 			free = m.Idle()
@@ -37,6 +38,6 @@
 }
 
 // HeldFor reports whether room is held on a machine for a job.
-func (rh *Holds) HeldFor(j *protocol.Job, m *Machine) bool {
+func (rh *Holds) HeldFor(j *protocol.Job, m *waittable.Machine) bool {
 	return reservation.OwnUntil(rh.Holds[m.ID], rh.ReservationFilter(j)) != 0
 }
--- a/internal/controller/holds.go
+++ b/internal/controller/holds/holds.go
@@ -1,8 +1,10 @@
-package controller
+package holds
 
 import (
 	"slices"
 
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
@@ -17,7 +19,7 @@
 type Holds struct {
 	clusterstate.Module
 	*clusterstate.Reservations
-	table *Table
+	table *waittable.Table
 	// Progress tells how far a live job is, as far as this controller knows.
 	progress func(protocol.JobID) (message.Progress, bool)
 	// announce has what is told of every machine told anew.
@@ -49,9 +51,9 @@
 	tasks int
 }
 
-// NewHolds holds nothing yet. It is given how far jobs are, and how to have
+// New holds nothing yet. It is given how far jobs are, and how to have
 // what is told of every machine told anew.
-func NewHolds(p clusterstate.Module, table *Table, progress func(protocol.JobID) (message.Progress, bool), announce func()) *Holds {
+func New(p clusterstate.Module, table *waittable.Table, progress func(protocol.JobID) (message.Progress, bool), announce func()) *Holds {
 	return &Holds{Module: p, table: table, progress: progress, announce: announce}
 }
 
--- a/internal/controller/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -1,4 +1,4 @@
-package controller
+package holds
 
 import (
 	"time"
@@ -55,3 +55,6 @@
 	rh.Set(r.Holds)
 	return nil
 }
+
+// Tag marks the transaction that writes the holds.
+type Tag struct{}
--- a/internal/controller/reservations.go
+++ b/internal/controller/holds/reservations.go
@@ -1,4 +1,4 @@
-package controller
+package holds
 
 import (
 	"time"
--- a/internal/controller/attempts.go
+++ b/internal/controller/jobs/attempts.go
@@ -1,8 +1,10 @@
-package controller
+package jobs
 
 import (
 	"math"
 
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
@@ -71,7 +73,7 @@
 }
 
 // MachineLost: everything placed by the machine's present record is gone.
-func (oj *Owned) MachineLost(m *Machine) {
+func (oj *Owned) MachineLost(m *waittable.Machine) {
 	delete(oj.AwaitedInventories, m.ID)
 	oj.clearEndedAttempts(m.ID, math.MaxUint64)
 	for _, t := range ordered.Tasks(oj.AttemptsOn[m.ID]) {
--- a/internal/controller/finish.go
+++ b/internal/controller/jobs/finish.go
@@ -1,4 +1,4 @@
-package controller
+package jobs
 
 import (
 	"damsonkeel/internal/controller/message"
@@ -48,7 +48,7 @@
 }
 
 func (oj *Owned) FinishWritten(tag FinishTag, out message.Outcome) {
-	o := oj.ByID[tag.job]
+	o := oj.ByID[tag.Job]
 	if o == nil {
 		return
 	}
@@ -68,7 +68,7 @@
 		if n++; n > oj.Settings.Site.State.TxnOps {
 			return
 		}
-		tag := BitmapTag{job: o.ID}
+		tag := BitmapTag{Job: o.ID}
 		txn := protocol.Transaction{Conditions: []protocol.Condition{
 			{Key: record.ViewKey, Version: oj.ViewVersion}, // a former owner writes nothing late
 			{Key: record.LiveKey(o.ID), Version: o.Version},
@@ -89,7 +89,7 @@
 }
 
 func (oj *Owned) BitmapWritten(tag BitmapTag, out message.Outcome, at protocol.Revision) {
-	o := oj.ByID[tag.job]
+	o := oj.ByID[tag.Job]
 	if o == nil {
 		return
 	}
@@ -105,9 +105,9 @@
 }
 
 type (
-	FinishTag struct{ job protocol.JobID }
+	FinishTag struct{ Job protocol.JobID }
 	BitmapTag struct {
-		job    protocol.JobID
+		Job    protocol.JobID
 		chunks []int
 	}
 )
--- a/internal/controller/job.go
+++ b/internal/controller/jobs/job.go
@@ -1,8 +1,10 @@
-package controller
+package jobs
 
 import (
 	"time"
 
+	"damsonkeel/internal/controller/waittable"
+
 	"github.com/bits-and-blooms/bitset"
 
 	"damsonkeel/internal/controller/clock"
@@ -40,7 +42,7 @@
 
 	SearchFailed    bool // a gang: when last tried, machines were looked at and none found
 	SearchedAt      clock.Time
-	ClaimedMachines []*Machine // for it then
+	ClaimedMachines []*waittable.Machine // for it then
 	// LacksSince is since when a gang lacks a place for what was released of it.
 	LacksSince clock.Time
 
@@ -108,12 +110,12 @@
 
 // Allows reports whether a job may have a task on a machine: type, zone, kind
 // and size, and the zones of its other tasks that are not proven gone.
-func (o *Job) Allows(m *Machine, zones map[protocol.Zone]int) bool {
+func (o *Job) Allows(m *waittable.Machine, zones map[protocol.Zone]int) bool {
 	return o.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) && o.AllowsZone(m, zones)
 }
 
 // AllowsZone is the part that depends on where its other tasks are.
-func (o *Job) AllowsZone(m *Machine, zones map[protocol.Zone]int) bool {
+func (o *Job) AllowsZone(m *waittable.Machine, zones map[protocol.Zone]int) bool {
 	if o.OneZone {
 		for z, n := range zones {
 			if n > 0 && z != m.Record.Zone {
--- a/internal/controller/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -1,4 +1,4 @@
-package controller
+package jobs
 
 import (
 	"cmp"
@@ -6,6 +6,9 @@
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/controller/workload"
+
 	"github.com/bits-and-blooms/bitset"
 
 	"damsonkeel/internal/controller/clock"
@@ -20,8 +23,8 @@
 // Owned is what a controller keeps of the jobs it owns.
 type Owned struct {
 	clusterstate.Module
-	table    *Table
-	workload *Workload
+	table    *waittable.Table
+	workload *workload.Workload
 	// AttemptsOn are the attempts placed on each machine by its present record.
 	AttemptsOn         map[protocol.MachineID]map[protocol.TaskID]*Attempt
 	ByID               map[protocol.JobID]*Job
@@ -38,8 +41,8 @@
 	rng          *rand.Rand
 }
 
-// New_ owns nothing yet.
-func New_(p clusterstate.Module, table *Table, work *Workload, rng *rand.Rand) *Owned {
+// New owns nothing yet.
+func New(p clusterstate.Module, table *waittable.Table, work *workload.Workload, rng *rand.Rand) *Owned {
 	return &Owned{Module: p, table: table, workload: work, rng: rng}
 }
 
--- a/internal/controller/runtimes.go
+++ b/internal/controller/jobs/runtimes.go
@@ -1,4 +1,4 @@
-package controller
+package jobs
 
 // recordRunTime learns from a task that is done how long the job's tasks run. One
 // that ran before may have saved its progress, and one taken over may have run
--- a/internal/controller/slow.go
+++ b/internal/controller/jobs/slow.go
@@ -1,10 +1,12 @@
-package controller
+package jobs
 
 import (
 	"cmp"
 	"container/heap"
 	"time"
 
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
@@ -99,7 +101,7 @@
 }
 
 // countLateRun counts a task that runs too long against its machine.
-func (oj *Owned) countLateRun(m *Machine) {
+func (oj *Owned) countLateRun(m *waittable.Machine) {
 	if oj.Since(m.LastLateRun) > slowMemory {
 		m.LateRuns = 0
 	}
--- a/internal/controller/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -1,10 +1,11 @@
-package controller
+package jobs
 
 import (
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/sharding"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 
@@ -186,7 +187,7 @@
 }
 
 // adoptAttempt takes one attempt of an inventory.
-func (oj *Owned) adoptAttempt(o *Job, m *Machine, h message.HeldAttempt) {
+func (oj *Owned) adoptAttempt(o *Job, m *waittable.Machine, h message.HeldAttempt) {
 	ref := message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: m.ID}
 	t := o.Placed[h.Task]
 	if t == nil && o.Unverified {
--- a/internal/controller/usage.go
+++ b/internal/controller/jobs/usage.go
@@ -1,8 +1,10 @@
-package controller
+package jobs
 
 import (
 	"math"
 
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
@@ -36,7 +38,7 @@
 }
 
 // mostOn is the most that attempts on a machine may take.
-func mostOn(m *Machine) resource.Amount {
+func mostOn(m *waittable.Machine) resource.Amount {
 	if m.Info.Name == "" {
 		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)} // of a type that the cloud does not list
 	}
--- a/internal/controller/limit_test.go
+++ b/internal/controller/limit_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"damsonkeel/internal/controller/placement"
+
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
@@ -37,7 +39,7 @@
 	if len(second.Placed) != 0 || len(first.Placed) != 6 {
 		t.Errorf("%d and %d placed: it has just come", len(first.Placed), len(second.Placed))
 	}
-	b.now += Time(LimitPatience)
+	b.now += Time(placement.LimitPatience)
 	b.step(message.Tick{})
 	end(1)
 	if len(second.Placed) != 1 || len(first.Placed) != 5 {
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -8,6 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+
 	"damsonkeel/internal/serviceclient"
 
 	"damsonkeel/internal/cloud"
@@ -276,7 +278,7 @@
 // precedence is how a transaction of the core yields to others.
 func precedence(tag any) kvstore.Precedence {
 	switch tag.(type) {
-	case BitmapTag:
+	case jobs.BitmapTag:
 		return kvstore.Spare
 	case dispatcher.RegisterTag, dispatcher.RemoveTag, workerregistry.Tag:
 		return kvstore.Later
--- a/internal/controller/notice_test.go
+++ b/internal/controller/notice_test.go
@@ -4,6 +4,8 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
@@ -26,7 +28,7 @@
 		o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
 			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, CheckpointS: tc.checkpointS,
 		}})
-		task := &Attempt{Task: protocol.TaskID{Job: "job-1"}, Number: 1, Machine: "vm-1", Estimate: 10}
+		task := &jobs.Attempt{Task: protocol.TaskID{Job: "job-1"}, Number: 1, Machine: "vm-1", Estimate: 10}
 		o.Placed[task.Task] = task
 		ref := message.TaskRef{Task: task.Task, Attempt: 1, Machine: "vm-1"}
 		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
--- a/internal/controller/operatorfrontend.go
+++ b/internal/controller/operatorfrontend.go
@@ -5,6 +5,8 @@
 	"errors"
 	"time"
 
+	"damsonkeel/internal/controller/operatorrequest"
+
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/kvstore"
 	"damsonkeel/internal/operatorapi"
@@ -29,7 +31,7 @@
 		return f.configurationHistory(ctx)
 	}
 	for ctx.Err() == nil {
-		d, ok := ask(f.n, func(c *Core) Decision { return c.operations.Decide(by, &r) })
+		d, ok := ask(f.n, func(c *Core) operatorrequest.Decision { return c.operations.Decide(by, &r) })
 		if !ok {
 			break
 		}
--- a/internal/controller/operate.go
+++ b/internal/controller/operatorrequest/operate.go
@@ -1,8 +1,12 @@
-package controller
+package operatorrequest
 
 import (
 	"slices"
 
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/holds"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/membership"
@@ -27,13 +31,13 @@
 type Handler struct {
 	clusterstate.Module
 	members      *membership.Members
-	table        *Table
-	reservations *Holds
-	planner      *ReservationPlanner
+	table        *waittable.Table
+	reservations *holds.Holds
+	planner      *autoscaler.ReservationPlanner
 }
 
-// NewHandler makes a handler of operators' requests.
-func NewHandler(p clusterstate.Module, members *membership.Members, table *Table, held *Holds, planner *ReservationPlanner) *Handler {
+// New makes a handler of operators' requests.
+func New(p clusterstate.Module, members *membership.Members, table *waittable.Table, held *holds.Holds, planner *autoscaler.ReservationPlanner) *Handler {
 	return &Handler{Module: p, members: members, table: table, reservations: held, planner: planner}
 }
 
--- a/internal/controller/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -1,4 +1,4 @@
-package controller
+package placement
 
 import (
 	"cmp"
@@ -7,6 +7,9 @@
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
@@ -17,20 +20,20 @@
 // once for all that are placed in one go, and after each task only the one
 // that took it again.
 type candidates struct {
-	job           *Job
+	job           *jobs.Job
 	need          resource.Amount
 	risk          float64 // what a spot machine adds to the wait, in seconds
 	shun          bool    // spot machines only if there is no other way
 	claims        *Claims
-	bars          func(*Machine) bool // see Placer.Excluded; nil: nothing is promised
-	own           func(*Machine) bool // whether room is held there for the job
+	bars          func(*waittable.Machine) bool // see Placer.Excluded; nil: nothing is promised
+	own           func(*waittable.Machine) bool // whether room is held there for the job
 	pricePremiums map[binpack.Kind]float64
 	heap          []candidate
 }
 
 // candidate is a machine as the job's next task would find it.
 type candidate struct {
-	m    *Machine
+	m    *waittable.Machine
 	rank rank
 	wait int64 // per processor, in microseconds: sums of decimal numbers are not exact
 	tie  uint32
@@ -66,10 +69,10 @@
 }
 
 // CandidatesFor looks for the machines that may run a job's tasks.
-func (pl *Placer) CandidatesFor(o *Job, zones map[protocol.Zone]int, cl *Claims) *candidates {
+func (pl *Placer) CandidatesFor(o *jobs.Job, zones map[protocol.Zone]int, cl *Claims) *candidates {
 	s := &candidates{job: o, need: resource.Need(&o.Job), bars: pl.excludedByHolds(o), claims: cl, risk: pl.workload.SpotStretch(&o.Job) * pl.Estimate(&o.Job), shun: pl.workload.AvoidsSpot(&o.Job), pricePremiums: pl.pricePremiums}
 	if s.bars != nil {
-		s.own = func(m *Machine) bool { return pl.reservations.HeldFor(&o.Job, m) }
+		s.own = func(m *waittable.Machine) bool { return pl.reservations.HeldFor(&o.Job, m) }
 	}
 	mayTake := pl.Feasible(o, zones)
 	for _, m := range pl.table.InOrder() {
@@ -114,9 +117,9 @@
 
 // Feasible tells which machines a job may have a task on at present, given the zones
 // of its others. Where it has failed it goes only if there is no other.
-func (pl *Placer) Feasible(o *Job, zones map[protocol.Zone]int) func(*Machine) bool {
+func (pl *Placer) Feasible(o *jobs.Job, zones map[protocol.Zone]int) func(*waittable.Machine) bool {
 	nowhereElse := pl.jobs.FailedEverywhereElse(o)
-	return func(m *Machine) bool {
+	return func(m *waittable.Machine) bool {
 		return pl.table.Usable(m) && (nowhereElse || !o.FailedOn[m.ID]) && o.Allows(m, zones)
 	}
 }
@@ -125,7 +128,7 @@
 // that others wait for goes only where nothing but less urgent work is in its
 // way, which is stopped for it: behind the rest it would keep the machines of
 // all others idle until they give it up.
-func (s *candidates) evaluate(m *Machine, tie uint32) (candidate, bool) {
+func (s *candidates) evaluate(m *waittable.Machine, tie uint32) (candidate, bool) {
 	if s.bars != nil && s.bars(m) {
 		return candidate{}, false
 	}
@@ -161,7 +164,7 @@
 }
 
 // restrict drops the machines that do not meet a condition.
-func (s *candidates) restrict(ok func(*Machine) bool) {
+func (s *candidates) restrict(ok func(*waittable.Machine) bool) {
 	s.heap = slices.DeleteFunc(s.heap, func(k candidate) bool { return !ok(k.m) })
 	heap.Init(s)
 }
@@ -181,7 +184,7 @@
 // Smallest is the machine with the smallest expected wait per processor, ties
 // broken at random, or nil. What does not suit any more is dropped: zones and
 // queues only fill while a job is placed, and room kept only shrinks.
-func (s *candidates) Smallest(zones map[protocol.Zone]int) *Machine {
+func (s *candidates) Smallest(zones map[protocol.Zone]int) *waittable.Machine {
 	for len(s.heap) > 0 {
 		top := &s.heap[0]
 		if !s.job.AllowsZone(top.m, zones) || s.queueTooLong(top) || top.rank != rankQueue && top.rank != rankOwn && !s.claims.LeavesClaimed(s.job, top.m, s.need) {
--- a/internal/controller/claims.go
+++ b/internal/controller/placement/claims.go
@@ -1,8 +1,11 @@
-package controller
+package placement
 
 import (
 	"slices"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/resource"
@@ -18,21 +21,21 @@
 	// with their levels: a gang placed later in the same step that could not be
 	// stopped for it goes elsewhere. Without that, a large gang would be starved
 	// by steady small ones.
-	Gangs map[*Machine]resource.Level
+	Gangs map[*waittable.Machine]resource.Level
 	// headroom is how many processors jobs may take that have only what others
 	// leave: see Core.headroom.
 	leftOver float64
 }
 
 // Blocks reports whether a gang has to leave a machine to another.
-func (cl *Claims) Blocks(o *Job, m *Machine) bool {
+func (cl *Claims) Blocks(o *jobs.Job, m *waittable.Machine) bool {
 	claimed, ok := cl.Gangs[m]
 	return ok && o.Level >= claimed
 }
 
 // LeavesClaimed reports whether a machine's room may be used for a task without
 // touching what is reserved for other classes.
-func (cl *Claims) LeavesClaimed(o *Job, m *Machine, n resource.Amount) bool {
+func (cl *Claims) LeavesClaimed(o *jobs.Job, m *waittable.Machine, n resource.Amount) bool {
 	for i := range cl.Classes {
 		k := &cl.Classes[i]
 		if !k.applies(o) || !k.fits(m) {
@@ -46,7 +49,7 @@
 }
 
 // IsClaimed reports whether a class that room is kept for could use the machine.
-func (cl *Claims) IsClaimed(o *Job, m *Machine) bool {
+func (cl *Claims) IsClaimed(o *jobs.Job, m *waittable.Machine) bool {
 	for i := range cl.Classes {
 		if k := &cl.Classes[i]; k.applies(o) && k.fits(m) {
 			return true
@@ -56,7 +59,7 @@
 }
 
 // spend takes the room that a task is about to use out of what can be spared.
-func (cl *Claims) spend(m *Machine, n resource.Amount) {
+func (cl *Claims) spend(m *waittable.Machine, n resource.Amount) {
 	for i := range cl.Classes {
 		if k := &cl.Classes[i]; k.fits(m) {
 			k.Spare -= k.reduces(m, n)
@@ -65,7 +68,7 @@
 }
 
 // give takes a whole machine out of it, if that can be spared.
-func (cl *Claims) Release(m *Machine) bool {
+func (cl *Claims) Release(m *waittable.Machine) bool {
 	all := resource.Capacity(m.Info)
 	for i := range cl.Classes {
 		if k := &cl.Classes[i]; k.fits(m) && k.Spare < k.reduces(m, all) {
@@ -94,7 +97,7 @@
 // Claims reckons what is claimed when a step begins: what is reserved for
 // classes, and how much more there is. Gangs add theirs as they are tried.
 func (pl *Placer) NewClaims() *Claims {
-	cl := &Claims{Gangs: map[*Machine]resource.Level{}}
+	cl := &Claims{Gangs: map[*waittable.Machine]resource.Level{}}
 	for _, k := range ordered.Of(pl.workload.Classes) {
 		r := pl.workload.Reserve(k)
 		if r == 0 {
@@ -114,17 +117,17 @@
 
 // reduces is how many tasks of a reserved class would have no room any more if
 // a machine took a task of a size.
-func (k *ClassReserve) reduces(m *Machine, n resource.Amount) int {
+func (k *ClassReserve) reduces(m *waittable.Machine, n resource.Amount) int {
 	free := m.Unreserved()
 	return free.CountFitting(k.Need) - free.Minus(n).CountFitting(k.Need)
 }
 
 // fits reports whether a machine could ever take a task of the class.
-func (k *ClassReserve) fits(m *Machine) bool {
+func (k *ClassReserve) fits(m *waittable.Machine) bool {
 	return !(k.risky && m.Record.Spot) && k.Job.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot)
 }
 
 // applies reports whether room kept for the class is kept from a job.
-func (k *ClassReserve) applies(o *Job) bool {
+func (k *ClassReserve) applies(o *jobs.Job) bool {
 	return k.Job.Class != o.Class && k.Job.Priority.Rank() >= o.Priority.Rank()
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/placement/demand.go
@@ -1,4 +1,4 @@
-package controller
+package placement
 
 import "damsonkeel/internal/controller/message"
 
--- a/internal/controller/failedsearch.go
+++ b/internal/controller/placement/failedsearch.go
@@ -1,9 +1,11 @@
-package controller
+package placement
 
 import (
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
@@ -36,7 +38,7 @@
 )
 
 // noteFailedSearch remembers that a job's search for places found none any more.
-func (pl *Placer) noteFailedSearch(o *Job) {
+func (pl *Placer) noteFailedSearch(o *jobs.Job) {
 	if o.OneZone || o.Spread || len(o.FailedOn) > 0 || pl.reservations.Any || len(pl.failedSearches) >= failedSearchesMost {
 		return // where it may go depends on more than what is remembered
 	}
@@ -54,7 +56,7 @@
 
 // wouldFindNone reports whether a job's search would find no place, as another's has not.
 // Room kept for a class is room for its own jobs.
-func (pl *Placer) wouldFindNone(o *Job) bool {
+func (pl *Placer) wouldFindNone(o *jobs.Job) bool {
 	if pl.reservations.Any {
 		return false
 	}
--- a/internal/controller/gang.go
+++ b/internal/controller/placement/gang.go
@@ -1,10 +1,13 @@
-package controller
+package placement
 
 import (
 	"math"
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
@@ -14,7 +17,7 @@
 
 // PlaceGang places all tasks of a gang with one attempt number, when nothing
 // of its last attempt is left.
-func (pl *Placer) PlaceGang(o *Job, usage map[protocol.Team]resource.Amount, cl *Claims) []message.Placement {
+func (pl *Placer) PlaceGang(o *jobs.Job, usage map[protocol.Team]resource.Amount, cl *Claims) []message.Placement {
 	n := int(o.Tasks)
 	if len(o.Placed) > 0 && o.IsGang() {
 		return pl.refill(o, usage, cl)
@@ -36,17 +39,17 @@
 }
 
 // placeGangIn places a gang in a zone, or in any if none is named.
-func (pl *Placer) placeGangIn(o *Job, zone protocol.Zone, cl *Claims) []message.Placement {
+func (pl *Placer) placeGangIn(o *jobs.Job, zone protocol.Zone, cl *Claims) []message.Placement {
 	return pl.placeTogether(o, pl.jobs.NextAttempt(), map[protocol.Zone]int{}, zone, cl)
 }
 
 // placeTogether places all pending tasks of a gang under one attempt, or none, given
 // the zones of the others.
-func (pl *Placer) placeTogether(o *Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, cl *Claims) []message.Placement {
+func (pl *Placer) placeTogether(o *jobs.Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, cl *Claims) []message.Placement {
 	undo := cl.tentative()
 	from := pl.CandidatesFor(o, zones, cl)
 	if zone != "" || len(cl.Gangs) > 0 {
-		from.restrict(func(m *Machine) bool {
+		from.restrict(func(m *waittable.Machine) bool {
 			return (zone == "" || m.Record.Zone == zone) && !cl.Blocks(o, m)
 		})
 	}
@@ -75,7 +78,7 @@
 
 // refill places what of a gang was released, under the attempt of the others; or has
 // these stopped, if there is no place for it for a while.
-func (pl *Placer) refill(o *Job, usage map[protocol.Team]resource.Amount, cl *Claims) []message.Placement {
+func (pl *Placer) refill(o *jobs.Job, usage map[protocol.Team]resource.Amount, cl *Claims) []message.Placement {
 	n := int(o.Pending.Count())
 	if o.Unverified || n+len(o.Placed) != int(o.Tasks) {
 		return nil
@@ -110,7 +113,7 @@
 // gangZones lists the zones to try for a gang: any, unless its tasks have to
 // be in the same one. Then those that can hold it come in the order of what
 // they have room for now.
-func (pl *Placer) gangZones(o *Job, cl *Claims) []protocol.Zone {
+func (pl *Placer) gangZones(o *jobs.Job, cl *Claims) []protocol.Zone {
 	if !o.OneZone || !o.IsGang() {
 		return []protocol.Zone{""}
 	}
@@ -134,7 +137,7 @@
 
 // zoneRoom is how many of a gang's tasks have room by zone: now, and once what
 // is less urgent is stopped. Spot machines may be left out.
-func (pl *Placer) zoneRoom(o *Job, cl *Claims, shun bool) (now, firm map[protocol.Zone]int) {
+func (pl *Placer) zoneRoom(o *jobs.Job, cl *Claims, shun bool) (now, firm map[protocol.Zone]int) {
 	now, firm = map[protocol.Zone]int{}, map[protocol.Zone]int{}
 	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
 	pl.Examined += len(pl.table.InOrder())
@@ -155,7 +158,7 @@
 
 // claim claims as many machines as a gang needs, where the most of them have
 // room for it.
-func (pl *Placer) claim(o *Job, cl *Claims) {
+func (pl *Placer) claim(o *jobs.Job, cl *Claims) {
 	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
 	var best protocol.Zone
 	if o.OneZone {
@@ -186,7 +189,7 @@
 
 // claimAgain claims what a gang claimed when it was last tried, until it is
 // tried again.
-func (pl *Placer) claimAgain(o *Job, cl *Claims) {
+func (pl *Placer) claimAgain(o *jobs.Job, cl *Claims) {
 	for _, m := range o.ClaimedMachines {
 		if pl.table.Machines[m.ID] == m && !cl.Blocks(o, m) {
 			cl.Gangs[m] = o.Level
@@ -196,7 +199,7 @@
 
 // claimFor bounds how long a gang claims machines: what has not come in the
 // time that several boots take may never come.
-func (pl *Placer) claimFor(o *Job) time.Duration {
+func (pl *Placer) claimFor(o *jobs.Job) time.Duration {
 	boot := 0.0
 	for _, t := range pl.Types {
 		if o.AllowsKind(t, o.Zone, false) {
--- a/internal/controller/headroom.go
+++ b/internal/controller/placement/headroom.go
@@ -1,9 +1,11 @@
-package controller
+package placement
 
 import (
 	"math"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
@@ -12,8 +14,8 @@
 // first task, or all of a gang, then goes where any other's would, and may wait in a
 // queue; the rest has what others leave. Else, where all that is up is likely to be
 // needed, such jobs would not begin at all.
-func (pl *Placer) overdueToBegin(o *Job) bool {
-	return pl.notBegunFor(o, BeginsWithin)
+func (pl *Placer) overdueToBegin(o *jobs.Job) bool {
+	return pl.notBegunFor(o, jobs.BeginsWithin)
 }
 
 // headroom is how many processors this owner's jobs without an objective may take
@@ -65,7 +67,7 @@
 
 // takeHeadroom reports whether n tasks of a job may take room in this step, as far
 // as it may have only what others leave, and takes it.
-func (cl *Claims) takeHeadroom(o *Job, n int) bool {
+func (cl *Claims) takeHeadroom(o *jobs.Job, n int) bool {
 	if !o.UsesHeadroom {
 		return true
 	}
@@ -78,6 +80,6 @@
 }
 
 // notBegunFor reports whether nothing of a job has been placed for so long.
-func (pl *Placer) notBegunFor(o *Job, d time.Duration) bool {
+func (pl *Placer) notBegunFor(o *jobs.Job, d time.Duration) bool {
 	return len(o.Placed) == 0 && o.DoneCount == 0 && pl.Since(o.WaitingSince) > d
 }
--- a/internal/controller/levels.go
+++ b/internal/controller/placement/levels.go
@@ -1,9 +1,11 @@
-package controller
+package placement
 
 import (
 	"cmp"
 	"slices"
 
+	"damsonkeel/internal/controller/jobs"
+
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
@@ -12,9 +14,9 @@
 // with the team's earlier unfinished jobs.
 func (pl *Placer) SetLevels() {
 	used := map[protocol.Team]resource.Amount{}
-	jobs := slices.Clone(pl.jobs.InOrder())
-	slices.SortStableFunc(jobs, func(a, b *Job) int { return cmp.Compare(a.SubmittedMS, b.SubmittedMS) })
-	for _, o := range jobs {
+	bySubmission := slices.Clone(pl.jobs.InOrder())
+	slices.SortStableFunc(bySubmission, func(a, b *jobs.Job) int { return cmp.Compare(a.SubmittedMS, b.SubmittedMS) })
+	for _, o := range bySubmission {
 		t, ok := pl.Team(o.Team)
 		if !ok || !pl.HasGuarantee(o.Team) {
 			pl.setLevel(o, resource.LevelOf(o.Priority, false))
@@ -28,7 +30,7 @@
 }
 
 // setLevel sets a job's level, and has it told if anybody reckons with it.
-func (pl *Placer) setLevel(o *Job, l resource.Level) {
+func (pl *Placer) setLevel(o *jobs.Job, l resource.Level) {
 	if o.Level != l && pl.reservations.Any {
 		pl.jobs.Touch(o)
 	}
--- a/internal/controller/limits.go
+++ b/internal/controller/placement/limits.go
@@ -1,16 +1,19 @@
-package controller
+package placement
 
 import (
 	"cmp"
 	"sort"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
 // withinLimit reports whether n more tasks keep the team within its limit.
-func (pl *Placer) withinLimit(o *Job, usage map[protocol.Team]resource.Amount, n int) bool {
+func (pl *Placer) withinLimit(o *jobs.Job, usage map[protocol.Team]resource.Amount, n int) bool {
 	t, ok := pl.Team(o.Team)
 	if !ok {
 		return false
@@ -22,7 +25,7 @@
 
 // LimitClaimed is what of a team's limit is promised to other jobs by the time that a
 // task of this one is likely to be over.
-func (pl *Placer) limitClaimed(o *Job) resource.Amount {
+func (pl *Placer) limitClaimed(o *jobs.Job) resource.Amount {
 	if !pl.reservations.ClaimsLimitOf(o.Team) {
 		return resource.Amount{}
 	}
@@ -40,7 +43,7 @@
 // wait beside machines with room, for a limit that is used up by what does not run. Left
 // to all such jobs, nothing would be queued where many wait, and whatever is large would
 // take what comes free.
-func (pl *Placer) queuesWithinLimit(o, other *Job, usage map[protocol.Team]resource.Amount) bool {
+func (pl *Placer) queuesWithinLimit(o, other *jobs.Job, usage map[protocol.Team]resource.Amount) bool {
 	left := map[protocol.Team]resource.Amount{o.Team: usage[o.Team]}
 	if other != nil && !(pl.waitsForLimit(o) && bySince(o, other) < 0) {
 		pl.jobs.AddUse(other, left, 1)
@@ -50,7 +53,7 @@
 
 // longestWaiting is that other job of a job's team, if the team has a limit, of which
 // nothing has begun for longest, and for a while.
-func (pl *Placer) longestWaiting(o *Job) (first *Job) {
+func (pl *Placer) longestWaiting(o *jobs.Job) (first *jobs.Job) {
 	if !pl.Limited(o.Team) {
 		return nil
 	}
@@ -62,23 +65,23 @@
 	return first
 }
 
-func (pl *Placer) waitsForLimit(o *Job) bool {
+func (pl *Placer) waitsForLimit(o *jobs.Job) bool {
 	return o.Kind != protocol.KindGang && pl.notBegunFor(o, LimitPatience)
 }
 
-func bySince(a, b *Job) int {
+func bySince(a, b *jobs.Job) int {
 	return cmp.Or(cmp.Compare(a.WaitingSince, b.WaitingSince), cmp.Compare(a.ID, b.ID))
 }
 
 // mayStart is how many of n more tasks keep the team within its limit.
-func (pl *Placer) mayStart(o *Job, usage map[protocol.Team]resource.Amount, n int) int {
+func (pl *Placer) mayStart(o *jobs.Job, usage map[protocol.Team]resource.Amount, n int) int {
 	return sort.Search(n, func(k int) bool { return !pl.withinLimit(o, usage, k+1) })
 }
 
 // Excluded tells on which machines a job's tasks may not be placed for what is
 // promised there; nil: nothing is.
-func (pl *Placer) excludedByHolds(o *Job) func(m *Machine) bool {
-	if !pl.reservations.Any_() {
+func (pl *Placer) excludedByHolds(o *jobs.Job) func(m *waittable.Machine) bool {
+	if !pl.reservations.Active() {
 		return nil
 	}
 	return pl.reservations.Excluded(&o.Job, o.Level, pl.jobs.EstimateOf(o))
--- a/internal/controller/placement.go
+++ b/internal/controller/placement/placement.go
@@ -1,8 +1,11 @@
-package controller
+package placement
 
 import (
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
@@ -19,11 +22,11 @@
 }
 
 // placeArray places pending tasks one by one.
-func (pl *Placer) placeArray(o *Job, usage map[protocol.Team]resource.Amount, left int, cl *Claims) []message.Placement {
+func (pl *Placer) placeArray(o *jobs.Job, usage map[protocol.Team]resource.Amount, left int, cl *Claims) []message.Placement {
 	var out []message.Placement
 	zones := o.ZoneCounts()
 	var from *candidates
-	var waits *Job // see queuesWithinLimit
+	var waits *jobs.Job // see queuesWithinLimit
 	left = o.MayTry(left)
 	for i, ok := o.Pending.NextSet(0); ok && len(out) < left; i, ok = o.Pending.NextSet(i + 1) {
 		if o.Placed[protocol.TaskID{Job: o.ID, Index: uint32(i)}] != nil {
@@ -54,7 +57,7 @@
 
 // PlaceFrom places one task on the smallest of its job's candidates, and reckons
 // with that for the next.
-func (pl *Placer) PlaceFrom(from *candidates, i uint32, m *Machine, a protocol.Attempt, zones map[protocol.Zone]int) message.Placement {
+func (pl *Placer) PlaceFrom(from *candidates, i uint32, m *waittable.Machine, a protocol.Attempt, zones map[protocol.Zone]int) message.Placement {
 	if from.heap[0].rank != rankQueue {
 		from.claims.spend(m, from.need)
 	}
@@ -65,8 +68,8 @@
 }
 
 // PlaceAttempt places one task on a machine in the owner's books.
-func (pl *Placer) PlaceAttempt(o *Job, i uint32, m *Machine, a protocol.Attempt) message.Placement {
-	t := &Attempt{
+func (pl *Placer) PlaceAttempt(o *jobs.Job, i uint32, m *waittable.Machine, a protocol.Attempt) message.Placement {
+	t := &jobs.Attempt{
 		Task: protocol.TaskID{Job: o.ID, Index: i}, Number: a, Machine: m.ID, Epoch: m.Epoch,
 		Zone: m.Record.Zone, Estimate: pl.jobs.EstimateOf(o), Trial: o.Failing,
 	}
@@ -76,7 +79,9 @@
 	o.Waiting++
 	if p := pl.table.Peers[pl.DispatcherOf(m.ID)]; p != nil {
 		// The Place that carries it is the next to the keeper.
-		pl.table.AddPending(m, PendingWait{pl.Self, p.Placed + 1, t.Estimate * o.CPUs, o.Level, resource.Need(&o.Job)})
+		pl.table.AddPending(m, waittable.PendingWait{
+			Owner: pl.Self, Number: p.Placed + 1, Add: t.Estimate * o.CPUs, Level: o.Level, Taken: resource.Need(&o.Job),
+		})
 	}
 	return message.Placement{Task: t.Task, Attempt: a, Machine: m.ID, Epoch: m.Epoch, Tenure: pl.ShardEpoch(m.ID, m.Record.Zone), EstimateS: t.Estimate, CPUs: o.CPUs, GPUs: o.GPUs, GB: o.MemoryGB, Level: int(o.Level), Together: o.IsGang()}
 }
--- a/internal/controller/placer.go
+++ b/internal/controller/placement/placer.go
@@ -1,10 +1,15 @@
-package controller
+package placement
 
 import (
 	"math"
 	"math/rand/v2"
 	"time"
 
+	"damsonkeel/internal/controller/holds"
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/controller/workload"
+
 	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
@@ -17,10 +22,10 @@
 // Placer chooses the machines of owned jobs' tasks.
 type Placer struct {
 	clusterstate.Module
-	table        *Table
-	workload     *Workload
-	reservations *Holds
-	jobs         *Owned
+	table        *waittable.Table
+	workload     *workload.Workload
+	reservations *holds.Holds
+	jobs         *jobs.Owned
 	rng          *rand.Rand
 
 	pricePremiums  map[binpack.Kind]float64 // by the prices last read: see computePricePremiums
@@ -32,8 +37,8 @@
 	Examined       int // machines looked at for placements, ever
 }
 
-// New__ has placed nothing yet.
-func New__(p clusterstate.Module, table *Table, work *Workload, held *Holds, owned *Owned, rng *rand.Rand) *Placer {
+// New has placed nothing yet.
+func New(p clusterstate.Module, table *waittable.Table, work *workload.Workload, held *holds.Holds, owned *jobs.Owned, rng *rand.Rand) *Placer {
 	return &Placer{Module: p, table: table, workload: work, reservations: held, jobs: owned, rng: rng}
 }
 
@@ -62,7 +67,7 @@
 	usage   map[protocol.Team]resource.Amount
 	claims  *Claims
 	batches map[protocol.NodeName][]message.Placement // by keeper
-	waits   map[protocol.MachineID]*OwnWaits
+	waits   map[protocol.MachineID]*waittable.OwnWaits
 	left    int // placements that the step may still make
 	stuck   int // gangs that found no place when they were last tried
 }
@@ -76,7 +81,7 @@
 	}
 	r := &placingRound{
 		usage: pl.jobs.TeamUsage(), claims: pl.NewClaims(), batches: map[protocol.NodeName][]message.Placement{},
-		waits: map[protocol.MachineID]*OwnWaits{}, left: MaxPerStep,
+		waits: map[protocol.MachineID]*waittable.OwnWaits{}, left: MaxPerStep,
 	}
 	r.claims.leftOver = pl.headroom() // nothing but placing asks for it
 	pl.SetLevels()
@@ -101,7 +106,7 @@
 }
 
 // placeJob places what is pending of one job.
-func (pl *Placer) placeJob(o *Job, r *placingRound) []message.Placement {
+func (pl *Placer) placeJob(o *jobs.Job, r *placingRound) []message.Placement {
 	o.UsesHeadroom = !math.IsInf(r.claims.leftOver, 1) && pl.workload.WithoutObjective(&o.Job) && !pl.reservations.IsReserved(&o.Job)
 	most := r.left
 	if o.UsesHeadroom && pl.overdueToBegin(o) {
@@ -134,7 +139,7 @@
 		r.batches[keeper] = append(r.batches[keeper], p)
 		w := r.waits[p.Machine]
 		if w == nil {
-			w = &OwnWaits{}
+			w = &waittable.OwnWaits{}
 			r.waits[p.Machine] = w
 		}
 		w.Add += p.EstimateS * p.CPUs
--- a/internal/controller/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -1,10 +1,13 @@
-package controller
+package placement
 
 import (
 	"cmp"
 	"math"
 	"slices"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
@@ -12,14 +15,14 @@
 // movableTasks are the tasks of one job that wait in queues: those of the
 // longest queues first and in them the last in line first.
 type movableTasks struct {
-	job      *Job
+	job      *jobs.Job
 	need     resource.Amount
-	excluded func(*Machine) bool // see Placer.Excluded
+	excluded func(*waittable.Machine) bool // see Placer.Excluded
 	tasks    []movableTask
 }
 
 type movableTask struct {
-	*Attempt
+	*jobs.Attempt
 	wait float64 // per processor, where it is queued
 }
 
@@ -41,7 +44,7 @@
 	if !pl.HoldsLease() {
 		return
 	}
-	var roomy []*Machine
+	var roomy []*waittable.Machine
 	for _, m := range pl.table.InOrder() {
 		if m.ID > after && pl.table.Usable(m) && m.Reported.Epoch == m.Epoch && (m.Reported.Queued == 0 && m.Free().CPUs > resource.Slack || len(pl.reservations.Holds[m.ID]) > 0 && m.Idle().CPUs > resource.Slack) {
 			roomy = append(roomy, m)
@@ -81,14 +84,14 @@
 func (pl *Placer) movableTasksByJob() []*movableTasks {
 	byJob := map[protocol.JobID]*movableTasks{}
 	var all []*movableTasks
-	var queued []*Machine
+	var queued []*waittable.Machine
 	for _, m := range pl.table.InOrder() {
 		if m.Reported.Queued > 0 && len(pl.jobs.AttemptsOn[m.ID]) > 0 {
 			queued = append(queued, m)
 		}
 	}
-	perCPU := func(m *Machine) float64 { return m.Wait() / m.Info.CPUs }
-	slices.SortStableFunc(queued, func(a, b *Machine) int { return cmp.Compare(perCPU(b), perCPU(a)) })
+	perCPU := func(m *waittable.Machine) float64 { return m.Wait() / m.Info.CPUs }
+	slices.SortStableFunc(queued, func(a, b *waittable.Machine) int { return cmp.Compare(perCPU(b), perCPU(a)) })
 	n := 0
 	for _, m := range queued {
 		if n >= movableMost {
@@ -120,7 +123,7 @@
 
 // moveTasksTo fills a machine's room with movable tasks, at most so many, the most
 // urgent first, then those of the longest queues. It returns how many it took.
-func (pl *Placer) moveTasksTo(m *Machine, movable []*movableTasks, cl *Claims, most int) (taken int) {
+func (pl *Placer) moveTasksTo(m *waittable.Machine, movable []*movableTasks, cl *Claims, most int) (taken int) {
 	free := m.Idle()
 	for ; taken < most; taken++ {
 		var best *movableTasks
@@ -149,7 +152,7 @@
 }
 
 // mayMove reports whether a machine may take the next of a job's movable tasks.
-func (pl *Placer) mayMove(g *movableTasks, m *Machine, cl *Claims) bool {
+func (pl *Placer) mayMove(g *movableTasks, m *waittable.Machine, cl *Claims) bool {
 	o, t := g.job, g.tasks[0]
 	if t.Machine == m.ID || o.FailedOn[m.ID] {
 		return false
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -2,6 +2,7 @@
 
 import (
 	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 )
@@ -17,7 +18,7 @@
 		c.jobs.MachineLost(m)
 	}
 	c.planner.RecordBoot(id, rec)
-	m = &Machine{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}}
+	m = &waittable.Machine{Machine: &clusterstate.Machine{ID: id, Record: rec, Epoch: version, Info: c.Types[rec.Type]}}
 	m.Reserved = clusterstate.ReservedBy(c.reservations.Holds[id], c.WallTime())
 	c.table.Add(m)
 	c.table.PlacementDue = true
--- a/internal/controller/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -5,6 +5,9 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/placement"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/message"
@@ -305,7 +308,7 @@
 	}
 	total := 0
 	for _, n := range sizes {
-		if total += n; n > MovesMost {
+		if total += n; n > placement.MovesMost {
 			t.Errorf("%d moved in one step", n)
 		}
 	}
@@ -315,7 +318,7 @@
 }
 
 // movingOf is how many of a job's tasks were asked back.
-func movingOf(o *Job) int {
+func movingOf(o *jobs.Job) int {
 	n := 0
 	for _, t := range o.Placed {
 		if t.ReleaseAsked {
--- a/internal/controller/runtimes_test.go
+++ b/internal/controller/runtimes_test.go
@@ -4,6 +4,8 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
@@ -16,7 +18,7 @@
 	b := newBench(t, "node-1")
 	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100}})
 	start := func(i uint32) {
-		p := &Attempt{Task: protocol.TaskID{Job: "job-1", Index: i}, Number: 1, Machine: "vm-1"}
+		p := &jobs.Attempt{Task: protocol.TaskID{Job: "job-1", Index: i}, Number: 1, Machine: "vm-1"}
 		o.Placed[p.Task] = p
 		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: p.Task, Attempt: 1, Machine: "vm-1"}, What: message.EventRunning})
 	}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -6,6 +6,8 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
@@ -286,7 +288,7 @@
 			for _, a := range b.step(message.Tick{}) {
 				switch a := a.(type) {
 				case message.Commit:
-					if _, is := a.Tag.(BitmapTag); !is {
+					if _, is := a.Tag.(jobs.BitmapTag); !is {
 						continue
 					}
 					w = write{commit: &a}
--- a/internal/controller/machine.go
+++ b/internal/controller/waittable/machine.go
@@ -1,4 +1,4 @@
-package controller
+package waittable
 
 import (
 	"math"
@@ -122,8 +122,8 @@
 func (m *Machine) recomputeWait() {
 	m.PendingSum, m.PendingUses = 0, resource.Uses{}
 	for _, w := range m.PendingWaits {
-		m.PendingSum += w.add
-		m.PendingUses.Add(w.level, w.taken)
+		m.PendingSum += w.Add
+		m.PendingUses.Add(w.Level, w.Taken)
 	}
 }
 
--- a/internal/controller/pending.go
+++ b/internal/controller/waittable/pending.go
@@ -1,4 +1,4 @@
-package controller
+package waittable
 
 import (
 	"slices"
@@ -12,11 +12,11 @@
 // PendingWait is a placement, or what placing has added to a machine at once, that
 // has been announced and that the machine's keeper has not counted yet.
 type PendingWait struct {
-	owner  protocol.NodeName // that placed it
-	number uint64            // of the owner's Place to the keeper that carries it
-	add    float64           // processor seconds
-	level  resource.Level
-	taken  resource.Amount
+	Owner  protocol.NodeName // that placed it
+	Number uint64            // of the owner's Place to the keeper that carries it
+	Add    float64           // processor seconds
+	Level  resource.Level
+	Taken  resource.Amount
 }
 
 // AddPending counts an announced placement until its keeper's word includes it.
@@ -26,8 +26,8 @@
 		return
 	}
 	m.PendingWaits = append(m.PendingWaits, w)
-	m.PendingSum += w.add
-	m.PendingUses.Add(w.level, w.taken)
+	m.PendingSum += w.Add
+	m.PendingUses.Add(w.Level, w.Taken)
 	p.Updates.waits[m] = true
 }
 
@@ -91,7 +91,7 @@
 		if replaced[name] || wt.DispatcherOf(m.ID) != name {
 			m.PendingWaits = nil
 		} else {
-			m.PendingWaits = removeWaits(m.PendingWaits, func(w PendingWait) bool { return replaced[w.owner] })
+			m.PendingWaits = removeWaits(m.PendingWaits, func(w PendingWait) bool { return replaced[w.Owner] })
 		}
 		m.recomputeWait()
 		if len(m.PendingWaits) == 0 {
@@ -122,7 +122,7 @@
 		p.Updates.handled[owner] = max(p.Updates.handled[owner], n)
 	}
 	for m := range p.Updates.waits {
-		included := func(w PendingWait) bool { return w.number <= p.Updates.handled[w.owner] }
+		included := func(w PendingWait) bool { return w.Number <= p.Updates.handled[w.Owner] }
 		if slices.ContainsFunc(m.PendingWaits, included) {
 			m.PendingWaits = removeWaits(m.PendingWaits, included)
 			m.recomputeWait()
--- a/internal/controller/table.go
+++ b/internal/controller/waittable/table.go
@@ -1,4 +1,4 @@
-package controller
+package waittable
 
 import (
 	"cmp"
@@ -40,8 +40,8 @@
 	ConfiguredAt  clock.Time
 }
 
-// NewTable makes an empty table.
-func NewTable(p clusterstate.Module, rng *rand.Rand) *Table {
+// New makes an empty table.
+func New(p clusterstate.Module, rng *rand.Rand) *Table {
 	return &Table{Module: p, rng: rng}
 }
 
--- a/internal/controller/tablecopy.go
+++ b/internal/controller/waittable/tablecopy.go
@@ -1,4 +1,4 @@
-package controller
+package waittable
 
 import (
 	"damsonkeel/internal/controller/clock"
--- a/internal/controller/wireform_test.go
+++ b/internal/controller/wireform_test.go
@@ -5,6 +5,8 @@
 	"reflect"
 	"testing"
 
+	"damsonkeel/internal/controller/holds"
+
 	"damsonkeel/internal/controller/admission"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/reservation"
@@ -41,7 +43,7 @@
 		"a165686f6c647381a963666f72617264656e6473076466726f6d05646e656564a3624742fb400c00" +
 		"00000000006443505573fb3ff80000000000006447505573fb400400000000000065636c65617204" +
 		"656c6576656c03657461736b730265756e74696c06676d616368696e65616d"
-	record := Record{Holds: []reservation.Hold{{
+	record := holds.Record{Holds: []reservation.Hold{{
 		For: "r", Machine: "m", Tasks: 2, Need: resource.Amount{CPUs: 1.5, GPUs: 2.5, GB: 3.5},
 		Level: 3, Clear: 4, From: 5, Until: 6, Ends: 7,
 	}}}
@@ -56,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read Record
+	var read holds.Record
 	if err := protocol.Decode(b, &read); err != nil || !reflect.DeepEqual(read, record) {
 		t.Errorf("read as %+v (%v), want %+v", read, err, record)
 	}
--- a/internal/controller/classes.go
+++ b/internal/controller/workload/classes.go
@@ -1,4 +1,4 @@
-package controller
+package workload
 
 import (
 	"math"
--- a/internal/controller/spot.go
+++ b/internal/controller/workload/spot.go
@@ -1,8 +1,10 @@
-package controller
+package workload
 
 import (
 	"math"
 
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
@@ -12,7 +14,7 @@
 const mostStretch = 0.1
 
 // RecordSpotLoss counts a machine whose record went as taken, if it looks so.
-func (wl *Workload) RecordSpotLoss(m *Machine) {
+func (wl *Workload) RecordSpotLoss(m *waittable.Machine) {
 	if m.Record.Spot && !m.Reported.Draining && (m.Reported.Noticed || m.Reported.Silence == message.SilenceLong) {
 		wl.Spots.Lost()
 	}
