--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -321,7 +321,7 @@
 	case m.Outcome == message.OutcomeRefused:
 		in.unavailable(r, "state service can't be asked")
 	case r.Operation == Submit && m.Outcome == message.OutcomeDone && r.refusal != nil:
-		in.answer(r, *r.refusal) // ReportedBy the configuration in force, and the job is not known
+		in.answer(r, *r.refusal) // reportedBy the configuration in force, and the job is not known
 	case r.Operation == Submit && m.Outcome == message.OutcomeDone:
 		in.answer(r, success(201, protocol.JobStatus{ID: r.Job, State: protocol.JobQueued}))
 	case r.Operation == Cancel && m.Outcome == message.OutcomeDone:
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -32,7 +32,7 @@
 		Operation Operation
 		Job       protocol.JobID // reservation polls and cancellations
 		Body      []byte         // reservation submissions
-		Passed    bool           // ReportedBy a peer: not passed on once more
+		Passed    bool           // reportedBy a peer: not passed on once more
 		WallMS    int64          // the time of day
 	}
 	// Read answers a Get.
--- a/internal/controller/clusterstate/due.go
+++ b/internal/controller/clusterstate/due.go
@@ -40,7 +40,7 @@
 }
 
 // FinishBy is when a job should be done: the first of its times that can still be
-// ClassReserve. What can keep none any more makes way for what can, but not for ever:
+// classReserve. What can keep none any more makes way for what can, but not for ever:
 // it is due again when as long has passed once more, and so on.
 func (k *State) FinishBy(l *LiveJob) clock.Time {
 	age := k.Since(l.Since).Seconds()
--- a/internal/controller/clusterstate/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -14,7 +14,7 @@
 	Version   protocol.Version
 	Since     clock.Time        // when it was submitted
 	Deadline  clock.Time        // when it should be done, as last reckoned
-	owner     protocol.NodeName // ReportedBy the view of ownerTerm
+	owner     protocol.NodeName // reportedBy the view of ownerTerm
 	ownerTerm protocol.Term
 }
 
--- a/internal/controller/clusterstate/roles.go
+++ b/internal/controller/clusterstate/roles.go
@@ -141,7 +141,7 @@
 }
 
 // dispatcherCacheSize bounds the keepers remembered: far more machines than there are
-// ReportedAt a time.
+// reportedAt a time.
 const dispatcherCacheSize = 1 << 14
 
 // OwnerOf is jobOwner by the present view, reckoned once for each job.
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -33,7 +33,7 @@
 	LeaseDeadline   clock.Time // acts only before
 	View            record.View
 	ViewVersion     protocol.Version
-	DispatcherCache map[protocol.MachineID]protocol.NodeName // ReportedBy the view, as far as asked for
+	DispatcherCache map[protocol.MachineID]protocol.NodeName // reportedBy the view, as far as asked for
 	// Shards is who keeps which share of the machines, as last followed; nil: there
 	// is no such record. It counts where the view's layout says so.
 	Shards        *record.ShardTable
--- a/internal/controller/dispatcher/dispatcher_test.go
+++ b/internal/controller/dispatcher/dispatcher_test.go
@@ -40,7 +40,7 @@
 	return &bench{t: t, k: New(p)}
 }
 
-// Machine registers a machine's first session.
+// machine registers a machine's first session.
 func (b *bench) machine(id protocol.MachineID) {
 	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
 	m := &clusterstate.Machine{ID: id, Record: rec, Epoch: 7, Info: b.k.Types["small"]}
@@ -48,7 +48,7 @@
 	b.k.RecordUpdated(m)
 }
 
-// Job accepts a job of one task.
+// job accepts a job of one task.
 func (b *bench) job(id protocol.JobID) {
 	b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i"}}
 }
@@ -78,7 +78,7 @@
 	b.report(id, 1, b.k.View.Term)
 }
 
-// Reserve promises room at a time from now.
+// reserve promises room at a time from now.
 func (b *bench) reserve(name reservation.Name, in time.Duration) {
 	at := reservation.After(b.k.WallTime(), in)
 	err := b.k.Reservations.Calendar.PutReservation(record.Reservation{
@@ -480,7 +480,7 @@
 }
 
 // TestDueOrder: in a queue, what can still be done in time goes before what is
-// LateRuns.
+// lateRuns.
 func TestDueOrder(t *testing.T) {
 	b := newBench(t)
 	job := func(id protocol.JobID, deadline float64) *entry {
--- a/internal/controller/dispatcher/keeper.go
+++ b/internal/controller/dispatcher/keeper.go
@@ -26,7 +26,7 @@
 	inventoriesPending []*queue
 	directDue          []*queue // with commands that may go out at once
 	// allAdoptedSince is since when this controller has acted and known that all act
-	// ReportedBy this term; 0: not now. See expireSilent.
+	// reportedBy this term; 0: not now. See expireSilent.
 	allAdoptedSince clock.Time
 	// leaseHeldSince is since when this controller has acted without a break; 0: it does not.
 	leaseHeldSince clock.Time
@@ -34,7 +34,7 @@
 	// heartbeat of an earlier one was held back by the network.
 	agentEpochFloor map[protocol.MachineID]protocol.AgentEpoch
 	lastArrival     uint64                       // reservation the last attempt queued
-	handledPlaces   map[protocol.NodeName]uint64 // PlaceNumber of the last Place handled, by owner
+	handledPlaces   map[protocol.NodeName]uint64 // placeNumber of the last Place handled, by owner
 	changes         replication.Log[protocol.MachineID]
 	newTermNeeded   bool // a start can only be settled by a later term
 	shards          map[sharding.ID]*shardState
--- a/internal/controller/dispatcher/machinestate.go
+++ b/internal/controller/dispatcher/machinestate.go
@@ -9,7 +9,7 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Free is what no attempt takes that may be on the machine.
+// free is what no attempt takes that may be on the machine.
 func (q *queue) free() resource.Amount {
 	f := resource.Capacity(q.info)
 	for _, e := range q.entries {
@@ -42,7 +42,7 @@
 	return u
 }
 
-// NonPreemptibleFree is what a task of a level finds once all that may be stopped for it
+// nonPreemptibleFree is what a task of a level finds once all that may be stopped for it
 // is gone.
 func (q *queue) nonPreemptibleFree(l resource.Level) resource.Amount {
 	held := q.held()
@@ -137,7 +137,7 @@
 	return message.SilenceNone
 }
 
-// Touch notes that what others are told of a machine has changed. What makes
+// touch notes that what others are told of a machine has changed. What makes
 // a keeper tell an owner anything of an attempt does so, too: the owner may
 // have held something against the machine until its keeper's next word.
 func (k *Dispatcher) touch(q *queue) {
--- a/internal/controller/dispatcher/queue.go
+++ b/internal/controller/dispatcher/queue.go
@@ -84,7 +84,7 @@
 	deadline     clock.Time        // reservation its job, when the queue was last sorted
 	inGang       bool              // others of its gang wait for it
 	placedBy     protocol.NodeName // that placed it here, if any
-	// Configuration is the revision that its owner placed it by.
+	// configuration is the revision that its owner placed it by.
 	configuration    record.ConfigurationRevision
 	sent             bool
 	directToken      protocol.Term // reservation a direct start that has no answer: it may be executed until the worker sees a later term
@@ -290,7 +290,7 @@
 			}})
 		}
 		// The term and the machine's record must be those the owner placed
-		// ReportedBy: a placement held back by the network while the machine or the
+		// reportedBy: a placement held back by the network while the machine or the
 		// job went elsewhere and came back must not start anything.
 		if q == nil || k.HasEnded(t.Task.Job) || p.Term != k.View.Term || t.Tenure != k.ShardEpoch(q.id, q.zone) || q.recordVersion == 0 || q.recordVersion != t.Epoch || q.draining || q.noticeSeconds != nil || q.quarantined || k.handingOver(q) || k.closed(q) || k.outdated(e) {
 			refuse()
--- a/internal/controller/dynamicconfig/dynamicconfig_test.go
+++ b/internal/controller/dynamicconfig/dynamicconfig_test.go
@@ -44,7 +44,7 @@
 	return &store{state: fake.NewState(), Followed: NewFollowed(site(), config.DefaultOperator())}
 }
 
-// planWrites decides a change, writes it and follows it.
+// write decides a change, writes it and follows it.
 func (s *store) write(t interface{ Fatalf(string, ...any) }, changes ...operatorapi.ConfigChange) *Plan {
 	plan, err := s.Decide(facts(), changes)
 	if err != nil {
--- a/internal/controller/forecast/arrivals.go
+++ b/internal/controller/forecast/arrivals.go
@@ -14,7 +14,7 @@
 // arrivalsKept bounds how many arrivals of a class are remembered.
 const arrivalsKept = 512
 
-// IsGang is how soon after another a job has to come to count as one arrival
+// isGang is how soon after another a job has to come to count as one arrival
 // with it: no room kept meets what comes at once.
 const together = 250 * time.Millisecond
 
--- a/internal/controller/heartbeat/heartbeat.go
+++ b/internal/controller/heartbeat/heartbeat.go
@@ -65,7 +65,7 @@
 func (d *Queue[T]) Len() int { return len(d.waiting) }
 
 // Add takes a report. If there are too many then, one is returned to be refused
-// ReportedAt once: perhaps the one that came.
+// reportedAt once: perhaps the one that came.
 func (d *Queue[T]) Add(now clock.Time, m protocol.MachineID, report T) (refused T, any bool) {
 	d.number++
 	heap.Push(&d.waiting, Waiting[T]{Machine: m, Heartbeat: report, came: now, answered: d.answered[m], number: d.number})
--- a/internal/controller/membership/balance.go
+++ b/internal/controller/membership/balance.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// EndedAttempts reports whether a member is to end.
+// endedAttempts reports whether a member is to end.
 func (ms *Members) leaving(name protocol.NodeName) bool {
 	p := ms.peers[name]
 	return p != nil && p.load.Leaving
--- a/internal/controller/membership/hearing.go
+++ b/internal/controller/membership/hearing.go
@@ -41,7 +41,7 @@
 	return reachability{redirected: map[protocol.MachineID]redirectedWorker{}}
 }
 
-// ViewAdopted starts counting anew: a new view sends workers to others.
+// adopted starts counting anew: a new view sends workers to others.
 func (h *reachability) adopted(v record.View, self protocol.NodeName, now clock.Time) {
 	clear(h.redirected)
 	deaf := slices.Contains(v.Deaf, self)
--- a/internal/controller/membership/members.go
+++ b/internal/controller/membership/members.go
@@ -28,7 +28,7 @@
 	wrote          protocol.Version
 	wroteAt        clock.Time
 	balancer       sharding.Balancer
-	requestedMoves []sharding.Move // ReportedBy operators
+	requestedMoves []sharding.Move // reportedBy operators
 	reachability   reachability
 	peers          map[protocol.NodeName]*peerLink
 }
@@ -38,7 +38,7 @@
 	session     protocol.LeaseID
 	term        protocol.Term // highest it is known to have adopted
 	shardsEpoch protocol.Term // epoch of the record of shares that it is known to have followed
-	next        uint64        // PlaceNumber of the next message expected
+	next        uint64        // placeNumber of the next message expected
 	leaseHeldAt clock.Time    // when it last said that it may act
 	load        message.Load  // what it says of itself
 	// heardFirst and heardAt are when it first and last did.
--- a/internal/controller/membership/shares.go
+++ b/internal/controller/membership/shares.go
@@ -16,7 +16,7 @@
 // followWithin is how long a change that was written takes to be followed.
 const followWithin = 2 * time.Second
 
-// planZones tells the zone of each controller, as the settings have it.
+// zones tells the zone of each controller, as the settings have it.
 func (ms *Members) zones() map[protocol.NodeName]protocol.Zone {
 	zones := map[protocol.NodeName]protocol.Zone{ms.Self: ms.Settings.Zone}
 	for _, m := range ms.Settings.Members {
--- a/internal/controller/message/between.go
+++ b/internal/controller/message/between.go
@@ -110,7 +110,7 @@
 }
 
 // WaitsAdded tells all peers what placing tasks has added to machines. Numbers are,
-// ReportedBy keeper, those of the Place messages that carry these placements: a table
+// reportedBy keeper, those of the Place messages that carry these placements: a table
 // that includes a keeper's word on them already does not count them again.
 type WaitsAdded struct {
 	Term    protocol.Term
@@ -298,5 +298,5 @@
 const (
 	SilenceNone Silence = iota // refuse longer than a healthy worker's
 	SilenceSome                // longer
-	SilenceLong                // ReportedAt least twice as long: nothing is placed there
+	SilenceLong                // reportedAt least twice as long: nothing is placed there
 )
--- a/internal/controller/ratelimit/lending.go
+++ b/internal/controller/ratelimit/lending.go
@@ -7,7 +7,7 @@
 // Why: a loan answers an ask and names it by the borrower's own clock. The
 // borrower uses it only until a while after it asked, the lender does without it
 // until a longer while after it lent, which is later: so a loan is never in use
-// ReportedBy both, however long either message took. A controller that has begun anew
+// reportedBy both, however long either message took. A controller that has begun anew
 // and no longer knows what it lent holds back, for that while, all it may have
 // outstanding.
 package ratelimit
@@ -34,7 +34,7 @@
 
 // Request says what a controller could use beyond its own share.
 type Request struct {
-	At   clock.Time // ReportedBy its own clock
+	At   clock.Time // reportedBy its own clock
 	Want Amount
 }
 
--- a/internal/controller/recordblock/recordblock.go
+++ b/internal/controller/recordblock/recordblock.go
@@ -35,7 +35,7 @@
 type Index struct {
 	blocks map[string]*block
 	where  map[protocol.MachineID]string
-	last   uint64 // PlaceNumber of the newest block seen
+	last   uint64 // placeNumber of the newest block seen
 }
 
 type block struct {
--- a/internal/controller/recordblock/recordblock_test.go
+++ b/internal/controller/recordblock/recordblock_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestBoundStaysWhereItWas: a machine that a write without an answer may have
-// PlaceAttempt into a block is put into no other, however full others are.
+// placeAttempt into a block is put into no other, however full others are.
 func TestBoundStaysWhereItWas(t *testing.T) {
 	s := NewIndex()
 	l := LimitsOf(16, 12)
--- a/internal/controller/reservation/book.go
+++ b/internal/controller/reservation/book.go
@@ -24,7 +24,7 @@
 	// behind is for how long occurrences that are over are kept.
 	behind = 25 * time.Hour
 	// extendAtOnce is for how long after its first one an entry's occurrences are
-	// MachinesListed when it comes; the rest follows, a few entries at a time.
+	// machinesListed when it comes; the rest follows, a few entries at a time.
 	extendAtOnce = 15 * 24 * time.Hour
 	// extendMost bounds the entries whose occurrences are listed in one go.
 	extendMost = 20
@@ -54,9 +54,9 @@
 }
 
 // Calendar is all entries, with an index by time: asking what overlaps a time costs
-// ReportedBy what does.
+// reportedBy what does.
 type Calendar struct {
-	entries map[bool]map[Name]*Entry // ReportedBy whether they are windows
+	entries map[bool]map[Name]*Entry // reportedBy whether they are windows
 	tree    *interval.Tree[int64, Occurrence]
 	size    int
 	next    int64
--- a/internal/controller/reservation/book_test.go
+++ b/internal/controller/reservation/book_test.go
@@ -183,7 +183,7 @@
 
 // TestThousandInAYear: asking what overlaps costs by what does: a thousand
 // recurring reservations of a year's calendar are listed in pieces, and what is
-// Examined at is what overlaps.
+// candidatesExamined at is what overlaps.
 func TestThousandInAYear(t *testing.T) {
 	b := NewCalendar()
 	for i := range 1000 {
--- a/internal/controller/reservation/hold.go
+++ b/internal/controller/reservation/hold.go
@@ -43,12 +43,12 @@
 	Clear Moment
 }
 
-// Level is that of the reserved work: no more than its priority gives it.
+// level is that of the reserved work: no more than its priority gives it.
 func (d *Demand) level() resource.Level { return resource.LevelOf(d.Spec.Priority, false) }
 
 func (d *Demand) size() resource.Amount { return Size(&d.Spec) }
 
-// Until is when its job should be over at the latest.
+// until is when its job should be over at the latest.
 func (d *Demand) until() Moment { return afterS(d.StartMS, d.Spec.HoldS+d.Spec.LengthS) }
 
 // Hold is room on one machine that is held for a reservation. What is not of it
@@ -81,7 +81,7 @@
 	taken []Hold
 }
 
-// Free is what a machine has left for an occurrence that can be relied on: what
+// free is what a machine has left for an occurrence that can be relied on: what
 // is there is likely to be over when it has to be clear, and from then on is
 // over. Firm counts what could be stopped as gone, too.
 func (m *machineCapacity) free(d *Demand, now Moment, firm bool) resource.Amount {
@@ -344,7 +344,7 @@
 	return until
 }
 
-// Allows reports whether held room may be used by a task: it is held for it, the
+// allows reports whether held room may be used by a task: it is held for it, the
 // task is likely to end in time, or it can save and may be stopped in time.
 func (h *Hold) allows(t *Task, now Moment) bool {
 	return t.Of(h.For) || now >= h.Until || t.Ends <= h.Clear && now <= h.Clear ||
--- a/internal/controller/reservation/state.go
+++ b/internal/controller/reservation/state.go
@@ -9,7 +9,7 @@
 // Observation is what is known of a reservation's present occurrence.
 type Observation struct {
 	Now        Moment
-	ClockError time.Duration // ReportedBy how much any controller's time of day may be off
+	ClockError time.Duration // reportedBy how much any controller's time of day may be off
 	Lead       time.Duration // how long before its time room is held
 	// Came: its job was accepted; Wanted of its tasks are within what is
 	// reserved, Started of them have started so far, or are done.
--- a/internal/controller/sharding/balance.go
+++ b/internal/controller/sharding/balance.go
@@ -59,7 +59,7 @@
 	paces   map[protocol.LeaseID]pace
 }
 
-// ReleaseAsked is a share that was asked to move in a tenure.
+// releaseAsked is a share that was asked to move in a tenure.
 type moving struct {
 	tenure protocol.Term
 	at     clock.Time
--- a/internal/controller/workerregistry/workerregistry.go
+++ b/internal/controller/workerregistry/workerregistry.go
@@ -1,5 +1,5 @@
 // Package workerregistry keeps the records of machines: several in one block, written
-// ReportedBy one member at a time (docs/machine-records.md).
+// reportedBy one member at a time (docs/machine-records.md).
 package workerregistry
 
 import (
