--- a/internal/controller/dispatcher/configured_test.go
+++ b/internal/controller/dispatcher/configuration_test.go
@@ -11,16 +11,16 @@
 // lowered has the limit of a team lowered by a revision.
 func (b *bench) lowered(revision record.ConfigurationRevision, version protocol.Version) {
 	id := record.NewEntryID(record.EntryTeam, "bound")
-	b.k.Configuration.TakeEntry(id, record.ConfigurationEntry{Revision: revision, Team: &record.TeamEntry{MaxCPUs: 2, Lowered: revision}})
-	b.k.Configuration.TakeHead(record.Configuration{Revision: revision, Entries: []record.EntryID{id}}, version)
-	b.k.AdoptConfiguration()
+	b.dispatcher.Configuration.TakeEntry(id, record.ConfigurationEntry{Revision: revision, Team: &record.TeamEntry{MaxCPUs: 2, Lowered: revision}})
+	b.dispatcher.Configuration.TakeHead(record.Configuration{Revision: revision, Entries: []record.EntryID{id}}, version)
+	b.dispatcher.AdoptConfiguration()
 }
 
 // placeBy queues a task of the limited team, placed by a revision.
 func (b *bench) placeBy(id protocol.JobID, revision record.ConfigurationRevision) {
 	b.job(id)
-	b.k.Live[id].Team = "bound"
-	b.k.Place("node-0", &message.Place{Term: 1, Configuration: revision, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
+	b.dispatcher.Live[id].Team = "bound"
+	b.dispatcher.Place("node-0", &message.Place{Term: 1, Configuration: revision, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
 }
 
 // TestOutdatedIsNotStarted: what was placed before its team's limit was lowered is not
@@ -41,15 +41,15 @@
 	b = newBench(t)
 	b.ready("vm-1")
 	b.placeBy("job-sent", 0)
-	b.k.SendDirectCommands()
+	b.dispatcher.SendDirectCommands()
 	task := protocol.TaskID{Job: "job-sent"}
-	if e := b.k.queues["vm-1"].entries[task]; e == nil || !e.sent || e.directToken == 0 {
+	if e := b.queue("vm-1").entries[task]; e == nil || !e.sent || e.directToken == 0 {
 		t.Fatalf("not sent directly: %+v", e)
 	}
-	b.k.queues["vm-1"].directInFlight = false // its answer does not come
-	b.k.View.Term = 2                         // a later token: it would be sent again
+	b.queue("vm-1").directInFlight = false // its answer does not come
+	b.dispatcher.View.Term = 2             // a later token: it would be sent again
 	b.lowered(1, 5)
-	if n := starts(b.k.buildOrders(b.k.queues["vm-1"], 1, true)); n != 0 {
+	if n := starts(b.queue("vm-1").buildOrders(1, true)); n != 0 {
 		t.Errorf("%d starts are sent again", n)
 	}
 }
--- a/internal/controller/dispatcher/dispatcher_test.go
+++ b/internal/controller/dispatcher/dispatcher_test.go
@@ -24,9 +24,9 @@
 
 // bench is one keeper, in a view of its own controller alone.
 type bench struct {
-	t   *testing.T
-	k   *Dispatcher
-	seq protocol.Seq
+	t          *testing.T
+	dispatcher *Dispatcher
+	seq        protocol.Seq
 }
 
 func newBench(t *testing.T) *bench {
@@ -37,33 +37,36 @@
 	p.Session, p.SessionStart, p.Now, p.LeaseDeadline = 100, 1, 1, clock.Time(time.Hour)
 	p.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
 	p.Reservations.Listed = true
-	return &bench{t: t, k: New(p)}
+	return &bench{t: t, dispatcher: New(p)}
 }
 
+// queue returns the queue of a machine that is held here.
+func (b *bench) queue(id protocol.MachineID) *queue { return b.dispatcher.queues.get(id) }
+
 // machine registers a machine's first session.
 func (b *bench) machine(id protocol.MachineID) {
 	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
-	m := &clusterstate.Machine{ID: id, Record: rec, Epoch: 7, Info: b.k.Types["small"]}
-	b.k.Records[id] = m
-	b.k.RecordUpdated(m)
+	m := &clusterstate.Machine{ID: id, Record: rec, Epoch: 7, Info: b.dispatcher.Types["small"]}
+	b.dispatcher.Records[id] = m
+	b.dispatcher.RecordUpdated(m)
 }
 
 // job accepts a job of one task.
 func (b *bench) job(id protocol.JobID) {
-	b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i"}}
+	b.dispatcher.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i"}}
 }
 
 // place queues a job's only task.
 func (b *bench) place(id protocol.JobID) {
-	b.k.Place("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
+	b.dispatcher.Place("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
 }
 
 // heartbeat sends a worker's report and returns the answer.
 func (b *bench) report(id protocol.MachineID, session protocol.AgentEpoch, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
 	b.seq++
-	b.k.Actions = nil
-	b.k.Heartbeat(protocol.Heartbeat{Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: session, Seq: b.seq, Term: term, Tasks: tasks})
-	for _, a := range b.k.Actions {
+	b.dispatcher.Actions = nil
+	b.dispatcher.Heartbeat(protocol.Heartbeat{Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: session, Seq: b.seq, Term: term, Tasks: tasks})
+	for _, a := range b.dispatcher.Actions {
 		if r, ok := a.(message.ReplyHeartbeat); ok {
 			return r
 		}
@@ -75,22 +78,22 @@
 // ready brings one machine into service, its inventory given.
 func (b *bench) ready(id protocol.MachineID) {
 	b.machine(id)
-	b.report(id, 1, b.k.View.Term)
+	b.report(id, 1, b.dispatcher.View.Term)
 }
 
 // reserve promises room at a time from now.
 func (b *bench) reserve(name reservation.Name, in time.Duration) {
-	at := reservation.After(b.k.WallTime(), in)
-	err := b.k.Reservations.Calendar.PutReservation(record.Reservation{
+	at := reservation.After(b.dispatcher.WallTime(), in)
+	err := b.dispatcher.Reservations.Calendar.PutReservation(record.Reservation{
 		Spec: record.ReservationSpec{
 			Name: name, Class: string(name), When: time.UnixMilli(int64(at)).UTC().Format("2006-01-02 at 15:04:05"), HoldS: 600, LengthS: 600, Tasks: 2, CPUs: 2, MemoryGB: 1, Priority: "standard",
 		},
 		State: record.Accepted, StartMS: at,
-	}, 1, b.k.WallTime())
+	}, 1, b.dispatcher.WallTime())
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.k.Reservations.Any = true
+	b.dispatcher.Reservations.Any = true
 }
 
 // shared has all machines kept by shares, by this keeper.
@@ -99,14 +102,14 @@
 	for id := range s.List {
 		sharding.Assign(s, sharding.ID(id), 100)
 	}
-	b.k.View.Layout, b.k.Shards = record.LayoutShards, s
+	b.dispatcher.View.Layout, b.dispatcher.Shards = record.LayoutShards, s
 	return s
 }
 
 // hold holds room on a machine.
 func (b *bench) hold(h reservation.Hold) {
-	b.k.Reservations.List = []reservation.Hold{h}
-	b.k.Reservations.Holds[h.Machine] = b.k.Reservations.List
+	b.dispatcher.Reservations.List = []reservation.Hold{h}
+	b.dispatcher.Reservations.Holds[h.Machine] = b.dispatcher.Reservations.List
 }
 
 func starts(os []protocol.Order) int {
@@ -142,9 +145,9 @@
 	for _, tc := range cases {
 		b := newBench(t)
 		b.ready("vm-1")
-		q := b.k.queues["vm-1"]
+		q := b.queue("vm-1")
 		entry := func(id protocol.JobID, k task, cpus float64) *entry {
-			b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: k.team, Priority: k.priority, CPUs: cpus, Tasks: 1}}
+			b.dispatcher.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: k.team, Priority: k.priority, CPUs: cpus, Tasks: 1}}
 			e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: 900, need: resource.Amount{CPUs: cpus}, level: resource.LevelOf(k.priority, k.guaranteed)}
 			q.addEntry(e)
 			return e
@@ -152,15 +155,15 @@
 		victim := entry("job-1", tc.runs, 2)
 		victim.sent, victim.present, victim.state = true, true, protocol.TaskRunning
 		head := entry("job-2", tc.head, 3)
-		head.queuedSince = b.k.Now
+		head.queuedSince = b.dispatcher.Now
 		q.waiting = append(q.waiting, head)
-		b.k.touch(q)
-		b.k.preempt(q)
+		q.touch()
+		q.preempt()
 		if victim.kill {
 			t.Errorf("%s: stopped before the head has waited", tc.name)
 		}
-		b.k.Now += clock.Time(preemptAfter)
-		b.k.preempt(q)
+		b.dispatcher.Now += clock.Time(preemptAfter)
+		q.preempt()
 		if victim.kill != tc.stopped {
 			t.Errorf("%s: stopped %v, want %v", tc.name, victim.kill, tc.stopped)
 		}
@@ -183,21 +186,21 @@
 	} {
 		b := newBench(t)
 		b.ready("vm-1")
-		q := b.k.queues["vm-1"]
+		q := b.queue("vm-1")
 		entry := func(id protocol.JobID, p protocol.Priority, class string, s float64) *entry {
-			l := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Priority: p, CPUs: 3, Tasks: 1, EstimateS: s}, Since: b.k.Now}
-			l.Deadline = b.k.Deadline(l)
-			b.k.Live[id] = l
-			e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: s, queuedSince: b.k.Now, need: resource.Amount{CPUs: 3}, level: resource.LevelOf(p, false)}
+			l := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Priority: p, CPUs: 3, Tasks: 1, EstimateS: s}, Since: b.dispatcher.Now}
+			l.Deadline = b.dispatcher.Deadline(l)
+			b.dispatcher.Live[id] = l
+			e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: s, queuedSince: b.dispatcher.Now, need: resource.Amount{CPUs: 3}, level: resource.LevelOf(p, false)}
 			q.addEntry(e)
 			return e
 		}
 		runs := entry("job-1", "standard", "other", tc.runs)
-		runs.sent, runs.present, runs.state, runs.runningSince = true, true, protocol.TaskRunning, b.k.Now
+		runs.sent, runs.present, runs.state, runs.runningSince = true, true, protocol.TaskRunning, b.dispatcher.Now
 		q.waiting = append(q.waiting, entry("job-2", "high", tc.class, 10))
-		b.k.touch(q)
-		b.k.Now += clock.Time(preemptAfter)
-		b.k.preempt(q)
+		q.touch()
+		b.dispatcher.Now += clock.Time(preemptAfter)
+		q.preempt()
 		if runs.kill != tc.stopped {
 			t.Errorf("one of %v s, for a job of class %s: stopped %v, want %v", tc.runs, tc.class, runs.kill, tc.stopped)
 		}
@@ -209,18 +212,19 @@
 // truth, and reserved room was full at its time.
 func TestFoundTasksTeachNothing(t *testing.T) {
 	b := newBench(t)
-	b.k.Reservations.Any = true
-	b.k.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Class: "array"}}
+	b.dispatcher.Reservations.Any = true
+	b.dispatcher.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Class: "array"}}
+	q := newQueue(b.dispatcher.environment, "vm-1", "a")
 	end := func(order uint64, n int) {
 		for range n {
-			b.k.noteError(&entry{task: protocol.TaskID{Job: "job-1"}, arrival: order, runningSince: b.k.Now - clock.Time(10*time.Second), estimate: 10, cause: protocol.EndDone})
+			q.noteEstimateError(&entry{task: protocol.TaskID{Job: "job-1"}, arrival: order, runningSince: b.dispatcher.Now - clock.Time(10*time.Second), estimate: 10, cause: protocol.EndDone})
 		}
 	}
-	usual := b.k.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10)
-	if end(0, 100); b.k.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) != usual {
+	usual := b.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10)
+	if end(0, 100); b.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) != usual {
 		t.Error("learned from tasks that were found")
 	}
-	if end(7, 100); b.k.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) >= usual {
+	if end(7, 100); b.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) >= usual {
 		t.Error("not learned from tasks that were started here")
 	}
 }
@@ -230,32 +234,32 @@
 // reserved job passes what waits.
 func TestHeldRoomIsKept(t *testing.T) {
 	b := newBench(t)
-	b.k.WallMS = 1_770_000_000_000
+	b.dispatcher.WallMS = 1_770_000_000_000
 	b.ready("vm-1") // reservation 4 processors
 	b.reserve("one", 20*time.Minute)
-	now := b.k.WallTime()
+	now := b.dispatcher.WallTime()
 	hold := reservation.Hold{For: "one", Machine: "vm-1", Tasks: 2, Need: resource.Amount{CPUs: 4, GB: 2}, Level: 1, Clear: reservation.After(now, 18*time.Minute), From: reservation.After(now, 20*time.Minute), Until: reservation.After(now, 40*time.Minute)}
 	b.hold(hold)
-	q := b.k.queues["vm-1"]
+	q := b.queue("vm-1")
 	wait := func(id protocol.JobID, class string, estimate float64) *entry {
-		b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", CPUs: 2, MemoryGB: 1, Tasks: 1, EstimateS: estimate, SubmittedMS: int64(b.k.WallTime())}}
+		b.dispatcher.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", CPUs: 2, MemoryGB: 1, Tasks: 1, EstimateS: estimate, SubmittedMS: int64(b.dispatcher.WallTime())}}
 		e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: estimate, need: resource.Amount{CPUs: 2, GB: 1}, level: 1, placedBy: "node-0"}
 		q.addEntry(e)
-		b.k.enqueue(q, e)
+		q.enqueue(e)
 		return e
 	}
 	wait("job-long", "array", 1200)
 	short := wait("job-short", "array", 100)
-	if out := b.k.startable(q); len(out) != 1 || out[0] != short {
+	if out := q.takeStartable(); len(out) != 1 || out[0] != short {
 		t.Fatalf("%d started", len(out))
 	}
 	if q.entries[protocol.TaskID{Job: "job-long"}] != nil {
 		t.Error("what would overrun was not given back to its owner")
 	}
-	b.k.Now += clock.Time(19 * time.Minute)
+	b.dispatcher.Now += clock.Time(19 * time.Minute)
 	wait("job-late", "array", 10)
 	mine := wait("job-mine", "one", 600)
-	if out := b.k.startable(q); len(out) != 1 || out[0] != mine {
+	if out := q.takeStartable(); len(out) != 1 || out[0] != mine {
 		t.Errorf("%d started in room that has to be clear, want the reserved job's", len(out))
 	}
 }
@@ -264,26 +268,26 @@
 // the last moment that lets it save; what may not is left alone.
 func TestStoppedInTime(t *testing.T) {
 	b := newBench(t)
-	b.k.WallMS = 1_770_000_000_000
+	b.dispatcher.WallMS = 1_770_000_000_000
 	b.ready("vm-1")
 	b.reserve("one", 10*time.Minute)
-	now := b.k.WallTime()
+	now := b.dispatcher.WallTime()
 	b.hold(reservation.Hold{For: "one", Machine: "vm-1", Tasks: 2, Need: resource.Amount{CPUs: 4, GB: 2}, Level: 1, Clear: reservation.After(now, 8*time.Minute), From: reservation.After(now, 10*time.Minute), Until: reservation.After(now, 40*time.Minute)})
-	q := b.k.queues["vm-1"]
+	q := b.queue("vm-1")
 	run := func(id protocol.JobID, p protocol.Priority) *entry {
-		b.k.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Priority: p, Team: "free", CPUs: 2, Tasks: 1, CheckpointS: 10, SaveS: 10}}
+		b.dispatcher.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Priority: p, Team: "free", CPUs: 2, Tasks: 1, CheckpointS: 10, SaveS: 10}}
 		e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: 3600, need: resource.Amount{CPUs: 2}, level: resource.LevelOf(p, false), sent: true, present: true, state: protocol.TaskRunning}
 		q.addEntry(e)
 		return e
 	}
 	low, same := run("job-low", "best_effort"), run("job-same", "standard")
-	b.k.Now += clock.Time(9 * time.Minute)
-	if b.k.clearHeld(q); low.kill {
+	b.dispatcher.Now += clock.Time(9 * time.Minute)
+	if q.clearReserved(); low.kill {
 		t.Error("stopped a minute before")
 	}
-	b.k.Now += clock.Time(25 * time.Second) // 35 s before: it takes 21 s to save
-	if b.k.clearHeld(q); !low.kill || low.graceS < 20 || same.kill {
-		t.Errorf("less urgent stopped %v with %v s, same priority stopped %v", low.kill, low.graceS, same.kill)
+	b.dispatcher.Now += clock.Time(25 * time.Second) // 35 s before: it takes 21 s to save
+	if q.clearReserved(); !low.kill || low.graceSeconds < 20 || same.kill {
+		t.Errorf("less urgent stopped %v with %v s, same priority stopped %v", low.kill, low.graceSeconds, same.kill)
 	}
 }
 
@@ -292,17 +296,17 @@
 func TestFailingJobLeavesMachine(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	q := b.k.queues["vm-1"]
+	q := b.queue("vm-1")
 	for i := range uint32(3) {
 		e := &entry{task: protocol.TaskID{Job: "job-1", Index: i}, attempt: 1}
 		q.addEntry(e)
 		q.waiting = append(q.waiting, e)
 	}
-	b.k.recordResult(q, &entry{task: protocol.TaskID{Job: "job-2"}, cause: protocol.EndDone})
+	q.recordResult(&entry{task: protocol.TaskID{Job: "job-2"}, cause: protocol.EndDone})
 	if len(q.waiting) != 3 {
 		t.Fatal("released for another job's success")
 	}
-	b.k.recordResult(q, &entry{task: protocol.TaskID{Job: "job-1", Index: 7}, cause: protocol.EndError})
+	q.recordResult(&entry{task: protocol.TaskID{Job: "job-1", Index: 7}, cause: protocol.EndError})
 	if len(q.waiting) != 0 {
 		t.Errorf("%d still wait", len(q.waiting))
 	}
@@ -314,14 +318,14 @@
 	for _, drained := range []bool{false, true} {
 		b := newBench(t)
 		b.ready("vm-1")
-		q := b.k.queues["vm-1"]
+		q := b.queue("vm-1")
 		e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 1, sent: true}
 		q.addEntry(e)
-		b.k.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Priority: "standard"}}
+		b.dispatcher.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Priority: "standard"}}
 		if drained {
-			b.k.Drain("vm-1")
+			b.dispatcher.Drain("vm-1")
 		}
-		b.report("vm-1", 1, b.k.View.Term) // removeWaits it
+		b.report("vm-1", 1, b.dispatcher.View.Term) // removeWaits it
 		if left := q.entries[e.task] != nil; left == drained {
 			t.Errorf("drained %v: still there %v", drained, left)
 		}
@@ -337,15 +341,15 @@
 	}{{"high", true}, {"standard", false}} {
 		b := newBench(t)
 		b.ready("vm-1")
-		q := b.k.queues["vm-1"]
-		b.k.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Priority: tc.runs, CPUs: 2, Tasks: 1}}
-		b.k.Live["job-2"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-2", Team: "free", Kind: protocol.KindGang, Priority: "high", CPUs: 4, Tasks: 2}}
+		q := b.queue("vm-1")
+		b.dispatcher.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Priority: tc.runs, CPUs: 2, Tasks: 1}}
+		b.dispatcher.Live["job-2"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-2", Team: "free", Kind: protocol.KindGang, Priority: "high", CPUs: 4, Tasks: 2}}
 		runs := &entry{
 			task: protocol.TaskID{Job: "job-1"}, attempt: 1, need: resource.Amount{CPUs: 2}, level: resource.LevelOf(tc.runs, false),
 			sent: true, present: true, state: protocol.TaskRunning,
 		}
 		q.addEntry(runs)
-		b.k.Place("node-0", &message.Place{Number: 1, Term: b.k.View.Term, Tasks: []message.Placement{{
+		b.dispatcher.Place("node-0", &message.Place{Number: 1, Term: b.dispatcher.View.Term, Tasks: []message.Placement{{
 			Task: protocol.TaskID{Job: "job-2"}, Attempt: 1, Machine: "vm-1", Epoch: q.recordVersion, CPUs: 4, Level: int(resource.LevelOf("high", false)), Together: true,
 		}}})
 		if refused := len(q.waiting) == 0; refused != tc.refused || runs.kill == tc.refused {
@@ -359,17 +363,17 @@
 func TestHeldPlacement(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	epoch := b.k.Records["vm-1"].Epoch
+	epoch := b.dispatcher.Records["vm-1"].Epoch
 	place := func(term protocol.Term, epoch protocol.Version) {
-		b.k.Place("node-0", &message.Place{Term: term, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-9"}, Attempt: 1, Machine: "vm-1", Epoch: epoch}}})
+		b.dispatcher.Place("node-0", &message.Place{Term: term, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-9"}, Attempt: 1, Machine: "vm-1", Epoch: epoch}}})
 	}
 	place(0, epoch)
 	place(1, epoch-1)
-	if n := len(b.k.queues["vm-1"].entries); n != 0 {
+	if n := len(b.queue("vm-1").entries); n != 0 {
 		t.Fatalf("%d queued", n)
 	}
 	place(1, epoch)
-	if n := len(b.k.queues["vm-1"].entries); n != 1 {
+	if n := len(b.queue("vm-1").entries); n != 1 {
 		t.Fatalf("%d queued, want the valid one", n)
 	}
 }
@@ -379,7 +383,7 @@
 	b := newBench(t)
 	b.report("vm-1", 1, 0)
 	b.job("job-1")
-	q := b.k.queues["vm-1"]
+	q := b.queue("vm-1")
 	e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 1}
 	q.addEntry(e)
 	q.waiting = []*entry{e}
@@ -397,17 +401,17 @@
 func TestQueuedBeforeItsRecord(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	b.k.Place("node-0", &message.Place{Number: 5, Term: 1, Tasks: []message.Placement{{
-		Task: protocol.TaskID{Job: "job-7"}, Attempt: 1, Machine: "vm-1", Epoch: b.k.Records["vm-1"].Epoch,
+	b.dispatcher.Place("node-0", &message.Place{Number: 5, Term: 1, Tasks: []message.Placement{{
+		Task: protocol.TaskID{Job: "job-7"}, Attempt: 1, Machine: "vm-1", Epoch: b.dispatcher.Records["vm-1"].Epoch,
 	}}})
-	b.k.Local = nil
-	b.k.sendInventory(b.k.queues["vm-1"])
-	for _, m := range b.k.Local {
+	b.dispatcher.Local = nil
+	b.dispatcher.sendInventory(b.queue("vm-1"))
+	for _, m := range b.dispatcher.Local {
 		if m.Inventory != nil && len(m.Inventory.Held) == 1 && m.Inventory.Held[0].Attempt == 1 {
 			return
 		}
 	}
-	t.Fatalf("not listed: %+v", b.k.Local)
+	t.Fatalf("not listed: %+v", b.dispatcher.Local)
 }
 
 // TestOverBeforePlaced: an attempt of a job that is over is not queued.
@@ -415,13 +419,13 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1")
-	delete(b.k.Live, "job-1")
-	b.k.MarkEnded("job-1")
-	b.k.JobOver("job-1", false)
-	b.k.Place("node-0", &message.Place{Number: 6, Term: 1, Tasks: []message.Placement{{
-		Task: protocol.TaskID{Job: "job-1"}, Attempt: 9, Machine: "vm-1", Epoch: b.k.Records["vm-1"].Epoch,
+	delete(b.dispatcher.Live, "job-1")
+	b.dispatcher.MarkEnded("job-1")
+	b.dispatcher.JobOver("job-1", false)
+	b.dispatcher.Place("node-0", &message.Place{Number: 6, Term: 1, Tasks: []message.Placement{{
+		Task: protocol.TaskID{Job: "job-1"}, Attempt: 9, Machine: "vm-1", Epoch: b.dispatcher.Records["vm-1"].Epoch,
 	}}})
-	if n := len(b.k.queues["vm-1"].waiting); n != 0 {
+	if n := len(b.queue("vm-1").waiting); n != 0 {
 		t.Fatalf("%d waiting: it would stand at the head for ever", n)
 	}
 }
@@ -431,16 +435,18 @@
 func TestCrossingAnswers(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	b.k.queues["vm-1"].directInFlight = true // a direct command is under way
+	b.queue("vm-1").directInFlight = true // a direct command is under way
 	b.job("job-1")
 	b.place("job-1")
 	if r := b.report("vm-1", 1, 1); starts(r.Reply.Orders) != 1 {
 		t.Fatalf("not started by the report's answer: %+v", r)
 	}
 	b.seq++
-	b.k.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Answered: true, Executed: true,
-		Heartbeat: protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", AgentEpoch: 1, Seq: b.seq, Term: 1}})
-	if e := b.k.queues["vm-1"].entries[protocol.TaskID{Job: "job-1"}]; e == nil || !e.sent {
+	b.dispatcher.CommandDone(message.CommandDone{
+		Machine: "vm-1", Term: 1, AgentEpoch: 1, Answered: true, Executed: true,
+		Heartbeat: protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", AgentEpoch: 1, Seq: b.seq, Term: 1},
+	})
+	if e := b.queue("vm-1").entries[protocol.TaskID{Job: "job-1"}]; e == nil || !e.sent {
 		t.Fatalf("a start under way is taken for not executed: %+v", e)
 	}
 	b.report("vm-1", 1, 1) // the worker's next report does settle it: sent again
@@ -452,29 +458,29 @@
 func TestFailingMachine(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	q := b.k.queues["vm-1"]
+	q := b.queue("vm-1")
 	mistakes := map[protocol.JobID]bool{}
 	fail := func(job protocol.JobID, after time.Duration) {
-		b.k.recordResult(q, &entry{task: protocol.TaskID{Job: job}, cause: protocol.EndError})
-		b.k.quarantineIfFailing(q, func(id protocol.JobID) bool { return mistakes[id] })
-		b.k.Now += clock.Time(after)
-		b.k.quarantineIfFailing(q, func(id protocol.JobID) bool { return mistakes[id] })
+		q.recordResult(&entry{task: protocol.TaskID{Job: job}, cause: protocol.EndError})
+		q.quarantineIfFailing(func(id protocol.JobID) bool { return mistakes[id] })
+		b.dispatcher.Now += clock.Time(after)
+		q.quarantineIfFailing(func(id protocol.JobID) bool { return mistakes[id] })
 	}
-	if fail("job-1", 10*time.Second); q.quarantined {
+	if fail("job-1", 10*time.Second); q.quarantine.active {
 		t.Error("set aside for one job's failures")
 	}
-	if fail("job-2", time.Second); q.quarantined {
+	if fail("job-2", time.Second); q.quarantine.active {
 		t.Error("set aside before the job's owner could say anything")
 	}
 	mistakes["job-2"] = true
-	if fail("job-2", 10*time.Second); q.quarantined {
+	if fail("job-2", 10*time.Second); q.quarantine.active {
 		t.Error("set aside for a job that fails everywhere")
 	}
-	if fail("job-3", 10*time.Second); !q.quarantined {
+	if fail("job-3", 10*time.Second); !q.quarantine.active {
 		t.Error("a machine that fails two jobs is not set aside")
 	}
 	mistakes["job-3"] = true
-	if fail("job-3", time.Second); q.quarantined {
+	if fail("job-3", time.Second); q.quarantine.active {
 		t.Error("not taken back")
 	}
 }
@@ -484,24 +490,24 @@
 func TestDueOrder(t *testing.T) {
 	b := newBench(t)
 	job := func(id protocol.JobID, deadline float64) *entry {
-		l := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, Since: b.k.Now}
-		l.Deadline = b.k.Deadline(l)
-		b.k.Live[id] = l
+		l := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, Since: b.dispatcher.Now}
+		l.Deadline = b.dispatcher.Deadline(l)
+		b.dispatcher.Live[id] = l
 		return &entry{task: protocol.TaskID{Job: id}, level: 1}
 	}
-	q := b.k.addQueue("vm-1", "a")
+	q := b.dispatcher.addQueue("vm-1", "a")
 	late, soon := job("job-1", 20), job("job-2", 60)
-	b.k.enqueue(q, soon)
-	b.k.enqueue(q, late)
-	if b.k.sortWaiting(q); q.waiting[0] != late {
+	q.enqueue(soon)
+	q.enqueue(late)
+	if q.sortWaiting(); q.waiting[0] != late {
 		t.Fatal("what is due first does not go first")
 	}
-	b.k.Now += clock.Time(35 * time.Second)
-	for _, l := range b.k.Live {
-		l.Deadline = b.k.Deadline(l)
+	b.dispatcher.Now += clock.Time(35 * time.Second)
+	for _, l := range b.dispatcher.Live {
+		l.Deadline = b.dispatcher.Deadline(l)
 	}
-	b.k.InvalidateOrder()
-	if b.k.sortWaiting(q); q.waiting[0] != soon {
+	b.dispatcher.InvalidateOrder()
+	if q.sortWaiting(); q.waiting[0] != soon {
 		t.Error("what is late anyway goes before what is not")
 	}
 }
@@ -509,12 +515,12 @@
 // TestLevelIsLearned: how urgent something found on a machine is, its owner says.
 func TestLevelIsLearned(t *testing.T) {
 	b := newBench(t)
-	b.k.Reservations.Any = true
+	b.dispatcher.Reservations.Any = true
 	b.ready("vm-1")
 	e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 3, level: resource.LevelOf("best_effort", true), levelGuessed: true, present: true, sent: true}
-	q := b.k.queues["vm-1"]
+	q := b.queue("vm-1")
 	q.addEntry(e)
-	b.k.learnLevels(q, func(protocol.JobID) (resource.Level, bool) { return 0, true })
+	q.learnLevels(func(protocol.JobID) (resource.Level, bool) { return 0, true })
 	if e.level != 0 || e.levelGuessed {
 		t.Errorf("at level %d", e.level)
 	}
@@ -527,14 +533,14 @@
 func TestQueueOfAHeldBackReport(t *testing.T) {
 	b := newBench(t)
 	old := b.shared()
-	b.k.agentEpochFloor["vm-1"] = 2
+	b.dispatcher.agentEpochFloor["vm-1"] = 2
 	b.report("vm-1", 1, 0)
-	if len(b.k.Machines()) != 1 {
+	if len(b.dispatcher.Machines()) != 1 {
 		t.Fatal("no queue: nothing to test")
 	}
-	b.k.Shards = sharding.Copy(old)
-	sharding.Assign(b.k.Shards, sharding.Of(old, "vm-1", "a"), 101)
-	if b.k.AdoptShards(old); len(b.k.Machines()) != 0 {
+	b.dispatcher.Shards = sharding.Copy(old)
+	sharding.Assign(b.dispatcher.Shards, sharding.Of(old, "vm-1", "a"), 101)
+	if b.dispatcher.AdoptShards(old); len(b.dispatcher.Machines()) != 0 {
 		t.Error("kept though its share has moved")
 	}
 }
@@ -549,13 +555,13 @@
 		if heardFirst {
 			b.report("vm-1", 2, 1)
 		}
-		m := *b.k.Records["vm-1"]
+		m := *b.dispatcher.Records["vm-1"]
 		m.Record.Session, m.Epoch = 2, 8
-		b.k.Records["vm-1"] = &m
-		b.k.RecordUpdated(&m)
+		b.dispatcher.Records["vm-1"] = &m
+		b.dispatcher.RecordUpdated(&m)
 		b.report("vm-1", 2, 1)
 		b.job("job-1")
-		b.k.Place("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: "vm-1", Epoch: 8, CPUs: 1, GB: 1}}})
+		b.dispatcher.Place("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: "vm-1", Epoch: 8, CPUs: 1, GB: 1}}})
 		if r := b.report("vm-1", 2, 1); starts(r.Reply.Orders) != 1 {
 			t.Errorf("heard first %v: nothing is started", heardFirst)
 		}
@@ -571,9 +577,9 @@
 
 // pushed is the direct command that the keeper sends now; none if it sends none.
 func (b *bench) pushed() (c message.Command) {
-	b.k.Actions = nil
-	b.k.SendDirectCommands()
-	for _, a := range b.k.Actions {
+	b.dispatcher.Actions = nil
+	b.dispatcher.SendDirectCommands()
+	for _, a := range b.dispatcher.Actions {
 		if cmd, ok := a.(message.Command); ok {
 			c = cmd
 		}
@@ -584,8 +590,10 @@
 // answered gives the keeper the answer to a direct command, or none.
 func (b *bench) answered(c message.Command, executed bool, tasks ...protocol.TaskStatus) {
 	b.seq++
-	b.k.CommandDone(message.CommandDone{Machine: c.Machine, Term: c.Commands.Term, AgentEpoch: c.Commands.AgentEpoch, Orders: c.Commands.Orders, Answered: true, Executed: executed,
-		Heartbeat: protocol.Heartbeat{Machine: c.Machine, Type: "small", Zone: "a", AgentEpoch: 1, Seq: b.seq, Term: b.k.View.Term, Tasks: tasks}})
+	b.dispatcher.CommandDone(message.CommandDone{
+		Machine: c.Machine, Term: c.Commands.Term, AgentEpoch: c.Commands.AgentEpoch, Orders: c.Commands.Orders, Answered: true, Executed: executed,
+		Heartbeat: protocol.Heartbeat{Machine: c.Machine, Type: "small", Zone: "a", AgentEpoch: 1, Seq: b.seq, Term: b.dispatcher.View.Term, Tasks: tasks},
+	})
 }
 
 func has(os []protocol.Order, op protocol.Op) bool {
@@ -594,7 +602,7 @@
 
 // released reports whether an owner was told that a task's attempt never started.
 func (b *bench) released(task protocol.TaskID) bool {
-	return slices.ContainsFunc(b.k.Local, func(m message.PeerMessage) bool {
+	return slices.ContainsFunc(b.dispatcher.Local, func(m message.PeerMessage) bool {
 		return m.Event != nil && m.Event.What == message.EventReleased && m.Event.Task == task
 	})
 }
@@ -609,7 +617,7 @@
 		b.ready("vm-1")
 		cmd := b.direct("job-1")
 		task := protocol.TaskID{Job: "job-1"}
-		b.k.View.Term = 2 // raised, for something else
+		b.dispatcher.View.Term = 2 // raised, for something else
 		if r := b.report("vm-1", 1, 1); starts(r.Reply.Orders) != 1 {
 			t.Fatalf("not in the answer: %+v", r)
 		}
@@ -618,12 +626,12 @@
 		} else {
 			b.answered(cmd, false)
 		}
-		b.k.Local = nil
-		b.k.Drain("vm-1")
+		b.dispatcher.Local = nil
+		b.dispatcher.Drain("vm-1")
 		if b.released(task) {
 			t.Errorf("listed %v: released while it runs, or is about to", listed)
 		}
-		if e := b.k.queues["vm-1"].entries[task]; e == nil || !e.sent {
+		if e := b.queue("vm-1").entries[task]; e == nil || !e.sent {
 			t.Errorf("listed %v: taken for not there: %+v", listed, e)
 		}
 	}
@@ -636,11 +644,11 @@
 	b.ready("vm-1")
 	b.job("job-1")
 	b.place("job-1")
-	task, q := protocol.TaskID{Job: "job-1"}, b.k.queues["vm-1"]
-	q.quarantined = true // nothing is started
+	task, q := protocol.TaskID{Job: "job-1"}, b.queue("vm-1")
+	q.quarantine.active = true // nothing is started
 	b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
-	b.k.Local = nil
-	b.k.Drain("vm-1")
+	b.dispatcher.Local = nil
+	b.dispatcher.Drain("vm-1")
 	if len(q.waiting) != 0 || b.released(task) {
 		t.Errorf("waits, or is released, while it runs: %+v", q.waiting)
 	}
@@ -656,8 +664,8 @@
 	b.report("vm-1", 1, 1) // crosses the direct start; its answer brings it too
 	full := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndFull}
 	b.answered(cmd, true, full)
-	b.k.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
-	b.k.requestDirect(b.k.queues["vm-1"])
+	b.dispatcher.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
+	b.queue("vm-1").requestDirect()
 	if c := b.pushed(); has(c.Commands.Orders, protocol.OpForget) {
 		t.Error("reaped directly while a report's answer with its start is under way")
 	}
@@ -675,20 +683,20 @@
 	cmd := b.direct("job-1")
 	task := protocol.TaskID{Job: "job-1"}
 	b.report("vm-1", 1, 1) // the answer brings the start once more
-	b.k.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
+	b.dispatcher.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
 	done := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndDone}
 	b.report("vm-1", 1, 1, done)
-	b.k.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
-	if r := b.report("vm-1", 1, 1, done); has(r.Reply.Orders, protocol.OpForget) || b.k.NeedsNewTerm() {
+	b.dispatcher.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
+	if r := b.report("vm-1", 1, 1, done); has(r.Reply.Orders, protocol.OpForget) || b.dispatcher.NeedsNewTerm() {
 		t.Error("reaped, or a token asked for, at once")
 	}
-	b.k.Now += clock.Time(reapWait)
+	b.dispatcher.Now += clock.Time(reapTimeout)
 	b.report("vm-1", 1, 1, done)
-	b.k.Now += clock.Time(time.Second)
-	if b.report("vm-1", 1, 1, done); !b.k.NeedsNewTerm() {
+	b.dispatcher.Now += clock.Time(time.Second)
+	if b.report("vm-1", 1, 1, done); !b.dispatcher.NeedsNewTerm() {
 		t.Fatal("no later token is asked for")
 	}
-	b.k.View.Term = 2
+	b.dispatcher.View.Term = 2
 	b.report("vm-1", 1, 1, done)
 	if r := b.report("vm-1", 1, 2, done); !has(r.Reply.Orders, protocol.OpForget) {
 		t.Error("not reaped though its worker has seen a later token")
@@ -702,26 +710,26 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	cmd := b.direct("job-1")
-	q, task := b.k.queues["vm-1"], protocol.TaskID{Job: "job-1"}
-	b.k.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
-	b.k.requestDirect(q)
+	q, task := b.queue("vm-1"), protocol.TaskID{Job: "job-1"}
+	b.dispatcher.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
+	q.requestDirect()
 	if c := b.pushed(); starts(c.Commands.Orders) != 0 {
 		t.Error("sent again with the same token")
 	}
 	b.report("vm-1", 1, 1) // in the answer too
 	b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
-	b.k.Stop(message.Stop{TaskRef: message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"}, Kill: true})
+	b.dispatcher.Stop(message.Stop{TaskRef: message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"}, Kill: true})
 	kill := b.pushed()
 	if !has(kill.Commands.Orders, protocol.OpStop) {
 		t.Fatalf("not killed: %+v", kill)
 	}
 	stopped := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndStopped}
 	b.answered(kill, true, stopped)
-	b.k.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
+	b.dispatcher.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
 	if r := b.report("vm-1", 1, 1, stopped); has(r.Reply.Orders, protocol.OpForget) {
 		t.Error("reaped though the first direct start may still be executed")
 	}
-	b.k.View.Term = 2
+	b.dispatcher.View.Term = 2
 	b.report("vm-1", 1, 1, stopped)
 	if r := b.report("vm-1", 1, 2, stopped); !has(r.Reply.Orders, protocol.OpForget) {
 		t.Error("not reaped after the worker has seen a later token")
@@ -730,14 +738,14 @@
 	again := newBench(t)
 	again.ready("vm-1")
 	cmd = again.direct("job-1")
-	again.k.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
-	again.k.View.Term = 2
-	again.k.requestDirect(again.k.queues["vm-1"])
+	again.dispatcher.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
+	again.dispatcher.View.Term = 2
+	again.queue("vm-1").requestDirect()
 	if c := again.pushed(); starts(c.Commands.Orders) != 1 || c.Commands.Term != 2 {
 		t.Fatalf("not sent again with the later token: %+v", c)
 	}
 	again.report("vm-1", 1, 2) // the worker has seen it from elsewhere; the command is under way
-	if e := again.k.queues["vm-1"].entries[task]; e == nil || !e.sent {
+	if e := again.queue("vm-1").entries[task]; e == nil || !e.sent {
 		t.Errorf("taken for never started while its command is under way: %+v", e)
 	}
 }
@@ -754,9 +762,9 @@
 	sent := b.seq + 1
 	b.seq++
 	b.answered(cmd, true, running)
-	delete(b.k.Live, "job-1") // cancelled
-	b.k.MarkEnded("job-1")
-	b.k.Now += clock.Time(3 * time.Second)
+	delete(b.dispatcher.Live, "job-1") // cancelled
+	b.dispatcher.MarkEnded("job-1")
+	b.dispatcher.Now += clock.Time(3 * time.Second)
 	stale := func(session protocol.AgentEpoch, seq protocol.Seq) message.ReplyHeartbeat {
 		b.seq = seq - 1
 		return b.report("vm-1", session, 1, running)
@@ -765,8 +773,8 @@
 	if r.Status != 200 || !has(r.Reply.Orders, protocol.OpStop) {
 		t.Errorf("overtaken: %+v", r)
 	}
-	if q := b.k.queues["vm-1"]; q.lastAnswer != b.k.Now {
-		t.Errorf("answered at %v, counted at %v", b.k.Now, q.lastAnswer)
+	if q := b.queue("vm-1"); q.lastAnswer != b.dispatcher.Now {
+		t.Errorf("answered at %v, counted at %v", b.dispatcher.Now, q.lastAnswer)
 	}
 	if r := stale(1, sent); r.Status != 503 {
 		t.Errorf("a copy: %+v", r)
@@ -782,22 +790,22 @@
 func TestKilledWhileHandedOver(t *testing.T) {
 	b := newBench(t)
 	s := b.shared()
-	b.k.View.Members["node-1"] = 101
+	b.dispatcher.View.Members["node-1"] = 101
 	id := sharding.Of(s, "vm-1", "a")
 	b.machine("vm-1")
 	b.report("vm-1", 1, s.List[id].Epoch)
 	b.job("job-1")
 	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, State: protocol.TaskRunning}
 	b.report("vm-1", 1, s.List[id].Epoch, running)
-	b.k.HandOver(&message.MoveShards{Term: 1, Shares: []message.Tenured{{Share: int(id), Tenure: s.List[id].Since}}, To: "node-1"})
-	if !b.k.handingOver(b.k.queues["vm-1"]) {
+	b.dispatcher.HandOver(&message.MoveShards{Term: 1, Shares: []message.Tenured{{Share: int(id), Tenure: s.List[id].Since}}, To: "node-1"})
+	if !b.queue("vm-1").handingOver() {
 		t.Fatal("not handed over: nothing to test")
 	}
 	if r := b.report("vm-1", 1, s.List[id].Epoch, running); r.Status != 200 || len(r.Reply.Orders) != 0 {
 		t.Errorf("before the cancellation: %+v", r)
 	}
-	delete(b.k.Live, "job-1")
-	b.k.JobOver("job-1", false)
+	delete(b.dispatcher.Live, "job-1")
+	b.dispatcher.JobOver("job-1", false)
 	if r := b.report("vm-1", 1, s.List[id].Epoch, running); r.Status != 200 || !has(r.Reply.Orders, protocol.OpStop) {
 		t.Errorf("kept alive and not killed: %+v", r)
 	}
@@ -808,20 +816,20 @@
 func TestNobodyIsSilentDuringAnOutage(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	b.k.LeaseDeadline = b.k.Now
+	b.dispatcher.LeaseDeadline = b.dispatcher.Now
 	for range 40 {
-		b.k.Now += clock.Time(time.Second)
-		b.k.ExpireSilent(true, 0)
+		b.dispatcher.Now += clock.Time(time.Second)
+		b.dispatcher.ExpireSilent(true, 0)
 	}
-	b.k.LeaseDeadline = b.k.Now + clock.Time(time.Minute)
-	if b.k.ExpireSilent(true, 0); b.k.queues["vm-1"].silence != message.SilenceNone {
+	b.dispatcher.LeaseDeadline = b.dispatcher.Now + clock.Time(time.Minute)
+	if b.dispatcher.ExpireSilent(true, 0); b.queue("vm-1").silence != message.SilenceNone {
 		t.Error("taken for silent")
 	}
 	for range 30 {
-		b.k.Now += clock.Time(time.Second)
-		b.k.ExpireSilent(true, 0)
+		b.dispatcher.Now += clock.Time(time.Second)
+		b.dispatcher.ExpireSilent(true, 0)
 	}
-	if b.k.queues["vm-1"].silence != message.SilenceLong {
+	if b.queue("vm-1").silence != message.SilenceLong {
 		t.Error("not taken for silent when it is")
 	}
 }
--- /dev/null
+++ b/internal/controller/dispatcher/inspect.go
@@ -0,0 +1,88 @@
+package dispatcher
+
+import (
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/protocol"
+)
+
+// Attempt is the state of one attempt on a machine, for inspection.
+type Attempt struct {
+	message.TaskRef
+	Sent     bool // it may be on the machine
+	Present  bool // the worker has listed it
+	Ended    bool
+	Kill     bool
+	Reap     bool
+	Direct   protocol.Term // fencing token of a direct start that may be under way
+	Resent   bool
+	InAnswer bool
+}
+
+// Attempts lists the attempts that wait for a machine or are on it.
+func (d *Dispatcher) Attempts(id protocol.MachineID) (list []Attempt) {
+	q := d.queues.get(id)
+	if q == nil {
+		return nil
+	}
+	for _, e := range ordered.Tasks(q.entries) {
+		list = append(list, Attempt{
+			TaskRef:  message.TaskRef{Task: e.task, Attempt: e.attempt, Machine: id},
+			Sent:     e.sent,
+			Present:  e.present,
+			Ended:    e.ended(),
+			Kill:     e.kill,
+			Reap:     e.reap,
+			Direct:   e.directToken,
+			Resent:   e.startResent,
+			InAnswer: e.startInLastReply,
+		})
+	}
+	return list
+}
+
+// Machines lists the machines held here, in order.
+func (d *Dispatcher) Machines() (ids []protocol.MachineID) {
+	for _, q := range d.queues.inOrder() {
+		ids = append(ids, q.id)
+	}
+	return ids
+}
+
+// StateOf returns the published state of a machine, if it is held here.
+func (d *Dispatcher) StateOf(id protocol.MachineID) (message.MachineState, bool) {
+	q := d.queues.get(id)
+	if q == nil {
+		return message.MachineState{}, false
+	}
+	return q.publishedState(), true
+}
+
+// InventoriedMachines counts the machines held here that are registered and whose worker
+// has listed its attempts.
+func (d *Dispatcher) InventoriedMachines() (n int) {
+	for _, q := range d.queues.byMachine {
+		if q.inventoryKnown && q.recordVersion != 0 {
+			n++
+		}
+	}
+	return n
+}
+
+// HandledOf returns the number of the last Place handled of an owner.
+func (d *Dispatcher) HandledOf(owner protocol.NodeName) uint64 { return d.handledPlaces[owner] }
+
+// ChangedSince lists the machines whose published state has changed since a version of
+// this term's log, at most so many, and the version up to which that holds.
+func (d *Dispatcher) ChangedSince(from uint64, most int) ([]protocol.MachineID, uint64) {
+	return d.changes.Since(from, most)
+}
+
+// Changes returns the version of this term's log of changes.
+func (d *Dispatcher) Changes() uint64 { return d.changes.Version() }
+
+// NeedsNewTerm reports whether a start can only be settled by a later term.
+func (d *Dispatcher) NeedsNewTerm() bool { return d.newTermNeeded }
+
+// ShardsHeld counts the shards that this controller holds.
+func (d *Dispatcher) ShardsHeld() int { return d.shards.held() }
--- a/internal/controller/dispatcher/orders.go
+++ b/internal/controller/dispatcher/orders.go
@@ -5,148 +5,116 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
-	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
-// buildOrders fills an answer to a report, or direct commands: reaps first, so that room and
-// task ids are free, then kills, then starts in order of service while they fit. Each
-// start is noted by the way it goes, since each way is settled by other evidence.
-func (k *Dispatcher) buildOrders(q *queue, term protocol.Term, direct bool) []protocol.Order {
-	orders := []protocol.Order{}
-	start := func(e *entry) {
-		e.startResent = e.directToken != 0
-		if direct {
-			e.directToken = k.fencingToken(q)
-		} else {
-			e.startInLastReply = true
-		}
-		orders = append(orders, protocol.Order{Op: protocol.OpStart, Task: e.task, Attempt: e.attempt})
-	}
-	told := func(_ protocol.TaskID, e *entry) bool {
-		return e.present && (e.ended() || e.kill || k.Live[e.task.Job] == nil) || e.directToken != 0
-	}
-	for _, e := range ordered.TasksWhere(q.entries, told) {
-		live := k.Live[e.task.Job] != nil
-		switch {
-		case !e.present:
-			// Directly once more only with a later token. With the same one, the
-			// answer to the second would settle it while the first may be executed
-			// still; noted with the first one's, it would be taken for settled by a
-			// worker that has seen the second's from elsewhere.
-			if e.sent && e.directToken != 0 && k.MayStart(e.task.Job) && !k.outdated(e) && !e.kill && (!direct || k.fencingToken(q) > e.directToken) {
-				start(e)
-			}
-		case e.ended() && (e.reap || !live):
-			// After a reap the worker no longer knows the attempt: a start that is
-			// still under way, directly or in an answer, would run it again.
-			switch underWay := e.directToken != 0 && term <= e.directToken; {
-			case !underWay && !e.startInLastReply:
-				orders = append(orders, protocol.Order{Op: protocol.OpForget, Task: e.task, Attempt: e.attempt})
-			case !underWay || direct:
-			case e.reapSince == 0:
-				e.reapSince = k.Now
-			case k.Since(e.reapSince) > reapWait:
-				// No token rose for something else. Kept on, the attempt would keep its
-				// machine from being returned, drained or not, for as long as none does.
-				e.reapSince = k.Now
-				k.settleDirect(q, e)
-			}
-		case !e.ended() && (e.kill || !live):
-			grace := e.graceS
-			if !live {
-				grace = 0
-			}
-			orders = append(orders, protocol.Order{Op: protocol.OpStop, Task: e.task, Attempt: e.attempt, GraceS: &grace})
-		}
+// reapTimeout is how long an attempt that has ended, and of which a direct start may be
+// under way, waits for its shard's token to rise for another reason.
+const reapTimeout = 15 * time.Second
+
+// orderBuilder collects the orders of one reply to a heartbeat, or of one message of
+// direct commands.
+type orderBuilder struct {
+	*queue
+	// tokenSeen is the token that the worker's heartbeat says to have seen; 0 for direct
+	// commands.
+	tokenSeen protocol.Term
+	direct    bool
+	orders    []protocol.Order
+}
+
+// buildOrders fills a reply to a heartbeat, or direct commands: first the attempts to
+// forget, so that resources and task ids are free, then those to stop, then starts in
+// order of service while they fit. Each start is noted by the way it goes, since each way
+// is settled by other evidence.
+func (q *queue) buildOrders(tokenSeen protocol.Term, direct bool) []protocol.Order {
+	b := orderBuilder{queue: q, tokenSeen: tokenSeen, direct: direct, orders: []protocol.Order{}}
+	for _, e := range ordered.TasksWhere(q.entries, b.needsOrder) {
+		b.addOrder(e)
 	}
-	slices.SortStableFunc(orders, func(a, b protocol.Order) int {
-		return cmp.Compare(orderRank(a.Op), orderRank(b.Op))
+	slices.SortStableFunc(b.orders, func(x, y protocol.Order) int {
+		return cmp.Compare(orderRank(x.Op), orderRank(y.Op))
 	})
-	for _, e := range k.startable(q) {
+	for _, e := range q.takeStartable() {
 		e.sent = true
-		start(e)
-		k.Log.Debug("start", "machine", q.id, "task", e.task, "attempt", e.attempt)
+		b.start(e)
+		q.Log.Debug("start", "machine", q.id, "task", e.task, "attempt", e.attempt)
 	}
-	return orders
+	return b.orders
 }
 
-// reapWait is how long an attempt that has ended, and of which a direct start may be
-// under way, waits for its share's token to rise for something else.
-const reapWait = 15 * time.Second
+// needsOrder picks the attempts that may need an order, of those that have been sent.
+func (b *orderBuilder) needsOrder(_ protocol.TaskID, e *entry) bool {
+	return e.present && (e.ended() || e.kill || b.Live[e.task.Job] == nil) || e.directToken != 0
+}
 
-// startable takes from the queue what fits the free room.
-func (k *Dispatcher) startable(q *queue) []*entry {
-	if q.recordVersion == 0 || q.draining || q.noticeSeconds != nil || q.quarantined || len(q.waiting) == 0 || k.closed(q) {
-		return nil
-	}
-	var out []*entry
-	free := q.free()
-	k.sortWaiting(q)
-	held := false // the first that does not fit has been passed
-	for i := 0; i < len(q.waiting); {
-		e := q.waiting[i]
-		j := k.Live[e.task.Job]
-		if !k.MayStart(e.task.Job) {
-			break // its record has not arrived yet, or that of its end
-		}
-		if k.outdated(e) {
-			k.dropWaiting(q, e)
-			k.notifyOwner(q, e, message.EventReleased)
-			continue
-		}
-		e.need = resource.Need(&j.Job)
-		later, reserved := k.mayStartOn(q, e, j, free)
-		if !free.Covers(e.need) || later == startSoon || held && !reserved {
-			if len(k.Reservations.Holds[q.id]) == 0 && later != startSoon {
-				break // first come, first served: what is behind waits too
-			}
-			held = true // but for what room is held here for
-			i++
-			continue
+func (b *orderBuilder) addOrder(e *entry) {
+	live := b.Live[e.task.Job] != nil
+	switch {
+	case !e.present:
+		if b.mayResend(e) {
+			b.start(e)
 		}
-		if later == startElsewhere {
-			k.dropWaiting(q, e)
-			k.notifyOwner(q, e, message.EventReleased)
-			continue
+	case e.ended() && (e.reap || !live):
+		b.forget(e)
+	case !e.ended() && (e.kill || !live):
+		grace := e.graceSeconds
+		if !live {
+			grace = 0
 		}
-		free = free.Minus(e.need)
-		if i == 0 {
-			q.waiting = q.waiting[1:] // as a rule; the queue may be long
-		} else {
-			q.waiting = slices.Delete(q.waiting, i, i+1)
-		}
-		q.idleSince = k.Now
-		k.touch(q)
-		out = append(out, e)
+		b.orders = append(b.orders, protocol.Order{Op: protocol.OpStop, Task: e.task, Attempt: e.attempt, GraceS: &grace})
 	}
-	return out
 }
 
-func orderRank(op protocol.Op) int {
-	if op == protocol.OpForget {
-		return 0
+// mayResend reports whether an unanswered direct start may be sent a second time:
+// directly only with a later token. With the same one, the answer to the second would
+// settle it while the first may be executed still; noted with the first one's, it would
+// be taken for settled by a worker that has seen the second's from elsewhere.
+func (b *orderBuilder) mayResend(e *entry) bool {
+	if !e.sent || e.directToken == 0 || e.kill {
+		return false
 	}
-	return 1
+	if !b.MayStart(e.task.Job) || b.outdated(e) {
+		return false
+	}
+	return !b.direct || b.fencingToken() > e.directToken
 }
 
-// sortWaiting keeps the higher level first, then what is due first, then the
-// lastArrival of arrival.
-func (k *Dispatcher) sortWaiting(q *queue) {
-	if q.sorted {
-		return
+// start adds the start of an attempt.
+func (b *orderBuilder) start(e *entry) {
+	e.startResent = e.directToken != 0
+	if b.direct {
+		e.directToken = b.fencingToken()
+	} else {
+		e.startInLastReply = true
 	}
-	q.sorted = true
-	for _, e := range q.waiting {
-		if l := k.Live[e.task.Job]; l != nil {
-			e.deadline = l.Deadline
-		} else {
-			q.sorted = false // its record has not arrived yet
-		}
+	b.orders = append(b.orders, protocol.Order{Op: protocol.OpStart, Task: e.task, Attempt: e.attempt})
+}
+
+// forget has the worker forget an attempt that has ended. After that the worker no longer
+// knows the attempt: a start that is still under way, directly or in a reply, would run
+// it again.
+func (b *orderBuilder) forget(e *entry) {
+	underWay := e.directToken != 0 && b.tokenSeen <= e.directToken
+	switch {
+	case !underWay && !e.startInLastReply:
+		b.orders = append(b.orders, protocol.Order{Op: protocol.OpForget, Task: e.task, Attempt: e.attempt})
+	case !underWay || b.direct:
+	case e.reapSince == 0:
+		e.reapSince = b.Now
+	case b.Since(e.reapSince) > reapTimeout:
+		// No token rose for another reason. Kept on, the attempt would keep its machine
+		// from being terminated, drained or not, for as long as none does.
+		e.reapSince = b.Now
+		b.settleDirectStart(e)
 	}
-	slices.SortStableFunc(q.waiting, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.level, a.level), cmp.Compare(a.deadline, b.deadline), cmp.Compare(a.arrival, b.arrival))
-	})
+}
+
+// orderRank puts the attempts to forget before all other orders.
+func orderRank(op protocol.Op) int {
+	if op == protocol.OpForget {
+		return 0
+	}
+	return 1
 }
