--- a/internal/controller/dispatcher/configuration_test.go
+++ b/internal/controller/dispatcher/configuration_test.go
@@ -8,8 +8,8 @@
 	"damsonkeel/internal/record"
 )
 
-// lowered has the limit of a team lowered by a revision.
-func (b *bench) lowered(revision record.ConfigurationRevision, version protocol.Version) {
+// lowerLimit has the limit of a team lowered by a revision.
+func (b *bench) lowerLimit(revision record.ConfigurationRevision, version protocol.Version) {
 	id := record.NewEntryID(record.EntryTeam, "bound")
 	b.dispatcher.Configuration.TakeEntry(id, record.ConfigurationEntry{Revision: revision, Team: &record.TeamEntry{MaxCPUs: 2, Lowered: revision}})
 	b.dispatcher.Configuration.TakeHead(record.Configuration{Revision: revision, Entries: []record.EntryID{id}}, version)
@@ -28,28 +28,28 @@
 // and would be sent again.
 func TestOutdatedIsNotStarted(t *testing.T) {
 	b := newBench(t)
-	b.ready("vm-1")
+	b.ready()
 	b.placeBy("job-waits", 0)
-	b.lowered(1, 5)
+	b.lowerLimit(1, 5)
 	b.placeBy("job-late", 0)
 	b.placeBy("job-new", 1)
-	r := b.report("vm-1", 1, 1)
+	r := b.heartbeat(1, 1)
 	if n := starts(r.Reply.Orders); n != 1 || r.Reply.Orders[len(r.Reply.Orders)-1].Task.Job != "job-new" {
 		t.Errorf("%d starts: %+v", n, r.Reply.Orders)
 	}
 
 	b = newBench(t)
-	b.ready("vm-1")
+	b.ready()
 	b.placeBy("job-sent", 0)
 	b.dispatcher.SendDirectCommands()
 	task := protocol.TaskID{Job: "job-sent"}
-	if e := b.queue("vm-1").entries[task]; e == nil || !e.sent || e.directToken == 0 {
+	if e := b.queue().entries[task]; e == nil || !e.sent || e.directFencingToken == 0 {
 		t.Fatalf("not sent directly: %+v", e)
 	}
-	b.queue("vm-1").directInFlight = false // its answer does not come
-	b.dispatcher.View.Term = 2             // a later token: it would be sent again
-	b.lowered(1, 5)
-	if n := starts(b.queue("vm-1").buildOrders(1, true)); n != 0 {
+	b.queue().directInFlight = false // its answer does not come
+	b.dispatcher.View.Term = 2       // a later token: it would be sent again
+	b.lowerLimit(1, 5)
+	if n := starts(b.queue().buildOrders(1, true)); n != 0 {
 		t.Errorf("%d starts are sent again", n)
 	}
 }
--- a/internal/controller/dispatcher/directcommands.go
+++ b/internal/controller/dispatcher/directcommands.go
@@ -114,8 +114,8 @@
 // way any more.
 func (q *queue) settleAnswered(m *message.CommandDone) {
 	for _, o := range m.Orders {
-		if e := q.startedBy(o); e != nil && e.directToken == m.Term {
-			e.directToken = 0
+		if e := q.startedBy(o); e != nil && e.directFencingToken == m.Term {
+			e.directFencingToken = 0
 		}
 	}
 }
@@ -125,7 +125,7 @@
 // will.
 func (q *queue) requeueRefused(orders []protocol.Order) {
 	for _, o := range orders {
-		if e := q.startedBy(o); e != nil && e.sent && !e.present && e.directToken == 0 && !e.startInLastReply {
+		if e := q.startedBy(o); e != nil && e.sent && !e.present && e.directFencingToken == 0 && !e.startInLastReply {
 			q.requeue(e)
 		}
 	}
@@ -137,12 +137,12 @@
 // from then on. While the worker is silent no token settles anything, and most that stay
 // silent are lost.
 func (q *queue) settleDirectStart(e *entry) {
-	if q.directInFlight || e.directToken != q.fencingToken() {
+	if q.directInFlight || e.directFencingToken != q.fencingToken() {
 		return
 	}
-	q.Log.Info("a direct start had no answer: raising its token", "machine", q.id, "task", e.task, "token", e.directToken)
+	q.Log.Info("a direct start had no answer: raising its token", "machine", q.id, "task", e.task, "token", e.directFencingToken)
 	if q.Sharded() {
-		q.shards.requestRaise(q.shard(), e.directToken)
+		q.shards.requestRaise(q.shard(), e.directFencingToken)
 	} else {
 		q.newTermNeeded = true
 	}
--- a/internal/controller/dispatcher/entry.go
+++ b/internal/controller/dispatcher/entry.go
@@ -27,9 +27,9 @@
 	configuration record.ConfigurationRevision
 
 	sent bool
-	// directToken is the fencing token of a direct start that has no answer: the start
+	// directFencingToken is the fencing token of a direct start that has no answer: the start
 	// may be executed until the worker sees a later token. 0: none.
-	directToken protocol.Term
+	directFencingToken protocol.Term
 	// startResent is set once its start has been sent a second way too: that the attempt
 	// is there does not tell which of them arrived.
 	startResent bool
@@ -43,10 +43,10 @@
 	checkpointed bool
 	kill         bool
 	graceSeconds float64
-	reap         bool // its owner has dealt with its end: the worker may forget it
-	// reapSince is since when forgetting it waits for a start that may be under way.
-	reapSince clock.Time
-	noticed   bool // its owner knows of the machine's termination notice
+	forget       bool // its owner has dealt with its end: the worker may forget it
+	// forgetSince is since when forgetting it waits for a start that may be under way.
+	forgetSince clock.Time
+	noticed     bool // its owner knows of the machine's termination notice
 }
 
 func (e *entry) ended() bool { return e.state == protocol.TaskEnded }
--- a/internal/controller/dispatcher/estimates.go
+++ b/internal/controller/dispatcher/estimates.go
@@ -52,9 +52,9 @@
 }
 
 // reservationFor is the first reservation that is for a job; none if there is none.
-func (q *queue) reservationFor(job *protocol.Job) (name reservation.Name) {
-	for _, hold := range q.Reservations.List {
-		if reservation.Matches(q.ReservationOf(hold.For), job) {
+func (env *environment) reservationFor(job *protocol.Job) (name reservation.Name) {
+	for _, hold := range env.Reservations.List {
+		if reservation.Matches(env.ReservationOf(hold.For), job) {
 			return hold.For
 		}
 	}
--- /dev/null
+++ b/internal/controller/dispatcher/handover_test.go
@@ -0,0 +1,54 @@
+package dispatcher
+
+import (
+	"testing"
+
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/sharding"
+	"damsonkeel/internal/protocol"
+)
+
+// TestKilledWhileHandedOver: the handover of a shard may last for as long as the state
+// service takes; leases of its workers are renewed, and what is cancelled there is killed
+// all the same.
+func TestKilledWhileHandedOver(t *testing.T) {
+	b := newBench(t)
+	s := b.holdAllShards()
+	b.dispatcher.View.Members["node-1"] = 101
+	id := sharding.Of(s, "vm-1", "a")
+	b.machine()
+	b.heartbeat(1, s.List[id].Epoch)
+	b.job("job-1")
+	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, State: protocol.TaskRunning}
+	b.heartbeat(1, s.List[id].Epoch, running)
+	b.dispatcher.HandOver(&message.MoveShards{Term: 1, Shares: []message.Tenured{{Share: int(id), Tenure: s.List[id].Since}}, To: "node-1"})
+	if !b.queue().handingOver() {
+		t.Fatal("not handed over: nothing to test")
+	}
+	if r := b.heartbeat(1, s.List[id].Epoch, running); r.Status != 200 || len(r.Reply.Orders) != 0 {
+		t.Errorf("before the cancellation: %+v", r)
+	}
+	delete(b.dispatcher.Live, "job-1")
+	b.dispatcher.JobOver("job-1", false)
+	if r := b.heartbeat(1, s.List[id].Epoch, running); r.Status != 200 || !has(r.Reply.Orders, protocol.OpStop) {
+		t.Errorf("lease renewed and not killed: %+v", r)
+	}
+}
+
+// TestQueueOfAHeldBackReport: the first heartbeat of a machine may be one that the
+// network delayed, of an agent epoch that is over. Its queue is dropped with its shard all
+// the same. One that stayed had a machine taken for silent that another controller held.
+func TestQueueOfAHeldBackReport(t *testing.T) {
+	b := newBench(t)
+	old := b.holdAllShards()
+	b.dispatcher.agentEpochFloor["vm-1"] = 2
+	b.heartbeat(1, 0)
+	if len(b.dispatcher.Machines()) != 1 {
+		t.Fatal("no queue: nothing to test")
+	}
+	b.dispatcher.Shards = sharding.Copy(old)
+	sharding.Assign(b.dispatcher.Shards, sharding.Of(old, "vm-1", "a"), 101)
+	if b.dispatcher.AdoptShards(old); len(b.dispatcher.Machines()) != 0 {
+		t.Error("held though its shard has moved")
+	}
+}
--- a/internal/controller/dispatcher/handoverin.go
+++ b/internal/controller/dispatcher/handoverin.go
@@ -103,7 +103,7 @@
 	}
 	q := d.addQueue(h.Machine, m.Record.Zone)
 	q.applyRecord(m)
-	q.agentEpoch, q.lastSeq, q.tokenSeen = max(q.agentEpoch, h.Session), h.Seq, h.Seen
+	q.agentEpoch, q.lastSeq, q.fencingTokenSeen = max(q.agentEpoch, h.Session), h.Seq, h.Seen
 	if q.agentEpoch != h.Session {
 		return // nothing of an earlier agent epoch runs any more
 	}
@@ -139,27 +139,27 @@
 // entryOfHandover returns the entry of an attempt that was handed over.
 func entryOfHandover(h *message.HandoverEntry, now clock.Time) *entry {
 	e := &entry{
-		task:          h.Task,
-		attempt:       h.Attempt,
-		estimate:      h.EstimateS,
-		need:          h.Need,
-		queuedSince:   now - clock.Time(h.Age),
-		level:         h.Level,
-		levelGuessed:  h.Guessed,
-		inGang:        h.Together,
-		placedBy:      h.From,
-		configuration: h.Configuration,
-		sent:          h.Sent,
-		directToken:   h.Direct,
-		startResent:   h.Direct != 0, // perhaps
-		present:       h.Present,
-		state:         h.State,
-		cause:         h.Cause,
-		checkpointed:  h.Saved,
-		kill:          h.Kill,
-		graceSeconds:  h.GraceS,
-		reap:          h.Reap,
-		noticed:       h.Noticed,
+		task:               h.Task,
+		attempt:            h.Attempt,
+		estimate:           h.EstimateS,
+		need:               h.Need,
+		queuedSince:        now - clock.Time(h.Age),
+		level:              h.Level,
+		levelGuessed:       h.Guessed,
+		inGang:             h.Together,
+		placedBy:           h.From,
+		configuration:      h.Configuration,
+		sent:               h.Sent,
+		directFencingToken: h.Direct,
+		startResent:        h.Direct != 0, // perhaps
+		present:            h.Present,
+		state:              h.State,
+		cause:              h.Cause,
+		checkpointed:       h.Saved,
+		kill:               h.Kill,
+		graceSeconds:       h.GraceS,
+		forget:             h.Reap,
+		noticed:            h.Noticed,
 	}
 	if h.Ran >= 0 {
 		e.runningSince = now - clock.Time(h.Ran)
--- a/internal/controller/dispatcher/heartbeat.go
+++ b/internal/controller/dispatcher/heartbeat.go
@@ -34,8 +34,8 @@
 		q.register(&r)
 	}
 	q.applyHeartbeat(&r, true)
-	q.exclusive = q.exclusive || r.Term >= q.firstOwnToken()
-	q.tokenSeen = max(q.tokenSeen, r.Term)
+	q.exclusive = q.exclusive || r.Term >= q.firstOwnFencingToken()
+	q.fencingTokenSeen = max(q.fencingTokenSeen, r.Term)
 	d.sendInventoryIfDue(q)
 	q.directRequested = false
 	reply.Orders = q.buildOrders(r.Term, false)
@@ -60,11 +60,11 @@
 }
 
 // rejectHeartbeat replies that this controller does not renew a worker's lease.
-func (e *environment) rejectHeartbeat() {
-	e.Emit(message.ReplyHeartbeat{Status: http.StatusServiceUnavailable})
+func (env *environment) rejectHeartbeat() {
+	env.Emit(message.ReplyHeartbeat{Status: http.StatusServiceUnavailable})
 }
 
-// noteContact notes who the worker is, and that it is heard and answered now.
+// noteContact notes who the worker is, and that it is in contact and answered now.
 func (q *queue) noteContact(r *protocol.Heartbeat, machineType protocol.TypeInfo) {
 	q.machineType, q.address, q.zone = machineType, r.Address, r.Zone
 	if r.AgentEpoch > q.agentEpoch {
--- a/internal/controller/dispatcher/inspect.go
+++ b/internal/controller/dispatcher/inspect.go
@@ -32,8 +32,8 @@
 			Present:  e.present,
 			Ended:    e.ended(),
 			Kill:     e.kill,
-			Reap:     e.reap,
-			Direct:   e.directToken,
+			Reap:     e.forget,
+			Direct:   e.directFencingToken,
 			Resent:   e.startResent,
 			InAnswer: e.startInLastReply,
 		})
--- a/internal/controller/dispatcher/inventory.go
+++ b/internal/controller/dispatcher/inventory.go
@@ -66,7 +66,7 @@
 }
 
 // mayRunEndedJobs reports whether attempts of jobs that are over may still run here. The
-// inventory waits for their end: it tells the owners of teams with a limit that nothing
+// inventory waits for their end: it proves to the owners of teams with a limit that nothing
 // but what it lists counts against the limit.
 func (q *queue) mayRunEndedJobs() bool {
 	for id, e := range q.entries {
--- a/internal/controller/dispatcher/orders.go
+++ b/internal/controller/dispatcher/orders.go
@@ -9,27 +9,27 @@
 	"damsonkeel/internal/protocol"
 )
 
-// reapTimeout is how long an attempt that has ended, and of which a direct start may be
+// forgetTimeout is how long an attempt that has ended, and of which a direct start may be
 // under way, waits for its shard's token to rise for another reason.
-const reapTimeout = 15 * time.Second
+const forgetTimeout = 15 * time.Second
 
 // orderBuilder collects the orders of one reply to a heartbeat, or of one message of
 // direct commands.
 type orderBuilder struct {
 	*queue
-	// tokenSeen is the token that the worker's heartbeat says to have seen; 0 for direct
+	// fencingTokenSeen is the token that the worker's heartbeat says to have seen; 0 for direct
 	// commands.
-	tokenSeen protocol.Term
-	direct    bool
-	orders    []protocol.Order
+	fencingTokenSeen protocol.Term
+	direct           bool
+	orders           []protocol.Order
 }
 
 // buildOrders fills a reply to a heartbeat, or direct commands: first the attempts to
 // forget, so that resources and task ids are free, then those to stop, then starts in
 // order of service while they fit. Each start is noted by the way it goes, since each way
 // is settled by other evidence.
-func (q *queue) buildOrders(tokenSeen protocol.Term, direct bool) []protocol.Order {
-	b := orderBuilder{queue: q, tokenSeen: tokenSeen, direct: direct, orders: []protocol.Order{}}
+func (q *queue) buildOrders(fencingTokenSeen protocol.Term, direct bool) []protocol.Order {
+	b := orderBuilder{queue: q, fencingTokenSeen: fencingTokenSeen, direct: direct, orders: []protocol.Order{}}
 	for _, e := range ordered.TasksWhere(q.entries, b.needsOrder) {
 		b.addOrder(e)
 	}
@@ -46,7 +46,7 @@
 
 // needsOrder picks the attempts that may need an order, of those that have been sent.
 func (b *orderBuilder) needsOrder(_ protocol.TaskID, e *entry) bool {
-	return e.present && (e.ended() || e.kill || b.Live[e.task.Job] == nil) || e.directToken != 0
+	return e.present && (e.ended() || e.kill || b.Live[e.task.Job] == nil) || e.directFencingToken != 0
 }
 
 func (b *orderBuilder) addOrder(e *entry) {
@@ -56,7 +56,7 @@
 		if b.mayResend(e) {
 			b.start(e)
 		}
-	case e.ended() && (e.reap || !live):
+	case e.ended() && (e.forget || !live):
 		b.forget(e)
 	case !e.ended() && (e.kill || !live):
 		grace := e.graceSeconds
@@ -72,20 +72,20 @@
 // settle it while the first may be executed still; noted with the first one's, it would
 // be taken for settled by a worker that has seen the second's from elsewhere.
 func (b *orderBuilder) mayResend(e *entry) bool {
-	if !e.sent || e.directToken == 0 || e.kill {
+	if !e.sent || e.directFencingToken == 0 || e.kill {
 		return false
 	}
 	if !b.MayStart(e.task.Job) || b.outdated(e) {
 		return false
 	}
-	return !b.direct || b.fencingToken() > e.directToken
+	return !b.direct || b.fencingToken() > e.directFencingToken
 }
 
 // start adds the start of an attempt.
 func (b *orderBuilder) start(e *entry) {
-	e.startResent = e.directToken != 0
+	e.startResent = e.directFencingToken != 0
 	if b.direct {
-		e.directToken = b.fencingToken()
+		e.directFencingToken = b.fencingToken()
 	} else {
 		e.startInLastReply = true
 	}
@@ -96,17 +96,17 @@
 // knows the attempt: a start that is still under way, directly or in a reply, would run
 // it again.
 func (b *orderBuilder) forget(e *entry) {
-	underWay := e.directToken != 0 && b.tokenSeen <= e.directToken
+	underWay := e.directFencingToken != 0 && b.fencingTokenSeen <= e.directFencingToken
 	switch {
 	case !underWay && !e.startInLastReply:
 		b.orders = append(b.orders, protocol.Order{Op: protocol.OpForget, Task: e.task, Attempt: e.attempt})
 	case !underWay || b.direct:
-	case e.reapSince == 0:
-		e.reapSince = b.Now
-	case b.Since(e.reapSince) > reapTimeout:
-		// No token rose for another reason. Kept on, the attempt would keep its machine
+	case e.forgetSince == 0:
+		e.forgetSince = b.Now
+	case b.Since(e.forgetSince) > forgetTimeout:
+		// No token rose for another reason. Retained, the attempt would keep its machine
 		// from being terminated, drained or not, for as long as none does.
-		e.reapSince = b.Now
+		e.forgetSince = b.Now
 		b.settleDirectStart(e)
 	}
 }
--- a/internal/controller/dispatcher/ownerevents.go
+++ b/internal/controller/dispatcher/ownerevents.go
@@ -2,20 +2,8 @@
 
 import (
 	"damsonkeel/internal/controller/message"
-	"damsonkeel/internal/protocol"
 )
 
-// ownerOf is the owner of an attempt's job: by its record, or, before that has arrived
-// here, the controller that placed it. Without the latter, a dispatcher whose watch lags
-// would leave queued attempts out of an inventory, and their owner would take them for
-// lost.
-func (q *queue) ownerOf(e *entry) protocol.NodeName {
-	if job := q.Live[e.task.Job]; job != nil {
-		e.placedBy = q.OwnerOf(job)
-	}
-	return e.placedBy
-}
-
 // notifyOwner sends an event to the present owner of an attempt's job.
 func (q *queue) notifyOwner(e *entry, kind message.EventKind) {
 	q.touch()
--- a/internal/controller/dispatcher/placement.go
+++ b/internal/controller/dispatcher/placement.go
@@ -103,7 +103,7 @@
 	}
 	if q := d.queues.get(r.Machine); q != nil {
 		if e := q.entries[r.Task]; e != nil && e.attempt == r.Attempt && e.ended() {
-			e.reap = true
+			e.forget = true
 		}
 	}
 }
--- a/internal/controller/dispatcher/published.go
+++ b/internal/controller/dispatcher/published.go
@@ -77,7 +77,8 @@
 		}
 	}
 	q.runs = q.reservationRuns()
-	q.published, q.publishedValid = summary.finish(), true
+	summary.finish()
+	q.published, q.publishedValid = summary.state, true
 	q.preemptible = summary.preemptible()
 }
 
@@ -146,9 +147,9 @@
 	s.state.Queue[e.level] += e.estimate * e.need.CPUs
 }
 
-// finish rounds the sums, which were added up in no order, and returns the state.
-func (s *stateSummary) finish() message.MachineState {
-	state := s.state
+// finish rounds the sums, which were added up in no order, and completes the state.
+func (s *stateSummary) finish() {
+	state := &s.state
 	free := s.free.Round()
 	state.Wait = resource.Round(state.Wait)
 	for i := range state.Queue {
@@ -162,7 +163,6 @@
 	state.Ending.GB = resource.Round(state.Ending.GB)
 	state.FreeCPUs, state.FreeGPUs, state.FreeGB = free.CPUs, free.GPUs, free.GB
 	state.Uses = message.LevelUses(&s.uses)
-	return state
 }
 
 // preemptible reports whether something present might be stopped for something that waits.
--- a/internal/controller/dispatcher/queue.go
+++ b/internal/controller/dispatcher/queue.go
@@ -20,21 +20,20 @@
 	machineType protocol.TypeInfo
 	address     string
 
-	agentEpoch   protocol.AgentEpoch // the newest seen
-	lastSeq      protocol.Seq        // of the newest heartbeat or answer to direct commands
-	heartbeatSeq protocol.Seq        // of the newest heartbeat
-	tokenSeen    protocol.Term       // the highest fencing token that the worker has said to have seen
-	lastAnswer   clock.Time
-	everSeen     bool
-	silence      message.Silence
+	agentEpoch       protocol.AgentEpoch // the newest seen
+	lastSeq          protocol.Seq        // of the newest heartbeat or answer to direct commands
+	heartbeatSeq     protocol.Seq        // of the newest heartbeat
+	fencingTokenSeen protocol.Term       // the highest fencing token that the worker has said to have seen
+	lastAnswer       clock.Time
+	everSeen         bool
+	silence          message.Silence
 
 	recordVersion protocol.Version // of the machine's record; 0: not registered
 	requests      recordRequests
 
-	entries       map[protocol.TaskID]*entry // changed by addEntry and removeEntry alone
-	attemptsOfJob map[protocol.JobID]int     // how many of these
-	waiting       []*entry                   // never sent, in order of service once sorted
-	sorted        bool
+	entrySet
+	waiting []*entry // never sent, in order of service once sorted
+	sorted  bool
 
 	published      message.MachineState // what peers are sent
 	publishedValid bool                 // published and preemptible are up to date
@@ -60,14 +59,13 @@
 
 func newQueue(env *environment, id protocol.MachineID, zone protocol.Zone) *queue {
 	return &queue{
-		environment:   env,
-		id:            id,
-		zone:          zone,
-		entries:       map[protocol.TaskID]*entry{},
-		attemptsOfJob: map[protocol.JobID]int{},
-		lastAnswer:    env.Now,
-		idleSince:     env.Now,
-		quarantine:    newQuarantine(),
+		environment: env,
+		id:          id,
+		zone:        zone,
+		entrySet:    newEntrySet(),
+		lastAnswer:  env.Now,
+		idleSince:   env.Now,
+		quarantine:  newQuarantine(),
 	}
 }
 
@@ -91,7 +89,7 @@
 	q.agentEpoch, q.lastSeq, q.heartbeatSeq = epoch, 0, 0
 	q.recordVersion, q.exclusive = 0, false
 	q.touch()
-	q.entries, q.attemptsOfJob = map[protocol.TaskID]*entry{}, map[protocol.JobID]int{}
+	q.entrySet = newEntrySet()
 	q.waiting = nil
 	q.noticeSeconds = nil
 	q.images = nil
@@ -102,25 +100,6 @@
 	return q.draining || q.quarantine.active || q.noticeSeconds != nil
 }
 
-// addEntry adds an attempt, in place of another of its task if there is one.
-func (q *queue) addEntry(e *entry) {
-	if q.entries[e.task] == nil {
-		q.attemptsOfJob[e.task.Job]++
-	}
-	q.entries[e.task] = e
-}
-
-// removeEntry forgets a task's attempt.
-func (q *queue) removeEntry(id protocol.TaskID) {
-	if q.entries[id] == nil {
-		return
-	}
-	delete(q.entries, id)
-	if q.attemptsOfJob[id.Job]--; q.attemptsOfJob[id.Job] == 0 {
-		delete(q.attemptsOfJob, id.Job)
-	}
-}
-
 // enqueue adds an attempt to those that wait.
 func (q *queue) enqueue(e *entry) {
 	q.waiting, q.sorted = append(q.waiting, e), false
--- a/internal/controller/dispatcher/reconcile.go
+++ b/internal/controller/dispatcher/reconcile.go
@@ -19,9 +19,9 @@
 		}
 	}
 	listed := make(map[protocol.TaskID]bool, len(r.Tasks))
-	for _, t := range r.Tasks {
-		listed[t.Task] = true
-		q.applyListedTask(t)
+	for i := range r.Tasks {
+		listed[r.Tasks[i].Task] = true
+		q.applyListedTask(&r.Tasks[i])
 	}
 	missing := func(id protocol.TaskID, e *entry) bool { return !listed[id] && (e.sent || e.present) }
 	for id, e := range ordered.TasksWhere(q.entries, missing) {
@@ -34,7 +34,7 @@
 }
 
 // applyListedTask takes over the status of an attempt that the worker lists.
-func (q *queue) applyListedTask(t protocol.TaskStatus) {
+func (q *queue) applyListedTask(t *protocol.TaskStatus) {
 	e := q.entries[t.Task]
 	if e == nil || e.attempt != t.Attempt {
 		if e != nil && !e.sent && !e.present {
@@ -51,7 +51,7 @@
 
 // foundEntry returns the entry of an attempt that was found on the machine. Its level is
 // a guess: its owner would know.
-func (q *queue) foundEntry(t protocol.TaskStatus) *entry {
+func (q *queue) foundEntry(t *protocol.TaskStatus) *entry {
 	e := &entry{task: t.Task, attempt: t.Attempt, queuedSince: q.Now, level: resource.Levels - 1}
 	if job := q.Live[t.Task.Job]; job != nil {
 		e.estimate, e.need = q.Estimate(&job.Job), resource.Need(&job.Job)
@@ -63,7 +63,7 @@
 
 // replaceWithUnexpected releases a waiting attempt of a task of which the worker lists
 // another one, and has that one end.
-func (q *queue) replaceWithUnexpected(e *entry, t protocol.TaskStatus) {
+func (q *queue) replaceWithUnexpected(e *entry, t *protocol.TaskStatus) {
 	q.Log.Error("machine listed another attempt of a queued task", "machine", q.id, "task", t.Task, "attempt", t.Attempt)
 	q.release(e)
 	q.addEntry(&entry{
@@ -73,12 +73,12 @@
 		state:   t.State,
 		cause:   t.Cause,
 		kill:    t.State != protocol.TaskEnded,
-		reap:    true,
+		forget:  true,
 	})
 }
 
 // applyTaskStatus takes over the status of an attempt, and notifies its owner of a change.
-func (q *queue) applyTaskStatus(e *entry, t protocol.TaskStatus) {
+func (q *queue) applyTaskStatus(e *entry, t *protocol.TaskStatus) {
 	first := !e.present
 	before := e.state
 	if !e.sent {
@@ -87,7 +87,7 @@
 		q.dequeue(e)
 	}
 	if first && !e.startResent {
-		e.directToken = 0 // that start has arrived: nothing is under way
+		e.directFencingToken = 0 // that start has arrived: nothing is under way
 	}
 	e.sent, e.present = true, true
 	e.state, e.cause, e.checkpointed = t.State, t.Cause, t.Checkpointed
@@ -112,7 +112,7 @@
 
 // applyMissingTask settles an attempt that was sent, or was present, and is not listed by
 // a worker that has seen a token.
-func (q *queue) applyMissingTask(id protocol.TaskID, e *entry, tokenSeen protocol.Term, own bool) {
+func (q *queue) applyMissingTask(id protocol.TaskID, e *entry, fencingTokenSeen protocol.Term, own bool) {
 	switch {
 	case e.present:
 		// The worker forgets an attempt only when commanded to, so this one was to be
@@ -124,7 +124,7 @@
 			q.notifyOwner(e, message.EventEnded)
 		}
 	case !own:
-	case e.directToken != 0 && tokenSeen <= e.directToken:
+	case e.directFencingToken != 0 && fencingTokenSeen <= e.directFencingToken:
 		// Sent directly, no answer: it may be executed minutes late, so not being listed
 		// proves nothing until the worker has seen a later token.
 		q.settleDirectStart(e)
@@ -135,7 +135,7 @@
 	default:
 		// The reply with the start was lost or dropped: settled by this heartbeat. The
 		// same attempt goes back to be sent again.
-		e.directToken = 0
+		e.directFencingToken = 0
 		q.requeue(e)
 	}
 }
--- a/internal/controller/dispatcher/shards.go
+++ b/internal/controller/dispatcher/shards.go
@@ -110,8 +110,8 @@
 	shard.raiseAbove, s.changeDue = above, true
 }
 
-// changesWanted lists the shards to take, and those whose epoch has to rise.
-func (s *shardSet) changesWanted() (take, raise []sharding.ID) {
+// requestedChanges lists the shards to take, and those whose epoch has to rise.
+func (s *shardSet) requestedChanges() (take, raise []sharding.ID) {
 	if !s.changeDue || !s.Sharded() || !s.HoldsLease() {
 		return nil, nil
 	}
@@ -168,7 +168,7 @@
 // for: the shards handed over to it completely, to take, and those whose epoch has to
 // rise, for an unanswered start or to give up a move.
 func (d *Dispatcher) ShardChangesWanted() (take, raise []sharding.ID) {
-	return d.shards.changesWanted()
+	return d.shards.requestedChanges()
 }
 
 // TakeCompletedMoves returns the moves that have ended since it was called last.
@@ -190,9 +190,9 @@
 // fencingToken is what commands to the machine carry.
 func (q *queue) fencingToken() protocol.Term { return q.FencingToken(q.id, q.zone) }
 
-// firstOwnToken is the lowest token that proves that a worker was commanded by this
+// firstOwnFencingToken is the lowest token that proves that a worker was commanded by this
 // dispatcher.
-func (q *queue) firstOwnToken() protocol.Term {
+func (q *queue) firstOwnFencingToken() protocol.Term {
 	if q.Sharded() {
 		return q.ShardEpoch(q.id, q.zone)
 	}
--- a/internal/controller/dispatcher/silence.go
+++ b/internal/controller/dispatcher/silence.go
@@ -67,7 +67,7 @@
 		// A worker that has seen a token of this shard epoch takes no answer of an
 		// earlier dispatcher.
 		shard := q.shard()
-		exclusiveSince, proven = shard.exclusiveSince, q.tokenSeen >= shard.epoch
+		exclusiveSince, proven = shard.exclusiveSince, q.fencingTokenSeen >= shard.epoch
 	}
 	switch {
 	case proven:
--- a/internal/controller/dispatcher/view.go
+++ b/internal/controller/dispatcher/view.go
@@ -50,7 +50,7 @@
 
 // dropLostWaiting drops the waiting attempts that do not outlast a new view, and returns
 // them. What waits here for a job that has another owner now waits on: the inventory lists
-// it. Releasing it had the new owner place it anew once all machines were heard, and
+// it. Releasing it had the new owner place it anew once all machines had sent heartbeats, and
 // began gangs again of which the rest had started.
 func (q *queue) dropLostWaiting(unbroken bool) (dropped []*entry) {
 	lost := func(e *entry) bool { return !unbroken || q.Live[e.task.Job] == nil }
