--- a/internal/controller/dispatcher/handover_test.go
+++ b/internal/controller/dispatcher/handover_test.go
@@ -1,9 +1,13 @@
 package dispatcher
 
 import (
+	"reflect"
 	"testing"
+	"time"
 
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
 )
@@ -52,3 +56,54 @@
 		t.Error("held though its shard has moved")
 	}
 }
+
+// TestHandoverRetainsAttempts: the new dispatcher knows of an attempt all that its
+// previous one knew, but for what holds only where it was queued or sent.
+func TestHandoverRetainsAttempts(t *testing.T) {
+	b := newBench(t)
+	b.dispatcher.Now = clock.Time(time.Hour)
+	q := newQueue(b.dispatcher.environment, testMachine, "a")
+	e := &entry{
+		task:               protocol.TaskID{Job: "job-1", Index: 2},
+		attempt:            3,
+		estimate:           4,
+		need:               resource.Amount{CPUs: 5, GB: 6},
+		queuedSince:        clock.Time(7 * time.Minute),
+		runningSince:       clock.Time(8 * time.Minute),
+		level:              2,
+		levelGuessed:       true,
+		inGang:             true,
+		placedBy:           "node-1",
+		configuration:      9,
+		sent:               true,
+		directFencingToken: 10,
+		startResent:        true,
+		present:            true,
+		state:              protocol.TaskEnded,
+		cause:              protocol.EndStopped,
+		checkpointed:       true,
+		kill:               true,
+		graceSeconds:       11,
+		forget:             true,
+		noticed:            true,
+	}
+	fields := reflect.ValueOf(*e)
+	for i := range fields.NumField() {
+		switch name := fields.Type().Field(i).Name; name {
+		case "arrival", "deadline", "startInLastReply", "forgetSince": // hold only here
+		default:
+			if fields.Field(i).IsZero() {
+				t.Errorf("field %s is not tested", name)
+			}
+		}
+	}
+	h := q.handoverEntry(e)
+	if got := entryOfHandover(&h, b.dispatcher.Now); *got != *e {
+		t.Errorf("got %+v, want %+v", got, e)
+	}
+	e.runningSince = 0
+	h = q.handoverEntry(e)
+	if got := entryOfHandover(&h, b.dispatcher.Now); got.runningSince != 0 {
+		t.Errorf("an attempt that was not seen to run runs since %v", got.runningSince)
+	}
+}
