--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -156,7 +156,7 @@
 		c.autoscaler.MachinesListed(m)
 	}
 	c.settle()
-	c.members.ChangeShards(c.dispatcher.ShardChangesWanted())
+	c.members.ChangeShards(c.dispatcher.RequestedShardChanges())
 	c.dispatcher.SendDirectCommands()
 	return c.Actions
 }
@@ -310,7 +310,7 @@
 			c.jobs.WriteBitmaps()
 		}
 		c.sendUpdates(false)
-		c.dispatcher.GiveInventories() // not in the step of the regular work: together they are long
+		c.dispatcher.SendInventories() // not in the step of the regular work: together they are long
 	}
 	c.registrar.Write()
 	c.table.AskMorePeers()
--- a/internal/controller/dispatcher/dispatcher.go
+++ b/internal/controller/dispatcher/dispatcher.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// JobOver releases or ends all attempts of a job that is over. If the job failed wherever
+// JobEnded releases or ends all attempts of a job that is over. If the job failed wherever
 // it ran, its failures no longer count against any machine.
-func (d *Dispatcher) JobOver(id protocol.JobID, failing bool) {
+func (d *Dispatcher) JobEnded(id protocol.JobID, failing bool) {
 	for _, q := range d.queues.inOrder() {
 		if failing {
 			q.quarantine.forgetJob(id)
--- a/internal/controller/dispatcher/handover_test.go
+++ b/internal/controller/dispatcher/handover_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("before the cancellation: %+v", r)
 	}
 	delete(b.dispatcher.Live, "job-1")
-	b.dispatcher.JobOver("job-1", false)
+	b.dispatcher.JobEnded("job-1", false)
 	if r := b.heartbeat(1, s.List[id].Epoch, running); r.Status != 200 || !has(r.Reply.Orders, protocol.OpStop) {
 		t.Errorf("lease renewed and not killed: %+v", r)
 	}
--- a/internal/controller/dispatcher/inspect.go
+++ b/internal/controller/dispatcher/inspect.go
@@ -9,14 +9,14 @@
 // Attempt is the state of one attempt on a machine, for inspection.
 type Attempt struct {
 	message.TaskRef
-	Sent     bool // it may be on the machine
-	Present  bool // the worker has listed it
-	Ended    bool
-	Kill     bool
-	Reap     bool
-	Direct   protocol.Term // fencing token of a direct start that may be under way
-	Resent   bool
-	InAnswer bool
+	Sent               bool // it may be on the machine
+	Present            bool // the worker has listed it
+	Ended              bool
+	Kill               bool
+	Forget             bool
+	DirectFencingToken protocol.Term // fencing token of a direct start that may be under way
+	StartResent        bool
+	StartInLastReply   bool
 }
 
 // Attempts lists the attempts that wait for a machine or are on it.
@@ -27,15 +27,15 @@
 	}
 	for _, e := range ordered.Tasks(q.entries) {
 		list = append(list, Attempt{
-			TaskRef:  message.TaskRef{Task: e.task, Attempt: e.attempt, Machine: id},
-			Sent:     e.sent,
-			Present:  e.present,
-			Ended:    e.ended(),
-			Kill:     e.kill,
-			Reap:     e.forget,
-			Direct:   e.directFencingToken,
-			Resent:   e.startResent,
-			InAnswer: e.startInLastReply,
+			TaskRef:            message.TaskRef{Task: e.task, Attempt: e.attempt, Machine: id},
+			Sent:               e.sent,
+			Present:            e.present,
+			Ended:              e.ended(),
+			Kill:               e.kill,
+			Forget:             e.forget,
+			DirectFencingToken: e.directFencingToken,
+			StartResent:        e.startResent,
+			StartInLastReply:   e.startInLastReply,
 		})
 	}
 	return list
@@ -69,8 +69,8 @@
 	return n
 }
 
-// HandledOf returns the number of the last Place handled of an owner.
-func (d *Dispatcher) HandledOf(owner protocol.NodeName) uint64 { return d.handledPlaces[owner] }
+// HandledPlaces returns the number of the last Place handled of an owner.
+func (d *Dispatcher) HandledPlaces(owner protocol.NodeName) uint64 { return d.handledPlaces[owner] }
 
 // ChangedSince lists the machines whose published state has changed since a version of
 // this term's log, at most so many, and the version up to which that holds.
--- a/internal/controller/dispatcher/inventory.go
+++ b/internal/controller/dispatcher/inventory.go
@@ -9,8 +9,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// InventoriesMost bounds the inventories sent in one step.
-const InventoriesMost = 500
+// MaxInventoriesPerStep bounds the inventories sent in one step.
+const MaxInventoriesPerStep = 500
 
 // inventorySchedule lists the queues whose inventories of this term may be sent without
 // waiting for a heartbeat: they have been held without a break, or were handed over.
@@ -23,7 +23,7 @@
 
 // take takes the next queues from the list, as many as one step may send.
 func (s *inventorySchedule) take() []*queue {
-	n := min(len(s.pending), InventoriesMost)
+	n := min(len(s.pending), MaxInventoriesPerStep)
 	due := s.pending[:n]
 	s.pending = s.pending[n:]
 	return due
@@ -34,13 +34,13 @@
 // enough.
 func (d *Dispatcher) BeginInventories() {
 	d.inventories.pending = slices.Clone(d.queues.inOrder())
-	if len(d.inventories.pending) <= InventoriesMost {
-		d.GiveInventories()
+	if len(d.inventories.pending) <= MaxInventoriesPerStep {
+		d.SendInventories()
 	}
 }
 
-// GiveInventories goes on with the inventories that may be sent without a heartbeat.
-func (d *Dispatcher) GiveInventories() {
+// SendInventories goes on with the inventories that may be sent without a heartbeat.
+func (d *Dispatcher) SendInventories() {
 	for _, q := range d.inventories.take() {
 		switch {
 		case d.queues.get(q.id) != q:
--- a/internal/controller/dispatcher/placement_test.go
+++ b/internal/controller/dispatcher/placement_test.go
@@ -36,7 +36,7 @@
 	b.job("job-1")
 	delete(b.dispatcher.Live, "job-1")
 	b.dispatcher.MarkEnded("job-1")
-	b.dispatcher.JobOver("job-1", false)
+	b.dispatcher.JobEnded("job-1", false)
 	b.dispatcher.Place("node-0", &message.Place{Number: 6, Term: 1, Tasks: []message.Placement{{
 		Task: protocol.TaskID{Job: "job-1"}, Attempt: 9, Machine: "vm-1", Epoch: b.dispatcher.Records["vm-1"].Epoch,
 	}}})
--- a/internal/controller/dispatcher/shards.go
+++ b/internal/controller/dispatcher/shards.go
@@ -42,7 +42,7 @@
 type CompletedMove struct {
 	Shard   sharding.ID
 	Pause   time.Duration // for how long nothing was started on it
-	GivenUp bool
+	Aborted bool
 }
 
 func newShardSet(module clusterstate.Module) shardSet {
@@ -155,7 +155,7 @@
 
 // noteMove remembers that the handover of a shard has ended.
 func (s *shardSet) noteMove(shard *shardState, givenUp bool) {
-	move := CompletedMove{Shard: shard.id, Pause: s.Since(shard.handover.beganAt), GivenUp: givenUp}
+	move := CompletedMove{Shard: shard.id, Pause: s.Since(shard.handover.beganAt), Aborted: givenUp}
 	s.completed = append(s.completed[max(0, len(s.completed)-maxCompletedMoves):], move)
 	what := "share moved"
 	if givenUp {
@@ -164,10 +164,10 @@
 	s.Log.Info(what, "share", int(shard.id), "to", shard.handover.to, "cause", shard.handover.cause, "pause", move.Pause.Round(time.Millisecond))
 }
 
-// ShardChangesWanted lists the changes of the shards' record that this controller asks
+// RequestedShardChanges lists the changes of the shards' record that this controller asks
 // for: the shards handed over to it completely, to take, and those whose epoch has to
 // rise, for an unanswered start or to give up a move.
-func (d *Dispatcher) ShardChangesWanted() (take, raise []sharding.ID) {
+func (d *Dispatcher) RequestedShardChanges() (take, raise []sharding.ID) {
 	return d.shards.requestedChanges()
 }
 
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -46,5 +46,5 @@
 	c.MarkEnded(id)
 	c.table.ForgetProgress(id)
 	c.jobs.End(id)
-	c.dispatcher.JobOver(id, failing)
+	c.dispatcher.JobEnded(id, failing)
 }
--- a/internal/controller/relays.go
+++ b/internal/controller/relays.go
@@ -82,7 +82,7 @@
 	}
 	r.Handled = map[protocol.NodeName]uint64{}
 	for name := range c.table.Peers {
-		r.Handled[name] = c.dispatcher.HandledOf(name)
+		r.Handled[name] = c.dispatcher.HandledPlaces(name)
 	}
 }
 
--- a/internal/controller/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -92,7 +92,7 @@
 // TestInventoriesInPieces: after a view that changes nothing for a controller's
 // queues, it gives their inventories in bounded steps, and all of them soon.
 func TestInventoriesInPieces(t *testing.T) {
-	const machines = 2*dispatcher.InventoriesMost + 100
+	const machines = 2*dispatcher.MaxInventoriesPerStep + 100
 	f := newBusyFleet(t, machines, 100)
 	v := f.c.View
 	v.Term++
@@ -104,7 +104,7 @@
 				n++
 			}
 		}
-		if n > dispatcher.InventoriesMost {
+		if n > dispatcher.MaxInventoriesPerStep {
 			t.Fatalf("%d inventories in one step", n)
 		}
 		given += n
--- a/internal/simulator/shares.go
+++ b/internal/simulator/shares.go
@@ -86,7 +86,7 @@
 // noteMoves takes note of the moves of shares that a controller has seen end.
 func (w *world) noteMoves(n *simNode) {
 	for _, m := range n.core.CompletedMoves() {
-		if m.GivenUp {
+		if m.Aborted {
 			w.givenUp++
 		} else {
 			w.pauses, w.movedAt[m.Shard] = append(w.pauses, m.Pause), w.now
