--- a/internal/controller/dispatcher/heartbeat.go
+++ b/internal/controller/dispatcher/heartbeat.go
@@ -3,6 +3,8 @@
 import (
 	"net/http"
 
+	"damsonkeel/internal/controller/ordered"
+
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
@@ -105,3 +107,26 @@
 	}
 	q.Emit(message.ReplyHeartbeat{Status: http.StatusOK, Reply: reply})
 }
+
+// applyTerminationNotice moves the machine's work when the cloud is about to terminate it.
+func (q *queue) applyTerminationNotice(r *protocol.Heartbeat) {
+	if r.NoticeS == nil {
+		if q.noticeSeconds != nil {
+			q.noticeSeconds = nil
+			q.touch()
+		}
+		return
+	}
+	if q.noticeSeconds == nil {
+		q.touch()
+		q.Log.Info("received termination notice", "machine", q.id, "notice_s", *r.NoticeS)
+		q.releaseWaiting()
+	}
+	q.noticeSeconds = r.NoticeS
+	for _, e := range ordered.Tasks(q.entries) {
+		if e.present && !e.ended() && !e.noticed {
+			e.noticed = true
+			q.notifyOwner(e, message.EventNotice)
+		}
+	}
+}
