--- /dev/null
+++ b/internal/controller/admission/cancellation_test.go
@@ -0,0 +1,74 @@
+package admission
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// TestCancellationIsAnsweredOnceAcknowledged: a request is answered that a job is
+// cancelled, whatever the request, only when all members have acknowledged the
+// cancellation, or its deadline has passed. No request waits for a controller that the
+// view leaves out.
+func TestCancellationIsAnsweredOnceAcknowledged(t *testing.T) {
+	for _, op := range []Operation{Submit, Poll, Cancel} {
+		h := newHarness()
+		members := []protocol.NodeName{"node-0", "node-1", "node-2"}
+		var silent protocol.NodeName
+		var notified []protocol.NodeName
+		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Look, Members: members} }
+		h.get = func(g Get) any {
+			return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordCancelled, Tasks: 2}}
+		}
+		h.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeFailed} }
+		h.announce = func(action Announce) any {
+			notified = append(notified, action.To)
+			if action.To == silent {
+				return nil
+			}
+			return Announced{Job: action.Job, By: action.To}
+		}
+		h.step(t, smallType)
+		ask := func(id RequestID, job string) time.Duration {
+			t.Helper()
+			from := h.now
+			h.step(t, Request{ID: id, Operation: op, Job: protocol.JobID(job), Body: submission(t, job, nil)})
+			for range 100 {
+				if _, ok := h.answers[id]; ok {
+					break
+				}
+				h.pass(t, 10*time.Millisecond)
+			}
+			if a := h.answers[id]; a.Status != 200 || status(t, a).State != protocol.JobCancelled {
+				t.Fatalf("operation %d: %+v", op, a)
+			}
+			return time.Duration(h.now - from)
+		}
+		if d := ask(1, "job-000001"); d >= AnnounceWait {
+			t.Errorf("operation %d: answered after %v, though all have acknowledged", op, d)
+		}
+		if slices.Sort(notified); !slices.Equal(notified, members) {
+			t.Errorf("operation %d: %v are notified", op, notified)
+		}
+		silent = "node-2"
+		if d := ask(2, "job-000002"); d < AnnounceWait {
+			t.Errorf("operation %d: answered after %v, though one has not acknowledged", op, d)
+		}
+		members = members[:2]
+		if d := ask(3, "job-000003"); d >= AnnounceWait {
+			t.Errorf("operation %d: waited %v for one that is no member", op, d)
+		}
+		members = nil // not known: any controller may be one
+		if d := ask(4, "job-000004"); d < AnnounceWait {
+			t.Errorf("operation %d: answered after %v, though one that may be a member has not acknowledged", op, d)
+		}
+		notified = nil
+		if ask(5, "job-000004"); len(notified) > 0 {
+			t.Errorf("operation %d: %v are notified once more", op, notified)
+		}
+	}
+}
--- a/internal/controller/admission/configured_test.go
+++ b/internal/controller/admission/configuration_test.go
@@ -17,64 +17,68 @@
 	"pgregory.net/rapid"
 )
 
-// entrance is an intake that follows the configuration, with what it has asked for.
-type entrance struct {
-	in       *Admission
-	followed *dynamicconfig.Followed
-	seen     int // changes of the state service
-	asked    []Action
+// frontend is an Admission that follows the configuration, with the actions that have
+// not been executed yet.
+type frontend struct {
+	admission *Admission
+	followed  *dynamicconfig.Followed
+	seen      int // changes of the store that were followed
+	pending   []Action
 }
 
-// closing is several intakes in front of one state service, while a team is closed and
-// opened again.
-type closing struct {
+// closingTeam is several frontends of one store, while a team is closed and opened
+// again.
+type closingTeam struct {
 	t         *rapid.T
 	state     *fake.State
-	operator  *dynamicconfig.Followed // who changes the configuration follows at once
-	all       []*entrance
+	operator  *dynamicconfig.Followed // follows at once, as it makes the changes
+	frontends []*frontend
 	now       clock.Time
 	submitted int
-	askedAt   map[RequestID]int // changes of the configuration until then
-	team      []bool            // closed, after so many changes of the configuration
+	changesAt map[RequestID]int // changes of the configuration before the request
+	closed    []bool            // the team, after so many changes of the configuration
 	accepted  int
 	refused   int
 }
 
-func newClosing(t *rapid.T) *closing {
+func newClosingTeam(t *rapid.T) *closingTeam {
 	s := &config.Settings{Name: "node-0"}
 	s.Site = fake.Settings().Site
 	op := config.DefaultOperator()
 	op.OperatorKeys = "keys"
-	c := &closing{t: t, state: fake.NewState(), operator: dynamicconfig.NewFollowed(&s.Site, op), now: 1, askedAt: map[RequestID]int{}, team: []bool{false}}
+	c := &closingTeam{
+		t: t, state: fake.NewState(), operator: dynamicconfig.NewFollowed(&s.Site, op), now: 1,
+		changesAt: map[RequestID]int{}, closed: []bool{false},
+	}
 	for range 2 {
-		e := &entrance{in: New(s, op, slog.New(slog.DiscardHandler)), followed: dynamicconfig.NewFollowed(&s.Site, op)}
-		e.in.Step(c.now, TypesRead{Types: []protocol.TypeInfo{{Name: "m", CPUs: 4, MemoryGB: 8, AllowZones: []protocol.Zone{"a"}}}})
-		c.all = append(c.all, e)
+		f := &frontend{admission: New(s, op, slog.New(slog.DiscardHandler)), followed: dynamicconfig.NewFollowed(&s.Site, op)}
+		f.admission.Step(c.now, TypesRead{Types: []protocol.TypeInfo{{Name: "m", CPUs: 4, MemoryGB: 8, AllowZones: []protocol.Zone{"a"}}}})
+		c.frontends = append(c.frontends, f)
 	}
 	return c
 }
 
-// step gives an intake a message, and keeps what it asks for.
-func (c *closing) step(e *entrance, msg any) {
+// step handles a message, and keeps the actions that follow.
+func (c *closingTeam) step(f *frontend, msg any) {
 	c.now++
-	for _, a := range e.in.Step(c.now, msg) {
+	for _, a := range f.admission.Step(c.now, msg) {
 		if reply, ok := a.(Reply); ok {
 			c.answered(reply)
 			continue
 		}
-		e.asked = append(e.asked, a)
+		f.pending = append(f.pending, a)
 	}
 }
 
-// answered: a submission is refused only if the team was closed at some time since it
-// was asked for.
-func (c *closing) answered(r Reply) {
+// answered checks that a submission is refused only if the team was closed at some time
+// since it came.
+func (c *closingTeam) answered(r Reply) {
 	switch r.Answer.Status {
 	case 201, 200:
 		c.accepted++
 	case 422:
 		c.refused++
-		since := c.team[c.askedAt[r.ID]:]
+		since := c.closed[c.changesAt[r.ID]:]
 		for _, closed := range since {
 			if closed {
 				return
@@ -84,19 +88,22 @@
 	}
 }
 
-// watchRecords brings an intake the next change.
-func (c *closing) follow(e *entrance) {
-	if e.seen >= c.state.Changes() {
+// follow brings a frontend the next change of the store.
+func (c *closingTeam) follow(f *frontend) {
+	if f.seen >= c.state.Changes() {
 		return
 	}
-	ev := c.state.Change(e.seen)
-	e.seen++
-	if takeRecord(c.t, e.followed, ev) {
-		c.step(e, Configured{Effective: e.followed.Effective()})
+	ev := c.state.Change(f.seen)
+	f.seen++
+	if takeRecord(c.t, f.followed, ev) {
+		c.step(f, Configured{Effective: f.followed.Effective()})
 	}
 }
 
+// takeRecord takes over a changed record, and reports whether another configuration is
+// in force by it.
 func takeRecord(t *rapid.T, f *dynamicconfig.Followed, ev protocol.Event) bool {
+	t.Helper()
 	key, known := record.ParseFollowedKey(ev.Put)
 	var head record.Configuration
 	var entry record.ConfigurationEntry
@@ -116,8 +123,8 @@
 }
 
 // toggle closes the team, or opens it.
-func (c *closing) toggle() {
-	closed := !c.team[len(c.team)-1]
+func (c *closingTeam) toggle() {
+	closed := !c.closed[len(c.closed)-1]
 	facts := &dynamicconfig.Facts{MaxChanges: 12, LiveJobs: func(protocol.Team) int { return 0 }}
 	plan, err := c.operator.Decide(facts, []operatorapi.ConfigChange{{Entry: "team/free", Closed: &closed}})
 	if err != nil {
@@ -130,11 +137,11 @@
 	for ; first < c.state.Changes(); first++ {
 		takeRecord(c.t, c.operator, c.state.Change(first))
 	}
-	c.team = append(c.team, closed)
+	c.closed = append(c.closed, closed)
 }
 
-// submit submits a job.
-func (c *closing) submit(e *entrance) {
+// submit submits a new job.
+func (c *closingTeam) submit(f *frontend) {
 	c.submitted++
 	j := protocol.Job{ID: protocol.JobID(fmt.Sprint("job-", c.submitted)), Class: "c", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	body, err := protocol.EncodeSubmission(j)
@@ -142,66 +149,67 @@
 		c.t.Fatal(err)
 	}
 	id := RequestID(c.submitted)
-	c.askedAt[id] = len(c.team) - 1
-	c.step(e, Request{ID: id, Operation: Submit, Body: body})
+	c.changesAt[id] = len(c.closed) - 1
+	c.step(f, Request{ID: id, Operation: Submit, Body: body})
 }
 
-// carryOut carries out the first thing that an intake asked for. A job's record is
-// written only while the team is open.
-func (c *closing) carryOut(e *entrance) {
-	if len(e.asked) == 0 {
+// execute executes the oldest pending action of a frontend, and checks that a job is
+// accepted only while the team is open.
+func (c *closingTeam) execute(f *frontend) {
+	if len(f.pending) == 0 {
 		return
 	}
-	a := e.asked[0]
-	e.asked = e.asked[1:]
+	a := f.pending[0]
+	f.pending = f.pending[1:]
 	switch a := a.(type) {
 	case Write:
 		out := message.OutcomeFailed
 		if c.state.Txn(a.Txn) {
 			out = message.OutcomeDone
-			if c.team[len(c.team)-1] && len(a.Txn.Changes) > 0 {
+			if c.closed[len(c.closed)-1] && len(a.Txn.Changes) > 0 {
 				c.t.Fatalf("request %d is accepted while the team is closed", a.ID)
 			}
 		}
-		c.step(e, Written{ID: a.ID, Outcome: out})
+		c.step(f, Written{ID: a.ID, Outcome: out})
 	case Get:
 		it, ok := c.state.Get(record.JobKey(a.Job))
 		r := Read{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
 		if ok && protocol.Decode(it.Value, &r.Record) == nil {
 			r.Outcome = message.OutcomeDone
 		}
-		c.step(e, r)
+		c.step(f, r)
 	case QueryOwners:
-		c.step(e, OwnersAnswered{Query: a.Look})
+		c.step(f, OwnersAnswered{Query: a.Look})
 	}
 }
 
-// TestClosedWhileAccepted: a team is closed and opened at any moment between the steps
-// reservation submissions at two controllers, which follow late. Nothing is accepted while it is
-// closed, nothing is refused that could be taken all along, and who follows answers.
-func TestClosedWhileAccepted(t *testing.T) {
+// TestNothingIsAcceptedWhileTeamIsClosed: a team is closed and opened at any moment
+// between the steps of submissions at two controllers, which follow late. Nothing is
+// accepted while it is closed, nothing is refused that could be accepted all along, and
+// a controller that has followed everything has answered everything.
+func TestNothingIsAcceptedWhileTeamIsClosed(t *testing.T) {
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		c := newClosing(t)
+		c := newClosingTeam(t)
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
-			e := c.all[rapid.IntRange(0, 1).Draw(t, "at")]
+			f := c.frontends[rapid.IntRange(0, 1).Draw(t, "at")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				c.toggle()
 			case 1, 2:
-				c.submit(e)
+				c.submit(f)
 			case 3, 4, 5:
-				c.follow(e)
+				c.follow(f)
 			default:
-				c.carryOut(e)
+				c.execute(f)
 			}
 		}
-		for _, e := range c.all {
+		for _, f := range c.frontends {
 			for range 400 {
-				c.follow(e)
-				c.carryOut(e)
+				c.follow(f)
+				c.execute(f)
 			}
-			if n := len(e.in.requests); n > 0 {
+			if n := len(f.admission.requests); n > 0 {
 				t.Fatalf("%d requests have no answer", n)
 			}
 		}
--- /dev/null
+++ b/internal/controller/admission/harness_test.go
@@ -0,0 +1,115 @@
+package admission
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/protocol"
+)
+
+// harness executes the actions of an Admission: each is answered by the given function,
+// at once unless that returns nil.
+type harness struct {
+	admission   *Admission
+	now         clock.Time
+	answers     map[RequestID]Answer
+	get         func(Get) any
+	write       func(Write) any
+	queryOwners func(QueryOwners) any
+	compare     func(Compare) any
+	passOn      func(PassOn) any
+	announce    func(Announce) any
+}
+
+// testingT is what *testing.T and *rapid.T have in common here.
+type testingT interface {
+	Helper()
+	Fatalf(format string, args ...any)
+}
+
+// testTxnOps is how many operations a transaction of the tests' store may hold.
+const testTxnOps = 4
+
+func newHarness() *harness {
+	s := &config.Settings{Name: "node-0", Members: []config.Member{{Name: "node-1"}, {Name: "node-2"}}}
+	s.Site.Count, s.Site.State = 3, config.State{RPS: 6000, WriteRPS: 2000, TxnOps: testTxnOps}
+	s.Site.Teams = []config.Team{{Name: "free"}, {Name: "bound", MaxCPUs: 4}}
+	return &harness{
+		admission: New(s, config.DefaultOperator(), slog.New(slog.DiscardHandler)),
+		now:       1,
+		answers:   map[RequestID]Answer{},
+	}
+}
+
+// step handles a message, and all that follow from it.
+func (h *harness) step(t testingT, msg any) {
+	t.Helper()
+	for pending := []any{msg}; len(pending) > 0; pending = pending[1:] {
+		for _, a := range h.admission.Step(h.now, pending[0]) {
+			var next any
+			switch a := a.(type) {
+			case Reply:
+				if _, twice := h.answers[a.ID]; twice {
+					t.Fatalf("request %d is answered twice", a.ID)
+				}
+				h.answers[a.ID] = a.Answer
+			case Get:
+				next = h.get(a)
+			case Write:
+				next = h.write(a)
+			case QueryOwners:
+				next = h.queryOwners(a)
+			case Compare:
+				next = h.compare(a)
+			case PassOn:
+				next = h.passOn(a)
+			case Announce:
+				next = h.announce(a)
+			}
+			if next != nil {
+				pending = append(pending, next)
+			}
+		}
+	}
+}
+
+// pass lets time pass, with ticks.
+func (h *harness) pass(t testingT, d time.Duration) {
+	t.Helper()
+	for end := h.now + clock.Time(d); h.now < end; {
+		h.now += clock.Time(10 * time.Millisecond)
+		h.step(t, Tick{})
+	}
+}
+
+func status(t testingT, a Answer) protocol.JobStatus {
+	t.Helper()
+	var s protocol.JobStatus
+	if err := protocol.Decode(a.Body, &s); err != nil {
+		t.Fatalf("body of %d: %v", a.Status, err)
+	}
+	return s
+}
+
+// submission is what a user sends, with a field left out or changed.
+func submission(t *testing.T, id string, change func(map[string]any)) []byte {
+	t.Helper()
+	m := map[string]any{
+		"id": id, "berth": "train", "crew": "free", "rig": "batch", "tide": "high", "hauls": 2, "cores": 1.0, "gpus": 0.0, "memory_gb": 1.0,
+		"hullcast": "img", "image_gb": 1.0, "hulls": nil, "quay": nil, "together": false, "scatter": false, "driftstock": true,
+		"passage_s": 10.0, "logmark_s": 0.0, "stow_s": 0.0, "landfall_s": nil,
+	}
+	if change != nil {
+		change(m)
+	}
+	b, err := protocol.Encode(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+var smallType = TypesRead{Types: []protocol.TypeInfo{{Name: "small", CPUs: 4, MemoryGB: 16}}}
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -8,10 +8,10 @@
 	"damsonkeel/internal/record"
 )
 
-// RequestID numbers the requests that one process has been asked.
+// RequestID numbers the requests that one process receives.
 type RequestID uint64
 
-// QueryID numbers the questions to the core.
+// QueryID numbers the queries to the core.
 type QueryID uint64
 
 // Operation is what a user asks for.
@@ -30,15 +30,15 @@
 	Request struct {
 		ID        RequestID
 		Operation Operation
-		Job       protocol.JobID // reservation polls and cancellations
-		Body      []byte         // reservation submissions
-		Passed    bool           // reportedBy a peer: not passed on once more
-		WallMS    int64          // the time of day
+		Job       protocol.JobID // of polls and cancellations
+		Body      []byte         // of submissions
+		Passed    bool           // forwarded by a peer: not to be forwarded again
+		WallMS    int64          // the time of day, in milliseconds of the Unix epoch
 	}
 	// Read answers a Get.
 	Read struct {
 		ID      RequestID
-		Outcome message.Outcome // attemptFailed: there is no such record
+		Outcome message.Outcome // failed: there is no such record
 		Record  record.JobRecord
 		Version protocol.Version
 	}
@@ -47,12 +47,12 @@
 		ID      RequestID
 		Outcome message.Outcome
 	}
-	// OwnersAnswered answers a Look.
+	// OwnersAnswered answers a QueryOwners.
 	OwnersAnswered struct {
 		Query   QueryID
 		Jobs    map[protocol.JobID]LiveJob // those asked for that are live, as followed
-		Leading []protocol.NodeName        // peers known to act
-		// Members are those who may act by the view, as followed; empty: none is known.
+		Leading []protocol.NodeName        // peers known to hold their lease
+		// Members are the controllers of the view, as followed; empty: none is known.
 		Members []protocol.NodeName
 	}
 	// Compared answers a Compare: done if nothing differs, failed if something does.
@@ -61,19 +61,19 @@
 		Outcome message.Outcome
 		Differ  []string // keys that are named as different
 	}
-	// PassedOn answers a PassOn; no status: the peer did not answer.
+	// PassedOn answers a PassOn; status 0: the peer did not answer.
 	PassedOn struct {
 		ID     RequestID
 		Answer Answer
 	}
-	// Announced answers an Announce.
+	// Announced acknowledges an Announce.
 	Announced struct {
 		Job protocol.JobID
 		By  protocol.NodeName
 	}
 	// Configured brings the configuration in force, as followed.
 	Configured struct{ Effective *dynamicconfig.Effective }
-	// TypesRead brings the machine types.
+	// TypesRead brings the machine types of the catalogue.
 	TypesRead struct{ Types []protocol.TypeInfo }
 	// Tick lets time pass.
 	Tick struct{}
@@ -85,14 +85,14 @@
 	Progress message.Progress
 }
 
-// Answer is what a user is told.
+// Answer is the response to a user's request.
 type Answer struct {
 	Status      int
 	Body        []byte
 	RetryAfterS int
 }
 
-// Action is something the step function asks for.
+// Action is something that the caller of the step function is to execute.
 type Action any
 
 // The actions. Each but Reply and Wake is answered by one message, at some time or
@@ -113,7 +113,8 @@
 		ID  RequestID
 		Txn protocol.Transaction
 	}
-	// Query asks this controller's core what it knows of jobs, and who acts.
+	// QueryOwners asks this controller's core what it knows of jobs, which peers lead,
+	// and which controllers are members.
 	QueryOwners struct {
 		Look QueryID
 		Jobs []protocol.JobID
@@ -123,14 +124,14 @@
 		Look       QueryID
 		Conditions []protocol.Condition
 	}
-	// PassOn has a peer answer a submission.
+	// PassOn forwards a submission to a peer.
 	PassOn struct {
 		ID   RequestID
 		To   protocol.NodeName
 		Body []byte
 	}
-	// Announce tells a controller, this one or a peer, that a job is cancelled: it starts
-	// refuse task of it any more, though it may not have followed that yet.
+	// Announce tells a controller, this one or a peer, that a job is cancelled: it
+	// starts no task of it any more, though it may not have followed that yet.
 	Announce struct {
 		Job protocol.JobID
 		To  protocol.NodeName
