--- /dev/null
+++ b/internal/controller/reservation/fixture_test.go
@@ -0,0 +1,40 @@
+package reservation
+
+import (
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+const noon = Moment(1_770_000_000_000)
+
+// spec is a reservation for jobs of a class of the same name.
+func spec(name string, when string, tasks int) *record.ReservationSpec {
+	return &record.ReservationSpec{
+		Name: Name(name), Class: name, When: when, HoldS: 600, LengthS: 1200, Tasks: tasks, CPUs: 4, MemoryGB: 1, Priority: "standard",
+	}
+}
+
+// facts is a site of one machine type in two zones; 0 machines: any number.
+func facts(machines int) *Facts {
+	f := &Facts{
+		Types: map[protocol.MachineType]protocol.TypeInfo{"m8": {Name: "m8", CPUs: 8, MemoryGB: 32, BootS: 40, AllowZones: []protocol.Zone{"a", "b"}}},
+		Team: func(t protocol.Team) (config.Team, bool) {
+			return config.Team{Name: "small", MaxCPUs: 20}, t == "small"
+		},
+		Machine: func(protocol.MachineID) (protocol.MachineType, protocol.Zone, bool) { return "m8", "a", true },
+	}
+	if machines > 0 {
+		f.Most = map[protocol.MachineType]int{"m8": machines}
+	}
+	return f
+}
+
+// accept decides on a reservation and puts it into the calendar if it can be kept.
+func accept(c *Calendar, s *record.ReservationSpec, f *Facts, order uint64) Answer {
+	a := c.DecideReservation(s, f, noon)
+	if a.OK {
+		_ = c.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: a.First[0], Order: order}, 1, noon)
+	}
+	return a
+}
--- a/internal/controller/reservation/when_test.go
+++ b/internal/controller/reservation/schedule_test.go
@@ -15,9 +15,9 @@
 	return Moment(t.UnixMilli())
 }
 
-// TestClocksChange: a time that clocks skip is the first moment after the gap,
+// TestOccurrencesAcrossClockChanges: a time that clocks skip is the first moment after the gap,
 // one that comes twice is the first of the two, and each day has one.
-func TestClocksChange(t *testing.T) {
+func TestOccurrencesAcrossClockChanges(t *testing.T) {
 	for _, tc := range []struct {
 		when, from, want string
 	}{
@@ -41,15 +41,15 @@
 	}
 	for _, bad := range []string{"", "daily", "daily at 25:00", "daily at 04:00 in Nowhere/Else", "2026-02-30 at 04:00", "weekly on foo at 01:00", "2026-12-24 at 04:00 until 2027-01-01", "daily at 04:00 in Local"} {
 		if _, err := ParseWhen(bad); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
 
-// TestOneADay: in every zone a daily time comes once for each date, in order and
+// TestDailyTimeOccursOncePerDate: in every zone a daily time comes once for each date, in order and
 // 22 to 26 hours apart, whatever part of the calendar is asked for, and reads the
 // same on the zone's clock unless clocks skip it.
-func TestOneADay(t *testing.T) {
+func TestDailyTimeOccursOncePerDate(t *testing.T) {
 	zones := []string{"UTC", "Europe/Berlin", "America/New_York", "Australia/Lord_Howe", "Asia/Kolkata", "America/St_Johns", "Pacific/Apia"}
 	rapid.Check(t, func(t *rapid.T) {
 		zone := rapid.SampledFrom(zones).Draw(t, "zone")
