--- a/internal/controller/autoscaler/plan.go
+++ b/internal/controller/autoscaler/plan.go
@@ -1,6 +1,11 @@
-// Package autoscaler plans which machines to rent: all work that waits is reckoned
-// isGang against what is up, coming or asked for, and what is missing is
-// asked for from the cheapest kinds that will do.
+// Package autoscaler plans which machines to provision: it packs all work that waits
+// into the machines that are up, starting or requested, and requests what is missing
+// from the cheapest kinds that will do.
+//
+// It owns the state of one [Plan], which lives for one round of planning. The caller
+// gathers the machines and the work, and sends the orders that come out to the cloud.
+// The package must not read a clock, call the cloud, or know of jobs and machines by
+// their names.
 package autoscaler
 
 import (
@@ -13,14 +18,25 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Kind is what the cloud has or has not.
+// AskAtMost is how many machines are requested at once.
+const AskAtMost = 50
+
+// Kind is a kind of machine that the cloud offers.
 type Kind struct {
 	Type protocol.MachineType
 	Zone protocol.Zone
 	Spot bool
 }
 
-// Slot is machines that are up, or coming, and alike in what a plan asks of
+// Alike is what machines of a slot have in common.
+type Alike struct {
+	Kind
+	Free resource.Amount // now, or when they are up
+	Held resource.Uses   // by attempts on each or in its queue
+	InS  float64         // when they are up, in seconds
+}
+
+// Slot is machines that are up or starting, and alike in all that a plan asks of
 // them. A fleet has far fewer slots than machines: those of a kind run the same
 // classes of tasks.
 type Slot struct {
@@ -29,236 +45,247 @@
 	N    int // machines
 }
 
-// Alike is what machines of a slot have in common.
-type Alike struct {
-	Kind
-	Free resource.Amount // now, or when they are up
-	Held resource.Uses   // reportedBy attempts on each or in its queue
-	InS  float64         // when they are up, in seconds
+// Fresh is a slot of machines that were just requested.
+func Fresh(info protocol.TypeInfo, k Kind, count int) Slot {
+	return Slot{Alike: Alike{Kind: k, Free: resource.Capacity(info), InS: info.BootS}, Info: info, N: count}
+}
+
+// withTasks is so many of a slot's machines once each has taken some tasks.
+func (s Slot) withTasks(w *Work, tasks, machines int) Slot {
+	for range tasks {
+		s.Free = s.Free.Minus(w.Need)
+		s.Held.Add(w.Level, w.Need)
+	}
+	s.N = machines
+	return s
+}
+
+// Slots groups machines that are alike.
+type Slots struct {
+	List  []Slot
+	index map[Alike]int // in List
+}
+
+// Add counts a machine.
+func (s *Slots) Add(a Alike, info protocol.TypeInfo) {
+	if s.index == nil {
+		s.index = map[Alike]int{}
+	}
+	i, ok := s.index[a]
+	if !ok {
+		i = len(s.List)
+		s.index[a] = i
+		s.List = append(s.List, Slot{Alike: a, Info: info})
+	}
+	s.List[i].N++
 }
 
-// Work is tasks of one size that need room.
+// Work is tasks of one size that need resources.
 type Work struct {
 	Need    resource.Amount
 	Level   resource.Level
 	OneZone bool // all of them in the same one, whichever
-	// Shun: spot machines are no room for them.
+	// Shun: they are not placed on spot machines that are there.
 	Shun bool
-	// EstimateS is how long one runs, FetchS how long its image takes on a
+	// EstimateS is how long one runs, FetchS how long its image takes to fetch on a
 	// machine of a type, in seconds.
 	EstimateS float64
 	FetchS    func(protocol.TypeInfo) float64
 	// Allows reports whether they may run on machines of a kind, Offers lists
-	// what may be rented for them, the cheapest per task first.
+	// what may be provisioned for them, the cheapest per task first.
 	Allows func(protocol.TypeInfo, protocol.Zone, bool) bool
 	Offers []Kind
 }
 
+// canUse reports whether the work may run on the machines of a slot.
+func (w *Work) canUse(s *Slot) bool {
+	return (!w.Shun || !s.Spot) && w.Allows(s.Info, s.Zone, s.Spot)
+}
+
+// inZone is the work bound to a zone.
+func (w Work) inZone(zone protocol.Zone) Work {
+	allows := w.Allows
+	w.Allows = func(t protocol.TypeInfo, z protocol.Zone, spot bool) bool { return z == zone && allows(t, z, spot) }
+	w.Offers = slices.DeleteFunc(slices.Clone(w.Offers), func(k Kind) bool { return k.Zone != zone })
+	return w
+}
+
+// Order is machines of one kind to be requested from the cloud.
+type Order struct {
+	Kind
+	Count int
+	For   string // what they are for, if for one purpose alone
+}
+
 // Plan is the state of one plan.
 type Plan struct {
-	types    map[protocol.MachineType]protocol.TypeInfo
-	slots    []Slot
-	pools    map[Kind]*pool
-	wanted   map[Kind]int // machines to be asked for
-	underWay map[Kind]int // machines asked for already
-	bought   []Order      // for one thing alone
+	types     map[protocol.MachineType]protocol.TypeInfo
+	slots     []Slot
+	pools     map[Kind]*pool
+	requested map[Kind]int // machines that the plan requests
+	underWay  map[Kind]int // machines requested already
+	dedicated []Order      // for one purpose alone
 }
 
-// New begins a plan with the room that there is. Machines under way are asked
-// for already; their room is among the slots.
+// New begins a plan with the machines that there are. Machines under way are requested
+// already; they are among the slots.
 func New(types map[protocol.MachineType]protocol.TypeInfo, slots []Slot, underWay map[Kind]int) *Plan {
-	return &Plan{types: types, slots: slots, pools: map[Kind]*pool{}, wanted: map[Kind]int{}, underWay: underWay}
+	return &Plan{types: types, slots: slots, pools: map[Kind]*pool{}, requested: map[Kind]int{}, underWay: underWay}
 }
 
-// Slots gathers machines that are alike.
-type Slots struct {
-	List []Slot
-	at   map[Alike]int
+// Fill packs tasks into the machines that are there, requesting nothing, and
+// returns how many are left without.
+func (p *Plan) Fill(w Work, tasks int) (left int) {
+	if tasks > 0 && w.OneZone {
+		w = w.inZone(p.bestZone(&w, tasks))
+	}
+	return p.fill(&w, tasks)
 }
 
-// Add counts a machine.
-func (s *Slots) Add(a Alike, info protocol.TypeInfo) {
-	if s.at == nil {
-		s.at = map[Alike]int{}
+// Reserve packs tasks that are to start at once into the machines that are there, and
+// requests machines for those that are left without.
+func (p *Plan) Reserve(w Work, tasks int) {
+	if tasks > 0 && w.OneZone {
+		w = w.inZone(p.bestZone(&w, tasks)) // as if its user had named the zone
 	}
-	i, there := s.at[a]
-	if !there {
-		i = len(s.List)
-		s.at[a] = i
-		s.List = append(s.List, Slot{Alike: a, Info: info})
+	left := p.fill(&w, tasks)
+	if left <= 0 {
+		return
+	}
+	for _, k := range w.Offers {
+		count := p.request(k, machinesFor(left, p.tasksPerMachine(k, &w)))
+		if count > 0 {
+			p.slots = append(p.slots, Fresh(p.types[k.Type], k, count))
+			left = p.fill(&w, left)
+		}
+		if left <= 0 {
+			return
+		}
 	}
-	s.List[i].N++
-}
-
-// Fresh is the room of machines just asked for.
-func Fresh(info protocol.TypeInfo, k Kind, count int) Slot {
-	return Slot{Alike: Alike{Kind: k, Free: resource.Capacity(info), InS: info.BootS}, Info: info, N: count}
 }
 
-// fill takes room for n tasks out of the slots, as far as there is, and returns
-// how many are left without.
-func (p *Plan) fill(w *Work, n int) int {
-	for i := 0; i < len(p.slots) && n > 0; i++ {
-		s := &p.slots[i]
-		if s.N == 0 || w.Shun && s.Spot || !w.Allows(s.Info, s.Zone, s.Spot) {
-			continue
+// Provision requests machines for tasks, whatever is there, from the cheapest kinds
+// offered: they are for no other purpose. One request of each kind is under way at a
+// time, so its answer tells whether there are more.
+func (p *Plan) Provision(w Work, tasks int, purpose string) {
+	for _, k := range w.Offers {
+		perMachine := p.tasksPerMachine(k, &w)
+		if tasks <= 0 || perMachine == 0 {
+			return
 		}
-		per := s.Free.CountFitting(w.Need)
-		if per == 0 {
+		count := min(AskAtMost-p.underWay[k], machinesFor(tasks, perMachine))
+		if count <= 0 {
 			continue
 		}
-		// Whole machines first, then what is left on one more.
-		full := min(s.N, n/per)
-		part := 0
-		if full < s.N {
-			part = min(n-full*per, per)
-		}
-		was := *s
-		if s.N = was.N - full; part > 0 {
-			s.N--
-		}
-		if full > 0 {
-			p.slots = append(p.slots, was.after(w, per, full))
-		}
-		if part > 0 {
-			p.slots = append(p.slots, was.after(w, part, 1))
-		}
-		n -= full*per + part
+		p.underWay[k] += count
+		p.dedicated = append(p.dedicated, Order{k, count, purpose})
+		tasks -= count * perMachine
 	}
-	return n
 }
 
-// Fill takes room for n tasks out of what is there, asking for nothing, and
-// returns how many are left without.
-func (p *Plan) Fill(w Work, n int) int {
-	if n > 0 && w.OneZone {
-		w = w.in(p.zoneFor(&w, n))
+// Orders lists what the plan requests, the cheapest first, then what is dedicated to
+// one purpose.
+func (p *Plan) Orders() []Order {
+	var orders []Order
+	for _, k := range inPriceOrder(p, p.requested) {
+		orders = append(orders, Order{Kind: k, Count: p.requested[k]})
 	}
-	return p.fill(&w, n)
+	return append(orders, p.dedicated...)
 }
 
-// after is so many of a slot's machines once each has taken some tasks.
-func (s Slot) after(w *Work, tasks, machines int) Slot {
-	for range tasks {
-		s.Free = s.Free.Minus(w.Need)
-		s.Held.Add(w.Level, w.Need)
+// fill packs tasks into the slots and returns how many are left without.
+func (p *Plan) fill(w *Work, tasks int) (left int) {
+	for i := 0; i < len(p.slots) && tasks > 0; i++ {
+		tasks -= p.fillSlot(i, w, tasks)
 	}
-	s.N = machines
-	return s
+	return tasks
 }
 
-// Reserve takes room for n tasks, to be there at once, and asks for what is
-// missing.
-func (p *Plan) Reserve(w Work, n int) {
-	if n > 0 && w.OneZone {
-		w = w.in(p.zoneFor(&w, n)) // as if its user had named the zone
+// fillSlot packs up to so many tasks into a slot and returns how many it took. Whole
+// machines are filled first, then part of one more; both become slots of their own.
+func (p *Plan) fillSlot(i int, w *Work, tasks int) (taken int) {
+	s := &p.slots[i]
+	if s.N == 0 || !w.canUse(s) {
+		return 0
 	}
-	if n = p.fill(&w, n); n <= 0 {
-		return
+	perMachine := s.Free.CountFitting(w.Need)
+	if perMachine == 0 {
+		return 0
 	}
-	for _, k := range w.Offers {
-		per := resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
-		if count := p.ask(k, (n+per-1)/per); count > 0 {
-			p.slots = append(p.slots, Fresh(p.types[k.Type], k, count))
-			n = p.fill(&w, n)
-		}
-		if n <= 0 {
-			return
-		}
+	full := min(s.N, tasks/perMachine)
+	part := 0
+	if full < s.N {
+		part = min(tasks-full*perMachine, perMachine)
 	}
+	before := *s
+	s.N -= full
+	if part > 0 {
+		s.N--
+	}
+	if full > 0 {
+		p.slots = append(p.slots, before.withTasks(w, perMachine, full))
+	}
+	if part > 0 {
+		p.slots = append(p.slots, before.withTasks(w, part, 1))
+	}
+	return full*perMachine + part
 }
 
-// in is the work bound to a zone.
-func (w Work) in(z protocol.Zone) Work {
-	allows := w.Allows
-	w.Allows = func(t protocol.TypeInfo, at protocol.Zone, spot bool) bool { return at == z && allows(t, at, spot) }
-	w.Offers = slices.DeleteFunc(slices.Clone(w.Offers), func(k Kind) bool { return k.Zone != z })
-	return w
-}
-
-// zoneFor is the zone that lacks least to hold n tasks, of those that lack
-// nothing or still have machines to rent.
-func (p *Plan) zoneFor(w *Work, n int) protocol.Zone {
-	has, offered := map[protocol.Zone]int{}, map[protocol.Zone]bool{}
+// bestZone is the zone that lacks least to run so many tasks, of those that lack
+// nothing or have machines on offer.
+func (p *Plan) bestZone(w *Work, tasks int) protocol.Zone {
+	fits, offered := map[protocol.Zone]int{}, map[protocol.Zone]bool{}
 	for i := range p.slots {
-		if s := &p.slots[i]; !(w.Shun && s.Spot) && w.Allows(s.Info, s.Zone, s.Spot) {
-			has[s.Zone] += s.N * s.Free.CountFitting(w.Need)
+		if s := &p.slots[i]; w.canUse(s) {
+			fits[s.Zone] += s.N * s.Free.CountFitting(w.Need)
 		}
 	}
 	for _, k := range w.Offers {
 		offered[k.Zone] = true
-		has[k.Zone] += 0
+		fits[k.Zone] += 0
 	}
 	var best protocol.Zone
-	for _, z := range slices.Sorted(maps.Keys(has)) {
-		if has[z] < n && !offered[z] {
+	for _, z := range slices.Sorted(maps.Keys(fits)) {
+		if fits[z] < tasks && !offered[z] {
 			continue
 		}
-		if best == "" || min(has[z], n) > min(has[best], n) {
+		if best == "" || min(fits[z], tasks) > min(fits[best], tasks) {
 			best = z
 		}
 	}
 	return best
 }
 
-// AskAtMost is how many machines are asked for in one request.
-const AskAtMost = 50
-
-// ask takes note of machines to be rented, and returns how many of them the
-// planScaleOut may count on: no more of a kind at a time than one request, whose answer
-// tells whether there are more.
-func (p *Plan) ask(k Kind, count int) int {
-	count = max(0, min(count, AskAtMost-p.wanted[k]-p.underWay[k]))
+// request notes machines to be requested, and returns how many of them the plan may
+// count on: no more of a kind at a time than one request, whose answer tells whether
+// there are more.
+func (p *Plan) request(k Kind, count int) int {
+	count = max(0, min(count, AskAtMost-p.requested[k]-p.underWay[k]))
 	if count > 0 {
-		p.wanted[k] += count
+		p.requested[k] += count
 	}
 	return count
 }
 
-// Order is machines of one kind to be asked for.
-type Order struct {
-	Kind
-	Count int
-	For   string // what they are for, if for one thing alone
-}
-
-// Provision asks for machines for n tasks, whatever is there, from the cheapest kind
-// offered: they are for nothing else. One request of each kind is under way at a
-// time, so its answer tells whether there are more.
-func (p *Plan) Provision(w Work, n int, what string) {
-	for _, k := range w.Offers {
-		per := resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
-		if n <= 0 || per == 0 {
-			return
-		}
-		count := min(AskAtMost-p.underWay[k], (n+per-1)/per)
-		if count <= 0 {
-			continue
-		}
-		p.underWay[k] += count
-		p.bought = append(p.bought, Order{k, count, what})
-		n -= count * per
-	}
+// tasksPerMachine is how many tasks fit on an empty machine of a kind.
+func (p *Plan) tasksPerMachine(k Kind, w *Work) int {
+	return resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
 }
 
-// Orders lists what the plan asks for, the cheapest first, then what is bought for
-// one thing alone.
-func (p *Plan) Orders() []Order {
-	var os []Order
-	for _, k := range inPriceOrder(p, p.wanted) {
-		os = append(os, Order{Kind: k, Count: p.wanted[k]})
-	}
-	return append(os, p.bought...)
-}
+// machinesFor is how many machines so many tasks need.
+func machinesFor(tasks, perMachine int) int { return (tasks + perMachine - 1) / perMachine }
 
 // inPriceOrder lists kinds in one order, the cheapest first.
 func inPriceOrder[V any](p *Plan, kinds map[Kind]V) []Kind {
 	return slices.SortedFunc(maps.Keys(kinds), func(a, b Kind) int {
-		return cmp.Or(cmp.Compare(Price(p.types[a.Type], a.Spot), Price(p.types[b.Type], b.Spot)), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
+		return cmp.Or(
+			cmp.Compare(Price(p.types[a.Type], a.Spot), Price(p.types[b.Type], b.Spot)),
+			cmp.Compare(a.Type, b.Type),
+			cmp.Compare(a.Zone, b.Zone))
 	})
 }
 
-// Price of a machine of a type, for a processor and an hour.
+// Price is that of a machine of a type, for a processor and an hour.
 func Price(t protocol.TypeInfo, spot bool) float64 {
 	if spot {
 		return t.SpotPrice / math.Max(t.CPUs, 1)
--- a/internal/controller/autoscaler/pools.go
+++ b/internal/controller/autoscaler/pools.go
@@ -7,12 +7,15 @@
 	"damsonkeel/internal/protocol"
 )
 
+// negligibleTasks is so little work that no machine is requested for it.
+const negligibleTasks = 0.5
+
 // pool is the machines of one kind, as far as they work off what need not
 // start at once.
 type pool struct {
-	info     protocol.TypeInfo
-	capacity resource.Amount // reservation all together
-	aheadS   float64         // processor seconds that they have to do before
+	info           protocol.TypeInfo
+	capacity       resource.Amount // of all machines together
+	backlogSeconds float64         // processor seconds that they have to work off before
 }
 
 // Gather pools what the slots have left for work of a rank or below that runs
@@ -20,68 +23,84 @@
 // still to come.
 func (p *Plan) Gather(rank int, runS float64) {
 	for _, s := range p.slots {
-		k := p.pool(s.Kind)
-		left, n := resource.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.N)
+		pooled := p.pool(s.Kind)
+		left, machines := resource.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.N)
 		if left.CPUs <= resource.Slack || s.N == 0 {
 			continue
 		}
-		k.capacity = k.capacity.Plus(left.Times(n))
-		k.aheadS += n * left.CPUs * s.InS
+		pooled.capacity = pooled.capacity.Plus(left.Times(machines))
+		pooled.backlogSeconds += machines * left.CPUs * s.InS
 		if s.InS == 0 {
-			k.aheadS += n * math.Max(0, left.CPUs-math.Max(0, s.Free.CPUs)) * runS / 2
+			busy := math.Max(0, left.CPUs-math.Max(0, s.Free.CPUs))
+			pooled.backlogSeconds += machines * busy * runS / 2
 		}
 	}
 }
 
-// WorkOff has the pools begin n tasks in the time that is left, in seconds, and
-// asks for machines for those that they can't.
+// WorkOff has the pools begin tasks in the time that is left, in seconds, and
+// requests machines for those that they can't.
 func (p *Plan) WorkOff(w Work, tasks int, leftS float64) {
-	n := float64(tasks)
-	upS := func(k Kind) float64 { return p.types[k.Type].BootS + w.FetchS(p.types[k.Type]) }
+	remaining := float64(tasks)
 	if len(w.Offers) > 0 {
-		// A machine rented now brings nothing for what begins before it is up.
-		leftS = math.Max(leftS, upS(w.Offers[0]))
+		// A machine requested now brings nothing for what begins before it is up.
+		leftS = math.Max(leftS, p.readySeconds(w.Offers[0], &w))
 	}
 	for _, k := range inPriceOrder(p, p.pools) {
-		l := p.pools[k]
-		if !w.Allows(l.info, k.Zone, k.Spot) {
+		pooled := p.pools[k]
+		if !w.Allows(pooled.info, k.Zone, k.Spot) {
 			continue
 		}
-		n -= l.take(n, w.Need, w.EstimateS, leftS)
+		remaining -= pooled.take(remaining, w.Need, w.EstimateS, leftS)
 	}
 	for _, k := range w.Offers {
-		per := resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
-		rounds := math.Max(0, leftS-upS(k))/w.EstimateS + 1
-		if n < 0.5 {
+		if remaining < negligibleTasks {
 			return
 		}
-		count := p.ask(k, int(math.Ceil(n/(float64(per)*rounds))))
-		l := p.pool(k)
-		for range count {
-			l.capacity = l.capacity.Plus(resource.Capacity(l.info))
-		}
-		l.aheadS += float64(count) * l.info.CPUs * upS(k)
-		n -= l.take(n, w.Need, w.EstimateS, leftS)
+		readySeconds := p.readySeconds(k, &w)
+		rounds := math.Max(0, leftS-readySeconds)/w.EstimateS + 1
+		perMachine := float64(p.tasksPerMachine(k, &w)) * rounds
+		count := p.request(k, int(math.Ceil(remaining/perMachine)))
+		pooled := p.pool(k)
+		pooled.addMachines(count, readySeconds)
+		remaining -= pooled.take(remaining, w.Need, w.EstimateS, leftS)
 	}
 }
 
+// readySeconds is how long a machine requested now takes until it runs a task.
+func (p *Plan) readySeconds(k Kind, w *Work) float64 {
+	info := p.types[k.Type]
+	return info.BootS + w.FetchS(info)
+}
+
+// pool is that of a kind; it is made if there is none.
 func (p *Plan) pool(k Kind) *pool {
-	l := p.pools[k]
-	if l == nil {
-		l = &pool{info: p.types[k.Type]}
-		p.pools[k] = l
+	pooled := p.pools[k]
+	if pooled == nil {
+		pooled = &pool{info: p.types[k.Type]}
+		p.pools[k] = pooled
+	}
+	return pooled
+}
+
+// addMachines adds machines that run tasks after so many seconds.
+func (l *pool) addMachines(count int, readySeconds float64) {
+	for range count {
+		l.capacity = l.capacity.Plus(resource.Capacity(l.info))
 	}
-	return l
+	l.backlogSeconds += float64(count) * l.info.CPUs * readySeconds
 }
 
-// take has a pool do as many of n tasks as it can begin before they are late.
-func (l *pool) take(n float64, size resource.Amount, estimateS, leftS float64) float64 {
+// take has a pool do as many of some tasks as it can begin in the time that is left, and
+// returns that number.
+func (l *pool) take(tasks float64, size resource.Amount, estimateS, leftS float64) float64 {
 	places := l.capacity.Places(size)
 	if places < 1 {
 		return 0
 	}
-	can := math.Max(0, leftS+estimateS-l.aheadS/math.Max(l.capacity.CPUs, resource.Slack)) / estimateS * places
-	done := math.Min(n, can)
-	l.aheadS += done * estimateS * l.capacity.CPUs / places // a task without processors takes its part of the room, too
-	return done
+	backlog := l.backlogSeconds / math.Max(l.capacity.CPUs, resource.Slack)
+	possible := math.Max(0, leftS+estimateS-backlog) / estimateS * places
+	taken := math.Min(tasks, possible)
+	// A task without processors takes its part of the machines, too.
+	l.backlogSeconds += taken * estimateS * l.capacity.CPUs / places
+	return taken
 }
