--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -6,32 +6,34 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Cloud models the cloud: its machines, and what it remembers of requests.
+// Cloud models the cloud: its machines, and its answers to requests, which are
+// idempotent by their names.
 type Cloud struct {
 	Machines map[protocol.MachineID]protocol.ProvisionRequest
-	Capacity int
-	PerZone  int // of these, in each zone at the most; 0: any number
+	Capacity int // machines at the most
+	PerZone  int // machines in each zone at the most; 0: any number
 
-	answers map[string][]protocol.MachineID
-	next    int
+	answers     map[string][]protocol.MachineID // by the name of the request
+	nextMachine int
 }
 
-// NewClient makes a cloud that has so many machines to rent.
+// NewCloud makes a cloud that can provision so many machines.
 func NewCloud(capacity int) *Cloud {
 	return &Cloud{Machines: map[protocol.MachineID]protocol.ProvisionRequest{}, Capacity: capacity, answers: map[string][]protocol.MachineID{}}
 }
 
-// Rent rents machines; fresh ones are new by this request.
+// Rent provisions machines. A repeated request gets the answer of the first one; fresh
+// are the machines that are new by this request.
 func (c *Cloud) Rent(r protocol.ProvisionRequest) (all, fresh []protocol.MachineID) {
-	if have, ok := c.answers[r.Name]; ok {
-		return have, nil
+	if machines, ok := c.answers[r.Name]; ok {
+		return machines, nil
 	}
 	for range r.Count {
-		if len(c.Machines) >= c.Capacity || c.PerZone > 0 && c.in(r.Zone) >= c.PerZone {
+		if len(c.Machines) >= c.Capacity || c.PerZone > 0 && c.countIn(r.Zone) >= c.PerZone {
 			break
 		}
-		id := protocol.MachineID(fmt.Sprintf("vm-%06d", c.next))
-		c.next++
+		id := protocol.MachineID(fmt.Sprintf("vm-%06d", c.nextMachine))
+		c.nextMachine++
 		c.Machines[id] = r
 		fresh = append(fresh, id)
 	}
@@ -41,13 +43,13 @@
 	return fresh, fresh
 }
 
-// in is how many machines there are in a zone.
-func (c *Cloud) in(z protocol.Zone) int {
-	n := 0
+// countIn is how many machines there are in a zone.
+func (c *Cloud) countIn(z protocol.Zone) int {
+	count := 0
 	for _, r := range c.Machines {
 		if r.Zone == z {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/fake/state.go
+++ b/internal/fake/kvstore.go
@@ -1,26 +1,23 @@
-// Package fake models the platform's services for tests: a state service,
-// a cloud and workers, each as plain state without clocks or sockets.
 package fake
 
 import (
 	"maps"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
 	"damsonkeel/internal/protocol"
 )
 
-// State models the state service.
+// State models the key-value store: items with versions, leases, and a log of changes.
 type State struct {
 	Revision protocol.Revision
 	Log      []protocol.Event // the latest changes, in order
 	Before   int              // how many came before these
 
-	items  map[string]item
-	leases map[protocol.LeaseID]lease
-	next   protocol.LeaseID
+	items     map[string]item
+	leases    map[protocol.LeaseID]lease
+	lastLease protocol.LeaseID
 }
 
 type item struct {
@@ -30,10 +27,11 @@
 }
 
 type lease struct {
-	ttl, ends time.Duration
+	ttl       time.Duration
+	expiresAt time.Duration
 }
 
-// NewClient makes an empty service.
+// NewState makes an empty store.
 func NewState() *State {
 	return &State{items: map[string]item{}, leases: map[protocol.LeaseID]lease{}}
 }
@@ -50,11 +48,11 @@
 	s.Before = upto
 }
 
-// Lease gives a lease.
+// Lease grants a lease.
 func (s *State) Lease(now, ttl time.Duration) protocol.LeaseID {
-	s.next++
-	s.leases[s.next] = lease{ttl, now + ttl}
-	return s.next
+	s.lastLease++
+	s.leases[s.lastLease] = lease{ttl, now + ttl}
+	return s.lastLease
 }
 
 // Extend renews a lease and reports whether it was still there.
@@ -66,11 +64,10 @@
 	return ok
 }
 
-// Expire ends leases whose time is over, and deletes their keys.
+// Expire ends the leases that have expired, and deletes their keys.
 func (s *State) Expire(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-		l := s.leases[id]
-		if l.ends <= now {
+		if s.leases[id].expiresAt <= now {
 			s.Release(id)
 		}
 	}
@@ -125,22 +122,26 @@
 	for _, c := range t.Changes {
 		if c.Put == "" {
 			s.remove(c.Delete)
-			continue
-		}
-		value, err := protocol.Encode(c.Value)
-		if err != nil {
-			panic(err) // a test's own value
+		} else {
+			s.put(c)
 		}
-		it := item{value: value, version: protocol.Version(s.Revision)}
-		if c.Lease != nil {
-			it.lease = *c.Lease
-		}
-		s.items[c.Put] = it
-		s.Log = append(s.Log, protocol.Event{Put: c.Put, Value: value, Version: it.version})
 	}
 	return true
 }
 
+func (s *State) put(c protocol.Change) {
+	value, err := protocol.Encode(c.Value)
+	if err != nil {
+		panic(err) // a test's own value
+	}
+	it := item{value: value, version: protocol.Version(s.Revision)}
+	if c.Lease != nil {
+		it.lease = *c.Lease
+	}
+	s.items[c.Put] = it
+	s.Log = append(s.Log, protocol.Event{Put: c.Put, Value: value, Version: it.version})
+}
+
 func (s *State) remove(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
@@ -148,15 +149,16 @@
 	}
 }
 
+// keys lists the keys with a prefix in order.
 func (s *State) keys(prefix string) []string {
-	var ks []string
+	var keys []string
 	for k := range s.items {
 		if strings.HasPrefix(k, prefix) {
-			ks = append(ks, k)
+			keys = append(keys, k)
 		}
 	}
-	sort.Strings(ks)
-	return ks
+	slices.Sort(keys)
+	return keys
 }
 
 // Get reads a key.
@@ -167,10 +169,10 @@
 
 // List reads all keys with a prefix.
 func (s *State) List(prefix string) []protocol.Item {
-	var out []protocol.Item
+	var items []protocol.Item
 	for _, k := range s.keys(prefix) {
 		it, _ := s.Get(k)
-		out = append(out, it)
+		items = append(items, it)
 	}
-	return out
+	return items
 }
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -5,7 +5,7 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Settings is a small deployment to play: three controllers, one team without
+// Settings is a small deployment to simulate: three controllers, one team without
 // and one with a limit.
 func Settings() *config.Settings {
 	s := &config.Settings{}
