--- a/internal/fake/server/platform.go
+++ b/internal/fake/server/platform.go
@@ -1,6 +1,3 @@
-// Package server puts the models of the platform's services behind its wire: a
-// state service, a cloud and workers on loopback, for tests and trials with real
-// controllers at real speed.
 package server
 
 import (
@@ -11,33 +8,42 @@
 	"damsonkeel/internal/protocol"
 )
 
+// Times of the workers, in seconds, as the controllers' settings should name them.
 const (
-	// ReportS and LeaseS are the workers' times, as settings should name them.
+	// ReportS is the time between heartbeats.
 	ReportS = 2.0
-	LeaseS  = 12.0
+	// LeaseS is the workers' lease.
+	LeaseS = 12.0
 )
 
-// Platform is a state service, a cloud and workers in one process. Close ends it.
+// Machines take between minBootFactor and minBootFactor+bootSpread times the usual time
+// to come up.
+const (
+	minBootFactor = 0.6
+	bootSpread    = 0.9
+)
+
+// Platform is a key-value store, a cloud and workers in one process. Close ends it.
 type Platform struct {
 	State, Cloud string // addresses
 
 	stateService *StateService
 	cloudService *CloudService
 	host         *Host
-	begun        time.Time
+	startedAt    time.Time
 
-	mu       sync.Mutex
-	returned map[protocol.MachineID]bool // also those that were still to come up
-	jobs     map[protocol.JobID]protocol.Job
-	started  map[protocol.TaskID]time.Time
-	starts   map[protocol.JobID]int
+	mu         sync.Mutex
+	terminated map[protocol.MachineID]bool // also those that were still to come up
+	jobs       map[protocol.JobID]protocol.Job
+	started    map[protocol.TaskID]time.Time
+	starts     map[protocol.JobID]int
 }
 
-// New starts a platform with so many machines to rent at the most. Nodes are the
+// New starts a platform that provisions so many machines at the most. Nodes are the
 // addresses of the controllers.
 func New(types []protocol.TypeInfo, machines int, nodes map[protocol.NodeName]string) (*Platform, error) {
 	p := &Platform{
-		begun: time.Now(), returned: map[protocol.MachineID]bool{}, jobs: map[protocol.JobID]protocol.Job{},
+		startedAt: time.Now(), terminated: map[protocol.MachineID]bool{}, jobs: map[protocol.JobID]protocol.Job{},
 		started: map[protocol.TaskID]time.Time{}, starts: map[protocol.JobID]int{},
 	}
 	p.host = NewHost(HostConfig{
@@ -87,13 +93,13 @@
 func (p *Platform) Started(id protocol.JobID) []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var ts []time.Time
+	var times []time.Time
 	for t, at := range p.started {
 		if t.Job == id {
-			ts = append(ts, at)
+			times = append(times, at)
 		}
 	}
-	return ts
+	return times
 }
 
 // Starts is how many times tasks of a job have started, those that started again
@@ -104,36 +110,36 @@
 	return p.starts[id]
 }
 
-// now is the platform's steady clock.
-func (p *Platform) now() time.Duration { return time.Since(p.begun) }
+// now is the platform's monotonic clock.
+func (p *Platform) now() time.Duration { return time.Since(p.startedAt) }
 
-// Rented has a machine come up after a while.
+// Rented has a provisioned machine come up after a while.
 func (p *Platform) Rented(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
-	boot := seconds((0.6 + 0.9*rand.Float64()) * info.BootS)
+	boot := seconds((minBootFactor + bootSpread*rand.Float64()) * info.BootS)
 	time.AfterFunc(boot, func() {
-		if p.isReturned(id) {
+		if p.isTerminated(id) {
 			return
 		}
 		if err := p.host.Up(id, info, req.Zone, req.Spot); err != nil {
 			return // a machine that never comes up
 		}
-		if p.isReturned(id) { // while it came up
+		if p.isTerminated(id) { // while it came up
 			p.host.Kill(id)
 		}
 	})
 }
 
-func (p *Platform) isReturned(id protocol.MachineID) bool {
+func (p *Platform) isTerminated(id protocol.MachineID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.returned[id]
+	return p.terminated[id]
 }
 
-// Return ends machines.
+// Return terminates machines.
 func (p *Platform) Return(ids []protocol.MachineID) error {
 	p.mu.Lock()
 	for _, id := range ids {
-		p.returned[id] = true
+		p.terminated[id] = true
 	}
 	p.mu.Unlock()
 	p.host.Kill(ids...)
@@ -143,26 +149,26 @@
 // Machine is a machine that is up.
 func (p *Platform) Machine(id protocol.MachineID) (Listed, bool) { return p.host.Machine(id) }
 
-// Up hears of a machine.
+// Up does nothing: no test asks for it.
 func (p *Platform) Up(protocol.MachineID, protocol.TypeInfo, protocol.Zone, bool, time.Duration) {}
 
-// Gone hears of a machine.
+// Gone does nothing: no test asks for it.
 func (p *Platform) Gone(protocol.MachineID, time.Duration) {}
 
-// Ordered hears of a start that was taken.
+// Ordered does nothing: no test asks for it.
 func (p *Platform) Ordered(protocol.MachineID, protocol.TaskID, protocol.Attempt, time.Duration) {}
 
-// On hears of a task that has started.
+// On counts the starts of a task.
 func (p *Platform) On(_ protocol.MachineID, task protocol.TaskID, _ protocol.Attempt, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.starts[task.Job]++
-	if _, before := p.started[task]; !before {
+	if _, known := p.started[task]; !known {
 		p.started[task] = time.Now()
 	}
 }
 
-// Off hears of a task that has ended.
+// Off does nothing: no test asks for it.
 func (p *Platform) Off(protocol.MachineID, protocol.TaskID, protocol.Attempt, protocol.EndCause, time.Duration) {
 }
 
--- /dev/null
+++ b/internal/fake/server/stateservice.go
@@ -0,0 +1,185 @@
+package server
+
+import (
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/protocol"
+
+	"golang.org/x/time/rate"
+)
+
+const (
+	// maxPage is how many items a page holds at the most, and maxPageBytes how many
+	// bytes of values.
+	maxPage      = 1000
+	maxPageBytes = 512 << 10
+	// expiryInterval is how often it is checked whether leases have expired.
+	expiryInterval = 50 * time.Millisecond
+)
+
+// StateService puts the model of the key-value store behind its wire.
+type StateService struct {
+	Addr    string
+	Traffic *Traffic
+
+	throttle
+	server  *http.Server
+	changes *rate.Limiter
+	clock   func() time.Duration
+	done    chan struct{}
+
+	mu      sync.Mutex
+	state   *fake.State
+	changed chan struct{} // closed at each change
+}
+
+// NewStateService starts a key-value store on loopback. Clock is its monotonic clock.
+func NewStateService(limits Limits, clock func() time.Duration) (*StateService, error) {
+	throttle := newThrottle(limits)
+	s := &StateService{
+		Traffic: throttle.traffic, throttle: throttle, changes: limits.limiter(limits.Changes), clock: clock,
+		done: make(chan struct{}), state: fake.NewState(), changed: make(chan struct{}),
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /keys", s.limited("list", s.list))
+	mux.HandleFunc("GET /keys/{key...}", s.limited("read", s.get))
+	mux.HandleFunc("POST /txn", s.limited("transaction", s.transaction))
+	mux.HandleFunc("POST /holds", s.limited("lease", locked(&s.mu, s.grantLease)))
+	mux.HandleFunc("POST /holds/{id}/extend", s.limited("extend", s.extendLease))
+	mux.HandleFunc("DELETE /holds/{id}", s.limited("release", s.releaseLease))
+	mux.HandleFunc("GET /follow", s.limited("watch", s.watch))
+	var err error
+	if s.server, s.Addr, err = listen(mux, plain); err != nil {
+		return nil, err
+	}
+	go s.expireLeases()
+	return s, nil
+}
+
+// Close ends the service.
+func (s *StateService) Close() {
+	close(s.done)
+	_ = s.server.Close() // nothing is left to lose
+}
+
+// Size is how many records there are, with the bytes of their values.
+func (s *StateService) Size() (records, bytes int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	items := s.state.List("")
+	for _, it := range items {
+		bytes += len(it.Key) + len(it.Value)
+	}
+	return len(items), bytes
+}
+
+// expireLeases ends leases in time.
+func (s *StateService) expireLeases() {
+	ticker := time.NewTicker(expiryInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-s.done:
+			return
+		case <-ticker.C:
+			s.mu.Lock()
+			before := s.state.Changes()
+			if s.state.Expire(s.clock()); s.state.Changes() != before {
+				s.notifyWatches()
+			}
+			s.mu.Unlock()
+		}
+	}
+}
+
+func (s *StateService) get(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	it, ok := s.state.Get(r.PathValue("key"))
+	revision := s.state.Revision
+	s.mu.Unlock()
+	if !ok {
+		answer(w, http.StatusNotFound, protocol.TransactionReply{Revision: revision})
+		return
+	}
+	answer(w, http.StatusOK, it)
+}
+
+// list answers with a page of the items with a prefix.
+func (s *StateService) list(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	pageSize, _ := strconv.Atoi(query.Get("page"))
+	s.mu.Lock()
+	page := protocol.Page{Revision: s.state.Revision, Items: []protocol.Item{}}
+	bytes := 0
+	for _, it := range s.state.List(query.Get("starts")) {
+		if it.Key <= query.Get("from") {
+			continue
+		}
+		bytes += len(it.Key) + len(it.Value)
+		if len(page.Items) >= max(1, min(pageSize, maxPage)) || bytes > maxPageBytes && len(page.Items) > 0 {
+			page.More = true
+			break
+		}
+		page.Items = append(page.Items, it)
+	}
+	s.mu.Unlock()
+	answer(w, http.StatusOK, page)
+}
+
+// transaction executes a transaction within the limit of changes.
+func (s *StateService) transaction(w http.ResponseWriter, r *http.Request) {
+	t, ok := read[protocol.Transaction](w, r)
+	if !ok {
+		return
+	}
+	if !s.changes.AllowN(time.Now(), len(t.Changes)) {
+		s.refuse(w, "too many changes")
+		return
+	}
+	s.Traffic.Add("changes", len(t.Changes), 0, 0)
+	s.mu.Lock()
+	status, body := s.execute(t)
+	s.mu.Unlock()
+	answer(w, status, body)
+}
+
+// execute executes a transaction. The lock is held.
+func (s *StateService) execute(t protocol.Transaction) (status int, body any) {
+	if s.state.LeaseMissing(t) {
+		return http.StatusBadRequest, protocol.ErrorBody{Error: "no such lease"}
+	}
+	if !s.state.Txn(t) {
+		return http.StatusConflict, protocol.TransactionReply{Failed: []string{}, Revision: s.state.Revision}
+	}
+	s.notifyWatches()
+	return http.StatusOK, protocol.TransactionReply{Revision: s.state.Revision}
+}
+
+func (s *StateService) grantLease(l protocol.LeaseRequest) (status int, body any) {
+	return http.StatusOK, protocol.LeaseReply{Lease: s.state.Lease(s.clock(), time.Duration(l.TTLMS)*time.Millisecond)}
+}
+
+func (s *StateService) extendLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
+	s.mu.Lock()
+	known := s.state.Extend(s.clock(), protocol.LeaseID(id))
+	s.mu.Unlock()
+	if !known {
+		answer(w, http.StatusNotFound, protocol.ErrorBody{Error: "no such lease"})
+		return
+	}
+	answer(w, http.StatusOK, protocol.LeaseReply{Lease: protocol.LeaseID(id)})
+}
+
+func (s *StateService) releaseLease(w http.ResponseWriter, r *http.Request) {
+	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
+	s.mu.Lock()
+	s.state.Release(protocol.LeaseID(id))
+	s.notifyWatches()
+	s.mu.Unlock()
+	answer(w, http.StatusOK, protocol.LeaseReply{Lease: protocol.LeaseID(id)})
+}
--- a/internal/fake/server/limits.go
+++ b/internal/fake/server/throttle.go
@@ -9,7 +9,7 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits bounds what a stand-in service serves.
+// Limits bounds what a fake service serves.
 type Limits struct {
 	// Requests and Changes are how many a second; 0: any number.
 	Requests, Changes float64
@@ -39,8 +39,8 @@
 	return throttle{limits, limits.limiter(limits.Requests), NewTraffic()}
 }
 
-// limited serves requests of a kind.
-func (t throttle) limited(kind string, h http.HandlerFunc) http.HandlerFunc {
+// limited serves requests of a kind within the limits.
+func (t throttle) limited(kind string, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !t.requests.Allow() {
 			t.refuse(w, "too many requests")
@@ -50,13 +50,13 @@
 			time.Sleep(t.limits.Latency())
 		}
 		counted := &countedWriter{ResponseWriter: w}
-		h(counted, r)
+		handler(counted, r)
 		t.traffic.Add(kind, 1, int(max(0, r.ContentLength)), counted.bytes)
 	}
 }
 
 // refuse answers a request that is beyond a limit.
-func (t throttle) refuse(w http.ResponseWriter, why string) {
+func (t throttle) refuse(w http.ResponseWriter, reason string) {
 	t.traffic.Add("refused", 1, 0, 0)
-	answer(w, 429, protocol.ErrorBody{Error: why})
+	answer(w, http.StatusTooManyRequests, protocol.ErrorBody{Error: reason})
 }
--- a/internal/fake/server/traffic.go
+++ b/internal/fake/server/traffic.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Flow is what has passed of one kind of message, seen from who counts it.
+// Flow is the messages of one kind and their bytes, in the direction of the counting side.
 type Flow struct {
 	Messages uint64 `json:"messages"`
 	BytesIn  uint64 `json:"bytes_in"`
@@ -52,11 +52,12 @@
 func (l countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
-		return nil, err
+		return nil, err //nolint:wrapcheck // http.Server compares the errors of a listener
 	}
 	return countedConn{c, l.kind, l.traffic}, nil
 }
 
+// countedConn counts the bytes of a connection.
 type countedConn struct {
 	net.Conn
 	kind    string
@@ -67,14 +68,14 @@
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.Add(c.kind, 0, n, 0)
-	return n, err
+	return n, err //nolint:wrapcheck // the errors of a connection are compared, such as io.EOF
 }
 
 // Write counts what goes out.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.Add(c.kind, 0, 0, n)
-	return n, err
+	return n, err //nolint:wrapcheck // the errors of a connection are compared, such as io.EOF
 }
 
 // countedWriter counts the body of a response.
@@ -87,5 +88,5 @@
 func (w *countedWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
 	w.bytes += n
-	return n, err
+	return n, err //nolint:wrapcheck // a writer passes on the errors of what it wraps
 }
