--- a/internal/controller/admission/submission.go
+++ b/internal/controller/admission/submission.go
@@ -59,7 +59,7 @@
 	if team.Closed {
 		return "the team is closed to new jobs"
 	}
-	if !a.fitsAnyMachineType(j) {
+	if !a.runsOnAnyMachineType(j) {
 		return "a task fits no allowed machine type"
 	}
 	tasksAtOnce := 1.0
@@ -72,9 +72,9 @@
 	return ""
 }
 
-// fitsAnyMachineType reports whether a task of a job fits a machine type that the job
+// runsOnAnyMachineType reports whether a task of a job fits a machine type that the job
 // allows. Its zone is left aside: it may offer the type another day.
-func (a *Admission) fitsAnyMachineType(j *protocol.Job) bool {
+func (a *Admission) runsOnAnyMachineType(j *protocol.Job) bool {
 	live := clusterstate.LiveJob{Job: *j}
 	live.Zone = ""
 	for _, t := range a.machineTypes {
--- a/internal/controller/reservation/calendar.go
+++ b/internal/controller/reservation/calendar.go
@@ -15,8 +15,8 @@
 	// Ahead is how far ahead the calendar reaches: a new entry is checked against all
 	// that is accepted until then.
 	Ahead = 366 * day
-	// keepPast is for how long occurrences that are over are kept.
-	keepPast = 25 * time.Hour
+	// retainPast is for how long occurrences that are over are kept.
+	retainPast = 25 * time.Hour
 	// listAtOnce is how far ahead an entry's occurrences are listed when it comes; the
 	// rest follows, a few entries at a time.
 	listAtOnce = 15 * day
@@ -84,7 +84,7 @@
 	if !e.Valid() {
 		return
 	}
-	e.listedTo = After(now, -keepPast)
+	e.listedTo = After(now, -retainPast)
 	c.list(e, After(now, listAtOnce))
 	if e.When.Recurs() {
 		e.incomplete = true
@@ -146,7 +146,7 @@
 
 // dropPast drops the occurrences of an entry that are long over.
 func (c *Calendar) dropPast(e *Entry, now Moment) {
-	oldest := treeTime(After(now, -keepPast-e.length))
+	oldest := treeTime(After(now, -retainPast-e.length))
 	for len(e.keys) > 0 && e.keys[0] < oldest {
 		c.index.remove(e.keys[0])
 		e.keys = e.keys[1:]
--- a/internal/controller/reservation/capacity.go
+++ b/internal/controller/reservation/capacity.go
@@ -76,9 +76,9 @@
 	return free
 }
 
-// soonestFit is how many tasks of an occurrence are likely to fit on a machine at the
-// earliest, and from when on; 0: none ever will.
-func (m *machineCapacity) soonestFit(d *Demand, now Moment) (by Moment, tasks int) {
+// earliestCapacity is how many tasks of an occurrence are likely to fit on a machine at
+// the earliest, and from when on; 0: none ever will.
+func (m *machineCapacity) earliestCapacity(d *Demand, now Moment) (by Moment, tasks int) {
 	ends := []Moment{max(now, m.Up)}
 	for _, r := range m.Runs {
 		ends = append(ends, max(r.Ends, now, m.Up))
--- a/internal/controller/reservation/decision.go
+++ b/internal/controller/reservation/decision.go
@@ -54,7 +54,7 @@
 // DecideReservation decides whether a reservation can be kept beside everything that is
 // accepted already.
 func (c *Calendar) DecideReservation(s *record.ReservationSpec, f *Facts, now Moment) Answer {
-	if !fitsCatalogue(s, f) {
+	if !feasibleInCatalogue(s, f) {
 		return refused(nil, "a task fits no allowed machine type of the catalogue")
 	}
 	if s.Team != "" {
@@ -68,12 +68,12 @@
 	}
 	beside := map[Name]bool{}
 	for m, active := range c.adjacent(times, Busy(s), s.Name, beside) {
-		if a := c.fit(s, active, f); !a.OK {
+		if a := c.checkCapacity(s, active, f); !a.OK {
 			a.Reason += " on " + clockTime(m)
 			return a
 		}
 	}
-	return accepted(describePromise(s, f), times, beside)
+	return accepted(describeAcceptance(s, f), times, beside)
 }
 
 // DecideWindow decides whether a window leaves resources for everything that is
@@ -98,8 +98,8 @@
 	return accepted("nothing new starts there then; what runs is let run", times, beside)
 }
 
-// fitsCatalogue reports whether a task of a reservation fits any machine type.
-func fitsCatalogue(s *record.ReservationSpec, f *Facts) bool {
+// feasibleInCatalogue reports whether a task of a reservation fits any machine type.
+func feasibleInCatalogue(s *record.ReservationSpec, f *Facts) bool {
 	for _, t := range f.Types {
 		for _, z := range t.AllowZones {
 			if Fits(s, t, z) {
@@ -125,8 +125,8 @@
 
 func clockTime(m Moment) string { return time.UnixMilli(int64(m)).UTC().Format("2006-01-02 15:04 MST") }
 
-// describePromise says what a reservation gets.
-func describePromise(s *record.ReservationSpec, f *Facts) string {
+// describeAcceptance says what a reservation gets.
+func describeAcceptance(s *record.ReservationSpec, f *Facts) string {
 	if len(f.Most) == 0 {
 		return fmt.Sprintf("room for %d tasks; what is not there is rented, as the cloud does not say how much it has", s.Tasks)
 	}
--- a/internal/controller/reservation/feasibility.go
+++ b/internal/controller/reservation/feasibility.go
@@ -13,9 +13,9 @@
 // unlimitedMachines stands for as many machines as anybody may ask for.
 const unlimitedMachines = 1 << 20
 
-// fit decides whether a reservation has resources beside those active at the same time.
-// Reservations accepted earlier go first.
-func (c *Calendar) fit(s *record.ReservationSpec, active []Occurrence, f *Facts) Answer {
+// checkCapacity decides whether a reservation has resources beside those active at the
+// same time. Reservations accepted earlier go first.
+func (c *Calendar) checkCapacity(s *record.ReservationSpec, active []Occurrence, f *Facts) Answer {
 	windows, others := c.splitActive(active)
 	if a := withinTeamLimit(s, others, f); !a.OK {
 		return a
@@ -33,15 +33,15 @@
 		names = append(names, e.Window.Spec.Name)
 	}
 	for _, e := range others {
-		if shareMachines(s, &e.Reservation.Spec) {
+		if overlapOnMachines(s, &e.Reservation.Spec) {
 			names = append(names, e.Reservation.Spec.Name)
 		}
 	}
 	return refused(names, "no room for %d of its %d tasks", left, s.Tasks)
 }
 
-// shareMachines reports whether two reservations could be held on the same machines.
-func shareMachines(a, b *record.ReservationSpec) bool {
+// overlapOnMachines reports whether two reservations could be held on the same machines.
+func overlapOnMachines(a, b *record.ReservationSpec) bool {
 	if a.Zone != "" && b.Zone != "" && a.Zone != b.Zone {
 		return false
 	}
--- a/internal/controller/reservation/hold.go
+++ b/internal/controller/reservation/hold.go
@@ -81,6 +81,6 @@
 
 // Stop reports whether it is time to stop the work that uses the resources of a hold,
 // given how long that takes to save a checkpoint.
-func (h *Hold) Stop(save time.Duration, now Moment) bool {
-	return now >= h.stopAt(stopLead+save) && now < h.Until
+func (h *Hold) Stop(checkpoint time.Duration, now Moment) bool {
+	return now >= h.stopAt(stopLead+checkpoint) && now < h.Until
 }
--- a/internal/controller/reservation/holdchoice.go
+++ b/internal/controller/reservation/holdchoice.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// tasksPerSpareEarly is for how many tasks resources for one more are held until all
-	// of them have to be clear, as some of what runs there is not over by then.
-	tasksPerSpareEarly = 4
-	// tasksPerSpare is the same from then on, for machines that are lost.
-	tasksPerSpare = 8
+	// tasksPerHeadroomEarly is for how many tasks resources for one more are held until
+	// all of them have to be clear, as some of what runs there is not over by then.
+	tasksPerHeadroomEarly = 4
+	// tasksPerHeadroom is the same from then on, for machines that are lost.
+	tasksPerHeadroom = 8
 	// maxDelay is how late resources may come free after their time and still be in time.
 	maxDelay = 30 * time.Second
 )
@@ -43,7 +43,7 @@
 // held before stays where it is as long as that will do; what comes sooner goes first,
 // then what was accepted earlier. Usable tells whether a machine may be held for a
 // time: not one that is leaving, or in a window then.
-func ChooseHolds(dues []Demand, machines []Machine, before []Hold, usable func(*Machine, *Demand) bool, now Moment) Plan {
+func ChooseHolds(demands []Demand, machines []Machine, before []Hold, usable func(*Machine, *Demand) bool, now Moment) Plan {
 	c := &holdChooser{
 		plan:     Plan{Short: map[Name]int{}, Missing: map[Name]int{}, Zones: map[Name]protocol.Zone{}},
 		machines: make([]*machineCapacity, len(machines)),
@@ -54,12 +54,12 @@
 	for i := range machines {
 		c.machines[i] = &machineCapacity{Machine: &machines[i]}
 	}
-	dues = slices.Clone(dues)
-	slices.SortFunc(dues, func(a, b Demand) int {
+	demands = slices.Clone(demands)
+	slices.SortFunc(demands, func(a, b Demand) int {
 		return cmp.Or(cmp.Compare(a.StartMS, b.StartMS), cmp.Compare(a.Order, b.Order))
 	})
-	for i := range dues {
-		c.choose(&dues[i])
+	for i := range demands {
+		c.choose(&demands[i])
 	}
 	return c.plan
 }
@@ -104,7 +104,7 @@
 	return machines
 }
 
-// holdReliable holds resources that can be relied on, with some to spare, and returns
+// holdReliable holds resources that can be relied on, with some headroom, and returns
 // for how many tasks there are none.
 //
 // What was held is taken first, and only then more of it elsewhere: the dispatchers
@@ -112,9 +112,9 @@
 // and in what is not held yet.
 func (c *holdChooser) holdReliable(d *Demand, machines []*machineCapacity) (short int) {
 	short = d.Left
-	spare := 1 + d.Left/tasksPerSpare
+	headroom := 1 + d.Left/tasksPerHeadroom
 	if c.now < d.Clear {
-		spare = 1 + d.Left/tasksPerSpareEarly
+		headroom = 1 + d.Left/tasksPerHeadroomEarly
 	}
 	previous := c.previous[d.Spec.Name]
 	ranked := c.rank(d, machines)
@@ -124,7 +124,7 @@
 		func(rankedMachine) int { return math.MaxInt },
 	} {
 		for i, m := range ranked {
-			more := min(short+spare, limit(m)-tasks[i], m.fitsPreempting-tasks[i])
+			more := min(short+headroom, limit(m)-tasks[i], m.tasksPreempting-tasks[i])
 			if more > 0 {
 				tasks[i] += more
 				short -= more
@@ -198,7 +198,7 @@
 // anything being stopped and with that.
 type rankedMachine struct {
 	*machineCapacity
-	fits, fitsPreempting int
+	tasks, tasksPreempting int
 }
 
 // rank lists machines in the order in which they are taken: first where nothing has to
@@ -210,18 +210,18 @@
 	for i, m := range machines {
 		ranked[i] = rankedMachine{
 			machineCapacity: m,
-			fits:            m.free(d, c.now, false).CountFitting(d.size()),
-			fitsPreempting:  m.free(d, c.now, true).CountFitting(d.size()),
+			tasks:           m.free(d, c.now, false).CountFitting(d.size()),
+			tasksPreempting: m.free(d, c.now, true).CountFitting(d.size()),
 		}
 	}
 	previous := c.previous[d.Spec.Name]
 	slices.SortFunc(ranked, func(a, b rankedMachine) int {
 		return cmp.Or(
-			falseFirst(a.fits == 0, b.fits == 0),
+			falseFirst(a.tasks == 0, b.tasks == 0),
 			falseFirst(previous[a.ID] <= 0, previous[b.ID] <= 0),
 			falseFirst(a.Spot, b.Spot),
 			cmp.Compare(a.Up, b.Up),
-			cmp.Compare(b.fits, a.fits),
+			cmp.Compare(b.tasks, a.tasks),
 			cmp.Compare(a.Info.Price, b.Info.Price),
 			cmp.Compare(a.ID, b.ID))
 	})
@@ -255,7 +255,7 @@
 		if m.holdsFor(d.Spec.Name) {
 			continue
 		}
-		if by, tasks := m.soonestFit(d, now); tasks > 0 {
+		if by, tasks := m.earliestCapacity(d, now); tasks > 0 {
 			later = append(later, laterMachine{m, by, tasks})
 		}
 	}
--- a/internal/controller/reservation/holdchoice_test.go
+++ b/internal/controller/reservation/holdchoice_test.go
@@ -55,7 +55,7 @@
 			}
 		}
 		for _, d := range dues {
-			if got := tasks[d.Spec.Name]; got < d.Left-max(p.Short[d.Spec.Name], p.Missing[d.Spec.Name]) || got > d.Left+1+d.Left/tasksPerSpareEarly {
+			if got := tasks[d.Spec.Name]; got < d.Left-max(p.Short[d.Spec.Name], p.Missing[d.Spec.Name]) || got > d.Left+1+d.Left/tasksPerHeadroomEarly {
 				t.Fatalf("room for %d of %d tasks, %d short", got, d.Left, p.Short[d.Spec.Name])
 			}
 		}
--- a/internal/controller/reservation/scheduleparser.go
+++ b/internal/controller/reservation/scheduleparser.go
@@ -24,6 +24,7 @@
 	Problem string
 }
 
+// Error quotes the text and says what is wrong.
 func (e *ScheduleError) Error() string { return fmt.Sprintf("time %q: %s", e.Text, e.Problem) }
 
 // scheduleText is the grammar of a time.
--- a/internal/controller/reservation/validation.go
+++ b/internal/controller/reservation/validation.go
@@ -30,6 +30,7 @@
 	Problem string
 }
 
+// Error names the field and says what is wrong.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func invalidField(field, format string, args ...any) error {
--- a/internal/fake/server/host.go
+++ b/internal/fake/server/host.go
@@ -22,8 +22,8 @@
 
 // Kinds of traffic of a worker.
 const (
-	trafficReports  = "reports"
-	trafficCommands = "commands"
+	trafficHeartbeats = "reports"
+	trafficCommands   = "commands"
 )
 
 // Host runs workers, each a client of the protocol of its own, whose tasks are
@@ -156,7 +156,7 @@
 		defer h.mu.Unlock()
 		w.Skip(h.cfg.Clock())
 		w.restarting = false
-		w.reportSoon()
+		w.heartbeatSoon()
 	})
 }
 
@@ -197,7 +197,7 @@
 			w := h.workers[id]
 			before := w.Changes()
 			if h.advance(w); w.Changes() != before {
-				w.reportSoon()
+				w.heartbeatSoon()
 			}
 		}
 		h.mu.Unlock()
--- a/internal/fake/server/host_test.go
+++ b/internal/fake/server/host_test.go
@@ -133,7 +133,7 @@
 	if status := command(t, listed.Address, stop); status != http.StatusConflict {
 		t.Fatalf("answer %d to a command of an earlier term", status)
 	}
-	if flows := host.Traffic.Flows(); flows[trafficCommands].Messages != 2 || flows[trafficReports].Messages < 3 {
+	if flows := host.Traffic.Flows(); flows[trafficCommands].Messages != 2 || flows[trafficHeartbeats].Messages < 3 {
 		t.Errorf("traffic %+v", flows)
 	}
 	host.Kill(testMachine)
--- a/internal/fake/server/hostcommands.go
+++ b/internal/fake/server/hostcommands.go
@@ -20,7 +20,7 @@
 	if !up {
 		panic(http.ErrAbortHandler) // the connection is closed without an answer
 	}
-	w.reportSoon()
+	w.heartbeatSoon()
 	answer(rw, status, heartbeat)
 }
 
--- a/internal/fake/server/hostgang.go
+++ b/internal/fake/server/hostgang.go
@@ -33,7 +33,7 @@
 		for _, task := range w.Tasks() {
 			if a, _, _ := w.Gang(task); task.Job == job && a == attempt {
 				do(w.Worker, task)
-				w.reportSoon()
+				w.heartbeatSoon()
 			}
 		}
 	}
--- a/internal/fake/server/hostheartbeat.go
+++ b/internal/fake/server/hostheartbeat.go
@@ -137,7 +137,7 @@
 	}
 	h.mu.Unlock()
 	if len(reply.Orders) > 0 {
-		w.reportSoon()
+		w.heartbeatSoon()
 	}
 	jitter := 1 - heartbeatJitter + 2*heartbeatJitter*rand.Float64()
 	return time.Duration(jitter * float64(h.cfg.Report))
@@ -154,11 +154,11 @@
 	reply, err := c.Do(ctx, http.MethodPost, heartbeatPath, body)
 	out := len(transport.AppendRequest(nil, http.MethodPost, countedHost, heartbeatPath, body))
 	if err != nil {
-		h.Traffic.Add(trafficReports, 1, 0, out)
+		h.Traffic.Add(trafficHeartbeats, 1, 0, out)
 		return nil, fmt.Errorf("send a heartbeat: %w", err)
 	}
 	in := len(transport.AppendResponse(nil, reply)) // as the controllers write it
-	h.Traffic.Add(trafficReports, 1, in, out)
+	h.Traffic.Add(trafficHeartbeats, 1, in, out)
 	return reply, nil
 }
 
@@ -172,8 +172,8 @@
 	return heartbeat
 }
 
-// reportSoon has the worker send its next heartbeat before it is due.
-func (w *worker) reportSoon() {
+// heartbeatSoon has the worker send its next heartbeat before it is due.
+func (w *worker) heartbeatSoon() {
 	select {
 	case w.changed <- struct{}{}:
 	default:
--- /dev/null
+++ b/internal/fake/worker_test.go
@@ -0,0 +1,114 @@
+package fake
+
+import (
+	"testing"
+	"time"
+
+	"damsonkeel/internal/protocol"
+)
+
+const testRunTime = 10 * time.Second
+
+var (
+	batchTask   = protocol.TaskID{Job: "batch"}
+	gangTask    = protocol.TaskID{Job: "gang", Index: 1}
+	serviceTask = protocol.TaskID{Job: "service"}
+	largeTask   = protocol.TaskID{Job: "large"}
+	unknownTask = protocol.TaskID{Job: "unknown"}
+)
+
+// newTestWorker makes a worker of four processors with a lease of a minute.
+func newTestWorker() *Worker {
+	jobs := map[protocol.JobID]protocol.Job{
+		"batch":   {ID: "batch", Kind: protocol.KindJobArray, Tasks: 1, CPUs: 1, CheckpointS: 5, SaveS: 3},
+		"gang":    {ID: "gang", Kind: protocol.KindGang, Tasks: 2, CPUs: 1},
+		"service": {ID: "service", Kind: protocol.KindService, Tasks: 1, CPUs: 1},
+		"large":   {ID: "large", Kind: protocol.KindJobArray, Tasks: 1, CPUs: 5},
+	}
+	w := &Worker{
+		ID: "vm-1", Info: protocol.TypeInfo{Name: "m", CPUs: 4}, LeaseS: 60, GangWait: 20 * time.Second,
+		Jobs:    func(id protocol.JobID) (protocol.Job, bool) { j, ok := jobs[id]; return j, ok },
+		Started: func(*Worker, protocol.TaskID, protocol.Attempt) {},
+		Ended:   func(*Worker, protocol.TaskID, protocol.EndCause) {},
+		RunTime: func(protocol.TaskID) time.Duration { return testRunTime },
+		Results: map[protocol.TaskID]bool{},
+	}
+	w.Start(0)
+	return w
+}
+
+// order has the worker execute one order for the first attempt of a task.
+func order(t *testing.T, w *Worker, op protocol.Op, task protocol.TaskID, grace float64) {
+	t.Helper()
+	commands := protocol.Commands{Term: 1, AgentEpoch: w.Session, Orders: []protocol.Order{{Op: op, Task: task, Attempt: 1, GraceS: &grace}}}
+	if !w.Do(commands) {
+		t.Fatalf("%s of %s refused", op, task.Job)
+	}
+}
+
+// TestTaskGoesThroughItsStates: a task fetches its image for a second, runs, and ends by
+// its kind of job and by what happens to it.
+func TestTaskGoesThroughItsStates(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		task  protocol.TaskID
+		play  func(*testing.T, *Worker)
+		state protocol.TaskState
+		cause protocol.EndCause
+		saved bool
+	}{
+		{"fetching", batchTask, func(_ *testing.T, w *Worker) { w.Tick(900 * time.Millisecond) }, protocol.TaskFetching, "", false},
+		{"running", batchTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second) }, protocol.TaskRunning, "", false},
+		{"done", batchTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second); w.Tick(time.Second + testRunTime) }, protocol.TaskEnded, protocol.EndDone, false},
+		{"a service goes on", serviceTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second); w.Tick(2 * testRunTime) }, protocol.TaskRunning, "", false},
+		{"too large", largeTask, func(*testing.T, *Worker) {}, protocol.TaskEnded, protocol.EndFull, false},
+		{"not known", unknownTask, func(*testing.T, *Worker) {}, protocol.TaskEnded, protocol.EndUnknown, false},
+		{"on a faulty machine", batchTask, func(_ *testing.T, w *Worker) { w.Faulty = true; w.Tick(time.Second); w.Tick(2 * time.Second) }, protocol.TaskEnded, protocol.EndError, false},
+		{"a gang waits", gangTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second) }, protocol.TaskWaiting, "", false},
+		{"a gang stays incomplete", gangTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second); w.Tick(21 * time.Second) }, protocol.TaskEnded, protocol.EndIncomplete, false},
+		{"a gang loses a task", gangTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second); w.Meet(gangTask); w.Part(gangTask) }, protocol.TaskEnded, protocol.EndGangLost, false},
+		{"stopped at once", batchTask, func(t *testing.T, w *Worker) {
+			w.Tick(time.Second)
+			order(t, w, protocol.OpStop, batchTask, 0)
+		}, protocol.TaskEnded, protocol.EndStopped, false},
+		{"saving a checkpoint", batchTask, func(t *testing.T, w *Worker) {
+			w.Tick(time.Second)
+			order(t, w, protocol.OpStop, batchTask, 3)
+		}, protocol.TaskSaving, "", false},
+		{"stopped with a checkpoint", batchTask, func(t *testing.T, w *Worker) {
+			w.Tick(time.Second)
+			order(t, w, protocol.OpStop, batchTask, 3)
+			w.Tick(4 * time.Second)
+		}, protocol.TaskEnded, protocol.EndStopped, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			w := newTestWorker()
+			order(t, w, protocol.OpStart, tc.task, 0)
+			tc.play(t, w)
+			reported := w.Report().Tasks
+			if len(reported) != 1 {
+				t.Fatalf("%d tasks reported", len(reported))
+			}
+			if got := reported[0]; got.State != tc.state || got.Cause != tc.cause || got.Checkpointed != tc.saved {
+				t.Errorf("%+v, want %s %s, checkpoint %v", got, tc.state, tc.cause, tc.saved)
+			}
+		})
+	}
+}
+
+// TestLeaseExpiryLosesTasks: a worker whose heartbeats have no answer for longer than its
+// lease begins another agent epoch without tasks, and takes no commands for the old one.
+func TestLeaseExpiryLosesTasks(t *testing.T) {
+	w := newTestWorker()
+	order(t, w, protocol.OpStart, batchTask, 0)
+	w.Answer(1, 30*time.Second, protocol.HeartbeatReply{Term: 1})
+	if w.Tick(90 * time.Second); w.Session != 1 || w.LeaseEnds() != 90*time.Second {
+		t.Fatalf("epoch %d, lease until %v", w.Session, w.LeaseEnds())
+	}
+	if w.Tick(91 * time.Second); w.Session != 2 || len(w.Tasks()) != 0 {
+		t.Errorf("epoch %d with %d tasks after the lease expired", w.Session, len(w.Tasks()))
+	}
+	if w.Do(protocol.Commands{Term: 1, AgentEpoch: 1}) {
+		t.Error("a command for the epoch before is executed")
+	}
+}
