--- /dev/null
+++ b/internal/controller/membership/peers_test.go
@@ -0,0 +1,67 @@
+package membership
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// TestWaitsOut: a controller that does not hold its lease keeps its users while it is
+// in contact with a peer that does not hold one either; not while a peer does, nor for
+// long when it receives nothing from any peer.
+func TestWaitsOut(t *testing.T) {
+	for name, tc := range map[string]struct {
+		peers     []protocol.NodeName
+		inContact bool
+		peerLeads bool
+		forLong   bool
+		waitsOut  bool
+	}{
+		"outage for all":                 {peers: []protocol.NodeName{"node-1"}, inContact: true, forLong: true, waitsOut: true},
+		"refused alone":                  {peers: []protocol.NodeName{"node-1"}, inContact: true, peerLeads: true},
+		"cut off from all, just now":     {peers: []protocol.NodeName{"node-1"}, waitsOut: true},
+		"cut off from all, for long":     {peers: []protocol.NodeName{"node-1"}, forLong: true},
+		"no peers, outage":               {forLong: true, waitsOut: true},
+		"one of two peers is in contact": {peers: []protocol.NodeName{"node-1", "node-2"}, inContact: true, forLong: true, waitsOut: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			settings := fake.Settings()
+			settings.Name = "node-0"
+			module := clusterstate.Module{
+				State:  clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler)),
+				Output: &clusterstate.Output{},
+			}
+			module.Session = 100
+			module.Now = clock.Time(time.Minute)
+			module.LeaseDeadline = clock.Time(time.Minute)
+			ms := New(module)
+			view := record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
+			for i, peer := range tc.peers {
+				view.Members[peer] = protocol.LeaseID(101 + i)
+			}
+			ms.Adopt(view, 1)
+			wait := time.Second
+			if tc.forLong {
+				wait = time.Minute
+			}
+			module.Now += clock.Time(wait)
+			if tc.inContact {
+				ms.NoteLoad("node-1", message.Load{})
+			}
+			if tc.peerLeads {
+				ms.NoteLeading("node-1")
+			}
+			if got := ms.ShouldWaitOut(); got != tc.waitsOut {
+				t.Errorf("waits out the outage: %v, want %v", got, tc.waitsOut)
+			}
+		})
+	}
+}
