--- a/internal/controller/membership/shardtable.go
+++ b/internal/controller/membership/shardtable.go
@@ -43,7 +43,7 @@
 		sharding.Assign(next, id, ms.Session)
 	}
 	for _, id := range raise {
-		sharding.RaiseToken(next, id)
+		sharding.RaiseEpoch(next, id)
 	}
 	ms.writing = true
 	ms.writtenOn = ms.ShardsVersion
--- /dev/null
+++ b/internal/controller/sharding/table.go
@@ -0,0 +1,87 @@
+package sharding
+
+import (
+	"slices"
+
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// ID identifies a shard: it is its index in the list of the shard table.
+type ID int
+
+const (
+	// shardsPerZone is how many shards each zone has, unless there are more zones than
+	// maxShards allows for.
+	shardsPerZone = 32
+	// maxShards bounds the shards of a site.
+	maxShards = 512
+)
+
+// InitialTable returns the shard table of a site; no shard has a holder.
+func InitialTable(zones []protocol.Zone) *record.ShardTable {
+	table := &record.ShardTable{Zones: slices.Clone(zones), Slots: shardsPerZone}
+	slices.Sort(table.Zones)
+	table.Zones = slices.Compact(table.Zones)
+	if len(table.Zones) == 0 {
+		table.Zones = []protocol.Zone{""}
+	}
+	if len(table.Zones)*shardsPerZone > maxShards {
+		table.Slots = max(1, maxShards/len(table.Zones))
+	}
+	table.List = make([]record.ShardAssignment, len(table.Zones)*table.Slots)
+	return table
+}
+
+// Of returns the shard of a machine: one of its zone's, or any where the table does not
+// know the zone.
+func Of(table *record.ShardTable, machine protocol.MachineID, zone protocol.Zone) ID {
+	hash := xxhash.Sum64String(string(machine))
+	if i, ok := slices.BinarySearch(table.Zones, zone); ok {
+		return ID(i*table.Slots + int(hash%uint64(table.Slots)))
+	}
+	return ID(hash % uint64(len(table.List)))
+}
+
+// ZoneOf returns the zone of a shard.
+func ZoneOf(table *record.ShardTable, id ID) protocol.Zone {
+	return table.Zones[int(id)/table.Slots]
+}
+
+// Copy returns a copy of a table whose assignments can be changed.
+func Copy(table *record.ShardTable) *record.ShardTable {
+	c := *table
+	c.List = slices.Clone(table.List)
+	c.Away = slices.Clone(table.Away)
+	return &c
+}
+
+// Assign gives a shard to a holder, with an epoch above all before.
+func Assign(table *record.ShardTable, id ID, holder protocol.LeaseID) {
+	table.Epoch++
+	table.List[id] = record.ShardAssignment{Holder: holder, Since: table.Epoch, Epoch: table.Epoch}
+}
+
+// RaiseEpoch gives a shard an epoch above all before; its holder stays.
+func RaiseEpoch(table *record.ShardTable, id ID) {
+	table.Epoch++
+	table.List[id].Epoch = table.Epoch
+}
+
+// RaiseEpochAbove raises the epoch of the table to a fencing token that was issued
+// without it, so that the next epoch is above the token.
+func RaiseEpochAbove(table *record.ShardTable, token protocol.Term) {
+	table.Epoch = max(table.Epoch, token)
+}
+
+// Loads estimates the load of each shard from the number of machines in each zone. It
+// is the same for all shards of a zone, since machines are spread over them by hash.
+func Loads(table *record.ShardTable, machines map[protocol.Zone]int) []float64 {
+	load := make([]float64, len(table.List))
+	for id := range load {
+		load[id] = 1 + float64(machines[ZoneOf(table, ID(id))])/float64(table.Slots)
+	}
+	return load
+}
