--- a/internal/controller/ratelimit/lending_test.go
+++ b/internal/controller/ratelimit/ledger_test.go
@@ -13,41 +13,45 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// member is a controller in a test: its clock starts and runs as it likes.
+// member is a controller whose clock has its own start and speed.
 type member struct {
-	*Ledger[name]
-	start, fast float64 // true seconds at its start; how much faster its clock runs
-	name
+	*Ledger[session]
+	session
+	start, speed float64 // true seconds at its start; how fast its clock runs
 }
 
-// name is a member's session.
-type name struct{ member, life int }
+// session identifies a process of a member.
+type session struct{ member, restarts int }
 
+// now returns the member's clock at a true time in seconds.
 func (m *member) now(at float64) clock.Time {
-	return clock.Time((at - m.start) * m.fast * float64(time.Second))
+	return clock.Time((at - m.start) * m.speed * float64(time.Second))
+}
+
+// envelope is a message on its way.
+type envelope struct {
+	from, to session
+	request  Request
+	grant    *Grant
 }
 
 var base = Amount{Requests: 45, Writes: 15}
 
-// TestSumNeverAboveLimit: however long messages take, whoever begins anew, and
-// however clocks run apart, the shares in use never sum to more than the limit.
+// TestSumNeverAboveLimit: however long messages take, whoever restarts, and however clocks
+// differ, the allotments in use never sum to more than the limit.
 func TestSumNeverAboveLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type letter struct {
-			from, to name
-			ask      Request
-			loan     *Grant
-		}
 		var members []*member
-		begin := func(at float64, i, life int) *member {
-			m := &member{start: at, fast: 1 + float64(rapid.IntRange(0, 5).Draw(t, "fast"))/10000, name: name{i, life}}
-			m.Ledger = NewLedger[name](base, m.now(at))
+		start := func(at float64, i, restarts int) *member {
+			speed := 1 + float64(rapid.IntRange(0, 5).Draw(t, "fast"))/10000
+			m := &member{session: session{i, restarts}, start: at, speed: speed}
+			m.Ledger = NewLedger[session](base, m.now(at))
 			return m
 		}
 		for i := range 3 {
-			members = append(members, begin(-10, i, 0))
+			members = append(members, start(-10, i, 0))
 		}
-		var wire []letter
+		var inFlight []envelope
 		at := 0.0
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			at += float64(rapid.IntRange(1, 12).Draw(t, "tenths")) / 10
@@ -57,33 +61,33 @@
 			case 0:
 				m.NoteUse(Amount{float64(rapid.IntRange(0, 120).Draw(t, "requests")), float64(rapid.IntRange(0, 40).Draw(t, "writes"))})
 			case 1, 2:
-				loans := m.GrantRequests(m.now(at))
+				grants := m.GrantRequests(m.now(at))
 				for _, to := range members {
-					l := letter{from: m.name, to: to.name, ask: m.Request(m.now(at))}
-					if loan, ok := loans[to.name]; ok {
-						l.loan = &loan
+					e := envelope{from: m.session, to: to.session, request: m.Request(m.now(at))}
+					if grant, ok := grants[to.session]; ok {
+						e.grant = &grant
 					}
 					if to != m {
-						wire = append(wire, l)
+						inFlight = append(inFlight, e)
 					}
 				}
 			case 3, 4, 5:
-				if len(wire) > 0 {
-					k := rapid.IntRange(0, len(wire)-1).Draw(t, "which")
-					l := wire[k]
+				if len(inFlight) > 0 {
+					k := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
+					e := inFlight[k]
 					if rapid.Bool().Draw(t, "once") {
-						wire = append(wire[:k:k], wire[k+1:]...)
+						inFlight = append(inFlight[:k:k], inFlight[k+1:]...)
 					}
-					if to := members[l.to.member]; to.name == l.to { // else of a session that is over
-						to.NoteRequest(l.from, l.ask, to.now(at))
-						if l.loan != nil {
-							to.NoteGrant(l.from, *l.loan)
+					if to := members[e.to.member]; to.session == e.to { // else of a session that has ended
+						to.NoteRequest(e.from, e.request, to.now(at))
+						if e.grant != nil {
+							to.NoteGrant(e.from, *e.grant)
 						}
 					}
 				}
 			case 6:
 				if rapid.IntRange(0, 3).Draw(t, "crash") == 0 {
-					members[i] = begin(at, i, m.life+1)
+					members[i] = start(at, i, m.restarts+1)
 				}
 			}
 			var sum Amount
@@ -97,10 +101,10 @@
 	})
 }
 
-// TestNeedIsMet: one that does nearly all the work gets what the others do not
-// need, soon, and they get it back when they need it.
+// TestNeedIsMet: a controller that does nearly all the work soon gets what the others do
+// not need, and they get it back when they need it.
 func TestNeedIsMet(t *testing.T) {
-	members := []*Ledger[int]{}
+	var members []*Ledger[int]
 	for range 3 {
 		members = append(members, NewLedger[int](base, 0))
 	}
@@ -108,14 +112,14 @@
 		now := clock.Time(n) * clock.Time(time.Second)
 		for i, m := range members {
 			m.NoteUse(used[i])
-			loans := m.GrantRequests(now)
+			grants := m.GrantRequests(now)
 			for to, other := range members {
 				if to == i {
 					continue
 				}
 				other.NoteRequest(i, m.Request(now), now)
-				if l, ok := loans[to]; ok {
-					other.NoteGrant(i, l)
+				if grant, ok := grants[to]; ok {
+					other.NoteGrant(i, grant)
 				}
 			}
 		}
@@ -125,20 +129,20 @@
 		second(n, busy, idle, idle)
 	}
 	if s := members[0].Allotment(clock.Time(20 * time.Second)); s.Requests < 80 || s.Writes < 28 {
-		t.Errorf("the busy one may use %v of its own %v", s, base)
+		t.Errorf("the busy controller may use %v, its base is %v", s, base)
 	}
 	for n := 20; n < 32; n++ {
 		second(n, idle, Amount{40, 14}, Amount{40, 14})
 	}
 	for _, m := range members[1:] {
 		if s := m.Allotment(clock.Time(32 * time.Second)); s.Requests < base.Requests || s.Writes < base.Writes {
-			t.Errorf("one that needs its share has %v of %v", s, base)
+			t.Errorf("a controller that needs its base has %v of %v", s, base)
 		}
 	}
-	for n := 32; n < 40; n++ { // all silent: nothing is lent for longer
+	for n := 32; n < 40; n++ { // no messages: all grants expire
 		members[0].NoteUse(busy)
 	}
 	if s := members[0].Allotment(clock.Time(40 * time.Second)); s.Requests > base.Requests+1e-9 {
-		t.Errorf("%v in use without anybody's loan", s)
+		t.Errorf("%v in use without a grant", s)
 	}
 }
