--- /dev/null
+++ b/internal/controller/replication/replication_test.go
@@ -0,0 +1,125 @@
+package replication
+
+import (
+	"os"
+	"testing"
+
+	"damsonkeel/internal/fixedseed"
+
+	"pgregory.net/rapid"
+)
+
+func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
+
+// message is a range of changes with the states that its keys had when it was sent.
+type message struct {
+	Range
+	states map[int]int
+}
+
+// TestReplicaConverges: whatever is lost, repeated, delayed or reordered, a receiver's state
+// of each key is one that the sender's key had, never goes back, and is the present one for
+// all that its number covers; once all messages arrive again it soon has everything.
+func TestReplicaConverges(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var log Log[int]
+		var cursor Cursor
+		var replica Replica
+		stream := uint64(1)
+		replica.Begin(stream)
+		current, received := map[int]int{}, map[int]int{}
+		var inFlight []message
+		send := func() {
+			keys, upto := log.Since(cursor.Next(), rapid.IntRange(1, 5).Draw(t, "most"))
+			m := message{Range{stream, cursor.Next(), upto}, map[int]int{}}
+			for _, k := range keys {
+				m.states[k] = current[k]
+			}
+			cursor.Sent(upto)
+			inFlight = append(inFlight, m)
+		}
+		receive := func(m message) {
+			if !replica.Accept(m.Range) {
+				return
+			}
+			for k, v := range m.states {
+				if v < received[k] {
+					t.Fatalf("key %d goes back from %d to %d", k, received[k], v)
+				}
+				received[k] = v
+			}
+			for k, c := range log.changes {
+				if c.number <= replica.Have() && received[k] != current[k] {
+					t.Fatalf("key %d: %d received, %d is covered by number %d", k, received[k], current[k], replica.Have())
+				}
+			}
+		}
+		for range rapid.IntRange(1, 80).Draw(t, "steps") {
+			switch rapid.IntRange(0, 6).Draw(t, "step") {
+			case 0, 1:
+				k := rapid.IntRange(0, 6).Draw(t, "key")
+				current[k]++
+				log.Touch(k)
+			case 2:
+				send()
+			case 3, 4: // delivered, perhaps out of order, perhaps to come again
+				if len(inFlight) > 0 {
+					i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
+					receive(inFlight[i])
+					if rapid.Bool().Draw(t, "once") {
+						inFlight = append(inFlight[:i:i], inFlight[i+1:]...)
+					}
+				}
+			case 5: // lost
+				if len(inFlight) > 0 {
+					inFlight = inFlight[1:]
+				}
+			case 6:
+				cursor.Acknowledged(replica.Have())
+			}
+		}
+		for range 40 {
+			cursor.Acknowledged(replica.Have())
+			inFlight = nil
+			send()
+			receive(inFlight[0])
+		}
+		for k, v := range current {
+			if received[k] != v {
+				t.Fatalf("key %d: %d received in the end, want %d", k, received[k], v)
+			}
+		}
+	})
+}
+
+// TestSinceListsChanges: every changed key is listed once, the oldest change first, and no
+// dropped key.
+func TestSinceListsChanges(t *testing.T) {
+	var log Log[string]
+	for _, k := range []string{"a", "b", "c", "a", "d", "d"} {
+		log.Touch(k)
+	}
+	log.Drop("c")
+	for _, tc := range []struct {
+		after uint64
+		limit int
+		want  []string
+		upto  uint64
+	}{
+		{0, 9, []string{"b", "a", "d"}, 6},
+		{0, 1, []string{"b"}, 2},
+		{2, 1, []string{"a"}, 4},
+		{4, 9, []string{"d"}, 6},
+		{6, 9, nil, 6},
+	} {
+		keys, upto := log.Since(tc.after, tc.limit)
+		if len(keys) != len(tc.want) || upto != tc.upto {
+			t.Fatalf("after %d: %v up to %d, want %v up to %d", tc.after, keys, upto, tc.want, tc.upto)
+		}
+		for i := range keys {
+			if keys[i] != tc.want[i] {
+				t.Fatalf("after %d: %v, want %v", tc.after, keys, tc.want)
+			}
+		}
+	}
+}
