--- a/internal/controller/clusterstate/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -8,32 +8,42 @@
 	"damsonkeel/internal/protocol"
 )
 
-// LiveJob is an accepted job as the records have it.
+const (
+	// graceSaves and graceSlackS make the grace period of a task: so many times as long
+	// as saving a checkpoint takes, and some seconds.
+	graceSaves  = 2
+	graceSlackS = 1
+)
+
+// LiveJob is an accepted job as it is recorded.
 type LiveJob struct {
 	protocol.Job
 	Version   protocol.Version
 	Since     clock.Time        // when it was submitted
-	Deadline  clock.Time        // when it should be done, as last reckoned
-	owner     protocol.NodeName // reportedBy the view of ownerTerm
+	Deadline  clock.Time        // as last calculated
+	owner     protocol.NodeName // in the view of ownerTerm
 	ownerTerm protocol.Term
 }
 
-// AllowsKind is the part that depends on the job alone.
-func (j *LiveJob) AllowsKind(t protocol.TypeInfo, z protocol.Zone, spot bool) bool {
-	if len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
+// AllowsKind reports whether the job alone allows machines of a type in a zone: no
+// reservation, window or configuration is considered.
+func (j *LiveJob) AllowsKind(machineType protocol.TypeInfo, zone protocol.Zone, spot bool) bool {
+	if len(j.Types) > 0 && !slices.Contains(j.Types, machineType.Name) {
 		return false
 	}
-	return (j.Zone == "" || j.Zone == z) && (j.Spot || !spot) && resource.Capacity(t).Covers(resource.Need(&j.Job))
+	zoneAllowed := j.Zone == "" || j.Zone == zone
+	spotAllowed := j.Spot || !spot
+	return zoneAllowed && spotAllowed && resource.Capacity(machineType).Covers(resource.Need(&j.Job))
 }
 
-// FetchS is how long a machine of a type takes to get a job's image, in
-// seconds.
-func FetchS(t protocol.TypeInfo, j *protocol.Job) float64 {
-	if t.FetchGBPS <= 0 {
+// FetchS returns how long a machine of a type takes to fetch a job's image, in seconds.
+func FetchS(machineType protocol.TypeInfo, job *protocol.Job) float64 {
+	if machineType.FetchGBPS <= 0 {
 		return 0
 	}
-	return j.ImageGB / t.FetchGBPS
+	return job.ImageGB / machineType.FetchGBPS
 }
 
-// GraceS is how long a task of a job is given to save, in seconds.
-func GraceS(j *protocol.Job) float64 { return 2*j.SaveS + 1 }
+// GraceS returns the grace period in which a task of a job may save a checkpoint, in
+// seconds.
+func GraceS(job *protocol.Job) float64 { return graceSaves*job.SaveS + graceSlackS }
--- /dev/null
+++ b/internal/controller/clusterstate/rendezvous.go
@@ -0,0 +1,65 @@
+package clusterstate
+
+import (
+	"slices"
+
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// Rendezvous returns the member of a view that is responsible for a key, by highest random
+// weight: every controller with the same view returns the same member.
+func Rendezvous(view record.View, key string) protocol.NodeName {
+	return RendezvousBut(view, nil, key)
+}
+
+// RendezvousBut is Rendezvous without some of the members.
+func RendezvousBut(view record.View, excluded []protocol.NodeName, key string) protocol.NodeName {
+	var best protocol.NodeName
+	var bestScore uint64
+	for name := range view.Members {
+		if slices.Contains(excluded, name) {
+			continue
+		}
+		score := mix(fnv1a(fnv1a(fnv1a(fnvOffset, string(name)), "\x00"), key))
+		if best == "" || score > bestScore || score == bestScore && name < best {
+			best, bestScore = name, score
+		}
+	}
+	return best
+}
+
+// RendezvousDispatcher returns the controller that dispatches to a machine where there is
+// no shard table: one that workers can reach, unless there is none.
+func RendezvousDispatcher(view record.View, machine protocol.MachineID) protocol.NodeName {
+	key := "machine " + string(machine)
+	if len(view.Deaf) >= len(view.Members) {
+		return Rendezvous(view, key)
+	}
+	return RendezvousBut(view, view.Deaf, key)
+}
+
+// The offset basis and the prime of 64-bit FNV-1a.
+const (
+	fnvOffset = 14695981039346656037
+	fnvPrime  = 1099511628211
+)
+
+// fnv1a continues a hash with a text. Package hash/fnv takes bytes, which costs a copy of
+// each text: more than the hash, where thousands of machines change dispatchers.
+func fnv1a(hash uint64, text string) uint64 {
+	for i := range len(text) {
+		hash = (hash ^ uint64(text[i])) * fnvPrime
+	}
+	return hash
+}
+
+// mix is the finalizer of MurmurHash3. It spreads the hashes of similar keys, which FNV
+// leaves close together.
+func mix(x uint64) uint64 {
+	x ^= x >> 33
+	x *= 0xff51afd7ed558ccd
+	x ^= x >> 33
+	x *= 0xc4ceb9fe1a85ec53
+	return x ^ x>>33
+}
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -12,125 +12,137 @@
 	"damsonkeel/internal/record"
 )
 
-// Reservations is what all parts know of the calendar: the records that all follow,
-// what is held for them at present, and what is open.
+const (
+	// LeadSlack is how much earlier than two boots before its start the resources of a
+	// reservation are free: enough for one more boot if a machine does not come up.
+	LeadSlack = 20 * time.Second
+	// SettleHolds is the longest that it takes, after all controllers have restarted,
+	// until resources are held again: machines have to be in contact first.
+	SettleHolds = 20 * time.Second
+	// settleSlack is how much longer this controller waits for the list of holds.
+	settleSlack = 10 * time.Second
+	// leadBoots is how many boots before its start the resources of a reservation are
+	// free: one of a machine, and one of another in its place.
+	leadBoots = 2
+)
+
+// noReservation stands in for a reservation that does not exist: it matches no job.
+var noReservation = &record.Reservation{Spec: record.ReservationSpec{Job: "none"}}
+
+// Reservations is what all modules know of the calendar: the reservations and windows as
+// recorded, the resources held for them at present, and the windows that are open.
 type Reservations struct {
 	Calendar *reservation.Calendar
-	Version  protocol.Version // reservation the calendar's own record
-	Changes  uint64           // that it counts
-	// any: there is something in the book. While it is empty nothing of this
-	// reduces anything, on the wire either.
+	Version  protocol.Version // of the calendar's own record
+	Changes  uint64           // that this record counts
+	// Any: the calendar has an entry. While it has none, no decision or message differs
+	// from those of a cluster without a calendar.
 	Any bool
 
 	Holds   map[protocol.MachineID][]reservation.Hold
-	List    []reservation.Hold // all of them
-	Listed  bool               // the list is known since this session began
-	Windows []OpenWindow       // open, or soon
+	List    []reservation.Hold // all holds
+	Listed  bool               // the list was received in this session
+	Windows []OpenWindow       // open now, or soon
 
-	Errors map[string]*forecast.Errors // reservation estimates, by class
+	Errors map[string]*forecast.Errors // of run time estimates, by class
 	Boots  forecast.Boots
 }
 
-// next forgets what a session knew; what is learned of estimates and boots stays.
-func (p *Reservations) next() *Reservations {
-	fresh := &Reservations{Calendar: reservation.NewCalendar(), Holds: map[protocol.MachineID][]reservation.Hold{}, Errors: map[string]*forecast.Errors{}}
-	if p != nil {
-		fresh.Boots, fresh.Errors = p.Boots, p.Errors
+// next returns the state of a new session: what was learned of estimates and boots stays.
+func (r *Reservations) next() *Reservations {
+	fresh := &Reservations{
+		Calendar: reservation.NewCalendar(),
+		Holds:    map[protocol.MachineID][]reservation.Hold{},
+		Errors:   map[string]*forecast.Errors{},
+	}
+	if r != nil {
+		fresh.Boots = r.Boots
+		fresh.Errors = r.Errors
 	}
 	return fresh
 }
 
-// OpenWindow is a window that is open, or will be.
+// OpenWindow is a maintenance window that is open, or will be.
 type OpenWindow struct {
 	Spec       *record.WindowSpec
-	Start, End reservation.Moment // with what clocks may be off by
+	Start, End reservation.Moment // with a margin for differences of clocks
 }
 
-// ReservationFilter tells which reservations a job is one of.
-func (k *State) ReservationFilter(j *protocol.Job) func(reservation.Name) bool {
-	return func(n reservation.Name) bool {
-		e := k.Reservations.Calendar.Reservation(n)
-		return e != nil && reservation.Matches(e.Reservation, j)
+// ReservationFilter returns a function that reports whether a reservation is for a job.
+func (s *State) ReservationFilter(job *protocol.Job) func(reservation.Name) bool {
+	return func(name reservation.Name) bool {
+		entry := s.Reservations.Calendar.Reservation(name)
+		return entry != nil && reservation.Matches(entry.Reservation, job)
 	}
 }
 
-// InWindow reports whether a window that covers a machine is open at some time
-// from a moment until before another.
-func (k *State) InWindow(id protocol.MachineID, t protocol.MachineType, z protocol.Zone, from, to reservation.Moment) bool {
-	for i := range k.Reservations.Windows {
-		w := &k.Reservations.Windows[i]
-		if w.End > from && w.Start < to && reservation.Covers(w.Spec, id, t, z) {
+// InWindow reports whether a window that covers a machine is open at any time from one
+// moment until before another.
+func (s *State) InWindow(id protocol.MachineID, machineType protocol.MachineType, zone protocol.Zone, from, to reservation.Moment) bool {
+	for i := range s.Reservations.Windows {
+		w := &s.Reservations.Windows[i]
+		if w.End > from && w.Start < to && reservation.Covers(w.Spec, id, machineType, zone) {
 			return true
 		}
 	}
 	return false
 }
 
-// NoticeBefore is how long before its time a reservation's room is clear: as long as
-// another machine takes to come, and one more in its place.
-func (k *State) NoticeBefore(s *record.ReservationSpec) time.Duration {
-	boot := 0.0
-	for _, t := range k.Types { // those the cloud has none of at present, too: this must not change from moment to moment
-		if reservation.Fits(s, t, s.Zone) {
-			boot = max(boot, k.Reservations.Boots.Likely(t.BootS))
+// NoticeBefore returns how long before its start the resources of a reservation are free:
+// as long as a machine takes to boot, and another in its place.
+func (s *State) NoticeBefore(spec *record.ReservationSpec) time.Duration {
+	bootS := 0.0
+	// Types that the cloud is out of at present count too: the result must not change
+	// from one moment to the next.
+	for _, machineType := range s.Types {
+		if reservation.Fits(spec, machineType, spec.Zone) {
+			bootS = max(bootS, s.Reservations.Boots.Likely(machineType.BootS))
 		}
 	}
-	return config.Seconds(2*boot) + LeadSlack
+	return config.Seconds(leadBoots*bootS) + LeadSlack
 }
 
-// SpansReservation reports whether what ends at a moment might be in the way of something
-// that room was held for before all controllers ended: until it is held anew,
-// that waits.
-func (k *State) SpansReservation(j *protocol.Job, ends reservation.Moment) bool {
-	pr := k.Reservations
-	if pr.Listed || k.Since(k.SessionStart) > SettleHolds+10*time.Second {
+// SpansReservation reports whether a task that ends at a moment could be in the way of a
+// reservation whose resources were held before all controllers restarted. Until they are
+// held again, such a task waits.
+func (s *State) SpansReservation(job *protocol.Job, ends reservation.Moment) bool {
+	if s.Reservations.Listed || s.Since(s.SessionStart) > SettleHolds+settleSlack {
 		return false
 	}
-	of, now := k.ReservationFilter(j), k.WallTime()
-	return slices.ContainsFunc(pr.Calendar.Due(now, max(ends, now+1)), func(e *reservation.Entry) bool {
-		return e.Active() && !of(e.Name()) && ends > reservation.After(e.StartMS, -k.NoticeBefore(&e.Reservation.Spec))
+	own := s.ReservationFilter(job)
+	now := s.WallTime()
+	due := s.Reservations.Calendar.Due(now, max(ends, now+1))
+	return slices.ContainsFunc(due, func(entry *reservation.Entry) bool {
+		if !entry.Active() || own(entry.Name()) {
+			return false
+		}
+		return ends > reservation.After(entry.StartMS, -s.NoticeBefore(&entry.Reservation.Spec))
 	})
 }
 
-// ExpectedRunSeconds is how long a task is very likely to run at the most, in seconds.
-func (k *State) ExpectedRunSeconds(j *protocol.Job, estimateS float64) float64 {
-	return estimateS * k.Reservations.Errors[j.Class].Factor()
-}
-
-// ReservationOf is the reservation of a name, or one that matches no job.
-func (k *State) ReservationOf(n reservation.Name) *record.Reservation {
-	if e := k.Reservations.Calendar.Reservation(n); e != nil {
-		return e.Reservation
+// ReservationOf returns the reservation of a name, or one that matches no job.
+func (s *State) ReservationOf(name reservation.Name) *record.Reservation {
+	if entry := s.Reservations.Calendar.Reservation(name); entry != nil {
+		return entry.Reservation
 	}
 	return noReservation
 }
 
-// ReservedEnd is when a task is reckoned to be over by what is promised: no later
-// than its own room is held, which no window cuts short.
-func ReservedEnd(holds []reservation.Hold, t *reservation.Task) reservation.Moment {
-	if until := reservation.OwnUntil(holds, t.Of); until != 0 {
-		return min(t.Ends, until)
+// ReservedEnd returns when a task is assumed to have ended: no later than its own
+// resources are held, which no window shortens.
+func ReservedEnd(holds []reservation.Hold, task *reservation.Task) reservation.Moment {
+	if until := reservation.OwnUntil(holds, task.Of); until != 0 {
+		return min(task.Ends, until)
 	}
-	return t.Ends
+	return task.Ends
 }
 
-// ReservedBy is what of a machine's room counts as taken now by what is held.
-func ReservedBy(hs []reservation.Hold, now reservation.Moment) (sum resource.Amount) {
-	for _, h := range hs {
-		if now >= h.Clear && now < h.Until {
-			sum = sum.Plus(h.Need)
+// ReservedBy returns how much of a machine's resources its holds reserve now.
+func ReservedBy(holds []reservation.Hold, now reservation.Moment) (sum resource.Amount) {
+	for _, hold := range holds {
+		if now >= hold.Clear && now < hold.Until {
+			sum = sum.Plus(hold.Need)
 		}
 	}
 	return sum
 }
-
-// noReservation stands for one that is not there: it matches no job.
-var noReservation = &record.Reservation{Spec: record.ReservationSpec{Job: "none"}}
-
-// LeadSlack is what a hold is clear before its time beyond two boots: one more
-// if a machine does not come up.
-const LeadSlack = 20 * time.Second
-
-// SettleHolds is how long, after all have ended, it takes at the most until
-// room is held anew: machines have to be heard first.
-const SettleHolds = 20 * time.Second
--- /dev/null
+++ b/internal/controller/clusterstate/responsibility.go
@@ -0,0 +1,124 @@
+package clusterstate
+
+import (
+	"damsonkeel/internal/controller/sharding"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// dispatcherCacheSize bounds the cached dispatchers: far more machines than there are at a
+// time.
+const dispatcherCacheSize = 1 << 14
+
+// registrarKey is the rendezvous key of the registrar.
+const registrarKey = "machine records"
+
+// Sharded reports whether machines are divided by shards in this term.
+func (s *State) Sharded() bool {
+	return s.View.Layout >= record.LayoutShards && s.Shards != nil
+}
+
+// DispatcherOf returns the controller that dispatches to a registered machine.
+func (s *State) DispatcherOf(machine protocol.MachineID) protocol.NodeName {
+	var zone protocol.Zone
+	if m := s.Records[machine]; m != nil {
+		zone = m.Record.Zone
+	}
+	return s.DispatcherInZone(machine, zone)
+}
+
+// DispatcherInZone returns the controller that dispatches to a machine of a zone; none
+// while its shard has no holder.
+func (s *State) DispatcherInZone(machine protocol.MachineID, zone protocol.Zone) protocol.NodeName {
+	switch {
+	case s.Sharded():
+		return s.Holder(sharding.Of(s.Shards, machine, zone))
+	case s.View.Layout >= record.LayoutShards:
+		return "" // the shard table was lost, and is not written anew yet
+	}
+	return s.rendezvousDispatcher(machine)
+}
+
+// rendezvousDispatcher is RendezvousDispatcher in the present view, cached.
+func (s *State) rendezvousDispatcher(machine protocol.MachineID) protocol.NodeName {
+	name, ok := s.DispatcherCache[machine]
+	if !ok {
+		name = RendezvousDispatcher(s.View, machine)
+		if len(s.DispatcherCache) > dispatcherCacheSize {
+			clear(s.DispatcherCache)
+		}
+		s.DispatcherCache[machine] = name
+	}
+	return name
+}
+
+// Holder returns the member that holds a shard; none if its session has ended.
+func (s *State) Holder(id sharding.ID) protocol.NodeName {
+	return NameOf(s.View, s.Shards.List[id].Holder)
+}
+
+// NameOf returns the member of a view that has a session.
+func NameOf(view record.View, session protocol.LeaseID) protocol.NodeName {
+	for name, memberSession := range view.Members {
+		if memberSession == session && memberSession != 0 {
+			return name
+		}
+	}
+	return ""
+}
+
+// SameMemberSession reports whether a controller is in both views with the same session.
+func SameMemberSession(a, b record.View, name protocol.NodeName) bool {
+	session, ok := a.Members[name]
+	return ok && b.Members[name] == session
+}
+
+// FencingToken returns the token that a dispatcher's commands to a machine carry: the
+// epoch of its shard, or the term where there are no shards.
+func (s *State) FencingToken(machine protocol.MachineID, zone protocol.Zone) protocol.Term {
+	if s.Sharded() {
+		return s.Shards.List[sharding.Of(s.Shards, machine, zone)].Epoch
+	}
+	return s.View.Term
+}
+
+// ShardEpoch returns the epoch since which a machine's shard has had its holder; 0 where
+// there are no shards, since the holder depends on the term alone then.
+func (s *State) ShardEpoch(machine protocol.MachineID, zone protocol.Zone) protocol.Term {
+	if s.Sharded() {
+		return s.Shards.List[sharding.Of(s.Shards, machine, zone)].Since
+	}
+	return 0
+}
+
+// ShardTableEpoch returns the epoch of the shard table as it was last observed.
+func (s *State) ShardTableEpoch() protocol.Term {
+	if s.Shards == nil {
+		return 0
+	}
+	return s.Shards.Epoch
+}
+
+// OwnerOf is JobOwner in the present view, cached.
+func (s *State) OwnerOf(job *LiveJob) protocol.NodeName {
+	if job.ownerTerm != s.View.Term {
+		job.owner = s.JobOwner(s.View, &job.Job)
+		job.ownerTerm = s.View.Term
+	}
+	return job.owner
+}
+
+// JobOwner returns the controller that owns a job in a view. All jobs of a team with a
+// limit have the same owner, so that the limit is checked in one place.
+func (s *State) JobOwner(view record.View, job *protocol.Job) protocol.NodeName {
+	if s.limitedIn(view, job.Team) {
+		return Rendezvous(view, "team "+string(job.Team))
+	}
+	return Rendezvous(view, "job "+string(job.ID))
+}
+
+// Registrar returns the member that writes the blocks of machines' records.
+func (s *State) Registrar() protocol.NodeName { return Rendezvous(s.View, registrarKey) }
+
+// UsesBlocks reports whether machines are recorded in blocks in this term.
+func (s *State) UsesBlocks() bool { return s.View.Layout >= record.LayoutBlocks }
