--- /dev/null
+++ b/internal/controller/ordered/doc.go
@@ -0,0 +1,6 @@
+// Package ordered iterates over maps in the order of their keys, so that a step of a
+// controller's core does the same things in the same order each time that it is replayed.
+//
+// It owns no state. Entries that the loop's body deletes before they are reached are
+// skipped; entries that it adds are not visited.
+package ordered
--- a/internal/controller/resource/amount.go
+++ b/internal/controller/resource/amount.go
@@ -1,5 +1,3 @@
-// Package resource reckons with what machines have and tasks take: amounts, who
-// holds them by level, and claims on what is free.
 package resource
 
 import (
@@ -8,66 +6,78 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Amount is what a task takes or a machine has.
+const (
+	// Slack is by how much sums of amounts may be wrong: they are decimal numbers.
+	Slack = 1e-6
+	// maxFitting bounds CountFitting: tasks that use nothing fit any number of times.
+	maxFitting = 1000
+)
+
+// Amount is the resources that a task uses or a machine has. It is part of messages
+// between controllers.
 type Amount struct {
 	CPUs, GPUs float64
-	GB         float64 // reservation memory
+	GB         float64 // memory
 }
 
-// Slack is by what sums of amounts may be wrong: they are decimal numbers.
-const Slack = 1e-6
+// Need returns what a task of a job uses.
+func Need(job *protocol.Job) Amount { return Amount{job.CPUs, job.GPUs, job.MemoryGB} }
 
-// Round takes off what a sum of decimal numbers owes to the order in which they were
-// added: the same sums compare as equal, and days repeat.
+// Capacity returns what a machine of a type has.
+func Capacity(machineType protocol.TypeInfo) Amount {
+	return Amount{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
+}
+
+// Round removes from a sum of decimal numbers what depends on the order of the summands:
+// equal sums compare as equal, and simulations are repeatable.
 func Round(x float64) float64 { return math.Round(x/Slack) * Slack }
 
-// Round rounds each part.
+// Round rounds each resource.
 func (a Amount) Round() Amount { return Amount{Round(a.CPUs), Round(a.GPUs), Round(a.GB)} }
 
-// Need is what a task of a job takes.
-func Need(j *protocol.Job) Amount { return Amount{j.CPUs, j.GPUs, j.MemoryGB} }
-
-// Capacity is what a machine of a type has.
-func Capacity(t protocol.TypeInfo) Amount { return Amount{t.CPUs, t.GPUs, t.MemoryGB} }
-
-// Covers reports whether a need fits.
-func (a Amount) Covers(n Amount) bool {
-	return n.CPUs <= a.CPUs+Slack && n.GPUs <= a.GPUs+Slack && n.GB <= a.GB+Slack
+// Covers reports whether a need fits into the amount.
+func (a Amount) Covers(need Amount) bool {
+	return need.CPUs <= a.CPUs+Slack && need.GPUs <= a.GPUs+Slack && need.GB <= a.GB+Slack
 }
 
-// Minus is what is left without another amount; it may be below nothing.
-func (a Amount) Minus(n Amount) Amount { return Amount{a.CPUs - n.CPUs, a.GPUs - n.GPUs, a.GB - n.GB} }
+// Plus returns the sum of two amounts.
+func (a Amount) Plus(b Amount) Amount {
+	return Amount{a.CPUs + b.CPUs, a.GPUs + b.GPUs, a.GB + b.GB}
+}
 
-// Plus adds an amount.
-func (a Amount) Plus(n Amount) Amount { return Amount{a.CPUs + n.CPUs, a.GPUs + n.GPUs, a.GB + n.GB} }
+// Minus returns the difference of two amounts, which may be negative.
+func (a Amount) Minus(b Amount) Amount {
+	return Amount{a.CPUs - b.CPUs, a.GPUs - b.GPUs, a.GB - b.GB}
+}
 
-// Times is so many of it.
+// Times returns a multiple of the amount.
 func (a Amount) Times(n float64) Amount { return Amount{n * a.CPUs, n * a.GPUs, n * a.GB} }
 
-// fitMost bounds what Fit counts: a task that takes nothing fits any number of times.
-const fitMost = 1000
-
-// CountFitting is how many tasks of a size have room at the same time.
-func (a Amount) CountFitting(n Amount) int {
-	k := 0
-	for a.Covers(n) && k < fitMost {
-		a = a.Minus(n)
-		k++
+// CountFitting returns how many tasks of a need fit at the same time.
+func (a Amount) CountFitting(need Amount) int {
+	count := 0
+	for a.Covers(need) && count < maxFitting {
+		a = a.Minus(need)
+		count++
 	}
-	return k
+	return count
 }
 
-// Places is how many tasks of a size run at a time in a lot of room, in parts
-// too; none of a size that takes nothing.
-func (a Amount) Places(n Amount) float64 {
-	most := math.Inf(1)
-	for _, r := range [][2]float64{{a.CPUs, n.CPUs}, {a.GPUs, n.GPUs}, {a.GB, n.GB}} {
-		if r[1] > 0 {
-			most = math.Min(most, r[0]/r[1])
+// Places returns how many tasks of a need the amount is enough for, with fractions; 0 for a
+// task that uses nothing.
+func (a Amount) Places(need Amount) float64 {
+	places := math.Inf(1)
+	for _, r := range [...]struct{ available, need float64 }{
+		{a.CPUs, need.CPUs},
+		{a.GPUs, need.GPUs},
+		{a.GB, need.GB},
+	} {
+		if r.need > 0 {
+			places = math.Min(places, r.available/r.need)
 		}
 	}
-	if math.IsInf(most, 1) {
+	if math.IsInf(places, 1) {
 		return 0
 	}
-	return most
+	return places
 }
--- /dev/null
+++ b/internal/controller/resource/level.go
@@ -0,0 +1,59 @@
+package resource
+
+import "damsonkeel/internal/protocol"
+
+// Level is the order in which machines serve tasks: those within their team's guarantee
+// first, then by priority. Tasks of lower levels may be preempted.
+type Level int
+
+const (
+	// Ranks is the number of priorities.
+	Ranks = 4
+	// Levels is the number of levels: each priority, without and within a guarantee.
+	Levels = 2 * Ranks
+)
+
+// LevelOf returns the level of a priority, within its team's guarantee or not.
+func LevelOf(priority protocol.Priority, guaranteed bool) Level {
+	if guaranteed {
+		return Level(priority.Rank() + Ranks)
+	}
+	return Level(priority.Rank())
+}
+
+// Guaranteed reports whether a level is within its team's guarantee.
+func (l Level) Guaranteed() bool { return l >= Ranks }
+
+// Rank returns the rank of the level's priority.
+func (l Level) Rank() int { return int(l) % Ranks }
+
+// Uses is the resources that attempts use on a machine, by level.
+type Uses [Levels]Amount
+
+// NonPreemptible returns what attempts of a level or above use: a task of that level can't
+// preempt them.
+func (u *Uses) NonPreemptible(level Level) Amount {
+	var sum Amount
+	for _, used := range u[min(max(level, 0), Levels):] {
+		sum = sum.Plus(used)
+	}
+	return sum
+}
+
+// Above returns what attempts of a priority above a rank use, within a guarantee or not.
+func (u *Uses) Above(rank int) Amount {
+	var sum Amount
+	for level, used := range u {
+		if Level(level).Rank() > rank {
+			sum = sum.Plus(used)
+		}
+	}
+	return sum
+}
+
+// Add adds the resources of an attempt of a level. Levels out of range count as the
+// nearest one.
+func (u *Uses) Add(level Level, amount Amount) {
+	level = min(max(level, 0), Levels-1)
+	u[level] = u[level].Plus(amount)
+}
