--- a/internal/controller/forecast/boots.go
+++ b/internal/controller/forecast/boots.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Boots is how long machines take to come up, by what the catalogue says. The
-// zero value has seen none.
-type Boots struct{ errors Errors }
-
 const (
-	// usualBoot is how many times as long as the catalogue says a boot takes at
-	// the most, as a rule.
-	usualBoot = 1.5
-	mostBoot  = 3.0
+	// usualBootFactor is how many times as long as in the catalogue a boot takes at the
+	// most, as a rule, and maxBootFactor bounds what is estimated.
+	usualBootFactor = 1.5
+	maxBootFactor   = 3.0
 )
 
-// Note adds a machine that came up.
+// Boots is how long machines take to boot compared to the catalogue. The zero value has
+// observed none.
+type Boots struct{ errors Errors }
+
+// Note adds a machine that has booted.
 func (b *Boots) Note(took time.Duration, bootS float64) { b.errors.Note(took, bootS) }
 
-// Likely is after how long, in seconds, most machines of a type are up.
+// Likely returns after how many seconds most machines of a type have booted.
 func (b *Boots) Likely(bootS float64) float64 {
-	factor := usualBoot
-	if len(b.errors.ratios) >= errorsNeeded {
-		factor = min(max(factor, b.errors.Factor()), mostBoot)
+	factor := usualBootFactor
+	if b.errors.known() {
+		factor = min(max(factor, b.errors.Factor()), maxBootFactor)
 	}
 	return factor * bootS
 }
--- a/internal/controller/forecast/spot.go
+++ b/internal/controller/forecast/spot.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Spot is how often spot machines are taken, as seen lately. The zero value has
-// seen nothing.
-type Spot struct {
-	losses float64
-	upS    float64 // machine seconds
-}
-
 const (
-	// Before anything was seen, one loss in so many machine seconds is assumed.
-	spotPriorS = 7200
-	// SpotMemory is after how long what was seen counts half.
+	// priorUptimeS makes the rate assumed before anything was observed: one reclaim in so
+	// many machine seconds.
+	priorUptimeS = 7200
+	// SpotMemory is after how long an observation counts half.
 	SpotMemory = 10 * time.Minute
 )
 
-// Watch counts the spot machines that are up for a while.
-func (s *Spot) Watch(machines int, d time.Duration) {
-	keep := math.Exp2(-d.Seconds() / SpotMemory.Seconds())
-	s.losses *= keep
-	s.upS = s.upS*keep + float64(machines)*d.Seconds()
+// Spot is how often spot machines were reclaimed lately. The zero value has observed none.
+type Spot struct {
+	reclaimed float64 // machines, weighted by age
+	uptimeS   float64 // machine seconds, weighted by age
+}
+
+// Watch adds the uptime of some spot machines.
+func (s *Spot) Watch(machines int, uptime time.Duration) {
+	decay := math.Exp2(-uptime.Seconds() / SpotMemory.Seconds())
+	s.reclaimed *= decay
+	s.uptimeS = s.uptimeS*decay + float64(machines)*uptime.Seconds()
 }
 
-// Lost counts a machine that was taken.
-func (s *Spot) Lost() { s.losses++ }
+// Lost adds a machine that was reclaimed.
+func (s *Spot) Lost() { s.reclaimed++ }
 
-// Losses is how many were taken lately.
-func (s *Spot) Losses() float64 { return s.losses }
+// Losses returns how many were reclaimed lately.
+func (s *Spot) Losses() float64 { return s.reclaimed }
 
-// Rate is how many times a second a spot machine is taken.
-func (s *Spot) Rate() float64 { return (s.losses + 1) / (s.upS + spotPriorS) }
+// Rate returns how many times a second a spot machine is reclaimed.
+func (s *Spot) Rate() float64 { return (s.reclaimed + 1) / (s.uptimeS + priorUptimeS) }
