--- a/internal/controller/message/move.go
+++ b/internal/controller/message/handover.go
@@ -8,13 +8,14 @@
 	"damsonkeel/internal/record"
 )
 
-// Tenured names a share as one controller keeps it, since an epoch.
+// Tenured identifies a shard while it has one holder: Tenure is the epoch since which it
+// has.
 type Tenured struct {
 	Share  int
 	Tenure protocol.Term
 }
 
-// MoveShards asks the keeper of shares to hand them over.
+// MoveShards asks the holder of shards to hand them over.
 type MoveShards struct {
 	Term   protocol.Term
 	Shares []Tenured
@@ -22,27 +23,27 @@
 	Cause  string
 }
 
-// Handover is part of a share handed over, as one value: what its keeper knows of some
-// reservation its machines.
+// Handover is a part of a shard that is handed over: what its holder knows of some of its
+// machines.
 type Handover struct {
 	Term protocol.Term
 	Tenured
-	// Epoch is the share's as it was handed over. Its keeper goes on only with a
-	// later one: what was handed over is good for nothing then.
+	// Epoch is the shard's when it was handed over. If the old holder goes on with the
+	// shard, it raises the epoch: what was handed over is void then.
 	Epoch         protocol.Term
 	Piece, Pieces int
 	Queues        []HandoverQueue
 }
 
-// HandoverQueue is what a keeper knows of one machine. Times are ages: clocks are
-// not alike.
+// HandoverQueue is what a dispatcher knows of one machine. Times are sent as ages, since
+// the clocks of controllers differ.
 type HandoverQueue struct {
 	Machine  protocol.MachineID
-	Epoch    protocol.Version // reservation its record
+	Epoch    protocol.Version // of its record
 	Session  protocol.AgentEpoch
 	Seq      protocol.Seq
-	Seen     protocol.Term   // the highest token that its worker has said to have seen
-	Entries  []HandoverEntry // those that wait in order of arrival
+	Seen     protocol.Term   // the highest fencing token that its worker has reported
+	Entries  []HandoverEntry // those that wait are in order of arrival
 	Known    bool
 	Sole     bool
 	Everseen bool
@@ -54,20 +55,20 @@
 	Idle     time.Duration
 }
 
-// HandoverEntry is one attempt of it.
+// HandoverEntry is one attempt in a HandoverQueue.
 type HandoverEntry struct {
 	Task      protocol.TaskID
 	Attempt   protocol.Attempt
 	EstimateS float64
 	Need      resource.Amount
-	Found     bool // on the machine, rather than placed by its owner
+	Found     bool // reported by the worker, rather than placed by its owner
 	Age       time.Duration
-	Ran       time.Duration // for how long; below 0: not known to have run
+	Ran       time.Duration // for how long; negative: it is not known to have run
 	Level     resource.Level
 	Guessed   bool
 	Together  bool
 	From      protocol.NodeName
-	// Configuration is the revision that its owner placed it by.
+	// Configuration is the revision by which its owner placed it.
 	Configuration record.ConfigurationRevision
 	Sent          bool
 	Direct        protocol.Term
@@ -80,9 +81,3 @@
 	Reap          bool
 	Noticed       bool
 }
-
-// Load is what a controller says of itself, for who balances the shares.
-type Load struct {
-	LateMS  float64 // how late its ticks come, on average
-	Leaving bool    // it is told to end
-}
--- /dev/null
+++ b/internal/controller/message/validate.go
@@ -0,0 +1,158 @@
+package message
+
+import (
+	"errors"
+	"fmt"
+	"math"
+
+	"damsonkeel/internal/controller/resource"
+)
+
+// Bounds of the values in a peer's message, far beyond those of any cluster. A message with
+// values out of bounds is broken, or of another version.
+const (
+	maxAmount = 1e18
+	maxPieces = 1 << 16
+	maxCount  = 1 << 30
+)
+
+// OutOfRangeError is a value in a peer's message that is out of its bounds.
+type OutOfRangeError struct {
+	Field string
+	Value any // a float64 or an int
+}
+
+// Error implements error.
+func (e *OutOfRangeError) Error() string { return fmt.Sprintf("%s: %v", e.Field, e.Value) }
+
+// Check reports the values of a peer's message that are out of their bounds: the core
+// calculates with the others, and uses them as indexes.
+func (m *PeerMessage) Check() error {
+	v := &validator{}
+	if m.Place != nil {
+		v.place(m.Place)
+	}
+	if m.Stop != nil {
+		v.amounts("grace", 0, m.Stop.GraceS)
+	}
+	if m.Added != nil {
+		v.waits(m.Added.Waits)
+	}
+	v.waits(m.Table)
+	if m.Relay != nil {
+		v.stateUpdate(m.Relay)
+	}
+	if m.Inventory != nil {
+		v.inventory(m.Inventory)
+	}
+	if m.Hand != nil {
+		v.handover(m.Hand)
+	}
+	return errors.Join(v.errs...)
+}
+
+// validator collects the values of a message that are out of their bounds.
+type validator struct{ errs []error }
+
+// amounts checks decimal numbers that must not be below a bound.
+func (v *validator) amounts(field string, least float64, values ...float64) {
+	for _, value := range values {
+		if math.IsNaN(value) || value < least || value > maxAmount {
+			v.errs = append(v.errs, &OutOfRangeError{Field: field, Value: value})
+		}
+	}
+}
+
+// counts checks whole numbers, which must be at least 0 and below a bound.
+func (v *validator) counts(field string, bound int, values ...int) {
+	for _, value := range values {
+		if value < 0 || value >= bound {
+			v.errs = append(v.errs, &OutOfRangeError{Field: field, Value: value})
+		}
+	}
+}
+
+// need checks the resources of a task.
+func (v *validator) need(field string, need resource.Amount) {
+	v.amounts(field, 0, need.CPUs, need.GPUs, need.GB)
+}
+
+// place checks placements.
+func (v *validator) place(p *Place) {
+	for i := range p.Tasks {
+		task := &p.Tasks[i]
+		v.counts("level", resource.Levels, task.Level)
+		v.amounts("placement", 0, task.EstimateS)
+		v.need("placement", task.Need())
+	}
+}
+
+// waits checks changes of expected waits.
+func (v *validator) waits(changes []WaitChange) {
+	for i := range changes {
+		v.amounts("wait", 0, changes[i].Add)
+		v.uses(changes[i].Taken)
+	}
+}
+
+// uses checks what is in use of a machine.
+func (v *validator) uses(uses []LevelUse) {
+	for _, use := range uses {
+		v.counts("level", resource.Levels, use.Level)
+		v.amounts("use", 0, use.CPUs, use.GPUs, use.GB)
+	}
+}
+
+// stateUpdate checks a peer's regular message.
+func (v *validator) stateUpdate(update *StateUpdate) {
+	for i := range update.States {
+		v.machineState(&update.States[i])
+	}
+	for _, progress := range update.Progress {
+		v.counts("level", resource.Levels+1, progress.Level)
+	}
+	for i := range update.Demand {
+		demand := &update.Demand[i]
+		v.counts("level", resource.Levels, demand.Level)
+		v.counts("unstarted", maxCount, demand.Unstarted)
+		v.amounts("demand", 0, demand.EstimateS, demand.OldestS)
+	}
+	v.amounts("lateness", 0, update.Load.LateMS)
+}
+
+// machineState checks the state of one machine.
+func (v *validator) machineState(state *MachineState) {
+	v.amounts("wait", 0, state.Wait, state.IdleS)
+	v.amounts("free", -maxAmount, state.FreeCPUs, state.FreeGPUs, state.FreeGB)
+	v.amounts("queue", 0, state.Queue...)
+	v.counts("levels", resource.Levels+1, len(state.Queue))
+	v.counts("attempts", maxCount, state.Held, state.Queued)
+	v.uses([]LevelUse{state.Ending})
+	v.uses(state.Uses)
+}
+
+// inventory checks the attempts on a machine.
+func (v *validator) inventory(inventory *Inventory) {
+	for i := range inventory.Held {
+		v.need("held", inventory.Held[i].Need)
+	}
+}
+
+// handover checks a part of a shard that is handed over.
+func (v *validator) handover(handover *Handover) {
+	v.counts("pieces", maxPieces, handover.Pieces, handover.Piece)
+	for i := range handover.Queues {
+		v.handoverQueue(&handover.Queues[i])
+	}
+}
+
+// handoverQueue checks the attempts of one machine.
+func (v *validator) handoverQueue(queue *HandoverQueue) {
+	for i := range queue.Entries {
+		entry := &queue.Entries[i]
+		v.counts("level", resource.Levels, int(entry.Level))
+		v.amounts("attempt", 0, entry.EstimateS)
+		v.need("attempt", entry.Need)
+		v.amounts("attempt", 0, entry.GraceS)
+	}
+}
