--- a/internal/controller/autoscaler/plan.go
+++ b/internal/controller/autoscaler/plan.go
@@ -1,267 +1,205 @@
-// Package autoscaler plans which machines to rent: all work that waits is reckoned
-// isGang against what is up, coming or asked for, and what is missing is
-// asked for from the cheapest kinds that will do.
 package autoscaler
 
 import (
 	"cmp"
-	"maps"
+	"fmt"
 	"math"
 	"slices"
+	"time"
 
+	"damsonkeel/internal/controller/binpack"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
-// Kind is what the cloud has or has not.
-type Kind struct {
-	Type protocol.MachineType
-	Zone protocol.Zone
-	Spot bool
-}
-
-// Slot is machines that are up, or coming, and alike in what a plan asks of
-// them. A fleet has far fewer slots than machines: those of a kind run the same
-// classes of tasks.
-type Slot struct {
-	Alike
-	Info protocol.TypeInfo
-	N    int // machines
-}
-
-// Alike is what machines of a slot have in common.
-type Alike struct {
-	Kind
-	Free resource.Amount // now, or when they are up
-	Held resource.Uses   // reportedBy attempts on each or in its queue
-	InS  float64         // when they are up, in seconds
-}
-
-// Work is tasks of one size that need room.
-type Work struct {
-	Need    resource.Amount
-	Level   resource.Level
-	OneZone bool // all of them in the same one, whichever
-	// Shun: spot machines are no room for them.
-	Shun bool
-	// EstimateS is how long one runs, FetchS how long its image takes on a
-	// machine of a type, in seconds.
-	EstimateS float64
-	FetchS    func(protocol.TypeInfo) float64
-	// Allows reports whether they may run on machines of a kind, Offers lists
-	// what may be rented for them, the cheapest per task first.
-	Allows func(protocol.TypeInfo, protocol.Zone, bool) bool
-	Offers []Kind
-}
-
-// Plan is the state of one plan.
-type Plan struct {
-	types    map[protocol.MachineType]protocol.TypeInfo
-	slots    []Slot
-	pools    map[Kind]*pool
-	wanted   map[Kind]int // machines to be asked for
-	underWay map[Kind]int // machines asked for already
-	bought   []Order      // for one thing alone
-}
-
-// New begins a plan with the room that there is. Machines under way are asked
-// for already; their room is among the slots.
-func New(types map[protocol.MachineType]protocol.TypeInfo, slots []Slot, underWay map[Kind]int) *Plan {
-	return &Plan{types: types, slots: slots, pools: map[Kind]*pool{}, wanted: map[Kind]int{}, underWay: underWay}
-}
-
-// Slots gathers machines that are alike.
-type Slots struct {
-	List []Slot
-	at   map[Alike]int
-}
-
-// Add counts a machine.
-func (s *Slots) Add(a Alike, info protocol.TypeInfo) {
-	if s.at == nil {
-		s.at = map[Alike]int{}
-	}
-	i, there := s.at[a]
-	if !there {
-		i = len(s.List)
-		s.at[a] = i
-		s.List = append(s.List, Slot{Alike: a, Info: info})
-	}
-	s.List[i].N++
-}
-
-// Fresh is the room of machines just asked for.
-func Fresh(info protocol.TypeInfo, k Kind, count int) Slot {
-	return Slot{Alike: Alike{Kind: k, Free: resource.Capacity(info), InS: info.BootS}, Info: info, N: count}
-}
-
-// fill takes room for n tasks out of the slots, as far as there is, and returns
-// how many are left without.
-func (p *Plan) fill(w *Work, n int) int {
-	for i := 0; i < len(p.slots) && n > 0; i++ {
-		s := &p.slots[i]
-		if s.N == 0 || w.Shun && s.Spot || !w.Allows(s.Info, s.Zone, s.Spot) {
+// slots lists all room that is there or coming.
+func (as *Autoscaler) slots() []binpack.Slot {
+	f := as
+	var up binpack.Slots
+	for _, m := range as.table.InOrder() {
+		if !as.table.Usable(m) || len(as.reservations.Windows) > 0 && as.InWindow(m.ID, m.Record.Type, m.Record.Zone, as.WallTime(), as.WallTime()) {
 			continue
 		}
-		per := s.Free.CountFitting(w.Need)
-		if per == 0 {
-			continue
-		}
-		// Whole machines first, then what is left on one more.
-		full := min(s.N, n/per)
-		part := 0
-		if full < s.N {
-			part = min(n-full*per, per)
-		}
-		was := *s
-		if s.N = was.N - full; part > 0 {
-			s.N--
+		a := binpack.Alike{Kind: m.Kind(), Free: m.Unreserved(), Held: m.AnnouncedUses}
+		for r := range a.Held {
+			a.Held[r] = a.Held[r].Plus(m.PendingUses[r])
 		}
-		if full > 0 {
-			p.slots = append(p.slots, was.after(w, per, full))
-		}
-		if part > 0 {
-			p.slots = append(p.slots, was.after(w, part, 1))
+		up.Add(a, m.Info)
+	}
+	slots := up.List
+	for id, m := range ordered.Of(f.bootingMachines) {
+		if b := f.bootHistory[m.Kind]; b != nil && b.trial {
+			continue // not counted on
 		}
-		n -= full*per + part
+		s := binpack.Fresh(as.Types[m.Type], m.Kind, 1)
+		s.InS = math.Max(s.Info.BootS-as.Since(m.at).Seconds(), 1)
+		s.Free = s.Free.Minus(clusterstate.ReservedBy(as.reservations.Holds[id], as.WallTime()))
+		slots = append(slots, s)
 	}
-	return n
-}
-
-// Fill takes room for n tasks out of what is there, asking for nothing, and
-// returns how many are left without.
-func (p *Plan) Fill(w Work, n int) int {
-	if n > 0 && w.OneZone {
-		w = w.in(p.zoneFor(&w, n))
+	for _, r := range ordered.Of(f.ProvisionCalls) {
+		slots = append(slots, binpack.Fresh(as.Types[r.Request.Type], r.kind(), r.Request.Count))
 	}
-	return p.fill(&w, n)
+	return slots
 }
 
-// after is so many of a slot's machines once each has taken some tasks.
-func (s Slot) after(w *Work, tasks, machines int) Slot {
-	for range tasks {
-		s.Free = s.Free.Minus(w.Need)
-		s.Held.Add(w.Level, w.Need)
+// work is tasks of a job as a plan reckons with them.
+func (as *Autoscaler) work(j *clusterstate.LiveJob, l resource.Level, estimateS float64) binpack.Work {
+	return binpack.Work{
+		Need: resource.Need(&j.Job), Level: l, OneZone: j.OneZone && j.Zone == "", Shun: as.workload.AvoidsSpot(&j.Job),
+		EstimateS: estimateS, FetchS: func(t protocol.TypeInfo) float64 { return clusterstate.FetchS(t, &j.Job) },
+		Allows: j.AllowsKind, Offers: as.offers(j),
 	}
-	s.N = machines
-	return s
 }
 
-// Reserve takes room for n tasks, to be there at once, and asks for what is
-// missing.
-func (p *Plan) Reserve(w Work, n int) {
-	if n > 0 && w.OneZone {
-		w = w.in(p.zoneFor(&w, n)) // as if its user had named the zone
+// PlanScaleOut rents what the unstarted work needs beyond what is there or coming.
+func (as *Autoscaler) PlanScaleOut() {
+	underWay := map[binpack.Kind]int{}
+	for _, r := range as.ProvisionCalls {
+		underWay[r.kind()] += r.Request.Count
 	}
-	if n = p.fill(&w, n); n <= 0 {
-		return
+	p := binpack.New(as.openTypes(), as.slots(), underWay)
+	defer as.provisionPlanned(p)
+	var demand, rest []message.Demand
+	for _, p := range as.table.Peers {
+		demand = append(demand, p.Demand...)
 	}
-	for _, k := range w.Offers {
-		per := resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
-		if count := p.ask(k, (n+per-1)/per); count > 0 {
-			p.slots = append(p.slots, Fresh(p.types[k.Type], k, count))
-			n = p.fill(&w, n)
-		}
-		if n <= 0 {
-			return
+	slices.SortFunc(demand, func(a, b message.Demand) int {
+		return cmp.Or(cmp.Compare(b.OldestS, a.OldestS), cmp.Compare(a.Job, b.Job))
+	})
+	// Classes with room kept for them come first, then the room itself: the
+	// rest must not count on it.
+	for _, d := range demand {
+		switch j := as.demandedJob(d); {
+		case j == nil:
+		case as.HasStartObjective(&j.Job):
+			p.Reserve(as.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted)
+		default:
+			rest = append(rest, d)
 		}
 	}
-}
-
-// in is the work bound to a zone.
-func (w Work) in(z protocol.Zone) Work {
-	allows := w.Allows
-	w.Allows = func(t protocol.TypeInfo, at protocol.Zone, spot bool) bool { return at == z && allows(t, at, spot) }
-	w.Offers = slices.DeleteFunc(slices.Clone(w.Offers), func(k Kind) bool { return k.Zone != z })
-	return w
-}
-
-// zoneFor is the zone that lacks least to hold n tasks, of those that lack
-// nothing or still have machines to rent.
-func (p *Plan) zoneFor(w *Work, n int) protocol.Zone {
-	has, offered := map[protocol.Zone]int{}, map[protocol.Zone]bool{}
-	for i := range p.slots {
-		if s := &p.slots[i]; !(w.Shun && s.Spot) && w.Allows(s.Info, s.Zone, s.Spot) {
-			has[s.Zone] += s.N * s.Free.CountFitting(w.Need)
+	for _, k := range ordered.Of(as.workload.Classes) {
+		j := &clusterstate.LiveJob{Job: k.Job}
+		j.OneZone = false // it is kept for several jobs
+		if n := as.workload.Reserve(k); n > 0 {
+			p.Reserve(as.work(j, resource.LevelOf(j.Priority, false), 0), n)
 		}
 	}
-	for _, k := range w.Offers {
-		offered[k.Zone] = true
-		has[k.Zone] += 0
+	// What is left works off the rest, the most pressing first. Each job finds
+	// what those before it leave of the time until it has to be done.
+	slices.SortStableFunc(rest, func(a, b message.Demand) int {
+		ja, jb := as.Live[a.Job], as.Live[b.Job]
+		return cmp.Or(cmp.Compare(b.Level, a.Level), cmp.Compare(as.timeLeft(ja, a), as.timeLeft(jb, b)))
+	})
+	top, runS, weight := 0, 0.0, 0.0
+	for _, d := range rest {
+		top = max(top, as.Live[d.Job].Priority.Rank())
+		runS += d.EstimateS * float64(d.Unstarted)
+		weight += float64(d.Unstarted)
 	}
-	var best protocol.Zone
-	for _, z := range slices.Sorted(maps.Keys(has)) {
-		if has[z] < n && !offered[z] {
-			continue
-		}
-		if best == "" || min(has[z], n) > min(has[best], n) {
-			best = z
+	as.planner.provisionReserved(p)
+	p.Gather(top, runS/math.Max(weight, 1))
+	for _, d := range rest {
+		j := as.demandedJob(d)
+		p.WorkOff(as.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, as.timeLeft(j, d))
+	}
+	// What is likely to come until another machine is up has to be begun by
+	// then: else each burst would wait for the boots that the last one needed.
+	for _, k := range ordered.Of(as.workload.Classes) {
+		if work := as.workload.ComingWork(k); work > 0 {
+			estimateS := as.Estimate(&k.Job)
+			n := int(work / (estimateS * math.Max(k.Job.CPUs, resource.Slack)))
+			p.WorkOff(as.work(&clusterstate.LiveJob{Job: k.Job}, 0, estimateS), n, as.workload.BootSeconds(&k.Job))
 		}
 	}
-	return best
 }
 
-// AskAtMost is how many machines are asked for in one request.
-const AskAtMost = 50
-
-// ask takes note of machines to be rented, and returns how many of them the
-// planScaleOut may count on: no more of a kind at a time than one request, whose answer
-// tells whether there are more.
-func (p *Plan) ask(k Kind, count int) int {
-	count = max(0, min(count, AskAtMost-p.wanted[k]-p.underWay[k]))
-	if count > 0 {
-		p.wanted[k] += count
+// demandedJob is the job of a demand, with the zone that is left to it.
+func (as *Autoscaler) demandedJob(d message.Demand) *clusterstate.LiveJob {
+	j := as.Live[d.Job]
+	if j == nil || d.Zone == "" {
+		return j
 	}
-	return count
+	in := *j
+	in.Zone = d.Zone
+	return &in
 }
 
-// Order is machines of one kind to be asked for.
-type Order struct {
-	Kind
-	Count int
-	For   string // what they are for, if for one thing alone
-}
-
-// Provision asks for machines for n tasks, whatever is there, from the cheapest kind
-// offered: they are for nothing else. One request of each kind is under way at a
-// time, so its answer tells whether there are more.
-func (p *Plan) Provision(w Work, n int, what string) {
-	for _, k := range w.Offers {
-		per := resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
-		if n <= 0 || per == 0 {
+// provisionPlanned sends the plan's requests, as many at a time as the cloud answers
+// in a second; the next plan asks for the rest.
+func (as *Autoscaler) provisionPlanned(p *binpack.Plan) {
+	for _, o := range p.Orders() {
+		if float64(len(as.ProvisionCalls)) >= math.Max(1, as.Settings.Site.Cloud.RPS) {
 			return
 		}
-		count := min(AskAtMost-p.underWay[k], (n+per-1)/per)
-		if count <= 0 {
-			continue
+		if trial, _ := as.canary(o.Kind); trial {
+			o.Count = 1
 		}
-		p.underWay[k] += count
-		p.bought = append(p.bought, Order{k, count, what})
-		n -= count * per
+		as.requests++
+		req := protocol.ProvisionRequest{
+			Name: fmt.Sprintf("%s-%d-%d-%d", as.Self, as.Session, as.View.Term, as.requests),
+			Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: o.Count,
+		}
+		r := &provisionCall{Request: req, reservation: reservation.Name(o.For)}
+		as.ProvisionCalls[req.Name] = r
+		as.provision(r)
 	}
 }
 
-// Orders lists what the plan asks for, the cheapest first, then what is bought for
-// one thing alone.
-func (p *Plan) Orders() []Order {
-	var os []Order
-	for _, k := range inPriceOrder(p, p.wanted) {
-		os = append(os, Order{Kind: k, Count: p.wanted[k]})
-	}
-	return append(os, p.bought...)
+// price of a kind, for a processor and an hour.
+func (as *Autoscaler) price(k binpack.Kind) float64 {
+	return binpack.Price(as.Types[k.Type], k.Spot)
 }
 
-// inPriceOrder lists kinds in one order, the cheapest first.
-func inPriceOrder[V any](p *Plan, kinds map[Kind]V) []Kind {
-	return slices.SortedFunc(maps.Keys(kinds), func(a, b Kind) int {
-		return cmp.Or(cmp.Compare(Price(p.types[a.Type], a.Spot), Price(p.types[b.Type], b.Spot)), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
-	})
+// timeLeft is how long a job's tasks may still wait, in seconds, and be done
+// when it is due. Owners' estimates are often wrong by half. What nobody sets
+// a time for waits no longer than a machine takes to come.
+func (as *Autoscaler) timeLeft(j *clusterstate.LiveJob, d message.Demand) float64 {
+	if len(as.ObjectiveTimes(&j.Job)) == 0 {
+		return 0
+	}
+	return math.Max(0, time.Duration(j.Deadline-as.Now).Seconds()-1.5*d.EstimateS)
 }
 
-// Price of a machine of a type, for a processor and an hour.
-func Price(t protocol.TypeInfo, spot bool) float64 {
-	if spot {
-		return t.SpotPrice / math.Max(t.CPUs, 1)
+// offers lists what may be rented for a job, the cheapest per task first.
+func (as *Autoscaler) offers(j *clusterstate.LiveJob) []binpack.Kind {
+	type offer struct {
+		binpack.Kind
+		price float64
+	}
+	var offers []offer
+	stretch, shun := as.workload.SpotStretch(&j.Job)*float64(j.Tasks), as.workload.AvoidsSpot(&j.Job)
+	for _, t := range as.Types {
+		per := resource.Capacity(t).CountFitting(resource.Need(&j.Job))
+		if per == 0 {
+			continue
+		}
+		for _, z := range t.AllowZones {
+			for _, spot := range []bool{true, false} {
+				k := binpack.Kind{Type: t.Name, Zone: z, Spot: spot}
+				if !j.AllowsKind(t, z, spot) || spot && shun || as.Refusals[k].Until > as.Now {
+					continue
+				}
+				if _, tried := as.canary(k); tried {
+					continue
+				}
+				price := t.Price
+				if spot {
+					price = t.SpotPrice * (1 + stretch)
+				}
+				offers = append(offers, offer{k, price / float64(per)})
+			}
+		}
+	}
+	slices.SortFunc(offers, func(a, b offer) int {
+		return cmp.Or(cmp.Compare(a.price, b.price), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
+	})
+	kinds := make([]binpack.Kind, len(offers))
+	for i, o := range offers {
+		kinds[i] = o.Kind
 	}
-	return t.Price / math.Max(t.CPUs, 1)
+	return kinds
 }
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -34,6 +34,8 @@
 	// where the view's layout says so.
 	Shards        *record.ShardTable
 	ShardsVersion protocol.Version
+	// Leaving: the process is shutting down, and hands its shards over first.
+	Leaving bool
 	// HighestToken is the highest fencing token that any worker has reported since the
 	// process started.
 	HighestToken protocol.Term
--- a/internal/controller/configured.go
+++ b/internal/controller/configured.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"time"
-
 	"damsonkeel/internal/controller/dynamicconfig"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
@@ -40,43 +38,10 @@
 	effective := c.Configuration.Effective()
 	c.Op = effective.Operator
 	c.Log.Info("configuration in force", "revision", uint64(effective.Revision))
-	c.owner.sorted = nil
-	c.owner.placementDue = true
+	c.jobs.InvalidateOrder()
+	c.table.PlacementDue = true
 	c.refreshDeadlines()
 	c.dispatcher.AdoptConfiguration()
 	c.dispatcher.InvalidateOrder()
 	c.Emit(message.ConfigurationChanged{Effective: effective})
 }
-
-// openTypes are the machine types, with the zones, in which the configuration lets
-// machines be rented.
-func (c *Core) openTypes() map[protocol.MachineType]protocol.TypeInfo {
-	if !c.Configuration.Effective().AnyPlaceClosed() {
-		return c.Types
-	}
-	open := map[protocol.MachineType]protocol.TypeInfo{}
-	for name, info := range c.Types {
-		zones := info.AllowZones
-		info.AllowZones = nil
-		for _, zone := range zones {
-			if !c.PlaceClosed(name, zone) {
-				info.AllowZones = append(info.AllowZones, zone)
-			}
-		}
-		open[name] = info
-	}
-	return open
-}
-
-// revisionOf is the revision that a controller says it acts by, and how long ago it
-// said so.
-func (c *Core) revisionOf(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
-	if name == c.Self {
-		return c.Configuration.Effective().Revision, 0
-	}
-	p := c.peers[name]
-	if p == nil || p.configuredAt == 0 {
-		return 0, 0
-	}
-	return p.configuration, c.Since(p.configuredAt)
-}
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -5,6 +5,9 @@
 	"slices"
 	"testing"
 
+	"damsonkeel/internal/controller/placement"
+	"damsonkeel/internal/controller/waittable"
+
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
@@ -16,36 +19,36 @@
 	b := newBench(t, "node-1")
 	const machines, jobs, ticks = 600, 300, 20
 	b.zoned("a", machines, false, heldAt(2, 4))
-	for _, m := range b.c.machinesInOrder() {
-		m.reported.Wait = 10_000
+	for _, m := range b.c.table.InOrder() {
+		m.Reported.Wait = 10_000
 	}
 	var first protocol.JobID
 	for i := range 2 * jobs {
 		id := protocol.JobID(fmt.Sprintf("job-%06d", i))
 		b.job(id, "free", 1)
-		if first == "" && b.c.owner.jobs[id] != nil {
+		if first == "" && b.c.jobs.ByID[id] != nil {
 			first = id
 		}
 	}
-	if n := len(b.c.owner.jobs); n < jobs*3/4 {
+	if n := len(b.c.jobs.ByID); n < jobs*3/4 {
 		t.Fatalf("%d jobs owned", n)
 	}
-	before := b.c.candidatesExamined
+	before := b.c.placer.Examined
 	for range ticks {
-		b.c.owner.placementDue = true
+		b.c.table.PlacementDue = true
 		b.step(message.Tick{})
 	}
-	if n := b.c.candidatesExamined - before; n < machines || n > 2*ticks*searchedAtOnce {
+	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*placement.SearchedAtOnce {
 		t.Errorf("%d machines looked at in %d steps", n, ticks)
 	}
-	all := b.c.machinesInOrder()
-	m := all[slices.IndexFunc(all, func(m *machineEntry) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // here nobody keeps the rest
-	m.reported.FreeCPUs, m.reported.FreeGB, m.reported.Wait = 1, 4, 0
+	all := b.c.table.InOrder()
+	m := all[slices.IndexFunc(all, func(m *waittable.Machine) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // here nobody keeps the rest
+	m.Reported.FreeCPUs, m.Reported.FreeGB, m.Reported.Wait = 1, 4, 0
 	for range ticks {
-		b.c.owner.placementDue = true
+		b.c.table.PlacementDue = true
 		b.step(message.Tick{})
 	}
-	if len(m.ownAttempts) == 0 || b.c.owner.jobs[first].placed[protocol.TaskID{Job: first}] == nil {
-		t.Errorf("%s is not placed on the machine that has room: %v", first, m.ownAttempts)
+	if len(b.c.jobs.AttemptsOn[m.ID]) == 0 || b.c.jobs.ByID[first].Placed[protocol.TaskID{Job: first}] == nil {
+		t.Errorf("%s is not placed on the machine that has room: %v", first, b.c.jobs.AttemptsOn[m.ID])
 	}
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -5,6 +5,8 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/autoscaler"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/forecast"
@@ -16,14 +18,14 @@
 // planner is a bench whose core has the fleet's role and a first list.
 func planner(t *testing.T) *bench {
 	b := newBench(t)
-	b.now += Time(settleTime)
+	b.now += Time(autoscaler.SettleTime)
 	b.step(message.MachinesListed{OK: true})
 	return b
 }
 
 // relay lets a second pass and plays one tick.
 func (b *bench) relay() []message.Action {
-	b.now += Time(planEvery)
+	b.now += Time(autoscaler.PlanEvery)
 	return b.step(message.Tick{})
 }
 
@@ -37,7 +39,7 @@
 }
 
 // TestReturnedRecordIsDroppedAgain: the record of a machine that the cloud has
-// terminated is dropped, again and again until that is done.
+// deleted is dropped, again and again until that is done.
 func TestReturnedRecordIsDroppedAgain(t *testing.T) {
 	b := planner(t)
 	b.ready("vm-1")
@@ -74,12 +76,12 @@
 	if len(names) != 1 {
 		t.Fatalf("rentals %v", names)
 	}
-	b.step(message.ProvisionDone{Request: b.c.autoscaler.provisionCalls[names[0]].req, Outcome: message.OutcomeUnknown})
+	b.step(message.ProvisionDone{Request: b.c.autoscaler.ProvisionCalls[names[0]].Request, Outcome: message.OutcomeUnknown})
 	rents(b.relay())
 	if len(names) != 2 || names[0] != names[1] {
 		t.Fatalf("rentals %v, want the same again", names)
 	}
-	rents(b.step(message.ProvisionDone{Request: b.c.autoscaler.provisionCalls[names[0]].req, Outcome: message.OutcomeFailed}))
+	rents(b.step(message.ProvisionDone{Request: b.c.autoscaler.ProvisionCalls[names[0]].Request, Outcome: message.OutcomeFailed}))
 	b.now += Time(time.Minute)
 	rents(b.relay())
 	if len(names) < 3 || names[2] == names[0] {
@@ -107,26 +109,26 @@
 // that was cut off were returned, with all they ran.
 func TestUnheardIsNotIdle(t *testing.T) {
 	b := planner(t)
-	b.c.spots = forecast.Spot{}
-	b.machine("vm-1", 1) // classReserve here, its worker is silent so far
+	b.c.workload.Spots = forecast.Spot{}
+	b.machine("vm-1", 1) // kept here, its worker is silent so far
 	for range 5 {
 		if ids := b.returns(b.relay()); len(ids) > 0 {
 			t.Fatalf("returned %v", ids)
 		}
 	}
-	if b.c.machines["vm-1"].reported.Heard || b.c.machines["vm-1"].reported.IdleS > 0 {
-		t.Errorf("told %+v", b.c.machines["vm-1"].reported)
+	if b.c.table.Machines["vm-1"].Reported.Heard || b.c.table.Machines["vm-1"].Reported.IdleS > 0 {
+		t.Errorf("told %+v", b.c.table.Machines["vm-1"].Reported)
 	}
 	b.report("vm-1", 1, b.c.View.Term)
 	b.relay()
-	if !b.c.machines["vm-1"].reported.Heard {
+	if !b.c.table.Machines["vm-1"].Reported.Heard {
 		t.Error("not heard after a report")
 	}
 }
 
 // TestOrphans: a machine whose worker does not report is returned when that
 // lasts longer than a lease and a boot, counted from when it is up: one that
-// bootHistory can't report, and one that is cut off is back sooner than another.
+// boots can't report, and one that is cut off is back sooner than another.
 func TestOrphans(t *testing.T) {
 	b := planner(t)
 	list := func(state string) []protocol.MachineID {
@@ -140,12 +142,12 @@
 		}
 	}
 	up := b.now
-	for b.now < up+Time(wait)-2*Time(planEvery) {
+	for b.now < up+Time(wait)-2*Time(autoscaler.PlanEvery) {
 		if ids := list("running"); len(ids) > 0 {
 			t.Fatalf("returned %v after %v", ids, time.Duration(b.now-up))
 		}
 	}
-	b.now += Time(2 * planEvery)
+	b.now += Time(2 * autoscaler.PlanEvery)
 	if ids := append(list("running"), list("running")...); len(ids) == 0 {
 		t.Error("not returned though it never reports")
 	}
@@ -153,25 +155,25 @@
 
 // TestJustBegun: a controller that has just begun does not know what is likely
 // to come, and keeps idle machines for as long as another would boot; what
-// waiting is room that can't be spared. Without, the one that came back after a
+// waits is room that can't be spared. Without, the one that came back after a
 // zone was cut off returned the zone's machines while 30 jobs waited.
 func TestJustBegun(t *testing.T) {
 	b := planner(t)
 	info := protocol.TypeInfo{Name: "small", CPUs: 4, BootS: 20}
-	if s := b.c.idleTimeout(info, 100); s != info.BootS {
+	if s := b.c.autoscaler.IdleTimeout(info, 100); s != info.BootS {
 		t.Errorf("kept %v s at first", s)
 	}
 	b.c.Now += Time(time.Duration(forecast.KnownBoots*info.BootS+1) * time.Second)
-	if s := b.c.idleTimeout(info, 100); s != idleKnown.Seconds() {
+	if s := b.c.autoscaler.IdleTimeout(info, 100); s != autoscaler.IdleKnown.Seconds() {
 		t.Errorf("kept %v s once arrivals are known", s)
 	}
-	if s := b.c.idleTimeout(info, math.Inf(1)); s != info.BootS {
+	if s := b.c.autoscaler.IdleTimeout(info, math.Inf(1)); s != info.BootS {
 		t.Errorf("kept %v s where nothing comes", s)
 	}
 	b.ready("vm-1")
 	b.c.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Priority: "best_effort", CPUs: 2}}
-	b.c.peers["node-0"].demand = []message.Demand{{Job: "job-1", Unstarted: 9}}
-	if spare := b.c.spareProcessors(); spare != 4-18 {
+	b.c.table.Peers["node-0"].Demand = []message.Demand{{Job: "job-1", Unstarted: 9}}
+	if spare := b.c.autoscaler.SpareProcessors(); spare != 4-18 {
 		t.Errorf("%v processors to spare of 4 while 18 are waited for", spare)
 	}
 }
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -31,7 +31,7 @@
 	local   []any // messages of a step to itself
 	lastID  atomic.Uint64
 	replies map[admission.RequestID]transport.Reply
-	slots   chan struct{} // reservation operators' requests
+	slots   chan struct{} // of operators' requests
 	// configured holds the configuration in force that the intake has not taken yet.
 	configured chan *dynamicconfig.Effective
 	peers      map[protocol.NodeName]*transport.Peer // not the outbox's, whose calls may wait
@@ -302,7 +302,7 @@
 	jobs := make(map[protocol.JobID]admission.LiveJob, len(l.Jobs))
 	for _, id := range l.Jobs {
 		if j := c.Live[id]; j != nil {
-			p, _ := c.JobProgress(id)
+			p, _ := c.jobs.JobProgress(id)
 			jobs[id] = admission.LiveJob{Version: j.Version, Progress: p}
 		}
 	}
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -7,6 +7,9 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/placement"
+
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
@@ -38,7 +41,7 @@
 }
 
 func (b *bench) step(msg any) []message.Action {
-	b.now += Time(placeEvery)
+	b.now += Time(placement.Interval)
 	return b.c.Step(b.now, msg)
 }
 
@@ -71,7 +74,7 @@
 	})
 }
 
-// heartbeat sends a worker's report and returns the answer.
+// report sends a worker's report and returns the answer.
 func (b *bench) report(id protocol.MachineID, session protocol.AgentEpoch, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
 	b.seq++
 	return b.reportSeq(id, session, b.seq, term, tasks...)
@@ -118,7 +121,7 @@
 	return id
 }
 
-// classReserve is the attempt of a task that the core keeps on a machine.
+// kept is the attempt of a task that the core keeps on a machine.
 func (b *bench) kept(id protocol.MachineID, task protocol.TaskID) (found dispatcher.Attempt) {
 	for _, a := range b.c.dispatcher.Attempts(id) {
 		if a.Task == task {
@@ -298,7 +301,7 @@
 			t.Fatalf("reply %v", r)
 		}
 	}
-	if got := b.c.machines["vm-1"].pendingSum; got != 5 {
+	if got := b.c.table.Machines["vm-1"].PendingSum; got != 5 {
 		t.Errorf("wait %v: a repeated batch counts again", got)
 	}
 	old, late, ahead := good, good, good
@@ -308,7 +311,7 @@
 	if deliver(old) != message.BatchExcluded || deliver(late) != message.BatchStale || deliver(ahead) != message.BatchBehind {
 		t.Error("a batch of another session or term is taken")
 	}
-	if got := b.c.machines["vm-1"].pendingSum; got != 5 {
+	if got := b.c.table.Machines["vm-1"].PendingSum; got != 5 {
 		t.Errorf("wait %v: a batch that is dropped counts", got)
 	}
 }
@@ -324,9 +327,9 @@
 	for i := range uint32(2) {
 		task := protocol.TaskID{Job: "job-1", Index: i}
 		b.step(message.Tick{})
-		b.c.taskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 		for _, a := range b.c.Actions {
-			if c, ok := a.(message.Commit); ok && c.Tag == (finishTag{"job-1"}) {
+			if c, ok := a.(message.Commit); ok && c.Tag == (jobs.FinishTag{Job: "job-1"}) {
 				if i == 0 {
 					t.Fatal("finished with a task left")
 				}
@@ -347,16 +350,16 @@
 // TestBadJobWaits: a job that fails on every machine waits ever longer.
 func TestBadJobWaits(t *testing.T) {
 	b := newBench(t)
-	o := func() *ownedJob { return b.c.owner.jobs["job-1"] }
+	o := func() *jobs.Job { return b.c.jobs.ByID["job-1"] }
 	b.job("job-1", "free", 1)
 	for i := range 3 {
 		id := protocol.MachineID(fmt.Sprint("vm-", i))
 		b.machine(id, 1)
 		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: id}
-		o().placed[ref.Task] = &attempt{task: ref.Task, number: 1, machine: id}
-		b.c.taskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
+		o().Placed[ref.Task] = &jobs.Attempt{Task: ref.Task, Number: 1, Machine: id}
+		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
 	}
-	if o().notBefore <= b.now {
+	if o().NotBefore <= b.now {
 		t.Error("it is tried again at once")
 	}
 }
@@ -381,7 +384,7 @@
 
 // TestHeldBackReport: what a report of an earlier term lists is told to nobody
 // before the machine's inventory. The network may have held it back, and an
-// placeNumber it lists may be long gone: its owner would have it killed.
+// attempt it lists may be long gone: its owner would have it killed.
 func TestHeldBackReport(t *testing.T) {
 	b := newBench(t)
 	b.machine("vm-2", 1)
@@ -403,28 +406,28 @@
 }
 
 // TestOnlyMachineFailed: a job that failed on the only machine there is for it
-// waiting a moment and is tried there again.
+// waits a moment and is tried there again.
 func TestOnlyMachineFailed(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 1)
-	o := b.c.owner.jobs["job-1"]
-	for _, p := range o.placed {
-		b.report("vm-1", 1, 1, protocol.TaskStatus{Task: p.task, Attempt: p.number, State: protocol.TaskEnded, Cause: protocol.EndError})
+	o := b.c.jobs.ByID["job-1"]
+	for _, p := range o.Placed {
+		b.report("vm-1", 1, 1, protocol.TaskStatus{Task: p.Task, Attempt: p.Number, State: protocol.TaskEnded, Cause: protocol.EndError})
 	}
 	b.report("vm-1", 1, 1) // forgotten there
 	b.step(message.Tick{})
-	if len(o.placed) > 0 {
+	if len(o.Placed) > 0 {
 		t.Error("tried again at once")
 	}
 	b.now += Time(6 * time.Second)
 	b.report("vm-1", 1, 1)
 	b.step(message.Tick{})
-	if b.step(message.Tick{}); len(o.placed) == 0 {
+	if b.step(message.Tick{}); len(o.Placed) == 0 {
 		t.Error("not tried again")
 	}
 	b.machine("vm-2", 1)
-	if b.c.feasible(o, nil)(b.c.machines["vm-1"]) {
+	if b.c.placer.Feasible(o, nil)(b.c.table.Machines["vm-1"]) {
 		t.Error("tried there again though there is another machine")
 	}
 }
--- a/internal/controller/finish.go
+++ b/internal/controller/jobs/finish.go
@@ -1,4 +1,4 @@
-package controller
+package jobs
 
 import (
 	"damsonkeel/internal/controller/message"
@@ -7,30 +7,30 @@
 	"damsonkeel/internal/record"
 )
 
-func (c *Core) markTaskDone(o *ownedJob, i uint32) {
-	o.pending.Clear(uint(i))
-	if o.done.Test(uint(i)) {
+func (oj *Owned) markTaskDone(o *Job, i uint32) {
+	o.Pending.Clear(uint(i))
+	if o.Done.Test(uint(i)) {
 		return
 	}
-	o.done.Set(uint(i))
-	o.nDone++
-	c.ownedChanges.Touch(o.ID)
+	o.Done.Set(uint(i))
+	o.DoneCount++
+	oj.ownedChanges.Touch(o.ID)
 	o.dirtyChunks[int(i)/record.ChunkTasks] = true
-	c.clearFailures(o)
+	oj.clearFailures(o)
 }
 
 // finishIfDone has a job's end written once all its tasks are done. It is told
 // to nobody before that is durable.
-func (c *Core) finishIfDone(o *ownedJob) {
-	if !o.loaded || o.nDone < o.Tasks || o.finishDue {
+func (oj *Owned) finishIfDone(o *Job) {
+	if !o.Loaded || o.DoneCount < o.Tasks || o.FinishDue {
 		return
 	}
-	o.finishDue = true
-	c.writeFinish(o)
+	o.FinishDue = true
+	oj.writeFinish(o)
 }
 
-func (c *Core) writeFinish(o *ownedJob) {
-	if o.finishInFlight || !c.HoldsLease() {
+func (oj *Owned) writeFinish(o *Job) {
+	if o.finishInFlight || !oj.HoldsLease() {
 		return
 	}
 	o.finishInFlight = true
@@ -44,33 +44,33 @@
 	for chunk := range ordered.Of(o.storedChunks) { // a short job has none: what is not there costs a change all the same
 		txn.Changes = append(txn.Changes, protocol.Change{Delete: record.BitmapChunkKey(o.ID, chunk)})
 	}
-	c.Emit(message.Commit{Tag: finishTag{o.ID}, Txn: txn})
+	oj.Emit(message.Commit{Tag: FinishTag{o.ID}, Txn: txn})
 }
 
-func (c *Core) finishWritten(tag finishTag, out message.Outcome) {
-	o := c.owner.jobs[tag.job]
+func (oj *Owned) FinishWritten(tag FinishTag, out message.Outcome) {
+	o := oj.ByID[tag.Job]
 	if o == nil {
 		return
 	}
 	o.finishInFlight = out == message.OutcomeDone // otherwise again at a later tick; a conflict shows in the records
 }
 
-// writeBitmaps writes the bitmaps that changed, a few at a time.
-func (c *Core) writeBitmaps() {
-	if !c.HoldsLease() {
+// WriteBitmaps writes the bitmaps that changed, a few at a time.
+func (oj *Owned) WriteBitmaps() {
+	if !oj.HoldsLease() {
 		return
 	}
 	n := 0
-	for _, o := range ordered.Of(c.owner.jobs) {
-		if len(o.dirtyChunks) == 0 || o.writing || o.finishDue || !o.loaded || o.rereadNeeded {
+	for _, o := range ordered.Of(oj.ByID) {
+		if len(o.dirtyChunks) == 0 || o.writing || o.FinishDue || !o.Loaded || o.rereadNeeded {
 			continue
 		}
-		if n++; n > c.Settings.Site.State.TxnOps {
+		if n++; n > oj.Settings.Site.State.TxnOps {
 			return
 		}
-		tag := bitmapTag{job: o.ID}
+		tag := BitmapTag{Job: o.ID}
 		txn := protocol.Transaction{Conditions: []protocol.Condition{
-			{Key: record.ViewKey, Version: c.ViewVersion}, // a former owner writes nothing late
+			{Key: record.ViewKey, Version: oj.ViewVersion}, // a former owner writes nothing late
 			{Key: record.LiveKey(o.ID), Version: o.Version},
 		}}
 		for chunk := range ordered.Of(o.dirtyChunks) {
@@ -80,16 +80,16 @@
 			key, have := record.BitmapChunkKey(o.ID, chunk), o.storedChunks[chunk]
 			txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: have})
 			o.storedChunks[chunk] = have // perhaps in the records from now on
-			txn.Changes = append(txn.Changes, protocol.Change{Put: key, Value: record.EncodeChunk(o.done, chunk)})
+			txn.Changes = append(txn.Changes, protocol.Change{Put: key, Value: record.EncodeChunk(o.Done, chunk)})
 		}
 		clear(o.dirtyChunks)
 		o.writing, o.chunksInFlight = true, tag.chunks
-		c.Emit(message.Commit{Tag: tag, Txn: txn})
+		oj.Emit(message.Commit{Tag: tag, Txn: txn})
 	}
 }
 
-func (c *Core) bitmapWritten(tag bitmapTag, out message.Outcome, at protocol.Revision) {
-	o := c.owner.jobs[tag.job]
+func (oj *Owned) BitmapWritten(tag BitmapTag, out message.Outcome, at protocol.Revision) {
+	o := oj.ByID[tag.Job]
 	if o == nil {
 		return
 	}
@@ -103,3 +103,11 @@
 	}
 	o.rereadNeeded = out == message.OutcomeUnknown || out == message.OutcomeFailed
 }
+
+type (
+	FinishTag struct{ Job protocol.JobID }
+	BitmapTag struct {
+		Job    protocol.JobID
+		chunks []int
+	}
+)
--- a/internal/controller/slow.go
+++ b/internal/controller/jobs/slow.go
@@ -1,10 +1,13 @@
-package controller
+package jobs
 
 import (
 	"cmp"
 	"container/heap"
 	"time"
 
+	"damsonkeel/internal/controller/waittable"
+
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
@@ -30,17 +33,17 @@
 	slowChecks = 500
 )
 
-// runWatch is a running task to be looked at, if it still runs then.
+// overdue is a running task to be looked at, if it still runs then.
 type runDeadline struct {
-	at Time
-	t  *attempt
+	at clock.Time
+	t  *Attempt
 }
 
 type runDeadlines []runDeadline
 
 func (h runDeadlines) Len() int { return len(h) }
 func (h runDeadlines) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].t.number, h[j].t.number)) < 0
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].t.Number, h[j].t.Number)) < 0
 }
 func (h runDeadlines) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
@@ -55,81 +58,81 @@
 }
 
 // lateThreshold is how long a task may run whose like take a time.
-func lateThreshold(usualS float64) Time {
-	return Time(slowFactor*usualS*float64(time.Second)) + Time(slowDelay)
+func lateThreshold(usualS float64) clock.Time {
+	return clock.Time(slowFactor*usualS*float64(time.Second)) + clock.Time(slowDelay)
 }
 
 // watchRun has a task that runs looked at when it should be done.
-func (c *Core) watchRun(o *ownedJob, t *attempt) {
+func (oj *Owned) watchRun(o *Job, t *Attempt) {
 	if o.Kind == protocol.KindJobArray {
-		heap.Push(&c.owner.runWatch, runDeadline{t.runningSince + lateThreshold(c.estimateOf(o)), t})
+		heap.Push(&oj.runWatch, runDeadline{t.runningSince + lateThreshold(oj.EstimateOf(o)), t})
 	}
 }
 
-// watchSlow looks at the tasks that run longer than the others of their job,
+// WatchSlow looks at the tasks that run longer than the others of their job,
 // and gives up the machines of which several do.
-func (c *Core) watchSlow() {
-	h := &c.owner.runWatch
+func (oj *Owned) WatchSlow() {
+	h := &oj.runWatch
 	for range slowChecks {
-		if len(*h) == 0 || (*h)[0].at > c.Now {
+		if len(*h) == 0 || (*h)[0].at > oj.Now {
 			return
 		}
 		t := heap.Pop(h).(runDeadline).t
-		o := c.owner.jobs[t.task.Job]
-		m := c.machines[t.machine]
-		if o == nil || o.placed[t.task] != t || !t.running || t.stopping || m == nil || m.Epoch != t.epoch {
+		o := oj.ByID[t.Task.Job]
+		m := oj.table.Machines[t.Machine]
+		if o == nil || o.Placed[t.Task] != t || !t.running || t.Stopping || m == nil || m.Epoch != t.Epoch {
 			continue
 		}
-		usual, ok := o.usual()
+		usual, ok := o.UsualSeconds()
 		switch late := t.runningSince + lateThreshold(usual); {
-		case !ok || c.owner.awaitedInventories[m.ID] || !c.recent(m, 3*c.Op.RelayEvery) || m.reported.Silence != message.SilenceNone:
-			heap.Push(h, runDeadline{c.After(5 * time.Second), t}) // nothing can be said yet
-		case late > c.Now:
+		case !ok || oj.AwaitedInventories[m.ID] || !oj.table.Recent(m, 3*oj.Op.RelayEvery) || m.Reported.Silence != message.SilenceNone:
+			heap.Push(h, runDeadline{oj.After(5 * time.Second), t}) // nothing can be said yet
+		case late > oj.Now:
 			heap.Push(h, runDeadline{late, t})
 		default:
 			// One that goes on for far too long speaks for itself: it counts
 			// once more then.
-			if again := t.runningSince + lateThreshold(slowFactor*usual); again > c.Now {
+			if again := t.runningSince + lateThreshold(slowFactor*usual); again > oj.Now {
 				heap.Push(h, runDeadline{again, t})
 			}
-			c.countLateRun(m)
+			oj.countLateRun(m)
 		}
 	}
 }
 
 // countLateRun counts a task that runs too long against its machine.
-func (c *Core) countLateRun(m *machineEntry) {
-	if c.Since(m.lastLateRun) > slowMemory {
-		m.lateRuns = 0
+func (oj *Owned) countLateRun(m *waittable.Machine) {
+	if oj.Since(m.LastLateRun) > slowMemory {
+		m.LateRuns = 0
 	}
-	m.lateRuns, m.lastLateRun = m.lateRuns+1, c.Now
-	if m.lateRuns < slowTasks || m.reported.Draining {
+	m.LateRuns, m.LastLateRun = m.LateRuns+1, oj.Now
+	if m.LateRuns < slowTasks || m.Reported.Draining {
 		return
 	}
 	draining := 0
-	for _, other := range c.machines {
-		if other.reported.Draining {
+	for _, other := range oj.table.Machines {
+		if other.Reported.Draining {
 			draining++
 		}
 	}
-	if draining*slowTaskFraction > len(c.machines) {
+	if draining*slowTaskFraction > len(oj.table.Machines) {
 		return
 	}
-	m.reported.Draining = true // reportedAt once, though its keeper has not said so yet
-	c.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
-	c.Send(c.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
-	for _, t := range ordered.Tasks(m.ownAttempts) {
-		if o := c.owner.jobs[t.task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
-			c.sendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
+	m.Reported.Draining = true // at once, though its keeper has not said so yet
+	oj.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
+	oj.Send(oj.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
+	for _, t := range ordered.Tasks(oj.AttemptsOn[m.ID]) {
+		if o := oj.ByID[t.Task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
+			oj.SendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
 		}
 	}
 }
 
 // clearLateRuns takes back what was held against a machine.
-func (c *Core) clearLateRuns(o *ownedJob, t *attempt) {
-	if m := c.machines[t.machine]; m != nil && t.running {
-		if usual, ok := o.usual(); ok && !t.startUnseen && c.Since(t.runningSince).Seconds() < usual {
-			m.lateRuns = 0
+func (oj *Owned) clearLateRuns(o *Job, t *Attempt) {
+	if m := oj.table.Machines[t.Machine]; m != nil && t.running {
+		if usual, ok := o.UsualSeconds(); ok && !t.startUnseen && oj.Since(t.runningSince).Seconds() < usual {
+			m.LateRuns = 0
 		}
 	}
 }
--- a/internal/controller/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -1,4 +1,4 @@
-package controller
+package placement
 
 import (
 	"cmp"
@@ -7,6 +7,10 @@
 	"slices"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/waittable"
+
+	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
@@ -16,20 +20,20 @@
 // once for all that are placed in one go, and after each task only the one
 // that took it again.
 type candidates struct {
-	job           *ownedJob
+	job           *jobs.Job
 	need          resource.Amount
 	risk          float64 // what a spot machine adds to the wait, in seconds
 	shun          bool    // spot machines only if there is no other way
-	claims        *claims
-	bars          func(*machineEntry) bool // see Core.excludedByHolds; nil: nothing is promised
-	own           func(*machineEntry) bool // whether room is held there for the job
-	pricePremiums map[kind]float64
+	claims        *Claims
+	bars          func(*waittable.Machine) bool // see Placer.Excluded; nil: nothing is promised
+	own           func(*waittable.Machine) bool // whether room is held there for the job
+	pricePremiums map[binpack.Kind]float64
 	heap          []candidate
 }
 
 // candidate is a machine as the job's next task would find it.
 type candidate struct {
-	m    *machineEntry
+	m    *waittable.Machine
 	rank rank
 	wait int64 // per processor, in microseconds: sums of decimal numbers are not exact
 	tie  uint32
@@ -37,7 +41,7 @@
 
 // rank puts machines with room now before all that have none, and among them
 // those first whose room is held for the job, then those that no class has room
-// classReserve on.
+// kept on.
 type rank uint8
 
 const (
@@ -64,37 +68,40 @@
 	return last
 }
 
-// candidatesFor looks for the machines that may run a job's tasks.
-func (c *Core) candidatesFor(o *ownedJob, zones map[protocol.Zone]int, cl *claims) *candidates {
-	s := &candidates{job: o, need: resource.Need(&o.Job), bars: c.excludedByHolds(o), claims: cl, risk: c.spotStretch(&o.Job) * c.Estimate(&o.Job), shun: c.risky(&o.Job), pricePremiums: c.pricePremiums}
+// CandidatesFor looks for the machines that may run a job's tasks.
+func (pl *Placer) CandidatesFor(o *jobs.Job, zones map[protocol.Zone]int, cl *Claims) *candidates {
+	s := &candidates{job: o, need: resource.Need(&o.Job), bars: pl.excludedByHolds(o), claims: cl, risk: pl.workload.SpotStretch(&o.Job) * pl.Estimate(&o.Job), shun: pl.workload.AvoidsSpot(&o.Job), pricePremiums: pl.pricePremiums}
 	if s.bars != nil {
-		s.own = func(m *machineEntry) bool { return c.holdsFor(o, m) }
+		s.own = func(m *waittable.Machine) bool { return pl.reservations.HeldFor(&o.Job, m) }
 	}
-	mayTake := c.feasible(o, zones)
-	for _, m := range c.machinesInOrder() {
+	mayTake := pl.Feasible(o, zones)
+	for _, m := range pl.table.InOrder() {
 		if mayTake(m) {
-			if k, ok := s.evaluate(m, c.rng.Uint32()); ok && !s.queueTooLong(&k) {
+			if k, ok := s.evaluate(m, pl.rng.Uint32()); ok && !s.queueTooLong(&k) {
 				s.heap = append(s.heap, k)
 			}
 		}
 	}
-	c.candidatesExamined += len(c.sortedMachines)
+	pl.Examined += len(pl.table.InOrder())
 	heap.Init(s)
 	return s
 }
 
+// RefreshPrices takes over the prices last read.
+func (pl *Placer) RefreshPrices() { pl.pricePremiums = pl.computePricePremiums() }
+
 // computePricePremiums is how much more expensive each kind of machine is than the cheapest: the
 // part of its price, for a processor, that the cheapest would save. Among
 // machines with room it counts like the part of one that is free: the cheap and
 // the full ones are filled first, so that the expensive ones become idle.
-func (c *Core) computePricePremiums() map[kind]float64 {
-	premiums := map[kind]float64{}
+func (pl *Placer) computePricePremiums() map[binpack.Kind]float64 {
+	premiums := map[binpack.Kind]float64{}
 	least := math.Inf(1)
-	for _, t := range c.Types {
+	for _, t := range pl.Types {
 		for _, z := range t.AllowZones {
 			for _, spot := range []bool{true, false} {
-				k := kind{Type: t.Name, Zone: z, Spot: spot}
-				premiums[k] = c.price(k)
+				k := binpack.Kind{Type: t.Name, Zone: z, Spot: spot}
+				premiums[k] = binpack.Price(pl.Types[k.Type], k.Spot)
 				least = math.Min(least, premiums[k])
 			}
 		}
@@ -108,67 +115,45 @@
 	return premiums
 }
 
-// feasible tells which machines a job may have a task on at present, given the zones
-// reservation its others. Where it has failed it goes only if there is no other.
-func (c *Core) feasible(o *ownedJob, zones map[protocol.Zone]int) func(*machineEntry) bool {
-	nowhereElse := c.failedEverywhereElse(o)
-	return func(m *machineEntry) bool {
-		return c.usable(m) && (nowhereElse || !o.failedOn[m.ID]) && o.allows(m, zones)
-	}
-}
-
-// failedEverywhereElse reports whether a job failed on all machines that there are for it.
-// Where the only machine of a zone had failed it once, it was never tried again, and
-// refuse other was rented since that one had room.
-func (c *Core) failedEverywhereElse(o *ownedJob) bool {
-	if len(o.failedOn) == 0 {
-		return false
+// Feasible tells which machines a job may have a task on at present, given the zones
+// of its others. Where it has failed it goes only if there is no other.
+func (pl *Placer) Feasible(o *jobs.Job, zones map[protocol.Zone]int) func(*waittable.Machine) bool {
+	nowhereElse := pl.jobs.FailedEverywhereElse(o)
+	return func(m *waittable.Machine) bool {
+		return pl.table.Usable(m) && (nowhereElse || !o.FailedOn[m.ID]) && o.Allows(m, zones)
 	}
-	for _, m := range c.machinesInOrder() {
-		if !o.failedOn[m.ID] && c.usable(m) && o.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
-			return false
-		}
-	}
-	return true
-}
-
-// hasFailedEverywhere reports whether a job failed on several machines, no less often
-// than its tasks run, or on all that there are for it. The tasks of a gang fail
-// isGang: how many run then tells nothing.
-func (c *Core) hasFailedEverywhere(o *ownedJob) bool {
-	return len(o.failedOn) >= failedMachines && (o.isGang() || o.failures >= int(o.running)) || c.failedEverywhereElse(o)
 }
 
 // evaluate is what a machine is worth for the job's next task, if it is. A task
 // that others wait for goes only where nothing but less urgent work is in its
 // way, which is stopped for it: behind the rest it would keep the machines of
 // all others idle until they give it up.
-func (s *candidates) evaluate(m *machineEntry, tie uint32) (candidate, bool) {
+func (s *candidates) evaluate(m *waittable.Machine, tie uint32) (candidate, bool) {
 	if s.bars != nil && s.bars(m) {
 		return candidate{}, false
 	}
 	own := s.own != nil && s.own(m)
-	w, room := m.waitFor(&s.job.Job, s.job.level)
-	if own && !room && m.idle().Covers(s.need) {
-		w, room = m.fetch(&s.job.Job), true
+	w, room := m.WaitFor(&s.job.Job, s.job.Level)
+	if own && !room && m.Idle().Covers(s.need) {
+		w, room = m.FetchSeconds(&s.job.Job), true
 	}
-	if !room && s.job.isGang() {
-		firm := m.nonPreemptibleFree(s.job.level)
+	if !room && s.job.IsGang() {
+		firm := m.NonPreemptibleFree(s.job.Level)
 		if !firm.Covers(s.need) {
 			return candidate{}, false
 		}
-		w = m.fetch(&s.job.Job) + (firm.CPUs-math.Max(0, m.free().CPUs))/math.Max(m.Info.CPUs, 1)
+		w = m.FetchSeconds(&s.job.Job) + (firm.CPUs-math.Max(0, m.Free().CPUs))/math.Max(m.Info.CPUs, 1)
 	}
 	if m.Record.Spot {
 		w += s.risk
 	}
 	if room {
-		w += s.pricePremiums[m.kind()]
+		w += s.pricePremiums[m.Kind()]
 	}
 	k := candidate{m: m, rank: rankQueue, wait: int64(math.Round(w * 1e6)), tie: tie}
 	if room && !(s.shun && m.Record.Spot) {
 		k.rank = rankFree
-		if s.claims.isClaimed(s.job, m) {
+		if s.claims.IsClaimed(s.job, m) {
 			k.rank = rankWanted
 		}
 	}
@@ -179,30 +164,30 @@
 }
 
 // restrict drops the machines that do not meet a condition.
-func (s *candidates) restrict(ok func(*machineEntry) bool) {
+func (s *candidates) restrict(ok func(*waittable.Machine) bool) {
 	s.heap = slices.DeleteFunc(s.heap, func(k candidate) bool { return !ok(k.m) })
 	heap.Init(s)
 }
 
-// queueAtMost is how long a wait a task is queued for. What would wait longer
+// QueueAtMost is how long a wait a task is queued for. What would wait longer
 // stays with its owner: a job of 100,000 tasks on a small fleet would else
 // fill every controller's memory and hold up all that is queued after it.
-const queueAtMost = 2 * time.Minute
+const QueueAtMost = 2 * time.Minute
 
 // queueTooLong reports whether a machine's queue takes no more of the job. One whose
 // tasks are to be stopped for the job does; what has only what others leave waits in
-// refuse queue.
+// no queue.
 func (s *candidates) queueTooLong(k *candidate) bool {
-	return k.rank == rankQueue && (s.job.usesHeadroom || k.wait > queueAtMost.Microseconds() && !k.m.nonPreemptibleFree(s.job.level).Covers(s.need))
+	return k.rank == rankQueue && (s.job.UsesHeadroom || k.wait > QueueAtMost.Microseconds() && !k.m.NonPreemptibleFree(s.job.Level).Covers(s.need))
 }
 
-// smallest is the machine with the smallest expected wait per processor, ties
+// Smallest is the machine with the smallest expected wait per processor, ties
 // broken at random, or nil. What does not suit any more is dropped: zones and
 // queues only fill while a job is placed, and room kept only shrinks.
-func (s *candidates) smallest(zones map[protocol.Zone]int) *machineEntry {
+func (s *candidates) Smallest(zones map[protocol.Zone]int) *waittable.Machine {
 	for len(s.heap) > 0 {
 		top := &s.heap[0]
-		if !s.job.allowsZone(top.m, zones) || s.queueTooLong(top) || top.rank != rankQueue && top.rank != rankOwn && !s.claims.leavesClaimed(s.job, top.m, s.need) {
+		if !s.job.AllowsZone(top.m, zones) || s.queueTooLong(top) || top.rank != rankQueue && top.rank != rankOwn && !s.claims.LeavesClaimed(s.job, top.m, s.need) {
 			heap.Pop(s)
 			continue
 		}
@@ -212,9 +197,9 @@
 }
 
 // noteExamined weighs the smallest again after it took a task.
-func (c *Core) noteExamined(s *candidates) {
-	c.candidatesExamined++
-	k, ok := s.evaluate(s.heap[0].m, c.rng.Uint32())
+func (pl *Placer) noteExamined(s *candidates) {
+	pl.Examined++
+	k, ok := s.evaluate(s.heap[0].m, pl.rng.Uint32())
 	if !ok {
 		heap.Pop(s)
 		return
--- a/internal/controller/relays_test.go
+++ b/internal/controller/relays_test.go
@@ -5,6 +5,9 @@
 	"testing"
 	"time"
 
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/placement"
+
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
 	"damsonkeel/internal/controller/message"
@@ -89,7 +92,7 @@
 // TestInventoriesInPieces: after a view that changes nothing for a controller's
 // queues, it gives their inventories in bounded steps, and all of them soon.
 func TestInventoriesInPieces(t *testing.T) {
-	const machines = 2*dispatcher.InventoriesMost + 100
+	const machines = 2*dispatcher.MaxInventoriesPerStep + 100
 	f := newBusyFleet(t, machines, 100)
 	v := f.c.View
 	v.Term++
@@ -101,7 +104,7 @@
 				n++
 			}
 		}
-		if n > dispatcher.InventoriesMost {
+		if n > dispatcher.MaxInventoriesPerStep {
 			t.Fatalf("%d inventories in one step", n)
 		}
 		given += n
@@ -152,7 +155,7 @@
 			if p.number > lastIncluded {
 				open[p.number] = p
 			}
-			c.addWaits("node-1", &message.WaitsAdded{Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
+			c.table.WaitsAdded("node-1", &message.WaitsAdded{Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
 				Waits: []message.WaitChange{{Machine: p.id, Add: p.add, Taken: []message.LevelUse{{CPUs: 1}}}}})
 		}
 		handle := func() {
@@ -162,14 +165,14 @@
 			if rapid.Bool().Draw(t, "taken") {
 				waits[p.id] += p.add
 			}
-			log.Touch(p.id) // refusals: its owner needs a word all the same
+			log.Touch(p.id) // refused: its owner needs a word all the same
 		}
 		say := func() {
 			ids, upto := log.Since(to.Next(), 2)
 			r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: to.Next(), Upto: upto}}
 			to.Sent(upto)
 			for _, id := range ids {
-				r.States = append(r.States, message.MachineState{Machine: id, Epoch: c.machines[id].Epoch, Wait: waits[id]})
+				r.States = append(r.States, message.MachineState{Machine: id, Epoch: c.table.Machines[id].Epoch, Wait: waits[id]})
 			}
 			if upto == log.Version() {
 				r.Handled = map[protocol.NodeName]uint64{"node-1": handled}
@@ -179,7 +182,7 @@
 		hear := func() {
 			r := word[0]
 			word = word[1:]
-			before := c.peers["node-2"].updates.machinesFrom
+			before := c.table.Peers["node-2"].Updates.MachinesFrom
 			c.stateUpdated("node-2", r)
 			if before.Accept(r.Machines) && r.Handled != nil {
 				lastIncluded = max(lastIncluded, r.Handled["node-1"])
@@ -196,7 +199,7 @@
 				want[p.id] += p.add
 			}
 			for _, id := range ids {
-				if got := c.machines[id].pendingSum; got != want[id] {
+				if got := c.table.Machines[id].PendingSum; got != want[id] {
 					t.Fatalf("%s: %v announced, want %v", id, got, want[id])
 				}
 			}
@@ -229,7 +232,7 @@
 				if len(word) > 0 && rapid.Bool().Draw(t, "lost") {
 					word = word[1:]
 				}
-				to.Acknowledged(c.peers["node-2"].updates.machinesFrom.Have())
+				to.Acknowledged(c.table.Peers["node-2"].Updates.MachinesFrom.Have())
 			}
 			check()
 		}
@@ -240,7 +243,7 @@
 			handle()
 		}
 		for range 20 {
-			to.Acknowledged(c.peers["node-2"].updates.machinesFrom.Have())
+			to.Acknowledged(c.table.Peers["node-2"].Updates.MachinesFrom.Have())
 			say()
 			for len(word) > 0 {
 				hear()
@@ -248,8 +251,8 @@
 			check()
 		}
 		for _, id := range ids {
-			if m := c.machines[id]; m.wait() != waits[id] || len(m.pendingWaits) > 0 {
-				t.Fatalf("%s: wait %v with %d still announced, its keeper says %v", id, m.wait(), len(m.pendingWaits), waits[id])
+			if m := c.table.Machines[id]; m.Wait() != waits[id] || len(m.PendingWaits) > 0 {
+				t.Fatalf("%s: wait %v with %d still announced, its keeper says %v", id, m.Wait(), len(m.PendingWaits), waits[id])
 			}
 		}
 	})
@@ -264,12 +267,12 @@
 		{Machine: id, Epoch: b.version + 1, FreeCPUs: 3, FreeGB: 3, Heard: true},
 	}})
 	b.machine(id, 1)
-	m := b.c.machines[id]
-	if m.free().CPUs != 3 || !b.c.recent(m, time.Minute) {
-		t.Errorf("room %+v, told %+v", m.free(), m.reported)
+	m := b.c.table.Machines[id]
+	if m.Free().CPUs != 3 || !b.c.table.Recent(m, time.Minute) {
+		t.Errorf("room %+v, told %+v", m.Free(), m.Reported)
 	}
 	b.view(2, "node-0", "node-1")
-	if b.c.recent(m, time.Minute) {
+	if b.c.table.Recent(m, time.Minute) {
 		t.Error("a word of an earlier term counts as recent")
 	}
 }
@@ -281,14 +284,14 @@
 	b := newBench(t, "node-1")
 	b.zoned("a", 300, false, resource.Uses{})
 	b.zoned("b", 300, false, resource.Uses{})
-	o := b.c.adoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
-	o.loaded = true
+	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
+	o.Loaded = true
 	i := uint32(0)
-	for _, m := range b.c.machinesInOrder() {
+	for _, m := range b.c.table.InOrder() {
 		if m.Record.Zone == "b" { // full, and more waits there
-			m.reported.FreeCPUs, m.reported.Queued = 0, 12
+			m.Reported.FreeCPUs, m.Reported.Queued = 0, 12
 			for range 12 {
-				b.c.placeAttempt(o, i, m, 1)
+				b.c.placer.PlaceAttempt(o, i, m, 1)
 				i++
 			}
 		}
@@ -296,16 +299,16 @@
 	var sizes []int
 	moved := func(after protocol.MachineID) {
 		before := movingOf(o)
-		b.c.rebalance(after)
+		b.c.placer.Rebalance(after)
 		sizes = append(sizes, movingOf(o)-before)
 	}
 	moved("")
-	for b.c.rebalancedUpTo != "" && len(sizes) < 9 {
-		moved(b.c.rebalancedUpTo)
+	for b.c.placer.RebalancedUpTo != "" && len(sizes) < 9 {
+		moved(b.c.placer.RebalancedUpTo)
 	}
 	total := 0
 	for _, n := range sizes {
-		if total += n; n > movesMost {
+		if total += n; n > placement.MovesMost {
 			t.Errorf("%d moved in one step", n)
 		}
 	}
@@ -315,10 +318,10 @@
 }
 
 // movingOf is how many of a job's tasks were asked back.
-func movingOf(o *ownedJob) int {
+func movingOf(o *jobs.Job) int {
 	n := 0
-	for _, t := range o.placed {
-		if t.releaseAsked {
+	for _, t := range o.Placed {
+		if t.ReleaseAsked {
 			n++
 		}
 	}
