--- /dev/null
+++ b/internal/controller/ordered/ordered_test.go
@@ -0,0 +1,48 @@
+package ordered
+
+import (
+	"slices"
+	"testing"
+
+	"damsonkeel/internal/protocol"
+)
+
+// TestOrder: entries come in the order of their keys, and those that the loop has deleted
+// do not.
+func TestOrder(t *testing.T) {
+	m := map[string]int{"c": 3, "a": 1, "b": 2, "d": 4}
+	var values []int
+	for key, value := range Of(m) {
+		values = append(values, value)
+		if key == "a" {
+			delete(m, "c")
+		}
+	}
+	if want := []int{1, 2, 4}; !slices.Equal(values, want) {
+		t.Errorf("%v, want %v", values, want)
+	}
+}
+
+// TestTasks: tasks come in the order of their jobs, then of their indexes.
+func TestTasks(t *testing.T) {
+	m := map[protocol.TaskID]bool{
+		{Job: "b", Index: 1}:  true,
+		{Job: "a", Index: 10}: true,
+		{Job: "a", Index: 9}:  false,
+	}
+	var tasks []protocol.TaskID
+	for task := range Tasks(m) {
+		tasks = append(tasks, task)
+	}
+	want := []protocol.TaskID{{Job: "a", Index: 9}, {Job: "a", Index: 10}, {Job: "b", Index: 1}}
+	if !slices.Equal(tasks, want) {
+		t.Errorf("%v, want %v", tasks, want)
+	}
+	tasks = nil
+	for task := range TasksWhere(m, func(_ protocol.TaskID, match bool) bool { return match }) {
+		tasks = append(tasks, task)
+	}
+	if !slices.Equal(tasks, want[1:]) {
+		t.Errorf("%v match, want %v", tasks, want[1:])
+	}
+}
--- /dev/null
+++ b/internal/controller/workerregistry/write_test.go
@@ -0,0 +1,116 @@
+package workerregistry
+
+import (
+	"log/slog"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+const (
+	self    protocol.NodeName = "node-0"
+	session protocol.LeaseID  = 100
+	term    protocol.Term     = 7
+)
+
+// newRegistrar returns the registrar of a view of one controller.
+func newRegistrar(t *testing.T) *Registrar {
+	t.Helper()
+	settings := fake.Settings()
+	settings.Name = self
+	state := clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
+	state.Session = session
+	state.Now = clock.Time(time.Minute)
+	state.LeaseDeadline = clock.Time(time.Hour)
+	state.View = record.View{
+		Term:    term,
+		Members: map[protocol.NodeName]protocol.LeaseID{self: session},
+		Layout:  record.LayoutBlocks,
+	}
+	return New(clusterstate.Module{State: state, Output: &clusterstate.Output{}})
+}
+
+// takeCommit returns the only action since the last call; nil if there is none.
+func takeCommit(t *testing.T, g *Registrar) *message.Commit {
+	t.Helper()
+	actions := g.Actions
+	g.Actions = nil
+	if len(actions) == 0 {
+		return nil
+	}
+	commit, ok := actions[0].(message.Commit)
+	if len(actions) > 1 || !ok {
+		t.Fatalf("actions %v, want one transaction", actions)
+	}
+	return &commit
+}
+
+// register asks for the record of a new machine.
+func register(g *Registrar, id protocol.MachineID, requestTerm protocol.Term) {
+	g.RequestChange(self, message.RecordChange{Term: requestTerm, Machine: id, To: &record.Machine{Zone: "a"}})
+}
+
+// TestWriteOnceAtATime: a requested record is written with an epoch above those of earlier
+// terms, on the condition of the view; nothing else is written until that is answered, and
+// a failed write is retried after a pause, into the same block.
+func TestWriteOnceAtATime(t *testing.T) {
+	g := newRegistrar(t)
+	register(g, "vm-old", term-1)
+	g.Write()
+	if commit := takeCommit(t, g); commit != nil {
+		t.Fatalf("a request of an earlier term is written: %+v", commit)
+	}
+	register(g, "vm-1", term)
+	g.Write()
+	first := takeCommit(t, g)
+	if first == nil || len(first.Txn.Changes) != 1 || first.Txn.Conditions[0].Key != record.ViewKey {
+		t.Fatalf("transaction %+v, want one block on the condition of the view", first)
+	}
+	block, ok := first.Txn.Changes[0].Value.(record.Block)
+	if !ok || len(block.Machines) != 1 || block.Machines[0].Epoch != protocol.Version(uint64(term)<<32|1) {
+		t.Fatalf("wrote %+v", first.Txn.Changes[0])
+	}
+	register(g, "vm-2", term)
+	g.Write()
+	if commit := takeCommit(t, g); commit != nil {
+		t.Fatalf("a second transaction before the answer: %+v", commit)
+	}
+	g.Written(first.Tag.(Tag), message.OutcomeUnknown)
+	g.Write()
+	if commit := takeCommit(t, g); commit != nil {
+		t.Fatalf("retried without a pause: %+v", commit)
+	}
+	g.Now = g.After(retryPause)
+	g.Write()
+	second := takeCommit(t, g)
+	if second == nil {
+		t.Fatal("not retried")
+	}
+	for _, change := range second.Txn.Changes {
+		if change.Put != first.Txn.Changes[0].Put {
+			t.Errorf("a machine that may be in %s is put into %s", first.Txn.Changes[0].Put, change.Put)
+		}
+	}
+}
+
+// TestBlockObserved: what the watch delivers is what counts: the machines of a block are
+// known to be in it until the block is deleted.
+func TestBlockObserved(t *testing.T) {
+	g := newRegistrar(t)
+	name := record.BlockName(1)
+	entry := record.BlockEntry{ID: "vm-1", Epoch: 1}
+	changed, removed := g.BlockUpdated(name, record.Block{Machines: []record.BlockEntry{entry}}, 5)
+	if len(changed) != 1 || len(removed) != 0 || !g.InBlock("vm-1") || g.Blocks() != 1 {
+		t.Errorf("changed %v, removed %v, %d blocks", changed, removed, g.Blocks())
+	}
+	if removed := g.BlockDeleted(name); len(removed) != 1 || g.InBlock("vm-1") || g.Blocks() != 0 {
+		t.Errorf("removed %v, %d blocks", removed, g.Blocks())
+	}
+}
