--- a/internal/controller/jobs/attempts.go
+++ b/internal/controller/jobs/attempts.go
@@ -3,111 +3,103 @@
 import (
 	"math"
 
-	"damsonkeel/internal/controller/waittable"
-
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
-// Track notes that an attempt is on a machine.
-func (oj *Owned) Track(t *Attempt) {
-	on := oj.AttemptsOn[t.Machine]
-	if on == nil {
-		on = map[protocol.TaskID]*Attempt{}
-		oj.AttemptsOn[t.Machine] = on
-	}
-	on[t.Task] = t
+// NextAttempt returns a new attempt number. Numbers grow, and those of a later term are
+// larger than all of an earlier one.
+func (o *Owned) NextAttempt() protocol.Attempt {
+	o.attemptCounter++
+	return protocol.Attempt(uint64(o.View.Term)<<32 | o.attemptCounter)
+}
+
+// AddAttempt adds an attempt of a job that may exist from now on.
+func (o *Owned) AddAttempt(job *Job, attempt *Attempt) {
+	job.Placed[attempt.Task] = attempt
+	job.Pending.Clear(uint(attempt.Task.Index))
+	job.Waiting++
+	o.AttemptsOn.add(attempt)
 }
 
-// RemoveAttempt forgets an attempt that is proven gone, or not this job's concern.
-func (oj *Owned) RemoveAttempt(o *Job, t *Attempt) {
-	if o.Placed[t.Task] == t {
-		delete(o.Placed, t.Task)
-		if !t.Started {
-			o.Waiting--
+// RemoveAttempt drops an attempt that is proven to be gone, or that no longer belongs to
+// the job.
+func (o *Owned) RemoveAttempt(job *Job, attempt *Attempt) {
+	if job.Placed[attempt.Task] == attempt {
+		delete(job.Placed, attempt.Task)
+		if !attempt.Started {
+			job.Waiting--
 		}
 	}
-	if t.running {
-		o.running--
-		t.running = false
-	}
-	oj.ownedChanges.Touch(o.ID)
-	if oj.AttemptsOn[t.Machine][t.Task] == t {
-		delete(oj.AttemptsOn[t.Machine], t.Task)
+	if attempt.running {
+		job.running--
+		attempt.running = false
 	}
+	o.changes.Touch(job.ID)
+	o.AttemptsOn.remove(attempt)
 }
 
-// attemptLost makes a task whose attempt is proven gone placeable again.
-func (oj *Owned) attemptLost(o *Job, t *Attempt) {
-	if t.Started {
-		o.retry.Set(uint(t.Task.Index))
+// attemptLost makes a task whose attempt is proven to be gone pending again.
+func (o *Owned) attemptLost(job *Job, attempt *Attempt) {
+	index := uint(attempt.Task.Index)
+	if attempt.Started {
+		job.interrupted.Set(index)
 	}
-	oj.RemoveAttempt(o, t)
-	// Of a job just taken over, an attempt that is gone proves nothing of the
-	// others: a later one may run on a machine not heard yet. What is missing
-	// when all are heard becomes placeable then.
-	if !o.Unverified && !o.Done.Test(uint(t.Task.Index)) {
-		o.Pending.Set(uint(t.Task.Index))
+	o.RemoveAttempt(job, attempt)
+	// Of a job just taken over, an attempt that is gone proves nothing about others: a
+	// later one may run on a machine whose inventory has not been received. What is
+	// missing once all have been becomes pending then.
+	if !job.Unverified && !job.Done.Test(index) {
+		job.Pending.Set(index)
 	}
-	oj.table.PlacementDue = true
-	if o.Kind == protocol.KindGang {
-		// The rest of the attempt can't go on: its next one starts when all
-		// of this one are gone.
-		for _, other := range ordered.Tasks(o.Placed) {
-			oj.SendStop(other, true, clusterstate.GraceS(&o.Job))
-		}
+	o.table.PlacementDue = true
+	if job.Kind == protocol.KindGang {
+		// The others can't go on: the next attempt starts when all of this one are gone.
+		o.StopAll(job)
 	}
 }
 
-// SendStop asks the machine's keeper to end an attempt.
-func (oj *Owned) SendStop(t *Attempt, kill bool, grace float64) {
-	if t.Stopping && kill && grace > 0 {
+// SendStop asks the dispatcher of an attempt's machine to end it: to kill it with a grace
+// period in seconds, or else only to release it if it has not been sent to the worker.
+func (o *Owned) SendStop(attempt *Attempt, kill bool, graceSeconds float64) {
+	if attempt.Stopping && kill && graceSeconds > 0 {
 		return
 	}
-	t.Stopping, t.ReleaseAsked = t.Stopping || kill, !kill
-	oj.Send(oj.DispatcherOf(t.Machine), message.PeerMessage{Stop: &message.Stop{
-		TaskRef: message.TaskRef{Task: t.Task, Attempt: t.Number, Machine: t.Machine}, Kill: kill, GraceS: grace,
+	attempt.Stopping, attempt.ReleaseAsked = attempt.Stopping || kill, !kill
+	o.Send(o.DispatcherOf(attempt.Machine), message.PeerMessage{Stop: &message.Stop{
+		TaskRef: attempt.ref(), Kill: kill, GraceS: graceSeconds,
 	}})
 }
 
-// MachineLost: everything placed by the machine's present record is gone.
-func (oj *Owned) MachineLost(m *waittable.Machine) {
-	delete(oj.AwaitedInventories, m.ID)
-	oj.clearEndedAttempts(m.ID, math.MaxUint64)
-	for _, t := range ordered.Tasks(oj.AttemptsOn[m.ID]) {
-		if o := oj.ByID[t.Task.Job]; o != nil && o.Placed[t.Task] == t {
-			oj.attemptLost(o, t)
-		}
+// StopAll has all attempts of a job stopped, with its grace period.
+func (o *Owned) StopAll(job *Job) {
+	for _, attempt := range ordered.Tasks(job.Placed) {
+		o.SendStop(attempt, true, clusterstate.GraceS(&job.Job))
 	}
-	delete(oj.AttemptsOn, m.ID)
-	oj.table.PlacementDue = true
-	oj.resolveUnverified()
 }
 
-// clearEndedAttempts: a machine holds no attempts of jobs that are over, of those placed up
-// to a number.
-func (oj *Owned) clearEndedAttempts(id protocol.MachineID, upto uint64) {
-	for ref, t := range oj.EndedAttempts {
-		if ref.Machine == id && t.placeNumber <= upto {
-			delete(oj.EndedAttempts, ref)
-			oj.table.PlacementDue = true
+// MachineLost drops everything that was placed on a machine by its present record, which
+// has been removed.
+func (o *Owned) MachineLost(m *waittable.Machine) {
+	delete(o.AwaitedInventories, m.ID)
+	o.dropEndedAttempts(m.ID, math.MaxUint64)
+	for _, attempt := range ordered.Tasks(o.AttemptsOn[m.ID]) {
+		if job := o.ByID[attempt.Task.Job]; job != nil && job.Placed[attempt.Task] == attempt {
+			o.attemptLost(job, attempt)
 		}
 	}
+	delete(o.AttemptsOn, m.ID)
+	o.table.PlacementDue = true
+	o.resolveUnverified()
 }
 
-// refillable reports whether a task of a gang that its keeper has released, never
-// sent, can be placed again under the same attempt: while nothing of the gang is
-// being stopped, as the others only wait for it.
-func (oj *Owned) refillable(o *Job, t *Attempt) bool {
-	if !o.IsGang() || o.Unverified || t.Started || t.ReleaseAsked || len(o.Placed) < 2 {
-		return false
-	}
-	for _, other := range o.Placed {
-		if other.Stopping || other.Number != t.Number {
-			return false
-		}
+// dropEndedAttempts drops the ended attempts on a machine that were placed by Place messages
+// up to a number: the machine has none of them any more.
+func (o *Owned) dropEndedAttempts(id protocol.MachineID, upto uint64) {
+	if o.EndedAttempts.dropUpto(id, upto) {
+		o.table.PlacementDue = true
 	}
-	return true
 }
--- a/internal/controller/jobs/events.go
+++ b/internal/controller/jobs/events.go
@@ -5,135 +5,165 @@
 
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
-	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
 )
 
-// TaskEvent takes what a keeper says of an attempt.
-func (oj *Owned) TaskEvent(e message.TaskEvent) {
-	o := oj.ByID[e.Task.Job]
-	if o == nil && (e.What == message.EventEnded || e.What == message.EventReleased) {
-		delete(oj.EndedAttempts, e.TaskRef)
-		oj.table.PlacementDue = true
-	}
-	if o == nil || e.Task.Index >= o.Tasks {
+// retryAfterUnknown is how long a job waits after an attempt ended for an unknown cause.
+const retryAfterUnknown = 2 * time.Second
+
+// TaskEvent handles what a dispatcher reports of an attempt.
+func (o *Owned) TaskEvent(event message.TaskEvent) {
+	job := o.ByID[event.Task.Job]
+	if job == nil {
+		if event.What == message.EventEnded || event.What == message.EventReleased {
+			delete(o.EndedAttempts, event.TaskRef)
+			o.table.PlacementDue = true
+		}
 		return
 	}
-	t := o.Placed[e.Task]
-	mine := t != nil && t.Number == e.Attempt && t.Machine == e.Machine
-	switch e.What {
-	case message.EventReleased:
-		if !mine {
-			return
-		}
-		if !t.Stopping && !t.ReleaseAsked {
-			// Refused by the keeper, which knows something of the machine
-			// that the table does not: not again before its next summary.
-			if m := oj.table.Machines[t.Machine]; m != nil {
-				m.Refused = true
-			}
-		}
-		if oj.refillable(o, t) {
-			oj.RemoveAttempt(o, t)
-			o.Pending.Set(uint(t.Task.Index))
-			oj.table.PlacementDue = true
-			return
+	if event.Task.Index >= job.Tasks {
+		return
+	}
+	attempt := job.Placed[event.Task]
+	current := attempt != nil && attempt.ref() == event.TaskRef
+	switch {
+	case event.What == message.EventEnded:
+		o.attemptEnded(job, attempt, current, event)
+		o.forgetEnded(event.TaskRef)
+	case current:
+		o.currentAttemptEvent(job, attempt, event)
+	case event.What == message.EventPresent || event.What == message.EventRunning:
+		if job.Loaded && !job.Unverified {
+			o.killUnknownAttempt(event)
 		}
-		oj.attemptLost(o, t)
+	}
+}
+
+// forgetEnded has a worker drop the end of an attempt from its status: it has been handled.
+// While this controller leaves it stays listed until the next owner has handled it, since
+// the bitmap may not be written any more.
+func (o *Owned) forgetEnded(ref message.TaskRef) {
+	if !o.Leaving {
+		o.Send(o.DispatcherOf(ref.Machine), message.PeerMessage{Forget: &ref})
+	}
+}
+
+// currentAttemptEvent handles an event, other than the end, of the current attempt of a
+// task.
+func (o *Owned) currentAttemptEvent(job *Job, attempt *Attempt, event message.TaskEvent) {
+	switch event.What {
+	case message.EventReleased:
+		o.attemptReleased(job, attempt)
 	case message.EventPresent, message.EventRunning:
-		if mine {
-			oj.markStarted(o, t, e.What == message.EventRunning)
-		} else if o.Loaded && !o.Unverified {
-			oj.refuseUnknownAttempt(e)
-		}
+		o.markStarted(job, attempt, event.What == message.EventRunning)
 	case message.EventNotice:
-		if mine {
-			oj.terminationNotice(o, t, e.LeftS)
-		}
-	case message.EventEnded:
-		oj.taskEnded(o, t, mine, e)
-		if oj.Leaving {
-			return // listed until its next owner has taken it: the bitmap may not be written any more
-		}
-		oj.Send(oj.DispatcherOf(e.Machine), message.PeerMessage{Forget: &message.TaskRef{Task: e.Task, Attempt: e.Attempt, Machine: e.Machine}})
+		o.terminationNotice(job, attempt, event.LeftS)
+	}
+}
+
+// attemptReleased handles an attempt that its dispatcher has given back without having
+// sent it to the worker.
+func (o *Owned) attemptReleased(job *Job, attempt *Attempt) {
+	if !attempt.Stopping && !attempt.ReleaseAsked {
+		// Refused by the dispatcher, which knows something of the machine that the
+		// waittable does not show: no more attempts before its next update.
+		o.markRefused(attempt.Machine)
+	}
+	if job.refillable(attempt) {
+		o.RemoveAttempt(job, attempt)
+		job.Pending.Set(uint(attempt.Task.Index))
+		o.table.PlacementDue = true
+		return
+	}
+	o.attemptLost(job, attempt)
+}
+
+// markRefused has nothing placed on a machine before its dispatcher's next update.
+func (o *Owned) markRefused(id protocol.MachineID) {
+	if m := o.table.Machines[id]; m != nil {
+		m.Refused = true
 	}
 }
 
-// refuseUnknownAttempt has an attempt killed that this owner never placed or has
-// already taken for gone.
-func (oj *Owned) refuseUnknownAttempt(e message.TaskEvent) {
-	oj.Log.Error("an attempt runs that is not the present one", "task", e.Task, "attempt", e.Attempt, "machine", e.Machine)
-	oj.SendStop(&Attempt{Task: e.Task, Number: e.Attempt, Machine: e.Machine}, true, 0)
+// killUnknownAttempt has an attempt killed that this owner has never placed or has already
+// taken to be gone.
+func (o *Owned) killUnknownAttempt(event message.TaskEvent) {
+	o.Log.Error("an attempt runs that is not the present one", "task", event.Task, "attempt", event.Attempt, "machine", event.Machine)
+	o.SendStop(&Attempt{Task: event.Task, Number: event.Attempt, Machine: event.Machine}, true, 0)
 }
 
-func (oj *Owned) markStarted(o *Job, t *Attempt, running bool) {
-	if !t.Started {
-		o.Waiting--
+// markStarted records that an attempt has been sent to its worker, and that it runs.
+func (o *Owned) markStarted(job *Job, attempt *Attempt, running bool) {
+	if !attempt.Started {
+		job.Waiting--
 	}
-	t.Started, t.ReleaseAsked = true, false
-	if running && !t.running {
-		t.running, t.runningSince = true, oj.Now
-		o.running++
-		oj.ownedChanges.Touch(o.ID)
-		oj.watchRun(o, t)
+	attempt.Started, attempt.ReleaseAsked = true, false
+	if running && !attempt.running {
+		attempt.running, attempt.runningSince = true, o.Now
+		job.running++
+		o.changes.Touch(job.ID)
+		o.watchRun(job, attempt)
 	}
 }
 
-// terminationNotice moves a task off a machine that is about to be taken. One that
-// can't save goes on if it may finish in time: else what it does until then is
-// time lost for its next attempt.
-func (oj *Owned) terminationNotice(o *Job, t *Attempt, leftS float64) {
-	if o.Kind == protocol.KindGang {
-		for _, other := range ordered.Tasks(o.Placed) {
-			oj.SendStop(other, true, clusterstate.GraceS(&o.Job))
-		}
+// terminationNotice moves a task off a machine that the cloud is about to take. A task
+// that can't save a checkpoint goes on if it may finish in time: otherwise what it does
+// until then only delays its next attempt.
+func (o *Owned) terminationNotice(job *Job, attempt *Attempt, secondsLeft float64) {
+	if job.Kind == protocol.KindGang {
+		o.StopAll(job)
 		return
 	}
-	if o.CheckpointS > 0 || o.Kind == protocol.KindService {
-		oj.SendStop(t, true, clusterstate.GraceS(&o.Job))
+	if job.CheckpointS > 0 || job.Kind == protocol.KindService {
+		o.SendStop(attempt, true, clusterstate.GraceS(&job.Job))
 		return
 	}
 	ran := 0.0
-	if t.running {
-		ran = oj.Since(t.runningSince).Seconds()
+	if attempt.running {
+		ran = o.Since(attempt.runningSince).Seconds()
 	}
-	if t.Estimate-ran > leftS {
-		oj.SendStop(t, true, 0)
+	if attempt.Estimate-ran > secondsLeft {
+		o.SendStop(attempt, true, 0)
 	}
 }
 
-func (oj *Owned) taskEnded(o *Job, t *Attempt, mine bool, e message.TaskEvent) {
-	if e.Cause == protocol.EndDone && o.Kind != protocol.KindService {
-		oj.markTaskDone(o, e.Task.Index)
-		if mine {
-			oj.recordRunTime(o, t)
-			oj.clearLateRuns(o, t)
-			oj.RemoveAttempt(o, t)
-		} else if t != nil {
-			oj.SendStop(t, true, 0)
-		}
-		if o.Kind == protocol.KindGang {
-			for i := range o.Tasks {
-				oj.markTaskDone(o, i) // they complete together
-			}
-		}
-		oj.finishIfDone(o)
-		oj.table.PlacementDue = true
+// attemptEnded handles the end of an attempt, which may not be the current one of its task.
+func (o *Owned) attemptEnded(job *Job, attempt *Attempt, current bool, event message.TaskEvent) {
+	if event.Cause == protocol.EndDone && job.Kind != protocol.KindService {
+		o.attemptDone(job, attempt, current, event.Task.Index)
 		return
 	}
-	if !mine {
+	if !current {
 		return
 	}
-	switch e.Cause {
+	switch event.Cause {
 	case protocol.EndError:
-		oj.attemptFailed(o, t)
+		o.attemptFailed(job, attempt)
 	case protocol.EndUnknown:
-		o.NotBefore = oj.After(2 * time.Second)
+		job.NotBefore = o.After(retryAfterUnknown)
 	case protocol.EndFull, protocol.EndInUse:
-		if m := oj.table.Machines[e.Machine]; m != nil {
-			m.Refused = true
+		o.markRefused(event.Machine)
+	}
+	o.Log.Debug("attempt ended", "task", event.Task, "cause", event.Cause, "saved", event.Saved, "machine", event.Machine)
+	o.attemptLost(job, attempt)
+}
+
+// attemptDone handles the successful end of an attempt. If it was not the current one, that
+// one is killed: the task is done.
+func (o *Owned) attemptDone(job *Job, attempt *Attempt, current bool, index uint32) {
+	o.markTaskDone(job, index)
+	if current {
+		o.recordRunTime(job, attempt)
+		o.clearLateRuns(job, attempt)
+		o.RemoveAttempt(job, attempt)
+	} else if attempt != nil {
+		o.SendStop(attempt, true, 0)
+	}
+	if job.Kind == protocol.KindGang {
+		for i := range job.Tasks {
+			o.markTaskDone(job, i) // they complete together
 		}
 	}
-	oj.Log.Debug("attempt ended", "task", e.Task, "cause", e.Cause, "saved", e.Saved, "machine", e.Machine)
-	oj.attemptLost(o, t)
+	o.finishIfDone(job)
+	o.table.PlacementDue = true
 }
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -6,195 +6,201 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/controller/waittable"
-	"damsonkeel/internal/controller/workload"
-
-	"github.com/bits-and-blooms/bitset"
-
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
-	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/replication"
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/controller/workload"
 	"damsonkeel/internal/protocol"
 )
 
-// Owned is what a controller keeps of the jobs it owns.
+const (
+	// BeginsWithin is how long a job without an objective is confined to the headroom
+	// before it begins like any other of its level.
+	BeginsWithin = time.Minute
+	// retryInterval is the time between two retries of reads and writes that were not
+	// carried out.
+	retryInterval = time.Second
+)
+
+// Owned is the state of the jobs that a controller owns.
 type Owned struct {
 	clusterstate.Module
 	table    *waittable.Table
 	workload *workload.Workload
+	rng      *rand.Rand
+
+	// ByID has the owned jobs.
+	ByID map[protocol.JobID]*Job
 	// AttemptsOn are the attempts placed on each machine by its present record.
-	AttemptsOn         map[protocol.MachineID]map[protocol.TaskID]*Attempt
-	ByID               map[protocol.JobID]*Job
-	sorted             []*Job                           // in order of placement; nil: to be sorted again
-	AwaitedInventories map[protocol.MachineID]bool      // machines whose inventory of this term is awaited
-	EndedAttempts      map[message.TaskRef]endedAttempt // attempts of limited teams' jobs that are over, not proven gone
-	UnverifiedTeams    map[protocol.Team]bool           // limited teams just taken over, whose use is not known yet
-	attemptCounter     uint64
-	retryAt            clock.Time
-	runWatch           runDeadlines
-	// ownedChanges are the owned jobs, as their state changes: a stream for all members
-	// in one term.
-	ownedChanges replication.Log[protocol.JobID]
-	rng          *rand.Rand
+	AttemptsOn AttemptIndex
+	// AwaitedInventories are the machines whose inventory of this term has not been
+	// received.
+	AwaitedInventories map[protocol.MachineID]bool
+	// EndedAttempts are the attempts of limited teams' jobs that are over, as long as they
+	// are not proven to be gone.
+	EndedAttempts EndedAttempts
+	// UnverifiedTeams are the limited teams just taken over whose usage is not known yet.
+	UnverifiedTeams map[protocol.Team]bool
+
+	sorted         []*Job // the jobs in order of placement; nil: to be sorted again
+	attemptCounter uint64 // of this term's attempt numbers
+	retryAt        clock.Time
+	runWatch       runDeadlines
+	// changes is the log by which all members follow the progress of the owned jobs, one
+	// stream per term.
+	changes replication.Log[protocol.JobID]
 }
 
-// New owns nothing yet.
-func New(p clusterstate.Module, table *waittable.Table, work *workload.Workload, rng *rand.Rand) *Owned {
-	return &Owned{Module: p, table: table, workload: work, rng: rng}
+// New returns the state of a controller that owns no jobs. Reset must be called before it
+// is used.
+func New(module clusterstate.Module, table *waittable.Table, work *workload.Workload, rng *rand.Rand) *Owned {
+	return &Owned{Module: module, table: table, workload: work, rng: rng}
 }
 
-// Reset forgets everything a session knew.
-func (oj *Owned) Reset() {
-	oj.Drop()
-	oj.AttemptsOn = map[protocol.MachineID]map[protocol.TaskID]*Attempt{}
-	oj.ownedChanges = replication.Log[protocol.JobID]{}
+// Reset drops everything that was known in an earlier session.
+func (o *Owned) Reset() {
+	o.Drop()
+	o.AttemptsOn = AttemptIndex{}
+	o.changes = replication.Log[protocol.JobID]{}
 }
 
-// Drop forgets all owned jobs: this controller is not in the view.
-func (oj *Owned) Drop() {
-	oj.ByID, oj.sorted = map[protocol.JobID]*Job{}, nil
-	oj.AwaitedInventories = map[protocol.MachineID]bool{}
-	oj.EndedAttempts = map[message.TaskRef]endedAttempt{}
-	oj.UnverifiedTeams = map[protocol.Team]bool{}
-	oj.attemptCounter, oj.retryAt, oj.runWatch = 0, 0, nil
+// Drop drops all owned jobs: this controller is not in the view.
+func (o *Owned) Drop() {
+	o.ByID, o.sorted = map[protocol.JobID]*Job{}, nil
+	o.AwaitedInventories = map[protocol.MachineID]bool{}
+	o.EndedAttempts = EndedAttempts{}
+	o.UnverifiedTeams = map[protocol.Team]bool{}
+	o.attemptCounter, o.retryAt, o.runWatch = 0, 0, nil
 }
 
 // AllWritten reports whether all that is known of the owned jobs is in their records.
-func (oj *Owned) AllWritten() bool {
-	for _, o := range oj.ByID {
-		if len(o.dirtyChunks) > 0 || o.writing || o.finishInFlight {
+func (o *Owned) AllWritten() bool {
+	for _, job := range o.ByID {
+		if job.unwritten() {
 			return false
 		}
 	}
 	return true
 }
 
-// Accepted takes over the record of an accepted job.
-func (oj *Owned) Accepted(j protocol.Job, version protocol.Version, snapshot bool) {
-	if oj.Live[j.ID] != nil {
+// Accepted adds a job whose live record was read: by a change of the records, or in a
+// snapshot of all of them.
+func (o *Owned) Accepted(accepted protocol.Job, version protocol.Version, snapshot bool) {
+	if o.Live[accepted.ID] != nil {
 		return
 	}
-	l := &clusterstate.LiveJob{Job: j, Version: version, Since: oj.SubmissionTime(&j)}
-	l.Deadline = oj.Deadline(l)
-	oj.Live[j.ID] = l
-	oj.workload.RecordArrival(&l.Job)
-	if snapshot || !oj.Member() || oj.OwnerOf(l) != oj.Self {
+	live := &clusterstate.LiveJob{Job: accepted, Version: version, Since: o.SubmissionTime(&accepted)}
+	live.Deadline = o.Deadline(live)
+	o.Live[accepted.ID] = live
+	o.workload.RecordArrival(&live.Job)
+	if snapshot || !o.Member() || o.OwnerOf(live) != o.Self {
 		return
 	}
 	// Its record is new, so no attempt of it can exist and no bitmap either.
-	o := oj.Adopt(l)
-	o.Loaded = true
-	o.Pending.FlipRange(0, uint(j.Tasks))
-	oj.Log.Debug("job", "id", j.ID, "class", j.Class, "team", j.Team, "tasks", j.Tasks)
+	job := o.Adopt(live)
+	job.Loaded = true
+	job.Pending.FlipRange(0, uint(accepted.Tasks))
+	o.Log.Debug("job accepted", "job", accepted.ID, "class", accepted.Class, "team", accepted.Team, "tasks", accepted.Tasks)
 }
 
-func (oj *Owned) Adopt(l *clusterstate.LiveJob) *Job {
-	o := &Job{
-		LiveJob: l, Done: bitset.New(uint(l.Tasks)), Pending: bitset.New(uint(l.Tasks)),
-		retry: bitset.New(uint(l.Tasks)), Placed: map[protocol.TaskID]*Attempt{}, dirtyChunks: map[int]bool{}, storedChunks: map[int]protocol.Version{}, FailedOn: map[protocol.MachineID]bool{}, WaitingSince: l.Since,
-	}
-	oj.ByID[l.ID] = o
-	oj.ownedChanges.Touch(l.ID)
-	oj.sorted = nil
-	oj.table.PlacementDue = true
-	return o
+// Adopt makes a live job an owned one, of which nothing is known yet.
+func (o *Owned) Adopt(live *clusterstate.LiveJob) *Job {
+	job := newJob(live)
+	o.ByID[live.ID] = job
+	o.changes.Touch(live.ID)
+	o.sorted = nil
+	o.table.PlacementDue = true
+	return job
 }
 
-// End drops an owned job whose record says that it is over, and has its attempts
-// killed.
-func (oj *Owned) End(id protocol.JobID) {
-	if o := oj.ByID[id]; o != nil {
-		for _, t := range ordered.Tasks(o.Placed) {
-			if oj.Limited(o.Team) {
-				left := endedAttempt{o.Team, resource.Need(&o.Job), t.PlaceNumber}
-				if t.Unverified {
-					left.placeNumber = 0
-				}
-				oj.EndedAttempts[message.TaskRef{Task: t.Task, Attempt: t.Number, Machine: t.Machine}] = left
+// End drops an owned job whose record says that it is over, and has its attempts killed.
+func (o *Owned) End(id protocol.JobID) {
+	job := o.ByID[id]
+	if job == nil {
+		return
+	}
+	for _, attempt := range ordered.Tasks(job.Placed) {
+		if o.Limited(job.Team) {
+			ended := endedAttempt{job.Team, resource.Need(&job.Job), attempt.PlaceNumber}
+			if attempt.Unverified {
+				ended.placeNumber = 0
 			}
-			oj.SendStop(t, true, 0)
-			oj.RemoveAttempt(o, t)
+			o.EndedAttempts[attempt.ref()] = ended
 		}
-		delete(oj.ByID, id)
-		oj.ownedChanges.Drop(id)
-		oj.sorted = nil
-		oj.table.PlacementDue = true
+		o.SendStop(attempt, true, 0)
+		o.RemoveAttempt(job, attempt)
 	}
+	delete(o.ByID, id)
+	o.changes.Drop(id)
+	o.sorted = nil
+	o.table.PlacementDue = true
 }
 
-// Retry repeats what the state service did not do.
-func (oj *Owned) Retry() {
-	if oj.Now < oj.retryAt || !oj.HoldsLease() {
+// Retry repeats the reads and writes that the key-value store did not carry out, and has
+// jobs placed whose backoff is over.
+func (o *Owned) Retry() {
+	if o.Now < o.retryAt || !o.HoldsLease() {
 		return
 	}
-	oj.retryAt = oj.After(time.Second)
-	for id, o := range ordered.Of(oj.ByID) {
-		if o.FinishDue {
-			oj.writeFinish(o)
+	o.retryAt = o.After(retryInterval)
+	for _, job := range ordered.Of(o.ByID) {
+		if job.FinishDue {
+			o.writeFinish(job)
 		}
-		if (!o.Loaded || o.rereadNeeded) && !o.loading {
-			o.loading = true
-			oj.Emit(message.LoadBitmap{Job: id})
+		if (!job.Loaded || job.bitmap.rereadNeeded) && !job.bitmap.loading {
+			o.requestBitmap(job)
 		}
-		if o.NotBefore > 0 && oj.Now >= o.NotBefore {
-			o.NotBefore = 0
-			oj.table.PlacementDue = true
+		if job.NotBefore > 0 && o.Now >= job.NotBefore {
+			job.NotBefore = 0
+			o.table.PlacementDue = true
 		}
-		oj.expireTrials(o)
+		o.expireTrials(job)
 	}
 }
 
-// InvalidateOrder has the jobs sorted again before they are listed next.
-func (oj *Owned) InvalidateOrder() { oj.sorted = nil }
-
-// Touch notes that what others are told of a job has changed.
-func (oj *Owned) Touch(o *Job) { oj.ownedChanges.Touch(o.ID) }
-
 // AnyPlaceable reports whether a task of any job waits to be placed.
-func (oj *Owned) AnyPlaceable() bool {
-	for _, o := range oj.ByID {
-		if o.NotBefore <= oj.Now && o.Pending.Any() {
+func (o *Owned) AnyPlaceable() bool {
+	for _, job := range o.ByID {
+		if job.NotBefore <= o.Now && job.Pending.Any() {
 			return true
 		}
 	}
 	return false
 }
 
-// InOrder returns the owned jobs in the order they are placed: the more urgent
-// priority first, then what is due first, then by creation.
-func (oj *Owned) InOrder() []*Job {
-	if oj.sorted == nil {
-		for _, o := range oj.ByID {
-			oj.sorted = append(oj.sorted, o)
+// InvalidateOrder has the jobs sorted again before they are listed next.
+func (o *Owned) InvalidateOrder() { o.sorted = nil }
+
+// InOrder returns the owned jobs in the order in which they are placed: by priority, then
+// by deadline, then by submission.
+func (o *Owned) InOrder() []*Job {
+	if o.sorted == nil {
+		for _, job := range o.ByID {
+			o.sorted = append(o.sorted, job)
 		}
-		slices.SortFunc(oj.sorted, func(a, b *Job) int {
-			return cmp.Or(cmp.Compare(b.Priority.Rank(), a.Priority.Rank()), cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.SubmittedMS, b.SubmittedMS), cmp.Compare(a.ID, b.ID))
+		slices.SortFunc(o.sorted, func(a, b *Job) int {
+			return cmp.Or(
+				cmp.Compare(b.Priority.Rank(), a.Priority.Rank()),
+				cmp.Compare(a.Deadline, b.Deadline),
+				cmp.Compare(a.SubmittedMS, b.SubmittedMS),
+				cmp.Compare(a.ID, b.ID))
 		})
 	}
-	return oj.sorted
-}
-
-func (oj *Owned) NextAttempt() protocol.Attempt {
-	oj.attemptCounter++
-	return protocol.Attempt(uint64(oj.View.Term)<<32 | oj.attemptCounter)
+	return o.sorted
 }
 
-// CurrentDeadline is when a job should be done. One of which nobody says when, and of which
-// nothing has begun for a while, goes first until something does: waiting behind all
-// that is due sooner, which keeps coming where there is more work than room, it would
-// not begin for minutes.
-func (oj *Owned) CurrentDeadline(l *clusterstate.LiveJob) clock.Time {
-	if oj.Since(l.Since) > BeginsWithin && len(oj.ObjectiveTimes(&l.Job)) == 0 && !oj.HasStartObjective(&l.Job) {
-		if g, _ := oj.JobProgress(l.ID); g.Running == 0 && g.Done == 0 {
-			return l.Since
+// CurrentDeadline returns when a job should be done. A job without an objective of which
+// nothing has started for BeginsWithin goes first until something does: behind all jobs
+// with earlier deadlines, which keep coming where there is more work than resources, it
+// would not start for minutes.
+func (o *Owned) CurrentDeadline(live *clusterstate.LiveJob) clock.Time {
+	if o.Since(live.Since) > BeginsWithin && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
+		if progress, _ := o.JobProgress(live.ID); progress.Running == 0 && progress.Done == 0 {
+			return live.Since
 		}
 	}
-	return oj.Deadline(l)
+	return o.Deadline(live)
 }
-
-// BeginsWithin is how long a job without an objective waits for what others leave
-// before it begins like any other of its level.
-const BeginsWithin = time.Minute
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -7,44 +7,49 @@
 	"damsonkeel/internal/protocol"
 )
 
-// progressOf is how far an owned job is.
-func (oj *Owned) progressOf(o *Job) message.Progress {
-	g := message.Progress{Job: o.ID, Done: o.DoneCount, Running: o.running, Failing: o.Failing}
-	if oj.Reservations.Any {
-		g.Level = int(o.Level) + 1
+// Touch has a job's progress replicated to the other members again.
+func (o *Owned) Touch(job *Job) { o.changes.Touch(job.ID) }
+
+// progressOf returns the progress of an owned job.
+func (o *Owned) progressOf(job *Job) message.Progress {
+	progress := message.Progress{Job: job.ID, Done: job.DoneCount, Running: job.running, Failing: job.Failing}
+	if o.Reservations.Any {
+		progress.Level = int(job.Level) + 1
 	}
-	return g
+	return progress
 }
 
-// JobProgress is how far a live job is, as far as this controller knows.
-func (oj *Owned) JobProgress(id protocol.JobID) (message.Progress, bool) {
-	if o := oj.ByID[id]; o != nil {
-		return oj.progressOf(o), true
+// JobProgress returns the progress of a live job, as far as this controller knows it.
+func (o *Owned) JobProgress(id protocol.JobID) (message.Progress, bool) {
+	if job := o.ByID[id]; job != nil {
+		return o.progressOf(job), true
 	}
-	if l := oj.Live[id]; l != nil {
-		if p := oj.table.Peers[oj.OwnerOf(l)]; p != nil {
-			g, ok := p.Progress[id]
-			return g, ok
+	if live := o.Live[id]; live != nil {
+		if peer := o.table.Peers[o.OwnerOf(live)]; peer != nil {
+			progress, ok := peer.Progress[id]
+			return progress, ok
 		}
 	}
 	return message.Progress{}, false
 }
 
-func (oj *Owned) FillUpdate(r *message.StateUpdate, to *replication.Cursor, most int) {
-	ids, upto := oj.ownedChanges.Since(to.Next(), most)
-	r.Jobs = replication.Range{Stream: uint64(oj.View.Term), From: to.Next(), Upto: upto}
+// FillUpdate adds to an update for a peer the progress of jobs that changed since the last
+// one, at most so many, and advances the peer's cursor.
+func (o *Owned) FillUpdate(update *message.StateUpdate, to *replication.Cursor, most int) {
+	ids, upto := o.changes.Since(to.Next(), most)
+	update.Jobs = replication.Range{Stream: uint64(o.View.Term), From: to.Next(), Upto: upto}
 	to.Sent(upto)
 	for _, id := range ids {
-		if o := oj.ByID[id]; o != nil {
-			r.Progress = append(r.Progress, oj.progressOf(o))
+		if job := o.ByID[id]; job != nil {
+			update.Progress = append(update.Progress, o.progressOf(job))
 		}
 	}
 }
 
-// BeginStream begins a new term's stream of what changes, with all owned jobs as changed.
-func (oj *Owned) BeginStream() {
-	oj.ownedChanges = replication.Log[protocol.JobID]{}
-	for id := range ordered.Of(oj.ByID) {
-		oj.ownedChanges.Touch(id)
+// BeginStream begins the stream of changes of a new term, with all owned jobs as changed.
+func (o *Owned) BeginStream() {
+	o.changes = replication.Log[protocol.JobID]{}
+	for id := range ordered.Of(o.ByID) {
+		o.changes.Touch(id)
 	}
 }
--- a/internal/controller/jobs/runtimes.go
+++ b/internal/controller/jobs/runtimes.go
@@ -1,21 +1,21 @@
 package jobs
 
-// recordRunTime learns from a task that is done how long the job's tasks run. One
-// that ran before may have saved its progress, and one taken over may have run
-// for long unseen: they tell nothing. Counted as short, the latter made all
-// others seem late after each takeover, and their machines slow.
-func (oj *Owned) recordRunTime(o *Job, t *Attempt) {
-	if !t.running || t.startUnseen || o.retry.Test(uint(t.Task.Index)) {
+// recordRunTime learns from a task that is done how long the job's tasks run. A task with
+// an earlier attempt may have resumed from a checkpoint, and one that was taken over may
+// have run unseen for long: they tell nothing. When the latter were counted as short, all
+// others seemed late after each takeover, and their machines slow.
+func (o *Owned) recordRunTime(job *Job, attempt *Attempt) {
+	if !attempt.running || attempt.startUnseen || job.interrupted.Test(uint(attempt.Task.Index)) {
 		return
 	}
-	o.runTimes.Note(oj.Since(t.runningSince).Seconds(), oj.rng)
+	job.runTimes.Note(o.Since(attempt.runningSince).Seconds(), o.rng)
 }
 
-// EstimateOf is a task's expected run time: what the job's other tasks took,
-// once enough of them are done, and before that its owner's estimate.
-func (oj *Owned) EstimateOf(o *Job) float64 {
-	if s, ok := o.UsualSeconds(); ok {
-		return s
+// EstimateOf returns the expected run time of a job's task in seconds: what its other
+// tasks took, once enough of them are done, and before that the submitted estimate.
+func (o *Owned) EstimateOf(job *Job) float64 {
+	if seconds, ok := job.UsualSeconds(); ok {
+		return seconds
 	}
-	return oj.Estimate(&o.Job)
+	return o.Estimate(&job.Job)
 }
--- a/internal/controller/jobs/slow.go
+++ b/internal/controller/jobs/slow.go
@@ -5,133 +5,157 @@
 	"container/heap"
 	"time"
 
-	"damsonkeel/internal/controller/waittable"
-
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
-// Slow machines are told from tasks that run long by the other tasks of the
-// same job: these are alike within a factor.
+// Slow machines are detected by tasks that run far longer than the others of the same job:
+// these take about the same time.
 const (
-	// slowFactor is how many times as long as usual a task may run.
+	// slowFactor is how many times the usual time a task may run.
 	slowFactor = 1.6
-	// slowTasks is how many tasks beyond that speak against their machine, or one
-	// that runs as many times longer still.
+	// slowTasks is how many late tasks show that their machine is slow; a task that is
+	// late by slowFactor once more counts twice.
 	slowTasks = 2
-	// slowMemory is how long one of them counts.
+	// slowMemory is how long a late task counts.
 	slowMemory = time.Minute
-	// slowDelay is what reports of starts and ends may differ by in their delay.
+	// slowDelay is by how much the delays of the reports of a start and an end may differ.
 	slowDelay = 2 * time.Second
-	// slowTaskFraction: no more than one in so many machines is given up at a time.
-	// Where more seem slow, something else is.
+	// slowTaskFraction limits the machines drained at a time to one in so many. Where
+	// more seem slow, the cause is another.
 	slowTaskFraction = 10
-	// slowChecks bounds the tasks looked at in one step.
+	// slowChecks bounds the tasks checked in one step.
 	slowChecks = 500
+	// slowRecheck is when a task is checked again of which nothing can be said yet.
+	slowRecheck = 5 * time.Second
+	// recentUpdates is how many intervals of updates old the state of a machine may be to
+	// be used.
+	recentUpdates = 3
 )
 
-// overdue is a running task to be looked at, if it still runs then.
+// runDeadline is when a running task is to be checked, if it still runs then.
 type runDeadline struct {
-	at clock.Time
-	t  *Attempt
+	at      clock.Time
+	attempt *Attempt
 }
 
+// runDeadlines is a heap with the earliest deadline on top.
 type runDeadlines []runDeadline
 
-func (h runDeadlines) Len() int { return len(h) }
-func (h runDeadlines) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].t.Number, h[j].t.Number)) < 0
+// Len is part of heap.Interface.
+func (d runDeadlines) Len() int { return len(d) }
+
+// Less is part of heap.Interface.
+func (d runDeadlines) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(d[i].at, d[j].at), cmp.Compare(d[i].attempt.Number, d[j].attempt.Number)) < 0
 }
-func (h runDeadlines) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Swap is part of heap.Interface.
+func (d runDeadlines) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
 
 // Push is part of heap.Interface.
-func (h *runDeadlines) Push(x any) { *h = append(*h, x.(runDeadline)) }
+func (d *runDeadlines) Push(x any) { *d = append(*d, x.(runDeadline)) }
 
 // Pop is part of heap.Interface.
-func (h *runDeadlines) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
+func (d *runDeadlines) Pop() any {
+	last := (*d)[len(*d)-1]
+	*d = (*d)[:len(*d)-1]
 	return last
 }
 
-// lateThreshold is how long a task may run whose like take a time.
-func lateThreshold(usualS float64) clock.Time {
-	return clock.Time(slowFactor*usualS*float64(time.Second)) + clock.Time(slowDelay)
+// lateThreshold returns how long a task may run if the usual time is given in seconds.
+func lateThreshold(usualSeconds float64) clock.Time {
+	return clock.Time(slowFactor*usualSeconds*float64(time.Second)) + clock.Time(slowDelay)
 }
 
-// watchRun has a task that runs looked at when it should be done.
-func (oj *Owned) watchRun(o *Job, t *Attempt) {
-	if o.Kind == protocol.KindJobArray {
-		heap.Push(&oj.runWatch, runDeadline{t.runningSince + lateThreshold(oj.EstimateOf(o)), t})
+// watchRun has a running task checked when it should be done.
+func (o *Owned) watchRun(job *Job, attempt *Attempt) {
+	if job.Kind == protocol.KindJobArray {
+		heap.Push(&o.runWatch, runDeadline{attempt.runningSince + lateThreshold(o.EstimateOf(job)), attempt})
 	}
 }
 
-// WatchSlow looks at the tasks that run longer than the others of their job,
-// and gives up the machines of which several do.
-func (oj *Owned) WatchSlow() {
-	h := &oj.runWatch
+// WatchSlow checks the tasks that run longer than the others of their job, and drains the
+// machines on which several do.
+func (o *Owned) WatchSlow() {
+	watch := &o.runWatch
 	for range slowChecks {
-		if len(*h) == 0 || (*h)[0].at > oj.Now {
+		if len(*watch) == 0 || (*watch)[0].at > o.Now {
 			return
 		}
-		t := heap.Pop(h).(runDeadline).t
-		o := oj.ByID[t.Task.Job]
-		m := oj.table.Machines[t.Machine]
-		if o == nil || o.Placed[t.Task] != t || !t.running || t.Stopping || m == nil || m.Epoch != t.Epoch {
-			continue
-		}
-		usual, ok := o.UsualSeconds()
-		switch late := t.runningSince + lateThreshold(usual); {
-		case !ok || oj.AwaitedInventories[m.ID] || !oj.table.Recent(m, 3*oj.Op.RelayEvery) || m.Reported.Silence != message.SilenceNone:
-			heap.Push(h, runDeadline{oj.After(5 * time.Second), t}) // nothing can be said yet
-		case late > oj.Now:
-			heap.Push(h, runDeadline{late, t})
-		default:
-			// One that goes on for far too long speaks for itself: it counts
-			// once more then.
-			if again := t.runningSince + lateThreshold(slowFactor*usual); again > oj.Now {
-				heap.Push(h, runDeadline{again, t})
-			}
-			oj.countLateRun(m)
+		o.checkRun(heap.Pop(watch).(runDeadline).attempt)
+	}
+}
+
+// checkRun checks whether a task runs too long, and when it is to be checked again.
+func (o *Owned) checkRun(attempt *Attempt) {
+	job := o.ByID[attempt.Task.Job]
+	m := o.table.Machines[attempt.Machine]
+	if job == nil || job.Placed[attempt.Task] != attempt || !attempt.running || attempt.Stopping || m == nil || m.Epoch != attempt.Epoch {
+		return
+	}
+	usual, ok := job.UsualSeconds()
+	lateAt := attempt.runningSince + lateThreshold(usual)
+	switch {
+	case !ok || !o.stateKnown(m): // nothing can be said yet
+		heap.Push(&o.runWatch, runDeadline{o.After(slowRecheck), attempt})
+	case lateAt > o.Now:
+		heap.Push(&o.runWatch, runDeadline{lateAt, attempt})
+	default:
+		// A task that goes on for far too long is proof enough: it counts once more then.
+		if lateAgain := attempt.runningSince + lateThreshold(slowFactor*usual); lateAgain > o.Now {
+			heap.Push(&o.runWatch, runDeadline{lateAgain, attempt})
 		}
+		o.countLateRun(m)
 	}
 }
 
-// countLateRun counts a task that runs too long against its machine.
-func (oj *Owned) countLateRun(m *waittable.Machine) {
-	if oj.Since(m.LastLateRun) > slowMemory {
+// stateKnown reports whether the ends of a machine's tasks would be known here: it has sent
+// its inventory, its dispatcher's updates are recent, and it has not fallen silent.
+func (o *Owned) stateKnown(m *waittable.Machine) bool {
+	return !o.AwaitedInventories[m.ID] && o.table.Recent(m, recentUpdates*o.Op.RelayEvery) && m.Reported.Silence == message.SilenceNone
+}
+
+// countLateRun counts a task that runs too long against its machine, and drains the
+// machine once there are several.
+func (o *Owned) countLateRun(m *waittable.Machine) {
+	if o.Since(m.LastLateRun) > slowMemory {
 		m.LateRuns = 0
 	}
-	m.LateRuns, m.LastLateRun = m.LateRuns+1, oj.Now
-	if m.LateRuns < slowTasks || m.Reported.Draining {
+	m.LateRuns, m.LastLateRun = m.LateRuns+1, o.Now
+	if m.LateRuns < slowTasks || m.Reported.Draining || o.tooManyDraining() {
 		return
 	}
+	m.Reported.Draining = true // at once: its dispatcher has not published it yet
+	o.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
+	o.Send(o.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
+	for _, attempt := range ordered.Tasks(o.AttemptsOn[m.ID]) {
+		if job := o.ByID[attempt.Task.Job]; job != nil && job.Kind == protocol.KindJobArray && job.CheckpointS > 0 {
+			o.SendStop(attempt, true, clusterstate.GraceS(&job.Job)) // resumes elsewhere from its checkpoint
+		}
+	}
+}
+
+// tooManyDraining reports whether more than one in slowTaskFraction machines is draining.
+func (o *Owned) tooManyDraining() bool {
 	draining := 0
-	for _, other := range oj.table.Machines {
+	for _, other := range o.table.Machines {
 		if other.Reported.Draining {
 			draining++
 		}
 	}
-	if draining*slowTaskFraction > len(oj.table.Machines) {
-		return
-	}
-	m.Reported.Draining = true // at once, though its keeper has not said so yet
-	oj.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
-	oj.Send(oj.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
-	for _, t := range ordered.Tasks(oj.AttemptsOn[m.ID]) {
-		if o := oj.ByID[t.Task.Job]; o != nil && o.Kind == protocol.KindJobArray && o.CheckpointS > 0 {
-			oj.SendStop(t, true, clusterstate.GraceS(&o.Job)) // goes on elsewhere from what it saves
-		}
-	}
+	return draining*slowTaskFraction > len(o.table.Machines)
 }
 
-// clearLateRuns takes back what was held against a machine.
-func (oj *Owned) clearLateRuns(o *Job, t *Attempt) {
-	if m := oj.table.Machines[t.Machine]; m != nil && t.running {
-		if usual, ok := o.UsualSeconds(); ok && !t.startUnseen && oj.Since(t.runningSince).Seconds() < usual {
+// clearLateRuns resets the count of a machine's late tasks when a task took less than the
+// usual time there.
+func (o *Owned) clearLateRuns(job *Job, attempt *Attempt) {
+	if m := o.table.Machines[attempt.Machine]; m != nil && attempt.running {
+		if usual, ok := job.UsualSeconds(); ok && !attempt.startUnseen && o.Since(attempt.runningSince).Seconds() < usual {
 			m.LateRuns = 0
 		}
 	}
--- a/internal/controller/jobs/usage.go
+++ b/internal/controller/jobs/usage.go
@@ -3,51 +3,51 @@
 import (
 	"math"
 
-	"damsonkeel/internal/controller/waittable"
-
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
-// TeamUsage sums what limited teams' attempts may take that are not proven
-// gone. Of a team just taken over, attempts that are not listed, of jobs that
-// are over too, can be only on machines that were not heard since: they take no
-// more than all there is of these.
-func (oj *Owned) TeamUsage() map[protocol.Team]resource.Amount {
+// TeamUsage sums what the attempts of limited teams may use that are not proven to be
+// gone. Of a team just taken over, unlisted attempts, of jobs that are over too, can only
+// be on machines whose inventory has not been received: they use no more than the capacity
+// of these.
+func (o *Owned) TeamUsage() map[protocol.Team]resource.Amount {
 	usage := map[protocol.Team]resource.Amount{}
-	for _, o := range oj.ByID {
-		if oj.Limited(o.Team) {
-			oj.AddUse(o, usage, len(o.Placed))
+	for _, job := range o.ByID {
+		if o.Limited(job.Team) {
+			o.AddUse(job, usage, len(job.Placed))
 		}
 	}
-	for _, t := range oj.EndedAttempts {
-		usage[t.team] = usage[t.team].Plus(t.need)
+	for _, ended := range o.EndedAttempts {
+		usage[ended.team] = usage[ended.team].Plus(ended.need)
 	}
-	if len(oj.UnverifiedTeams) > 0 {
-		var unheard resource.Amount
-		for id := range oj.AwaitedInventories {
-			if m := oj.table.Machines[id]; m != nil {
-				unheard = unheard.Plus(mostOn(m))
+	if len(o.UnverifiedTeams) > 0 {
+		var unverified resource.Amount
+		for id := range o.AwaitedInventories {
+			if m := o.table.Machines[id]; m != nil {
+				unverified = unverified.Plus(maxUseOn(m))
 			}
 		}
-		for team := range oj.UnverifiedTeams {
-			usage[team] = usage[team].Plus(unheard)
+		for team := range o.UnverifiedTeams {
+			usage[team] = usage[team].Plus(unverified)
 		}
 	}
 	return usage
 }
 
-// mostOn is the most that attempts on a machine may take.
-func mostOn(m *waittable.Machine) resource.Amount {
-	if m.Info.Name == "" {
-		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)} // of a type that the cloud does not list
+// maxUseOn returns the most that attempts on a machine may use.
+func maxUseOn(m *waittable.Machine) resource.Amount {
+	if m.Info.Name == "" { // of a type that the cloud does not list
+		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)}
 	}
 	return resource.Capacity(m.Info)
 }
 
-func (oj *Owned) AddUse(o *Job, usage map[protocol.Team]resource.Amount, n int) {
-	u := usage[o.Team]
-	u.CPUs += o.CPUs * float64(n)
-	u.GPUs += o.GPUs * float64(n)
-	usage[o.Team] = u
+// AddUse adds what n tasks of a job use to its team's usage.
+func (o *Owned) AddUse(job *Job, usage map[protocol.Team]resource.Amount, n int) {
+	used := usage[job.Team]
+	used.CPUs += job.CPUs * float64(n)
+	used.GPUs += job.GPUs * float64(n)
+	usage[job.Team] = used
 }
--- a/internal/controller/placement/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -7,203 +7,216 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/controller/jobs"
-	"damsonkeel/internal/controller/waittable"
-
 	"damsonkeel/internal/controller/binpack"
+	"damsonkeel/internal/controller/jobs"
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
-// candidates are the machines that may run a job's tasks, the smallest
-// expected wait first. Tasks of a job are alike, so the machines are looked at
-// once for all that are placed in one go, and after each task only the one
-// that took it again.
+// QueueAtMost is the longest expected wait for which a task is queued on a machine. A
+// task that would wait longer stays pending with its job's owner: otherwise a job of
+// 100,000 tasks on a small fleet would fill the memory of every controller and delay
+// everything that is queued after it.
+const QueueAtMost = 2 * time.Minute
+
+// microsecondsPerSecond converts expected waits to whole microseconds.
+const microsecondsPerSecond = 1e6
+
+// candidates are the machines that may run a job's tasks, as a heap with the smallest
+// expected wait on top. The tasks of a job are alike, so all machines are examined once
+// for all tasks that are placed together, and after each task only the machine that took
+// it is examined again.
 type candidates struct {
-	job           *jobs.Job
-	need          resource.Amount
-	risk          float64 // what a spot machine adds to the wait, in seconds
-	shun          bool    // spot machines only if there is no other way
-	claims        *Claims
-	bars          func(*waittable.Machine) bool // see Placer.Excluded; nil: nothing is promised
-	own           func(*waittable.Machine) bool // whether room is held there for the job
+	job    *jobs.Job
+	need   resource.Amount
+	claims *Claims
+	// spotRiskSeconds is added to the expected wait on a spot machine.
+	spotRiskSeconds float64
+	// avoidsSpot has spot machines used only where nothing else fits.
+	avoidsSpot bool
+	// excluded reports machines that reservations keep from the job; nil: none are. See
+	// Placer.excludedByReservations.
+	excluded func(*waittable.Machine) bool
+	// reserved reports machines with resources reserved for the job; nil: none have.
+	reserved      func(*waittable.Machine) bool
 	pricePremiums map[binpack.Kind]float64
 	heap          []candidate
 }
 
 // candidate is a machine as the job's next task would find it.
 type candidate struct {
-	m    *waittable.Machine
-	rank rank
-	wait int64 // per processor, in microseconds: sums of decimal numbers are not exact
-	tie  uint32
+	machine *waittable.Machine
+	rank    rank
+	// wait is the expected wait per processor in whole microseconds: sums of decimal
+	// fractions are not exact, and equal waits must compare as equal.
+	wait int64
+	tie  uint32 // random, breaks ties
 }
 
-// rank puts machines with room now before all that have none, and among them
-// those first whose room is held for the job, then those that no class has room
-// kept on.
+// rank orders candidates before their waits do: machines on which the task could start
+// now come before those on which it would queue.
 type rank uint8
 
 const (
-	rankOwn rank = iota
-	rankFree
-	rankWanted
-	rankQueue
+	rankReserved rank = iota // fits now, in resources reserved for the job
+	rankFree                 // fits now
+	rankClaimed              // fits now, but a class with a capacity reserve could use the machine
+	rankQueue                // does not fit now
 )
 
-func (s *candidates) Len() int { return len(s.heap) }
-func (s *candidates) Less(i, j int) bool {
-	a, b := &s.heap[i], &s.heap[j]
+// Len is part of heap.Interface.
+func (c *candidates) Len() int { return len(c.heap) }
+
+// Less is part of heap.Interface.
+func (c *candidates) Less(i, j int) bool {
+	a, b := &c.heap[i], &c.heap[j]
 	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.wait, b.wait), cmp.Compare(a.tie, b.tie)) < 0
 }
-func (s *candidates) Swap(i, j int) { s.heap[i], s.heap[j] = s.heap[j], s.heap[i] }
+
+// Swap is part of heap.Interface.
+func (c *candidates) Swap(i, j int) { c.heap[i], c.heap[j] = c.heap[j], c.heap[i] }
 
 // Push is part of heap.Interface; nothing is added after the start.
-func (s *candidates) Push(x any) { s.heap = append(s.heap, x.(candidate)) }
+func (c *candidates) Push(x any) { c.heap = append(c.heap, x.(candidate)) }
 
 // Pop is part of heap.Interface.
-func (s *candidates) Pop() any {
-	last := s.heap[len(s.heap)-1]
-	s.heap = s.heap[:len(s.heap)-1]
+func (c *candidates) Pop() any {
+	last := c.heap[len(c.heap)-1]
+	c.heap = c.heap[:len(c.heap)-1]
 	return last
 }
 
-// CandidatesFor looks for the machines that may run a job's tasks.
-func (pl *Placer) CandidatesFor(o *jobs.Job, zones map[protocol.Zone]int, cl *Claims) *candidates {
-	s := &candidates{job: o, need: resource.Need(&o.Job), bars: pl.excludedByHolds(o), claims: cl, risk: pl.workload.SpotStretch(&o.Job) * pl.Estimate(&o.Job), shun: pl.workload.AvoidsSpot(&o.Job), pricePremiums: pl.pricePremiums}
-	if s.bars != nil {
-		s.own = func(m *waittable.Machine) bool { return pl.reservations.HeldFor(&o.Job, m) }
+// CandidatesFor examines all machines and returns those that may run tasks of a job whose
+// other tasks are in the given zones.
+func (p *Placer) CandidatesFor(job *jobs.Job, zones map[protocol.Zone]int, claims *Claims) *candidates {
+	c := &candidates{
+		job:             job,
+		need:            resource.Need(&job.Job),
+		claims:          claims,
+		spotRiskSeconds: p.workload.SpotStretch(&job.Job) * p.Estimate(&job.Job),
+		avoidsSpot:      p.workload.AvoidsSpot(&job.Job),
+		excluded:        p.excludedByReservations(job),
+		pricePremiums:   p.pricePremiums,
 	}
-	mayTake := pl.Feasible(o, zones)
-	for _, m := range pl.table.InOrder() {
-		if mayTake(m) {
-			if k, ok := s.evaluate(m, pl.rng.Uint32()); ok && !s.queueTooLong(&k) {
-				s.heap = append(s.heap, k)
-			}
-		}
+	if c.excluded != nil {
+		c.reserved = func(m *waittable.Machine) bool { return p.reservations.HeldFor(&job.Job, m) }
 	}
-	pl.Examined += len(pl.table.InOrder())
-	heap.Init(s)
-	return s
-}
-
-// RefreshPrices takes over the prices last read.
-func (pl *Placer) RefreshPrices() { pl.pricePremiums = pl.computePricePremiums() }
-
-// computePricePremiums is how much more expensive each kind of machine is than the cheapest: the
-// part of its price, for a processor, that the cheapest would save. Among
-// machines with room it counts like the part of one that is free: the cheap and
-// the full ones are filled first, so that the expensive ones become idle.
-func (pl *Placer) computePricePremiums() map[binpack.Kind]float64 {
-	premiums := map[binpack.Kind]float64{}
-	least := math.Inf(1)
-	for _, t := range pl.Types {
-		for _, z := range t.AllowZones {
-			for _, spot := range []bool{true, false} {
-				k := binpack.Kind{Type: t.Name, Zone: z, Spot: spot}
-				premiums[k] = binpack.Price(pl.Types[k.Type], k.Spot)
-				least = math.Min(least, premiums[k])
+	feasible := p.Feasible(job, zones)
+	for _, m := range p.table.InOrder() {
+		if feasible(m) {
+			if found, ok := c.evaluate(m, p.rng.Uint32()); ok && !c.queueTooLong(&found) {
+				c.heap = append(c.heap, found)
 			}
 		}
 	}
-	for k, price := range premiums {
-		premiums[k] = 0
-		if price > 0 {
-			premiums[k] = 1 - least/price
-		}
-	}
-	return premiums
+	p.Examined += len(p.table.InOrder())
+	heap.Init(c)
+	return c
 }
 
-// Feasible tells which machines a job may have a task on at present, given the zones
-// of its others. Where it has failed it goes only if there is no other.
-func (pl *Placer) Feasible(o *jobs.Job, zones map[protocol.Zone]int) func(*waittable.Machine) bool {
-	nowhereElse := pl.jobs.FailedEverywhereElse(o)
+// Feasible returns a predicate for the machines on which a job may have a task at
+// present, given the zones of its other tasks. A machine on which the job has failed is
+// feasible only if it has failed on all others.
+func (p *Placer) Feasible(job *jobs.Job, zones map[protocol.Zone]int) func(*waittable.Machine) bool {
+	failedOnAll := p.jobs.FailedEverywhereElse(job)
 	return func(m *waittable.Machine) bool {
-		return pl.table.Usable(m) && (nowhereElse || !o.FailedOn[m.ID]) && o.Allows(m, zones)
+		return p.table.Usable(m) && (failedOnAll || !job.FailedOn[m.ID]) && job.Allows(m, zones)
 	}
 }
 
-// evaluate is what a machine is worth for the job's next task, if it is. A task
-// that others wait for goes only where nothing but less urgent work is in its
-// way, which is stopped for it: behind the rest it would keep the machines of
-// all others idle until they give it up.
-func (s *candidates) evaluate(m *waittable.Machine, tie uint32) (candidate, bool) {
-	if s.bars != nil && s.bars(m) {
+// evaluate returns a machine as a candidate for the job's next task, and whether it is
+// one. A task of a gang goes only where it can start once work of lower levels is
+// preempted: queued behind other work it would keep the machines of the whole gang idle
+// until that work ends.
+func (c *candidates) evaluate(m *waittable.Machine, tie uint32) (candidate, bool) {
+	if c.excluded != nil && c.excluded(m) {
 		return candidate{}, false
 	}
-	own := s.own != nil && s.own(m)
-	w, room := m.WaitFor(&s.job.Job, s.job.Level)
-	if own && !room && m.Idle().Covers(s.need) {
-		w, room = m.FetchSeconds(&s.job.Job), true
+	reserved := c.reserved != nil && c.reserved(m)
+	wait, fitsNow := m.WaitFor(&c.job.Job, c.job.Level)
+	if reserved && !fitsNow && m.Idle().Covers(c.need) {
+		wait, fitsNow = m.FetchSeconds(&c.job.Job), true
 	}
-	if !room && s.job.IsGang() {
-		firm := m.NonPreemptibleFree(s.job.Level)
-		if !firm.Covers(s.need) {
+	if !fitsNow && c.job.IsGang() {
+		obtainable := m.NonPreemptibleFree(c.job.Level)
+		if !obtainable.Covers(c.need) {
 			return candidate{}, false
 		}
-		w = m.FetchSeconds(&s.job.Job) + (firm.CPUs-math.Max(0, m.Free().CPUs))/math.Max(m.Info.CPUs, 1)
+		wait = m.FetchSeconds(&c.job.Job) + (obtainable.CPUs-math.Max(0, m.Free().CPUs))/math.Max(m.Info.CPUs, 1)
 	}
 	if m.Record.Spot {
-		w += s.risk
+		wait += c.spotRiskSeconds
 	}
-	if room {
-		w += s.pricePremiums[m.Kind()]
+	if fitsNow {
+		wait += c.pricePremiums[m.Kind()]
 	}
-	k := candidate{m: m, rank: rankQueue, wait: int64(math.Round(w * 1e6)), tie: tie}
-	if room && !(s.shun && m.Record.Spot) {
-		k.rank = rankFree
-		if s.claims.IsClaimed(s.job, m) {
-			k.rank = rankWanted
-		}
-	}
-	if room && own {
-		k.rank = rankOwn
+	found := candidate{machine: m, rank: c.rankOf(m, fitsNow, reserved), wait: int64(math.Round(wait * microsecondsPerSecond)), tie: tie}
+	return found, true
+}
+
+// rankOf returns the rank of a machine for the job's next task. A spot machine that the
+// job avoids ranks like one without free resources.
+func (c *candidates) rankOf(m *waittable.Machine, fitsNow, reserved bool) rank {
+	switch {
+	case !fitsNow:
+		return rankQueue
+	case reserved:
+		return rankReserved
+	case c.avoidsSpot && m.Record.Spot:
+		return rankQueue
+	case c.claims.IsClaimed(c.job, m):
+		return rankClaimed
 	}
-	return k, true
+	return rankFree
 }
 
 // restrict drops the machines that do not meet a condition.
-func (s *candidates) restrict(ok func(*waittable.Machine) bool) {
-	s.heap = slices.DeleteFunc(s.heap, func(k candidate) bool { return !ok(k.m) })
-	heap.Init(s)
+func (c *candidates) restrict(meets func(*waittable.Machine) bool) {
+	c.heap = slices.DeleteFunc(c.heap, func(k candidate) bool { return !meets(k.machine) })
+	heap.Init(c)
 }
 
-// QueueAtMost is how long a wait a task is queued for. What would wait longer
-// stays with its owner: a job of 100,000 tasks on a small fleet would else
-// fill every controller's memory and hold up all that is queued after it.
-const QueueAtMost = 2 * time.Minute
-
-// queueTooLong reports whether a machine's queue takes no more of the job. One whose
-// tasks are to be stopped for the job does; what has only what others leave waits in
-// no queue.
-func (s *candidates) queueTooLong(k *candidate) bool {
-	return k.rank == rankQueue && (s.job.UsesHeadroom || k.wait > QueueAtMost.Microseconds() && !k.m.NonPreemptibleFree(s.job.Level).Covers(s.need))
+// queueTooLong reports whether a machine's queue accepts no more tasks of the job. A
+// machine on which tasks can be preempted for the job always accepts them; a job
+// confined to the headroom is never queued.
+func (c *candidates) queueTooLong(k *candidate) bool {
+	if k.rank != rankQueue {
+		return false
+	}
+	return c.job.UsesHeadroom ||
+		k.wait > QueueAtMost.Microseconds() && !k.machine.NonPreemptibleFree(c.job.Level).Covers(c.need)
 }
 
-// Smallest is the machine with the smallest expected wait per processor, ties
-// broken at random, or nil. What does not suit any more is dropped: zones and
-// queues only fill while a job is placed, and room kept only shrinks.
-func (s *candidates) Smallest(zones map[protocol.Zone]int) *waittable.Machine {
-	for len(s.heap) > 0 {
-		top := &s.heap[0]
-		if !s.job.AllowsZone(top.m, zones) || s.queueTooLong(top) || top.rank != rankQueue && top.rank != rankOwn && !s.claims.LeavesClaimed(s.job, top.m, s.need) {
-			heap.Pop(s)
+// Smallest returns the machine with the smallest expected wait per processor, ties broken
+// at random, or nil. Candidates that no longer suit are dropped for good: while a job is
+// placed zones and queues only fill, and the capacity that may be spared only shrinks.
+func (c *candidates) Smallest(zones map[protocol.Zone]int) *waittable.Machine {
+	for len(c.heap) > 0 {
+		top := &c.heap[0]
+		if !c.job.AllowsZone(top.machine, zones) || c.queueTooLong(top) || c.takesClaimed(top) {
+			heap.Pop(c)
 			continue
 		}
-		return top.m
+		return top.machine
 	}
 	return nil
 }
 
-// noteExamined weighs the smallest again after it took a task.
-func (pl *Placer) noteExamined(s *candidates) {
-	pl.Examined++
-	k, ok := s.evaluate(s.heap[0].m, pl.rng.Uint32())
+// takesClaimed reports whether the next task would use capacity reserved for other
+// classes. A queued task uses none yet, and resources reserved for the job are its own.
+func (c *candidates) takesClaimed(k *candidate) bool {
+	return k.rank != rankQueue && k.rank != rankReserved && !c.claims.LeavesClaimed(c.job, k.machine, c.need)
+}
+
+// reevaluateTop evaluates the first candidate again after it took a task.
+func (p *Placer) reevaluateTop(c *candidates) {
+	p.Examined++
+	found, ok := c.evaluate(c.heap[0].machine, p.rng.Uint32())
 	if !ok {
-		heap.Pop(s)
+		heap.Pop(c)
 		return
 	}
-	s.heap[0] = k
-	heap.Fix(s, 0)
+	c.heap[0] = found
+	heap.Fix(c, 0)
 }
--- a/internal/controller/placement/claims.go
+++ b/internal/controller/placement/claims.go
@@ -3,131 +3,136 @@
 import (
 	"slices"
 
-	"damsonkeel/internal/controller/jobs"
-	"damsonkeel/internal/controller/waittable"
-
 	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/jobs"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 )
 
-// Claims is the room that is not free for everybody, though nothing is on it.
-// They hold for one step and are made anew in the next, so no claim outlives
-// what it is for, or its owner.
+// Claims is the unused capacity that is not free for every job. Claims are valid for one
+// step and computed anew in the next, so that none outlives its purpose or its owner.
 type Claims struct {
-	// Classes are claims on so much room, wherever it is.
+	// Classes are the capacity reserves of classes, on whichever machines.
 	Classes []ClassReserve
-	// Gangs are the machines that gangs which could not be placed yet wait for,
-	// with their levels: a gang placed later in the same step that could not be
-	// stopped for it goes elsewhere. Without that, a large gang would be starved
-	// by steady small ones.
+	// Gangs are the machines for which gangs wait that could not be placed yet, with the
+	// levels of these gangs. A gang that is placed later in the same step and could not
+	// be preempted for the waiting one must go elsewhere: otherwise a steady stream of
+	// small gangs would starve a large one.
 	Gangs map[*waittable.Machine]resource.Level
-	// headroom is how many processors jobs may take that have only what others
-	// leave: see Core.headroom.
-	leftOver float64
+	// headroomCPUs is how many processors jobs confined to the headroom may still take:
+	// see Placer.headroom.
+	headroomCPUs float64
 }
 
-// Blocks reports whether a gang has to leave a machine to another.
-func (cl *Claims) Blocks(o *jobs.Job, m *waittable.Machine) bool {
-	claimed, ok := cl.Gangs[m]
-	return ok && o.Level >= claimed
+// Blocks reports whether a machine is claimed by a gang that a job may not overtake.
+func (c *Claims) Blocks(job *jobs.Job, m *waittable.Machine) bool {
+	claimed, ok := c.Gangs[m]
+	return ok && job.Level >= claimed
 }
 
-// LeavesClaimed reports whether a machine's room may be used for a task without
-// touching what is reserved for other classes.
-func (cl *Claims) LeavesClaimed(o *jobs.Job, m *waittable.Machine, n resource.Amount) bool {
-	for i := range cl.Classes {
-		k := &cl.Classes[i]
-		if !k.applies(o) || !k.fits(m) {
+// LeavesClaimed reports whether a job's task may use a machine's resources without
+// touching the reserves of other classes.
+func (c *Claims) LeavesClaimed(job *jobs.Job, m *waittable.Machine, need resource.Amount) bool {
+	for i := range c.Classes {
+		reserve := &c.Classes[i]
+		if !reserve.appliesTo(job) || !reserve.canUse(m) {
 			continue
 		}
-		if cost := k.reduces(m, n); cost > 0 && k.Spare < cost {
+		if cost := reserve.placesLost(m, need); cost > 0 && reserve.Spare < cost {
 			return false
 		}
 	}
 	return true
 }
 
-// IsClaimed reports whether a class that room is kept for could use the machine.
-func (cl *Claims) IsClaimed(o *jobs.Job, m *waittable.Machine) bool {
-	for i := range cl.Classes {
-		if k := &cl.Classes[i]; k.applies(o) && k.fits(m) {
+// IsClaimed reports whether a class whose reserve is kept from the job could use the
+// machine.
+func (c *Claims) IsClaimed(job *jobs.Job, m *waittable.Machine) bool {
+	for i := range c.Classes {
+		if reserve := &c.Classes[i]; reserve.appliesTo(job) && reserve.canUse(m) {
 			return true
 		}
 	}
 	return false
 }
 
-// spend takes the room that a task is about to use out of what can be spared.
-func (cl *Claims) spend(m *waittable.Machine, n resource.Amount) {
-	for i := range cl.Classes {
-		if k := &cl.Classes[i]; k.fits(m) {
-			k.Spare -= k.reduces(m, n)
+// spend deducts the resources that a task is about to use from what can be spared.
+func (c *Claims) spend(m *waittable.Machine, need resource.Amount) {
+	for i := range c.Classes {
+		if reserve := &c.Classes[i]; reserve.canUse(m) {
+			reserve.Spare -= reserve.placesLost(m, need)
 		}
 	}
 }
 
-// give takes a whole machine out of it, if that can be spared.
-func (cl *Claims) Release(m *waittable.Machine) bool {
-	all := resource.Capacity(m.Info)
-	for i := range cl.Classes {
-		if k := &cl.Classes[i]; k.fits(m) && k.Spare < k.reduces(m, all) {
+// Release deducts a whole machine from what can be spared, and reports whether it can be.
+// If not, nothing is deducted.
+func (c *Claims) Release(m *waittable.Machine) bool {
+	capacity := resource.Capacity(m.Info)
+	for i := range c.Classes {
+		if reserve := &c.Classes[i]; reserve.canUse(m) && reserve.Spare < reserve.placesLost(m, capacity) {
 			return false
 		}
 	}
-	cl.spend(m, all)
+	c.spend(m, capacity)
 	return true
 }
 
-// tried notes what can be spared now, and returns how to go back to it when a
-// gang could not be placed whole.
-func (cl *Claims) tentative() (undo func()) {
-	before := slices.Clone(cl.Classes)
-	return func() { copy(cl.Classes, before) }
+// tentative records what can be spared now. The returned function restores it, for a gang
+// of which not all tasks could be placed.
+func (c *Claims) tentative() (undo func()) {
+	before := slices.Clone(c.Classes)
+	return func() { copy(c.Classes, before) }
 }
 
-// ClassReserve is room reserved for one class, wherever it is.
+// ClassReserve is capacity that is reserved for the tasks of one class, on whichever
+// machines.
 type ClassReserve struct {
-	Job   *clusterstate.LiveJob
-	risky bool // spot machines are no room for it
-	Need  resource.Amount
-	Spare int // how many more tasks fit than are reserved
+	Job        *clusterstate.LiveJob // a job of the class
+	avoidsSpot bool                  // spot machines do not count as capacity for it
+	Need       resource.Amount       // of one task
+	Spare      int                   // how many more tasks fit than are reserved
 }
 
-// Claims reckons what is claimed when a step begins: what is reserved for
-// classes, and how much more there is. Gangs add theirs as they are tried.
-func (pl *Placer) NewClaims() *Claims {
-	cl := &Claims{Gangs: map[*waittable.Machine]resource.Level{}}
-	for _, k := range ordered.Of(pl.workload.Classes) {
-		r := pl.workload.Reserve(k)
-		if r == 0 {
+// NewClaims returns the claims at the beginning of a step: the reserves of classes, and
+// how much more capacity there is. Gangs add theirs as they are tried.
+func (p *Placer) NewClaims() *Claims {
+	claims := &Claims{Gangs: map[*waittable.Machine]resource.Level{}}
+	for _, class := range ordered.Of(p.workload.Classes) {
+		tasks := p.workload.Reserve(class)
+		if tasks == 0 {
 			continue
 		}
-		l := &clusterstate.LiveJob{Job: k.Job}
-		kp := ClassReserve{Job: l, risky: pl.workload.AvoidsSpot(&l.Job), Need: resource.Need(&l.Job), Spare: -r}
-		for _, m := range pl.table.Machines {
-			if pl.table.Usable(m) && kp.fits(m) {
-				kp.Spare += m.Unreserved().CountFitting(kp.Need)
+		job := &clusterstate.LiveJob{Job: class.Job}
+		reserve := ClassReserve{Job: job, avoidsSpot: p.workload.AvoidsSpot(&job.Job), Need: resource.Need(&job.Job), Spare: -tasks}
+		for _, m := range p.table.Machines {
+			if p.table.Usable(m) && reserve.canUse(m) {
+				reserve.Spare += m.Unreserved().CountFitting(reserve.Need)
 			}
 		}
-		cl.Classes = append(cl.Classes, kp)
+		claims.Classes = append(claims.Classes, reserve)
 	}
-	return cl
+	return claims
 }
 
-// reduces is how many tasks of a reserved class would have no room any more if
-// a machine took a task of a size.
-func (k *ClassReserve) reduces(m *waittable.Machine, n resource.Amount) int {
+// placesLost returns how many tasks of the class would no longer fit on a machine if it
+// took a task of the given size.
+func (r *ClassReserve) placesLost(m *waittable.Machine, need resource.Amount) int {
 	free := m.Unreserved()
-	return free.CountFitting(k.Need) - free.Minus(n).CountFitting(k.Need)
+	return free.CountFitting(r.Need) - free.Minus(need).CountFitting(r.Need)
 }
 
-// fits reports whether a machine could ever take a task of the class.
-func (k *ClassReserve) fits(m *waittable.Machine) bool {
-	return !(k.risky && m.Record.Spot) && k.Job.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot)
+// canUse reports whether a machine could ever take a task of the class.
+func (r *ClassReserve) canUse(m *waittable.Machine) bool {
+	if r.avoidsSpot && m.Record.Spot {
+		return false
+	}
+	return r.Job.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot)
 }
 
-// applies reports whether room kept for the class is kept from a job.
-func (k *ClassReserve) applies(o *jobs.Job) bool {
-	return k.Job.Class != o.Class && k.Job.Priority.Rank() >= o.Priority.Rank()
+// appliesTo reports whether the reserve is kept from a job: one of another class that is
+// not more urgent.
+func (r *ClassReserve) appliesTo(job *jobs.Job) bool {
+	return r.Job.Class != job.Class && r.Job.Priority.Rank() >= job.Priority.Rank()
 }
--- a/internal/controller/placement/demand.go
+++ b/internal/controller/placement/demand.go
@@ -2,24 +2,32 @@
 
 import "damsonkeel/internal/controller/message"
 
-// demandMost bounds what one job counts for: far more than is rented at once.
-const demandMost = 1000
+// maxDemandPerJob bounds the tasks that one job counts for: far more than are provisioned
+// for at once.
+const maxDemandPerJob = 1000
 
-// Demand lists the work of owned jobs that has not started and may start now.
-// What a team's limit holds back is none.
-func (pl *Placer) Demand() []message.Demand {
-	usage := pl.jobs.TeamUsage()
-	var ds []message.Demand
-	for _, o := range pl.jobs.InOrder() {
-		if !o.Loaded || o.Unverified || o.NotBefore > pl.Now {
+// Demand lists the work of owned jobs that has not started and may start now, for the
+// autoscaler. Tasks that their team's limit prevents from starting are left out.
+func (p *Placer) Demand() []message.Demand {
+	usage := p.jobs.TeamUsage()
+	var demands []message.Demand
+	for _, job := range p.jobs.InOrder() {
+		if !job.Loaded || job.Unverified || job.NotBefore > p.Now {
 			continue
 		}
-		n := pl.mayStart(o, usage, min(o.MayTry(int(o.Pending.Count())), demandMost))
-		pl.jobs.AddUse(o, usage, n)
-		n += o.Waiting
-		if n > 0 {
-			ds = append(ds, message.Demand{Job: o.ID, Zone: o.BoundZone(), Unstarted: n, Level: int(o.Level), EstimateS: pl.jobs.EstimateOf(o), OldestS: pl.Since(o.WaitingSince).Seconds()})
+		tasks := p.countWithinLimit(job, usage, min(job.MayTry(int(job.Pending.Count())), maxDemandPerJob))
+		p.jobs.AddUse(job, usage, tasks)
+		tasks += job.Waiting
+		if tasks > 0 {
+			demands = append(demands, message.Demand{
+				Job:       job.ID,
+				Zone:      job.BoundZone(),
+				Unstarted: tasks,
+				Level:     int(job.Level),
+				EstimateS: p.jobs.EstimateOf(job),
+				OldestS:   p.Since(job.WaitingSince).Seconds(),
+			})
 		}
 	}
-	return ds
+	return demands
 }
--- a/internal/controller/placement/failedsearch.go
+++ b/internal/controller/placement/failedsearch.go
@@ -4,70 +4,89 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/controller/jobs"
-
 	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/jobs"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
-// failedSearch is a search for places that found none left: what asks for as much
-// or more, and may go to no other machines, need not look before a time. With
-// hundreds of small jobs waiting for a full fleet, each of them looking at all
-// machines ten times a second took more than a controller's whole share:
+// failedSearch is a search that found no machine for a task. Until it expires, a job that
+// needs as much or more and may use no other machines is not searched for. Without this,
+// hundreds of small jobs that wait for a full fleet each examine all machines ten times a
+// second, which takes more than a controller's whole processor time:
 // docs/incidents/2026-12-01-small-jobs-use-up-a-controller.md.
 type failedSearch struct {
-	need  resource.Amount
-	level resource.Level
-	rank  int
-	class string
-	types []protocol.MachineType
-	zone  protocol.Zone
-	spot  bool
-	// yields: it may have only what others leave, and not wait in a queue.
-	yields bool
-	until  clock.Time
+	need         resource.Amount
+	level        resource.Level
+	rank         int // of the priority
+	class        string
+	types        []protocol.MachineType
+	zone         protocol.Zone
+	spot         bool
+	usesHeadroom bool // the job was confined to the headroom, and could not be queued
+	until        clock.Time
 }
 
 const (
-	// SearchedAtOnce is how many machines may be looked at, a step, for arrays that
-	// are likely to find no place.
+	// SearchedAtOnce is how many machines may be examined in a step for arrays that are
+	// unlikely to find a place.
 	SearchedAtOnce = 3000
-	// failedSearchesMost bounds the searches remembered.
-	failedSearchesMost = 64
+	// maxFailedSearches bounds the searches that are remembered.
+	maxFailedSearches = 64
 )
 
-// noteFailedSearch remembers that a job's search for places found none any more.
-func (pl *Placer) noteFailedSearch(o *jobs.Job) {
-	if o.OneZone || o.Spread || len(o.FailedOn) > 0 || pl.reservations.Any || len(pl.failedSearches) >= failedSearchesMost {
-		return // where it may go depends on more than what is remembered
+// recordFailedSearch remembers that the search for a job's next task found no machine.
+func (p *Placer) recordFailedSearch(job *jobs.Job) {
+	if job.OneZone || job.Spread || len(job.FailedOn) > 0 || p.reservations.Any || len(p.failedSearches) >= maxFailedSearches {
+		return // its feasible machines depend on more than is remembered
+	}
+	search := failedSearch{
+		need:         resource.Need(&job.Job),
+		level:        job.Level,
+		rank:         job.Priority.Rank(),
+		class:        job.Class,
+		types:        job.Types,
+		zone:         job.Zone,
+		spot:         job.Spot,
+		usesHeadroom: job.UsesHeadroom,
 	}
-	pl.failedSearches = append(pl.failedSearches, failedSearch{
-		need: resource.Need(&o.Job), level: o.Level, rank: o.Priority.Rank(), class: o.Class, types: o.Types, zone: o.Zone, spot: o.Spot, yields: o.UsesHeadroom,
-	})
-	every := Interval * time.Duration(max(1, len(pl.failedSearches)*len(pl.table.InOrder())/SearchedAtOnce))
-	pl.failedSearches[len(pl.failedSearches)-1].until = pl.After(every)
+	stepsToSkip := max(1, (len(p.failedSearches)+1)*len(p.table.InOrder())/SearchedAtOnce)
+	search.until = p.After(Interval * time.Duration(stepsToSkip))
+	p.failedSearches = append(p.failedSearches, search)
 }
 
-// forgetFailedSearches drops the searches that are too long ago to tell anything.
-func (pl *Placer) forgetFailedSearches() {
-	pl.failedSearches = slices.DeleteFunc(pl.failedSearches, func(v failedSearch) bool { return v.until <= pl.Now })
+// expireFailedSearches drops the failed searches that no longer tell anything.
+func (p *Placer) expireFailedSearches() {
+	p.failedSearches = slices.DeleteFunc(p.failedSearches, func(s failedSearch) bool { return s.until <= p.Now })
 }
 
-// wouldFindNone reports whether a job's search would find no place, as another's has not.
-// Room kept for a class is room for its own jobs.
-func (pl *Placer) wouldFindNone(o *jobs.Job) bool {
-	if pl.reservations.Any {
+// wouldFindNone reports whether the search for a job's next task would fail because one
+// that could use at least the same machines has failed.
+func (p *Placer) wouldFindNone(job *jobs.Job) bool {
+	if p.reservations.Any {
 		return false
 	}
-	need := resource.Need(&o.Job)
-	for i := range pl.failedSearches {
-		v := &pl.failedSearches[i]
-		if need.Covers(v.need) && o.Level <= v.level && o.Priority.Rank() <= v.rank && (v.spot || !o.Spot) &&
-			(v.zone == "" || v.zone == o.Zone) && (len(v.types) == 0 || slices.Equal(v.types, o.Types)) &&
-			(v.class == o.Class || !pl.HasStartObjective(&o.Job)) && (o.UsesHeadroom || !v.yields) {
+	need := resource.Need(&job.Job)
+	for i := range p.failedSearches {
+		if p.failedSearches[i].implies(job, need) && p.mayUseNoOtherReserve(job, &p.failedSearches[i]) {
 			return true
 		}
 	}
 	return false
 }
+
+// implies reports whether a job asks for as much or more than the failed search, on no
+// other machines and with no higher level, apart from the reserves of classes.
+func (s *failedSearch) implies(job *jobs.Job, need resource.Amount) bool {
+	return need.Covers(s.need) && job.Level <= s.level && job.Priority.Rank() <= s.rank &&
+		(s.spot || !job.Spot) &&
+		(s.zone == "" || s.zone == job.Zone) &&
+		(len(s.types) == 0 || slices.Equal(s.types, job.Types)) &&
+		(job.UsesHeadroom || !s.usesHeadroom)
+}
+
+// mayUseNoOtherReserve reports whether no class reserve is open to a job that was closed to
+// the failed search: a class's reserve may be used by its own jobs.
+func (p *Placer) mayUseNoOtherReserve(job *jobs.Job, s *failedSearch) bool {
+	return s.class == job.Class || !p.HasStartObjective(&job.Job)
+}
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -1,210 +1,214 @@
 package placement
 
 import (
-	"math"
 	"slices"
 	"time"
 
 	"damsonkeel/internal/controller/jobs"
-	"damsonkeel/internal/controller/waittable"
-
-	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
-// PlaceGang places all tasks of a gang with one attempt number, when nothing
-// of its last attempt is left.
-func (pl *Placer) PlaceGang(o *jobs.Job, usage map[protocol.Team]resource.Amount, cl *Claims) []message.Placement {
-	n := int(o.Tasks)
-	if len(o.Placed) > 0 && o.IsGang() {
-		return pl.refill(o, usage, cl)
-	}
-	if len(o.Placed) > 0 || o.Unverified || !pl.withinLimit(o, usage, n) || !cl.takeHeadroom(o, n) {
+// refillWithin is how long the other tasks of a gang wait for a new place for tasks that
+// were released: longer than the move of a shard takes. When they were stopped at once,
+// gangs started over while all their shards moved.
+const refillWithin = 3 * time.Second
+
+// PlaceGang places all tasks of a gang under one attempt number, once nothing of its last
+// attempt is left.
+func (p *Placer) PlaceGang(job *jobs.Job, usage map[protocol.Team]resource.Amount, claims *Claims) []message.Placement {
+	tasks := int(job.Tasks)
+	if len(job.Placed) > 0 && job.IsGang() {
+		return p.refill(job, usage, claims)
+	}
+	if len(job.Placed) > 0 || job.Unverified || !p.withinLimit(job, usage, tasks) || !claims.takeHeadroom(job, tasks) {
 		return nil
 	}
-	var out []message.Placement
-	for _, zone := range pl.gangZones(o, cl) {
-		if out = pl.placeGangIn(o, zone, cl); out != nil {
-			pl.jobs.AddUse(o, usage, n)
-			return out
+	for _, zone := range p.gangZones(job, claims) {
+		attempt := p.jobs.NextAttempt()
+		if placed := p.placeTogether(job, attempt, map[protocol.Zone]int{}, zone, claims); placed != nil {
+			p.jobs.AddUse(job, usage, tasks)
+			return placed
 		}
 	}
-	if o.IsGang() && pl.Since(o.WaitingSince) < pl.claimFor(o) {
-		pl.claim(o, cl)
+	if job.IsGang() && p.Since(job.WaitingSince) < p.claimDuration(job) {
+		p.claimMachines(job, claims)
 	}
 	return nil
 }
 
-// placeGangIn places a gang in a zone, or in any if none is named.
-func (pl *Placer) placeGangIn(o *jobs.Job, zone protocol.Zone, cl *Claims) []message.Placement {
-	return pl.placeTogether(o, pl.jobs.NextAttempt(), map[protocol.Zone]int{}, zone, cl)
-}
-
-// placeTogether places all pending tasks of a gang under one attempt, or none, given
-// the zones of the others.
-func (pl *Placer) placeTogether(o *jobs.Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, cl *Claims) []message.Placement {
-	undo := cl.tentative()
-	from := pl.CandidatesFor(o, zones, cl)
-	if zone != "" || len(cl.Gangs) > 0 {
+// placeTogether places all pending tasks of a gang under one attempt, or none, given the
+// zones of its other tasks. An empty zone allows all.
+func (p *Placer) placeTogether(job *jobs.Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, claims *Claims) []message.Placement {
+	undo := claims.tentative()
+	from := p.CandidatesFor(job, zones, claims)
+	if zone != "" || len(claims.Gangs) > 0 {
 		from.restrict(func(m *waittable.Machine) bool {
-			return (zone == "" || m.Record.Zone == zone) && !cl.Blocks(o, m)
+			return (zone == "" || m.Record.Zone == zone) && !claims.Blocks(job, m)
 		})
 	}
-	var out []message.Placement
-	for i, ok := o.Pending.NextSet(0); ok; i, ok = o.Pending.NextSet(i + 1) {
+	var placed []message.Placement
+	for i, ok := job.Pending.NextSet(0); ok; i, ok = job.Pending.NextSet(i + 1) {
 		m := from.Smallest(zones)
 		if m == nil {
-			for _, p := range out { // all or none
-				t := o.Placed[p.Task]
-				pl.table.Machines[t.Machine].DropPendingWaits(1)
-				pl.jobs.RemoveAttempt(o, t)
-				o.Pending.Set(uint(p.Task.Index))
-			}
+			p.unplace(job, placed)
 			undo()
 			return nil
 		}
-		out = append(out, pl.PlaceFrom(from, uint32(i), m, attempt, zones))
+		placed = append(placed, p.PlaceFrom(from, uint32(i), m, attempt, zones))
 	}
-	return out
+	return placed
 }
 
-// refillWithin is how long the others of a gang wait for a place for what was
-// released: longer than the move of a share takes. Stopped at once, gangs were begun
-// again while all their shares moved.
-const refillWithin = 3 * time.Second
+// unplace takes back placements of this step that were not sent.
+func (p *Placer) unplace(job *jobs.Job, placed []message.Placement) {
+	for _, placement := range placed {
+		attempt := job.Placed[placement.Task]
+		p.table.Machines[attempt.Machine].DropPendingWaits(1)
+		p.jobs.RemoveAttempt(job, attempt)
+		job.Pending.Set(uint(placement.Task.Index))
+	}
+}
 
-// refill places what of a gang was released, under the attempt of the others; or has
-// these stopped, if there is no place for it for a while.
-func (pl *Placer) refill(o *jobs.Job, usage map[protocol.Team]resource.Amount, cl *Claims) []message.Placement {
-	n := int(o.Pending.Count())
-	if o.Unverified || n+len(o.Placed) != int(o.Tasks) {
+// refill places the tasks of a gang that were released under the attempt of the others.
+// If there has been no place for them for refillWithin, it stops the others.
+func (p *Placer) refill(job *jobs.Job, usage map[protocol.Team]resource.Amount, claims *Claims) []message.Placement {
+	missing := int(job.Pending.Count())
+	if job.Unverified || missing+len(job.Placed) != int(job.Tasks) {
 		return nil
 	}
-	var attempt protocol.Attempt
-	for _, t := range o.Placed {
-		if t.Stopping {
+	var number protocol.Attempt
+	for _, attempt := range job.Placed {
+		if attempt.Stopping {
 			return nil
 		}
-		attempt = t.Number
+		number = attempt.Number
 	}
-	if pl.withinLimit(o, usage, n) {
-		if out := pl.placeTogether(o, attempt, o.ZoneCounts(), "", cl); out != nil {
-			o.LacksSince = 0
-			pl.jobs.AddUse(o, usage, n)
-			return out
+	if p.withinLimit(job, usage, missing) {
+		if placed := p.placeTogether(job, number, job.ZoneCounts(), "", claims); placed != nil {
+			job.IncompleteSince = 0
+			p.jobs.AddUse(job, usage, missing)
+			return placed
 		}
 	}
-	if o.LacksSince == 0 {
-		o.LacksSince = pl.Now
+	if job.IncompleteSince == 0 {
+		job.IncompleteSince = p.Now
 	}
-	if pl.Since(o.LacksSince) < refillWithin {
+	if p.Since(job.IncompleteSince) < refillWithin {
 		return nil
 	}
-	o.LacksSince = 0
-	for _, t := range ordered.Tasks(o.Placed) {
-		pl.jobs.SendStop(t, true, clusterstate.GraceS(&o.Job))
-	}
+	job.IncompleteSince = 0
+	p.jobs.StopAll(job)
 	return nil
 }
 
-// gangZones lists the zones to try for a gang: any, unless its tasks have to
-// be in the same one. Then those that can hold it come in the order of what
-// they have room for now.
-func (pl *Placer) gangZones(o *jobs.Job, cl *Claims) []protocol.Zone {
-	if !o.OneZone || !o.IsGang() {
+// gangZones lists the zones to try for a gang: the empty zone, which allows all, unless
+// its tasks must be in the same zone. Then it lists the zones that could hold the whole
+// gang, those first in which most of it would fit now.
+func (p *Placer) gangZones(job *jobs.Job, claims *Claims) []protocol.Zone {
+	if !job.OneZone || !job.IsGang() {
 		return []protocol.Zone{""}
 	}
-	n := int(o.Tasks)
+	tasks := int(job.Tasks)
+	avoidsSpot := p.workload.AvoidsSpot(&job.Job)
+	fitNow, fitPreempting := p.countFittingByZone(job, claims, avoidsSpot)
+	zones := zonesFitting(fitPreempting, tasks)
+	if len(zones) == 0 && avoidsSpot { // rather on spot machines than not at all
+		fitNow, fitPreempting = p.countFittingByZone(job, claims, false)
+		zones = zonesFitting(fitPreempting, tasks)
+	}
+	slices.SortStableFunc(zones, func(a, b protocol.Zone) int { return min(fitNow[b], tasks) - min(fitNow[a], tasks) })
+	return zones
+}
+
+// zonesFitting lists the zones in which so many tasks fit.
+func zonesFitting(fitting map[protocol.Zone]int, tasks int) []protocol.Zone {
 	var zones []protocol.Zone
-	now, firm := pl.zoneRoom(o, cl, pl.workload.AvoidsSpot(&o.Job))
-	for range 2 {
-		for z := range ordered.Of(firm) {
-			if firm[z] >= n {
-				zones = append(zones, z)
-			}
+	for zone := range ordered.Of(fitting) {
+		if fitting[zone] >= tasks {
+			zones = append(zones, zone)
 		}
-		if len(zones) > 0 || !pl.workload.AvoidsSpot(&o.Job) {
-			break
-		}
-		now, firm = pl.zoneRoom(o, cl, false) // rather on spot machines than not at all
 	}
-	slices.SortStableFunc(zones, func(a, b protocol.Zone) int { return min(now[b], n) - min(now[a], n) })
 	return zones
 }
 
-// zoneRoom is how many of a gang's tasks have room by zone: now, and once what
-// is less urgent is stopped. Spot machines may be left out.
-func (pl *Placer) zoneRoom(o *jobs.Job, cl *Claims, shun bool) (now, firm map[protocol.Zone]int) {
-	now, firm = map[protocol.Zone]int{}, map[protocol.Zone]int{}
-	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
-	pl.Examined += len(pl.table.InOrder())
-	mayTake := pl.Feasible(o, none)
-	for _, m := range pl.table.InOrder() {
-		if mayTake(m) && !cl.Blocks(o, m) && !(shun && m.Record.Spot) {
-			free, most := m.Free(), m.NonPreemptibleFree(o.Level)
-			if pl.reservations.HeldFor(&o.Job, m) {
-				free = m.Idle() // it does not wait behind the rest
-				most = free
-			}
-			now[m.Record.Zone] += free.CountFitting(size)
-			firm[m.Record.Zone] += most.CountFitting(size)
+// countFittingByZone returns how many of a gang's tasks fit by zone: now, and once work of
+// lower levels is preempted. Spot machines may be left out.
+func (p *Placer) countFittingByZone(job *jobs.Job, claims *Claims, withoutSpot bool) (now, preempting map[protocol.Zone]int) {
+	now, preempting = map[protocol.Zone]int{}, map[protocol.Zone]int{}
+	need, none := resource.Need(&job.Job), map[protocol.Zone]int{}
+	p.Examined += len(p.table.InOrder())
+	feasible := p.Feasible(job, none)
+	for _, m := range p.table.InOrder() {
+		if !feasible(m) || claims.Blocks(job, m) || withoutSpot && m.Record.Spot {
+			continue
 		}
+		free, obtainable := m.Free(), m.NonPreemptibleFree(job.Level)
+		if p.reservations.HeldFor(&job.Job, m) {
+			free = m.Idle() // its reservation lets it overtake what is queued
+			obtainable = free
+		}
+		now[m.Record.Zone] += free.CountFitting(need)
+		preempting[m.Record.Zone] += obtainable.CountFitting(need)
 	}
-	return now, firm
+	return now, preempting
 }
 
-// claim claims as many machines as a gang needs, where the most of them have
-// room for it.
-func (pl *Placer) claim(o *jobs.Job, cl *Claims) {
-	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
+// claimMachines claims as many machines as a gang needs. A gang that must be in one zone
+// claims them where most of its tasks would fit.
+func (p *Placer) claimMachines(job *jobs.Job, claims *Claims) {
+	need, none := resource.Need(&job.Job), map[protocol.Zone]int{}
 	var best protocol.Zone
-	if o.OneZone {
-		_, firm := pl.zoneRoom(o, cl, false)
-		for z, n := range ordered.Of(firm) {
-			if best == "" || n > firm[best] {
-				best = z
+	if job.OneZone {
+		_, fitting := p.countFittingByZone(job, claims, false)
+		for zone, n := range ordered.Of(fitting) {
+			if best == "" || n > fitting[best] {
+				best = zone
 			}
 		}
 	}
-	left := int(o.Tasks)
-	pl.Examined += len(pl.table.InOrder())
-	mayTake := pl.Feasible(o, none)
-	for _, m := range pl.table.InOrder() {
-		if left <= 0 {
+	remaining := int(job.Tasks)
+	p.Examined += len(p.table.InOrder())
+	feasible := p.Feasible(job, none)
+	for _, m := range p.table.InOrder() {
+		if remaining <= 0 {
 			return
 		}
-		if best != "" && m.Record.Zone != best || cl.Blocks(o, m) || !mayTake(m) {
+		if best != "" && m.Record.Zone != best || claims.Blocks(job, m) || !feasible(m) {
 			continue
 		}
-		if n := m.NonPreemptibleFree(o.Level).CountFitting(size); n > 0 {
-			cl.Gangs[m] = o.Level
-			o.ClaimedMachines = append(o.ClaimedMachines, m)
-			left -= n
+		if n := m.NonPreemptibleFree(job.Level).CountFitting(need); n > 0 {
+			claims.Gangs[m] = job.Level
+			job.ClaimedMachines = append(job.ClaimedMachines, m)
+			remaining -= n
 		}
 	}
 }
 
-// claimAgain claims what a gang claimed when it was last tried, until it is
-// tried again.
-func (pl *Placer) claimAgain(o *jobs.Job, cl *Claims) {
-	for _, m := range o.ClaimedMachines {
-		if pl.table.Machines[m.ID] == m && !cl.Blocks(o, m) {
-			cl.Gangs[m] = o.Level
+// renewClaims claims again what a gang claimed when it was last tried, until it is tried
+// again.
+func (p *Placer) renewClaims(job *jobs.Job, claims *Claims) {
+	for _, m := range job.ClaimedMachines {
+		if p.table.Machines[m.ID] == m && !claims.Blocks(job, m) {
+			claims.Gangs[m] = job.Level
 		}
 	}
 }
 
-// claimFor bounds how long a gang claims machines: what has not come in the
-// time that several boots take may never come.
-func (pl *Placer) claimFor(o *jobs.Job) time.Duration {
-	boot := 0.0
-	for _, t := range pl.Types {
-		if o.AllowsKind(t, o.Zone, false) {
-			boot = math.Max(boot, t.BootS)
+// claimBoots is how many boots of the slowest suitable machine type a gang's claims last.
+const claimBoots = 4
+
+// claimDuration bounds how long a gang claims machines: those that have not come within
+// the time that several boots take may never come.
+func (p *Placer) claimDuration(job *jobs.Job) time.Duration {
+	bootSeconds := 0.0
+	for _, machineType := range p.Types {
+		if job.AllowsKind(machineType, job.Zone, false) {
+			bootSeconds = max(bootSeconds, machineType.BootS)
 		}
 	}
-	return time.Duration(4 * boot * float64(time.Second))
+	return time.Duration(claimBoots * bootSeconds * float64(time.Second))
 }
--- a/internal/controller/placement/levels.go
+++ b/internal/controller/placement/levels.go
@@ -5,34 +5,35 @@
 	"slices"
 
 	"damsonkeel/internal/controller/jobs"
-
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
-// SetLevels tells which owned jobs fit into their team's guarantee, together
-// with the team's earlier unfinished jobs.
-func (pl *Placer) SetLevels() {
+// SetLevels sets the levels of the owned jobs. A job is within its team's guarantee if it
+// fits into it together with the team's earlier unfinished jobs.
+func (p *Placer) SetLevels() {
 	used := map[protocol.Team]resource.Amount{}
-	bySubmission := slices.Clone(pl.jobs.InOrder())
+	bySubmission := slices.Clone(p.jobs.InOrder())
 	slices.SortStableFunc(bySubmission, func(a, b *jobs.Job) int { return cmp.Compare(a.SubmittedMS, b.SubmittedMS) })
-	for _, o := range bySubmission {
-		t, ok := pl.Team(o.Team)
-		if !ok || !pl.HasGuarantee(o.Team) {
-			pl.setLevel(o, resource.LevelOf(o.Priority, false))
+	for _, job := range bySubmission {
+		team, ok := p.Team(job.Team)
+		if !ok || !p.HasGuarantee(job.Team) {
+			p.setLevel(job, resource.LevelOf(job.Priority, false))
 			continue
 		}
-		n := float64(o.Tasks - o.DoneCount)
-		u := used[o.Team].Plus(resource.Amount{CPUs: n * o.CPUs, GPUs: n * o.GPUs})
-		used[o.Team] = u
-		pl.setLevel(o, resource.LevelOf(o.Priority, u.CPUs <= t.CPUs+resource.Slack && u.GPUs <= t.GPUs+resource.Slack))
+		unfinished := float64(job.Tasks - job.DoneCount)
+		sum := used[job.Team].Plus(resource.Amount{CPUs: unfinished * job.CPUs, GPUs: unfinished * job.GPUs})
+		used[job.Team] = sum
+		guaranteed := sum.CPUs <= team.CPUs+resource.Slack && sum.GPUs <= team.GPUs+resource.Slack
+		p.setLevel(job, resource.LevelOf(job.Priority, guaranteed))
 	}
 }
 
-// setLevel sets a job's level, and has it told if anybody reckons with it.
-func (pl *Placer) setLevel(o *jobs.Job, l resource.Level) {
-	if o.Level != l && pl.reservations.Any {
-		pl.jobs.Touch(o)
+// setLevel sets a job's level. Peers need it only while there are reservations; a change
+// is then replicated to them.
+func (p *Placer) setLevel(job *jobs.Job, level resource.Level) {
+	if job.Level != level && p.reservations.Any {
+		p.jobs.Touch(job)
 	}
-	o.Level = l
+	job.Level = level
 }
--- a/internal/controller/placement/limits.go
+++ b/internal/controller/placement/limits.go
@@ -6,83 +6,87 @@
 	"time"
 
 	"damsonkeel/internal/controller/jobs"
-	"damsonkeel/internal/controller/waittable"
-
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
+// LimitPatience is how long a job waits before other jobs of its team leave it a part of
+// the team's limit.
+const LimitPatience = 30 * time.Second
+
 // withinLimit reports whether n more tasks keep the team within its limit.
-func (pl *Placer) withinLimit(o *jobs.Job, usage map[protocol.Team]resource.Amount, n int) bool {
-	t, ok := pl.Team(o.Team)
+func (p *Placer) withinLimit(job *jobs.Job, usage map[protocol.Team]resource.Amount, n int) bool {
+	team, ok := p.Team(job.Team)
 	if !ok {
 		return false
 	}
-	u := usage[o.Team].Plus(pl.limitClaimed(o))
-	return (t.MaxCPUs == 0 || u.CPUs+o.CPUs*float64(n) <= t.MaxCPUs+resource.Slack) &&
-		(t.MaxGPUs == 0 || u.GPUs+o.GPUs*float64(n) <= t.MaxGPUs+resource.Slack)
+	used := usage[job.Team].Plus(p.limitClaimed(job))
+	return (team.MaxCPUs == 0 || used.CPUs+job.CPUs*float64(n) <= team.MaxCPUs+resource.Slack) &&
+		(team.MaxGPUs == 0 || used.GPUs+job.GPUs*float64(n) <= team.MaxGPUs+resource.Slack)
 }
 
-// LimitClaimed is what of a team's limit is promised to other jobs by the time that a
-// task of this one is likely to be over.
-func (pl *Placer) limitClaimed(o *jobs.Job) resource.Amount {
-	if !pl.reservations.ClaimsLimitOf(o.Team) {
+// limitClaimed returns the part of a team's limit that is reserved for other jobs by the
+// time at which a task of this one is likely to end.
+func (p *Placer) limitClaimed(job *jobs.Job) resource.Amount {
+	if !p.reservations.ClaimsLimitOf(job.Team) {
 		return resource.Amount{}
 	}
-	return pl.reservations.LimitClaimed(&o.Job, pl.jobs.EstimateOf(o))
+	return p.reservations.LimitClaimed(&job.Job, p.jobs.EstimateOf(job))
 }
 
-// LimitPatience is how long a job waits before others of its team leave it a part of the
-// team's limit.
-const LimitPatience = 30 * time.Second
-
-// queuesWithinLimit reports whether one more task may wait in a machine's queue within
-// its team's limit: what waits there counts, and one task is left of the limit to that
-// job of the team of which nothing has begun for longest, and for a while: to other,
-// unless the job itself has waited longer. Else it would
-// wait beside machines with room, for a limit that is used up by what does not run. Left
-// to all such jobs, nothing would be queued where many wait, and whatever is large would
-// take what comes free.
-func (pl *Placer) queuesWithinLimit(o, other *jobs.Job, usage map[protocol.Team]resource.Amount) bool {
-	left := map[protocol.Team]resource.Amount{o.Team: usage[o.Team]}
-	if other != nil && !(pl.waitsForLimit(o) && bySince(o, other) < 0) {
-		pl.jobs.AddUse(other, left, 1)
+// queuesWithinLimit reports whether one more task of a job may be queued on a machine
+// within its team's limit. Queued tasks count against the limit, and one task's part of it
+// is left to the longest-waiting other job of the team, unless the job itself has waited
+// longer. Otherwise that job would wait beside machines with free resources, for a limit
+// used up by tasks that do not run. If a part were left to each waiting job, nothing would
+// be queued where many wait, and jobs with large tasks would take whatever becomes free.
+func (p *Placer) queuesWithinLimit(job, longestWaiting *jobs.Job, usage map[protocol.Team]resource.Amount) bool {
+	total := map[protocol.Team]resource.Amount{job.Team: usage[job.Team]}
+	waitsLongest := longestWaiting == nil || p.waitsForLimit(job) && compareWaiting(job, longestWaiting) < 0
+	if !waitsLongest {
+		p.jobs.AddUse(longestWaiting, total, 1)
 	}
-	return pl.withinLimit(o, left, 1)
+	return p.withinLimit(job, total, 1)
 }
 
-// longestWaiting is that other job of a job's team, if the team has a limit, of which
-// nothing has begun for longest, and for a while.
-func (pl *Placer) longestWaiting(o *jobs.Job) (first *jobs.Job) {
-	if !pl.Limited(o.Team) {
+// longestWaiting returns the job that has waited longest of the other jobs of a job's
+// team, if the team has a limit and that job has waited for longer than LimitPatience.
+func (p *Placer) longestWaiting(job *jobs.Job) (longest *jobs.Job) {
+	if !p.Limited(job.Team) {
 		return nil
 	}
-	for _, other := range pl.jobs.ByID {
-		if other != o && other.Team == o.Team && pl.waitsForLimit(other) && (first == nil || bySince(other, first) < 0) {
-			first = other
+	for _, other := range p.jobs.ByID {
+		if other == job || other.Team != job.Team || !p.waitsForLimit(other) {
+			continue
+		}
+		if longest == nil || compareWaiting(other, longest) < 0 {
+			longest = other
 		}
 	}
-	return first
+	return longest
 }
 
-func (pl *Placer) waitsForLimit(o *jobs.Job) bool {
-	return o.Kind != protocol.KindGang && pl.notBegunFor(o, LimitPatience)
+// waitsForLimit reports whether nothing of an array has been placed for LimitPatience.
+func (p *Placer) waitsForLimit(job *jobs.Job) bool {
+	return job.Kind != protocol.KindGang && p.nothingPlacedFor(job, LimitPatience)
 }
 
-func bySince(a, b *jobs.Job) int {
+// compareWaiting orders jobs by how long they have waited, longest first.
+func compareWaiting(a, b *jobs.Job) int {
 	return cmp.Or(cmp.Compare(a.WaitingSince, b.WaitingSince), cmp.Compare(a.ID, b.ID))
 }
 
-// mayStart is how many of n more tasks keep the team within its limit.
-func (pl *Placer) mayStart(o *jobs.Job, usage map[protocol.Team]resource.Amount, n int) int {
-	return sort.Search(n, func(k int) bool { return !pl.withinLimit(o, usage, k+1) })
+// countWithinLimit returns how many of n more tasks keep the team within its limit.
+func (p *Placer) countWithinLimit(job *jobs.Job, usage map[protocol.Team]resource.Amount, n int) int {
+	return sort.Search(n, func(k int) bool { return !p.withinLimit(job, usage, k+1) })
 }
 
-// Excluded tells on which machines a job's tasks may not be placed for what is
-// promised there; nil: nothing is.
-func (pl *Placer) excludedByHolds(o *jobs.Job) func(m *waittable.Machine) bool {
-	if !pl.reservations.Active() {
+// excludedByReservations returns a predicate for the machines on which a job's tasks may
+// not be placed because of reservations; nil if there are none.
+func (p *Placer) excludedByReservations(job *jobs.Job) func(m *waittable.Machine) bool {
+	if !p.reservations.Active() {
 		return nil
 	}
-	return pl.reservations.Excluded(&o.Job, o.Level, pl.jobs.EstimateOf(o))
+	return p.reservations.Excluded(&job.Job, job.Level, p.jobs.EstimateOf(job))
 }
--- /dev/null
+++ b/internal/controller/placement/prices.go
@@ -0,0 +1,35 @@
+package placement
+
+import (
+	"math"
+
+	"damsonkeel/internal/controller/binpack"
+)
+
+// RefreshPrices recomputes the price premiums from the machine types last read.
+func (p *Placer) RefreshPrices() { p.pricePremiums = p.computePricePremiums() }
+
+// computePricePremiums returns, for each kind of machine, the part of its price per
+// processor that the cheapest kind would save. Among machines with free resources the
+// premium counts like the fraction of a machine that is free: cheap and nearly full
+// machines are filled first, so that expensive ones become idle and can be terminated.
+func (p *Placer) computePricePremiums() map[binpack.Kind]float64 {
+	premiums := map[binpack.Kind]float64{}
+	lowest := math.Inf(1)
+	for _, machineType := range p.Types {
+		for _, zone := range machineType.AllowZones {
+			for _, spot := range []bool{true, false} {
+				kind := binpack.Kind{Type: machineType.Name, Zone: zone, Spot: spot}
+				premiums[kind] = binpack.Price(p.Types[kind.Type], kind.Spot)
+				lowest = math.Min(lowest, premiums[kind])
+			}
+		}
+	}
+	for kind, price := range premiums {
+		premiums[kind] = 0
+		if price > 0 {
+			premiums[kind] = 1 - lowest/price
+		}
+	}
+	return premiums
+}
--- a/internal/controller/placement/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -6,164 +6,195 @@
 	"slices"
 
 	"damsonkeel/internal/controller/jobs"
-	"damsonkeel/internal/controller/waittable"
-
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
-// movableTasks are the tasks of one job that wait in queues: those of the
-// longest queues first and in them the last in line first.
+const (
+	// MovesMost bounds the tasks moved in one step. When thousands of machines come back
+	// at once, the rest follows with the next ticks.
+	MovesMost = 500
+	// maxMovable bounds the queued tasks examined in one step: those of the longest
+	// queues.
+	maxMovable = 20000
+)
+
+// movableTasks are the queued tasks of one job, those of the longest queues first and
+// within a queue the last one first.
 type movableTasks struct {
 	job      *jobs.Job
 	need     resource.Amount
-	excluded func(*waittable.Machine) bool // see Placer.Excluded
+	excluded func(*waittable.Machine) bool // see Placer.excludedByReservations
 	tasks    []movableTask
 }
 
+// movableTask is an attempt that is queued.
 type movableTask struct {
 	*jobs.Attempt
-	wait float64 // per processor, where it is queued
+	wait float64 // expected, per processor, on the machine where it is queued
 }
 
-const (
-	// MovesMost bounds the tasks moved in one step. When thousands of machines
-	// come back at once, the rest follows with the next ticks.
-	MovesMost = 500
-	// movableMost bounds the waiting tasks looked at in one step: those of the
-	// longest queues.
-	movableMost = 20000
-)
-
-// Rebalance lets a machine with room take unstarted tasks from the longest
-// queue: the owner has them released there and places them again. What was
-// left by the step before goes on where that ended: the machines before have
-// their tasks on the way, which the table does not show yet.
-func (pl *Placer) Rebalance(after protocol.MachineID) {
-	pl.RebalancedUpTo = ""
-	if !pl.HoldsLease() {
+// Rebalance lets machines with free resources take queued tasks from the longest queues:
+// their dispatchers are asked to release them, and then they are placed again. It
+// continues after the machine at which the step before stopped: the tasks for the machines
+// up to that one are on their way, which the waittable does not show yet.
+func (p *Placer) Rebalance(after protocol.MachineID) {
+	p.RebalancedUpTo = ""
+	if !p.HoldsLease() {
 		return
 	}
-	var roomy []*waittable.Machine
-	for _, m := range pl.table.InOrder() {
-		if m.ID > after && pl.table.Usable(m) && m.Reported.Epoch == m.Epoch && (m.Reported.Queued == 0 && m.Free().CPUs > resource.Slack || len(pl.reservations.Holds[m.ID]) > 0 && m.Idle().CPUs > resource.Slack) {
-			roomy = append(roomy, m)
-		}
-	}
-	if len(roomy) == 0 {
+	receivers := p.machinesWithFreeResources(after)
+	if len(receivers) == 0 {
 		return
 	}
-	movable := pl.movableTasksByJob()
+	movable := p.movableTasksByJob()
 	if len(movable) == 0 {
 		return
 	}
-	least := resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)}
-	for _, g := range movable {
-		least = resource.Amount{CPUs: min(least.CPUs, g.need.CPUs), GPUs: min(least.GPUs, g.need.GPUs), GB: min(least.GB, g.need.GB)}
-	}
-	cl, left := pl.NewClaims(), MovesMost
-	for _, m := range roomy {
+	least := smallestNeed(movable)
+	claims, remaining := p.NewClaims(), MovesMost
+	for _, m := range receivers {
 		if m.Idle().Covers(least) {
-			left -= pl.moveTasksTo(m, movable, cl, left)
+			remaining -= p.moveTasksTo(m, movable, claims, remaining)
 		}
-		if left <= 0 {
-			pl.RebalancedUpTo = m.ID
+		if remaining <= 0 {
+			p.RebalancedUpTo = m.ID
 			return
 		}
 	}
 }
 
 // ContinueRebalance does what the last rebalance left.
-func (pl *Placer) ContinueRebalance() {
-	if pl.RebalancedUpTo != "" {
-		pl.Rebalance(pl.RebalancedUpTo)
+func (p *Placer) ContinueRebalance() {
+	if p.RebalancedUpTo != "" {
+		p.Rebalance(p.RebalancedUpTo)
 	}
 }
 
-// movableTasksByJob lists the tasks of this owner that wait in queues, by job.
-func (pl *Placer) movableTasksByJob() []*movableTasks {
-	byJob := map[protocol.JobID]*movableTasks{}
-	var all []*movableTasks
-	var queued []*waittable.Machine
-	for _, m := range pl.table.InOrder() {
-		if m.Reported.Queued > 0 && len(pl.jobs.AttemptsOn[m.ID]) > 0 {
-			queued = append(queued, m)
+// machinesWithFreeResources lists the machines after the given one that may take queued
+// tasks: those without a queue, and those with reserved resources that are idle.
+func (p *Placer) machinesWithFreeResources(after protocol.MachineID) []*waittable.Machine {
+	var free []*waittable.Machine
+	for _, m := range p.table.InOrder() {
+		if m.ID <= after || !p.table.Usable(m) || m.Reported.Epoch != m.Epoch {
+			continue
+		}
+		if m.Reported.Queued == 0 && m.Free().CPUs > resource.Slack ||
+			len(p.reservations.Holds[m.ID]) > 0 && m.Idle().CPUs > resource.Slack {
+			free = append(free, m)
 		}
 	}
-	perCPU := func(m *waittable.Machine) float64 { return m.Wait() / m.Info.CPUs }
-	slices.SortStableFunc(queued, func(a, b *waittable.Machine) int { return cmp.Compare(perCPU(b), perCPU(a)) })
-	n := 0
-	for _, m := range queued {
-		if n >= movableMost {
+	return free
+}
+
+// smallestNeed returns the least of each resource that any of the tasks needs.
+func smallestNeed(movable []*movableTasks) resource.Amount {
+	least := resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)}
+	for _, tasks := range movable {
+		least = resource.Amount{
+			CPUs: min(least.CPUs, tasks.need.CPUs),
+			GPUs: min(least.GPUs, tasks.need.GPUs),
+			GB:   min(least.GB, tasks.need.GB),
+		}
+	}
+	return least
+}
+
+// waitPerCPU returns the expected wait on a machine per processor.
+func waitPerCPU(m *waittable.Machine) float64 { return m.Wait() / m.Info.CPUs }
+
+// movableTasksByJob lists the queued tasks of the owned jobs that may be moved, by job.
+func (p *Placer) movableTasksByJob() []*movableTasks {
+	byJob := map[protocol.JobID]*movableTasks{}
+	var all []*movableTasks
+	count := 0
+	for _, m := range p.machinesWithQueues() {
+		if count >= maxMovable {
 			break
 		}
-		wait := perCPU(m)
-		for _, t := range pl.jobs.AttemptsOn[m.ID] {
-			o := pl.jobs.ByID[t.Task.Job]
-			if o == nil || t.Started || t.Stopping || t.ReleaseAsked || t.Unverified || o.Kind == protocol.KindGang && o.Tasks > 1 {
+		wait := waitPerCPU(m)
+		for _, attempt := range p.jobs.AttemptsOn[m.ID] {
+			job := p.jobs.ByID[attempt.Task.Job]
+			if job == nil || !attempt.IsMovable() || job.IsGang() {
 				continue
 			}
-			g := byJob[o.ID]
-			if g == nil {
-				g = &movableTasks{job: o, need: resource.Need(&o.Job), excluded: pl.excludedByHolds(o)}
-				byJob[o.ID] = g
-				all = append(all, g)
+			tasks := byJob[job.ID]
+			if tasks == nil {
+				tasks = &movableTasks{job: job, need: resource.Need(&job.Job), excluded: p.excludedByReservations(job)}
+				byJob[job.ID] = tasks
+				all = append(all, tasks)
 			}
-			g.tasks = append(g.tasks, movableTask{t, wait})
-			n++
+			tasks.tasks = append(tasks.tasks, movableTask{attempt, wait})
+			count++
 		}
 	}
-	for _, g := range all {
-		slices.SortFunc(g.tasks, func(a, b movableTask) int {
+	for _, tasks := range all {
+		slices.SortFunc(tasks.tasks, func(a, b movableTask) int {
 			return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(b.Number, a.Number))
 		})
 	}
 	return all
 }
 
-// moveTasksTo fills a machine's room with movable tasks, at most so many, the most
-// urgent first, then those of the longest queues. It returns how many it took.
-func (pl *Placer) moveTasksTo(m *waittable.Machine, movable []*movableTasks, cl *Claims, most int) (taken int) {
+// machinesWithQueues lists the machines that have a queue and attempts of owned jobs, the
+// longest expected wait first.
+func (p *Placer) machinesWithQueues() []*waittable.Machine {
+	var queued []*waittable.Machine
+	for _, m := range p.table.InOrder() {
+		if m.Reported.Queued > 0 && len(p.jobs.AttemptsOn[m.ID]) > 0 {
+			queued = append(queued, m)
+		}
+	}
+	slices.SortStableFunc(queued, func(a, b *waittable.Machine) int { return cmp.Compare(waitPerCPU(b), waitPerCPU(a)) })
+	return queued
+}
+
+// moveTasksTo has queued tasks released for a machine until its idle resources are used,
+// at most so many: the most urgent first, then those of the longest queues. It returns
+// how many.
+func (p *Placer) moveTasksTo(m *waittable.Machine, movable []*movableTasks, claims *Claims, most int) (moved int) {
 	free := m.Idle()
-	for ; taken < most; taken++ {
+	for ; moved < most; moved++ {
 		var best *movableTasks
-		for _, g := range movable {
-			if len(g.tasks) > 0 && free.Covers(g.need) && (m.Reported.Queued == 0 || pl.reservations.HeldFor(&g.job.Job, m)) && (best == nil || g.before(best)) && pl.mayMove(g, m, cl) {
-				best = g
+		for _, tasks := range movable {
+			if len(tasks.tasks) > 0 && free.Covers(tasks.need) && (m.Reported.Queued == 0 || p.reservations.HeldFor(&tasks.job.Job, m)) && (best == nil || tasks.before(best)) && p.mayMove(tasks, m, claims) {
+				best = tasks
 			}
 		}
 		if best == nil {
 			break
 		}
-		t := best.tasks[0]
+		next := best.tasks[0]
 		best.tasks = best.tasks[1:]
 		free = free.Minus(best.need)
-		pl.jobs.SendStop(t.Attempt, false, 0)
-		pl.Log.Debug("moving a waiting task", "task", t.Task, "from", t.Machine, "to", m.ID)
+		p.jobs.SendStop(next.Attempt, false, 0)
+		p.Log.Debug("requested release of a queued task", "task", next.Task, "from", next.Machine, "to", m.ID)
 	}
-	return taken
+	return moved
 }
 
-func (g *movableTasks) before(h *movableTasks) bool {
-	a, b := g.tasks[0], h.tasks[0]
+// before reports whether the first task of a job is to be moved before that of another.
+func (t *movableTasks) before(other *movableTasks) bool {
+	a, b := t.tasks[0], other.tasks[0]
 	return cmp.Or(
-		cmp.Compare(h.job.Priority.Rank(), g.job.Priority.Rank()),
+		cmp.Compare(other.job.Priority.Rank(), t.job.Priority.Rank()),
 		cmp.Compare(b.wait, a.wait), cmp.Compare(b.Number, a.Number)) < 0
 }
 
 // mayMove reports whether a machine may take the next of a job's movable tasks.
-func (pl *Placer) mayMove(g *movableTasks, m *waittable.Machine, cl *Claims) bool {
-	o, t := g.job, g.tasks[0]
-	if t.Machine == m.ID || o.FailedOn[m.ID] {
+func (p *Placer) mayMove(tasks *movableTasks, m *waittable.Machine, claims *Claims) bool {
+	job, next := tasks.job, tasks.tasks[0]
+	if next.Machine == m.ID || job.FailedOn[m.ID] {
 		return false
 	}
 	var zones map[protocol.Zone]int
-	if o.OneZone || o.Spread { // else they don't matter, and counting them for each task is costly
-		zones = o.ZoneCounts()
-		zones[t.Zone]--
+	if job.OneZone || job.Spread { // otherwise the zones don't matter, and counting them for each task is costly
+		zones = job.ZoneCounts()
+		zones[next.Zone]--
 	}
-	if g.excluded != nil && g.excluded(m) {
+	if tasks.excluded != nil && tasks.excluded(m) {
 		return false
 	}
-	return o.Allows(m, zones) && cl.LeavesClaimed(o, m, g.need)
+	return job.Allows(m, zones) && claims.LeavesClaimed(job, m, tasks.need)
 }
--- /dev/null
+++ b/internal/controller/placement/round.go
@@ -0,0 +1,133 @@
+package placement
+
+import (
+	"math"
+	"time"
+
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/protocol"
+)
+
+// round is one pass over the jobs with pending tasks.
+type round struct {
+	usage      map[protocol.Team]resource.Amount
+	claims     *Claims
+	batches    map[protocol.NodeName][]message.Placement // by dispatcher
+	waits      map[protocol.MachineID]*waittable.OwnWaits
+	remaining  int // placements that the step may still make
+	stuckGangs int // gangs that found no place when they were last tried
+}
+
+// Schedule places what is pending: each task once, on the machine with the smallest
+// expected wait per processor among those that can run it.
+func (p *Placer) Schedule() {
+	p.table.PlacementDue = false
+	if len(p.Types) == 0 {
+		return
+	}
+	r := &round{
+		usage:     p.jobs.TeamUsage(),
+		claims:    p.NewClaims(),
+		batches:   map[protocol.NodeName][]message.Placement{},
+		waits:     map[protocol.MachineID]*waittable.OwnWaits{},
+		remaining: MaxPerStep,
+	}
+	r.claims.headroomCPUs = p.headroom() // only placing uses it
+	p.SetLevels()
+	p.expireFailedSearches()
+	r.stuckGangs = p.countStuckGangs()
+	for _, job := range p.jobs.InOrder() {
+		if !job.Loaded || job.FinishDue || job.NotBefore > p.Now || job.Pending.None() {
+			continue
+		}
+		p.recordPlacements(r, p.placeJob(job, r))
+		if r.remaining <= 0 {
+			p.table.PlacementDue = true
+			break
+		}
+	}
+	p.sendPlacements(r.batches)
+	p.table.SendWaits(r.waits)
+}
+
+// countStuckGangs counts the pending gangs that found no place when they were last tried.
+func (p *Placer) countStuckGangs() int {
+	stuck := 0
+	for _, job := range p.jobs.InOrder() {
+		if job.SearchFailed && !job.Pending.None() {
+			stuck++
+		}
+	}
+	return stuck
+}
+
+// retryInterval returns how often gangs that found no place are tried again when there are
+// so many: at each step where that is cheap, less often where many wait on a large fleet.
+func (p *Placer) retryInterval(stuckGangs int) time.Duration {
+	return Interval * time.Duration(stuckGangs*len(p.table.InOrder())/MaxExaminedPerStep)
+}
+
+// placeJob places what is pending of one job.
+func (p *Placer) placeJob(job *jobs.Job, r *round) []message.Placement {
+	job.UsesHeadroom = !math.IsInf(r.claims.headroomCPUs, 1) && p.workload.WithoutObjective(&job.Job) && !p.reservations.IsReserved(&job.Job)
+	most := r.remaining
+	if job.UsesHeadroom && p.startOverdue(job) {
+		job.UsesHeadroom, most = false, min(r.remaining, 1)
+	}
+	if job.SearchFailed && p.Since(job.SearchedAt) < p.retryInterval(r.stuckGangs) {
+		p.renewClaims(job, r.claims)
+		return nil
+	}
+	gang := job.Kind == protocol.KindGang
+	if !gang && p.wouldFindNone(job) {
+		return nil
+	}
+	var placed []message.Placement
+	examinedBefore := p.Examined
+	job.ClaimedMachines = nil
+	if gang {
+		placed = p.PlaceGang(job, r.usage, r.claims)
+	} else {
+		placed = p.placeArray(job, r.usage, most, r.claims)
+	}
+	job.SearchFailed, job.SearchedAt = gang && len(placed) == 0 && p.Examined > examinedBefore, p.Now
+	return placed
+}
+
+// recordPlacements adds the placements of a job to a round.
+func (p *Placer) recordPlacements(r *round, placed []message.Placement) {
+	r.remaining -= len(placed)
+	for _, placement := range placed {
+		dispatcher := p.DispatcherOf(placement.Machine)
+		r.batches[dispatcher] = append(r.batches[dispatcher], placement)
+		waits := r.waits[placement.Machine]
+		if waits == nil {
+			waits = &waittable.OwnWaits{}
+			r.waits[placement.Machine] = waits
+		}
+		waits.Add += placement.EstimateS * placement.CPUs
+		waits.Taken.Add(resource.Level(placement.Level), placement.Need())
+	}
+}
+
+// sendPlacements sends the placements to the dispatchers of their machines.
+func (p *Placer) sendPlacements(batches map[protocol.NodeName][]message.Placement) {
+	revision := p.Configuration.Effective().Revision
+	for dispatcher, tasks := range ordered.Of(batches) {
+		peer := p.table.Peers[dispatcher]
+		if peer == nil {
+			continue
+		}
+		peer.Placed++
+		for _, placement := range tasks {
+			if job := p.jobs.ByID[placement.Task.Job]; job != nil && job.Placed[placement.Task] != nil {
+				job.Placed[placement.Task].PlaceNumber = peer.Placed
+			}
+		}
+		p.Send(dispatcher, message.PeerMessage{Place: &message.Place{Number: peer.Placed, Term: p.View.Term, Configuration: revision, Tasks: tasks}})
+	}
+}
