--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -79,10 +79,10 @@
 	}
 }
 
-// TestSmallestWait: placing a job from an ordered list of machines decides, task
+// TestPlacementMatchesExhaustiveSearch: placing a job from an ordered list of machines decides, task
 // by task, as looking at all machines for each task would, and looks at each
 // machine once and at one more for each task.
-func TestSmallestWait(t *testing.T) {
+func TestPlacementMatchesExhaustiveSearch(t *testing.T) {
 	tt := t
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBench(tt, "node-1")
@@ -118,7 +118,7 @@
 	})
 }
 
-// TestCheapMachinesFillFirst: of machines with room the cheap ones are filled
+// TestCheapMachinesFillFirst: of machines with free resources the cheap ones are filled
 // first, the fuller ones before the others, so that expensive ones become idle.
 func TestCheapMachinesFillFirst(t *testing.T) {
 	b := newBench(t)
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestWaitsOnlyForWhatGoesBefore: a task is queued where the least goes before
-// it, however much of lower levels waits there.
-func TestWaitsOnlyForWhatGoesBefore(t *testing.T) {
+// TestTaskQueuedWhereLeastWorkGoesBeforeIt: a task is queued where the least work of its
+// own and higher levels goes before it, however much of lower levels is queued there.
+func TestTaskQueuedWhereLeastWorkGoesBeforeIt(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	b.ready("vm-2")
--- a/internal/controller/due_test.go
+++ b/internal/controller/deadline_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestDue: a job is due at the first of its times that it can still keep, and
-// again later when it can keep none, so that nothing waits for ever.
-func TestDue(t *testing.T) {
+// TestDeadlineIsFirstThatCanBeMet: a job's deadline is the first of its times that it can
+// still meet, and a later one when it can meet none, so that nothing waits for ever.
+func TestDeadlineIsFirstThatCanBeMet(t *testing.T) {
 	tt := t
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBench(tt)
@@ -37,9 +37,9 @@
 	})
 }
 
-// TestDueWithoutTime: an objective that names no time, as a settings file may,
-// is none; doubling it would never reach any.
-func TestDueWithoutTime(t *testing.T) {
+// TestObjectiveWithoutTimeSetsNoDeadline: an objective that names no time, as a settings file
+// may, sets none; doubling it would never reach any.
+func TestObjectiveWithoutTimeSetsNoDeadline(t *testing.T) {
 	b := newBench(t)
 	b.c.Settings.Site.Objectives = append(b.c.Settings.Site.Objectives, config.Objective{Kind: "finished", Class: "array"})
 	b.c.Configuration.Reset() // read anew
@@ -52,18 +52,19 @@
 	}
 }
 
-// TestDueOrder: what can still be done in time goes before what is late.
-func TestDueOrder(t *testing.T) {
+// TestJobsThatCanMeetDeadlineGoBeforeLateOnes: what can still be done in time goes before
+// what is late.
+func TestJobsThatCanMeetDeadlineGoBeforeLateOnes(t *testing.T) {
 	b := newBench(t)
 	for id, deadline := range map[protocol.JobID]float64{"job-1": 20, "job-2": 60} {
 		b.c.jobs.Accepted(protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, 1, false)
 	}
 	if b.c.jobs.InOrder()[0].ID != "job-1" {
-		t.Fatal("what is due first does not go first")
+		t.Fatal("the earliest deadline does not go first")
 	}
 	b.c.Now += Time(35 * time.Second)
 	b.c.refreshDeadlines()
 	if b.c.jobs.InOrder()[0].ID != "job-2" {
-		t.Error("what is late anyway goes before what is not")
+		t.Error("a late job goes before one that can be in time")
 	}
 }
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -12,10 +12,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestCrowdOfSmallJobs: hundreds of small jobs for which a full fleet has no
-// place cost no more looks than a few do, and whoever is first in line gets a
-// place as soon as there is one.
-func TestCrowdOfSmallJobs(t *testing.T) {
+// TestFailedSearchesBoundExaminedMachines: hundreds of small jobs for which a full fleet has
+// no place cause no more machines to be examined than a few do, and the first in order gets
+// a place as soon as there is one.
+func TestFailedSearchesBoundExaminedMachines(t *testing.T) {
 	b := newBench(t, "node-1")
 	const machines, jobs, ticks = 600, 300, 20
 	b.zoned("a", machines, false, heldAt(2, 4))
@@ -39,16 +39,16 @@
 		b.step(message.Tick{})
 	}
 	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*placement.SearchedAtOnce {
-		t.Errorf("%d machines looked at in %d steps", n, ticks)
+		t.Errorf("%d machines examined in %d steps", n, ticks)
 	}
 	all := b.c.table.InOrder()
-	m := all[slices.IndexFunc(all, func(m *waittable.Machine) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // here nobody keeps the rest
+	m := all[slices.IndexFunc(all, func(m *waittable.Machine) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // the others have dispatchers that do not run here
 	m.Reported.FreeCPUs, m.Reported.FreeGB, m.Reported.Wait = 1, 4, 0
 	for range ticks {
 		b.c.table.PlacementDue = true
 		b.step(message.Tick{})
 	}
 	if len(b.c.jobs.AttemptsOn[m.ID]) == 0 || b.c.jobs.ByID[first].Placed[protocol.TaskID{Job: first}] == nil {
-		t.Errorf("%s is not placed on the machine that has room: %v", first, b.c.jobs.AttemptsOn[m.ID])
+		t.Errorf("%s is not placed on the machine with free resources: %v", first, b.c.jobs.AttemptsOn[m.ID])
 	}
 }
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -17,7 +17,7 @@
 	"damsonkeel/internal/record"
 )
 
-// zoned registers idle machines of a zone; held is what of each has a level.
+// zoned registers machines of a zone; held is what attempts use of each, by level.
 func (b *bench) zoned(z protocol.Zone, n int, spot bool, held resource.Uses) {
 	for i := range n {
 		id := protocol.MachineID(fmt.Sprintf("vm-%s%v%d", z, spot, i))
@@ -54,12 +54,13 @@
 	return u
 }
 
-// TestGangZone: a gang bound to one zone goes where all of it has a place, and
-// of such zones to the one with more room now; nowhere in part.
-func TestGangZone(t *testing.T) {
+// TestGangPlacedWholeInZoneWithMostFreeResources: a gang bound to one zone is placed in a
+// zone that holds all of it, of such zones in the one with more resources free now; it is
+// never placed in part.
+func TestGangPlacedWholeInZoneWithMostFreeResources(t *testing.T) {
 	b := newBench(t, "node-1")
-	b.zoned("a", 5, false, heldAt(2, 4)) // more machines, held by what is as urgent
-	b.zoned("b", 3, false, heldAt(1, 4)) // held by what may be stopped
+	b.zoned("a", 5, false, heldAt(2, 4)) // more machines, used by work of the same level
+	b.zoned("b", 3, false, heldAt(1, 4)) // used by work that may be preempted
 	b.zoned("c", 2, false, resource.Uses{})
 	if ps := b.placeGang(b.gang("job-1", 4), noClaims()); ps != nil {
 		t.Fatalf("%d of 4 tasks placed", len(ps))
@@ -81,9 +82,9 @@
 	}
 }
 
-// TestGangClaims: what a gang waits for is left to it by gangs after it, for a
-// while; what may be stopped for it may use it.
-func TestGangClaims(t *testing.T) {
+// TestGangClaimsBlockLaterGangsForLimitedTime: the machines that a gang claims are left to
+// it by gangs after it, for a limited time; jobs that may be preempted for it may use them.
+func TestGangClaimsBlockLaterGangsForLimitedTime(t *testing.T) {
 	b := newBench(t, "node-1")
 	b.zoned("a", 3, false, resource.Uses{})
 	l := noClaims()
@@ -92,41 +93,41 @@
 		t.Fatalf("%d machines claimed, want 3", len(l.Gangs))
 	}
 	if ps := b.placeGang(small, l); ps != nil {
-		t.Error("a gang after it takes what is claimed")
+		t.Error("a later gang takes claimed machines")
 	}
 	urgent := b.gang("job-3", 2)
 	urgent.Level = resource.LevelOf("production", false)
 	array := &jobs.Job{LiveJob: &clusterstate.LiveJob{}, Level: resource.LevelOf("standard", false)}
 	for m := range l.Gangs {
 		if !l.Blocks(urgent, m) || l.Blocks(array, m) {
-			t.Error("claims hold against what could be stopped, or not against the rest")
+			t.Error("claims do not block a gang of the same level, or block a job that may be preempted")
 		}
 	}
 	b.c.Now += Time(4 * 8 * time.Second)
 	if b.placeGang(large, noClaims()); b.placeGang(small, &placement.Claims{Gangs: map[*waittable.Machine]resource.Level{}}) == nil {
-		t.Error("a claim without end")
+		t.Error("the claim does not expire")
 	}
 }
 
-// TestSpotRisk: gangs leave spot machines alone once these are seen to be taken
-// so often that they would not get on, and arrays use them all the same.
-func TestSpotRisk(t *testing.T) {
+// TestGangsAvoidSpotMachinesThatAreLostOften: gangs avoid spot machines once these are seen
+// to be terminated so often that a gang would make no progress; arrays use them all the same.
+func TestGangsAvoidSpotMachinesThatAreLostOften(t *testing.T) {
 	b := newBench(t, "node-1")
 	o := b.gang("job-1", 2)
 	if b.c.workload.AvoidsSpot(&o.Job) {
-		t.Fatal("avoided before any was taken")
+		t.Fatal("avoided before any was lost")
 	}
 	for range 40 {
 		m := &waittable.Machine{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, Reported: message.MachineState{Noticed: true}}
 		b.c.workload.RecordSpotLoss(m)
 		m.Reported = message.MachineState{Draining: true, Noticed: true}
-		b.c.workload.RecordSpotLoss(m) // returned by ourselves
+		b.c.workload.RecordSpotLoss(m) // terminated by the autoscaler
 	}
 	if b.c.workload.Spots.Losses() != 40 {
 		t.Errorf("%v losses counted, want 40", b.c.workload.Spots.Losses())
 	}
 	if !b.c.workload.AvoidsSpot(&o.Job) {
-		t.Fatal("not avoided though they are taken all the time")
+		t.Fatal("not avoided though they are lost all the time")
 	}
 	if array := (&protocol.Job{Kind: protocol.KindJobArray, Tasks: 500, EstimateS: 10}); b.c.workload.AvoidsSpot(array) {
 		t.Error("avoided for an array")
@@ -136,12 +137,12 @@
 	b.placeGang(o, noClaims())
 	for _, p := range o.Placed {
 		if p.Zone != "b" {
-			t.Error("placed on a spot machine rather than where something may be stopped")
+			t.Error("placed on a spot machine rather than where something may be preempted")
 		}
 	}
 	b.c.workload.Spots.Watch(0, 10*forecast.SpotMemory)
 	if b.c.workload.AvoidsSpot(&o.Job) {
-		t.Error("avoided long after the last was taken")
+		t.Error("avoided long after the last was lost")
 	}
 }
 
--- a/internal/controller/preempt_test.go
+++ b/internal/controller/levels_test.go
@@ -7,9 +7,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestGuaranteedJobs: a job is within its team's guarantee together with the
+// TestGuaranteeCoversEarlierJobsFirst: a job is within its team's guarantee together with the
 // team's earlier unfinished jobs only.
-func TestGuaranteedJobs(t *testing.T) {
+func TestGuaranteeCoversEarlierJobsFirst(t *testing.T) {
 	b := newBench(t)
 	for i, tasks := range []uint32{5, 3, 1} {
 		id := protocol.JobID("job-" + string(rune('1'+i)))
--- a/internal/controller/limit_test.go
+++ b/internal/controller/limit_test.go
@@ -9,11 +9,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestLimitIsLeftToWhatWaits: what waits in machines' queues counts against its team's
-// limit. A job of which nothing has begun for a while has a part of it left: else it
-// waits beside machines with room for as long as others of its team fill the queues of
-// those that have none.
-func TestLimitIsLeftToWhatWaits(t *testing.T) {
+// TestQueuedTasksLeaveLimitToWaitingJob: tasks queued on machines count against their team's
+// limit. A job of which nothing has been placed for a while has a part of the limit left to
+// it: otherwise it waits beside machines with free resources for as long as other jobs of
+// its team fill the queues of the others.
+func TestQueuedTasksLeaveLimitToWaitingJob(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-1")
 	team := b.limited(6)
@@ -37,16 +37,16 @@
 	}
 	end(0)
 	if len(second.Placed) != 0 || len(first.Placed) != 6 {
-		t.Errorf("%d and %d placed: it has just come", len(first.Placed), len(second.Placed))
+		t.Errorf("%d and %d placed: the job has just been submitted", len(first.Placed), len(second.Placed))
 	}
 	b.now += Time(placement.LimitPatience)
 	b.step(message.Tick{})
 	end(1)
 	if len(second.Placed) != 1 || len(first.Placed) != 5 {
-		t.Errorf("%d and %d placed: nothing is left to a job that waits", len(first.Placed), len(second.Placed))
+		t.Errorf("%d and %d placed: nothing of the limit is left to a waiting job", len(first.Placed), len(second.Placed))
 	}
 	end(2)
 	if len(first.Placed) != 5 || len(second.Placed) != 1 {
-		t.Errorf("%d and %d placed: more than one task is kept", len(first.Placed), len(second.Placed))
+		t.Errorf("%d and %d placed: more than one task's part of the limit is left", len(first.Placed), len(second.Placed))
 	}
 }
--- a/internal/controller/notice_test.go
+++ b/internal/controller/notice_test.go
@@ -11,9 +11,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestNotice: of the tasks on a machine about to be taken, what can save is
-// moved, and of the rest what can't be done by then; what may be done stays.
-func TestNotice(t *testing.T) {
+// TestTerminationNoticeStopsWhatCannotFinish: of the tasks on a machine about to be
+// terminated, those that can save a checkpoint are stopped, and of the rest those that can't
+// finish by then; a task that may finish goes on.
+func TestTerminationNoticeStopsWhatCannotFinish(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		checkpointS float64
--- a/internal/controller/runtimes_test.go
+++ b/internal/controller/runtimes_test.go
@@ -11,10 +11,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestUsualRunTime: what a job's tasks took replaces its owner's estimate, but
-// not while only its shortest tasks are done, and not by tasks that went on
-// from saved progress.
-func TestUsualRunTime(t *testing.T) {
+// TestEstimateLearnsFromCompletedTasks: what a job's tasks took replaces the submitted
+// estimate, but not while only its shortest tasks are done, and not by tasks that resumed
+// from a checkpoint.
+func TestEstimateLearnsFromCompletedTasks(t *testing.T) {
 	b := newBench(t, "node-1")
 	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100}})
 	start := func(i uint32) {
@@ -35,7 +35,7 @@
 		}
 		if i < 4 {
 			end(i, protocol.EndStopped)
-			start(i) // goes on from its saved progress
+			start(i) // resumes from its checkpoint
 			end(i, protocol.EndDone)
 			continue
 		}
@@ -46,11 +46,11 @@
 	}
 }
 
-// TestTakenOverTellsNothing: a task that ran already when its job was taken
-// over may have run for long, so its end says nothing of how long tasks run.
-// Counted as short it made all others seem late, and their machines slow: 42 of
-// them were given up on one day with restarts.
-func TestTakenOverTellsNothing(t *testing.T) {
+// TestRunTimesIgnoreTasksRunningAtTakeover: a task that ran already when its job was taken
+// over may have run for long, so its end says nothing of how long tasks run. When such tasks
+// counted as short, all others seemed late and their machines slow: 42 machines were drained
+// on one day with restarts.
+func TestRunTimesIgnoreTasksRunningAtTakeover(t *testing.T) {
 	b := newBench(t)
 	b.machine("vm-1", 1)
 	b.job("job-1", "free", 20)
@@ -69,6 +69,6 @@
 		t.Fatalf("%d of 12 done", o.DoneCount)
 	}
 	if s, ok := o.UsualSeconds(); ok {
-		t.Errorf("tasks are said to take %v s", s)
+		t.Errorf("tasks are expected to take %v s", s)
 	}
 }
--- a/internal/controller/slow_test.go
+++ b/internal/controller/slow_test.go
@@ -10,11 +10,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestSlowMachine: a machine is given up when several tasks run there far
-// longer than the others of their job do elsewhere; one long task, tasks of a
-// job that runs long everywhere, and a machine that has not been heard of
-// speak against none, and of many that seem slow most stay.
-func TestSlowMachine(t *testing.T) {
+// TestSlowMachineIsDrained: a machine is drained when several tasks run there far longer than
+// the others of their job do elsewhere. One long task, tasks of a job that runs long
+// everywhere, and a machine without recent updates are no proof, and of many that seem slow
+// most stay.
+func TestSlowMachineIsDrained(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		slow      int // tasks that go on on the first machine
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -17,23 +17,23 @@
 	"damsonkeel/internal/record"
 )
 
-// Inventory plays the proof of all that is on a machine.
+// inventory sends the inventory of a machine from its dispatcher.
 func (b *bench) inventory(id protocol.MachineID, held ...message.HeldAttempt) {
 	b.c.jobs.Inventory(clusterstate.RendezvousDispatcher(b.c.View, id), &message.Inventory{
 		Term: b.c.View.Term, Machine: id, Epoch: b.c.table.Machines[id].Epoch, Upto: 1 << 40, Held: held,
 	})
 }
 
-// TestTakeoverWaitsForAllMachines: a task of a job taken over is placed only
-// when every machine that might hold it was heard; an older attempt that ended
-// on one of them proves nothing of the others.
-func TestTakeoverWaitsForAllMachines(t *testing.T) {
+// TestTakeoverWaitsForAllInventories: a task of a job taken over is placed only when every
+// machine that might have an attempt has sent its inventory; an older attempt that ended on
+// one of them proves nothing about the others.
+func TestTakeoverWaitsForAllInventories(t *testing.T) {
 	b := newBench(t)
 	b.machine("vm-1", 1)
 	b.machine("vm-2", 1)
 	b.job("job-1", "free", 1)
 	task := protocol.TaskID{Job: "job-1"}
-	b.view(3, "node-0") // a view was missed: nothing known before counts
+	b.view(3, "node-0") // a view was missed: nothing known before is valid
 	o := b.c.jobs.ByID["job-1"]
 	if !o.Unverified || o.Pending.Any() || len(o.Placed) > 0 {
 		t.Fatalf("after a missed view: %+v", o)
@@ -41,17 +41,17 @@
 	b.step(message.BitmapLoaded{Job: "job-1", OK: true})
 	b.inventory("vm-1", message.HeldAttempt{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndError})
 	if o.Pending.Any() {
-		t.Fatal("placeable while vm-2 may run a later attempt")
+		t.Fatal("pending while vm-2 may run a later attempt")
 	}
 	b.inventory("vm-2", message.HeldAttempt{Task: task, Attempt: 2, State: protocol.TaskRunning})
 	if o.Pending.Any() || o.Placed[task] == nil || o.Placed[task].Number != 2 {
-		t.Fatal("the attempt that runs was not kept")
+		t.Fatal("the running attempt was dropped")
 	}
 }
 
-// TestChangedKeeperMakesUncertain: what was placed through a controller that is
-// gone is uncertain until its machine's new keeper has an inventory.
-func TestChangedKeeperMakesUncertain(t *testing.T) {
+// TestAttemptUnverifiedAfterDispatcherChange: an attempt placed through a controller that has
+// left is unverified until its machine's new dispatcher sends an inventory.
+func TestAttemptUnverifiedAfterDispatcherChange(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-1")
 	b.machine(id, 1)
@@ -67,18 +67,18 @@
 	}
 	b.view(2, "node-0")
 	if p := o.Placed[task]; p == nil || !p.Unverified {
-		t.Fatalf("not uncertain: %+v", p)
+		t.Fatalf("not unverified: %+v", p)
 	}
 	b.inventory(id)
 	if o.Placed[task] != nil && o.Placed[task].Number>>32 != 2 {
-		t.Error("not placed anew after the inventory without it")
+		t.Error("not placed again after the inventory without it")
 	}
 }
 
-// TestLimitAfterTakeover: of a limited team just taken over, machines that were
-// not heard yet may be full of attempts, and may keep those of jobs that are
-// over; nothing beyond that is held back.
-func TestLimitAfterTakeover(t *testing.T) {
+// TestLimitAfterTakeoverCountsMachinesWithoutInventory: of a limited team just taken over,
+// machines without an inventory may be full of attempts, those of jobs that are over
+// included; no more than their capacity is withheld.
+func TestLimitAfterTakeoverCountsMachinesWithoutInventory(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1") // 4 processors
 	b.view(3, "node-0")
@@ -89,10 +89,10 @@
 			t.Fatalf("%d placed %s, want %d", n, when, want)
 		}
 	}
-	placed(8, "before the machine is heard")
+	placed(8, "before the machine's inventory")
 	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-0"}, Attempt: 1, State: protocol.TaskRunning}
 	b.report("vm-1", 1, 3, running)
-	placed(8, "while an attempt of a job that is over runs")
+	placed(8, "while an attempt of an ended job runs")
 	running.State, running.Cause = protocol.TaskEnded, protocol.EndStopped
 	b.report("vm-1", 1, 3, running)
 	placed(12, "when all is known")
@@ -103,9 +103,9 @@
 	}
 }
 
-// TestLeaseExpiry: a silent machine's record goes only after a whole lease in
-// which every member is known to act by this term.
-func TestLeaseExpiry(t *testing.T) {
+// TestMachineRemovedOnlyAfterLeaseInTermOfAllMembers: the record of a silent machine is
+// removed only after a whole lease in which every member is known to follow this term.
+func TestMachineRemovedOnlyAfterLeaseInTermOfAllMembers(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-0")
 	b.machine(id, 1)
@@ -117,29 +117,29 @@
 		}
 		return false
 	}
-	pass := func(d time.Duration) (gone bool) {
+	pass := func(d time.Duration) (wasRemoved bool) {
 		for range int(d / time.Second) {
 			b.now += Time(time.Second)
-			gone = removed() || gone
+			wasRemoved = removed() || wasRemoved
 		}
-		return gone
+		return wasRemoved
 	}
 	lease := time.Duration(b.c.Settings.Site.Workers.LeaseS) * time.Second
 	if pass(3 * lease) {
-		t.Fatal("taken for dead while node-1 may answer by an earlier term")
+		t.Fatal("removed while node-1 may answer in an earlier term")
 	}
 	b.step(message.BatchReceived{Batch: message.Batch{From: "node-1", FromSession: 101, ToSession: 100, Term: 1}})
 	if pass(lease) {
-		t.Fatal("taken for dead before its lease is over")
+		t.Fatal("removed before its lease has expired")
 	}
 	if !pass(10 * time.Second) {
-		t.Error("never taken for dead")
+		t.Error("never removed")
 	}
 }
 
-// TestSilentBeforeRegistered: a worker that begins a new session and falls
-// silent before that is registered does not leave its old record for ever.
-func TestSilentBeforeRegistered(t *testing.T) {
+// TestMachineRemovedWhenSilentBeforeRegistration: a worker that begins a new agent epoch and
+// falls silent before that is registered does not leave its old record for ever.
+func TestMachineRemovedWhenSilentBeforeRegistration(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	b.report("vm-1", 2, 1) // the registration is never answered
@@ -149,14 +149,14 @@
 			return
 		}
 	}
-	t.Fatal("the record of its earlier session stays")
+	t.Fatal("the record of its earlier agent epoch stays")
 }
 
-// TestInventoryOfAQueueKept: who kept a queue without a break since the worker
-// saw a term of that knows all that may be on the machine, and says so at once
-// in a new term. After a missed term, or where the worker has begun a new
-// session, only its next report tells.
-func TestInventoryOfAQueueKept(t *testing.T) {
+// TestInventoryNotAwaitedFromContinuousDispatcher: a dispatcher that has held a machine's
+// queue without a break since the worker saw a term of its own knows all that may be on the
+// machine, and sends an inventory at once in a new term. After a missed term, or in a new
+// agent epoch, only the worker's next heartbeat proves it.
+func TestInventoryNotAwaitedFromContinuousDispatcher(t *testing.T) {
 	b := newBench(t, "node-1")
 	id := b.keptBy("node-0")
 	b.ready(id)
@@ -172,17 +172,17 @@
 	b.view(4, "node-0")
 	awaited(true, "after a missed term")
 	b.report(id, 1, 4)
-	awaited(false, "after a report")
+	awaited(false, "after a heartbeat")
 	b.report(id, 2, 3) // of a worker that has not seen the term
 	b.machine(id, 2)
 	b.view(5, "node-0")
-	awaited(true, "in a new session")
+	awaited(true, "in a new agent epoch")
 }
 
-// TestLeavingAfterKeeperRestart: what a job that is over had on a machine
-// counts against its team's limit only until the inventory of the machine's
-// next keeper, whose count of placements begins anew.
-func TestLeavingAfterKeeperRestart(t *testing.T) {
+// TestEndedAttemptsDroppedAfterDispatcherRestart: the attempts that an ended job had on a
+// machine count against its team's limit only until the inventory of the machine's next
+// dispatcher, which counts placements from the start.
+func TestEndedAttemptsDroppedAfterDispatcherRestart(t *testing.T) {
 	for _, over := range []string{"before the view", "after it"} {
 		b := newBench(t, "node-1")
 		id := b.keptBy("node-1")
@@ -235,11 +235,11 @@
 	return team
 }
 
-// TestOverButHeld: a keeper that follows the records late lists attempts of a job that is
-// over here: it has not killed them yet. They count against their team's limit until it
-// says that they are gone, for an owner that has just taken the team over, and for one
-// that has had it all the while.
-func TestOverButHeld(t *testing.T) {
+// TestHeldAttemptsOfEndedJobsCountAgainstLimit: a dispatcher that follows the records late
+// lists attempts of a job that is over here: it has not killed them yet. They count against
+// their team's limit until it reports that they are gone, for an owner that has just taken
+// the team over, and for one that has owned it all the while.
+func TestHeldAttemptsOfEndedJobsCountAgainstLimit(t *testing.T) {
 	for _, takenOver := range []bool{false, true} {
 		for _, state := range []protocol.TaskState{protocol.TaskRunning, protocol.TaskFetching, ""} {
 			b := newBench(t, "node-1")
@@ -270,11 +270,11 @@
 	}
 }
 
-// TestBitmapIsWrittenOnItsVersion: a write of a job's bitmap that has no answer may be
-// carried out after the next one, and would take back the ends that only that one has.
-// It holds on the bitmap's own version, which is read again before anything more is
+// TestBitmapWriteConditionalOnItsVersion: a write of a job's bitmap that has no answer may be
+// carried out after the next one, and would undo the ends that only that one has. Each write
+// is conditional on the bitmap's own version, which is read again before anything more is
 // written.
-func TestBitmapIsWrittenOnItsVersion(t *testing.T) {
+func TestBitmapWriteConditionalOnItsVersion(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 3)
