--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -2,122 +2,14 @@
 
 import (
 	"fmt"
-	"math"
 	"testing"
 
-	"damsonkeel/internal/controller/jobs"
-	"damsonkeel/internal/controller/placement"
-	"damsonkeel/internal/controller/waittable"
-
-	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
-
-	"pgregory.net/rapid"
 )
 
-// plainSmallest is the decision written plainly: it visits every machine for
-// every task. It returns all that tie for the smallest wait.
-func plainSmallest(c *Core, o *jobs.Job, zones map[protocol.Zone]int, cl *placement.Claims) map[*waittable.Machine]bool {
-	const withRoom = 1e9
-	n := resource.Need(&o.Job)
-	best := math.Inf(1)
-	waits := map[*waittable.Machine]float64{}
-	for _, m := range c.table.Machines {
-		if !c.placer.Feasible(o, zones)(m) {
-			continue
-		}
-		w, room := m.WaitFor(&o.Job, o.Level)
-		if room {
-			if !cl.LeavesClaimed(o, m, n) {
-				continue
-			}
-			w -= withRoom
-			if !cl.IsClaimed(o, m) {
-				w -= withRoom
-			}
-		} else if w > placement.QueueAtMost.Seconds() && !m.NonPreemptibleFree(o.Level).Covers(n) {
-			continue
-		}
-		waits[m] = w
-		best = math.Min(best, w)
-	}
-	ties := map[*waittable.Machine]bool{}
-	for m, w := range waits {
-		if w <= best+2e-6 {
-			ties[m] = true
-		}
-	}
-	return ties
-}
-
-// drawMachines registers machines of generated sizes, zones and loads.
-func drawMachines(t *rapid.T, c *Core, n int) {
-	for i := range n {
-		id := protocol.MachineID(fmt.Sprintf("vm-%03d", i))
-		info := protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, FetchGBPS: 0.5}
-		if rapid.Bool().Draw(t, "large") {
-			info = protocol.TypeInfo{Name: "large", CPUs: 16, MemoryGB: 64, FetchGBPS: 1}
-		}
-		m := &waittable.Machine{
-			Machine: &clusterstate.Machine{
-				ID: id, Epoch: 1, Info: info,
-				Record: record.Machine{Zone: rapid.SampledFrom([]protocol.Zone{"a", "b"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot")},
-			},
-		}
-		busy := float64(rapid.IntRange(0, int(info.CPUs)).Draw(t, "busy"))
-		m.Reported = message.MachineState{
-			Machine: id, Epoch: 1, FreeCPUs: info.CPUs - busy, FreeGB: info.MemoryGB - busy, Wait: 10 * busy,
-			Suspect: rapid.IntRange(0, 9).Draw(t, "suspect") == 0,
-		}
-		if m.Reported.FreeCPUs == 0 && rapid.Bool().Draw(t, "queue") {
-			m.Reported.Queued, m.Reported.Wait = 3, m.Reported.Wait+float64(rapid.IntRange(0, 50).Draw(t, "queued"))
-		}
-		c.table.Add(m)
-	}
-}
-
-// TestPlacementMatchesExhaustiveSearch: placing a job from an ordered list of machines decides, task
-// by task, as looking at all machines for each task would, and looks at each
-// machine once and at one more for each task.
-func TestPlacementMatchesExhaustiveSearch(t *testing.T) {
-	tt := t
-	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(tt, "node-1")
-		c := b.c
-		machines := rapid.IntRange(1, 30).Draw(t, "machines")
-		drawMachines(t, c, machines)
-		j := protocol.Job{
-			ID: "job-1", Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(rapid.IntRange(1, 60).Draw(t, "tasks")),
-			CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus")), MemoryGB: 1, ImageGB: 2, EstimateS: 7, Spot: rapid.Bool().Draw(t, "mayspot"),
-			OneZone: rapid.Bool().Draw(t, "onezone"), Spread: rapid.Bool().Draw(t, "spread"),
-		}
-		o := c.jobs.Adopt(&clusterstate.LiveJob{Job: j})
-		reserved := &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 8, Spot: true}}
-		cl := &placement.Claims{Classes: []placement.ClassReserve{{Job: reserved, Need: resource.Need(&reserved.Job), Spare: rapid.IntRange(-2, 5).Draw(t, "spare")}}}
-		zones := map[protocol.Zone]int{}
-		from := c.placer.CandidatesFor(o, zones, cl)
-		placed := 0
-		for i := range o.Tasks {
-			want := plainSmallest(c, o, zones, cl)
-			m := from.Smallest(zones)
-			if m == nil && len(want) > 0 || m != nil && !want[m] {
-				t.Fatalf("task %d goes to %+v, not to one of %d", i, m, len(want))
-			}
-			if m == nil {
-				break
-			}
-			c.placer.PlaceFrom(from, i, m, c.jobs.NextAttempt(), zones)
-			placed++
-		}
-		if c.placer.Examined > machines+placed {
-			t.Errorf("%d machines looked at for %d tasks on %d machines", c.placer.Examined, placed, machines)
-		}
-	})
-}
-
 // TestCheapMachinesFillFirst: of machines with free resources the cheap ones are filled
 // first, the fuller ones before the others, so that expensive ones become idle.
 func TestCheapMachinesFillFirst(t *testing.T) {
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -18,7 +18,7 @@
 func TestFailedSearchesBoundExaminedMachines(t *testing.T) {
 	b := newBench(t, "node-1")
 	const machines, jobs, ticks = 600, 300, 20
-	b.zoned("a", machines, false, heldAt(2, 4))
+	b.zoned("a", machines, false, fullyUsedAt(2))
 	for _, m := range b.c.table.InOrder() {
 		m.Reported.Wait = 10_000
 	}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -49,9 +49,10 @@
 	return b.c.placer.PlaceGang(o, map[protocol.Team]resource.Amount{}, l)
 }
 
-func heldAt(l resource.Level, cpus float64) (u resource.Uses) {
-	u.Add(l, resource.Amount{CPUs: cpus})
-	return u
+// fullyUsedAt returns the uses of a machine all of whose four processors work of a level uses.
+func fullyUsedAt(level resource.Level) (uses resource.Uses) {
+	uses.Add(level, resource.Amount{CPUs: 4})
+	return uses
 }
 
 // TestGangPlacedWholeInZoneWithMostFreeResources: a gang bound to one zone is placed in a
@@ -59,8 +60,8 @@
 // never placed in part.
 func TestGangPlacedWholeInZoneWithMostFreeResources(t *testing.T) {
 	b := newBench(t, "node-1")
-	b.zoned("a", 5, false, heldAt(2, 4)) // more machines, used by work of the same level
-	b.zoned("b", 3, false, heldAt(1, 4)) // used by work that may be preempted
+	b.zoned("a", 5, false, fullyUsedAt(2)) // more machines, used by work of the same level
+	b.zoned("b", 3, false, fullyUsedAt(1)) // used by work that may be preempted
 	b.zoned("c", 2, false, resource.Uses{})
 	if ps := b.placeGang(b.gang("job-1", 4), noClaims()); ps != nil {
 		t.Fatalf("%d of 4 tasks placed", len(ps))
@@ -100,7 +101,7 @@
 	array := &jobs.Job{LiveJob: &clusterstate.LiveJob{}, Level: resource.LevelOf("standard", false)}
 	for m := range l.Gangs {
 		if !l.Blocks(urgent, m) || l.Blocks(array, m) {
-			t.Error("claims do not block a gang of the same level, or block a job that may be preempted")
+			t.Error("claims do not block a job that can't be preempted, or block one that can")
 		}
 	}
 	b.c.Now += Time(4 * 8 * time.Second)
@@ -133,7 +134,7 @@
 		t.Error("avoided for an array")
 	}
 	b.zoned("a", 2, true, resource.Uses{})
-	b.zoned("b", 2, false, heldAt(1, 4))
+	b.zoned("b", 2, false, fullyUsedAt(1))
 	b.placeGang(o, noClaims())
 	for _, p := range o.Placed {
 		if p.Zone != "b" {
--- /dev/null
+++ b/internal/controller/jobs/fixture_test.go
@@ -0,0 +1,76 @@
+package jobs
+
+import (
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/controller/workload"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// newOwned returns the owned jobs of node-0, which holds its lease in a view with node-1.
+func newOwned(t testing.TB) *Owned {
+	t.Helper()
+	settings := fake.Settings()
+	settings.Name = "node-0"
+	module := clusterstate.Module{
+		State:  clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler)),
+		Output: &clusterstate.Output{},
+	}
+	rng := rand.New(rand.NewPCG(1, 1))
+	table := waittable.New(module, rng)
+	table.Reset()
+	work := workload.New(module, table)
+	work.Reset()
+	owned := New(module, table, work, rng)
+	owned.Reset()
+	owned.Now, owned.LeaseDeadline = clock.Time(time.Second), clock.Time(time.Hour)
+	owned.Session = 100
+	owned.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100, "node-1": 101}}
+	table.AdoptPeers(owned.View)
+	return owned
+}
+
+// addMachines registers idle machines with four processors.
+func addMachines(table *waittable.Table, n int) {
+	for i := range n {
+		id := protocol.MachineID(fmt.Sprintf("vm-%02d", i))
+		table.Add(&waittable.Machine{
+			Machine: &clusterstate.Machine{
+				ID: id, Epoch: 1, Info: protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16}, Record: record.Machine{Zone: "a"},
+			},
+			Reported: message.MachineState{Machine: id, Epoch: 1, FreeCPUs: 4, FreeGB: 16},
+		})
+	}
+}
+
+// taskRef refers to the first attempt of a task of job-1.
+func taskRef(index uint32, machine protocol.MachineID) message.TaskRef {
+	return message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: index}, Attempt: 1, Machine: machine}
+}
+
+// start adds an attempt to a job and reports that it runs.
+func start(owned *Owned, job *Job, ref message.TaskRef) *Attempt {
+	attempt := &Attempt{Task: ref.Task, Number: ref.Attempt, Machine: ref.Machine, Estimate: owned.EstimateOf(job)}
+	if m := owned.table.Machines[ref.Machine]; m != nil {
+		attempt.Epoch, attempt.Zone = m.Epoch, m.Record.Zone
+	}
+	owned.AddAttempt(job, attempt)
+	owned.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
+	return attempt
+}
+
+// end reports the end of an attempt.
+func end(owned *Owned, ref message.TaskRef, cause protocol.EndCause) {
+	owned.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: cause})
+}
--- a/internal/controller/placement/array.go
+++ b/internal/controller/placement/array.go
@@ -26,9 +26,9 @@
 			break
 		}
 		if from == nil {
-			from, longestWaiting = p.CandidatesFor(job, zones, claims), p.longestWaiting(job)
+			from, longestWaiting = p.candidatesFor(job, zones, claims), p.longestWaiting(job)
 		}
-		m := from.Smallest(zones)
+		m := from.smallest(zones)
 		if m == nil {
 			p.recordFailedSearch(job)
 			break
@@ -36,15 +36,15 @@
 		if from.heap[0].rank == rankQueue && !p.queuesWithinLimit(job, longestWaiting, usage) {
 			break
 		}
-		placed = append(placed, p.PlaceFrom(from, uint32(i), m, p.jobs.NextAttempt(), zones))
+		placed = append(placed, p.placeFrom(from, uint32(i), m, p.jobs.NextAttempt(), zones))
 		p.jobs.AddUse(job, usage, 1)
 	}
 	return placed
 }
 
-// PlaceFrom places one task on the machine that Smallest has just returned, and updates
+// placeFrom places one task on the machine that smallest has just returned, and updates
 // the candidates, the claims and the zones' counts for the next task.
-func (p *Placer) PlaceFrom(from *candidates, index uint32, m *waittable.Machine, number protocol.Attempt, zones map[protocol.Zone]int) message.Placement {
+func (p *Placer) placeFrom(from *candidates, index uint32, m *waittable.Machine, number protocol.Attempt, zones map[protocol.Zone]int) message.Placement {
 	if from.heap[0].rank != rankQueue {
 		from.claims.spend(m, from.need)
 	}
--- a/internal/controller/placement/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -87,9 +87,9 @@
 	return last
 }
 
-// CandidatesFor examines all machines and returns those that may run tasks of a job whose
+// candidatesFor examines all machines and returns those that may run tasks of a job whose
 // other tasks are in the given zones.
-func (p *Placer) CandidatesFor(job *jobs.Job, zones map[protocol.Zone]int, claims *Claims) *candidates {
+func (p *Placer) candidatesFor(job *jobs.Job, zones map[protocol.Zone]int, claims *Claims) *candidates {
 	c := &candidates{
 		job:             job,
 		need:            resource.Need(&job.Job),
@@ -188,10 +188,10 @@
 		k.wait > QueueAtMost.Microseconds() && !k.machine.NonPreemptibleFree(c.job.Level).Covers(c.need)
 }
 
-// Smallest returns the machine with the smallest expected wait per processor, ties broken
+// smallest returns the machine with the smallest expected wait per processor, ties broken
 // at random, or nil. Candidates that no longer suit are dropped for good: while a job is
 // placed zones and queues only fill, and the capacity that may be spared only shrinks.
-func (c *candidates) Smallest(zones map[protocol.Zone]int) *waittable.Machine {
+func (c *candidates) smallest(zones map[protocol.Zone]int) *waittable.Machine {
 	for len(c.heap) > 0 {
 		top := &c.heap[0]
 		if !c.job.AllowsZone(top.machine, zones) || c.queueTooLong(top) || c.takesClaimed(top) {
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -44,7 +44,7 @@
 // zones of its other tasks. An empty zone allows all.
 func (p *Placer) placeTogether(job *jobs.Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, claims *Claims) []message.Placement {
 	undo := claims.tentative()
-	from := p.CandidatesFor(job, zones, claims)
+	from := p.candidatesFor(job, zones, claims)
 	if zone != "" || len(claims.Gangs) > 0 {
 		from.restrict(func(m *waittable.Machine) bool {
 			return (zone == "" || m.Record.Zone == zone) && !claims.Blocks(job, m)
@@ -52,13 +52,13 @@
 	}
 	var placed []message.Placement
 	for i, ok := job.Pending.NextSet(0); ok; i, ok = job.Pending.NextSet(i + 1) {
-		m := from.Smallest(zones)
+		m := from.smallest(zones)
 		if m == nil {
 			p.unplace(job, placed)
 			undo()
 			return nil
 		}
-		placed = append(placed, p.PlaceFrom(from, uint32(i), m, attempt, zones))
+		placed = append(placed, p.placeFrom(from, uint32(i), m, attempt, zones))
 	}
 	return placed
 }
