--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -38,7 +38,7 @@
 		b.c.table.PlacementDue = true
 		b.step(message.Tick{})
 	}
-	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*placement.SearchedAtOnce {
+	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*placement.MaxExaminedForArrays {
 		t.Errorf("%d machines examined in %d steps", n, ticks)
 	}
 	all := b.c.table.InOrder()
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -45,8 +45,8 @@
 	return o
 }
 
-func (b *bench) placeGang(o *jobs.Job, l *placement.Claims) []message.Placement {
-	return b.c.placer.PlaceGang(o, map[protocol.Team]resource.Amount{}, l)
+func (b *bench) placeGang(o *jobs.Job, claims *placement.Claims) []message.Placement {
+	return b.c.placer.PlaceGang(o, map[protocol.Team]resource.Amount{}, claims)
 }
 
 // fullyUsedAt returns the uses of a machine all of whose four processors work of a level uses.
@@ -88,19 +88,19 @@
 func TestGangClaimsBlockLaterGangsForLimitedTime(t *testing.T) {
 	b := newBench(t, "node-1")
 	b.zoned("a", 3, false, resource.Uses{})
-	l := noClaims()
+	claims := noClaims()
 	large, small := b.gang("job-1", 4), b.gang("job-2", 2)
-	if b.placeGang(large, l) != nil || len(l.Gangs) != 3 {
-		t.Fatalf("%d machines claimed, want 3", len(l.Gangs))
+	if b.placeGang(large, claims) != nil || len(claims.Gangs) != 3 {
+		t.Fatalf("%d machines claimed, want 3", len(claims.Gangs))
 	}
-	if ps := b.placeGang(small, l); ps != nil {
+	if ps := b.placeGang(small, claims); ps != nil {
 		t.Error("a later gang takes claimed machines")
 	}
 	urgent := b.gang("job-3", 2)
 	urgent.Level = resource.LevelOf("production", false)
 	array := &jobs.Job{LiveJob: &clusterstate.LiveJob{}, Level: resource.LevelOf("standard", false)}
-	for m := range l.Gangs {
-		if !l.Blocks(urgent, m) || l.Blocks(array, m) {
+	for m := range claims.Gangs {
+		if !claims.Blocks(urgent, m) || claims.Blocks(array, m) {
 			t.Error("claims do not block a job that can't be preempted, or block one that can")
 		}
 	}
--- a/internal/controller/jobs/attempts.go
+++ b/internal/controller/jobs/attempts.go
@@ -21,7 +21,7 @@
 func (o *Owned) AddAttempt(job *Job, attempt *Attempt) {
 	job.Placed[attempt.Task] = attempt
 	job.Pending.Clear(uint(attempt.Task.Index))
-	job.Waiting++
+	job.Unstarted++
 	o.AttemptsOn.add(attempt)
 }
 
@@ -31,7 +31,7 @@
 	if job.Placed[attempt.Task] == attempt {
 		delete(job.Placed, attempt.Task)
 		if !attempt.Started {
-			job.Waiting--
+			job.Unstarted--
 		}
 	}
 	if attempt.running {
--- a/internal/controller/jobs/events.go
+++ b/internal/controller/jobs/events.go
@@ -95,7 +95,7 @@
 // markStarted records that an attempt has been sent to its worker, and that it runs.
 func (o *Owned) markStarted(job *Job, attempt *Attempt, running bool) {
 	if !attempt.Started {
-		job.Waiting--
+		job.Unstarted--
 	}
 	attempt.Started, attempt.ReleaseAsked = true, false
 	if running && !attempt.running {
--- a/internal/controller/jobs/failingjob.go
+++ b/internal/controller/jobs/failingjob.go
@@ -93,11 +93,11 @@
 	return ok && progress.Failing
 }
 
-// FailedEverywhereElse reports whether a job has failed on all usable machines that suit
+// FailedOnAllMachines reports whether a job has failed on all usable machines that suit
 // it. It may then be placed again where it has failed: otherwise, if the only machine of a
 // zone had failed it once, it would never be tried again, as no other machine is
 // provisioned while that one has free resources.
-func (o *Owned) FailedEverywhereElse(job *Job) bool {
+func (o *Owned) FailedOnAllMachines(job *Job) bool {
 	if len(job.FailedOn) == 0 {
 		return false
 	}
@@ -114,5 +114,5 @@
 // how many run then tells nothing.
 func (o *Owned) hasFailedEverywhere(job *Job) bool {
 	onSeveral := len(job.FailedOn) >= failedMachines && (job.IsGang() || job.failure.count >= int(job.running))
-	return onSeveral || o.FailedEverywhereElse(job)
+	return onSeveral || o.FailedOnAllMachines(job)
 }
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -30,8 +30,8 @@
 	Pending *bitset.BitSet
 	// Placed are the attempts that may exist, and Waiting is how many of them have not
 	// started.
-	Placed  map[protocol.TaskID]*Attempt
-	Waiting int
+	Placed    map[protocol.TaskID]*Attempt
+	Unstarted int
 	// running is how many attempts are known to run.
 	running uint32
 	// interrupted has the tasks of which an earlier attempt had started.
@@ -151,11 +151,11 @@
 	return !j.Spread || zones[m.Record.Zone] < int(j.Tasks+1)/2
 }
 
-// UsualSeconds returns the median run time of the job's tasks, once that is known.
-func (j *Job) UsualSeconds() (seconds float64, ok bool) { return j.runTimes.Usual(int(j.running)) }
+// MedianRunSeconds returns the median run time of the job's tasks, once that is known.
+func (j *Job) MedianRunSeconds() (seconds float64, ok bool) { return j.runTimes.Usual(int(j.running)) }
 
-// MayTry returns how many of n tasks of the job may be placed now.
-func (j *Job) MayTry(n int) int {
+// MaxPlaceable returns how many of n tasks of the job may be placed now.
+func (j *Job) MaxPlaceable(n int) int {
 	switch {
 	case !j.Failing:
 		return n
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// BeginsWithin is how long a job without an objective is confined to the headroom
+	// StartsWithin is how long a job without an objective is confined to the headroom
 	// before it begins like any other of its level.
-	BeginsWithin = time.Minute
+	StartsWithin = time.Minute
 	// retryInterval is the time between two retries of reads and writes that were not
 	// carried out.
 	retryInterval = time.Second
@@ -193,11 +193,11 @@
 }
 
 // CurrentDeadline returns when a job should be done. A job without an objective of which
-// nothing has started for BeginsWithin goes first until something does: behind all jobs
+// nothing has started for StartsWithin goes first until something does: behind all jobs
 // with earlier deadlines, which keep coming where there is more work than resources, it
 // would not start for minutes.
 func (o *Owned) CurrentDeadline(live *clusterstate.LiveJob) clock.Time {
-	if o.Since(live.Since) > BeginsWithin && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
+	if o.Since(live.Since) > StartsWithin && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
 		if progress, _ := o.JobProgress(live.ID); progress.Running == 0 && progress.Done == 0 {
 			return live.Since
 		}
--- a/internal/controller/jobs/runtimes.go
+++ b/internal/controller/jobs/runtimes.go
@@ -14,7 +14,7 @@
 // EstimateOf returns the expected run time of a job's task in seconds: what its other
 // tasks took, once enough of them are done, and before that the submitted estimate.
 func (o *Owned) EstimateOf(job *Job) float64 {
-	if seconds, ok := job.UsualSeconds(); ok {
+	if seconds, ok := job.MedianRunSeconds(); ok {
 		return seconds
 	}
 	return o.Estimate(&job.Job)
--- a/internal/controller/jobs/slow.go
+++ b/internal/controller/jobs/slow.go
@@ -98,7 +98,7 @@
 	if job == nil || job.Placed[attempt.Task] != attempt || !attempt.running || attempt.Stopping || m == nil || m.Epoch != attempt.Epoch {
 		return
 	}
-	usual, ok := job.UsualSeconds()
+	usual, ok := job.MedianRunSeconds()
 	lateAt := attempt.runningSince + lateThreshold(usual)
 	switch {
 	case !ok || !o.stateKnown(m): // nothing can be said yet
@@ -155,7 +155,7 @@
 // usual time there.
 func (o *Owned) clearLateRuns(job *Job, attempt *Attempt) {
 	if m := o.table.Machines[attempt.Machine]; m != nil && attempt.running {
-		if usual, ok := job.UsualSeconds(); ok && !attempt.startUnseen && o.Since(attempt.runningSince).Seconds() < usual {
+		if usual, ok := job.MedianRunSeconds(); ok && !attempt.startUnseen && o.Since(attempt.runningSince).Seconds() < usual {
 			m.LateRuns = 0
 		}
 	}
--- a/internal/controller/limit_test.go
+++ b/internal/controller/limit_test.go
@@ -39,7 +39,7 @@
 	if len(second.Placed) != 0 || len(first.Placed) != 6 {
 		t.Errorf("%d and %d placed: the job has just been submitted", len(first.Placed), len(second.Placed))
 	}
-	b.now += Time(placement.LimitPatience)
+	b.now += Time(placement.LimitSharedAfter)
 	b.step(message.Tick{})
 	end(1)
 	if len(second.Placed) != 1 || len(first.Placed) != 5 {
--- a/internal/controller/placement/array.go
+++ b/internal/controller/placement/array.go
@@ -14,7 +14,7 @@
 	zones := job.ZoneCounts()
 	var from *candidates
 	var longestWaiting *jobs.Job // see queuesWithinLimit
-	most = job.MayTry(most)
+	most = job.MaxPlaceable(most)
 	for i, ok := job.Pending.NextSet(0); ok && len(placed) < most; i, ok = job.Pending.NextSet(i + 1) {
 		if job.Placed[protocol.TaskID{Job: job.ID, Index: uint32(i)}] != nil {
 			continue // its last attempt may still exist
--- a/internal/controller/placement/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -119,7 +119,7 @@
 // present, given the zones of its other tasks. A machine on which the job has failed is
 // feasible only if it has failed on all others.
 func (p *Placer) Feasible(job *jobs.Job, zones map[protocol.Zone]int) func(*waittable.Machine) bool {
-	failedOnAll := p.jobs.FailedEverywhereElse(job)
+	failedOnAll := p.jobs.FailedOnAllMachines(job)
 	return func(m *waittable.Machine) bool {
 		return p.table.Usable(m) && (failedOnAll || !job.FailedOn[m.ID]) && job.Allows(m, zones)
 	}
--- a/internal/controller/placement/claims.go
+++ b/internal/controller/placement/claims.go
@@ -79,9 +79,9 @@
 	return true
 }
 
-// tentative records what can be spared now. The returned function restores it, for a gang
+// savepoint records what can be spared now. The returned function restores it, for a gang
 // of which not all tasks could be placed.
-func (c *Claims) tentative() (undo func()) {
+func (c *Claims) savepoint() (undo func()) {
 	before := slices.Clone(c.Classes)
 	return func() { copy(c.Classes, before) }
 }
--- a/internal/controller/placement/demand.go
+++ b/internal/controller/placement/demand.go
@@ -15,9 +15,9 @@
 		if !job.Loaded || job.Unverified || job.NotBefore > p.Now {
 			continue
 		}
-		tasks := p.countWithinLimit(job, usage, min(job.MayTry(int(job.Pending.Count())), maxDemandPerJob))
+		tasks := p.countWithinLimit(job, usage, min(job.MaxPlaceable(int(job.Pending.Count())), maxDemandPerJob))
 		p.jobs.AddUse(job, usage, tasks)
-		tasks += job.Waiting
+		tasks += job.Unstarted
 		if tasks > 0 {
 			demands = append(demands, message.Demand{
 				Job:       job.ID,
--- a/internal/controller/placement/failedsearch.go
+++ b/internal/controller/placement/failedsearch.go
@@ -28,9 +28,9 @@
 }
 
 const (
-	// SearchedAtOnce is how many machines may be examined in a step for arrays that are
+	// MaxExaminedForArrays is how many machines may be examined in a step for arrays that are
 	// unlikely to find a place.
-	SearchedAtOnce = 3000
+	MaxExaminedForArrays = 3000
 	// maxFailedSearches bounds the searches that are remembered.
 	maxFailedSearches = 64
 )
@@ -50,7 +50,7 @@
 		spot:         job.Spot,
 		usesHeadroom: job.UsesHeadroom,
 	}
-	stepsToSkip := max(1, (len(p.failedSearches)+1)*len(p.table.InOrder())/SearchedAtOnce)
+	stepsToSkip := max(1, (len(p.failedSearches)+1)*len(p.table.InOrder())/MaxExaminedForArrays)
 	search.until = p.After(Interval * time.Duration(stepsToSkip))
 	p.failedSearches = append(p.failedSearches, search)
 }
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -43,7 +43,7 @@
 // placeTogether places all pending tasks of a gang under one attempt, or none, given the
 // zones of its other tasks. An empty zone allows all.
 func (p *Placer) placeTogether(job *jobs.Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, claims *Claims) []message.Placement {
-	undo := claims.tentative()
+	undo := claims.savepoint()
 	from := p.candidatesFor(job, zones, claims)
 	if zone != "" || len(claims.Gangs) > 0 {
 		from.restrict(func(m *waittable.Machine) bool {
--- a/internal/controller/placement/headroom.go
+++ b/internal/controller/placement/headroom.go
@@ -95,12 +95,12 @@
 	return true
 }
 
-// startOverdue reports whether nothing of a job has been placed for jobs.BeginsWithin. Its
+// startOverdue reports whether nothing of a job has been placed for jobs.StartsWithin. Its
 // first task, or the whole gang, is then placed like that of any other job and may be
 // queued; the rest stays confined to the headroom. Otherwise such jobs would never start
 // where all usable machines are likely to be needed for others.
 func (p *Placer) startOverdue(job *jobs.Job) bool {
-	return p.nothingPlacedFor(job, jobs.BeginsWithin)
+	return p.nothingPlacedFor(job, jobs.StartsWithin)
 }
 
 // nothingPlacedFor reports whether a job has waited for longer than a time, with no task
--- a/internal/controller/placement/limits.go
+++ b/internal/controller/placement/limits.go
@@ -11,9 +11,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// LimitPatience is how long a job waits before other jobs of its team leave it a part of
+// LimitSharedAfter is how long a job waits before other jobs of its team leave it a part of
 // the team's limit.
-const LimitPatience = 30 * time.Second
+const LimitSharedAfter = 30 * time.Second
 
 // withinLimit reports whether n more tasks keep the team within its limit.
 func (p *Placer) withinLimit(job *jobs.Job, usage map[protocol.Team]resource.Amount, n int) bool {
@@ -51,7 +51,7 @@
 }
 
 // longestWaiting returns the job that has waited longest of the other jobs of a job's
-// team, if the team has a limit and that job has waited for longer than LimitPatience.
+// team, if the team has a limit and that job has waited for longer than LimitSharedAfter.
 func (p *Placer) longestWaiting(job *jobs.Job) (longest *jobs.Job) {
 	if !p.Limited(job.Team) {
 		return nil
@@ -67,9 +67,9 @@
 	return longest
 }
 
-// waitsForLimit reports whether nothing of an array has been placed for LimitPatience.
+// waitsForLimit reports whether nothing of an array has been placed for LimitSharedAfter.
 func (p *Placer) waitsForLimit(job *jobs.Job) bool {
-	return job.Kind != protocol.KindGang && p.nothingPlacedFor(job, LimitPatience)
+	return job.Kind != protocol.KindGang && p.nothingPlacedFor(job, LimitSharedAfter)
 }
 
 // compareWaiting orders jobs by how long they have waited, longest first.
--- a/internal/controller/runtimes_test.go
+++ b/internal/controller/runtimes_test.go
@@ -29,7 +29,7 @@
 	if o.DoneCount != 12 {
 		t.Fatalf("%d of 12 done", o.DoneCount)
 	}
-	if s, ok := o.UsualSeconds(); ok {
+	if s, ok := o.MedianRunSeconds(); ok {
 		t.Errorf("tasks are expected to take %v s", s)
 	}
 }
