--- a/internal/controller/jobs/attempt.go
+++ b/internal/controller/jobs/attempt.go
@@ -7,7 +7,7 @@
 )
 
 // Attempt is an attempt of a task that may exist: it is queued or started, or not proven
-// to be gone.
+// to have ended or been lost.
 type Attempt struct {
 	Task    protocol.TaskID
 	Number  protocol.Attempt
--- a/internal/controller/jobs/attempts.go
+++ b/internal/controller/jobs/attempts.go
@@ -25,7 +25,7 @@
 	o.AttemptsOn.add(attempt)
 }
 
-// RemoveAttempt drops an attempt that is proven to be gone, or that no longer belongs to
+// RemoveAttempt drops an attempt that is proven not to exist, or that no longer belongs to
 // the job.
 func (o *Owned) RemoveAttempt(job *Job, attempt *Attempt) {
 	if job.Placed[attempt.Task] == attempt {
@@ -42,14 +42,14 @@
 	o.AttemptsOn.remove(attempt)
 }
 
-// attemptLost makes a task whose attempt is proven to be gone pending again.
+// attemptLost makes a task pending again whose attempt is proven not to exist any more.
 func (o *Owned) attemptLost(job *Job, attempt *Attempt) {
 	index := uint(attempt.Task.Index)
 	if attempt.Started {
 		job.interrupted.Set(index)
 	}
 	o.RemoveAttempt(job, attempt)
-	// Of a job just taken over, an attempt that is gone proves nothing about others: a
+	// Of a job just taken over, a lost attempt proves nothing about others: a
 	// later one may run on a machine whose inventory has not been received. What is
 	// missing once all have been becomes pending then.
 	if !job.Unverified && !job.Done.Test(index) {
@@ -57,7 +57,7 @@
 	}
 	o.table.PlacementDue = true
 	if job.Kind == protocol.KindGang {
-		// The others can't go on: the next attempt starts when all of this one are gone.
+		// The others can't go on: the next attempt starts when none of this one exists.
 		o.StopAll(job)
 	}
 }
--- a/internal/controller/jobs/events.go
+++ b/internal/controller/jobs/events.go
@@ -86,7 +86,7 @@
 }
 
 // killUnknownAttempt has an attempt killed that this owner has never placed or has already
-// taken to be gone.
+// taken to be lost.
 func (o *Owned) killUnknownAttempt(event message.TaskEvent) {
 	o.Log.Error("an attempt runs that is not the present one", "task", event.Task, "attempt", event.Attempt, "machine", event.Machine)
 	o.SendStop(&Attempt{Task: event.Task, Number: event.Attempt, Machine: event.Machine}, true, 0)
--- a/internal/controller/jobs/inventory.go
+++ b/internal/controller/jobs/inventory.go
@@ -45,7 +45,7 @@
 // recordEndedAttempts counts the attempts on a machine of jobs that are over here, but not
 // yet by the records that its dispatcher has followed: it has not killed them, and may even
 // start them until it follows. They count against their team's limit until the dispatcher
-// reports that they are gone. When they were taken to be gone, their resources were given
+// reports that they have ended. When they were taken to be lost, their resources were given
 // to others of the team, beyond the limit.
 func (o *Owned) recordEndedAttempts(inventory *message.Inventory) {
 	for _, held := range inventory.Held {
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -40,7 +40,7 @@
 	// received.
 	AwaitedInventories map[protocol.MachineID]bool
 	// EndedAttempts are the attempts of limited teams' jobs that are over, as long as they
-	// are not proven to be gone.
+	// are not proven to have ended.
 	EndedAttempts EndedAttempts
 	// UnverifiedTeams are the limited teams just taken over whose usage is not known yet.
 	UnverifiedTeams map[protocol.Team]bool
--- a/internal/controller/jobs/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -22,7 +22,7 @@
 		clear(o.EndedAttempts)
 	}
 	// A new session of a dispatcher counts Place messages from the start: compared with its
-	// count, an attempt long gone would use up its team's limit for ever.
+	// count, an attempt that ended long ago would use up its team's limit for ever.
 	o.EndedAttempts.unverifyOn(func(id protocol.MachineID) bool { return o.dispatcherChanged(old, id) })
 	o.unverifyTeams(old, keeps)
 	o.awaitInventories(old, keeps)
--- a/internal/controller/jobs/usage.go
+++ b/internal/controller/jobs/usage.go
@@ -8,8 +8,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TeamUsage sums what the attempts of limited teams may use that are not proven to be
-// gone. Of a team just taken over, unlisted attempts, of jobs that are over too, can only
+// TeamUsage sums what the attempts of limited teams may use that are not proven to
+// have ended. Of a team just taken over, unlisted attempts, of jobs that are over too, can only
 // be on machines whose inventory has not been received: they use no more than the capacity
 // of these.
 func (o *Owned) TeamUsage() map[protocol.Team]resource.Amount {
--- a/internal/controller/placement/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -158,7 +158,11 @@
 	for ; moved < most; moved++ {
 		var best *movableTasks
 		for _, tasks := range movable {
-			if len(tasks.tasks) > 0 && free.Covers(tasks.need) && (m.Reported.Queued == 0 || p.reservations.HeldFor(&tasks.job.Job, m)) && (best == nil || tasks.before(best)) && p.mayMove(tasks, m, claims) {
+			if len(tasks.tasks) == 0 || !free.Covers(tasks.need) || best != nil && !tasks.before(best) {
+				continue
+			}
+			mayOvertake := m.Reported.Queued == 0 || p.reservations.HeldFor(&tasks.job.Job, m)
+			if mayOvertake && p.mayMove(tasks, m, claims) {
 				best = tasks
 			}
 		}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -237,7 +237,7 @@
 
 // TestHeldAttemptsOfEndedJobsCountAgainstLimit: a dispatcher that follows the records late
 // lists attempts of a job that is over here: it has not killed them yet. They count against
-// their team's limit until it reports that they are gone, for an owner that has just taken
+// their team's limit until it reports that they have ended, for an owner that has just taken
 // the team over, and for one that has owned it all the while.
 func TestHeldAttemptsOfEndedJobsCountAgainstLimit(t *testing.T) {
 	for _, takenOver := range []bool{false, true} {
