--- a/internal/record/records_test.go
+++ b/internal/record/bitmap_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestChunks: a bitmap of any job reads back from its chunks, and each chunk
-// is well within the smallest value limit seen.
-func TestChunks(t *testing.T) {
+// TestChunksDecodeToTheirBitmap: a bitmap of any job decodes from its chunks, and each
+// chunk is well below the smallest limit of values seen.
+func TestChunksDecodeToTheirBitmap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.Uint32Range(1, protocol.MaxTasks).Draw(t, "tasks")
 		done := bitset.New(uint(tasks))
@@ -36,9 +36,9 @@
 		}
 	})
 	if err := DecodeChunk("bits/job-1/9", BitmapChunk{"//8"}, bitset.New(1), 1); err == nil {
-		t.Error("a chunk past the largest job is taken")
+		t.Error("a chunk past the largest job was accepted")
 	}
 	if err := DecodeChunk("bits/job-1/0", BitmapChunk{"not base64!"}, bitset.New(1), 1); err == nil {
-		t.Error("garbage is taken")
+		t.Error("invalid base64 was accepted")
 	}
 }
--- a/internal/record/configuration.go
+++ b/internal/record/configuration.go
@@ -7,27 +7,27 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Configuration that changes while controllers run is kept in records of one entry
-// each, under one revision. A transaction that changes entries also writes the
-// revision's record, on its version: so all changes are in one order, each decided on
-// what those before it left.
+// The dynamic configuration is stored as a record of each entry, under one revision. A
+// transaction that changes entries also writes the revision's record and compares its
+// version, so that changes are serialized: each is decided on the result of those
+// before it.
 const (
-	// ConfigurationKey is the record of the revision.
+	// ConfigurationKey is the key of the Configuration.
 	ConfigurationKey         = "c/config/revision"
 	configurationEntryPrefix = "c/config/entry/"
-	// ConfigurationHistoryPrefix is that of the latest changes, which nobody follows.
+	// ConfigurationHistoryPrefix is the prefix of the latest changes, which nobody watches.
 	ConfigurationHistoryPrefix = "config/history/"
-	// ConfigurationHistory is how many of the latest changes are kept.
+	// ConfigurationHistory is how many of the latest changes are stored.
 	ConfigurationHistory = 200
-	// ConfigurationRequests is how many of the latest requests the revision's record
-	// names, so that a repeated one changes nothing more.
+	// ConfigurationRequests is how many idempotency keys of the latest requests the
+	// revision's record lists, so that a repeated request changes nothing more.
 	ConfigurationRequests = 64
 )
 
-// ConfigurationRevision counts the changes of the configuration; 0: none yet.
+// ConfigurationRevision counts the changes of the configuration; 0 is none yet.
 type ConfigurationRevision uint64
 
-// EntryKind is what an entry of the configuration is about.
+// EntryKind is the kind of thing that an entry of the configuration configures.
 type EntryKind string
 
 // The kinds of entries.
@@ -39,23 +39,24 @@
 	EntrySetting EntryKind = "setting"
 )
 
-// EntryID names an entry of the configuration: its kind and, after a slash, whose it is.
+// EntryID identifies an entry of the configuration: its kind, a slash and the name of
+// what it configures.
 type EntryID string
 
-// NewEntryID names the entry of a kind for something.
+// NewEntryID makes the id of the entry of a kind and a name.
 func NewEntryID(kind EntryKind, name string) EntryID { return EntryID(string(kind) + "/" + name) }
 
-// Split is an entry's kind and whose it is.
+// Split returns the kind and the name of an id.
 func (id EntryID) Split() (EntryKind, string) {
 	kind, name, _ := strings.Cut(string(id), "/")
 	return EntryKind(kind), name
 }
 
-// ConfigurationEntryKey is the record of an entry.
+// ConfigurationEntryKey is the key of a ConfigurationEntry.
 func ConfigurationEntryKey(id EntryID) string { return configurationEntryPrefix + string(id) }
 
-// ConfigurationHistoryKey is the record of what a revision changed. Later revisions
-// take the places of those that are kept no more.
+// ConfigurationHistoryKey is the key of a ConfigurationChange. The keys form a ring:
+// later revisions overwrite those from ConfigurationHistory revisions ago.
 func ConfigurationHistoryKey(r ConfigurationRevision) string {
 	return fmt.Sprintf("%s%03d", ConfigurationHistoryPrefix, uint64(r)%ConfigurationHistory)
 }
@@ -63,22 +64,23 @@
 // Configuration is the record of the revision.
 type Configuration struct {
 	Revision ConfigurationRevision `cbor:"revision"`
-	// Entries are those that this revision has changed: it is in force once all of
-	// them are known.
+	// Entries are those that this revision changed: a controller applies the revision
+	// once it has read all of them.
 	Entries  []EntryID              `cbor:"entries"`
 	Requests []ConfigurationRequest `cbor:"requests"`
 }
 
-// ConfigurationRequest is a request that was carried out, and by which revision.
+// ConfigurationRequest is a request that was carried out, and the revision that did so.
 type ConfigurationRequest struct {
 	ID       string                `cbor:"id"`
 	Revision ConfigurationRevision `cbor:"revision"`
 }
 
-// ConfigurationEntry is the record of an entry; beside the revision one field is set.
+// ConfigurationEntry is the record of an entry. Beside the revision exactly one of
+// Reset, Team, Class, Place and Value is set.
 type ConfigurationEntry struct {
 	Revision ConfigurationRevision `cbor:"revision" json:"revision"` // that wrote it
-	// Reset: it is as the platform's file has it. Lowered, of a team, is then the last
+	// Reset means that the platform's file applies. For a team, Lowered is then the last
 	// revision that lowered its limit.
 	Reset   bool                  `cbor:"reset,omitempty" json:"reset,omitempty"`
 	Lowered ConfigurationRevision `cbor:"lowered,omitempty" json:"lowered,omitempty"`
@@ -88,10 +90,10 @@
 	Value   *SettingText          `cbor:"value,omitempty" json:"value,omitempty"`
 }
 
-// SettingText is the value of one of the operators' own settings, as in their file.
+// SettingText is the value of one of the operators' settings, written as in their file.
 type SettingText string
 
-// TeamEntry is a team's guarantee and limit. Amounts are those of the platform's file.
+// TeamEntry is a team's guarantee and limit, in the units of the platform's file.
 type TeamEntry struct {
 	CPUs    float64 `cbor:"cpus" json:"cpus"`
 	MaxCPUs float64 `cbor:"cpus_max" json:"cpus_max"`
@@ -99,17 +101,17 @@
 	MaxGPUs float64 `cbor:"gpus_max" json:"gpus_max"`
 	Closed  bool    `cbor:"closed,omitempty" json:"closed,omitempty"` // to new jobs
 	Removed bool    `cbor:"removed,omitempty" json:"removed,omitempty"`
-	// Lowered is the last revision that lowered its limit: what was placed by an
-	// earlier one may not be started any more.
+	// Lowered is the last revision that lowered the limit: what was placed under an
+	// earlier one must not be started any more.
 	Lowered ConfigurationRevision `cbor:"lowered,omitempty" json:"lowered,omitempty"`
 }
 
-// ClassEntry are the objectives of a class, instead of those of the platform's file.
+// ClassEntry is the objectives of a class, which replace those of the platform's file.
 type ClassEntry struct {
 	Objectives []ObjectiveEntry `cbor:"objectives" json:"objectives"`
 }
 
-// ObjectiveEntry is what is expected of a class; see the platform's file.
+// ObjectiveEntry is a service-level objective of a class, as in the platform's file.
 type ObjectiveEntry struct {
 	Kind    string  `cbor:"kind" json:"kind" toml:"kind"`
 	WithinS float64 `cbor:"within_s" json:"within_s" toml:"within_s"`
@@ -117,13 +119,13 @@
 	Times   float64 `cbor:"times" json:"times" toml:"times"`
 }
 
-// PlaceEntry says whether a zone or a machine type is closed: nothing is placed or
-// started there, and nothing rented.
+// PlaceEntry says whether a zone or a machine type is cordoned: nothing is placed,
+// started or provisioned there.
 type PlaceEntry struct {
 	Closed bool `cbor:"closed" json:"closed"`
 }
 
-// ConfigurationChange is the record of what a revision changed.
+// ConfigurationChange is the history record of one revision.
 type ConfigurationChange struct {
 	Revision ConfigurationRevision `cbor:"revision" json:"revision"`
 	By       string                `cbor:"by" json:"by"`
@@ -131,21 +133,20 @@
 	Changes  []EntryChange         `cbor:"changes" json:"changes"`
 }
 
-// EntryChange is an entry before and after a change; a reset one is as the platform's
-// file has it.
+// EntryChange is an entry before and after a change.
 type EntryChange struct {
 	Entry EntryID            `cbor:"entry" json:"entry"`
 	From  ConfigurationEntry `cbor:"from" json:"from"`
 	To    ConfigurationEntry `cbor:"to" json:"to"`
 }
 
-// entryOf is the entry that a followed key is the record of, if it is of one.
-func entryOf(key string) (EntryID, bool) {
+// parseConfigurationEntryKey parses the key of a ConfigurationEntry.
+func parseConfigurationEntryKey(key string) (EntryID, bool) {
 	id, ok := strings.CutPrefix(key, configurationEntryPrefix)
 	return EntryID(id), ok
 }
 
-// TeamOf is the team that an entry is about.
+// TeamOf returns the team that an entry configures, if its kind is EntryTeam.
 func TeamOf(id EntryID) (protocol.Team, bool) {
 	kind, name := id.Split()
 	return protocol.Team(name), kind == EntryTeam
--- /dev/null
+++ b/internal/record/keys.go
@@ -0,0 +1,58 @@
+package record
+
+import (
+	"fmt"
+	"strconv"
+
+	"damsonkeel/internal/protocol"
+)
+
+// Keys of the records. All that every controller watches has one prefix; final states
+// of jobs and bitmaps are read on demand and have others.
+const (
+	// FollowedPrefix is the prefix of the records that every controller watches.
+	FollowedPrefix = "c/"
+	// ViewKey is the key of the View.
+	ViewKey       = "c/view"
+	nodePrefix    = "c/node/"
+	livePrefix    = "c/live/"
+	machinePrefix = "c/mach/"
+	blockPrefix   = "c/block/"
+	jobPrefix     = "job/"
+	bitsPrefix    = "bits/"
+)
+
+// NodeKey is the key of a controller's Node.
+func NodeKey(n protocol.NodeName) string { return nodePrefix + string(n) }
+
+// LiveKey is the key of an accepted job that is neither done nor cancelled.
+func LiveKey(j protocol.JobID) string { return livePrefix + string(j) }
+
+// JobKey is the key of a JobRecord, which is never deleted.
+func JobKey(j protocol.JobID) string { return jobPrefix + string(j) }
+
+// BlockKey is the key of a Block.
+func BlockKey(name string) string { return blockPrefix + name }
+
+// BlockName formats the number of a block, from 1 on, as its name.
+func BlockName(n uint64) string { return fmt.Sprintf("%08d", n) }
+
+// BlockNumber parses the name of a block; it returns 0 for a name without a number.
+func BlockNumber(name string) uint64 {
+	n, err := strconv.ParseUint(name, 10, 64)
+	if err != nil {
+		return 0
+	}
+	return n
+}
+
+// MachineKey is the key of a Machine with a record of its own.
+func MachineKey(m protocol.MachineID) string { return machinePrefix + string(m) }
+
+// BitmapPrefix is the prefix of the keys of a job's bitmap of finished tasks.
+func BitmapPrefix(j protocol.JobID) string { return bitsPrefix + string(j) + "/" }
+
+// BitmapChunkKey is the key of one chunk of a job's bitmap.
+func BitmapChunkKey(j protocol.JobID, chunk int) string {
+	return fmt.Sprintf("%s%d", BitmapPrefix(j), chunk)
+}
--- /dev/null
+++ b/internal/record/shardtable.go
@@ -0,0 +1,89 @@
+package record
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+
+	"damsonkeel/internal/protocol"
+)
+
+// ShardTableKey is the key of the ShardTable.
+const ShardTableKey = "c/shares"
+
+// ShardTable assigns the shards of the machines to controllers: Slots shards of each
+// zone, in the order of Zones. Neither Zones nor Slots change once it is written.
+type ShardTable struct {
+	// Epoch is the highest epoch that any shard has or had.
+	Epoch protocol.Term
+	Zones []protocol.Zone
+	Slots int // shards of each zone
+	// Away are the controllers that operators have cordoned: they lead no shards.
+	Away []protocol.NodeName
+	List []ShardAssignment
+}
+
+// ShardAssignment is the assignment of one shard.
+type ShardAssignment struct {
+	Holder protocol.LeaseID // lease of the controller that leads the shard
+	// Since is the epoch at which the holder took the shard over.
+	Since protocol.Term
+	// Epoch is the fencing token of commands to the machines of the shard. It rises when
+	// the holder changes, and when the outcome of a start has to be settled.
+	Epoch protocol.Term
+}
+
+// shardTableRecord is the stored form of ShardTable: each lease once, and the
+// assignments in columns, so that hundreds of shards fit into a value.
+type shardTableRecord struct {
+	Epoch    protocol.Term       `cbor:"epoch"`
+	Zones    []protocol.Zone     `cbor:"zones"`
+	Slots    int                 `cbor:"slots"`
+	Away     []protocol.NodeName `cbor:"away,omitempty"`
+	Sessions []protocol.LeaseID  `cbor:"sessions"`
+	Holders  []int               `cbor:"holders"` // indices into Sessions
+	Since    []protocol.Term     `cbor:"since"`
+	Epochs   []protocol.Term     `cbor:"epochs"`
+}
+
+// MarshalCBOR encodes the table in columns.
+func (s ShardTable) MarshalCBOR() ([]byte, error) {
+	r := shardTableRecord{Epoch: s.Epoch, Zones: s.Zones, Slots: s.Slots, Away: s.Away}
+	for _, shard := range s.List {
+		holder := slices.Index(r.Sessions, shard.Holder)
+		if holder < 0 {
+			holder = len(r.Sessions)
+			r.Sessions = append(r.Sessions, shard.Holder)
+		}
+		r.Holders = append(r.Holders, holder)
+		r.Since = append(r.Since, shard.Since)
+		r.Epochs = append(r.Epochs, shard.Epoch)
+	}
+	b, err := protocol.Encode(r)
+	if err != nil {
+		return nil, fmt.Errorf("shard table: %w", err)
+	}
+	return b, nil
+}
+
+var errShardColumns = errors.New("shard table: columns of different lengths")
+
+// UnmarshalCBOR decodes a table from columns.
+func (s *ShardTable) UnmarshalCBOR(b []byte) error {
+	var r shardTableRecord
+	if err := protocol.Decode(b, &r); err != nil {
+		return fmt.Errorf("shard table: %w", err)
+	}
+	count := len(r.Zones) * r.Slots
+	if r.Slots <= 0 || len(r.Holders) != count || len(r.Since) != count || len(r.Epochs) != count {
+		return errShardColumns
+	}
+	*s = ShardTable{Epoch: r.Epoch, Zones: r.Zones, Slots: r.Slots, Away: r.Away, List: make([]ShardAssignment, count)}
+	for i, holder := range r.Holders {
+		if holder < 0 || holder >= len(r.Sessions) {
+			return errShardColumns
+		}
+		s.List[i] = ShardAssignment{Holder: r.Sessions[holder], Since: r.Since[i], Epoch: r.Epochs[i]}
+	}
+	return nil
+}
