--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,80 +1,91 @@
-// Package cloud is a client of the service that provisions and terminates machines.
 package cloud
 
 import (
 	"context"
 	"fmt"
+	"net/http"
 	"net/url"
 	"time"
 
-	"damsonkeel/internal/serviceclient"
-
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/serviceclient"
 	"damsonkeel/internal/transport"
 
 	"golang.org/x/time/rate"
 )
 
-const cloudTimeout = 5 * time.Second
+const (
+	callTimeout = 5 * time.Second
+	// ratePart is the part of the cloud's rate that each controller may use.
+	ratePart = 0.6
+	// burstSeconds is how many seconds' worth of the rate may be used at once.
+	burstSeconds = 2
+	// pageSize is how many machines a page of the list has.
+	pageSize = 500
+)
 
-// Client is a client of the cloud that keeps to this controller's share of its rate.
+// Client is a client of the cloud that keeps to this controller's part of its rate.
 type Client struct {
 	client *transport.Client
-	calls  *rate.Limiter
+	limit  *rate.Limiter
 }
 
-// NewClient makes a client. One controller at a time rents and lists, the
-// others only read the catalogue once a minute, so each may use most of the
-// configured rate; what two of them exceed while the role passes is refused
-// by the cloud, without harm.
+// NewClient makes a client of the cloud at addr. One controller at a time provisions and
+// lists machines, and the others only read the catalogue once a minute, so each may use
+// most of the configured rate. What two of them exceed during a failover the cloud
+// refuses, without harm.
 func NewClient(addr string, rps float64) *Client {
-	share := rps * 0.6
-	return &Client{client: transport.NewClient(addr), calls: rate.NewLimiter(rate.Limit(share), max(1, int(2*share)))}
+	part := rps * ratePart
+	burst := max(1, int(burstSeconds*part))
+	return &Client{client: transport.NewClient(addr), limit: rate.NewLimiter(rate.Limit(part), burst)}
 }
 
 func (c *Client) do(ctx context.Context, method, target string, in, out any) error {
-	if err := c.calls.Wait(ctx); err != nil {
+	if err := c.limit.Wait(ctx); err != nil {
 		return serviceclient.ErrRefused
 	}
-	return serviceclient.Call(ctx, c.client, cloudTimeout, method, target, in, out)
+	if err := serviceclient.Call(ctx, c.client, callTimeout, method, target, in, out); err != nil {
+		return fmt.Errorf("cloud: %w", err)
+	}
+	return nil
 }
 
 // Catalogue reads the machine types.
 func (c *Client) Catalogue(ctx context.Context) (protocol.Catalogue, error) {
-	var cat protocol.Catalogue
-	err := c.do(ctx, "GET", "/catalog", nil, &cat)
-	return cat, err
+	var catalogue protocol.Catalogue
+	err := c.do(ctx, http.MethodGet, "/catalog", nil, &catalogue)
+	return catalogue, err
 }
 
-// Rent asks for machines.
+// Rent provisions machines.
 func (c *Client) Rent(ctx context.Context, r protocol.ProvisionRequest) ([]protocol.MachineID, error) {
-	var got protocol.MachineNames
-	err := c.do(ctx, "POST", "/hosts", r, &got)
-	return got.Machines, err
+	var provisioned protocol.MachineNames
+	err := c.do(ctx, http.MethodPost, "/hosts", r, &provisioned)
+	return provisioned.Machines, err
 }
 
-// Delete returns machines. When it returns without an error they are gone.
+// Delete terminates machines. Without an error they no longer exist.
 func (c *Client) Delete(ctx context.Context, ids []protocol.MachineID) error {
-	return c.do(ctx, "POST", "/hosts/delete", protocol.MachineNames{Machines: ids}, nil)
+	return c.do(ctx, http.MethodPost, "/hosts/delete", protocol.MachineNames{Machines: ids}, nil)
 }
 
 // Machines lists all machines, page by page.
 func (c *Client) Machines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
-	from := ""
+	after := ""
 	for {
-		target := "/hosts?page=500"
-		if from != "" {
-			target += "&from=" + url.QueryEscape(from)
+		target := fmt.Sprintf("/hosts?page=%d", pageSize)
+		if after != "" {
+			target += "&from=" + url.QueryEscape(after)
 		}
 		var page protocol.MachineList
-		if err := c.do(ctx, "GET", target, nil, &page); err != nil {
+		if err := c.do(ctx, http.MethodGet, target, nil, &page); err != nil {
 			return nil, fmt.Errorf("list machines: %w", err)
 		}
 		all = append(all, page.Machines...)
 		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		from = string(page.Machines[len(page.Machines)-1].ID)
+		after = string(page.Machines[len(page.Machines)-1].ID)
 	}
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -7,9 +7,8 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/serviceclient"
-
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/serviceclient"
 	"damsonkeel/internal/transport"
 
 	"golang.org/x/time/rate"
@@ -18,6 +17,7 @@
 // serve answers each connection's requests with what answer says; no message
 // closes the connection without an answer.
 func serve(t *testing.T, answer func(*transport.Message) *transport.Message) string {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,42 +29,44 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				p := transport.NewRequestParser()
-				buf := make([]byte, 4096)
-				for {
-					n, err := c.Read(buf)
-					if err != nil {
-						return
-					}
-					p.Feed(buf[:n])
-					for {
-						m, err := p.Next()
-						if err != nil {
-							return
-						}
-						if m == nil {
-							break
-						}
-						out := answer(m)
-						if out == nil {
-							return
-						}
-						if _, err := c.Write(transport.AppendResponse(nil, out)); err != nil {
-							return
-						}
-					}
-				}
-			}()
+			go serveConnection(c, answer)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// TestAnswers: what the state service says, or that it says nothing, is told
-// apart; only a refusal is known not to have been executed.
-func TestAnswers(t *testing.T) {
+func serveConnection(c net.Conn, answer func(*transport.Message) *transport.Message) {
+	defer c.Close()
+	p := transport.NewRequestParser()
+	buf := make([]byte, 4096)
+	for {
+		n, err := c.Read(buf)
+		if err != nil {
+			return
+		}
+		p.Feed(buf[:n])
+		for {
+			m, err := p.Next()
+			if err != nil {
+				return
+			}
+			if m == nil {
+				break
+			}
+			out := answer(m)
+			if out == nil {
+				return
+			}
+			if _, err := c.Write(transport.AppendResponse(nil, out)); err != nil {
+				return
+			}
+		}
+	}
+}
+
+// TestResponsesGiveTypedErrors: each status of the store, and a missing response, gives
+// an error of its own; only ErrRefused says that the request was not executed.
+func TestResponsesGiveTypedErrors(t *testing.T) {
 	var next *transport.Message
 	s := NewClient(serve(t, func(*transport.Message) *transport.Message { return next }), 1e6, 1e6, 1)
 	ctx := context.Background()
@@ -72,7 +74,14 @@
 	for _, tc := range []struct {
 		status int
 		want   error
-	}{{409, serviceclient.ErrConflict}, {429, serviceclient.ErrRefused}, {503, serviceclient.ErrRefused}, {400, serviceclient.ErrMalformed}, {404, serviceclient.ErrNotFound}, {410, serviceclient.ErrCompacted}} {
+	}{
+		{409, serviceclient.ErrConflict},
+		{429, serviceclient.ErrRefused},
+		{503, serviceclient.ErrRefused},
+		{400, serviceclient.ErrMalformed},
+		{404, serviceclient.ErrNotFound},
+		{410, serviceclient.ErrCompacted},
+	} {
 		next = &transport.Message{Status: tc.status}
 		if _, err := s.CompareAndSwap(ctx, txn, First); !errors.Is(err, tc.want) {
 			t.Errorf("status %d: %v", tc.status, err)
@@ -89,13 +98,13 @@
 	}
 	next = &transport.Message{Status: 200, Body: []byte("\xff\xff")}
 	if _, err := s.Get(ctx, "a"); err == nil {
-		t.Error("nonsense is taken for an answer")
+		t.Error("a malformed response was accepted")
 	}
 }
 
-// TestWatchesArePaced: a watch that ends at once, as each does while many
-// records change, is not opened again at once: leases would not be extended.
-func TestWatchesArePaced(t *testing.T) {
+// TestWatchesAreRateLimited: a watch that ends at once, as each does while many records
+// change, is not opened again at once: leases would not be renewed.
+func TestWatchesAreRateLimited(t *testing.T) {
 	s := NewClient("127.0.0.1:1", 120, 40, 3)
 	opened := 0
 	for now := time.Unix(0, 0); now.Before(time.Unix(10, 0)); now = now.Add(time.Millisecond) {
@@ -113,9 +122,9 @@
 	}
 }
 
-// TestPrecedence: when changes run short, bitmaps are the first that have to
-// wait, then machines, and what users wait for has the last.
-func TestPrecedence(t *testing.T) {
+// TestScarceChangesGoToHighPrecedence: when the budget of changes runs short, bitmaps are
+// refused first, then machines, and what users wait for last.
+func TestScarceChangesGoToHighPrecedence(t *testing.T) {
 	body, err := protocol.Encode(map[string]any{"ledgerline": 1})
 	if err != nil {
 		t.Fatal(err)
@@ -123,7 +132,7 @@
 	addr := serve(t, func(*transport.Message) *transport.Message { return &transport.Message{Status: 200, Body: body} })
 	for p, want := range map[Precedence]int{First: 20, Later: 15, Spare: 10} {
 		s := NewClient(addr, 1e6, 1e6, 1)
-		s.writes = rate.NewLimiter(0, 20) // full, and nothing comes back
+		s.budget.writes = rate.NewLimiter(0, 20) // full, and nothing comes back
 		done := 0
 		for range 40 {
 			if _, err := s.CompareAndSwap(context.Background(), protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1}}}, p); err == nil {
@@ -133,16 +142,16 @@
 		if done != want {
 			t.Errorf("precedence %d: %d done of a burst of 20, want %d", p, done, want)
 		}
-		s.writes = rate.NewLimiter(0, 1)
+		s.budget.writes = rate.NewLimiter(0, 1)
 		if _, err := s.CompareAndSwap(context.Background(), protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1}}}, p); err != nil {
 			t.Errorf("precedence %d: never done with a burst of one: %v", p, err)
 		}
 	}
 }
 
-// TestBudget: requests beyond this controller's share are refused here, at
-// once; the lease is extended all the same.
-func TestBudget(t *testing.T) {
+// TestRequestsOverBudgetAreRefused: requests beyond this controller's allotment are
+// refused at once and not sent; the lease is renewed nevertheless.
+func TestRequestsOverBudgetAreRefused(t *testing.T) {
 	body, err := protocol.Encode(map[string]any{"ledgerline": 1})
 	if err != nil {
 		t.Fatal(err)
@@ -162,6 +171,6 @@
 		t.Errorf("%d asked, %d refused, of one a second", asked, refused)
 	}
 	if err := s.KeepAlive(context.Background(), 1); err != nil {
-		t.Errorf("extension: %v", err)
+		t.Errorf("renewal: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/kvstore/lease.go
@@ -0,0 +1,32 @@
+package kvstore
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"damsonkeel/internal/protocol"
+)
+
+// GrantLease creates a lease. As all that concerns leases, it never waits for the
+// budget: everything else is held back for it.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (protocol.LeaseID, error) {
+	var reply protocol.LeaseReply
+	c.budget.takeUnlimited()
+	err := c.do(ctx, http.MethodPost, "/holds", protocol.LeaseRequest{TTLMS: ttl.Milliseconds()}, &reply)
+	return reply.Lease, err
+}
+
+// KeepAlive renews a lease.
+func (c *Client) KeepAlive(ctx context.Context, id protocol.LeaseID) error {
+	c.budget.takeUnlimited()
+	return c.do(ctx, http.MethodPost, leasePath(id)+"/extend", struct{}{}, nil)
+}
+
+// RevokeLease ends a lease at once, which deletes the keys attached to it.
+func (c *Client) RevokeLease(ctx context.Context, id protocol.LeaseID) error {
+	return c.do(ctx, http.MethodDelete, leasePath(id), nil, nil)
+}
+
+func leasePath(id protocol.LeaseID) string { return fmt.Sprintf("/holds/%d", id) }
