--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,6 +1,6 @@
 package protocol
 
-// TypeInfo is one machine type of the catalogue.
+// TypeInfo is a machine type of the cloud.
 type TypeInfo struct {
 	Name       MachineType `cbor:"sku"`
 	CPUs       float64     `cbor:"cores"`
@@ -14,12 +14,12 @@
 	AllowZones []Zone      `cbor:"quays"`
 }
 
-// Catalogue lists the machine types.
+// Catalogue has all machine types of the cloud.
 type Catalogue struct {
 	Types []TypeInfo `cbor:"hulls"`
 }
 
-// ProvisionRequest asks the cloud for machines.
+// ProvisionRequest is the request to provision machines. Name is its idempotency key.
 type ProvisionRequest struct {
 	Name  string      `cbor:"charter"`
 	Type  MachineType `cbor:"hull"`
@@ -28,12 +28,12 @@
 	Count int         `cbor:"number"`
 }
 
-// MachineNames names machines: those rented, or those to return.
+// MachineNames lists machines that were provisioned, or are to be terminated.
 type MachineNames struct {
 	Machines []MachineID `cbor:"fleet"`
 }
 
-// ListedMachine is one line of the cloud's machine list.
+// ListedMachine is a machine in the cloud's list.
 type ListedMachine struct {
 	ID      MachineID   `cbor:"id"`
 	Address string      `cbor:"address"`
@@ -44,7 +44,7 @@
 	AgeS    float64     `cbor:"held_s"`
 }
 
-// MachineList is a page of the cloud's machine list.
+// MachineList is a page of the cloud's list of machines.
 type MachineList struct {
 	Machines []ListedMachine `cbor:"fleet"`
 	More     bool            `cbor:"more"`
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -6,34 +6,37 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
+// maxNestedLevels bounds the nesting of what others send.
+const maxNestedLevels = 12
+
 var (
 	encoder = mustEncoder()
 	decoder = mustDecoder()
 )
 
 func mustEncoder() cbor.EncMode {
-	// Sorted, so that the same value is the same bytes each time.
-	m, err := cbor.EncOptions{TextMarshaler: cbor.TextMarshalerTextString, Sort: cbor.SortBytewiseLexical}.EncMode()
+	// Keys are sorted so that a value always has the same bytes.
+	mode, err := cbor.EncOptions{TextMarshaler: cbor.TextMarshalerTextString, Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
-		panic(err) // fixed options: cannot depend on input
+		panic(err) // the options are constant
 	}
-	return m
+	return mode
 }
 
 func mustDecoder() cbor.DecMode {
-	m, err := cbor.DecOptions{
+	mode, err := cbor.DecOptions{
 		DupMapKey:       cbor.DupMapKeyEnforcedAPF,
-		MaxNestedLevels: 12,
+		MaxNestedLevels: maxNestedLevels,
 		IndefLength:     cbor.IndefLengthAllowed,
 		TextUnmarshaler: cbor.TextUnmarshalerTextString,
 	}.DecMode()
 	if err != nil {
-		panic(err) // fixed options: cannot depend on input
+		panic(err) // the options are constant
 	}
-	return m
+	return mode
 }
 
-// Encode writes v as CBOR.
+// Encode encodes v as CBOR.
 func Encode(v any) ([]byte, error) {
 	b, err := encoder.Marshal(v)
 	if err != nil {
@@ -42,7 +45,8 @@
 	return b, nil
 }
 
-// Decode reads one CBOR item into v. Fields that v does not know are ignored.
+// Decode decodes one CBOR item into v and ignores unknown fields. The name of the type of
+// v is part of its errors.
 func Decode(b []byte, v any) error {
 	if err := decoder.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("decode %T: %w", v, err)
@@ -50,5 +54,5 @@
 	return nil
 }
 
-// RawValue is a value still in its CBOR form.
+// RawValue is a value that is not decoded yet.
 type RawValue = cbor.RawMessage
--- a/internal/protocol/ids.go
+++ b/internal/protocol/ids.go
@@ -1,24 +1,23 @@
-// Package protocol holds the wire messages of every interface, their CBOR
-// form and their validation. The platform's own words appear only here, as
-// field tags; the rest of the program speaks of jobs, tasks and machines.
 package protocol
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
 )
 
-// JobID names a job; users choose it.
+// JobID identifies a job; users choose it.
 type JobID string
 
-// TaskID names one task of a job.
+// TaskID identifies one task of a job. The type's name is part of texts that workers get
+// from Decode.
 type TaskID struct {
 	Job   JobID
 	Index uint32
 }
 
-// MachineID names a machine, as the cloud calls it.
+// MachineID identifies a machine; the cloud assigns it.
 type MachineID string
 
 // MachineType names a type of machine in the cloud's catalogue.
@@ -33,52 +32,73 @@
 // NodeName names a controller.
 type NodeName string
 
-// Term is the token that entitles controllers to command workers.
+// Term is the fencing token of commands to workers.
 type Term uint64
 
-// Attempt numbers the starts of a task; it only ever grows for a task.
+// Attempt numbers the starts of a task. It only ever increases.
 type Attempt uint64
 
-// AgentEpoch numbers a worker's leases on life.
+// AgentEpoch numbers the incarnations of the agent on a machine.
 type AgentEpoch uint64
 
-// Seq orders the messages of one session.
+// Seq orders the heartbeats of an agent epoch.
 type Seq uint64
 
-// Version is the state service's version of a key; 0 is a key that is not there.
+// Version is the key-value store's version of a key; 0 is that of a key that does not
+// exist.
 type Version uint64
 
-// Revision counts the state service's changes.
+// Revision counts the changes of the key-value store.
 type Revision uint64
 
-// LeaseID names a lease of the state service.
+// LeaseID identifies a lease of the key-value store.
 type LeaseID uint64
 
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
 
-// ParseJobID checks that s has the form every job id has.
+const (
+	jobIDPrefix    = "job-"
+	maxJobIDLength = 64
+)
+
+var (
+	errJobIDForm      = errors.New("want job- and a number")
+	errJobIDCharacter = errors.New("unexpected character")
+	errNoTaskIndex    = errors.New("no slash")
+	errTaskIndex      = errors.New("bad index")
+)
+
+// ParseJobID checks that s has the form of a job id.
 func ParseJobID(s string) (JobID, error) {
-	const prefix = "job-"
-	if !strings.HasPrefix(s, prefix) || len(s) == len(prefix) || len(s) > 64 {
-		return "", fmt.Errorf("job id %.70q: want job- and a number", s)
+	suffix, ok := strings.CutPrefix(s, jobIDPrefix)
+	if !ok || suffix == "" || len(s) > maxJobIDLength {
+		return "", fmt.Errorf("job id %.70q: %w", s, errJobIDForm)
 	}
-	for _, c := range s[len(prefix):] {
-		if (c < '0' || c > '9') && (c < 'a' || c > 'z') && (c < 'A' || c > 'Z') && c != '-' && c != '_' {
-			return "", fmt.Errorf("job id %.70q: unexpected character", s)
+	for _, c := range suffix {
+		if !isJobIDCharacter(c) {
+			return "", fmt.Errorf("job id %.70q: %w", s, errJobIDCharacter)
 		}
 	}
 	return JobID(s), nil
 }
 
-// String writes the id as workers know it.
+func isJobIDCharacter(c rune) bool {
+	switch {
+	case c >= '0' && c <= '9', c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z':
+		return true
+	}
+	return c == '-' || c == '_'
+}
+
+// String formats the id as on the wire.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.FormatUint(uint64(t.Index), 10) }
 
-// ParseTaskID reads an id as workers write it.
+// ParseTaskID parses an id as on the wire.
 func ParseTaskID(s string) (TaskID, error) {
 	job, index, ok := strings.Cut(s, "/")
 	if !ok {
-		return TaskID{}, fmt.Errorf("task id %.80q: no slash", s)
+		return TaskID{}, fmt.Errorf("task id %.80q: %w", s, errNoTaskIndex)
 	}
 	id, err := ParseJobID(job)
 	if err != nil {
@@ -86,15 +106,15 @@
 	}
 	n, err := strconv.ParseUint(index, 10, 32)
 	if err != nil || n >= MaxTasks || (len(index) > 1 && index[0] == '0') {
-		return TaskID{}, fmt.Errorf("task id %.80q: bad index", s)
+		return TaskID{}, fmt.Errorf("task id %.80q: %w", s, errTaskIndex)
 	}
 	return TaskID{Job: id, Index: uint32(n)}, nil
 }
 
-// MarshalText writes the id as workers know it.
+// MarshalText formats the id as on the wire.
 func (t TaskID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
-// UnmarshalText reads an id as workers write it.
+// UnmarshalText parses an id as on the wire.
 func (t *TaskID) UnmarshalText(b []byte) error {
 	id, err := ParseTaskID(string(b))
 	if err == nil {
--- a/internal/protocol/state.go
+++ b/internal/protocol/kvstore.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Item is a key of the state service with its value.
+// Item is a key of the key-value store with its value.
 type Item struct {
 	Key     string   `cbor:"path"`
 	Value   RawValue `cbor:"value"`
@@ -15,13 +15,13 @@
 	Revision Revision `cbor:"ledgerline"`
 }
 
-// Condition is a version that a key must have; 0: it must not exist.
+// Condition is the version that a key must have; with 0 it must not exist.
 type Condition struct {
 	Key     string  `cbor:"path"`
 	Version Version `cbor:"entry"`
 }
 
-// Change writes or deletes one key.
+// Change puts or deletes one key.
 type Change struct {
 	Put    string   `cbor:"write,omitempty"`
 	Value  any      `cbor:"value,omitempty"`
@@ -29,29 +29,30 @@
 	Delete string   `cbor:"drop,omitempty"`
 }
 
-// Transaction is a transaction: all of its changes if all of its conditions hold.
+// Transaction is a compare-and-swap: all changes are made if all conditions hold.
 type Transaction struct {
 	Conditions []Condition `cbor:"if"`
 	Changes    []Change    `cbor:"then"`
 }
 
-// TransactionReply answers a transaction.
+// TransactionReply is the response to a Transaction. Failed has the keys whose conditions
+// did not hold.
 type TransactionReply struct {
 	Failed   []string `cbor:"failed"`
 	Revision Revision `cbor:"ledgerline"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest is the request to create a lease.
 type LeaseRequest struct {
 	TTLMS int64 `cbor:"ttl_ms"`
 }
 
-// LeaseReply names the lease given.
+// LeaseReply is the response to a LeaseRequest.
 type LeaseReply struct {
 	Lease LeaseID `cbor:"mooring"`
 }
 
-// Event is one change seen by a watch.
+// Event is one change that a watch returns.
 type Event struct {
 	Put     string   `cbor:"write,omitempty"`
 	Delete  string   `cbor:"drop,omitempty"`
@@ -59,7 +60,7 @@
 	Version Version  `cbor:"entry"`
 }
 
-// Events is the answer of a watch.
+// Events is the response to a watch.
 type Events struct {
 	Revision Revision `cbor:"ledgerline"`
 	Events   []Event  `cbor:"news"`
--- a/internal/protocol/job_test.go
+++ b/internal/protocol/submission_test.go
@@ -17,7 +17,14 @@
 	}
 }
 
-func encode(t interface{ Fatal(...any) }, v any) []byte {
+// fataler is a *testing.T or a *rapid.T.
+type fataler interface {
+	Helper()
+	Fatal(...any)
+}
+
+func encode(t fataler, v any) []byte {
+	t.Helper()
 	b, err := Encode(v)
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +32,9 @@
 	return b
 }
 
-func TestParseSubmission(t *testing.T) {
+// TestSubmissionsRoundTrip: a submission is the same job when it is stored and read, or
+// submitted again.
+func TestSubmissionsRoundTrip(t *testing.T) {
 	j, err := ParseSubmission(encode(t, wireJob()))
 	if err != nil {
 		t.Fatal(err)
@@ -50,9 +59,9 @@
 	}
 }
 
-// TestParseSubmissionRefuses: a missing or bad field is refused; null and a
-// missing field are the same; unknown fields are ignored.
-func TestParseSubmissionRefuses(t *testing.T) {
+// TestBadSubmissionsAreRefused: a missing or bad field is refused; null and a missing
+// field are the same; unknown fields are ignored.
+func TestBadSubmissionsAreRefused(t *testing.T) {
 	optional := map[string]bool{"hulls": true, "quay": true, "landfall_s": true}
 	for field := range wireJob() {
 		for _, null := range []bool{false, true} {
@@ -98,8 +107,8 @@
 	}
 }
 
-// TestDecodeGarbage: no bytes crash a decoder.
-func TestDecodeGarbage(t *testing.T) {
+// TestDecodersSurviveAnyInput: no input crashes a decoder or passes its checks wrongly.
+func TestDecodersSurviveAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := encode(t, wireJob())
 		for range rapid.IntRange(0, 8).Draw(t, "edits") {
@@ -110,12 +119,13 @@
 			t.Fatalf("accepted %+v", j)
 		}
 		if r, err := ParseHeartbeat(b); err == nil && r.Machine == "" {
-			t.Fatal("accepted a report without a machine")
+			t.Fatal("accepted a heartbeat without a machine")
 		}
 	})
 }
 
-func TestTaskID(t *testing.T) {
+// TestTaskIDsRoundTrip: an id parses back from its text, and malformed ones are refused.
+func TestTaskIDsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := TaskID{JobID(rapid.StringMatching(`job-[0-9]{1,12}`).Draw(t, "job")), rapid.Uint32Range(0, MaxTasks-1).Draw(t, "index")}
 		if back, err := ParseTaskID(id.String()); err != nil || back != id {
