--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -10,114 +10,134 @@
 	"time"
 )
 
-// Client sends requests to one address over kept connections.
+const (
+	dialTimeout = time.Second
+	// idleConnTimeout is how long an idle connection can be used again.
+	idleConnTimeout = 20 * time.Second
+	// maxIdleConns is how many idle connections are open to an address.
+	maxIdleConns = 8
+	readSize     = 8 << 10
+)
+
+// Client sends requests to one address and reuses its connections.
 type Client struct {
-	addr        string
-	dialTimeout time.Duration
-	keep        time.Duration
+	addr string
 
 	mu   sync.Mutex
 	idle []*clientConn
 }
 
+// clientConn is one connection of a client, with one request at a time.
 type clientConn struct {
-	net    net.Conn
-	parser *Parser
-	last   time.Time
-	buf    [8 << 10]byte
+	conn     net.Conn
+	parser   *Parser
+	lastUsed time.Time
+	buf      [readSize]byte
 }
 
-// maxIdle is how many unused connections are kept to an address.
-const maxIdle = 8
+// close closes the connection. An error of that changes nothing: the connection is not
+// used any more.
+func (cc *clientConn) close() { _ = cc.conn.Close() }
 
 // NewClient makes a client of addr.
-func NewClient(addr string) *Client {
-	return &Client{addr: addr, dialTimeout: time.Second, keep: 20 * time.Second}
-}
+func NewClient(addr string) *Client { return &Client{addr: addr} }
 
-// Do sends a request and waits for its answer until ctx ends. After an error
-// it is not known whether the request was executed, or still will be.
+// Do sends a request and waits for its response until ctx ends. After an error it is not
+// known whether the request was executed, or will be.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Message, error) {
-	cc, err := c.get(ctx)
+	cc, err := c.connection(ctx)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s%s: %w", method, c.addr, target, err)
 	}
 	m, err := cc.roundTrip(ctx, AppendRequest(nil, method, c.addr, target, body))
 	if err != nil {
-		cc.net.Close()
+		cc.close()
 		return nil, fmt.Errorf("%s %s%s: %w", method, c.addr, target, err)
 	}
 	if m.Close {
-		cc.net.Close()
+		cc.close()
 	} else {
-		c.put(cc)
+		c.release(cc)
 	}
 	return m, nil
 }
 
-func (c *Client) get(ctx context.Context) (*clientConn, error) {
-	now := time.Now()
+// connection returns an idle connection, or a new one.
+func (c *Client) connection(ctx context.Context) (*clientConn, error) {
+	if cc := c.takeIdle(time.Now()); cc != nil {
+		return cc, nil
+	}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
+	conn, err := dialer.DialContext(ctx, "tcp", c.addr)
+	if err != nil {
+		return nil, err //nolint:wrapcheck // Do wraps it with the request and the address
+	}
+	return &clientConn{conn: conn, parser: NewResponseParser()}, nil
+}
+
+// takeIdle returns the connection that was used last, and closes those that were idle for
+// too long.
+func (c *Client) takeIdle(now time.Time) *clientConn {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	for len(c.idle) > 0 {
 		cc := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if now.Sub(cc.last) < c.keep {
-			c.mu.Unlock()
-			return cc, nil
+		if now.Sub(cc.lastUsed) < idleConnTimeout {
+			return cc
 		}
-		cc.net.Close()
-	}
-	c.mu.Unlock()
-	d := net.Dialer{Timeout: c.dialTimeout, KeepAlive: -1}
-	n, err := d.DialContext(ctx, "tcp", c.addr)
-	if err != nil {
-		return nil, err
+		cc.close()
 	}
-	return &clientConn{net: n, parser: NewResponseParser()}, nil
+	return nil
 }
 
-func (c *Client) put(cc *clientConn) {
-	cc.last = time.Now()
+// release makes a connection idle.
+func (c *Client) release(cc *clientConn) {
+	cc.lastUsed = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle) >= maxIdle {
-		cc.net.Close()
+	if len(c.idle) >= maxIdleConns {
+		cc.close()
 		return
 	}
 	c.idle = append(c.idle, cc)
 }
 
-// Forget closes the kept connections, after one of them proved dead.
+// Forget closes the idle connections. It is called after a request failed: the others
+// are likely to be dead too.
 func (c *Client) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cc := range c.idle {
-		cc.net.Close()
+		cc.close()
 	}
 	c.idle = nil
 }
 
+// roundTrip sends an encoded request and reads its response.
+//
+//nolint:wrapcheck // Do wraps all errors with the request and the address
 func (cc *clientConn) roundTrip(ctx context.Context, request []byte) (*Message, error) {
 	if deadline, ok := ctx.Deadline(); ok {
-		if err := cc.net.SetDeadline(deadline); err != nil {
+		if err := cc.conn.SetDeadline(deadline); err != nil {
 			return nil, err
 		}
 	}
-	if _, err := cc.net.Write(request); err != nil {
+	if _, err := cc.conn.Write(request); err != nil {
 		return nil, err
 	}
 	for {
-		n, err := cc.net.Read(cc.buf[:])
+		n, err := cc.conn.Read(cc.buf[:])
 		cc.parser.Feed(cc.buf[:n])
-		m, perr := cc.parser.Next()
+		m, parseErr := cc.parser.Next()
 		switch {
-		case perr != nil:
-			return nil, perr
-		case m != nil && m.Status/100 == 1:
+		case parseErr != nil:
+			return nil, parseErr
+		case m != nil && isInformational(m.Status):
 			continue
 		case m != nil:
 			if cc.parser.Partial() {
-				m.Close = true // more than was asked for: not to be trusted further
+				m.Close = true // bytes after the response: the connection can't be reused
 			}
 			return m, nil
 		case errors.Is(err, io.EOF):
--- a/internal/transport/message_test.go
+++ b/internal/transport/parser_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"bytes"
+	"errors"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// TestParserSplits: however a stream is split, the same messages come out.
-func TestParserSplits(t *testing.T) {
+// TestParserIsIndependentOfSplits: however a stream is split, the same messages result.
+func TestParserIsIndependentOfSplits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type sent struct {
 			target string
@@ -49,8 +50,8 @@
 	})
 }
 
-// TestParserGarbage: no input crashes the parser, and its buffer stays bounded.
-func TestParserGarbage(t *testing.T) {
+// TestParserSurvivesAnyInput: no input crashes the parser.
+func TestParserSurvivesAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := NewRequestParser()
 		if rapid.Bool().Draw(t, "response") {
@@ -79,7 +80,8 @@
 	})
 }
 
-func TestParserRefuses(t *testing.T) {
+// TestParserRejectsMalformedMessages: each kind of malformed message has its status.
+func TestParserRejectsMalformedMessages(t *testing.T) {
 	cases := []struct {
 		name, in string
 		status   int
@@ -101,14 +103,16 @@
 		p := NewRequestParser()
 		p.Feed([]byte(tc.in))
 		_, err := p.Next()
-		se, ok := err.(*StatusError)
-		if !ok || se.Status != tc.status {
+		var statusError *StatusError
+		if !errors.As(err, &statusError) || statusError.Status != tc.status {
 			t.Errorf("%s: %v, want status %d", tc.name, err, tc.status)
 		}
 	}
 }
 
-func TestParserChunkedResponse(t *testing.T) {
+// TestParserDecodesChunks: a chunked response is decoded byte by byte, with its extensions
+// and its trailer skipped.
+func TestParserDecodesChunks(t *testing.T) {
 	p := NewResponseParser()
 	for _, b := range []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nRetry-After: 3\r\n\r\n5\r\nhello\r\n6;x=y\r\n world\r\n0\r\nTrailer: 1\r\n\r\n") {
 		p.Feed([]byte{b})
--- a/internal/transport/peers.go
+++ b/internal/transport/peer.go
@@ -10,10 +10,13 @@
 	"time"
 )
 
-// ErrTimeout says that a peer did not answer in time.
+// acceptRetry is how long the server waits after it failed to accept a connection.
+const acceptRetry = 100 * time.Millisecond
+
+// ErrTimeout is returned if a peer did not respond in time.
 var ErrTimeout = errors.New("peer did not answer in time")
 
-// ServePeers answers peers' calls to service, registered as name, on addr.
+// ServePeers serves peers' calls of service, registered as name, on addr.
 func ServePeers(addr, name string, service any, log *slog.Logger) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(name, service); err != nil {
@@ -23,39 +26,41 @@
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				log.Error("accepting a peer failed", "err", err)
-				time.Sleep(100 * time.Millisecond)
-				continue
-			}
-			go server.ServeConn(c)
-		}
-	}()
+	go acceptPeers(ln, server, log)
 	return nil
 }
 
-// Peer calls one other controller, over one connection at a time.
+func acceptPeers(ln net.Listener, server *rpc.Server, log *slog.Logger) {
+	for {
+		conn, err := ln.Accept()
+		if err != nil {
+			log.Error("failed to accept a peer's connection", "err", err)
+			time.Sleep(acceptRetry)
+			continue
+		}
+		go server.ServeConn(conn)
+	}
+}
+
+// Peer calls one other controller. It has one connection, which all calls share.
 type Peer struct {
 	addr string
 	dial func(addr string, timeout time.Duration) (net.Conn, error)
 
 	mu      sync.Mutex
 	client  *rpc.Client
-	dialing chan struct{} // closed when the connection under way is there or has failed
+	dialing chan struct{} // closed when the current attempt to connect has ended; nil without one
 }
 
-// NewPeer makes a caller of addr.
+// NewPeer makes a client of the controller at addr.
 func NewPeer(addr string) *Peer {
 	return &Peer{addr: addr, dial: func(addr string, timeout time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp", addr, timeout)
 	}}
 }
 
-// Call calls method and waits at most timeout. After an error it is not known
-// whether the call was executed.
+// Call calls a method and waits at most timeout. After an error it is not known whether
+// the call was executed.
 func (p *Peer) Call(method string, args, reply any, timeout time.Duration) error {
 	client, err := p.connect(timeout)
 	if err != nil {
@@ -70,33 +75,33 @@
 	case <-timer.C:
 		err = ErrTimeout
 	}
+	if err == nil {
+		return nil
+	}
 	var remote rpc.ServerError
-	if err != nil && !errors.As(err, &remote) {
+	if !errors.As(err, &remote) {
 		p.drop(client)
 	}
-	if err != nil {
-		return fmt.Errorf("call %s of %s: %w", method, p.addr, err)
-	}
-	return nil
+	return fmt.Errorf("call %s of %s: %w", method, p.addr, err)
 }
 
-// connect returns the connection. Calls at the same time wait for one that is
-// being made together, each no longer than its own timeout: one after the other
-// they would wait for a silent peer many times as long.
+// connect returns the connection. Concurrent calls share one attempt to connect, and each
+// waits for it no longer than its own timeout: with an attempt each, one after the other,
+// they would wait for an unreachable peer many times as long.
 func (p *Peer) connect(timeout time.Duration) (*rpc.Client, error) {
 	p.mu.Lock()
 	if p.client != nil {
 		defer p.mu.Unlock()
 		return p.client, nil
 	}
-	if others := p.dialing; others != nil {
+	if dialing := p.dialing; dialing != nil {
 		p.mu.Unlock()
-		return p.connected(others, timeout)
+		return p.awaitConnection(dialing, timeout)
 	}
 	done := make(chan struct{})
 	p.dialing = done
 	p.mu.Unlock()
-	c, err := p.dial(p.addr, timeout)
+	conn, err := p.dial(p.addr, timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dialing = nil
@@ -104,12 +109,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer %s: %w", p.addr, err)
 	}
-	p.client = rpc.NewClient(c)
+	p.client = rpc.NewClient(conn)
 	return p.client, nil
 }
 
-// connected waits for the connection that another call makes.
-func (p *Peer) connected(done <-chan struct{}, timeout time.Duration) (*rpc.Client, error) {
+// awaitConnection waits for the attempt to connect of another call.
+func (p *Peer) awaitConnection(done <-chan struct{}, timeout time.Duration) (*rpc.Client, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
@@ -124,11 +129,12 @@
 	return p.client, nil
 }
 
+// drop closes a connection after an error, so that the next call connects again.
 func (p *Peer) drop(client *rpc.Client) {
 	p.mu.Lock()
 	if p.client == client {
 		p.client = nil
 	}
 	p.mu.Unlock()
-	client.Close()
+	_ = client.Close() // of several calls that drop it, only the first succeeds
 }
--- a/internal/transport/peers_test.go
+++ b/internal/transport/peer_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestCallsToASilentPeer: calls at the same time to a peer that takes no
-// connection each give up after their timeout, not one after the other.
-func TestCallsToASilentPeer(t *testing.T) {
+// TestConcurrentCallsOfAnUnreachablePeer: concurrent calls of a peer that accepts no
+// connection all fail after their own timeout, not one after the other.
+func TestConcurrentCallsOfAnUnreachablePeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
 		p := NewPeer("peer")
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -12,6 +13,7 @@
 )
 
 func startServer(t *testing.T, h Handler, maxConns int) string {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,14 +36,15 @@
 }
 
 func deadline(t *testing.T) context.Context {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// TestServerAnswers: answers given at once and later come back on a kept
-// connection, bodies up to the limit included.
-func TestServerAnswers(t *testing.T) {
+// TestServerSendsImmediateAndLaterReplies: replies that are given at once and later are
+// received on the same connection, with bodies up to the limit.
+func TestServerSendsImmediateAndLaterReplies(t *testing.T) {
 	c := NewClient(startServer(t, echo, 10))
 	ctx := deadline(t)
 	for i, path := range []string{"/now", "/later", "/later", "/now"} {
@@ -56,9 +59,9 @@
 	}
 }
 
-// TestServerRefuses: malformed requests get their status and the connection
-// is closed.
-func TestServerRefuses(t *testing.T) {
+// TestServerRejectsMalformedRequests: malformed requests get their status and the
+// connection is closed.
+func TestServerRejectsMalformedRequests(t *testing.T) {
 	addr := startServer(t, echo, 10)
 	for request, status := range map[string]string{
 		"nonsense\r\n\r\n": "400",
@@ -79,9 +82,9 @@
 	}
 }
 
-// TestServerEvictsIdle: past its limit the server closes the connection that
-// did nothing longest and goes on serving.
-func TestServerEvictsIdle(t *testing.T) {
+// TestServerEvictsIdleConnections: above its limit the server closes the connection that
+// was idle longest and continues to serve.
+func TestServerEvictsIdleConnections(t *testing.T) {
 	addr := startServer(t, echo, 3)
 	var conns []net.Conn
 	for range 6 {
@@ -91,13 +94,13 @@
 		}
 		defer c.Close()
 		conns = append(conns, c)
-		cc := &clientConn{net: c, parser: NewResponseParser()}
+		cc := &clientConn{conn: c, parser: NewResponseParser()}
 		if _, err := cc.roundTrip(deadline(t), AppendRequest(nil, "GET", "h", "/now", nil)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	conns[0].SetDeadline(time.Now().Add(20 * time.Second))
-	if _, err := conns[0].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := conns[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the idlest connection: %v", err)
 	}
 }
