--- /dev/null
+++ b/internal/config/check.go
@@ -0,0 +1,108 @@
+package config
+
+import (
+	"net"
+
+	"damsonkeel/internal/protocol"
+)
+
+// maxAmount bounds all numbers of the settings.
+const maxAmount = 1e9
+
+// check checks the settings and sets the number of controllers if it is not given.
+func (s *Settings) check() error {
+	if s.Name == "" {
+		return badField("host_name", "missing")
+	}
+	for _, check := range []func() error{s.checkMembers, s.checkAddresses, s.Site.checkAmounts} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	if s.Site.Count == 0 {
+		s.Site.Count = len(s.Members) + 1
+	}
+	if s.Site.Count < 1 {
+		return badField("settings.count", "%v is not above 0", s.Site.Count)
+	}
+	return s.Site.checkTeams()
+}
+
+// checkMembers checks that all controllers have different names.
+func (s *Settings) checkMembers() error {
+	seen := map[protocol.NodeName]bool{s.Name: true}
+	for _, member := range s.Members {
+		if member.Name == "" || seen[member.Name] {
+			return badField("members.host_name", "%q is missing or there twice", member.Name)
+		}
+		seen[member.Name] = true
+	}
+	return nil
+}
+
+func (s *Settings) checkAddresses() error {
+	type address struct{ field, value string }
+	addresses := []address{
+		{"serve_on", s.Listen},
+		{"peer_bind", s.PeerBind},
+		{"services.cloud", s.Services.Cloud},
+		{"services.state", s.Services.State},
+	}
+	for _, member := range s.Members {
+		addresses = append(addresses, address{"members.peer_addr", member.Peer})
+	}
+	for _, a := range addresses {
+		if _, _, err := net.SplitHostPort(a.value); err != nil {
+			return badField(a.field, "%q is no address with a port", a.value)
+		}
+	}
+	return nil
+}
+
+// checkAmounts checks the numbers that have to be positive.
+func (s *Site) checkAmounts() error {
+	for _, amount := range []struct {
+		field string
+		value float64
+	}{
+		{"settings.workers.report_s", s.Workers.ReportS},
+		{"settings.workers.lease_s", s.Workers.LeaseS},
+		{"settings.workers.gang_wait_s", s.Workers.GangWaitS},
+		{"settings.workers.gang_peer_s", s.Workers.GangPeerS},
+		{"settings.workers.cancel_s", s.Workers.CancelS},
+		{"settings.state.rps", s.State.RPS},
+		{"settings.state.write_rps", s.State.WriteRPS},
+		{"settings.state.value_kb", s.State.ValueKB},
+		{"settings.state.txn_ops", float64(s.State.TxnOps)},
+		{"settings.cloud.rps", s.Cloud.RPS},
+		{"settings.limits.ram_mb", s.Limits.MemoryMB},
+		{"settings.limits.max_connections", float64(s.Limits.MaxConns)},
+	} {
+		valid := amount.value > 0 && amount.value <= maxAmount // false for NaN
+		if !valid {
+			return badField(amount.field, "%v is not above 0", amount.value)
+		}
+	}
+	if s.Workers.CancelS <= s.Workers.LeaseS {
+		return badField("settings.workers.cancel_s", "%v is not above lease_s", s.Workers.CancelS)
+	}
+	return nil
+}
+
+// checkTeams checks that teams have different names and no negative amounts.
+func (s *Site) checkTeams() error {
+	seen := map[protocol.Team]bool{}
+	for _, team := range s.Teams {
+		if team.Name == "" || seen[team.Name] {
+			return badField("settings.teams.name", "%q is missing or there twice", team.Name)
+		}
+		for _, amount := range []float64{team.CPUs, team.MaxCPUs, team.GPUs, team.MaxGPUs} {
+			valid := amount >= 0 // false for NaN
+			if !valid {
+				return badField("settings.teams", "%q has a negative amount", team.Name)
+			}
+		}
+		seen[team.Name] = true
+	}
+	return nil
+}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,8 @@
 max_connections = 2000
 `
 
-func TestParse(t *testing.T) {
+// TestParseReadsAllSections: a good file is accepted, and unknown fields are ignored.
+func TestParseReadsAllSections(t *testing.T) {
 	s, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestParseRefuses: a bad setting is named.
-func TestParseRefuses(t *testing.T) {
+// TestParseNamesBadSettings: a bad setting is rejected by name.
+func TestParseNamesBadSettings(t *testing.T) {
 	cases := []struct{ old, new, field string }{
 		{`host_name = "keelhand-0"`, ``, "host_name"},
 		{`"10.0.0.1:8080"`, `"nowhere"`, "serve_on"},
@@ -81,11 +82,23 @@
 	}
 }
 
-func TestParseOperator(t *testing.T) {
+// TestParseOperatorReadsElements: elements that are given replace the defaults.
+func TestParseOperatorReadsElements(t *testing.T) {
 	op, err := ParseOperator(strings.NewReader(`<damsonkeel><!-- ours --><nodeLease> 9s </nodeLease></damsonkeel>`))
 	if err != nil || op.NodeLease != 9*time.Second || op.RelayEvery != DefaultOperator().RelayEvery {
 		t.Fatalf("%+v, %v", op, err)
 	}
+	op, err = ParseOperator(strings.NewReader(`<damsonkeel><machineRecords>single</machineRecords><copyWait>3s</copyWait></damsonkeel>`))
+	if err != nil || !op.SingleRecords || op.CopyWait != 3*time.Second {
+		t.Errorf("%+v, %v", op, err)
+	}
+}
+
+// TestFitChoosesNodeLease: a node lease that fits is used as it is, one that is too long
+// is rejected, and without one the longest that fits any platform is chosen.
+func TestFitChoosesNodeLease(t *testing.T) {
+	op := DefaultOperator()
+	op.NodeLease = 9 * time.Second
 	s, err := Parse([]byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -97,20 +110,19 @@
 	if _, err := op.Fit(s); err == nil || !strings.Contains(err.Error(), "nodeLease") {
 		t.Errorf("a lease too long: %v", err)
 	}
-	// Left to itself it fits any platform.
 	s.Site.Workers.LeaseS, s.Site.Workers.CancelS = 6, 12
 	if fit, err := DefaultOperator().Fit(s); err != nil || fit.NodeLease > 3*time.Second || fit.NodeLease < time.Second {
 		t.Errorf("%v, %v", fit.NodeLease, err)
 	}
-	// Where even the shortest lease keeps cancelled tasks too long, it says so.
+	// Even the shortest node lease would let cancelled tasks run too long.
 	s.Site.Workers.LeaseS, s.Site.Workers.CancelS = 8, 11.5
 	if _, err := DefaultOperator().Fit(s); err == nil || !strings.Contains(err.Error(), "cancel_s 11.5") {
 		t.Errorf("a cancel_s too short: %v", err)
 	}
-	op, err = ParseOperator(strings.NewReader(`<damsonkeel><machineRecords>single</machineRecords><copyWait>3s</copyWait></damsonkeel>`))
-	if err != nil || !op.SingleRecords || op.CopyWait != 3*time.Second {
-		t.Errorf("%+v, %v", op, err)
-	}
+}
+
+// TestParseOperatorNamesBadElements: a bad element or value is rejected by name.
+func TestParseOperatorNamesBadElements(t *testing.T) {
 	for text, named := range map[string]string{
 		`<damsonkeel><machineShares>some</machineShares></damsonkeel>`:   "some",
 		`<damsonkeel><machineRecords>both</machineRecords></damsonkeel>`: "both",
@@ -128,9 +140,9 @@
 	}
 }
 
-// TestCancelledInTime: settings that are taken leave a margin of cancel_s above the
-// longest that a cancelled job's tasks may stay.
-func TestCancelledInTime(t *testing.T) {
+// TestFitLeavesMarginOfCancelS: settings that fit leave a margin of cancel_s above the
+// longest time for which a cancelled job's tasks may run.
+func TestFitLeavesMarginOfCancelS(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Settings{}
 		w := &s.Site.Workers
@@ -143,7 +155,7 @@
 		fit, err := op.Fit(s)
 		if err != nil {
 			if op.NodeLease == 0 && w.CancelS > w.LeaseS*1.001+4.1 {
-				t.Fatalf("refused, though there is room: %v", err)
+				t.Fatalf("rejected, though it fits: %v", err)
 			}
 			return
 		}
@@ -153,10 +165,10 @@
 	})
 }
 
-// TestConfiguredInTime: where the configuration may change, settings that are taken
-// leave a margin of the time within which a change is in force everywhere; elsewhere
-// nothing is asked of them.
-func TestConfiguredInTime(t *testing.T) {
+// TestFitLeavesMarginOfConfiguredWithin: where the configuration may change, settings
+// that fit leave a margin of the time within which a change is in force everywhere;
+// elsewhere there is no such condition.
+func TestFitLeavesMarginOfConfiguredWithin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Settings{}
 		s.Site.Workers.LeaseS, s.Site.Workers.CancelS = 20, 200
--- /dev/null
+++ b/internal/config/errors.go
@@ -0,0 +1,38 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+)
+
+// FieldError is a field of the platform's settings that is missing or has a bad value.
+type FieldError struct {
+	Field   string
+	Problem string
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// badField makes a FieldError with a formatted problem.
+func badField(field, format string, args ...any) error {
+	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
+
+// ValueError is the text of a setting that can't be parsed.
+type ValueError struct {
+	Text    string
+	Problem string
+}
+
+func (e *ValueError) Error() string { return fmt.Sprintf("%q %s", e.Text, e.Problem) }
+
+var (
+	errTooShort         = errors.New("is too short")
+	errTooLong          = errors.New("is too long")
+	errEmpty            = errors.New("operator settings: empty")
+	errRootElement      = errors.New("want <damsonkeel>")
+	errUnknownElement   = errors.New("unknown element")
+	errUnknownAttribute = errors.New("unknown attribute")
+	errUnknownField     = errors.New("unknown field")
+	errNoFile           = errors.New("no file is named")
+)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,11 +1,7 @@
-// Package config reads and checks the platform's settings file (TOML) and the
-// operators' own settings (XML).
 package config
 
 import (
-	"errors"
 	"fmt"
-	"net"
 	"os"
 	"time"
 
@@ -14,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the file that the platform hands over. Unknown fields are ignored.
+// Settings is the platform's settings file. Unknown fields are ignored.
 type Settings struct {
 	Name     protocol.NodeName `toml:"host_name"`
 	Zone     protocol.Zone     `toml:"domain"`
@@ -32,7 +28,7 @@
 	Peer string            `toml:"peer_addr"`
 }
 
-// Services are the addresses of the platform's services.
+// Services has the addresses of the platform's services.
 type Services struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -51,7 +47,7 @@
 	Limits       Limits          `toml:"limits"`
 }
 
-// Team is a team with what it is guaranteed and what it may use at most; 0: none.
+// Team is a team with its guaranteed resources and its limits; a limit of 0 is none.
 type Team struct {
 	Name    protocol.Team `toml:"name"`
 	CPUs    float64       `toml:"cpus"`
@@ -60,10 +56,10 @@
 	MaxGPUs float64       `toml:"gpus_max"`
 }
 
-// Limited reports whether anything bounds the team's use.
+// Limited reports whether the team has a limit.
 func (t Team) Limited() bool { return t.MaxCPUs > 0 || t.MaxGPUs > 0 }
 
-// Objective is what is expected of a class of jobs.
+// Objective is a service-level objective of a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -72,7 +68,7 @@
 	Times   float64 `toml:"times"`
 }
 
-// Workers holds the workers' timings.
+// Workers has the timing of the workers.
 type Workers struct {
 	ReportS   float64 `toml:"report_s"`
 	LeaseS    float64 `toml:"lease_s"`
@@ -81,7 +77,7 @@
 	CancelS   float64 `toml:"cancel_s"`
 }
 
-// State holds the limits of the state service.
+// State has the limits of the key-value store.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -89,13 +85,13 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud holds the limits of the cloud.
+// Cloud has the limits of the cloud.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits holds what the controller may use of its machine.
+// Limits has the resources that a controller may use.
 type Limits struct {
 	CPU      float64 `toml:"cpu"`
 	MemoryMB float64 `toml:"ram_mb"`
@@ -111,7 +107,7 @@
 	return Parse(b)
 }
 
-// Parse reads and checks settings; its errors name the field.
+// Parse parses and checks settings. Its errors name the field.
 func Parse(b []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(b, s); err != nil {
@@ -123,67 +119,6 @@
 	return s, nil
 }
 
-func (s *Settings) check() error {
-	if s.Name == "" {
-		return errors.New("host_name: missing")
-	}
-	addrs := []struct{ field, addr string }{
-		{"serve_on", s.Listen}, {"peer_bind", s.PeerBind},
-		{"services.cloud", s.Services.Cloud}, {"services.state", s.Services.State},
-	}
-	seen := map[protocol.NodeName]bool{s.Name: true}
-	for _, m := range s.Members {
-		if m.Name == "" || seen[m.Name] {
-			return fmt.Errorf("members.host_name: %q is missing or there twice", m.Name)
-		}
-		seen[m.Name] = true
-		addrs = append(addrs, struct{ field, addr string }{"members.peer_addr", m.Peer})
-	}
-	for _, a := range addrs {
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return fmt.Errorf("%s: %q is no address with a port", a.field, a.addr)
-		}
-	}
-	st := &s.Site
-	amounts := []struct {
-		field string
-		v     float64
-	}{
-		{"settings.workers.report_s", st.Workers.ReportS}, {"settings.workers.lease_s", st.Workers.LeaseS},
-		{"settings.workers.gang_wait_s", st.Workers.GangWaitS}, {"settings.workers.gang_peer_s", st.Workers.GangPeerS},
-		{"settings.workers.cancel_s", st.Workers.CancelS},
-		{"settings.state.rps", st.State.RPS}, {"settings.state.write_rps", st.State.WriteRPS},
-		{"settings.state.value_kb", st.State.ValueKB}, {"settings.state.txn_ops", float64(st.State.TxnOps)},
-		{"settings.cloud.rps", st.Cloud.RPS}, {"settings.limits.ram_mb", st.Limits.MemoryMB},
-		{"settings.limits.max_connections", float64(st.Limits.MaxConns)},
-	}
-	for _, a := range amounts {
-		if !(a.v > 0) || a.v > 1e9 {
-			return fmt.Errorf("%s: %v is not above 0", a.field, a.v)
-		}
-	}
-	if st.Workers.CancelS <= st.Workers.LeaseS {
-		return fmt.Errorf("settings.workers.cancel_s: %v is not above lease_s", st.Workers.CancelS)
-	}
-	if st.Count == 0 {
-		st.Count = len(s.Members) + 1
-	}
-	if st.Count < 1 {
-		return fmt.Errorf("settings.count: %v is not above 0", st.Count)
-	}
-	teams := map[protocol.Team]bool{}
-	for _, t := range st.Teams {
-		if t.Name == "" || teams[t.Name] {
-			return fmt.Errorf("settings.teams.name: %q is missing or there twice", t.Name)
-		}
-		if !(t.CPUs >= 0) || !(t.MaxCPUs >= 0) || !(t.GPUs >= 0) || !(t.MaxGPUs >= 0) {
-			return fmt.Errorf("settings.teams: %q has a negative amount", t.Name)
-		}
-		teams[t.Name] = true
-	}
-	return nil
-}
-
 // Team finds a team.
 func (s *Settings) Team(name protocol.Team) (Team, bool) {
 	for _, t := range s.Site.Teams {
@@ -194,10 +129,10 @@
 	return Team{}, false
 }
 
-// ClockError is by how much a controller's time of day may be off.
+// ClockError is the largest error of a controller's clock.
 func (s *Site) ClockError() time.Duration {
 	return time.Duration(s.ClockErrorMS * float64(time.Millisecond))
 }
 
-// Seconds turns a setting in seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
