--- a/internal/controller/dynamicconfig/decide.go
+++ b/internal/controller/dynamicconfig/decide.go
@@ -98,7 +98,7 @@
 	if !validName.MatchString(name) {
 		return none, fmt.Errorf("%q is no name: letters, digits, dots, dashes and underscores, at most 100", name)
 	}
-	if err := c.Fits(kind); err != nil {
+	if err := c.CheckFields(kind); err != nil {
 		return none, err
 	}
 	switch kind {
--- /dev/null
+++ b/internal/operatorapi/config.go
@@ -0,0 +1,144 @@
+package operatorapi
+
+import (
+	"errors"
+
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// Operations on the configuration.
+const (
+	OpConfig        Op = "config"         // returns entries in force
+	OpConfigure     Op = "configure"      // changes entries
+	OpConfigHistory Op = "config_history" // returns the latest changes
+	OpConfigStatus  Op = "config_status"  // returns which revision each controller has applied
+)
+
+// ConfigRequest is the part of a Request about the configuration.
+type ConfigRequest struct {
+	// Revision, if not nil, is the revision that must be in force for a change.
+	Revision *record.ConfigurationRevision `cbor:"revision,omitempty"`
+	Changes  []ConfigChange                `cbor:"changes,omitempty"`
+	// Entry selects an entry or all entries of a kind; empty selects all. After is the
+	// last entry of the previous page.
+	Entry record.EntryID `cbor:"entry,omitempty"`
+	After record.EntryID `cbor:"after,omitempty"`
+}
+
+// Wants reports whether the request selects an entry.
+func (r *ConfigRequest) Wants(id record.EntryID) bool {
+	kind, _ := id.Split()
+	return r.Entry == "" || r.Entry == id || string(r.Entry) == string(kind)
+}
+
+// ConfigChange changes one entry. Fields that are nil stay as they are.
+type ConfigChange struct {
+	Entry record.EntryID `cbor:"entry"`
+	// Reset restores the entry of the platform's file; Remove removes a team.
+	Reset      bool                     `cbor:"reset,omitempty"`
+	Remove     bool                     `cbor:"remove,omitempty"`
+	CPUs       *float64                 `cbor:"cpus,omitempty"`
+	MaxCPUs    *float64                 `cbor:"cpus_max,omitempty"`
+	GPUs       *float64                 `cbor:"gpus,omitempty"`
+	MaxGPUs    *float64                 `cbor:"gpus_max,omitempty"`
+	Closed     *bool                    `cbor:"closed,omitempty"`
+	Objectives *[]record.ObjectiveEntry `cbor:"objectives,omitempty"`
+	Value      *record.SettingText      `cbor:"value,omitempty"`
+}
+
+// ConfigReply is the part of a Reply about the configuration.
+type ConfigReply struct {
+	// Revision is that of the change, or the one in force on the controller that replies.
+	Revision    record.ConfigurationRevision `cbor:"revision" json:"revision"`
+	Entries     []ConfigEntry                `cbor:"entries,omitempty" json:"entries,omitempty"`
+	Changes     []record.EntryChange         `cbor:"changes,omitempty" json:"changes,omitempty"` // of a change, or a dry run
+	History     []record.ConfigurationChange `cbor:"history,omitempty" json:"history,omitempty"` // the latest first
+	Controllers []ConfigController           `cbor:"controllers,omitempty" json:"controllers,omitempty"`
+	// WithinS is the longest time for which a controller may act on an earlier revision
+	// after a change, in seconds.
+	WithinS float64 `cbor:"within_s,omitempty" json:"within_s,omitempty"`
+}
+
+// ConfigEntry is an entry in force.
+type ConfigEntry struct {
+	Entry      record.EntryID               `cbor:"entry" json:"entry"`
+	Revision   record.ConfigurationRevision `cbor:"revision" json:"revision"` // that changed it last; 0 if the platform's file applies
+	Team       *record.TeamEntry            `cbor:"team,omitempty" json:"team,omitempty"`
+	Objectives []record.ObjectiveEntry      `cbor:"objectives,omitempty" json:"objectives,omitempty"`
+	Closed     bool                         `cbor:"closed,omitempty" json:"closed,omitempty"`
+	Value      record.SettingText           `cbor:"value,omitempty" json:"value,omitempty"`
+}
+
+// ConfigController is a controller and the revision that it has applied.
+type ConfigController struct {
+	Name     protocol.NodeName            `cbor:"name" json:"name"`
+	Revision record.ConfigurationRevision `cbor:"revision" json:"revision"`
+	// Member is whether the controller is a member of the view.
+	Member bool `cbor:"member" json:"member"`
+	// Acting is whether it holds its lease, known only of the controller that replies.
+	Acting bool `cbor:"acting,omitempty" json:"acting,omitempty"`
+	// Older is whether its version or its settings don't support the dynamic
+	// configuration, so that it is excluded from the view.
+	Older bool `cbor:"older,omitempty" json:"older,omitempty"`
+	// HeardS is the time since its last contact, in seconds.
+	HeardS float64 `cbor:"heard_s" json:"heard_s"`
+}
+
+// configFields is a set of kinds of fields of a ConfigChange.
+type configFields uint8
+
+const (
+	amountFields configFields = 1 << iota // guarantees and limits
+	closedField
+	objectivesField
+	valueField
+)
+
+// fieldsOfKind has the fields that each kind of entry has.
+var fieldsOfKind = map[record.EntryKind]configFields{
+	record.EntryTeam:    amountFields | closedField,
+	record.EntryClass:   objectivesField,
+	record.EntryZone:    closedField,
+	record.EntryType:    closedField,
+	record.EntrySetting: valueField,
+}
+
+// errFieldsMismatch is returned for a change with fields that its kind of entry has not.
+var errFieldsMismatch = errors.New("the fields don't fit this kind of entry")
+
+// CheckFields checks that a change either resets or removes its entry, or sets fields of
+// its kind of entry. It accepts all kinds that don't exist: the caller rejects them.
+func (c *ConfigChange) CheckFields(kind record.EntryKind) error {
+	if c.Remove && (c.Reset || kind != record.EntryTeam) {
+		return errFieldsMismatch
+	}
+	allowed, known := fieldsOfKind[kind]
+	if !known {
+		return nil
+	}
+	fields := c.fields()
+	ends := c.Reset || c.Remove
+	if fields&^allowed != 0 || ends == (fields != 0) {
+		return errFieldsMismatch
+	}
+	return nil
+}
+
+// fields is the set of fields that the change sets.
+func (c *ConfigChange) fields() configFields {
+	var fields configFields
+	if c.CPUs != nil || c.MaxCPUs != nil || c.GPUs != nil || c.MaxGPUs != nil {
+		fields |= amountFields
+	}
+	if c.Closed != nil {
+		fields |= closedField
+	}
+	if c.Objectives != nil {
+		fields |= objectivesField
+	}
+	if c.Value != nil {
+		fields |= valueField
+	}
+	return fields
+}
--- a/internal/operatorapi/configfile.go
+++ b/internal/operatorapi/configfile.go
@@ -8,10 +8,10 @@
 	"damsonkeel/internal/record"
 )
 
-// ConfigFile is a file of changes of the configuration: all of them are made in one
-// step, or none.
+// ConfigFile is a file of changes of the configuration, which are made atomically. The
+// names of these types are part of the texts of parse errors.
 type ConfigFile struct {
-	// Revision, if not nil, is the one that has to be in force.
+	// Revision, if not nil, is the revision that must be in force.
 	Revision *uint64                       `toml:"revision"`
 	Teams    []ConfigFileTeam              `toml:"teams"`
 	Classes  []ConfigFileClass             `toml:"classes"`
@@ -20,7 +20,7 @@
 	Settings map[string]record.SettingText `toml:"settings"`
 }
 
-// ConfigFileTeam is a team in such a file. What is left out stays.
+// ConfigFileTeam is the changes of a team. Fields that are left out stay as they are.
 type ConfigFileTeam struct {
 	Name    string   `toml:"name"`
 	CPUs    *float64 `toml:"cpus"`
@@ -39,44 +39,36 @@
 	Reset      bool                    `toml:"reset"`
 }
 
-// ConfigFilePlace is a zone or a machine type.
+// ConfigFilePlace is the changes of a zone or a machine type.
 type ConfigFilePlace struct {
 	Name   string `toml:"name"`
 	Closed *bool  `toml:"closed"`
 	Reset  bool   `toml:"reset"`
 }
 
-// ParseConfigFile reads a file of changes. Unknown fields are named.
+// ParseConfigFile parses a file of changes. Its errors show unknown fields.
 func ParseConfigFile(b []byte) (*ConfigFile, error) {
 	f := &ConfigFile{}
 	if err := config.DecodeStrict(b, f); err != nil {
-		return nil, err
+		return nil, err //nolint:wrapcheck // the caller wraps it with the name of the file
 	}
 	return f, nil
 }
 
-// Changes are the changes that the file asks for.
+// Changes converts the file to changes.
 func (f *ConfigFile) Changes() []ConfigChange {
 	var changes []ConfigChange
-	for _, t := range f.Teams {
-		changes = append(changes, ConfigChange{
-			Entry: record.NewEntryID(record.EntryTeam, t.Name), CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, GPUs: t.GPUs, MaxGPUs: t.MaxGPUs,
-			Closed: t.Closed, Reset: t.Reset, Remove: t.Remove,
-		})
+	for _, team := range f.Teams {
+		changes = append(changes, team.change())
 	}
-	for _, c := range f.Classes {
-		change := ConfigChange{Entry: record.NewEntryID(record.EntryClass, c.Name), Reset: c.Reset}
-		if !c.Reset {
-			objectives := append([]record.ObjectiveEntry{}, c.Objectives...)
-			change.Objectives = &objectives
-		}
-		changes = append(changes, change)
+	for _, class := range f.Classes {
+		changes = append(changes, class.change())
 	}
-	for _, z := range f.Zones {
-		changes = append(changes, ConfigChange{Entry: record.NewEntryID(record.EntryZone, z.Name), Closed: z.Closed, Reset: z.Reset})
+	for _, zone := range f.Zones {
+		changes = append(changes, zone.change(record.EntryZone))
 	}
-	for _, t := range f.Types {
-		changes = append(changes, ConfigChange{Entry: record.NewEntryID(record.EntryType, t.Name), Closed: t.Closed, Reset: t.Reset})
+	for _, machineType := range f.Types {
+		changes = append(changes, machineType.change(record.EntryType))
 	}
 	for _, name := range slices.Sorted(maps.Keys(f.Settings)) {
 		value := f.Settings[name]
@@ -84,3 +76,29 @@
 	}
 	return changes
 }
+
+func (t *ConfigFileTeam) change() ConfigChange {
+	return ConfigChange{
+		Entry:   record.NewEntryID(record.EntryTeam, t.Name),
+		CPUs:    t.CPUs,
+		MaxCPUs: t.MaxCPUs,
+		GPUs:    t.GPUs,
+		MaxGPUs: t.MaxGPUs,
+		Closed:  t.Closed,
+		Reset:   t.Reset,
+		Remove:  t.Remove,
+	}
+}
+
+func (c *ConfigFileClass) change() ConfigChange {
+	change := ConfigChange{Entry: record.NewEntryID(record.EntryClass, c.Name), Reset: c.Reset}
+	if !c.Reset {
+		objectives := append([]record.ObjectiveEntry{}, c.Objectives...)
+		change.Objectives = &objectives
+	}
+	return change
+}
+
+func (p *ConfigFilePlace) change(kind record.EntryKind) ConfigChange {
+	return ConfigChange{Entry: record.NewEntryID(kind, p.Name), Closed: p.Closed, Reset: p.Reset}
+}
--- /dev/null
+++ b/internal/operatorapi/reply.go
@@ -0,0 +1,83 @@
+package operatorapi
+
+import (
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// Code is the result of a request.
+type Code string
+
+// The codes of replies.
+const (
+	Done     Code = "done"
+	Refused  Code = "refused" // can't be fulfilled, or is malformed
+	NotFound Code = "not_found"
+	Denied   Code = "denied" // the seal is invalid or expired
+	Later    Code = "later"  // can't be decided now: retry
+)
+
+// Reply is the reply to a request.
+type Reply struct {
+	Code   Code   `cbor:"code" json:"code"`
+	Reason string `cbor:"reason,omitempty" json:"reason,omitempty"`
+
+	// InTheWay are the entries that conflict with what was requested, and Beside those
+	// that overlap without a conflict. FirstMS are the first occurrences.
+	InTheWay []record.EntryName `cbor:"in_the_way,omitempty" json:"in_the_way,omitempty"`
+	Beside   []record.EntryName `cbor:"beside,omitempty" json:"beside,omitempty"`
+	FirstMS  []record.Moment    `cbor:"first_ms,omitempty" json:"first_ms,omitempty"`
+
+	Reservations []Reservation `cbor:"reservations,omitempty" json:"reservations,omitempty"`
+	Windows      []Window      `cbor:"windows,omitempty" json:"windows,omitempty"`
+	More         bool          `cbor:"more,omitempty" json:"more,omitempty"` // whether another page follows after the last name
+
+	Controllers []Controller `cbor:"controllers,omitempty" json:"controllers,omitempty"`
+	Shares      []Share      `cbor:"shares,omitempty" json:"shares,omitempty"`
+
+	Config *ConfigReply `cbor:"config,omitempty" json:"config,omitempty"`
+}
+
+// Reservation is a reservation and its current state.
+type Reservation struct {
+	record.Reservation
+	Held    int                  `cbor:"held" json:"held"` // tasks that resources are held for
+	On      []protocol.MachineID `cbor:"on,omitempty" json:"on,omitempty"`
+	Started int                  `cbor:"started" json:"started"` // number of its job's tasks
+}
+
+// Window is a maintenance window and its current state.
+type Window struct {
+	record.Window
+	NextMS   record.Moment `cbor:"next_ms,omitempty" json:"next_ms,omitempty"` // start of the open or next occurrence
+	Open     bool          `cbor:"open" json:"open"`
+	Overruns []Overrun     `cbor:"overruns,omitempty" json:"overruns,omitempty"`
+}
+
+// Overrun is a machine whose tasks are expected to run into a window, and for how long.
+type Overrun struct {
+	Machine protocol.MachineID `cbor:"machine" json:"machine"`
+	ByS     float64            `cbor:"by_s" json:"by_s"`
+}
+
+// Controller is the state of a controller.
+type Controller struct {
+	Name     protocol.NodeName `cbor:"name" json:"name"`
+	Zone     protocol.Zone     `cbor:"zone,omitempty" json:"zone,omitempty"`
+	Shares   int               `cbor:"shares" json:"shares"`
+	Machines int               `cbor:"machines" json:"machines"`
+	LateMS   float64           `cbor:"late_ms" json:"late_ms"`                     // delay of its ticks
+	Deaf     bool              `cbor:"deaf,omitempty" json:"deaf,omitempty"`       // workers can't reach it
+	Away     bool              `cbor:"away,omitempty" json:"away,omitempty"`       // cordoned
+	Leaving  bool              `cbor:"leaving,omitempty" json:"leaving,omitempty"` // shutting down
+}
+
+// Share is the state of a shard of the machines.
+type Share struct {
+	Number   int               `cbor:"number" json:"number"`
+	Zone     protocol.Zone     `cbor:"zone" json:"zone"`
+	Machines int               `cbor:"machines" json:"machines"`
+	Holder   protocol.NodeName `cbor:"holder" json:"holder"`
+	Since    protocol.Term     `cbor:"since" json:"since"`
+	Epoch    protocol.Term     `cbor:"epoch" json:"epoch"`
+}
--- a/internal/operatorapi/seal_test.go
+++ b/internal/operatorapi/seal_test.go
@@ -1,17 +1,15 @@
 package operatorapi
 
 import (
-	"os"
-	"path/filepath"
 	"testing"
 	"time"
 
 	"damsonkeel/internal/protocol"
 )
 
-// TestSeal: a request is taken from who has a key, as long as it is fresh and as
-// it was sealed.
-func TestSeal(t *testing.T) {
+// TestOpenAcceptsOnlyFreshSealedRequests: a request is accepted from the owner of a key
+// if it is fresh and unchanged.
+func TestOpenAcceptsOnlyFreshSealedRequests(t *testing.T) {
 	key, err := NewKey("ops")
 	if err != nil {
 		t.Fatal(err)
@@ -53,20 +51,4 @@
 			t.Errorf("%s: %v", tc.name, err)
 		}
 	}
-	path := filepath.Join(t.TempDir(), "keys")
-	if err := os.WriteFile(path, []byte("# keys\n"+key.String()+"\n"+other.String()+" # the next\n"), 0o644); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := ReadKeys(path); err == nil {
-		t.Error("keys that everybody may read are taken")
-	}
-	if err := os.Chmod(path, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if keys, err := ReadKeys(path); err != nil || len(keys) != 2 {
-		t.Errorf("%d keys, %v", len(keys), err)
-	}
-	if _, err := ParseKeys("ops 1234"); err == nil {
-		t.Error("a short secret is taken")
-	}
 }
