--- /dev/null
+++ b/internal/controller/dynamicconfig/class.go
@@ -0,0 +1,45 @@
+package dynamicconfig
+
+import (
+	"slices"
+
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/record"
+)
+
+// maxObjectives bounds the objectives of a class, so that its record stays small.
+const maxObjectives = 20
+
+// objectiveKinds are the kinds of objectives of the platform's file.
+var objectiveKinds = []string{"wait", "finished", "deadline", "guarantee"}
+
+// classAfter is the entry of a class after a change.
+func classAfter(c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
+	if c.Reset {
+		return record.ConfigurationEntry{Reset: true}, nil
+	}
+	objectives := *c.Objectives
+	if len(objectives) > maxObjectives {
+		return record.ConfigurationEntry{}, refused("%d objectives, at most %d", len(objectives), maxObjectives)
+	}
+	for _, o := range objectives {
+		if err := checkObjective(o); err != nil {
+			return record.ConfigurationEntry{}, err
+		}
+	}
+	return record.ConfigurationEntry{Class: &record.ClassEntry{Objectives: objectives}}, nil
+}
+
+func checkObjective(o record.ObjectiveEntry) error {
+	inRange := func(v float64) bool { return v >= 0 && v <= maxAmount } // false for NaN
+	validShare := o.Share > 0 && o.Share <= 1
+	switch {
+	case !slices.Contains(objectiveKinds, o.Kind):
+		return refused("%q is no kind of objective: %v", o.Kind, objectiveKinds)
+	case !validShare:
+		return refused("%s: share %v is not above 0 and at most 1", o.Kind, o.Share)
+	case !inRange(o.WithinS) || !inRange(o.Times):
+		return refused("%s: within_s %v or times %v is out of range", o.Kind, o.WithinS, o.Times)
+	}
+	return nil
+}
--- a/internal/controller/dynamicconfig/follow.go
+++ b/internal/controller/dynamicconfig/followed.go
@@ -6,32 +6,33 @@
 	"damsonkeel/internal/record"
 )
 
-// Followed is the configuration as the records tell it. A revision's entries are kept
-// aside until all of them and the revision's own record have come, in whatever order,
+// Followed is the configuration of the followed records. The entries of a revision are
+// buffered until all of them and the revision's own record have been read, in any order,
 // and are then applied in one step.
 type Followed struct {
 	site     *config.Site
 	operator config.Operator
 
 	head    record.Configuration // in force
-	version protocol.Version     // reservation its record
+	version protocol.Version     // of the record of head
 	entries map[record.EntryID]record.ConfigurationEntry
 
-	nextHead    *record.Configuration // reservation a later revision
-	nextVersion protocol.Version
+	nextHead    *record.Configuration // of a later revision; nil if none has been read
+	nextVersion protocol.Version      // of the record of nextHead
 	nextEntries map[record.EntryID]record.ConfigurationEntry
 
 	effective *Effective
 }
 
-// NewFollowed begins with the platform's file and the operators' own.
+// NewFollowed makes the configuration of the platform's and the operators' files, without
+// any records.
 func NewFollowed(site *config.Site, operator config.Operator) *Followed {
 	f := &Followed{site: site, operator: operator}
 	f.Reset()
 	return f
 }
 
-// Reset forgets the records: they are read anew.
+// Reset discards the records, before they are listed again.
 func (f *Followed) Reset() {
 	*f = Followed{site: f.site, operator: f.operator}
 	f.entries = map[record.EntryID]record.ConfigurationEntry{}
@@ -39,10 +40,10 @@
 	f.effective = Base(f.site, f.operator)
 }
 
-// Effective is the configuration in force.
+// Effective returns the configuration in force.
 func (f *Followed) Effective() *Effective { return f.effective }
 
-// Entry is an entry as it is in force; one that nobody has changed is reset.
+// Entry returns an entry in force; one that was never changed is a reset one.
 func (f *Followed) Entry(id record.EntryID) record.ConfigurationEntry {
 	if entry, ok := f.entries[id]; ok {
 		return entry
@@ -50,21 +51,21 @@
 	return record.ConfigurationEntry{Reset: true}
 }
 
-// Entries are those that were changed, reset ones included.
+// Entries returns all entries that were ever changed, with those that were reset.
 func (f *Followed) Entries() map[record.EntryID]record.ConfigurationEntry { return f.entries }
 
-// TakeEntry takes the record of an entry, and reports whether anything in force has
-// recordChanged.
+// TakeEntry adds the record of an entry that was read, and reports whether the
+// configuration in force has changed.
 func (f *Followed) TakeEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
-	if have, ok := f.nextEntries[id]; ok && have.Revision >= entry.Revision {
+	if known, ok := f.nextEntries[id]; ok && known.Revision >= entry.Revision {
 		return false
 	}
-	if have, ok := f.entries[id]; ok && have.Revision >= entry.Revision {
+	if known, ok := f.entries[id]; ok && known.Revision >= entry.Revision {
 		return false
 	}
 	if entry.Revision <= f.head.Revision {
-		// Read after its revision's record: pages of a list are of different moments.
-		// A controller that reads does not act yet.
+		// The record of the revision was read first: the pages of a list are read at
+		// different times. A controller does not act before it has read all of them.
 		f.entries[id] = entry
 		f.rebuild()
 		return true
@@ -73,8 +74,8 @@
 	return f.apply()
 }
 
-// TakeHead takes the record of a revision, and reports whether anything in force has
-// recordChanged.
+// TakeHead adds the record of a revision that was read, and reports whether the
+// configuration in force has changed.
 func (f *Followed) TakeHead(head record.Configuration, version protocol.Version) bool {
 	if version <= f.version || f.nextHead != nil && version <= f.nextVersion {
 		return false
@@ -83,7 +84,7 @@
 	return f.apply()
 }
 
-// apply goes over to the next revision, if all of it has come.
+// apply puts the next revision in force if all its entries have been read.
 func (f *Followed) apply() bool {
 	if f.nextHead == nil {
 		return false
@@ -104,7 +105,7 @@
 	return true
 }
 
-// revisionOf is the latest revision known of an entry.
+// revisionOf returns the latest revision of an entry that was read.
 func (f *Followed) revisionOf(id record.EntryID) Revision {
 	if entry, ok := f.nextEntries[id]; ok {
 		return entry.Revision
--- a/internal/controller/dynamicconfig/settings.go
+++ b/internal/controller/dynamicconfig/settings.go
@@ -1,28 +1,29 @@
 package dynamicconfig
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"strings"
 	"time"
 
 	"damsonkeel/internal/config"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/record"
 )
 
-// settings are the operators' own settings that may change while controllers run.
-// The others bound how long a controller may act, say how records are written, or have
-// to be alike on all controllers at any moment.
+// settings are the operators' settings that may change while controllers run. The others
+// bound how long a controller may act, select the form of records, or must always be the
+// same on all controllers.
 var settings = map[string]func(*config.Operator) *time.Duration{
 	"defaultEstimate": func(o *config.Operator) *time.Duration { return &o.DefaultEstimate },
 	"idleReturn":      func(o *config.Operator) *time.Duration { return &o.IdleReturn },
 }
 
-// Settings lists the names of the settings that may change.
+// Settings returns the names of the settings that may change, in order.
 func Settings() []string { return slices.Sorted(maps.Keys(settings)) }
 
-// Setting is the value of one that is in force; empty: it has no such value.
+// Setting returns the value of a setting that is in force; it is empty for a setting that
+// can't change.
 func (e *Effective) Setting(name string) record.SettingText {
 	field := settings[name]
 	if field == nil {
@@ -31,11 +32,30 @@
 	return record.SettingText(field(&e.Operator).String())
 }
 
-// setSetting takes a setting's value.
+// setSetting parses the value of a setting into the operators' settings.
 func setSetting(operator *config.Operator, name string, text record.SettingText) error {
 	field := settings[name]
 	if field == nil {
-		return fmt.Errorf("setting %q can't be changed while controllers run; those that can: %s", name, strings.Join(Settings(), ", "))
+		return refused("setting %q can't be changed while controllers run; those that can: %s", name, strings.Join(Settings(), ", "))
 	}
-	return config.SetDuration(field(operator), string(text))
+	return config.SetDuration(field(operator), string(text)) //nolint:wrapcheck // Decide wraps it with the name of the entry
+}
+
+// validDuration is a value that all settings accept, to check whether one exists.
+const validDuration = record.SettingText("1s")
+
+// settingAfter is the entry of a setting after a change.
+func (f *Followed) settingAfter(name string, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
+	value := validDuration
+	if !c.Reset {
+		value = *c.Value
+	}
+	discarded := f.operator
+	if err := setSetting(&discarded, name, value); err != nil {
+		return record.ConfigurationEntry{}, err
+	}
+	if c.Reset {
+		return record.ConfigurationEntry{Reset: true}, nil
+	}
+	return record.ConfigurationEntry{Value: &value}, nil
 }
