--- a/internal/controller/waittable/table.go
+++ b/internal/controller/waittable/table.go
@@ -14,136 +14,147 @@
 	"damsonkeel/internal/record"
 )
 
-// Table is this controller's table of expected waits: of each machine what its
-// dispatcher last said, and the announced placements which that does not include yet.
+// Table is this controller's table of expected waits: for each machine the state that
+// its dispatcher last published, and the announced placements which that state does not
+// include yet.
 type Table struct {
 	clusterstate.Module
 	rng            *rand.Rand
 	Machines       map[protocol.MachineID]*Machine
-	sortedMachines []*Machine // in order of their names
-	SpotMachines   int        // of these, spot machines
+	sortedMachines []*Machine // by ID
+	SpotMachines   int        // how many of them are spot machines
 	Peers          map[protocol.NodeName]*Peer
-	Copy           TableCopy
-	PlacementDue   bool // something may have become placeable
+	copied         tableCopy
+	PlacementDue   bool // a task may have become placeable
 }
 
-// Peer is what is known of another controller's present session.
+// Peer is the state known of the present session of a controller, this one included.
 type Peer struct {
 	Session  protocol.LeaseID
-	Placed   uint64      // number of the last Place sent to it
-	Updates  PeerUpdates // its word on the machines it keeps
-	Demand   []message.Demand
+	Placed   uint64           // number of the last Place message sent to it
+	Updates  PeerUpdates      // replicated streams between it and this controller
+	Demand   []message.Demand // unstarted work of the jobs that it owns
 	Progress map[protocol.JobID]message.Progress
-	// Configuration is the revision that it says it acts by, and ConfiguredAt when it
-	// last said so; 0: never.
+	// Configuration is the revision that it last reported as in force there, and
+	// ConfiguredAt when it did; 0: never.
 	Configuration record.ConfigurationRevision
 	ConfiguredAt  clock.Time
 }
 
-// New makes an empty table.
-func New(p clusterstate.Module, rng *rand.Rand) *Table {
-	return &Table{Module: p, rng: rng}
+// New returns a table that Reset has to be called on before use. The random numbers
+// choose the peers that are asked for a copy.
+func New(module clusterstate.Module, rng *rand.Rand) *Table {
+	return &Table{Module: module, rng: rng}
 }
 
-// Reset forgets all machines and peers.
-func (wt *Table) Reset() {
-	wt.Machines, wt.sortedMachines, wt.SpotMachines = map[protocol.MachineID]*Machine{}, nil, 0
-	wt.Peers = map[protocol.NodeName]*Peer{}
-	wt.PlacementDue = false
+// Reset drops all machines and peers.
+func (t *Table) Reset() {
+	t.Machines, t.sortedMachines, t.SpotMachines = map[protocol.MachineID]*Machine{}, nil, 0
+	t.Peers = map[protocol.NodeName]*Peer{}
+	t.PlacementDue = false
 }
 
-// RefreshTypes takes over the machine types as last read from the cloud.
-func (wt *Table) RefreshTypes() {
-	for _, m := range wt.Machines {
-		m.Info = wt.Types[m.Record.Type]
+// RefreshTypes updates the machines to the types as last read from the cloud.
+func (t *Table) RefreshTypes() {
+	for _, m := range t.Machines {
+		m.Info = t.Types[m.Record.Type]
 	}
-	wt.PlacementDue = true
+	t.PlacementDue = true
 }
 
-// InOrder lists the machines by name.
-func (wt *Table) InOrder() []*Machine { return wt.sortedMachines }
+// InOrder lists the machines by ID. The slice belongs to the table.
+func (t *Table) InOrder() []*Machine { return t.sortedMachines }
 
-// Add puts a machine in its place, instead of another of its name if
-// there is one.
-func (wt *Table) Add(m *Machine) {
-	wt.Remove(m.ID)
-	wt.Machines[m.ID], wt.Records[m.ID] = m, m.Machine
-	i, _ := wt.findMachine(m.ID)
-	wt.sortedMachines = slices.Insert(wt.sortedMachines, i, m)
+// Add registers a machine, in place of the one with the same ID if there is one.
+func (t *Table) Add(m *Machine) {
+	t.Remove(m.ID)
+	t.Machines[m.ID], t.Records[m.ID] = m, m.Machine
+	i, _ := t.findMachine(m.ID)
+	t.sortedMachines = slices.Insert(t.sortedMachines, i, m)
 	if m.Record.Spot {
-		wt.SpotMachines++
+		t.SpotMachines++
 	}
 }
 
-func (wt *Table) Remove(id protocol.MachineID) {
-	m := wt.Machines[id]
+// Remove drops a machine, if it is registered.
+func (t *Table) Remove(id protocol.MachineID) {
+	m := t.Machines[id]
 	if m == nil {
 		return
 	}
-	delete(wt.Machines, id)
-	delete(wt.Records, id)
-	if i, ok := wt.findMachine(id); ok {
-		wt.sortedMachines = slices.Delete(wt.sortedMachines, i, i+1)
+	delete(t.Machines, id)
+	delete(t.Records, id)
+	if i, ok := t.findMachine(id); ok {
+		t.sortedMachines = slices.Delete(t.sortedMachines, i, i+1)
 	}
 	if m.Record.Spot {
-		wt.SpotMachines--
+		t.SpotMachines--
 	}
 }
 
-func (wt *Table) findMachine(id protocol.MachineID) (int, bool) {
-	return slices.BinarySearchFunc(wt.sortedMachines, id, func(m *Machine, id protocol.MachineID) int { return cmp.Compare(m.ID, id) })
+// findMachine returns the machine's position in the sorted list, or where it would be.
+func (t *Table) findMachine(id protocol.MachineID) (int, bool) {
+	compare := func(m *Machine, id protocol.MachineID) int { return cmp.Compare(m.ID, id) }
+	return slices.BinarySearchFunc(t.sortedMachines, id, compare)
 }
 
 // Usable reports whether tasks may be placed on a machine at all.
-func (wt *Table) Usable(m *Machine) bool {
-	return m.Open() && !m.Refused && !wt.PlaceClosed(m.Record.Type, m.Record.Zone)
+func (t *Table) Usable(m *Machine) bool {
+	return m.Open() && !m.Refused && !t.PlaceClosed(m.Record.Type, m.Record.Zone)
 }
 
-func (wt *Table) AdoptPeers(v record.View) {
+// AdoptPeers replaces the peers whose sessions the view has changed or ended, and adds
+// its new ones.
+func (t *Table) AdoptPeers(v record.View) {
 	replaced := map[protocol.NodeName]bool{}
-	for name, p := range wt.Peers {
+	for name, p := range t.Peers {
 		replaced[name] = v.Members[name] != p.Session
 	}
-	for name, p := range wt.Peers {
-		wt.dropPendingWaits(name, p, replaced)
+	for name, p := range t.Peers {
+		t.dropPendingWaits(name, p, replaced)
 		if replaced[name] {
-			delete(wt.Peers, name)
+			delete(t.Peers, name)
 		}
 	}
 	for name, session := range v.Members {
-		if wt.Peers[name] == nil {
-			wt.Peers[name] = &Peer{Session: session, Progress: map[protocol.JobID]message.Progress{}, Updates: newPeerUpdates()}
+		if t.Peers[name] == nil {
+			t.Peers[name] = newPeer(session)
 		}
 	}
 }
 
-// ForgetProgress drops what peers told of a job that is over.
-func (wt *Table) ForgetProgress(id protocol.JobID) {
-	for _, p := range wt.Peers {
+func newPeer(session protocol.LeaseID) *Peer {
+	return &Peer{Session: session, Progress: map[protocol.JobID]message.Progress{}, Updates: newPeerUpdates()}
+}
+
+// ForgetProgress drops the progress that peers reported of a job that has ended.
+func (t *Table) ForgetProgress(id protocol.JobID) {
+	for _, p := range t.Peers {
 		delete(p.Progress, id)
 	}
 }
 
-// ShardsMoved: what was told of the machines of some shards is no longer the word
-// of the controller that holds them.
-func (wt *Table) ShardsMoved(moved map[sharding.ID]bool) {
-	for id, m := range wt.Machines {
-		if !moved[sharding.Of(wt.Shards, id, m.Record.Zone)] {
+// ShardsMoved notes that other controllers hold the given shards now: the states of
+// their machines are no longer their dispatchers', and their pending placements are
+// dropped.
+func (t *Table) ShardsMoved(moved map[sharding.ID]bool) {
+	for id, m := range t.Machines {
+		if !moved[sharding.Of(t.Shards, id, m.Record.Zone)] {
 			continue
 		}
 		m.ReportedBy = nil
 		if len(m.PendingWaits) > 0 {
 			m.PendingWaits = nil
 			m.recomputeWait()
-			for _, p := range wt.Peers {
+			for _, p := range t.Peers {
 				delete(p.Updates.waits, m)
 			}
 		}
 	}
 }
 
-// Recent reports whether what is known of a machine is its keeper's word in this
-// term, and that word is no older than so long.
-func (wt *Table) Recent(m *Machine, d time.Duration) bool {
-	return m.ReportedBy != nil && m.ReportedBy == wt.Peers[wt.DispatcherOf(m.ID)] && wt.Since(m.ReportedBy.Updates.At) <= d
+// Recent reports whether a machine's state was published by its present dispatcher in
+// this term, and was up to date no longer ago than maxAge.
+func (t *Table) Recent(m *Machine, maxAge time.Duration) bool {
+	return m.ReportedBy != nil && m.ReportedBy == t.Peers[t.DispatcherOf(m.ID)] && t.Since(m.ReportedBy.Updates.At) <= maxAge
 }
--- a/internal/controller/waittable/tablecopy.go
+++ b/internal/controller/waittable/tablecopy.go
@@ -7,60 +7,67 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Copy is a restarted controller's search for a first table.
-type TableCopy struct {
-	ToAsk []protocol.NodeName // not asked yet
-	asked clock.Time
-	got   bool
+// peersPerRequest is how many peers are asked for their table at a time.
+const peersPerRequest = 2
+
+// tableCopy is the state of a restarted controller's search for a first table.
+type tableCopy struct {
+	toAsk    []protocol.NodeName // peers not asked yet, in the order to ask
+	askedAt  clock.Time          // when peers were last asked; 0: never
+	received bool
 }
 
-// AskPeers has a restarted controller look for a table: it asks two peers, at
-// random, and two more after each wait in vain.
-func (wt *Table) AskPeers() {
-	wt.Copy = TableCopy{}
-	for name := range ordered.Of(wt.Peers) {
-		if name != wt.Self {
-			wt.Copy.ToAsk = append(wt.Copy.ToAsk, name)
+// AskPeers starts a restarted controller's search for a table: it asks two peers, at
+// random, and AskMorePeers asks two more each time that no answer arrives in time.
+func (t *Table) AskPeers() {
+	t.copied = tableCopy{}
+	for name := range ordered.Of(t.Peers) {
+		if name != t.Self {
+			t.copied.toAsk = append(t.copied.toAsk, name)
 		}
 	}
-	l := wt.Copy.ToAsk
-	wt.rng.Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-	wt.AskMorePeers()
+	names := t.copied.toAsk
+	t.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+	t.AskMorePeers()
 }
 
-func (wt *Table) AskMorePeers() {
-	if wt.Copy.got || len(wt.Copy.ToAsk) == 0 || wt.Copy.asked != 0 && wt.Since(wt.Copy.asked) < wt.Op.CopyWait {
+// AskMorePeers asks the next peers for their table, unless one has been received, all
+// have been asked or those asked last may still answer.
+func (t *Table) AskMorePeers() {
+	waiting := t.copied.askedAt != 0 && t.Since(t.copied.askedAt) < t.Op.CopyWait
+	if t.copied.received || len(t.copied.toAsk) == 0 || waiting {
 		return
 	}
-	n := min(2, len(wt.Copy.ToAsk))
-	for _, name := range wt.Copy.ToAsk[:n] {
-		wt.Send(name, message.PeerMessage{AskTable: true})
+	n := min(peersPerRequest, len(t.copied.toAsk))
+	for _, name := range t.copied.toAsk[:n] {
+		t.Send(name, message.PeerMessage{AskTable: true})
 	}
-	wt.Copy.ToAsk, wt.Copy.asked = wt.Copy.ToAsk[n:], wt.Now
+	t.copied.toAsk, t.copied.askedAt = t.copied.toAsk[n:], t.Now
 }
 
-// SendCopy answers a restarted controller, if this table is filled.
-func (wt *Table) SendCopy(to protocol.NodeName) {
-	var ws []message.WaitChange
-	for id, m := range ordered.Of(wt.Machines) {
+// SendCopy sends a restarted controller a copy of this table, unless no state of any
+// machine is known here.
+func (t *Table) SendCopy(to protocol.NodeName) {
+	var waits []message.WaitChange
+	for id, m := range ordered.Of(t.Machines) {
 		if m.Reported.Epoch == m.Epoch {
-			ws = append(ws, message.WaitChange{Machine: id, Add: m.Wait()})
+			waits = append(waits, message.WaitChange{Machine: id, Add: m.Wait()})
 		}
 	}
-	if len(ws) > 0 {
-		wt.Send(to, message.PeerMessage{Table: ws})
+	if len(waits) > 0 {
+		t.Send(to, message.PeerMessage{Table: waits})
 	}
 }
 
-// Fill takes the first table that comes; what keepers say of their
-// machines replaces it.
-func (wt *Table) Fill(ws []message.WaitChange) {
-	if wt.Copy.got {
+// Fill adopts the first copy of a table that arrives and ignores the others. States
+// published by the machines' dispatchers replace its waits.
+func (t *Table) Fill(waits []message.WaitChange) {
+	if t.copied.received {
 		return
 	}
-	wt.Copy.got = true
-	for _, w := range ws {
-		if m := wt.Machines[w.Machine]; m != nil && m.Reported.Epoch == 0 {
+	t.copied.received = true
+	for _, w := range waits {
+		if m := t.Machines[w.Machine]; m != nil && m.Reported.Epoch == 0 {
 			m.copiedWait = w.Add
 		}
 	}
