--- a/internal/controller/holding_test.go
+++ b/internal/controller/holding_test.go
@@ -4,65 +4,78 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/controller/autoscaler"
-
 	"damsonkeel/internal/controller/binpack"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
-// TestLeadIsSteady: how long before its time room has to be clear does not
-// depend on what the cloud has just refused. It did: with a full cloud room was
-// thought clear that was not, and let go a moment later.
-func TestLeadIsSteady(t *testing.T) {
-	b := promising(t)
+// refuseProvisioning has the cloud refuse all requests of the next plan, and of those that
+// its answers bring. It returns the kinds that were requested.
+func (b *bench) refuseProvisioning() map[binpack.Kind]bool {
+	refused := map[binpack.Kind]bool{}
+	for actions := b.nextPlan(); len(actions) > 0; {
+		var next []message.Action
+		for _, a := range actions {
+			if p, ok := a.(message.Provision); ok {
+				refused[binpack.Kind{Type: p.Request.Type, Zone: p.Request.Zone, Spot: p.Request.Spot}] = true
+				next = append(next, b.step(message.ProvisionDone{Request: p.Request, Outcome: message.OutcomeRefused})...)
+			}
+		}
+		actions = next
+	}
+	return refused
+}
+
+// TestNoticeDoesNotDependOnRefusals: how long before an occurrence its resources have to
+// be clear does not depend on which kinds the cloud has just refused. It did: with a full
+// cloud, resources counted as clear that were not, and were released a moment later.
+func TestNoticeDoesNotDependOnRefusals(t *testing.T) {
+	b := newReservationBench(t)
 	before := b.c.NoticeBefore(reserve("one", "daily at 04:00", 2))
-	for _, z := range []protocol.Zone{"a", "b"} {
+	b.put(record.LiveKey("job-1"), protocol.Job{
+		ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 100, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true,
+	})
+	b.nextPlan()
+	refused := b.refuseProvisioning()
+	for _, zone := range []protocol.Zone{"a", "b"} {
 		for _, spot := range []bool{true, false} {
-			b.c.autoscaler.Refusals[binpack.Kind{Type: "small", Zone: z, Spot: spot}] = autoscaler.Refusal{Until: b.c.After(time.Minute)}
+			if kind := (binpack.Kind{Type: "small", Zone: zone, Spot: spot}); !refused[kind] {
+				t.Fatalf("%+v was not refused, only %v", kind, refused)
+			}
 		}
 	}
+	if again := b.refuseProvisioning(); len(again) > 0 {
+		t.Fatalf("%v requested though the cloud has just refused them", again)
+	}
 	if after := b.c.NoticeBefore(reserve("one", "daily at 04:00", 2)); after != before || before <= clusterstate.LeadSlack {
 		t.Errorf("%v before, %v after", before, after)
 	}
 }
 
-// TestTakenOverRoom: what the next keeper of a machine finds there it can't judge
-// by itself: how far it is the table still knows from the keeper before, and how
-// urgent it is its owner says. Without either, each controller that ended lost all
-// that was held on its machines.
-func TestTakenOverRoom(t *testing.T) {
-	b := promising(t)
+// TestExpectedEndsSurviveNewDispatcher: a new dispatcher can't judge the attempts that it
+// finds on a machine. When they are expected to end the table still knows from the
+// dispatcher before, and their level their owner announces. Without either, each
+// controller that ended lost all holds on its machines.
+func TestExpectedEndsSurviveNewDispatcher(t *testing.T) {
+	b := newReservationBench(t)
 	b.ready("vm-1")
 	b.c.reservations.Any = true
 	m := b.c.table.Machines["vm-1"]
 	task := protocol.TaskID{Job: "job-1"}
 	soon := reservation.After(b.c.WallTime(), time.Minute)
 	m.Reported.Runs = []reservation.Run{{Task: task, Attempt: 3, Ends: soon, Level: 0}}
-	told := message.MachineState{Machine: "vm-1", Epoch: m.Epoch, Heard: true, Runs: []reservation.Run{{Task: task, Attempt: 3, Ends: soon + 1e6, Level: 4}}}
-	b.c.table.ApplyMachineState("node-0", b.c.table.Peers["node-0"], message.MachineState{Machine: "vm-1", Epoch: m.Epoch}) // not heard yet
-	b.c.table.ApplyMachineState("node-0", b.c.table.Peers["node-0"], told)
+	found := message.MachineState{Machine: "vm-1", Epoch: m.Epoch, Heard: true, Runs: []reservation.Run{{Task: task, Attempt: 3, Ends: soon + 1e6, Level: 4}}}
+	b.c.table.ApplyMachineState("node-0", b.c.table.Peers["node-0"], message.MachineState{Machine: "vm-1", Epoch: m.Epoch}) // no heartbeat yet
+	b.c.table.ApplyMachineState("node-0", b.c.table.Peers["node-0"], found)
 	if r := m.Reported.Runs[0]; r.Ends != soon {
 		t.Errorf("ends %d, want %d", r.Ends, soon)
 	}
 	b.job("job-1", "free", 1)
 	b.c.jobs.ByID["job-1"].Level = 2
 	if l, ok := b.c.announcedLevel("job-1"); !ok || l != 2 {
-		t.Errorf("told at level %d, %v", l, ok)
-	}
-}
-
-// TestRefusedIsNotClosed: a machine that refused a placement is not placed on
-// until its keeper says why, but room stays held there. It was let go, and
-// filled by others within a second.
-func TestRefusedIsNotClosed(t *testing.T) {
-	b := promising(t)
-	b.ready("vm-1")
-	m := b.c.table.Machines["vm-1"]
-	m.Refused = true
-	if b.c.table.Usable(m) || !m.Open() || len(b.c.planner.ReservableMachines()) != 1 {
-		t.Errorf("usable %v, open %v, %d machines to hold room on", b.c.table.Usable(m), m.Open(), len(b.c.planner.ReservableMachines()))
+		t.Errorf("announced at level %d, %v", l, ok)
 	}
 }
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -11,27 +11,30 @@
 	"damsonkeel/internal/record"
 )
 
-// wall is the time of day when these tests begin.
-const wall = 1_770_000_000_000
+// startWallMS is the time of day when these tests begin, in milliseconds.
+const startWallMS = 1_770_000_000_000
 
-// promising is a core that knows the time of day and rents from a catalogue.
-func promising(t *testing.T) *bench {
-	b := planner(t)
+// newReservationBench returns a bench whose core is the autoscaler, knows the time of day
+// and has the cloud's catalogue.
+func newReservationBench(t *testing.T) *bench {
+	t.Helper()
+	b := newAutoscalerBench(t)
 	b.step(message.CatalogueRead{Types: []protocol.TypeInfo{{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}}}})
-	b.step(message.Tick{WallMS: wall})
+	b.step(message.Tick{WallMS: startWallMS})
 	return b
 }
 
-// in is the text of a moment so much later.
+// in is the time so much later, in the form of operators' requests.
 func (b *bench) in(d time.Duration) string {
 	return time.UnixMilli(int64(b.c.WallTime())).Add(d).UTC().Format("2006-01-02 at 15:04:05")
 }
 
+// operate has the core decide an operator's request.
 func (b *bench) operate(r operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
 	return b.c.Decide("ops", &r)
 }
 
-// do puts a request and has its transaction followed.
+// do has the core decide a request, and follow the transaction that it asks for.
 func (b *bench) do(r operatorapi.Request) operatorapi.Reply {
 	reply, txn := b.operate(r)
 	if txn != nil {
@@ -42,17 +45,19 @@
 	return reply
 }
 
+// reserve is a reservation of 2 CPUs and 1 GB for each task, for 10 minutes.
 func reserve(name, when string, tasks int) *record.ReservationSpec {
 	return &record.ReservationSpec{
 		Name: reservation.Name(name), Class: name, When: when, HoldS: 600, LengthS: 600, Tasks: tasks, CPUs: 2, MemoryGB: 1, Priority: "standard",
 	}
 }
 
-// TestRepeatedRequest: a repeated request gets the same answer and changes
-// nothing; a dry run neither; what was decided on an older calendar fails in the
-// state service, and what is made anew is not cancelled by who meant the one before.
-func TestRepeatedRequest(t *testing.T) {
-	b := promising(t)
+// TestRepeatedOperatorRequestChangesNothing: a repeated request gets the same answer and
+// changes nothing, nor does a dry run; the transaction of a decision on an older calendar
+// fails in the key-value store, and a reservation that was made anew is not cancelled by
+// a request that names the one before.
+func TestRepeatedOperatorRequestChangesNothing(t *testing.T) {
+	b := newReservationBench(t)
 	add := operatorapi.Request{Op: operatorapi.OpAdd, ID: "1", Reservation: reserve("one", b.in(time.Hour), 2)}
 	dry := add
 	dry.DryRun = true
@@ -87,10 +92,11 @@
 	}
 }
 
-// TestWindowLetsRun: while a window is open nothing new starts on what it
-// covers, nor what would run into it; what runs is let run, and its overrun told.
-func TestWindowLetsRun(t *testing.T) {
-	b := promising(t)
+// TestWindowStopsNewStartsOnly: while a window is open no attempt starts on the machines
+// that it covers, nor one that would run into it; running attempts go on, and their
+// overrun is reported.
+func TestWindowStopsNewStartsOnly(t *testing.T) {
+	b := newReservationBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 1) // of 10 s
 	b.do(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "w", Spec: &record.WindowSpec{Name: "w", When: b.in(20 * time.Second), LengthS: 600, Zone: "a"}})
@@ -114,11 +120,11 @@
 	b.now += Time(time.Minute)
 	b.step(message.Tick{})
 	if os := b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning}).Reply.Orders; len(os) != 0 || b.kept("vm-1", task).Kill {
-		t.Errorf("told %+v while the window is open", os)
+		t.Errorf("orders %+v while the window is open", os)
 	}
 	b.now += Time(10 * time.Minute)
 	b.report("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning})
-	b.relay()
+	b.nextPlan()
 	b.step(message.Tick{})
 	if b.kept("vm-1", protocol.TaskID{Job: "job-2"}).Attempt == 0 {
 		t.Error("not placed after the window")
