--- a/internal/controller/autoscaler/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"time"
 
 	"damsonkeel/internal/controller/clock"
@@ -94,11 +93,7 @@
 	held := p.reservations
 	plan := reservation.ChooseHolds(p.demands, p.reservableMachines(), held.List, usable, now)
 	p.shortfall, p.missing, p.zones = plan.Short, plan.Missing, plan.Zones
-	if !slices.Equal(plan.Holds, held.List) || held.Number>>32 != uint64(p.View.Term) {
-		held.Set(plan.Holds)
-		held.Stale = true
-		held.Number = max(held.Number+1, uint64(p.View.Term)<<32|1)
-	}
+	held.Choose(plan.Holds)
 }
 
 // mostMachinesInventoried reports whether the attempts on at least nine of ten machines
--- /dev/null
+++ b/internal/controller/holds/calendar.go
@@ -0,0 +1,124 @@
+package holds
+
+import (
+	"fmt"
+	"time"
+
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// windowsAhead is how far ahead windows and reservations are considered when a task is
+// placed: longer than tasks are likely to run.
+const windowsAhead = 24 * time.Hour
+
+// CalendarRecord adopts a record of the calendar.
+func (h *Holds) CalendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
+	switch {
+	case f.Calendar:
+		err = h.adoptCalendar(value, version)
+	case f.Reservation != "":
+		err = h.adoptReservation(value, version)
+	case f.Window != "":
+		err = h.adoptWindow(value, version)
+	}
+	h.reservationsChanged()
+	return err
+}
+
+// adoptCalendar adopts the calendar's own record, which counts the changes of all others.
+// Its version is adopted even if it can't be decoded.
+func (h *Holds) adoptCalendar(value protocol.RawValue, version protocol.Version) error {
+	var r record.Calendar
+	err := protocol.Decode(value, &r)
+	h.Version, h.Changes = version, r.Changes
+	if err != nil {
+		return fmt.Errorf("decoding the calendar: %w", err)
+	}
+	return nil
+}
+
+func (h *Holds) adoptReservation(value protocol.RawValue, version protocol.Version) error {
+	var r record.Reservation
+	if err := protocol.Decode(value, &r); err != nil {
+		return fmt.Errorf("decoding a reservation: %w", err)
+	}
+	err := h.Calendar.PutReservation(r, version, h.WallTime())
+	if r.State != record.Accepted && r.State != record.Holding {
+		h.dropHolds(r.Spec.Name)
+	}
+	if err != nil {
+		return fmt.Errorf("adopting reservation %q: %w", r.Spec.Name, err)
+	}
+	return nil
+}
+
+func (h *Holds) adoptWindow(value protocol.RawValue, version protocol.Version) error {
+	var w record.Window
+	if err := protocol.Decode(value, &w); err != nil {
+		return fmt.Errorf("decoding a window: %w", err)
+	}
+	if err := h.Calendar.PutWindow(w, version, h.WallTime()); err != nil {
+		return fmt.Errorf("adopting window %q: %w", w.Spec.Name, err)
+	}
+	return nil
+}
+
+// CalendarDeleted adopts the deletion of a record of the calendar.
+func (h *Holds) CalendarDeleted(f record.FollowedKey) {
+	if f.Reservation != "" {
+		h.Calendar.Drop(false, f.Reservation)
+		h.dropHolds(f.Reservation)
+	} else {
+		h.Calendar.Drop(true, f.Window)
+	}
+	h.reservationsChanged()
+}
+
+// reservationsChanged notes whether the calendar has any entries. Controllers publish
+// which attempts run on their machines only while it has.
+func (h *Holds) reservationsChanged() {
+	hasEntries := !h.Calendar.Empty()
+	if hasEntries == h.Any {
+		return
+	}
+	h.Any = hasEntries
+	h.republish()
+}
+
+// Refresh computes, once a relay period, the open windows, the resources held now and the
+// claims on teams' limits.
+func (h *Holds) Refresh() {
+	if !h.Any && len(h.List) == 0 {
+		return
+	}
+	now, clockError := h.WallTime(), h.Settings.Site.ClockError()
+	from, until := reservation.After(now, -2*clockError), reservation.After(now, windowsAhead)
+	h.Calendar.Extend(now)
+	occurrences := h.Calendar.Overlapping(from, until)
+	h.collectLiveJobs(occurrences)
+	h.Windows = h.openWindows(occurrences, clockError)
+	h.teamClaims = map[protocol.Team][]teamClaim{}
+	for _, e := range h.Calendar.Due(from, until) {
+		h.claimLimit(e)
+	}
+	h.computeReserved()
+}
+
+// openWindows returns the windows that are open or open soon, longer by what clocks may
+// be off by.
+func (h *Holds) openWindows(occurrences []reservation.Occurrence, clockError time.Duration) (windows []clusterstate.OpenWindow) {
+	for _, o := range occurrences {
+		if !o.Window {
+			continue
+		}
+		windows = append(windows, clusterstate.OpenWindow{
+			Spec:  &h.Calendar.Window(o.Name).Window.Spec,
+			Start: reservation.After(o.Start, -clockError),
+			End:   reservation.After(o.End, clockError),
+		})
+	}
+	return windows
+}
--- a/internal/controller/holds/holds.go
+++ b/internal/controller/holds/holds.go
@@ -3,110 +3,103 @@
 import (
 	"slices"
 
-	"damsonkeel/internal/controller/waittable"
-
-	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/reservation"
-	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 )
 
-// Holds is what a controller reckons of the calendar as an owner, and as the
-// one that chooses where room is held.
+// Holds is the state of the reservations and windows that a controller places by.
 type Holds struct {
 	clusterstate.Module
 	*clusterstate.Reservations
 	table *waittable.Table
-	// Progress tells how far a live job is, as far as this controller knows.
+	// progress returns how far a live job is, as far as this controller knows.
 	progress func(protocol.JobID) (message.Progress, bool)
-	// announce has what is told of every machine told anew.
-	announce func()
+	// republish has the states of all machines published again.
+	republish func()
+
+	// Number identifies the list of holds: the term of the controller that chose it in
+	// the upper half, a count in the lower.
+	Number uint64
 
-	holdsWrittenAt clock.Time // when the list was last written
-	Stale          bool       // it has changed since
-	// heldVersion is that of the list in the records, as followed.
-	heldVersion protocol.Version
-	Number      uint64 // of the list, by the controller that chose it
-	teamClaims  map[protocol.Team][]teamClaim
+	recordWrittenAt clock.Time       // when the list was last written to its record
+	recordStale     bool             // the list has changed since
+	recordVersion   protocol.Version // of the record, as followed
 
-	// liveByClass are the live jobs of the classes that something is due for within
+	teamClaims map[protocol.Team][]teamClaim
+	// liveByClass are the live jobs of the classes with an occurrence within
 	// windowsAhead, as of the last relay period.
 	liveByClass map[string][]*clusterstate.LiveJob
-	seenJobs    map[reservation.Name]*seenJob
+	endedTasks  map[reservation.Name]*endedTasks
 }
 
-// teamClaim is what of a team's limit is promised from a time on.
-type teamClaim struct {
-	reservation reservation.Name
-	need        resource.Amount
-	from        reservation.Moment
+// New returns a state that Reset has to be called on before use. It is given how far jobs
+// are, and what has the states of all machines published again.
+func New(module clusterstate.Module, table *waittable.Table, progress func(protocol.JobID) (message.Progress, bool), republish func()) *Holds {
+	return &Holds{Module: module, table: table, progress: progress, republish: republish}
 }
 
-// seenJob is what was seen of the jobs of one occurrence that are over.
-type seenJob struct {
-	start reservation.Moment
-	tasks int
+// Reset drops the state of the last session.
+func (h *Holds) Reset() {
+	*h = Holds{
+		Module: h.Module, Reservations: h.State.Reservations, table: h.table, progress: h.progress, republish: h.republish,
+		endedTasks: map[reservation.Name]*endedTasks{},
+	}
 }
 
-// New holds nothing yet. It is given how far jobs are, and how to have
-// what is told of every machine told anew.
-func New(p clusterstate.Module, table *waittable.Table, progress func(protocol.JobID) (message.Progress, bool), announce func()) *Holds {
-	return &Holds{Module: p, table: table, progress: progress, announce: announce}
-}
+// Active reports whether there are holds or open windows at present.
+func (h *Holds) Active() bool { return len(h.Windows) > 0 || len(h.List) > 0 }
 
-// Reset forgets everything a session knew.
-func (rh *Holds) Reset() {
-	*rh = Holds{
-		Module: rh.Module, Reservations: rh.State.Reservations, table: rh.table, progress: rh.progress, announce: rh.announce,
-		seenJobs: map[reservation.Name]*seenJob{},
+// Choose adopts the list that this controller has chosen as the autoscaler. A list that
+// differs, or the first one of a term, gets a new number.
+func (h *Holds) Choose(list []reservation.Hold) {
+	term := uint64(h.View.Term)
+	if slices.Equal(list, h.List) && h.Number>>32 == term {
+		return
 	}
+	h.Set(list)
+	h.recordStale = true
+	h.Number = max(h.Number+1, term<<32|1)
 }
 
-// Set takes over what is held.
-func (rh *Holds) Set(list []reservation.Hold) {
-	pr := rh
-	pr.List = list
-	pr.Holds = map[protocol.MachineID][]reservation.Hold{}
-	for _, h := range list {
-		pr.Holds[h.Machine] = append(pr.Holds[h.Machine], h)
+// Set replaces the list of holds.
+func (h *Holds) Set(list []reservation.Hold) {
+	h.List = list
+	h.Holds = map[protocol.MachineID][]reservation.Hold{}
+	for _, hold := range list {
+		h.Holds[hold.Machine] = append(h.Holds[hold.Machine], hold)
 	}
-	rh.computeReserved()
-	rh.table.PlacementDue = true
+	h.computeReserved()
+	h.table.PlacementDue = true
 }
 
-// dropHolds frees at once what was held for a reservation that is over: a controller
-// that hears of that before the next list does not wait for it.
-func (rh *Holds) dropHolds(n reservation.Name) {
-	held := func(h reservation.Hold) bool { return h.For == n }
-	if slices.ContainsFunc(rh.List, held) {
-		rh.Set(slices.DeleteFunc(slices.Clone(rh.List), held))
+// dropHolds drops the holds of a reservation that has ended, without waiting for the next
+// list.
+func (h *Holds) dropHolds(name reservation.Name) {
+	isFor := func(hold reservation.Hold) bool { return hold.For == name }
+	if slices.ContainsFunc(h.List, isFor) {
+		h.Set(slices.DeleteFunc(slices.Clone(h.List), isFor))
 	}
 }
 
-// IsReserved reports whether room is held for a job by what is promised.
-func (rh *Holds) IsReserved(j *protocol.Job) bool {
-	of := rh.ReservationFilter(j)
-	return slices.ContainsFunc(rh.List, func(h reservation.Hold) bool { return of(h.For) })
+// computeReserved computes how much of each machine is held now.
+func (h *Holds) computeReserved() {
+	now := h.WallTime()
+	for _, m := range h.table.Machines {
+		m.Reserved = clusterstate.ReservedBy(h.Holds[m.ID], now)
+	}
 }
 
-// LimitClaimed is what of a team's limit is promised to other jobs by the time
-// that a task of this one is likely to be over.
-func (rh *Holds) LimitClaimed(j *protocol.Job, estimateS float64) (sum resource.Amount) {
-	claims := rh.teamClaims[j.Team]
-	ends := reservation.After(rh.WallTime(), config.Seconds(rh.ExpectedRunSeconds(j, estimateS)))
-	of := rh.ReservationFilter(j)
-	for _, t := range claims {
-		if ends > t.from && !of(t.reservation) {
-			sum = sum.Plus(t.need)
-		}
-	}
-	return sum
+// IsReserved reports whether resources are held for a job on any machine.
+func (h *Holds) IsReserved(j *protocol.Job) bool {
+	isFor := h.ReservationFilter(j)
+	return slices.ContainsFunc(h.List, func(hold reservation.Hold) bool { return isFor(hold.For) })
 }
 
-// ClaimsLimitOf reports whether a part of a team's limit is promised to reserved jobs.
-func (rh *Holds) ClaimsLimitOf(team protocol.Team) bool {
-	return len(rh.teamClaims[team]) > 0
+// HeldFor reports whether resources are held for a job on a machine.
+func (h *Holds) HeldFor(j *protocol.Job, m *waittable.Machine) bool {
+	return reservation.OwnUntil(h.Holds[m.ID], h.ReservationFilter(j)) != 0
 }
--- a/internal/controller/holds/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -1,6 +1,7 @@
 package holds
 
 import (
+	"fmt"
 	"time"
 
 	"damsonkeel/internal/controller/message"
@@ -9,52 +10,54 @@
 	"damsonkeel/internal/record"
 )
 
-// RecordSeen is what is held, as it is written for who starts anew.
+const (
+	// writeEvery is the least time between two writes of the record.
+	writeEvery = 5 * time.Second
+	// maxHoldBytes is more than one hold takes in the record.
+	maxHoldBytes = 350
+)
+
+// Record is the list of holds as it is written for controllers that start anew.
 type Record struct {
 	Holds []reservation.Hold `cbor:"holds"`
 }
 
-const (
-	// writeHeldEvery is how often it is written at the most.
-	writeHeldEvery = 5 * time.Second
-	// heldBytes is more than one hold takes in a record.
-	heldBytes = 350
-)
+// Tag marks the transaction that writes the record of the holds.
+type Tag struct{}
 
-// Write writes what is held, what is due first if not all of it fits into a
-// record. Nothing depends on it but how soon the same is held again after all
-// controllers have ended: without it their machines are filled before any of
-// them knows what was held.
-func (rh *Holds) Write() {
-	pr := rh
-	if !pr.Stale || rh.Since(pr.holdsWrittenAt) < writeHeldEvery {
+// Write writes the list of holds if it has changed: those that begin first, if not all of
+// them fit into a record. Only one thing depends on it: how soon the same resources are
+// held again after all controllers have ended. Without the record their machines would be
+// filled before any controller knows the holds.
+func (h *Holds) Write() {
+	if !h.recordStale || h.Since(h.recordWrittenAt) < writeEvery {
 		return
 	}
-	pr.Stale, pr.holdsWrittenAt = false, rh.Now
-	list := pr.List[:min(len(pr.List), int(1024*rh.Settings.Site.State.ValueKB/heldBytes))]
-	rh.Emit(message.Commit{Tag: Tag{}, Txn: protocol.Transaction{
-		Conditions: []protocol.Condition{rh.ViewUnchanged(), {Key: record.ReservationHoldsKey, Version: pr.heldVersion}},
+	h.recordStale, h.recordWrittenAt = false, h.Now
+	list := h.List[:min(len(h.List), int(1024*h.Settings.Site.State.ValueKB/maxHoldBytes))]
+	h.Emit(message.Commit{Tag: Tag{}, Txn: protocol.Transaction{
+		Conditions: []protocol.Condition{h.ViewUnchanged(), {Key: record.ReservationHoldsKey, Version: h.recordVersion}},
 		Changes:    []protocol.Change{{Put: record.ReservationHoldsKey, Value: Record{list}}},
 	}})
 }
 
-// Written takes the outcome of a write: what was not written is written again.
-func (rh *Holds) Written(out message.Outcome) {
-	rh.Stale = rh.Stale || out != message.OutcomeDone
+// Written handles the outcome of a write: one that failed is repeated.
+func (h *Holds) Written(out message.Outcome) {
+	h.recordStale = h.recordStale || out != message.OutcomeDone
 }
 
-// RecordSeen takes over what was written, unless a list was heard already, which
-// is newer.
-func (rh *Holds) RecordSeen(value protocol.RawValue, version protocol.Version) error {
-	rh.heldVersion = version
+// RecordSeen adopts the list in the record, unless a list has been received from a peer
+// already: that one is newer.
+func (h *Holds) RecordSeen(value protocol.RawValue, version protocol.Version) error {
+	h.recordVersion = version
 	var r Record
-	if err := protocol.Decode(value, &r); err != nil || rh.Listed {
-		return err
+	if err := protocol.Decode(value, &r); err != nil {
+		return fmt.Errorf("decoding the holds: %w", err)
+	}
+	if h.Listed {
+		return nil
 	}
-	rh.Listed = true
-	rh.Set(r.Holds)
+	h.Listed = true
+	h.Set(r.Holds)
 	return nil
 }
-
-// Tag marks the transaction that writes the holds.
-type Tag struct{}
