--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -45,10 +45,10 @@
 	return reply
 }
 
-// reserve is a reservation of 2 CPUs and 1 GB for each task, for 10 minutes.
-func reserve(name, when string, tasks int) *record.ReservationSpec {
+// reserve is a reservation for two tasks of 2 CPUs and 1 GB, for 10 minutes.
+func reserve(name, when string) *record.ReservationSpec {
 	return &record.ReservationSpec{
-		Name: reservation.Name(name), Class: name, When: when, HoldS: 600, LengthS: 600, Tasks: tasks, CPUs: 2, MemoryGB: 1, Priority: "standard",
+		Name: reservation.Name(name), Class: name, When: when, HoldS: 600, LengthS: 600, Tasks: 2, CPUs: 2, MemoryGB: 1, Priority: "standard",
 	}
 }
 
@@ -58,13 +58,13 @@
 // a request that names the one before.
 func TestRepeatedOperatorRequestChangesNothing(t *testing.T) {
 	b := newReservationBench(t)
-	add := operatorapi.Request{Op: operatorapi.OpAdd, ID: "1", Reservation: reserve("one", b.in(time.Hour), 2)}
+	add := operatorapi.Request{Op: operatorapi.OpAdd, ID: "1", Reservation: reserve("one", b.in(time.Hour))}
 	dry := add
 	dry.DryRun = true
 	if reply, txn := b.operate(dry); reply.Code != operatorapi.Done || txn != nil || reply.Reservations[0].State != record.Proposed {
 		t.Fatalf("dry run: %+v, %v", reply, txn)
 	}
-	_, stale := b.operate(operatorapi.Request{Op: operatorapi.OpAdd, ID: "2", Reservation: reserve("two", b.in(time.Hour), 2)})
+	_, stale := b.operate(operatorapi.Request{Op: operatorapi.OpAdd, ID: "2", Reservation: reserve("two", b.in(time.Hour))})
 	if reply := b.do(add); reply.Code != operatorapi.Done {
 		t.Fatalf("%+v", reply)
 	}
--- a/internal/controller/workload/classes.go
+++ b/internal/controller/workload/classes.go
@@ -9,80 +9,84 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Class is what has been seen of a class of jobs that an objective of the
-// settings is about.
+// Class is what this controller has observed of a class of jobs with an objective.
 type Class struct {
-	Job               protocol.Job // the last one seen
-	Share             float64      // of its jobs that should keep the objective
-	HasStartObjective bool         // they should start within a time
+	Job               protocol.Job // the last job of the class
+	Share             float64      // the share of its jobs that should meet the objective
+	HasStartObjective bool         // its jobs should start within a time
 	Arrivals          forecast.Arrivals
 }
 
-// RecordArrival learns what jobs of a class look like and how often they come.
-func (wl *Workload) RecordArrival(j *protocol.Job) {
-	share, awaited := wl.objectiveShare(j.Class)
+// RecordArrival records a job that has arrived, if its class has an objective.
+func (w *Workload) RecordArrival(j *protocol.Job) {
+	share, hasStart := w.objectiveShare(j.Class)
 	if share == 0 {
 		return
 	}
-	k := wl.Classes[j.Class]
-	if k == nil {
-		k = &Class{}
-		wl.Classes[j.Class] = k
+	class := w.Classes[j.Class]
+	if class == nil {
+		class = &Class{}
+		w.Classes[j.Class] = class
 	}
-	k.Job, k.Share, k.HasStartObjective = *j, share, awaited
-	work := float64(j.Tasks) * j.CPUs * wl.Estimate(j)
-	k.Arrivals.Note(forecast.Arrival{At: wl.Now, Tasks: float64(j.Tasks), Work: work})
+	class.Job, class.Share, class.HasStartObjective = *j, share, hasStart
+	work := float64(j.Tasks) * j.CPUs * w.Estimate(j)
+	class.Arrivals.Note(forecast.Arrival{At: w.Now, Tasks: float64(j.Tasks), Work: work})
 }
 
-// BootSeconds is how long the soonest machine that a job may use takes to be ready
-// for it, its image included, in seconds; infinite if there is none.
-func (wl *Workload) BootSeconds(j *protocol.Job) float64 {
-	up := math.Inf(1)
-	for _, t := range wl.Types {
+// BootSeconds is how long the fastest machine type that a job may use takes to boot and to
+// fetch the job's image, in seconds; infinite if there is no such type.
+func (w *Workload) BootSeconds(j *protocol.Job) float64 {
+	fastest := math.Inf(1)
+	for _, t := range w.Types {
 		l := clusterstate.LiveJob{Job: *j}
 		l.Zone = ""
 		if l.AllowsKind(t, "", false) {
-			up = math.Min(up, t.BootS+clusterstate.FetchS(t, j))
+			fastest = math.Min(fastest, t.BootS+clusterstate.FetchS(t, j))
 		}
 	}
-	return up
+	return fastest
 }
 
-// coming tells from what was seen how jobs of a class come.
-func (wl *Workload) coming(k *Class, size func(forecast.Arrival) float64) forecast.Arriving {
-	return k.Arrivals.Coming(wl.Now, wl.BootSeconds(&k.Job), k.Share, size)
+// workOf and tasksOf are the sizes by which arrivals are forecast.
+func workOf(a forecast.Arrival) float64  { return a.Work }
+func tasksOf(a forecast.Arrival) float64 { return a.Tasks }
+
+// forecastOf forecasts the arrivals of a class from those observed.
+func (w *Workload) forecastOf(class *Class, size func(forecast.Arrival) float64) forecast.Arriving {
+	return class.Arrivals.Coming(w.Now, w.BootSeconds(&class.Job), class.Share, size)
 }
 
-// ComingWork is the work, in processor seconds, of a class that need not start
-// at once, as far as it is likely to come while a machine boots.
-func (wl *Workload) ComingWork(k *Class) float64 {
-	if k.HasStartObjective {
+// ComingWork is the work, in processor seconds, that a class without a start objective is
+// likely to bring while a machine boots; 0 for a class with one.
+func (w *Workload) ComingWork(class *Class) float64 {
+	if class.HasStartObjective {
 		return 0
 	}
-	return wl.coming(k, func(a forecast.Arrival) float64 { return a.Work }).Within(wl.BootSeconds(&k.Job))
+	return w.forecastOf(class, workOf).Within(w.BootSeconds(&class.Job))
 }
 
-// Reserve is how much room is kept for a class whose tasks should start in
-// time: as many of them as are likely to come while a machine boots, beyond
-// those that find a place on what ends meanwhile.
-func (wl *Workload) Reserve(k *Class) int {
-	if !k.HasStartObjective {
+// Reserve is the number of tasks of a class with a start objective for which resources are
+// reserved: as many as are likely to arrive while a machine boots, beyond those that fit
+// the resources which become free meanwhile. It is 0 for a class without one.
+func (w *Workload) Reserve(class *Class) int {
+	if !class.HasStartObjective {
 		return 0
 	}
-	return int(math.Ceil(wl.coming(k, func(a forecast.Arrival) float64 { return a.Tasks }).Beyond(wl.BootSeconds(&k.Job), wl.turnover(&k.Job))))
+	tasks := w.forecastOf(class, tasksOf).Beyond(w.BootSeconds(&class.Job), w.turnover(&class.Job))
+	return int(math.Ceil(tasks))
 }
 
-// turnover is how many places for a job's tasks come free each second where
-// tasks end by themselves. Tasks that need many at the same time, or most of a
-// machine, can't count on it: there is never enough at once.
-func (wl *Workload) turnover(j *protocol.Job) float64 {
+// turnover is the number of a job's tasks for which resources become free each second as
+// other tasks end. A gang can't use them: there are never enough at the same time.
+func (w *Workload) turnover(j *protocol.Job) float64 {
 	if j.Kind != protocol.KindJobArray {
 		return 0
 	}
-	l, sum := clusterstate.LiveJob{Job: *j}, 0.0
-	for _, m := range wl.table.InOrder() {
-		if wl.table.Usable(m) && l.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
-			sum += resource.Amount{CPUs: m.Reported.Ending.CPUs, GPUs: m.Reported.Ending.GPUs, GB: m.Reported.Ending.GB}.Places(resource.Need(j))
+	live, sum := clusterstate.LiveJob{Job: *j}, 0.0
+	for _, m := range w.table.InOrder() {
+		if w.table.Usable(m) && live.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
+			ending := resource.Amount{CPUs: m.Reported.Ending.CPUs, GPUs: m.Reported.Ending.GPUs, GB: m.Reported.Ending.GB}
+			sum += ending.Places(resource.Need(j))
 		}
 	}
 	return sum
--- a/internal/controller/workload/objectives.go
+++ b/internal/controller/workload/objectives.go
@@ -8,61 +8,70 @@
 	"damsonkeel/internal/protocol"
 )
 
-// objectiveShare is the largest share of a class's jobs that an objective of the settings
-// names, 0 if none does, and whether they should start within a time.
-func (wl *Workload) objectiveShare(class string) (share float64, awaited bool) {
-	for _, o := range wl.Objectives() {
+// The kinds of objectives that reserve resources for a class.
+const (
+	objectiveWait     = "wait"     // a task starts within a time
+	objectiveDeadline = "deadline" // a job ends by a multiple of its deadline
+	objectiveFinished = "finished" // a job ends within a time
+)
+
+// objectiveShare is the largest share of a class's jobs that an objective is about, 0 if
+// there is none, and whether the class has a start objective.
+func (w *Workload) objectiveShare(class string) (share float64, hasStart bool) {
+	for _, o := range w.Objectives() {
 		switch {
 		case o.Class != class:
-		case o.Kind == "wait" || o.Kind == "deadline" || o.Kind == "finished":
+		case o.Kind == objectiveWait || o.Kind == objectiveDeadline || o.Kind == objectiveFinished:
 			share = math.Max(share, o.Share)
-			awaited = awaited || o.Kind == "wait"
+			hasStart = hasStart || o.Kind == objectiveWait
 		}
 	}
-	return share, awaited
+	return share, hasStart
 }
 
-// WithoutObjective reports whether nobody says when a job should be done, its team is
-// guaranteed nothing, and its tasks run longer than another machine takes to be
-// up. Such jobs take only room that classes with objectives are not likely to
-// need: what has the same priority can't be stopped for others, so guests' long
-// tasks, once they fill a fleet, would hold all of it until they end. More urgent than
-// all of these classes they yield to none: that they may wait is said by nobody.
-func (wl *Workload) WithoutObjective(j *protocol.Job) bool {
-	share, _ := wl.objectiveShare(j.Class)
-	return share == 0 && !wl.HasGuarantee(j.Team) && wl.Estimate(j) > wl.BootSeconds(j) && wl.someAsUrgent(j)
+// WithoutObjective reports whether a job has long tasks and nothing says when they should
+// run: its class has no objective, its team no guarantee, and they run longer than another
+// machine takes to boot. Such jobs use only resources that the classes with objectives are
+// not likely to need: tasks of the same priority can't be preempted, so once they fill the
+// cluster they would keep all of it until they end. A job of a higher priority than all
+// classes with objectives is none of these: nothing says that it may wait.
+func (w *Workload) WithoutObjective(j *protocol.Job) bool {
+	share, _ := w.objectiveShare(j.Class)
+	return share == 0 && !w.HasGuarantee(j.Team) && w.Estimate(j) > w.BootSeconds(j) && w.anyClassAsUrgent(j)
 }
 
-// someAsUrgent reports whether a class with an objective is as urgent as a job.
-func (wl *Workload) someAsUrgent(j *protocol.Job) bool {
-	for _, k := range wl.Classes {
-		if k.Job.Priority.Rank() >= j.Priority.Rank() {
+// anyClassAsUrgent reports whether a class with an objective has at least the priority of
+// a job.
+func (w *Workload) anyClassAsUrgent(j *protocol.Job) bool {
+	for _, class := range w.Classes {
+		if class.Job.Priority.Rank() >= j.Priority.Rank() {
 			return true
 		}
 	}
 	return false
 }
 
-// ReservedForObjectives is how many processors the classes with objectives are likely to need:
-// what they use on average, and what it takes to work off in time what comes
-// beyond that, the deviations of the classes taken as independent. Until arrivals
-// have been watched for a while that is all that is up, but for leastLeft: tasks that
-// begin then hold for minutes what a fleet that comes up was rented for.
-func (wl *Workload) ReservedForObjectives(up float64) (cpus float64) {
+// ReservedForObjectives is the number of processors that the classes with objectives are
+// likely to need: what they use on average, and what it takes to work off in time what
+// arrives beyond the average, with the deviations of the classes taken as independent.
+// Until arrivals have been observed for long enough it is at least up, the processors of
+// all machines: tasks without an objective that start then would use, for minutes, the
+// machines that were provisioned for others.
+func (w *Workload) ReservedForObjectives(up float64) (cpus float64) {
 	squares, least := 0.0, 0.0
-	for _, k := range ordered.Of(wl.Classes) {
-		bootS := wl.BootSeconds(&k.Job)
+	for _, class := range ordered.Of(w.Classes) {
+		bootS := w.BootSeconds(&class.Job)
 		if math.IsInf(bootS, 1) {
 			continue
 		}
-		if wl.Since(wl.SessionStart).Seconds() < forecast.KnownBoots*bootS {
+		if w.Since(w.SessionStart).Seconds() < forecast.KnownBoots*bootS {
 			least = up
 		}
-		work := wl.coming(k, func(a forecast.Arrival) float64 { return a.Work })
+		work := w.forecastOf(class, workOf)
 		cpus += work.Mean()
-		beyond := float64(wl.Reserve(k)) * k.Job.CPUs
-		if !k.HasStartObjective {
-			slack := wl.slackSeconds(&k.Job, bootS)
+		beyond := float64(w.Reserve(class)) * class.Job.CPUs
+		if !class.HasStartObjective {
+			slack := w.slackSeconds(&class.Job, bootS)
 			beyond = math.Max(0, work.Within(slack)/slack-work.Mean())
 		}
 		squares += beyond * beyond
@@ -70,15 +79,15 @@
 	return math.Max(cpus+math.Sqrt(squares), least)
 }
 
-// slackSeconds is how long tasks of a job that comes may wait and be done in time, in
-// seconds; no less than a machine takes to be up.
-func (wl *Workload) slackSeconds(j *protocol.Job, upS float64) float64 {
+// slackSeconds is how long tasks of an arriving job may wait and still end in time, in
+// seconds; no less than a machine takes to boot.
+func (w *Workload) slackSeconds(j *protocol.Job, bootS float64) float64 {
 	slack := math.Inf(1)
-	for _, by := range wl.ObjectiveTimes(j) {
-		slack = math.Min(slack, by-wl.Estimate(j))
+	for _, by := range w.ObjectiveTimes(j) {
+		slack = math.Min(slack, by-w.Estimate(j))
 	}
 	if math.IsInf(slack, 1) {
-		return upS
+		return bootS
 	}
-	return math.Max(slack, upS)
+	return math.Max(slack, bootS)
 }
--- a/internal/controller/workload/workload.go
+++ b/internal/controller/workload/workload.go
@@ -6,19 +6,21 @@
 	"damsonkeel/internal/controller/waittable"
 )
 
-// Workload is what has been seen of the work that comes: classes of jobs with an
-// objective, and how often spot machines are taken.
+// Workload is what this controller has observed of the arriving work: the classes of jobs
+// with an objective, and how often spot machines are preempted.
 type Workload struct {
 	clusterstate.Module
-	table   *waittable.Table
+	table *waittable.Table
+	// Classes are the classes with an objective of which jobs have arrived, by name.
 	Classes map[string]*Class
-	Spots   forecast.Spot // outlives sessions
+	// Spots is the rate of losses of spot machines. It outlives sessions.
+	Spots forecast.Spot
 }
 
-// New has seen nothing yet.
-func New(p clusterstate.Module, table *waittable.Table) *Workload {
-	return &Workload{Module: p, table: table}
+// New returns a workload without observations. Reset has to be called on it before use.
+func New(module clusterstate.Module, table *waittable.Table) *Workload {
+	return &Workload{Module: module, table: table}
 }
 
-// Reset forgets the classes of jobs seen.
-func (wl *Workload) Reset() { wl.Classes = map[string]*Class{} }
+// Reset drops the classes of the last session.
+func (w *Workload) Reset() { w.Classes = map[string]*Class{} }
