--- a/internal/controller/autoscaler/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -43,10 +43,9 @@
 	missing   map[reservation.Name]int           // those of them that are unlikely to get any in time
 	zones     map[reservation.Name]protocol.Zone // where the tasks of one that needs a single zone are
 
-	// Risks tells, by reservation, why its present occurrence may not be kept.
-	Risks   map[reservation.Name]string
-	sweptAt clock.Time                // when all reservations were last checked
-	writing map[reservation.Name]bool // transactions under way
+	risks   map[reservation.Name]string // why present occurrences may not be kept
+	sweptAt clock.Time                  // when all reservations were last checked
+	writing map[reservation.Name]bool   // transactions under way
 }
 
 // ReservationTag marks the transaction that advances a reservation.
@@ -60,7 +59,7 @@
 func (p *ReservationPlanner) Reset() {
 	p.demands, p.shortfall, p.missing = nil, map[reservation.Name]int{}, nil
 	p.zones = map[reservation.Name]protocol.Zone{}
-	p.Risks, p.writing = map[reservation.Name]string{}, map[reservation.Name]bool{}
+	p.risks, p.writing = map[reservation.Name]string{}, map[reservation.Name]bool{}
 	p.sweptAt = 0
 }
 
@@ -120,19 +119,26 @@
 	return len(p.reservations.Windows) > 0 && p.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, now)
 }
 
-// noteRisks tells why present occurrences may not be kept.
+// Risk tells why a reservation's present occurrence may not be kept; false if nothing is
+// known to speak against it.
+func (p *ReservationPlanner) Risk(name reservation.Name) (risk string, ok bool) {
+	risk, ok = p.risks[name]
+	return risk, ok
+}
+
+// noteRisks notes why present occurrences may not be kept.
 func (p *ReservationPlanner) noteRisks() {
 	now := p.WallTime()
-	clear(p.Risks)
+	clear(p.risks)
 	for _, d := range p.demands {
 		name := d.Spec.Name
 		short, missing := p.shortfall[name], p.missing[name]
 		cloudSilent := p.Since(p.autoscaler.receivedAt) > cloudSilence
 		switch {
 		case short > 0 && cloudSilent && reservation.Between(now, d.Clear) < keepAhead:
-			p.Risks[name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
+			p.risks[name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
 		case missing > 0 && now >= d.Clear:
-			p.Risks[name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
+			p.risks[name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
 		}
 	}
 }
@@ -165,7 +171,7 @@
 	came, wanted, started := p.reservations.JobsOf(e)
 	next, changed := reservation.Advance(*e.Reservation, e.When, reservation.Observation{
 		Now: now, ClockError: p.Settings.Site.ClockError(), Lead: p.NoticeBefore(&e.Reservation.Spec),
-		Came: came, Wanted: wanted, Started: started, Risk: p.Risks[name],
+		Came: came, Wanted: wanted, Started: started, Risk: p.risks[name],
 	})
 	if !changed {
 		return
--- /dev/null
+++ b/internal/controller/operatorrequest/configurationview.go
@@ -0,0 +1,120 @@
+package operatorrequest
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// maxConfigListed bounds the entries of one answer.
+const maxConfigListed = 200
+
+// showConfiguration lists entries as they are in force, from after the one that the
+// request names.
+func (h *Handler) showConfiguration(r *operatorapi.Request) Decision {
+	effective := h.Configuration.Effective()
+	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: effective.Revision}}
+	for _, id := range h.configurationIDs() {
+		if id <= r.Config.After || !r.Config.Wants(id) {
+			continue
+		}
+		if len(reply.Config.Entries) >= maxConfigListed {
+			reply.More = true
+			break
+		}
+		reply.Config.Entries = append(reply.Config.Entries, h.configurationView(id))
+	}
+	if len(reply.Config.Entries) == 0 && r.Config.Entry != "" {
+		return refuse(operatorapi.NotFound, "there is no such entry")
+	}
+	return Decision{Reply: reply}
+}
+
+// configurationIDs lists all entries: those of the platform's file and those that were
+// changed.
+func (h *Handler) configurationIDs() []record.EntryID {
+	ids := map[record.EntryID]bool{}
+	for _, team := range h.Configuration.Effective().Teams() {
+		ids[record.NewEntryID(record.EntryTeam, string(team))] = true
+	}
+	for _, o := range h.Objectives() {
+		if o.Class != "" {
+			ids[record.NewEntryID(record.EntryClass, o.Class)] = true
+		}
+	}
+	for _, zone := range h.Settings.Site.Zones {
+		ids[record.NewEntryID(record.EntryZone, string(zone))] = true
+	}
+	for name := range h.Types {
+		ids[record.NewEntryID(record.EntryType, string(name))] = true
+	}
+	for _, name := range dynamicconfig.Settings() {
+		ids[record.NewEntryID(record.EntrySetting, name)] = true
+	}
+	for id := range h.Configuration.Entries() {
+		ids[id] = true
+	}
+	return slices.Sorted(maps.Keys(ids))
+}
+
+// configurationView is an entry as it is in force.
+func (h *Handler) configurationView(id record.EntryID) operatorapi.ConfigEntry {
+	effective := h.Configuration.Effective()
+	v := operatorapi.ConfigEntry{Entry: id, Revision: h.Configuration.Entry(id).Revision}
+	switch kind, name := id.Split(); kind {
+	case record.EntryTeam:
+		t, known := effective.Team(protocol.Team(name))
+		v.Team = &record.TeamEntry{CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, GPUs: t.GPUs, MaxGPUs: t.MaxGPUs, Closed: t.Closed, Removed: !known, Lowered: t.Lowered}
+	case record.EntryClass:
+		for _, o := range effective.Objectives {
+			if o.Class == name {
+				v.Objectives = append(v.Objectives, record.ObjectiveEntry{Kind: o.Kind, WithinS: o.WithinS, Share: o.Share, Times: o.Times})
+			}
+		}
+	case record.EntryZone:
+		v.Closed = effective.PlaceClosed("", protocol.Zone(name))
+	case record.EntryType:
+		v.Closed = effective.PlaceClosed(protocol.MachineType(name), "")
+	case record.EntrySetting:
+		v.Value = effective.Setting(name)
+	}
+	return v
+}
+
+// configurationStatus lists the controllers with the revisions that they act on.
+func (h *Handler) configurationStatus() Decision {
+	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: h.Configuration.Effective().Revision, WithinS: h.configuredWithinS()}}
+	outdated := h.members.Outdated()
+	names := append(slices.Collect(maps.Keys(h.View.Members)), outdated...)
+	names = append(names, h.Self)
+	for _, m := range h.Settings.Members {
+		names = append(names, m.Name)
+	}
+	slices.Sort(names)
+	for _, name := range slices.Compact(names) {
+		revision, ago := h.revisionOf(name)
+		reply.Config.Controllers = append(reply.Config.Controllers, operatorapi.ConfigController{
+			Name: name, Revision: revision, Member: h.View.Members[name] != 0, Older: slices.Contains(outdated, name), HeardS: ago.Seconds(),
+			Acting: name == h.Self && h.HoldsLease(),
+		})
+	}
+	return Decision{Reply: reply}
+}
+
+// revisionOf is the revision that a controller last reported as in force there, and how
+// long ago it did; 0 if it never has.
+func (h *Handler) revisionOf(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
+	if name == h.Self {
+		return h.Configuration.Effective().Revision, 0
+	}
+	p := h.table.Peers[name]
+	if p == nil || p.ConfiguredAt == 0 {
+		return 0, 0
+	}
+	return p.Configuration, h.Since(p.ConfiguredAt)
+}
--- /dev/null
+++ b/internal/controller/operatorrequest/handler.go
@@ -0,0 +1,84 @@
+package operatorrequest
+
+import (
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/holds"
+	"damsonkeel/internal/controller/membership"
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/protocol"
+)
+
+// Decision is the answer to an operator's request, and the transaction that has to be
+// committed before the answer may be given, if any.
+type Decision struct {
+	Reply       operatorapi.Reply
+	Transaction *protocol.Transaction
+}
+
+// refuse returns a decision that changes nothing, for a reason.
+func refuse(code operatorapi.Code, reason string) Decision {
+	return Decision{Reply: operatorapi.Reply{Code: code, Reason: reason}}
+}
+
+// Handler decides operators' requests.
+type Handler struct {
+	clusterstate.Module
+	members      *membership.Members
+	table        *waittable.Table
+	reservations *holds.Holds
+	planner      *autoscaler.ReservationPlanner
+}
+
+// New returns a handler of operators' requests.
+func New(module clusterstate.Module, members *membership.Members, table *waittable.Table, held *holds.Holds, planner *autoscaler.ReservationPlanner) *Handler {
+	return &Handler{Module: module, members: members, table: table, reservations: held, planner: planner}
+}
+
+// noSuchOperation is the reason for refusing a request that is not understood.
+const noSuchOperation = "no such operation"
+
+// Decide decides a request of the operator named by.
+func (h *Handler) Decide(by string, r *operatorapi.Request) Decision {
+	if h.Session == 0 || len(h.Types) == 0 || h.WallMS == 0 {
+		return refuse(operatorapi.Later, "not ready")
+	}
+	if r.Config == nil {
+		r.Config = &operatorapi.ConfigRequest{}
+	}
+	switch r.Op {
+	case operatorapi.OpConfig:
+		return h.showConfiguration(r)
+	case operatorapi.OpConfigure:
+		return h.configure(by, r)
+	case operatorapi.OpConfigStatus:
+		return h.configurationStatus()
+	case operatorapi.OpShares:
+		return h.listShards()
+	case operatorapi.OpMove:
+		return h.moveShards(r)
+	case operatorapi.OpAway:
+		return h.moveAllAway(r)
+	case operatorapi.OpList:
+		return h.listCalendar(r)
+	case operatorapi.OpShow:
+		return h.showEntry(r)
+	case operatorapi.OpCancel:
+		return h.cancelEntry(r)
+	case operatorapi.OpAdd:
+		return h.addEntry(by, r)
+	}
+	return refuse(operatorapi.Refused, noSuchOperation)
+}
+
+// addEntry adds a reservation or a window.
+func (h *Handler) addEntry(by string, r *operatorapi.Request) Decision {
+	switch {
+	case !r.Window && r.Reservation != nil:
+		return h.addReservation(by, r)
+	case r.Window && r.Spec != nil:
+		return h.addWindow(by, r)
+	}
+	return refuse(operatorapi.Refused, noSuchOperation)
+}
