--- a/internal/controller/autoscaler/autoscaler_test.go
+++ b/internal/controller/autoscaler/autoscaler_test.go
@@ -63,10 +63,10 @@
 func TestIdleTimeoutIsABootUntilArrivalsAreKnown(t *testing.T) {
 	known := time.Duration(forecast.KnownBoots*smallType.BootS+1) * time.Second
 	for _, tc := range []struct {
-		name    string
-		session time.Duration
-		spare   float64
-		want    float64
+		name     string
+		session  time.Duration
+		headroom float64
+		want     float64
 	}{
 		{"just started", 0, 100, smallType.BootS},
 		{"arrivals known", known, 100, knownIdleTimeout.Seconds()},
@@ -75,7 +75,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			a := newAutoscaler(t)
 			a.Now += clock.Time(tc.session)
-			if got := a.idleTimeout(smallType, tc.spare); got != tc.want {
+			if got := a.idleTimeout(smallType, tc.headroom); got != tc.want {
 				t.Errorf("idle timeout %v s, want %v", got, tc.want)
 			}
 		})
@@ -88,13 +88,13 @@
 func TestUnstartedTasksUseSpareProcessors(t *testing.T) {
 	a := newAutoscaler(t)
 	addMachine(a, "vm-1")
-	if spare := a.spareProcessors(); !math.IsInf(spare, 1) {
-		t.Errorf("%v spare processors without any work, want no bound", spare)
+	if headroom := a.headroomProcessors(); !math.IsInf(headroom, 1) {
+		t.Errorf("%v processors of headroom without any work, want no bound", headroom)
 	}
 	a.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Priority: "best_effort", CPUs: 2}}
 	a.table.Peers["node-0"].Demand = []message.Demand{{Job: "job-1", Unstarted: 9}}
-	if spare := a.spareProcessors(); spare != 4-18 {
-		t.Errorf("%v spare processors of 4 while tasks need 18", spare)
+	if headroom := a.headroomProcessors(); headroom != 4-18 {
+		t.Errorf("%v processors of headroom of 4 while tasks need 18", headroom)
 	}
 }
 
--- a/internal/controller/autoscaler/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// keepAhead is how long before a hold begins its machine is no longer terminated
+	// retainAhead is how long before a hold begins its machine is no longer terminated
 	// though it is idle: the cloud may have none when it is needed.
-	keepAhead = 10 * time.Minute
+	retainAhead = 10 * time.Minute
 	// cloudSilence is how long the cloud may give no list before that is a risk for
 	// reservations that need more machines.
 	cloudSilence = 30 * time.Second
@@ -107,12 +107,12 @@
 	return 10*inventoried >= 9*len(p.table.Machines)
 }
 
-// keepForReservation reports whether a machine must not be drained though it is idle: a
+// retainForReservation reports whether a machine must not be drained though it is idle: a
 // hold on it begins soon, or a maintenance window covers it.
-func (p *ReservationPlanner) keepForReservation(m *waittable.Machine) bool {
+func (p *ReservationPlanner) retainForReservation(m *waittable.Machine) bool {
 	now := p.WallTime()
 	for _, h := range p.reservations.Holds[m.ID] {
-		if now >= reservation.After(h.Clear, -keepAhead) && now < h.Until {
+		if now >= reservation.After(h.Clear, -retainAhead) && now < h.Until {
 			return true
 		}
 	}
@@ -135,7 +135,7 @@
 		short, missing := p.shortfall[name], p.missing[name]
 		cloudSilent := p.Since(p.autoscaler.receivedAt) > cloudSilence
 		switch {
-		case short > 0 && cloudSilent && reservation.Between(now, d.Clear) < keepAhead:
+		case short > 0 && cloudSilent && reservation.Between(now, d.Clear) < retainAhead:
 			p.risks[name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
 		case missing > 0 && now >= d.Clear:
 			p.risks[name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
@@ -168,10 +168,10 @@
 	if p.writing[name] || e.State == record.Cancelled {
 		return
 	}
-	came, wanted, started := p.reservations.JobsOf(e)
+	came, desired, started := p.reservations.JobsOf(e)
 	next, changed := reservation.Advance(*e.Reservation, e.When, reservation.Observation{
 		Now: now, ClockError: p.Settings.Site.ClockError(), Lead: p.NoticeBefore(&e.Reservation.Spec),
-		Came: came, Wanted: wanted, Started: started, Risk: p.risks[name],
+		Came: came, Wanted: desired, Started: started, Risk: p.risks[name],
 	})
 	if !changed {
 		return
--- a/internal/controller/autoscaler/reservabledemand.go
+++ b/internal/controller/autoscaler/reservabledemand.go
@@ -40,8 +40,8 @@
 		if !e.Active() {
 			continue
 		}
-		_, wanted, started := p.reservations.JobsOf(e)
-		if left := wanted - started; left > 0 {
+		_, desired, started := p.reservations.JobsOf(e)
+		if left := desired - started; left > 0 {
 			clearFrom := reservation.After(e.StartMS, -p.NoticeBefore(&e.Reservation.Spec))
 			demands = append(demands, reservation.Demand{Reservation: e.Reservation, Left: left, Clear: clearFrom})
 		}
--- a/internal/controller/autoscaler/scalein.go
+++ b/internal/controller/autoscaler/scalein.go
@@ -38,7 +38,7 @@
 // scaleInRegistered returns the registered machines to terminate and drains the idle ones
 // that can be spared, the most expensive first.
 func (a *Autoscaler) scaleInRegistered() (ids []protocol.MachineID) {
-	claims, spare := a.placer.NewClaims(), a.spareProcessors()
+	claims, headroom := a.placer.NewClaims(), a.headroomProcessors()
 	for _, m := range a.mostExpensiveFirst() {
 		if a.terminated[m.ID] != 0 {
 			// The cloud has confirmed it, but its record could not be deleted then:
@@ -61,9 +61,9 @@
 			ids = append(ids, id)
 		case empty && (m.Reported.Draining || m.Reported.Suspect):
 			ids = append(ids, id)
-		case a.planner.keepForReservation(m):
-		case empty && a.mayDrain(m, spare) && claims.Release(m):
-			spare -= m.Info.CPUs
+		case a.planner.retainForReservation(m):
+		case empty && a.mayDrain(m, headroom) && claims.Release(m):
+			headroom -= m.Info.CPUs
 			a.Log.Info("returning an idle machine", "machine", id, "idle_s", int(a.idleSeconds(m)))
 			a.Send(a.DispatcherOf(id), message.PeerMessage{Drain: &id})
 		}
@@ -99,8 +99,8 @@
 
 // mayDrain reports whether an empty machine has been idle for long enough, and its
 // processors can be spared.
-func (a *Autoscaler) mayDrain(m *waittable.Machine, spare float64) bool {
-	return a.idleSeconds(m) > a.idleTimeout(m.Info, spare) && spare >= m.Info.CPUs
+func (a *Autoscaler) mayDrain(m *waittable.Machine, headroom float64) bool {
+	return a.idleSeconds(m) > a.idleTimeout(m.Info, headroom) && headroom >= m.Info.CPUs
 }
 
 // idleSeconds is how long a machine has been idle, in seconds.
@@ -110,24 +110,24 @@
 
 // idleTimeout is how long a machine of a type may be idle before it is drained, in
 // seconds: as long as another one takes to boot. It is shorter where the work that is
-// likely to arrive meanwhile is known, and there are spare processors for it without the
-// machine. A controller that has just started knows that of no class.
-func (a *Autoscaler) idleTimeout(t protocol.TypeInfo, spare float64) float64 {
+// likely to arrive meanwhile is known, and there is headroom for it without the machine. A
+// controller that has just started knows that of no class.
+func (a *Autoscaler) idleTimeout(t protocol.TypeInfo, headroom float64) float64 {
 	timeout := math.Min(t.BootS, a.Op.IdleReturn.Seconds())
-	if !math.IsInf(spare, 1) && a.Since(a.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
+	if !math.IsInf(headroom, 1) && a.Since(a.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
 		timeout = math.Min(timeout, knownIdleTimeout.Seconds())
 	}
 	return timeout
 }
 
-// spareProcessors is the number of processors beyond those of more urgent work, the
+// headroomProcessors is the number of processors beyond those of more urgent work, the
 // unstarted tasks, and the work that the classes without a start objective are likely to
 // bring while a machine boots; infinite if there is no such work.
-func (a *Autoscaler) spareProcessors() float64 {
-	topRank, spare, expected := 0, 0.0, false
+func (a *Autoscaler) headroomProcessors() float64 {
+	topRank, headroom, expected := 0, 0.0, false
 	for _, class := range ordered.Of(a.workload.Classes) {
 		if work := a.workload.ComingWork(class); work > 0 {
-			spare -= work / a.workload.BootSeconds(&class.Job)
+			headroom -= work / a.workload.BootSeconds(&class.Job)
 			topRank, expected = max(topRank, class.Job.Priority.Rank()), true
 		}
 	}
@@ -135,13 +135,13 @@
 	if !expected && unstarted == 0 {
 		return math.Inf(1)
 	}
-	spare -= unstarted
+	headroom -= unstarted
 	for _, m := range a.table.InOrder() {
 		if a.table.Usable(m) {
-			spare += m.FreeBelow(topRank).CPUs
+			headroom += m.FreeBelow(topRank).CPUs
 		}
 	}
-	return spare
+	return headroom
 }
 
 // unstartedProcessors is the processors needed by the unstarted tasks of a priority rank
--- a/internal/controller/holds/calendar.go
+++ b/internal/controller/holds/calendar.go
@@ -50,7 +50,7 @@
 		h.dropHolds(r.Spec.Name)
 	}
 	if err != nil {
-		return fmt.Errorf("adopting reservation %q: %w", r.Spec.Name, err)
+		return fmt.Errorf("adopting a record of the calendar: %w", err)
 	}
 	return nil
 }
@@ -61,7 +61,7 @@
 		return fmt.Errorf("decoding a window: %w", err)
 	}
 	if err := h.Calendar.PutWindow(w, version, h.WallTime()); err != nil {
-		return fmt.Errorf("adopting window %q: %w", w.Spec.Name, err)
+		return fmt.Errorf("adopting a record of the calendar: %w", err)
 	}
 	return nil
 }
--- a/internal/controller/holds/occurrence.go
+++ b/internal/controller/holds/occurrence.go
@@ -38,9 +38,9 @@
 
 // JobsOf reports on the jobs of a reservation's present occurrence: whether one was
 // submitted, how many tasks the reservation is for, and how many of these have started.
-func (h *Holds) JobsOf(e *reservation.Entry) (came bool, wanted, started int) {
+func (h *Holds) JobsOf(e *reservation.Entry) (came bool, desired, started int) {
 	spec := &e.Reservation.Spec
-	wanted = spec.Tasks
+	desired = spec.Tasks
 	tasks := 0
 	if ended := h.endedTasks[spec.Name]; ended != nil && ended.start == e.StartMS {
 		came, tasks, started = true, ended.tasks, ended.tasks
@@ -53,9 +53,9 @@
 		came, tasks, started = true, tasks+int(l.Tasks), started+int(progress.Done+progress.Running)
 	}
 	if came {
-		wanted = min(wanted, tasks)
+		desired = min(desired, tasks)
 	}
-	return came, wanted, min(started, wanted)
+	return came, desired, min(started, desired)
 }
 
 // candidates returns the jobs that a reservation may be for: the one that it names, or
--- a/internal/controller/holds/teamclaims.go
+++ b/internal/controller/holds/teamclaims.go
@@ -21,8 +21,8 @@
 	if !e.Active() || !h.Limited(spec.Team) {
 		return
 	}
-	_, wanted, started := h.JobsOf(e)
-	if n := float64(wanted - started); n > 0 {
+	_, desired, started := h.JobsOf(e)
+	if n := float64(desired - started); n > 0 {
 		claim := teamClaim{reservation: spec.Name, need: reservation.Size(spec).Times(n), from: e.StartMS}
 		h.teamClaims[spec.Team] = append(h.teamClaims[spec.Team], claim)
 	}
--- /dev/null
+++ b/internal/controller/operatorrequest/handler_test.go
@@ -0,0 +1,152 @@
+package operatorrequest
+
+import (
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/holds"
+	"damsonkeel/internal/controller/membership"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/waittable"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// newHandler returns the handler of node-0, which holds its lease in a view with node-1.
+func newHandler(t *testing.T) *Handler {
+	t.Helper()
+	settings := fake.Settings()
+	settings.Name = "node-0"
+	state := clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
+	state.Session, state.LeaseDeadline, state.WallMS = 100, clock.Time(time.Hour), 1_770_000_000_000
+	state.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100, "node-1": 101}}
+	state.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}}
+	module := clusterstate.Module{State: state, Output: &clusterstate.Output{}}
+	table := waittable.New(module, rand.New(rand.NewPCG(1, 1)))
+	table.Reset()
+	progress := func(protocol.JobID) (message.Progress, bool) { return message.Progress{}, false }
+	held := holds.New(module, table, progress, func() {})
+	held.Reset()
+	_, planner := autoscaler.New(module, table, nil, held, nil)
+	planner.Reset()
+	members := membership.New(module)
+	members.Reset()
+	return New(module, members, table, held, planner)
+}
+
+// shard gives the handler two shards in zone a, held by node-0 and node-1.
+func shard(h *Handler) {
+	h.View.Layout = record.LayoutShards
+	h.Shards = &record.ShardTable{Epoch: 2, Zones: []protocol.Zone{"a"}, Slots: 2, List: []record.ShardAssignment{{Holder: 100}, {Holder: 101}}}
+}
+
+// TestRefusedRequestsChangeNothing: a request that can't be carried out gets the code and
+// the reason that operators know, and no transaction.
+func TestRefusedRequestsChangeNothing(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		prepare func(*Handler)
+		request operatorapi.Request
+		code    operatorapi.Code
+		reason  string
+	}{
+		{"no session", func(h *Handler) { h.Session = 0 }, operatorapi.Request{Op: operatorapi.OpList}, operatorapi.Later, "not ready"},
+		{"no time of day", func(h *Handler) { h.WallMS = 0 }, operatorapi.Request{Op: operatorapi.OpList}, operatorapi.Later, "not ready"},
+		{"unknown operation", nil, operatorapi.Request{Op: "unknown"}, operatorapi.Refused, "no such operation"},
+		{"add without a reservation", nil, operatorapi.Request{Op: operatorapi.OpAdd}, operatorapi.Refused, "no such operation"},
+		{"add without a window", nil, operatorapi.Request{Op: operatorapi.OpAdd, Window: true}, operatorapi.Refused, "no such operation"},
+		{"show of nothing", nil, operatorapi.Request{Op: operatorapi.OpShow, Name: "one"}, operatorapi.NotFound, "nothing of this name"},
+		{"cancel of no reservation", nil, operatorapi.Request{Op: operatorapi.OpCancel, Name: "one"}, operatorapi.NotFound, "no reservation of this name"},
+		{"cancel of no window", nil, operatorapi.Request{Op: operatorapi.OpCancel, Window: true, Name: "one"}, operatorapi.NotFound, "no window of this name"},
+		{"shards without shards", nil, operatorapi.Request{Op: operatorapi.OpShares}, operatorapi.Refused, "machines are not kept by shares here"},
+		{"move without shards", nil, operatorapi.Request{Op: operatorapi.OpMove}, operatorapi.Refused, "machines are not kept by shares here"},
+		{
+			"move without a lease",
+			func(h *Handler) { shard(h); h.LeaseDeadline = 0 },
+			operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1", Shares: []int{0}},
+			operatorapi.Later, "may not act now",
+		},
+		{"move to no member", shard, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-9", Shares: []int{0}}, operatorapi.NotFound, "no such controller takes part"},
+		{"move of nothing", shard, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1"}, operatorapi.Refused, "no share is named"},
+		{"move of no shard", shard, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1", Shares: []int{2}}, operatorapi.NotFound, "no such share"},
+		{
+			"move to an excluded controller",
+			func(h *Handler) { shard(h); h.Shards.Away = []protocol.NodeName{"node-1"} },
+			operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1", Shares: []int{0}},
+			operatorapi.Refused, "it is to keep none",
+		},
+		{
+			"exclusion of the last controller",
+			func(h *Handler) { shard(h); h.Shards.Away = []protocol.NodeName{"node-1"} },
+			operatorapi.Request{Op: operatorapi.OpAway, Controller: "node-0"},
+			operatorapi.Refused, "no controller would be left to keep machines",
+		},
+		{"no such entry", nil, operatorapi.Request{Op: operatorapi.OpConfig, Config: &operatorapi.ConfigRequest{Entry: "team/nobody"}}, operatorapi.NotFound, "there is no such entry"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			h := newHandler(t)
+			if tc.prepare != nil {
+				tc.prepare(h)
+			}
+			d := h.Decide("ops", &tc.request)
+			if d.Reply.Code != tc.code || d.Reply.Reason != tc.reason || d.Transaction != nil || len(h.Actions) > 0 {
+				t.Errorf("%+v with %v and %d actions, want %s: %s", d.Reply, d.Transaction, len(h.Actions), tc.code, tc.reason)
+			}
+		})
+	}
+}
+
+// TestListContinuesAfterNamedEntry: a list has a bounded size, says whether there are more
+// entries, and goes on after the entry that the next request names.
+func TestListContinuesAfterNamedEntry(t *testing.T) {
+	const windows = maxListed + 2
+	h := newHandler(t)
+	for i := range windows {
+		w := record.Window{Spec: record.WindowSpec{Name: record.EntryName(fmt.Sprintf("w-%02d", i)), When: "daily at 04:00", LengthS: 600, Zone: "a"}}
+		if err := h.reservations.Calendar.PutWindow(w, 1, h.WallTime()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	first := h.Decide("ops", &operatorapi.Request{Op: operatorapi.OpList, Window: true}).Reply
+	if len(first.Windows) != maxListed || !first.More {
+		t.Fatalf("%d windows, more: %v", len(first.Windows), first.More)
+	}
+	last := first.Windows[maxListed-1].Spec.Name
+	rest := h.Decide("ops", &operatorapi.Request{Op: operatorapi.OpList, Window: true, Name: last}).Reply
+	if len(rest.Windows) != windows-maxListed || rest.More || rest.Windows[0].Spec.Name <= last {
+		t.Errorf("%d more windows after %s, more: %v", len(rest.Windows), last, rest.More)
+	}
+}
+
+// TestExclusionOfControllerIsOneTransaction: excluding a controller from holding shards
+// changes the shard table on the condition that it is the one decided on; repeating it
+// changes nothing.
+func TestExclusionOfControllerIsOneTransaction(t *testing.T) {
+	h := newHandler(t)
+	shard(h)
+	h.ShardsVersion = 7
+	d := h.Decide("ops", &operatorapi.Request{Op: operatorapi.OpAway, Controller: "node-1"})
+	if d.Reply.Code != operatorapi.Done || d.Transaction == nil {
+		t.Fatalf("%+v, %v", d.Reply, d.Transaction)
+	}
+	if c := d.Transaction.Conditions; len(c) != 1 || c[0].Key != record.ShardTableKey || c[0].Version != 7 {
+		t.Errorf("conditions %+v", c)
+	}
+	next, ok := d.Transaction.Changes[0].Value.(record.ShardTable)
+	if !ok || len(next.Away) != 1 || next.Away[0] != "node-1" || len(h.Shards.Away) != 0 {
+		t.Fatalf("table %+v, before %+v", d.Transaction.Changes, h.Shards.Away)
+	}
+	h.Shards = &next
+	if again := h.Decide("ops", &operatorapi.Request{Op: operatorapi.OpAway, Controller: "node-1"}); again.Reply.Code != operatorapi.Done || again.Transaction != nil {
+		t.Errorf("repeated: %+v, %v", again.Reply, again.Transaction)
+	}
+}
