--- /dev/null
+++ b/internal/controller/commits.go
@@ -0,0 +1,36 @@
+package controller
+
+import (
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/holds"
+	"damsonkeel/internal/controller/jobs"
+	"damsonkeel/internal/controller/membership"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/workerregistry"
+)
+
+// commitDone passes the outcome of a transaction to the module that asked for it, by the
+// type of its tag.
+func (c *Core) commitDone(m message.CommitDone) {
+	switch tag := m.Tag.(type) {
+	case membership.ShardsTag:
+		c.members.ShardsWritten(m.Outcome)
+	case membership.ViewTag:
+		c.members.ViewWritten(m.Outcome)
+	case autoscaler.ReservationTag:
+		c.planner.Written(tag)
+	case dispatcher.RegisterTag:
+		c.dispatcher.RegistrationDone(tag, m.Outcome)
+	case jobs.FinishTag:
+		c.jobs.FinishWritten(tag, m.Outcome)
+	case jobs.BitmapTag:
+		c.jobs.BitmapWritten(tag, m.Outcome, m.Revision)
+	case holds.Tag:
+		c.reservations.Written(m.Outcome)
+	case workerregistry.Tag:
+		c.registrar.Written(tag, m.Outcome)
+	case dispatcher.RemoveTag:
+		c.dispatcher.RemovalDone(tag.Machine)
+	}
+}
--- a/internal/controller/configured.go
+++ b/internal/controller/configuration.go
@@ -7,34 +7,34 @@
 	"damsonkeel/internal/record"
 )
 
-// configurationRecord takes a followed record of the configuration.
-func (c *Core) configurationRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) error {
-	changed := false
-	if f.Configuration {
-		var head record.Configuration
-		if err := protocol.Decode(value, &head); err != nil {
+// configurationUpdated handles a followed record of the configuration.
+func (c *Core) configurationUpdated(key record.FollowedKey, value protocol.RawValue, version protocol.Version) error {
+	var changed bool
+	if key.Configuration {
+		head, err := decodeRecord[record.Configuration](value)
+		if err != nil {
 			return err
 		}
 		changed = c.Configuration.TakeHead(head, version)
 	} else {
-		var entry record.ConfigurationEntry
-		if err := protocol.Decode(value, &entry); err != nil {
+		entry, err := decodeRecord[record.ConfigurationEntry](value)
+		if err != nil {
 			return err
 		}
-		changed = c.Configuration.TakeEntry(f.ConfigurationEntry, entry)
+		changed = c.Configuration.TakeEntry(key.ConfigurationEntry, entry)
 	}
 	if changed {
-		c.configured()
+		c.applyConfiguration()
 	}
 	return nil
 }
 
-// ConfigurationInForce is the configuration that this controller acts by.
+// ConfigurationInForce is the configuration that this controller applies.
 func (c *Core) ConfigurationInForce() *dynamicconfig.Effective { return c.Configuration.Effective() }
 
-// configured goes over to the configuration that is in force now, in one step: what
-// was decided by the one before and has not begun is decided anew.
-func (c *Core) configured() {
+// applyConfiguration changes to the configuration that is in force now, in one step:
+// decisions by the former one whose effect has not begun are made anew.
+func (c *Core) applyConfiguration() {
 	effective := c.Configuration.Effective()
 	c.Op = effective.Operator
 	c.Log.Info("configuration in force", "revision", uint64(effective.Revision))
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"errors"
-	"maps"
-	"slices"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -297,19 +295,6 @@
 	}()
 }
 
-// AnswerOwnerQuery answers a question of the intake.
-func (c *Core) AnswerOwnerQuery(l admission.QueryOwners) admission.OwnersAnswered {
-	jobs := make(map[protocol.JobID]admission.LiveJob, len(l.Jobs))
-	for _, id := range l.Jobs {
-		if j := c.Live[id]; j != nil {
-			p, _ := c.jobs.JobProgress(id)
-			jobs[id] = admission.LiveJob{Version: j.Version, Progress: p}
-		}
-	}
-	members := slices.Sorted(maps.Keys(c.View.Members))
-	return admission.OwnersAnswered{Query: l.Look, Jobs: jobs, Leading: c.members.LeadingPeers(), Members: members}
-}
-
 // ForwardedSubmission is a user's submission, passed on to a peer.
 type ForwardedSubmission struct{ Body []byte }
 
--- a/internal/controller/mergeupdates.go
+++ b/internal/controller/mergeupdates.go
@@ -5,10 +5,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// mergeUpdates is one message that says what two in a row do.
+// mergeUpdates makes one state update that has the effect of two in a row.
 func mergeUpdates(before, after *message.StateUpdate) *message.StateUpdate {
 	if before.Term != after.Term {
-		return after // another stream
+		return after // its streams begin anew
 	}
 	merged := *after
 	if merged.Loan == nil {
@@ -16,26 +16,27 @@
 	}
 	if merged.Machines.Follows(before.Machines) {
 		merged.Machines.From = before.Machines.From
-		merged.States = latest(before.States, after.States, func(s message.MachineState) protocol.MachineID { return s.Machine })
+		merged.States = mergeLatest(before.States, after.States, func(s message.MachineState) protocol.MachineID { return s.Machine })
 	}
 	if merged.Jobs.Follows(before.Jobs) {
 		merged.Jobs.From = before.Jobs.From
-		merged.Progress = latest(before.Progress, after.Progress, func(g message.Progress) protocol.JobID { return g.Job })
+		merged.Progress = mergeLatest(before.Progress, after.Progress, func(g message.Progress) protocol.JobID { return g.Job })
 	}
 	return &merged
 }
 
-// latest is what is said last of each thing.
-func latest[K comparable, V any](before, after []V, key func(V) K) []V {
-	said := make(map[K]bool, len(after))
+// mergeLatest returns the entries of both lists, without those of the first whose key the
+// second has too.
+func mergeLatest[K comparable, V any](before, after []V, key func(V) K) []V {
+	replaced := make(map[K]bool, len(after))
 	for _, v := range after {
-		said[key(v)] = true
+		replaced[key(v)] = true
 	}
-	var all []V
+	var merged []V
 	for _, v := range before {
-		if !said[key(v)] {
-			all = append(all, v)
+		if !replaced[key(v)] {
+			merged = append(merged, v)
 		}
 	}
-	return append(all, after...)
+	return append(merged, after...)
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -29,7 +29,6 @@
 
 const (
 	mailboxSize      = 2048
-	tickEvery        = 100 * time.Millisecond
 	askedTicks       = int(time.Second / tickEvery)
 	catalogueWait    = time.Second
 	catalogueRefresh = time.Minute
--- /dev/null
+++ b/internal/controller/peermessages.go
@@ -0,0 +1,70 @@
+package controller
+
+import (
+	"time"
+
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/protocol"
+)
+
+// invalidMessageLogInterval is the shortest time between two log entries about invalid
+// messages of peers.
+const invalidMessageLogInterval = time.Minute
+
+// batchReceived handles those messages of a batch that have not been received before.
+func (c *Core) batchReceived(batch message.Batch) {
+	for _, received := range c.members.Received(batch) {
+		if err := received.Check(); err != nil {
+			c.ignoreInvalid(batch.From, err)
+			continue
+		}
+		c.handlePeerMessage(batch.From, received)
+	}
+}
+
+// ignoreInvalid logs a peer's message that can't be right: the peer has another version,
+// or is broken.
+func (c *Core) ignoreInvalid(from protocol.NodeName, err error) {
+	if c.lastInvalidMessage == 0 || c.Since(c.lastInvalidMessage) > invalidMessageLogInterval {
+		c.lastInvalidMessage = c.Now
+		c.Log.Error("a peer's message is ignored", "peer", from, "err", err)
+	}
+}
+
+// handlePeerMessage handles one message of a peer, or of this controller to itself.
+func (c *Core) handlePeerMessage(from protocol.NodeName, m message.PeerMessage) { //nolint:gocyclo // a plain dispatching switch
+	switch {
+	case m.Place != nil:
+		c.dispatcher.Place(from, m.Place)
+	case m.Stop != nil:
+		c.dispatcher.Stop(*m.Stop)
+	case m.Event != nil:
+		c.jobs.TaskEvent(*m.Event)
+	case m.Released != nil:
+		for _, ref := range m.Released {
+			c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
+		}
+	case m.Forget != nil:
+		c.dispatcher.Forget(*m.Forget)
+	case m.Inventory != nil:
+		c.jobs.Inventory(from, m.Inventory)
+	case m.Added != nil:
+		c.table.WaitsAdded(from, m.Added)
+	case m.Relay != nil:
+		c.stateUpdated(from, m.Relay)
+	case m.Drain != nil:
+		c.dispatcher.Drain(*m.Drain)
+	case m.Record != nil:
+		c.registrar.RequestChange(from, *m.Record)
+	case m.Done != nil:
+		c.jobs.CompletedBefore(m.Done)
+	case m.Move != nil:
+		c.dispatcher.HandOver(m.Move)
+	case m.Hand != nil:
+		c.dispatcher.ReceiveHandover(m.Hand)
+	case m.AskTable:
+		c.table.SendCopy(from)
+	case m.Table != nil:
+		c.table.Fill(m.Table)
+	}
+}
--- /dev/null
+++ b/internal/controller/status.go
@@ -0,0 +1,109 @@
+package controller
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/protocol"
+)
+
+// Status is what can be seen of a Core from outside.
+type Status struct {
+	Term   protocol.Term
+	Queues int // machines whose queues are here
+	Heard  int // of these, the registered ones whose inventory is complete
+	Holds  []reservation.Hold
+	Writes bool // it is the one that writes the machines' records
+	Shares int  // shards held; 0 where machines are not sharded
+	// Misplaced are machines whose queues are here though their shards are not.
+	Misplaced []protocol.MachineID
+	// SetAside are machines with queues here that are cordoned because they fail what
+	// they start.
+	SetAside []protocol.MachineID
+	// Waits are the machines whose entry in the wait table is not empty: there is work,
+	// or a placement has been announced.
+	Waits []protocol.MachineID
+}
+
+// Status describes the core for checks and tests.
+func (c *Core) Status() Status {
+	status := Status{
+		Term:   c.View.Term,
+		Queues: len(c.dispatcher.Machines()),
+		Heard:  c.dispatcher.InventoriedMachines(),
+		Writes: c.HoldsLease() && c.Registrar() == c.Self,
+		Shares: c.dispatcher.ShardsHeld(),
+		Holds:  c.reservations.List,
+	}
+	if c.Sharded() && c.Member() {
+		status.Misplaced = c.misplacedMachines()
+	}
+	for _, id := range c.dispatcher.Machines() {
+		if state, queued := c.dispatcher.StateOf(id); queued && state.Suspect {
+			status.SetAside = append(status.SetAside, id)
+		}
+	}
+	for _, machine := range c.table.InOrder() {
+		if len(machine.PendingWaits) > 0 || machine.Wait() != 0 {
+			status.Waits = append(status.Waits, machine.ID)
+		}
+	}
+	return status
+}
+
+// misplacedMachines are the registered machines whose queues are here though another
+// controller holds their shards.
+func (c *Core) misplacedMachines() []protocol.MachineID {
+	var misplaced []protocol.MachineID
+	for _, id := range c.dispatcher.Machines() {
+		if c.Records[id] != nil && c.DispatcherOf(id) != c.Self {
+			misplaced = append(misplaced, id)
+		}
+	}
+	return misplaced
+}
+
+// DescribeJob describes what this controller knows of a job, for the report on one that
+// does not end.
+func (c *Core) DescribeJob(id protocol.JobID) string {
+	var b strings.Builder
+	if job := c.jobs.ByID[id]; job != nil {
+		fmt.Fprintf(&b, "owner %s: unverified %v, pending %d, not before %v, usage of its team %+v, awaited inventories %d, ended attempts %v, failed on %v\n",
+			c.Self, job.Unverified, job.Pending.Count(), c.Since(job.NotBefore), c.jobs.TeamUsage()[job.Team], len(c.jobs.AwaitedInventories), c.jobs.EndedAttempts, job.FailedOn)
+		for _, attempt := range job.Placed {
+			fmt.Fprintf(&b, "  placed %+v\n", *attempt)
+		}
+		for _, m := range c.table.InOrder() {
+			fmt.Fprintf(&b, "  %s in %s, spot %v, dispatcher %s: usable %v, free %+v, reported %+v\n", m.ID, m.Record.Zone, m.Record.Spot, c.DispatcherOf(m.ID), c.table.Usable(m), m.Free(), m.Reported)
+		}
+	}
+	for _, machine := range c.dispatcher.Machines() {
+		for _, attempt := range c.dispatcher.Attempts(machine) {
+			if state, _ := c.dispatcher.StateOf(machine); attempt.Task.Job == id || state.Draining {
+				fmt.Fprintf(&b, "  %s has %+v\n", c.Self, attempt)
+			}
+		}
+	}
+	return b.String()
+}
+
+// CompletedMoves returns the moves of shards that ended here since the last call.
+func (c *Core) CompletedMoves() []dispatcher.CompletedMove { return c.dispatcher.TakeCompletedMoves() }
+
+// AnswerOwnerQuery answers a query of package admission about live jobs and their owners.
+func (c *Core) AnswerOwnerQuery(query admission.QueryOwners) admission.OwnersAnswered {
+	found := make(map[protocol.JobID]admission.LiveJob, len(query.Jobs))
+	for _, id := range query.Jobs {
+		if job := c.Live[id]; job != nil {
+			progress, _ := c.jobs.JobProgress(id)
+			found[id] = admission.LiveJob{Version: job.Version, Progress: progress}
+		}
+	}
+	members := slices.Sorted(maps.Keys(c.View.Members))
+	return admission.OwnersAnswered{Query: query.Look, Jobs: found, Leading: c.members.LeadingPeers(), Members: members}
+}
