--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -10,6 +10,7 @@
 
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/frontend"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
@@ -249,7 +250,7 @@
 		}
 		for _, a := range f.c.Step(f.now, message.HeartbeatReceived{Heartbeat: came}) {
 			if rr, ok := a.(message.ReplyHeartbeat); ok {
-				transport.AppendResponse(nil, reportAnswer(rr))
+				transport.AppendResponse(nil, frontend.HeartbeatResponse(rr))
 			}
 		}
 	}
--- /dev/null
+++ b/internal/controller/frontend/actor.go
@@ -0,0 +1,176 @@
+package frontend
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/outcome"
+	"damsonkeel/internal/kvstore"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+	"damsonkeel/internal/serviceclient"
+	"damsonkeel/internal/transport"
+)
+
+// tickInterval is the time between two ticks of Admission.
+const tickInterval = 100 * time.Millisecond
+
+// Run is the actor around Admission. It returns when the context ends; so do the
+// goroutines that it has started.
+func (f *Frontend) Run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case m := <-f.mailbox:
+			if request, ok := m.(userRequest); ok {
+				f.replies[request.ID] = request.reply
+				m = request.Request
+			}
+			f.step(ctx, m)
+		case effective := <-f.configurations:
+			f.step(ctx, admission.Configured{Effective: effective})
+		case <-ticker.C:
+			f.step(ctx, admission.Tick{})
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// Configure gives Admission the configuration in force, in place of one that it has not
+// taken yet. Only one goroutine may call it, the core's actor.
+func (f *Frontend) Configure(effective *dynamicconfig.Effective) {
+	select {
+	case <-f.configurations:
+	default:
+	}
+	f.configurations <- effective
+}
+
+// SetTypes gives Admission the machine types as last read from the cloud. It waits while
+// the mailbox is full.
+func (f *Frontend) SetTypes(ctx context.Context, types []protocol.TypeInfo) {
+	f.post(ctx, admission.TypesRead{Types: types})
+}
+
+// admit gives Admission a request, or refuses it at once if too many wait.
+func (f *Frontend) admit(request admission.Request, reply transport.Reply) {
+	request.ID, request.WallMS = admission.RequestID(f.lastRequest.Add(1)), time.Now().UnixMilli()
+	select {
+	case f.mailbox <- userRequest{request, reply}:
+	default:
+		reply(Failure(http.StatusServiceUnavailable, "too many requests at once"))
+	}
+}
+
+// post gives the actor a message; it waits while the mailbox is full.
+func (f *Frontend) post(ctx context.Context, m any) {
+	select {
+	case f.mailbox <- m:
+	case <-ctx.Done():
+	}
+}
+
+// step has Admission handle a message and those that follow from it at once.
+func (f *Frontend) step(ctx context.Context, m any) {
+	f.local = append(f.local, m)
+	for len(f.local) > 0 {
+		next := f.local[0]
+		f.local = f.local[1:]
+		for _, action := range f.admission.Step(f.controller.Now(), next) {
+			f.carryOut(ctx, action)
+		}
+	}
+}
+
+// carryOut executes an action of Admission. It never waits: what takes time is done in a
+// goroutine whose result is posted.
+func (f *Frontend) carryOut(ctx context.Context, action admission.Action) {
+	switch a := action.(type) {
+	case admission.Reply:
+		f.replies[a.ID](response(a.Answer))
+		delete(f.replies, a.ID)
+	case admission.Get:
+		go func() { f.post(ctx, f.readJob(ctx, a)) }()
+	case admission.Write:
+		go func() { f.post(ctx, f.write(ctx, a)) }()
+	case admission.QueryOwners:
+		f.queryOwners(ctx, a)
+	case admission.Compare:
+		go func() { f.post(ctx, f.compare(ctx, a)) }()
+	case admission.PassOn:
+		go func() { f.post(ctx, f.forward(a)) }()
+	case admission.Announce:
+		f.announce(ctx, a)
+	case admission.Wake:
+		time.AfterFunc(time.Duration(a.At-f.controller.Now()), func() { f.post(ctx, admission.Tick{}) })
+	}
+}
+
+// queryOwners asks the core about live jobs; a busy core answers nothing.
+func (f *Frontend) queryOwners(ctx context.Context, query admission.QueryOwners) {
+	answer := func(answered admission.OwnersAnswered) { f.post(ctx, answered) }
+	if !f.controller.QueryOwners(query, answer) {
+		f.local = append(f.local, admission.OwnersAnswered{Query: query.Look})
+	}
+}
+
+// announce tells a controller, which may be this one, of a cancellation.
+func (f *Frontend) announce(ctx context.Context, a admission.Announce) {
+	announced := func() { f.post(ctx, admission.Announced{Job: a.Job, By: a.To}) }
+	if a.To == f.settings.Name {
+		f.controller.CancelJob(a.Job, announced)
+		return
+	}
+	go func() {
+		if err := f.controller.AnnounceCancellation(a.To, a.Job); err != nil {
+			f.log.Debug("cancellation not announced", "err", err)
+			return
+		}
+		announced()
+	}()
+}
+
+func (f *Frontend) write(ctx context.Context, a admission.Write) admission.Written {
+	_, err := f.store.CompareAndSwap(ctx, a.Txn, kvstore.First)
+	if errors.Is(err, serviceclient.ErrMalformed) {
+		f.log.Error("job record refused by the key-value store", "err", err)
+	}
+	return admission.Written{ID: a.ID, Outcome: outcome.Of(err)}
+}
+
+func (f *Frontend) compare(ctx context.Context, a admission.Compare) admission.Compared {
+	differ, err := f.store.Compare(ctx, a.Conditions)
+	return admission.Compared{Look: a.Look, Outcome: outcome.Of(err), Differ: differ}
+}
+
+// forward passes a submission on to a peer; the answer is empty if none came.
+func (f *Frontend) forward(a admission.PassOn) admission.PassedOn {
+	answer, err := f.controller.ForwardSubmission(a.To, a.Body)
+	if err != nil {
+		f.log.Debug("submission not forwarded", "err", err)
+	}
+	return admission.PassedOn{ID: a.ID, Answer: answer}
+}
+
+// readJob reads a job's record. OutcomeFailed means that there is none.
+func (f *Frontend) readJob(ctx context.Context, a admission.Get) admission.Read {
+	item, err := f.store.Get(ctx, record.JobKey(a.Job))
+	read := admission.Read{ID: a.ID, Outcome: outcome.Of(err), Version: item.Version}
+	if err == nil {
+		err = protocol.Decode(item.Value, &read.Record)
+	}
+	switch {
+	case errors.Is(err, serviceclient.ErrNotFound):
+		read.Outcome = message.OutcomeFailed
+	case err != nil && read.Outcome != message.OutcomeRefused:
+		read.Outcome = message.OutcomeUnknown
+	}
+	return read
+}
--- /dev/null
+++ b/internal/controller/frontend/responses.go
@@ -0,0 +1,59 @@
+package frontend
+
+import (
+	"net/http"
+
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/transport"
+)
+
+// Failure is the response to a request that is refused.
+func Failure(status int, reason string) *transport.Message {
+	return response(admission.Failure(status, reason))
+}
+
+// HeartbeatResponse is the response to a worker's heartbeat as the core answers it.
+func HeartbeatResponse(reply message.ReplyHeartbeat) *transport.Message {
+	switch reply.Status {
+	case http.StatusOK:
+		return success(http.StatusOK, reply.Reply)
+	case http.StatusMisdirectedRequest:
+		return success(http.StatusMisdirectedRequest, protocol.Redirect{Leader: reply.Leader})
+	}
+	return Failure(reply.Status, "not entitled")
+}
+
+// response is the HTTP form of an answer to a user.
+func response(answer admission.Answer) *transport.Message {
+	return &transport.Message{Status: answer.Status, Body: answer.Body, RetryAfterS: answer.RetryAfterS}
+}
+
+// success is a response with an encoded body.
+func success(status int, body any) *transport.Message {
+	encoded, err := protocol.Encode(body)
+	if err != nil {
+		return Failure(http.StatusInternalServerError, "encoding failed")
+	}
+	return &transport.Message{Status: status, Body: encoded}
+}
+
+// operatorStatus is the HTTP status for each code of an operator's reply.
+var operatorStatus = map[operatorapi.Code]int{
+	operatorapi.Done:     http.StatusOK,
+	operatorapi.Refused:  http.StatusConflict,
+	operatorapi.NotFound: http.StatusNotFound,
+	operatorapi.Later:    http.StatusServiceUnavailable,
+}
+
+// operatorResponse is the response to an operator's request.
+func operatorResponse(reply operatorapi.Reply) *transport.Message {
+	status := operatorStatus[reply.Code]
+	m := success(status, reply)
+	if status == http.StatusServiceUnavailable {
+		m.RetryAfterS = admission.RetryAfterS
+	}
+	return m
+}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -1,9 +1,11 @@
 package controller
 
 import (
+	"net/http"
 	"sync"
 	"time"
 
+	"damsonkeel/internal/controller/frontend"
 	"damsonkeel/internal/controller/heartbeat"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
@@ -11,22 +13,22 @@
 )
 
 const (
-	// maxPendingHeartbeats bounds the reports that wait for the core: as many as come in
-	// a second when all workers of a large site turn to one controller.
+	// maxPendingHeartbeats bounds the heartbeats that wait for the core: as many as come
+	// in a second when all workers of a large site turn to one controller.
 	maxPendingHeartbeats = 1024
-	// heartbeatPatience is how long a report may wait: workers give its answer up
-	// after 4 s, and one given up renews no lease.
+	// heartbeatPatience is how long a heartbeat may wait: workers give up on its answer
+	// after 4 s, and one that they have given up on renews no lease.
 	heartbeatPatience = 3500 * time.Millisecond
 )
 
-// pendingHeartbeat is a report that waits for the core.
+// pendingHeartbeat is a heartbeat that waits for the core.
 type pendingHeartbeat struct {
 	heartbeat protocol.Heartbeat
 	reply     transport.Reply
 }
 
-// reports are the workers' reports between the server and the core. When more
-// come than the core can take, those are answered whose leases are shortest.
+// heartbeatQueue holds the workers' heartbeats between the server and the core. When more
+// come than the core can handle, those are answered whose leases expire first.
 type heartbeatQueue struct {
 	ready chan struct{} // holds one while any wait
 
@@ -38,55 +40,58 @@
 	return &heartbeatQueue{ready: make(chan struct{}, 1), queue: heartbeat.New[pendingHeartbeat](maxPendingHeartbeats, heartbeatPatience)}
 }
 
-// Add takes a report. It runs on the event loop and never waits.
-func (r *heartbeatQueue) add(now Time, p pendingHeartbeat) {
-	r.mu.Lock()
-	refused, any := r.queue.Add(now, p.heartbeat.Machine, p)
-	r.mu.Unlock()
-	if any {
-		refused.reply(failure(503, "busy"))
+// add queues a heartbeat. It runs on the server's event loop and never waits.
+func (q *heartbeatQueue) add(now Time, pending pendingHeartbeat) {
+	q.mu.Lock()
+	refused, full := q.queue.Add(now, pending.heartbeat.Machine, pending)
+	q.mu.Unlock()
+	if full {
+		refused.reply(frontend.Failure(http.StatusServiceUnavailable, "busy"))
 	}
-	r.signal()
+	q.signal()
 }
 
-func (r *heartbeatQueue) signal() {
+func (q *heartbeatQueue) signal() {
 	select {
-	case r.ready <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-// next is the message to the core for the report to be answered next.
-func (r *heartbeatQueue) next(now func() Time) (envelope, bool) {
-	r.mu.Lock()
-	w, ok, late := r.queue.Next(now())
-	more := r.queue.Len() > 0
-	r.mu.Unlock()
+// next is the message to the core for the heartbeat to be answered next. Those that have
+// waited for too long are refused.
+func (q *heartbeatQueue) next(now func() Time) (envelope, bool) {
+	q.mu.Lock()
+	pending, ok, late := q.queue.Next(now())
+	more := q.queue.Len() > 0
+	q.mu.Unlock()
 	for _, p := range late {
-		p.reply(failure(503, "too late"))
+		p.reply(frontend.Failure(http.StatusServiceUnavailable, "too late"))
 	}
 	if more {
-		r.signal()
+		q.signal()
 	}
 	if !ok {
 		return envelope{}, false
 	}
-	return envelope{msg: message.HeartbeatReceived{Heartbeat: w.Heartbeat.heartbeat}, reply: func(actions []message.Action) {
-		answer := failure(503, "not entitled")
-		for _, a := range actions {
-			if rr, ok := a.(message.ReplyHeartbeat); ok {
-				answer = reportAnswer(rr)
-				if rr.Status == 200 {
-					r.answered(now(), w.Machine)
+	reply := func(actions []message.Action) {
+		answer := frontend.Failure(http.StatusServiceUnavailable, "not entitled")
+		for _, action := range actions {
+			if r, ok := action.(message.ReplyHeartbeat); ok {
+				answer = frontend.HeartbeatResponse(r)
+				if r.Status == http.StatusOK {
+					q.answered(now(), pending.Machine)
 				}
 			}
 		}
-		w.Heartbeat.reply(answer)
-	}}, true
+		pending.Heartbeat.reply(answer)
+	}
+	return envelope{msg: message.HeartbeatReceived{Heartbeat: pending.Heartbeat.heartbeat}, reply: reply}, true
 }
 
-func (r *heartbeatQueue) answered(now Time, m protocol.MachineID) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.queue.Answered(now, m)
+// answered notes that a worker's lease has been renewed.
+func (q *heartbeatQueue) answered(now Time, machine protocol.MachineID) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.queue.Answered(now, machine)
 }
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -7,166 +7,198 @@
 	"sync/atomic"
 	"time"
 
-	"damsonkeel/internal/serviceclient"
-
-	"damsonkeel/internal/kvstore"
-
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/kvstore"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
+	"damsonkeel/internal/serviceclient"
+)
+
+const (
+	sessionRetryDelay   = 250 * time.Millisecond
+	recordsTimeout      = 20 * time.Second // for reading all followed records
+	keepAlivesPerLease  = 5
+	keepAliveRetryDelay = 300 * time.Millisecond
+	watchRetryDelay     = 200 * time.Millisecond
+	// watchTimeout is how long one watch stays open. Its return proves what was
+	// followed when it was opened: see LeaseDeadline.
+	watchTimeout = 3 * time.Second
+	// clockDriftDivisor is the part of a lease by which clocks may drift within it, and
+	// leaseMargin what is left for calls that are under way.
+	clockDriftDivisor = 500
+	leaseMargin       = 200 * time.Millisecond
 )
 
-// runSessions keeps this controller a member: session after session, each as
-// long as its lease.
+// errLeaseLost is that the key-value store has no lease of this session any more.
+var errLeaseLost = errors.New("lease lost")
+
+// runSessions makes this controller a candidate for membership: session after session,
+// each as long as its lease lasts.
 func (n *Node) runSessions(ctx context.Context) {
 	for ctx.Err() == nil && !n.leaving.Load() { // one that leaves does not come back
-		if err := n.runSession(ctx); err != nil {
+		if err := n.runSession(ctx); err != nil && ctx.Err() == nil {
 			n.log.Info("session", "err", err)
 		}
 		n.post(message.SessionEnded{})
-		sleep(ctx, 250*time.Millisecond)
+		sleep(ctx, sessionRetryDelay)
 	}
 }
 
-// runSession reads the records, enters this controller into them under a new
-// lease, and follows the records while it extends the lease.
+// runSession reads the records, enters this controller into them under a new lease, and
+// follows the records while it keeps the lease alive.
 func (n *Node) runSession(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Read before entering: any view that names this session is then a later
-	// change, and so are the records that came with it.
-	asked := n.now()
-	items, rev, err := n.readRecords(ctx)
+	// Read before entering: any view that names this session is then a later change,
+	// and so are the records that came with it.
+	readAt := n.now()
+	items, revision, err := n.readRecords(ctx)
 	if err != nil {
 		return err
 	}
-	ttl := n.op.NodeLease
-	sent := n.now()
-	lease, err := n.state.GrantLease(ctx, ttl)
+	grantedAt := n.now()
+	lease, err := n.enter(ctx, items)
+	if err != nil {
+		return err
+	}
+	n.log.Info("session begun", "session", lease)
+	n.post(message.Snapshot{Session: lease, Items: items, WallMS: time.Now().UnixMilli()})
+	leaseTimes := &leaseClock{ttl: n.operator.NodeLease}
+	leaseTimes.extended.Store(int64(grantedAt))
+	leaseTimes.followed.Store(int64(readAt))
+	n.post(message.LeaseExtended{Until: leaseTimes.deadline()})
+	watchEnded := make(chan error, 1)
+	go func() { watchEnded <- n.watchRecords(ctx, revision, leaseTimes) }()
+	return n.keepLeaseAlive(ctx, lease, leaseTimes, watchEnded)
+}
+
+// readRecords reads all followed records.
+func (n *Node) readRecords(ctx context.Context) ([]protocol.Item, protocol.Revision, error) {
+	ctx, cancel := context.WithTimeout(ctx, recordsTimeout)
+	defer cancel()
+	items, revision, err := n.store.List(ctx, record.FollowedPrefix)
+	if err != nil {
+		return nil, 0, fmt.Errorf("read records: %w", err)
+	}
+	return items, revision, nil
+}
+
+// enter writes this controller's record under a new lease, in place of the one that was
+// read.
+func (n *Node) enter(ctx context.Context, items []protocol.Item) (protocol.LeaseID, error) {
+	lease, err := n.store.GrantLease(ctx, n.operator.NodeLease)
 	if err != nil {
-		return fmt.Errorf("lease: %w", err)
+		return 0, fmt.Errorf("lease: %w", err)
 	}
 	key := record.NodeKey(n.settings.Name)
-	var have protocol.Version
-	for _, it := range items {
-		if it.Key == key {
-			have = it.Version
+	var version protocol.Version
+	for _, item := range items {
+		if item.Key == key {
+			version = item.Version
 		}
 	}
-	_, err = n.state.CompareAndSwap(ctx, protocol.Transaction{
-		Conditions: []protocol.Condition{{Key: key, Version: have}},
+	_, err = n.store.CompareAndSwap(ctx, protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: key, Version: version}},
 		Changes:    []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout()}, Lease: &lease}},
 	}, kvstore.First)
 	if err != nil {
-		return fmt.Errorf("enter: %w", err)
+		return 0, fmt.Errorf("enter: %w", err)
 	}
-	n.log.Info("session begun", "session", lease)
-	n.post(message.Snapshot{Session: lease, Items: items, WallMS: time.Now().UnixMilli()})
-	l := &leaseClock{ttl: ttl}
-	l.extended.Store(int64(sent))
-	l.followed.Store(int64(asked))
-	n.post(message.LeaseExtended{Until: l.until()})
-	followEnd := make(chan error, 1)
-	go func() { followEnd <- n.watchRecords(ctx, rev, l) }()
-	return n.keepLeaseAlive(ctx, lease, l, followEnd)
+	return lease, nil
 }
 
-// layout is the latest layout of machines' records that this controller uses.
+// layout is the latest layout of the records that this controller uses.
 func (n *Node) layout() record.Layout {
 	switch {
-	case n.op.SingleRecords:
+	case n.operator.SingleRecords:
 		return record.LayoutSingle
-	case n.op.NoShares:
+	case n.operator.NoShares:
 		return record.LayoutBlocks
-	case !n.op.Configurable():
+	case !n.operator.Configurable():
 		return record.LayoutShards
 	}
 	return record.LayoutConfiguration
 }
 
-func (n *Node) readRecords(ctx context.Context) ([]protocol.Item, protocol.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
-	defer cancel()
-	return n.state.List(ctx, record.FollowedPrefix)
-}
-
-// leaseClock reckons until when a session may act.
+// leaseClock holds the times by which the deadline of a session's lease is computed.
 type leaseClock struct {
-	ttl                time.Duration
-	extended, followed atomic.Int64 // when the last extension that was answered was sent; when the last watch that was answered was opened
+	ttl      time.Duration
+	extended atomic.Int64 // when the last answered extension was sent
+	followed atomic.Int64 // when the last answered watch was opened
 }
 
-// Until is the end of the lease as this clock has it.
-func (l *leaseClock) until() Time {
+// deadline is until when the session holds its lease.
+func (l *leaseClock) deadline() Time {
 	return LeaseDeadline(l.ttl, Time(l.extended.Load()), Time(l.followed.Load()))
 }
 
 // LeaseDeadline is until when a session may act: its lease, counted from before the
-// extension was sent, shortened by drift and by a margin for what is under way; and
-// no longer than a lease and a slack after the last watch was opened that has been
-// answered. That answer holds what had changed by then, whenever it arrives: one
-// held back by the network, or read after the process stood still, proves nothing
-// of the time since. What users are told of cancellations rests on it (docs/design.md,
-// "How long a cancelled task may stay").
+// extension was sent, shortened by clock drift and by a margin for calls that are under
+// way; and no longer than a lease and some slack after the last answered watch was opened.
+// The watch's answer holds what had changed by then, whenever it arrives: one that the
+// network delayed, or that was read after the process stood still, proves nothing of the
+// time since. The bound on cancellations that users are promised rests on it
+// (docs/design.md, "How long a cancelled task may stay").
 func LeaseDeadline(ttl time.Duration, extended, followed Time) Time {
-	lease := extended + Time(ttl) - Time(ttl/500) - Time(200*time.Millisecond)
+	lease := extended + Time(ttl) - Time(ttl/clockDriftDivisor) - Time(leaseMargin)
 	return min(lease, followed+Time(config.FollowedWithin(ttl)))
 }
 
-func (n *Node) keepLeaseAlive(ctx context.Context, lease protocol.LeaseID, l *leaseClock, followEnd <-chan error) error {
-	every := l.ttl / 5
-	refused := false
+// keepLeaseAlive extends the lease until it is lost or the watch ends.
+func (n *Node) keepLeaseAlive(ctx context.Context, lease protocol.LeaseID, leaseTimes *leaseClock, watchEnded <-chan error) error {
+	delay := leaseTimes.ttl / keepAlivesPerLease
+	failing := false
 	for {
 		select {
-		case err := <-followEnd:
+		case err := <-watchEnded:
 			return err
 		case <-ctx.Done():
-			return ctx.Err()
-		case <-time.After(every):
+			return fmt.Errorf("keep lease alive: %w", ctx.Err())
+		case <-time.After(delay):
 		}
-		sent := n.now()
-		err := n.state.KeepAlive(ctx, lease)
+		sentAt := n.now()
+		err := n.store.KeepAlive(ctx, lease)
 		switch {
 		case err == nil:
-			if refused {
-				n.log.Info("state service answers again")
+			if failing {
+				n.log.Info("lease extended again")
 			}
-			refused, every = false, l.ttl/5
-			l.extended.Store(int64(sent))
-			n.post(message.LeaseExtended{Until: l.until()})
+			failing, delay = false, leaseTimes.ttl/keepAlivesPerLease
+			leaseTimes.extended.Store(int64(sentAt))
+			n.post(message.LeaseExtended{Until: leaseTimes.deadline()})
 		case errors.Is(err, serviceclient.ErrNotFound):
-			return fmt.Errorf("session %d: lease lost", lease)
+			return fmt.Errorf("session %d: %w", lease, errLeaseLost)
 		default:
-			if !refused {
+			if !failing {
 				n.log.Info("lease not extended", "err", err)
 			}
-			refused, every = true, 300*time.Millisecond
+			failing, delay = true, keepAliveRetryDelay
 		}
 	}
 }
 
 // watchRecords passes the changes of records to the core, in order.
-func (n *Node) watchRecords(ctx context.Context, from protocol.Revision, l *leaseClock) error {
-	hold := min(followHold, l.ttl) // a short lease needs the watch to prove itself more often
+func (n *Node) watchRecords(ctx context.Context, from protocol.Revision, leaseTimes *leaseClock) error {
+	timeout := min(watchTimeout, leaseTimes.ttl) // a short lease needs proof from its watch more often
 	for ctx.Err() == nil {
-		opened := n.now()
-		ev, err := n.state.Watch(ctx, record.FollowedPrefix, from, hold)
+		openedAt := n.now()
+		events, err := n.store.Watch(ctx, record.FollowedPrefix, from, timeout)
 		switch {
 		case errors.Is(err, serviceclient.ErrCompacted):
 			return fmt.Errorf("watch from %d: %w", from, err)
 		case err != nil:
 			if ctx.Err() == nil {
-				n.log.Debug("watch", "err", err)
+				n.log.Debug("watch failed", "err", err)
 			}
-			sleep(ctx, 200*time.Millisecond)
+			sleep(ctx, watchRetryDelay)
 			continue
 		}
-		for _, e := range ev.Events {
-			n.post(message.RecordChanged{Event: e})
+		for _, event := range events.Events {
+			n.post(message.RecordChanged{Event: event})
 		}
-		from = max(from, ev.Revision)
-		l.followed.Store(int64(opened))
+		from = max(from, events.Revision)
+		leaseTimes.followed.Store(int64(openedAt))
 	}
-	return ctx.Err()
+	return fmt.Errorf("watch records: %w", ctx.Err())
 }
--- a/internal/controller/sessions_test.go
+++ b/internal/controller/sessions_test.go
@@ -40,7 +40,7 @@
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 
-	n := &Node{log: slog.New(slog.DiscardHandler), start: time.Now(), state: kvstore.NewClient(listener.Addr().String(), 1000, 1000, 1)}
+	n := &Node{log: slog.New(slog.DiscardHandler), start: time.Now(), store: kvstore.NewClient(listener.Addr().String(), 1000, 1000, 1)}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*heldBack)
 	defer cancel()
 	l := &leaseClock{ttl: 8 * time.Second}
@@ -52,7 +52,7 @@
 	if asked.Load() < 2 {
 		t.Fatal("no answer was taken: nothing is shown")
 	}
-	if late := time.Duration(l.until()) - time.Duration(LeaseDeadline(l.ttl, Time(time.Hour), opened)); late < 0 || late > heldBack/2 {
+	if late := time.Duration(l.deadline()) - time.Duration(LeaseDeadline(l.ttl, Time(time.Hour), opened)); late < 0 || late > heldBack/2 {
 		t.Errorf("acts %v longer than from when the watch was opened", late)
 	}
 }
--- a/internal/controller/workerclients_test.go
+++ b/internal/controller/workerclients_test.go
@@ -9,7 +9,7 @@
 // below the limit, with room for the rest, and clients beyond their share go.
 func TestSockets(t *testing.T) {
 	for _, limit := range []int{100, 1800, 2000, 10000} {
-		server, commands := sockets(limit)
+		server, commands := socketLimits(limit)
 		if server+2*commands > limit*95/100 || commands == 0 {
 			t.Errorf("limit %d: %d for the server, %d for commands", limit, server, commands)
 		}
@@ -17,8 +17,8 @@
 		for i := range 3 * limit {
 			w.get(fmt.Sprint("10.0.0.1:", i))
 		}
-		if len(w.by) != commands {
-			t.Errorf("limit %d: %d clients kept, want %d", limit, len(w.by), commands)
+		if len(w.byAddress) != commands {
+			t.Errorf("limit %d: %d clients kept, want %d", limit, len(w.byAddress), commands)
 		}
 	}
 }
