--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -26,7 +26,7 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case message.Send:
-			if outbox := n.outbox[a.To]; outbox != nil {
+			if outbox := n.outboxes[a.To]; outbox != nil {
 				outbox.Add(a)
 			}
 		case message.Commit:
--- a/internal/controller/anymessage_test.go
+++ b/internal/controller/anymessage_test.go
@@ -11,11 +11,11 @@
 	"damsonkeel/internal/record"
 )
 
-// names are what generated messages name: some of it is there.
+// names are the names in generated messages: things that exist and others that do not.
 var names = []string{"", "vm-1", "vm-2", "vm-9", "job-1", "job-2", "job-9", "node-0", "node-1", "node-9", "small", "a", "b", "free", "bound", "running", "ended", "done", "error"}
 
-// anyValue fills a value with what a peer of another version, or a broken one, may
-// send: any numbers, names of things that are there or not, and lists of them.
+// anyValue fills a value with what a peer of another version, or a broken one, may send:
+// any numbers, names of things that exist or not, and lists of them.
 func anyValue(rng *rand.Rand, v reflect.Value, depth int) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -55,9 +55,8 @@
 	}
 }
 
-// TestAnyMessage: whatever a member says, in a batch that its session and term let
-// in, ends in no panic, and starts nothing that this controller's records do not
-// have.
+// TestAnyMessage: no message of a member, in a batch that its session and term admit, ends
+// in a panic, or starts a task of a job that is not in this controller's records.
 func TestAnyMessage(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 9))
@@ -75,7 +74,7 @@
 			batch := message.Batch{From: "node-1", FromSession: 101, ToSession: 100, First: next, Messages: []message.PeerMessage{m}}
 			for _, a := range b.step(message.BatchReceived{Batch: batch}) {
 				if r, ok := a.(message.ReplyBatch); ok && r.Reply != message.BatchAccepted {
-					t.Fatalf("batch not taken: %v", r.Reply)
+					t.Fatalf("batch not accepted: %v", r.Reply)
 				}
 				if c, ok := a.(message.Command); ok {
 					for _, o := range c.Commands.Orders {
@@ -91,8 +90,8 @@
 	}
 }
 
-// newSharedBench is a controller that keeps half of the shares, with machines that are
-// up and jobs.
+// newSharedBench is a controller that holds half of the shards, with machines in service
+// and jobs.
 func newSharedBench(t testing.TB) *bench {
 	b := newBench(t, "node-1")
 	shares := sharding.InitialTable([]protocol.Zone{"a", "b"})
--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -14,8 +14,8 @@
 	"damsonkeel/internal/record"
 )
 
-// recorder is a lone core that records machines in blocks, with a state service
-// whose changes of machines' records it counts.
+// recorder is a single core that records machines in blocks, with a key-value store whose
+// changes of machines' records it counts.
 type recorder struct {
 	*bench
 	state    *fake.State
@@ -25,6 +25,7 @@
 	late     []protocol.Transaction
 }
 
+// newRecorder makes a core that is a member and uses blocks.
 func newRecorder(tb testing.TB) *recorder {
 	r := &recorder{bench: newBench(tb), state: fake.NewState()}
 	r.c.reset()
@@ -39,7 +40,7 @@
 	return r
 }
 
-// settle plays so many ticks with what they bring.
+// settle runs so many ticks with the changes that follow from them.
 func (r *recorder) settle(ticks int) {
 	for range ticks {
 		r.carry(r.step(message.Tick{}))
@@ -53,13 +54,14 @@
 	}
 }
 
+// carry executes the transactions among the actions, with the outcomes that the test sets.
 func (r *recorder) carry(actions []message.Action) {
 	for _, a := range actions {
 		c, ok := a.(message.Commit)
 		if !ok {
 			continue
 		}
-		if _, pen := c.Tag.(workerregistry.Tag); pen {
+		if _, registration := c.Tag.(workerregistry.Tag); registration {
 			r.changes += len(c.Txn.Changes)
 		}
 		out := message.OutcomeDone
@@ -76,8 +78,8 @@
 	}
 }
 
-// wave has so many workers report for the first time, or with a later session,
-// all at once.
+// wave has so many workers send their first heartbeat, or one with a later agent epoch, all
+// at once.
 func (r *recorder) wave(machines int, session protocol.AgentEpoch) {
 	for i := range machines {
 		r.seq++
@@ -88,6 +90,7 @@
 	}
 }
 
+// registered counts the machines that are registered with an agent epoch.
 func (r *recorder) registered(session protocol.AgentEpoch) int {
 	n := 0
 	for _, m := range r.c.table.Machines {
@@ -98,9 +101,9 @@
 	return n
 }
 
-// TestWaveCostsFewChanges: 1,300 workers that register at once, and that come
-// back with a later session at once, cost a change of the state service for
-// some 50 of them. One record for each took 1,300.
+// TestWaveCostsFewChanges: 1,300 workers that register at once, and that come back with a
+// later agent epoch at once, cost a change of the key-value store for some 50 of them. One
+// record for each took 1,300.
 func TestWaveCostsFewChanges(t *testing.T) {
 	const machines = 1300
 	r := newRecorder(t)
@@ -118,15 +121,15 @@
 	}
 }
 
-// TestLateWriteOfBlocks: a write of blocks without an answer, executed much
-// later, puts no machine into two blocks and brings back no record.
-func TestLateWriteOfBlocks(t *testing.T) {
+// TestLateWritePutsNoMachineIntoTwoBlocks: a write of blocks without an answer, executed
+// much later, puts no machine into two blocks and brings back no record.
+func TestLateWritePutsNoMachineIntoTwoBlocks(t *testing.T) {
 	r := newRecorder(t)
 	r.wave(40, 1)
 	r.settle(10)
 	lost := 2
 	r.outcome = func(c message.Commit) message.Outcome {
-		if _, pen := c.Tag.(workerregistry.Tag); pen && lost > 0 {
+		if _, registration := c.Tag.(workerregistry.Tag); registration && lost > 0 {
 			lost--
 			return message.OutcomeUnknown
 		}
@@ -165,8 +168,8 @@
 }
 
 // TestSilentMachineLeavesItsBlock: a machine silent for longer than its lease
-// goes from its block, and one recorded by an earlier version, in a record of
-// its own, goes with that.
+// is removed from its block; the separate record of a machine that an earlier version
+// wrote is deleted.
 func TestSilentMachineLeavesItsBlock(t *testing.T) {
 	r := newRecorder(t)
 	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -2,147 +2,20 @@
 
 import (
 	"fmt"
-	"log/slog"
-	"math/rand/v2"
 	"testing"
 	"time"
 
-	"damsonkeel/internal/controller/jobs"
-	"damsonkeel/internal/controller/placement"
-
-	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
-	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/jobs"
 	"damsonkeel/internal/controller/membership"
 	"damsonkeel/internal/controller/message"
-	"damsonkeel/internal/fake"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 )
 
-// bench is one core, alone or with peers that the test plays.
-type bench struct {
-	t       testing.TB
-	c       *Core
-	now     Time
-	version protocol.Version
-	seq     protocol.Seq
-}
-
-func newBench(t testing.TB, members ...protocol.NodeName) *bench {
-	s := fake.Settings()
-	s.Name = "node-0"
-	b := &bench{t: t, c: NewCore(s, config.DefaultOperator(), rand.New(rand.NewPCG(1, 1)), slog.New(slog.DiscardHandler)), now: 1}
-	b.step(message.CatalogueRead{Types: []protocol.TypeInfo{{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8}}})
-	b.step(message.Snapshot{Session: 100})
-	b.step(message.LeaseExtended{Until: Time(time.Hour)})
-	b.view(1, append([]protocol.NodeName{"node-0"}, members...)...)
-	return b
-}
-
-func (b *bench) step(msg any) []message.Action {
-	b.now += Time(placement.Interval)
-	return b.c.Step(b.now, msg)
-}
-
-func (b *bench) put(key string, v any) []message.Action {
-	raw, err := protocol.Encode(v)
-	if err != nil {
-		b.t.Fatal(err)
-	}
-	b.version++
-	return b.step(message.RecordChanged{Event: protocol.Event{Put: key, Value: raw, Version: b.version}})
-}
-
-func (b *bench) view(term protocol.Term, names ...protocol.NodeName) []message.Action {
-	v := record.View{Term: term, Members: map[protocol.NodeName]protocol.LeaseID{}}
-	for i, n := range names {
-		v.Members[n] = protocol.LeaseID(100 + i)
-		b.put(record.NodeKey(n), record.Node{Session: v.Members[n]})
-	}
-	b.put(record.ViewKey, v)
-	return b.step(message.CommitDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
-}
-
-func (b *bench) machine(id protocol.MachineID, session protocol.AgentEpoch) {
-	b.put(record.MachineKey(id), record.Machine{Session: session, Address: "x", Type: "small", Zone: "a"})
-}
-
-func (b *bench) job(id protocol.JobID, team protocol.Team, tasks uint32) {
-	b.put(record.LiveKey(id), protocol.Job{
-		ID: id, Team: team, Kind: protocol.KindJobArray, Priority: "standard", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
-	})
-}
-
-// report sends a worker's report and returns the answer.
-func (b *bench) report(id protocol.MachineID, session protocol.AgentEpoch, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
-	b.seq++
-	return b.reportSeq(id, session, b.seq, term, tasks...)
-}
-
-func (b *bench) reportSeq(id protocol.MachineID, session protocol.AgentEpoch, seq protocol.Seq, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
-	for _, a := range b.step(message.HeartbeatReceived{Heartbeat: protocol.Heartbeat{
-		Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: session, Seq: seq, Term: term, Tasks: tasks,
-	}}) {
-		if r, ok := a.(message.ReplyHeartbeat); ok {
-			return r
-		}
-	}
-	b.t.Fatal("a report was not answered")
-	return message.ReplyHeartbeat{}
-}
-
-func commands(actions []message.Action) []protocol.Order {
-	var os []protocol.Order
-	for _, a := range actions {
-		if c, ok := a.(message.Command); ok {
-			os = append(os, c.Commands.Orders...)
-		}
-	}
-	return os
-}
-
-func starts(os []protocol.Order) int {
-	n := 0
-	for _, o := range os {
-		if o.Op == protocol.OpStart {
-			n++
-		}
-	}
-	return n
-}
-
-// keptBy is a machine that one of the members keeps.
-func (b *bench) keptBy(n protocol.NodeName) protocol.MachineID {
-	id := protocol.MachineID("vm-0")
-	for i := 0; clusterstate.RendezvousDispatcher(b.c.View, id) != n; i++ {
-		id = protocol.MachineID("vm-" + string(rune('a'+i)))
-	}
-	return id
-}
-
-// kept is the attempt of a task that the core keeps on a machine.
-func (b *bench) kept(id protocol.MachineID, task protocol.TaskID) (found dispatcher.Attempt) {
-	for _, a := range b.c.dispatcher.Attempts(id) {
-		if a.Task == task {
-			found = a
-		}
-	}
-	return found
-}
-
-// ready brings one machine into service, term and inventory settled.
-func (b *bench) ready(id protocol.MachineID) {
-	b.report(id, 1, 0)
-	b.machine(id, 1)
-	b.report(id, 1, b.c.View.Term)
-	b.now += Time(1100 * time.Millisecond)
-	b.step(message.Tick{})
-}
-
-// TestUnansweredDirectStart: an attempt whose direct start has no answer is
-// neither reaped nor released before the worker has seen a later term, which
-// is raised for that once the worker is heard again.
+// TestUnansweredDirectStart: an attempt whose direct start has no answer is neither
+// forgotten nor released before the worker has seen a later term, which is raised for that
+// once the worker sends heartbeats again.
 func TestUnansweredDirectStart(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
@@ -178,36 +51,36 @@
 		t.Error("the term is not raised")
 	}
 	if e := b.kept("vm-1", task); !e.Sent {
-		t.Fatalf("taken for never started: %+v", e)
+		t.Fatalf("counted as never started: %+v", e)
 	}
 	ended := protocol.TaskStatus{Task: task, Attempt: attempt, State: protocol.TaskEnded, Cause: protocol.EndStopped}
 	for range 2 {
 		for _, o := range b.report("vm-1", 1, 1, ended).Reply.Orders {
 			if o.Op == protocol.OpForget && o.Task == task && o.Attempt == attempt {
-				t.Fatal("reaped while its start may be under way")
+				t.Fatal("forgotten while its start may be under way")
 			}
 		}
 	}
 	b.view(2, "node-0")
 	b.report("vm-1", 1, 1, ended)
-	reaped := false
+	forgotten := false
 	for _, o := range b.report("vm-1", 1, 2, ended).Reply.Orders {
-		reaped = reaped || o.Op == protocol.OpForget && o.Attempt == attempt
+		forgotten = forgotten || o.Op == protocol.OpForget && o.Attempt == attempt
 	}
-	if !reaped {
-		t.Error("not reaped after the worker has seen a later term")
+	if !forgotten {
+		t.Error("not forgotten after the worker has seen a later term")
 	}
 }
 
-// TestHeldReportOfEarlierSession: a report of a session that is over says
-// nothing, even after the machine's record and queue have gone.
+// TestHeldReportOfEarlierSession: a delayed heartbeat of an earlier agent epoch registers
+// nothing, even after the machine's record and queue have been removed.
 func TestHeldReportOfEarlierSession(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	b.step(message.RecordChanged{Event: protocol.Event{Delete: record.MachineKey("vm-1"), Version: 99}})
 	for _, a := range b.step(message.HeartbeatReceived{Heartbeat: protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", AgentEpoch: 1, Seq: 500, Term: 1}}) {
 		if c, ok := a.(message.Commit); ok {
-			t.Fatalf("a session that is over is registered: %+v", c)
+			t.Fatalf("an earlier agent epoch is registered: %+v", c)
 		}
 	}
 	registered := false
@@ -216,12 +89,12 @@
 		registered = registered || ok
 	}
 	if !registered {
-		t.Error("the next session is not registered")
+		t.Error("the next agent epoch is not registered")
 	}
 }
 
-// TestDeafController: workers that come astray again and again show that their
-// controller can't be reached; the next view says so and others keep them.
+// TestDeafController: workers that have to be redirected again and again show that their
+// controller is unreachable for them; the next view says so and others dispatch to them.
 func TestDeafController(t *testing.T) {
 	b := newBench(t, "node-1")
 	var theirs []protocol.MachineID
@@ -251,13 +124,13 @@
 	}
 	b.put(record.ViewKey, next)
 	if r := b.report(theirs[0], 1, 1); r.Status != 200 {
-		t.Errorf("its machine is not kept here: %+v", r)
+		t.Errorf("its machine is not dispatched to from here: %+v", r)
 	}
 }
 
-// TestLapsed: a controller whose own clock has reached the end of its lease
-// answers workers 503 and starts nothing.
-func TestLapsed(t *testing.T) {
+// TestExpiredLeaseStartsNothing: a controller whose own clock has reached the end of its
+// lease answers workers 503 and starts nothing.
+func TestExpiredLeaseStartsNothing(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	b.step(message.LeaseExtended{Until: b.now + 1})
@@ -269,9 +142,9 @@
 	}
 }
 
-// TestHigherTerm: a report with a later term stops a controller that has not
-// read it yet.
-func TestHigherTerm(t *testing.T) {
+// TestHeartbeatOfALaterTermIsNotAnswered: a heartbeat with a later term stops a controller
+// that has not read that term yet.
+func TestHeartbeatOfALaterTermIsNotAnswered(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	if r := b.report("vm-1", 1, 7); r.Status != 503 {
@@ -279,9 +152,9 @@
 	}
 }
 
-// TestStaleBatch: a batch between other sessions is dropped, one of a term not
-// read yet has to wait, a repeated one is taken once.
-func TestStaleBatch(t *testing.T) {
+// TestBatchCountsOnceAndInItsSession: a batch between other sessions is dropped, one of a
+// term not read yet has to wait, a repeated one is handled once.
+func TestBatchCountsOnceAndInItsSession(t *testing.T) {
 	b := newBench(t, "node-1")
 	deliver := func(batch message.Batch) message.BatchReply {
 		for _, a := range b.step(message.BatchReceived{Batch: batch}) {
@@ -309,16 +182,16 @@
 	late.ToSession = 55
 	ahead.Term = 2
 	if deliver(old) != message.BatchExcluded || deliver(late) != message.BatchStale || deliver(ahead) != message.BatchBehind {
-		t.Error("a batch of another session or term is taken")
+		t.Error("a batch of another session or term is accepted")
 	}
 	if got := b.c.table.Machines["vm-1"].PendingSum; got != 5 {
 		t.Errorf("wait %v: a batch that is dropped counts", got)
 	}
 }
 
-// TestFinishIsWrittenFirst: a job's end is written on the condition that its
+// TestJobEndIsConditionalOnItsRecord: a job's end is written on the condition that its
 // record is unchanged, once all its tasks are done.
-func TestFinishIsWrittenFirst(t *testing.T) {
+func TestJobEndIsConditionalOnItsRecord(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 2)
@@ -347,8 +220,9 @@
 	}
 }
 
-// TestBadJobWaits: a job that fails on every machine waits ever longer.
-func TestBadJobWaits(t *testing.T) {
+// TestJobThatFailsEverywhereBacksOff: a job that fails on every machine is retried after
+// growing delays.
+func TestJobThatFailsEverywhereBacksOff(t *testing.T) {
 	b := newBench(t)
 	o := func() *jobs.Job { return b.c.jobs.ByID["job-1"] }
 	b.job("job-1", "free", 1)
@@ -360,13 +234,12 @@
 		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
 	}
 	if o().NotBefore <= b.now {
-		t.Error("it is tried again at once")
+		t.Error("it is retried at once")
 	}
 }
 
-// TestNewTermKeepsStarting: a new term does not stop direct starts where the
-// queue is kept on; who missed a term waits until it knows what is on the
-// machine.
+// TestNewTermKeepsStarting: a new term does not stop direct starts where the queue goes
+// on; a controller that missed a term waits for the inventory of the machine.
 func TestNewTermKeepsStarting(t *testing.T) {
 	for _, tc := range []struct {
 		term protocol.Term
@@ -377,14 +250,14 @@
 		b.view(tc.term, "node-0")
 		job := protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 1, Image: "i"}
 		if n := starts(commands(b.put(record.LiveKey("job-1"), job))); n != tc.want {
-			t.Errorf("after term %d: %d direct starts before the worker's report, want %d", tc.term, n, tc.want)
+			t.Errorf("after term %d: %d direct starts before the worker's heartbeat, want %d", tc.term, n, tc.want)
 		}
 	}
 }
 
-// TestHeldBackReport: what a report of an earlier term lists is told to nobody
-// before the machine's inventory. The network may have held it back, and an
-// attempt it lists may be long gone: its owner would have it killed.
+// TestHeldBackReport: owners are not notified of what a heartbeat of an earlier term lists
+// before the machine's inventory is complete. The network may have delayed it, and an
+// attempt that it lists may have ended long ago: its owner would have it killed.
 func TestHeldBackReport(t *testing.T) {
 	b := newBench(t)
 	b.machine("vm-2", 1)
@@ -394,10 +267,10 @@
 	b.report("vm-1", 1, 0, running)
 	e := b.kept("vm-1", running.Task)
 	if e.Attempt != 77 {
-		t.Fatalf("not taken: %+v", e)
+		t.Fatalf("not in the queue: %+v", e)
 	}
 	if e.Kill {
-		t.Error("to be killed on the word of an old report")
+		t.Error("to be killed because of a heartbeat of an earlier term")
 	}
 	b.report("vm-1", 1, b.c.View.Term, running)
 	if !b.kept("vm-1", running.Task).Kill {
@@ -405,9 +278,9 @@
 	}
 }
 
-// TestOnlyMachineFailed: a job that failed on the only machine there is for it
-// waits a moment and is tried there again.
-func TestOnlyMachineFailed(t *testing.T) {
+// TestOnlyMachineIsRetriedAfterADelay: a job that failed on the only machine that fits is
+// retried there after a delay.
+func TestOnlyMachineIsRetriedAfterADelay(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
 	b.job("job-1", "free", 1)
@@ -418,16 +291,16 @@
 	b.report("vm-1", 1, 1) // forgotten there
 	b.step(message.Tick{})
 	if len(o.Placed) > 0 {
-		t.Error("tried again at once")
+		t.Error("retried at once")
 	}
 	b.now += Time(6 * time.Second)
 	b.report("vm-1", 1, 1)
 	b.step(message.Tick{})
 	if b.step(message.Tick{}); len(o.Placed) == 0 {
-		t.Error("not tried again")
+		t.Error("not retried")
 	}
 	b.machine("vm-2", 1)
 	if b.c.placer.Feasible(o, nil)(b.c.table.Machines["vm-1"]) {
-		t.Error("tried there again though there is another machine")
+		t.Error("retried there though there is another machine")
 	}
 }
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -9,23 +9,23 @@
 	"damsonkeel/internal/transport"
 )
 
-// TestReportsAreRefusedAtOnce: beyond what may wait, the report of the machine
-// answered last is refused at once, with when to come back; one that waited too
-// long is refused rather than handed to the core; only an answer that renews the
-// lease counts.
-func TestReportsAreRefusedAtOnce(t *testing.T) {
-	r := newHeartbeatQueue()
+// TestHeartbeatsBeyondTheBoundAreRefusedAtOnce: beyond what may wait, the heartbeat of the
+// machine answered last is refused at once, with the time until a retry; one that waited
+// too long is refused rather than handed to the core; only an answer that renews the lease
+// counts.
+func TestHeartbeatsBeyondTheBoundAreRefusedAtOnce(t *testing.T) {
+	queue := newHeartbeatQueue()
 	status := map[string]int{}
 	retry := map[string]int{}
 	add := func(now Time, id string) {
-		r.add(now, pendingHeartbeat{protocol.Heartbeat{Machine: protocol.MachineID(id)}, func(m *transport.Message) {
+		queue.add(now, pendingHeartbeat{protocol.Heartbeat{Machine: protocol.MachineID(id)}, func(m *transport.Message) {
 			status[id], retry[id] = m.Status, m.RetryAfterS
 		}})
 	}
 	now := Time(1e9)
 	clock := func() Time { return now }
 	answer := func(code int) string {
-		e, ok := r.next(clock)
+		e, ok := queue.next(clock)
 		if !ok {
 			t.Fatal("none waits")
 		}
@@ -35,7 +35,7 @@
 	add(now, "vm-answered")
 	add(now, "vm-sent-on")
 	for range 2 {
-		if answer(map[bool]int{true: 200, false: 421}[r.queue.Len() == 2]); len(status) == 0 {
+		if answer(map[bool]int{true: 200, false: 421}[queue.queue.Len() == 2]); len(status) == 0 {
 			t.Fatal("not answered")
 		}
 	}
@@ -49,14 +49,14 @@
 		add(now, fmt.Sprint("vm-", i))
 	}
 	if len(status) != 1 || status["vm-answered"] != 503 || retry["vm-answered"] == 0 {
-		t.Fatalf("refused %v, to come back after %v", status, retry)
+		t.Fatalf("refused %v, to retry after %v", status, retry)
 	}
 	if id := answer(200); id != "vm-sent-on" {
 		t.Errorf("%s goes first", id)
 	}
 	now += Time(heartbeatPatience) + 1
-	if _, ok := r.next(clock); ok {
-		t.Error("a report given up is handed to the core")
+	if _, ok := queue.next(clock); ok {
+		t.Error("a heartbeat that its worker has given up on is handed to the core")
 	}
 	if len(status) != maxPendingHeartbeats+1 || status["vm-7"] != 503 {
 		t.Errorf("%d answered of %d", len(status), maxPendingHeartbeats+1)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -43,7 +43,7 @@
 	mailbox     chan envelope
 	coreStopped chan struct{} // closed when the core's actor has ended
 	heartbeats  *heartbeatQueue
-	outbox      map[protocol.NodeName]*Outbox
+	outboxes    map[protocol.NodeName]*Outbox
 	peers       map[protocol.NodeName]*transport.Peer // for users' requests: calls of an outbox may wait
 	workers     *workerClients
 	commands    chan struct{} // holds one for each direct command under way
@@ -68,7 +68,7 @@
 		mailbox:     make(chan envelope, mailboxSize),
 		coreStopped: make(chan struct{}),
 		heartbeats:  newHeartbeatQueue(),
-		outbox:      map[protocol.NodeName]*Outbox{},
+		outboxes:    map[protocol.NodeName]*Outbox{},
 		peers:       map[protocol.NodeName]*transport.Peer{},
 		left:        make(chan struct{}),
 	}
@@ -76,7 +76,7 @@
 	for _, member := range settings.Members {
 		outbox := NewOutbox(settings.Name, transport.NewPeer(member.Peer), log)
 		outbox.excluded = func() { n.post(message.PeerLeads{Peer: member.Name}) }
-		n.outbox[member.Name] = outbox
+		n.outboxes[member.Name] = outbox
 		n.peers[member.Name] = transport.NewPeer(member.Peer)
 	}
 	_, commands := socketLimits(settings.Site.Limits.MaxConns)
@@ -97,7 +97,7 @@
 	if err := transport.ServePeers(n.settings.PeerBind, "Peer", &peerService{n}, n.log); err != nil {
 		return err //nolint:wrapcheck // shown to users as it is, and says what was being done
 	}
-	for _, outbox := range n.outbox {
+	for _, outbox := range n.outboxes {
 		go outbox.run(ctx)
 	}
 	go n.runCore(ctx)
--- a/internal/controller/outbox_test.go
+++ b/internal/controller/outbox_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOutbox: whatever is lost, repeated or answered late, the peer gets every
-// message but regular ones once and in order.
-func TestOutbox(t *testing.T) {
+// TestOutboxDeliversOnceAndInOrder: whatever is lost, repeated or answered late, the peer
+// gets every message but state updates once and in order.
+func TestOutboxDeliversOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := NewOutbox("node-0", nil, nil)
 		var got, next uint64
@@ -37,7 +37,7 @@
 				o.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Place: &message.Place{Number: sent}}})
 			case 2:
 				o.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Relay: &message.StateUpdate{}}})
-			case 3: // delivered, the answer lost or late
+			case 3: // delivered, the reply lost or late
 				if b, ok := o.Batch(); ok {
 					receive(b)
 					late = append(late, b)
@@ -59,28 +59,28 @@
 			o.HandleReply(b, message.BatchAccepted)
 		}
 		if got != sent {
-			t.Fatalf("%d of %d came", got, sent)
+			t.Fatalf("%d of %d arrived", got, sent)
 		}
 	})
 }
 
-// TestOutboxLateAnswer: an answer to a batch sent before must not free the
-// numbers of what has been sent since.
-func TestOutboxLateAnswer(t *testing.T) {
+// TestLateReplyFreesNoNumbers: a reply to a batch sent earlier must not free the numbers of
+// what has been sent since.
+func TestLateReplyFreesNoNumbers(t *testing.T) {
 	o := NewOutbox("node-0", nil, nil)
 	place := func(n uint64) {
 		o.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Place: &message.Place{Number: n}}})
 	}
-	summary := func() {
+	stateUpdate := func() {
 		o.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Relay: &message.StateUpdate{}}})
 	}
 	place(1)
 	first, _ := o.Batch()
-	summary()
+	stateUpdate()
 	second, _ := o.Batch() // delivered: the peer has numbers 0 and 1
 	place(2)
 	o.HandleReply(first, message.BatchAccepted)
-	summary()
+	stateUpdate()
 	for b, ok := o.Batch(); ok; b, ok = o.Batch() {
 		for i, m := range b.Messages {
 			if m.Place != nil && m.Place.Number == 2 && b.First+uint64(i) >= second.First+uint64(len(second.Messages)) {
@@ -89,5 +89,5 @@
 		}
 		o.HandleReply(b, message.BatchAccepted)
 	}
-	t.Fatal("the second placement has a number that the peer has already taken")
+	t.Fatal("the second placement has a number that the peer has already accepted")
 }
--- a/internal/controller/sessions_test.go
+++ b/internal/controller/sessions_test.go
@@ -11,15 +11,14 @@
 	"time"
 
 	"damsonkeel/internal/kvstore"
-
 	"damsonkeel/internal/protocol"
 )
 
-// TestWatchCountsFromWhenOpened: a watch's answer that the network holds back proves
-// what had changed when the watch was opened, not when it arrives: counted from then,
-// a controller answered workers for longer than cancellations allow.
+// TestWatchCountsFromWhenOpened: a watch's answer that the network delays proves what had
+// changed when the watch was opened, not when it arrives: counted from then, a controller
+// answered workers for longer than the bound on cancellations allows.
 func TestWatchCountsFromWhenOpened(t *testing.T) {
-	const heldBack = 700 * time.Millisecond
+	const delay = 700 * time.Millisecond
 	answers, err := protocol.Encode(protocol.Events{Revision: 5})
 	if err != nil {
 		t.Fatal(err)
@@ -34,25 +33,25 @@
 			<-r.Context().Done() // the second never answers
 			return
 		}
-		time.Sleep(heldBack)
+		time.Sleep(delay)
 		_, _ = w.Write(answers)
 	})}
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 
 	n := &Node{log: slog.New(slog.DiscardHandler), start: time.Now(), store: kvstore.NewClient(listener.Addr().String(), 1000, 1000, 1)}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*heldBack)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*delay)
 	defer cancel()
-	l := &leaseClock{ttl: 8 * time.Second}
-	l.extended.Store(int64(time.Hour))
+	leaseTimes := &leaseClock{ttl: 8 * time.Second}
+	leaseTimes.extended.Store(int64(time.Hour))
 	opened := n.now()
-	if err := n.watchRecords(ctx, 4, l); err == nil || !strings.Contains(err.Error(), "deadline") {
+	if err := n.watchRecords(ctx, 4, leaseTimes); err == nil || !strings.Contains(err.Error(), "deadline") {
 		t.Fatalf("the watch ended with %v", err)
 	}
 	if asked.Load() < 2 {
-		t.Fatal("no answer was taken: nothing is shown")
+		t.Fatal("no watch was answered: nothing is shown")
 	}
-	if late := time.Duration(l.deadline()) - time.Duration(LeaseDeadline(l.ttl, Time(time.Hour), opened)); late < 0 || late > heldBack/2 {
-		t.Errorf("acts %v longer than from when the watch was opened", late)
+	if late := time.Duration(leaseTimes.deadline()) - time.Duration(LeaseDeadline(leaseTimes.ttl, Time(time.Hour), opened)); late < 0 || late > delay/2 {
+		t.Errorf("the lease lasts %v longer than from when the watch was opened", late)
 	}
 }
--- a/internal/controller/wireform_test.go
+++ b/internal/controller/wireform_test.go
@@ -5,9 +5,8 @@
 	"reflect"
 	"testing"
 
-	"damsonkeel/internal/controller/holds"
-
 	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/holds"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/controller/resource"
@@ -17,9 +16,9 @@
 // What is sent and stored keeps its form (see internal/compat); here are those parts
 // whose types other packages can't name.
 
-// TestPeerMethods checks the calls that peers make: earlier versions know them by these
+// TestPeerMethodsKeepTheirForm checks the calls that peers make: earlier versions know them by these
 // names and with these arguments and replies.
-func TestPeerMethods(t *testing.T) {
+func TestPeerMethodsKeepTheirForm(t *testing.T) {
 	type call struct{ argument, reply reflect.Type }
 	want := map[string]call{
 		"Deliver": {reflect.TypeFor[message.Batch](), reflect.TypeFor[*message.BatchReply]()},
@@ -37,8 +36,9 @@
 	}
 }
 
-// TestHeldRecordForm checks the record of held room against one written earlier.
-func TestHeldRecordForm(t *testing.T) {
+// TestReservationHoldsRecordKeepsItsForm checks the record of the reservations' holds against
+// one written earlier.
+func TestReservationHoldsRecordKeepsItsForm(t *testing.T) {
 	const written = "" +
 		"a165686f6c647381a963666f72617264656e6473076466726f6d05646e656564a3624742fb400c00" +
 		"00000000006443505573fb3ff80000000000006447505573fb400400000000000065636c65617204" +
