--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -11,15 +11,20 @@
 // further actors that hold the session on the key-value store (lease and watch), pass
 // messages to each peer, command workers, and serve HTTP (package frontend).
 //
-// The decisions are made by the packages below, which import downwards only:
+// The decisions are made by the packages below, each of which imports only packages named
+// before it or beside it:
 //
-//   - clusterstate, ordered, clock, resource, reservation, replication, recordblock and
-//     message hold state and types that the modules share;
-//   - membership, workerregistry, dispatcher, waittable, workload, holds, jobs, placement,
-//     autoscaler and operatorrequest are the modules: each owns its state and asks for
-//     actions by the outputs of clusterstate;
+//   - clock, resource, reservation, binpack, forecast, ordered, sharding, replication,
+//     ratelimit, heartbeat, recordblock and dynamicconfig are types and algorithms without
+//     a view of the cluster;
+//   - message holds the messages to a Core, its actions and the messages of peers; outcome
+//     translates errors into message.Outcome;
+//   - clusterstate is the state that all modules share;
+//   - membership, workerregistry, dispatcher and waittable, then workload and holds, then
+//     jobs, placement, autoscaler and operatorrequest are the modules: each owns its state
+//     and asks for actions by the outputs of clusterstate;
 //   - admission decides the answers to users in a step function of its own, whose actor is
-//     package frontend.
+//     in frontend.
 //
 // None of them imports this package. What concerns several modules in a fixed order, such
 // as adopting a view or the end of a job, belongs here; what one module decides by itself
