--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -100,15 +100,15 @@
 	if c.rates == nil {
 		c.rates = ratelimit.NewLedger[protocol.LeaseID](c.equalAllotment(), now)
 	}
-	c.dispatch(msg)
+	c.handleMessage(msg)
 	c.settle()
 	c.members.ChangeShards(c.dispatcher.RequestedShardChanges())
 	c.dispatcher.SendDirectCommands()
 	return c.Actions
 }
 
-// dispatch passes a message to the module that it concerns.
-func (c *Core) dispatch(msg any) { //nolint:gocyclo // a plain dispatching switch
+// handleMessage passes a message to the module that it concerns.
+func (c *Core) handleMessage(msg any) { //nolint:gocyclo // a plain dispatching switch
 	switch m := msg.(type) {
 	case message.Snapshot:
 		c.beginSession(m)
