--- a/internal/scale/atlimit.go
+++ b/internal/scale/atlimit.go
@@ -19,8 +19,8 @@
 	}
 	events := slices.Clone(h.events)
 	slices.SortStableFunc(events, func(a, b rules.MachineEvent) int { return cmp.Compare(a.At, b.At) })
-	uploads := slices.DeleteFunc(slices.Clone(h.users), func(e rules.UserEvent) bool { return e.Kind != rules.UserUploads })
-	slices.SortStableFunc(uploads, func(a, b rules.UserEvent) int { return cmp.Compare(a.Asked, b.Asked) })
+	uploads := slices.DeleteFunc(slices.Clone(h.users), func(e rules.UserEvent) bool { return e.Kind != rules.UserDescribes })
+	slices.SortStableFunc(uploads, func(a, b rules.UserEvent) int { return cmp.Compare(a.RequestedAt, b.RequestedAt) })
 	use, found, next := map[protocol.Team]float64{}, map[protocol.JobID]bool{}, 0
 	onMachines := newTracker()
 	onMachines.changed = func(task protocol.TaskID, by float64) {
@@ -28,8 +28,8 @@
 		use[job.Team] += by * job.CPUs
 	}
 	note := func(until time.Duration) {
-		for ; next < len(uploads) && uploads[next].Asked <= until; next++ {
-			job := uploads[next].Details
+		for ; next < len(uploads) && uploads[next].RequestedAt <= until; next++ {
+			job := uploads[next].Description
 			if limit := limits[job.Team]; limit > 0 {
 				found[job.ID] = use[job.Team]+job.CPUs*float64(job.Tasks) > limit
 			}
--- a/internal/scale/figures.go
+++ b/internal/scale/figures.go
@@ -116,7 +116,7 @@
 func (h *Hub) figures() *HubFigures {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	terms := rules.Terms{CancelS: h.site.Timings.CancelS, Limits: h.limits, WithinS: config.ConfiguredWithin.Seconds()}
+	terms := rules.Requirements{CancelGraceS: h.site.Timings.CancelS, LimitChanges: h.limits, LimitGraceS: config.ConfiguredWithin.Seconds()}
 	for _, t := range siteSettings(h.site).Teams {
 		terms.Teams = append(terms.Teams, rules.Team{Name: t.Name, MaxCPUs: t.MaxCPUs})
 	}
@@ -151,7 +151,7 @@
 func startTimes(events []rules.MachineEvent) []time.Duration {
 	var at []time.Duration
 	for _, e := range events {
-		if e.Kind == rules.TaskOn {
+		if e.Kind == rules.TaskStarted {
 			at = append(at, e.At)
 		}
 	}
@@ -189,10 +189,10 @@
 	at = map[protocol.JobID]time.Duration{}
 	cancelled := map[protocol.JobID]bool{}
 	for _, e := range h.users {
-		end = max(end, e.Answered)
+		end = max(end, e.AnsweredAt)
 		switch e.Kind {
-		case rules.UserUploads:
-			at[e.Job] = e.Asked
+		case rules.UserDescribes:
+			at[e.Job] = e.RequestedAt
 		case rules.UserCancels:
 			cancelled[e.Job] = true
 		}
@@ -257,9 +257,9 @@
 		job := h.jobs[e.Task.Job]
 		isGang := job.Kind == protocol.KindGang && job.Tasks > 1
 		switch {
-		case e.Kind == rules.TaskOn && !isGang:
+		case e.Kind == rules.TaskStarted && !isGang:
 			note(e.Task, e.At)
-		case e.Kind == rules.GangRuns:
+		case e.Kind == rules.GangRunning:
 			for i := range job.Tasks {
 				note(protocol.TaskID{Job: job.ID, Index: i}, e.At)
 			}
--- a/internal/scale/hub.go
+++ b/internal/scale/hub.go
@@ -133,18 +133,18 @@
 	job := h.jobs[e.Task.Job]
 	isGang := job.Kind == protocol.KindGang && job.Tasks > 1
 	switch {
-	case e.Kind == rules.MachineGone:
+	case e.Kind == rules.MachineLost:
 		for key, tasks := range h.gangs.gone(e.Machine) {
 			for _, task := range tasks {
 				h.gangOff(key, task, "")
 			}
 		}
-	case e.Kind == rules.TaskOn && isGang:
+	case e.Kind == rules.TaskStarted && isGang:
 		if h.gangs.on(job, e) {
-			h.events = append(h.events, rules.MachineEvent{At: Now(), Kind: rules.GangRuns, Task: e.Task, Attempt: e.Attempt})
+			h.events = append(h.events, rules.MachineEvent{At: Now(), Kind: rules.GangRunning, Task: e.Task, Attempt: e.Attempt})
 			h.directAll(Directive{Kind: DirectGangComplete, Job: job.ID, Attempt: e.Attempt})
 		}
-	case e.Kind == rules.TaskOff && isGang:
+	case e.Kind == rules.TaskEnded && isGang:
 		h.gangOff(gangKey{job.ID, e.Attempt}, e.Task, e.Cause)
 	}
 }
@@ -183,7 +183,7 @@
 	defer h.mu.Unlock()
 	for id, job := range in.Jobs {
 		h.jobs[id] = job
-		h.users = append(h.users, rules.UserEvent{Asked: Now(), Answered: Now(), Kind: rules.UserUploads, Job: id, Details: job})
+		h.users = append(h.users, rules.UserEvent{RequestedAt: Now(), AnsweredAt: Now(), Kind: rules.UserDescribes, Job: id, Description: job})
 	}
 	return nil
 }
--- a/internal/scale/operator.go
+++ b/internal/scale/operator.go
@@ -187,7 +187,7 @@
 		late := asked - made.answered
 		o.oldest = max(o.oldest, late)
 		if late > config.ConfiguredWithin {
-			o.broken = append(o.broken, rules.Violation{Rule: "configuration", At: asked, What: fmt.Sprintf("%s acts by revision %d, %d was made %v ago", c.Name, c.Revision, made.revision, late)})
+			o.broken = append(o.broken, rules.Violation{Rule: "configuration", At: asked, Detail: fmt.Sprintf("%s acts by revision %d, %d was made %v ago", c.Name, c.Revision, made.revision, late)})
 		}
 	}
 }
@@ -252,7 +252,7 @@
 	for _, made := range sortedByRevision(o.made) {
 		if made.limit != nil {
 			change := *made.limit
-			change.Asked, change.Answered = made.asked, made.answered
+			change.RequestedAt, change.AnsweredAt = made.asked, made.answered
 			changes = append(changes, change)
 		}
 	}
--- a/internal/scale/result.go
+++ b/internal/scale/result.go
@@ -152,7 +152,7 @@
 	r.Timeline = h.Timeline
 }
 
-func violation(v rules.Violation) string { return fmt.Sprintf("%s: %s", v.Rule, v.What) }
+func violation(v rules.Violation) string { return fmt.Sprintf("%s: %s", v.Rule, v.Detail) }
 
 // complete adds what this process has measured of the others.
 func (r *Result) complete(run *run) {
--- /dev/null
+++ b/internal/scale/rules/replay.go
@@ -0,0 +1,117 @@
+package rules
+
+import (
+	"time"
+
+	"damsonkeel/internal/protocol"
+)
+
+// replay applies the next machine event to the checker's view of the machines.
+func (c *checker) replay(e MachineEvent) {
+	c.lastEvent = max(c.lastEvent, e.At)
+	switch e.Kind {
+	case MachineUp:
+		c.machines[e.Machine] = e
+		c.tasksOn[e.Machine] = map[protocol.TaskID]bool{}
+	case MachineLost:
+		for task := range c.tasksOn[e.Machine] {
+			c.taskEnded(e.Machine, task, e.At)
+		}
+	case TaskStartAccepted:
+		c.startAccepted[e.Task] = e.At
+	case TaskStarted:
+		c.taskStarted(e)
+	case TaskEnded:
+		c.taskEnded(e.Machine, e.Task, e.At)
+		if e.Cause == protocol.EndDone {
+			c.taskCompleted(e)
+		}
+	}
+}
+
+// taskCompleted records a completed task; the tasks of a gang complete together.
+func (c *checker) taskCompleted(e MachineEvent) {
+	job := c.jobs[e.Task.Job]
+	if job.Kind != protocol.KindGang {
+		c.markCompleted(e.Task, e.At)
+		return
+	}
+	for i := range job.Tasks {
+		c.markCompleted(protocol.TaskID{Job: job.ID, Index: i}, e.At)
+	}
+}
+
+// markCompleted records when a task first completed.
+func (c *checker) markCompleted(task protocol.TaskID, at time.Duration) {
+	if _, before := c.completed[task]; !before {
+		c.completed[task] = at
+	}
+}
+
+// taskStarted checks the rules for a start and adds the task to its machine.
+func (c *checker) taskStarted(e MachineEvent) {
+	c.starts++
+	if other, there := c.machineOf[e.Task]; there && other != e.Machine {
+		c.violation(RuleRanTwice, e.At, "%v starts on %s while on %s", e.Task, e.Machine, other)
+	}
+	job, known := c.jobs[e.Task.Job]
+	if !known {
+		c.violation(RuleWrongPlace, e.At, "%v starts, which nobody has submitted", e.Task)
+		return
+	}
+	if confirmed, ok := c.cancelConfirmed[job.ID]; ok && e.At > confirmed+c.cancelGrace() {
+		c.violation(RuleRanCancelled, e.At, "%v starts on %s %v after its cancellation was confirmed", e.Task, e.Machine, e.At-confirmed)
+	}
+	c.checkPlacement(e, job)
+	if c.tasksOn[e.Machine][e.Task] {
+		return
+	}
+	c.addTask(e, job)
+}
+
+// addTask adds a task to its machine and checks its team's limit.
+func (c *checker) addTask(e MachineEvent, job protocol.Job) {
+	if c.tasksOn[e.Machine] == nil {
+		c.tasksOn[e.Machine] = map[protocol.TaskID]bool{}
+	}
+	c.tasksOn[e.Machine][e.Task] = true
+	c.machineOf[e.Task] = e.Machine
+	c.usedCPUs[job.Team] += job.CPUs
+	if limit := c.effectiveLimit(e, job.Team); limit > 0 && c.usedCPUs[job.Team] > limit+cpuTolerance {
+		c.violation(RuleQuota, e.At, "%s uses %v processors of at most %v", job.Team, c.usedCPUs[job.Team], limit)
+	}
+}
+
+// taskEnded removes a task from its machine.
+func (c *checker) taskEnded(machine protocol.MachineID, task protocol.TaskID, at time.Duration) {
+	if !c.tasksOn[machine][task] {
+		return
+	}
+	delete(c.tasksOn[machine], task)
+	if c.machineOf[task] == machine {
+		delete(c.machineOf, task)
+	}
+	job := c.jobs[task.Job]
+	c.usedCPUs[job.Team] -= job.CPUs
+	c.checkCancelGrace(machine, task, at)
+}
+
+// checkCancelGrace checks that a task was not on a machine longer than allowed after
+// its cancellation was confirmed.
+func (c *checker) checkCancelGrace(machine protocol.MachineID, task protocol.TaskID, until time.Duration) {
+	if confirmed, ok := c.cancelConfirmed[task.Job]; ok && until > confirmed+c.cancelGrace() {
+		c.violation(RuleRanCancelled, until, "%v is on %s %v after its cancellation was confirmed", task, machine, until-confirmed)
+	}
+}
+
+// cancelGrace is how long tasks may stay after a confirmed cancellation.
+func (c *checker) cancelGrace() time.Duration {
+	return time.Duration(c.requirements.CancelGraceS * float64(time.Second))
+}
+
+// checkRemainingTasks checks the tasks that are still on machines at the end.
+func (c *checker) checkRemainingTasks() {
+	for task, machine := range c.machineOf {
+		c.checkCancelGrace(machine, task, c.lastEvent)
+	}
+}
--- a/internal/scale/timeline.go
+++ b/internal/scale/timeline.go
@@ -28,7 +28,7 @@
 	if len(h.users) == 0 {
 		return nil
 	}
-	begin := h.users[0].Asked
+	begin := h.users[0].RequestedAt
 	events := slices.Clone(h.events)
 	slices.SortStableFunc(events, func(a, b rules.MachineEvent) int { return cmp.Compare(a.At, b.At) })
 	var points []TimelinePoint
@@ -39,7 +39,7 @@
 			points = append(points, TimelinePoint{(next - begin).Seconds(), float64(starts) / timelineStep.Seconds(), count.running(), count.machines})
 			starts, next = 0, next+timelineStep
 		}
-		if count.take(e); e.Kind == rules.TaskOn {
+		if count.take(e); e.Kind == rules.TaskStarted {
 			starts++
 		}
 	}
@@ -59,13 +59,13 @@
 	submitted, accepted := map[protocol.JobID]time.Duration{}, map[protocol.JobID]time.Duration{}
 	for _, e := range h.users {
 		switch {
-		case e.Kind == rules.UserUploads:
-			submitted[e.Job] = e.Asked
+		case e.Kind == rules.UserDescribes:
+			submitted[e.Job] = e.RequestedAt
 		case e.Kind == rules.UserSubmits && e.Status/100 == 2 && accepted[e.Job] == 0:
-			accepted[e.Job] = e.Answered
+			accepted[e.Job] = e.AnsweredAt
 		}
 	}
-	ordered, on := firstOf(h.events, rules.TaskOrdered), firstOf(h.events, rules.TaskOn)
+	ordered, on := firstOf(h.events, rules.TaskStartAccepted), firstOf(h.events, rules.TaskStarted)
 	var stages [3]*hdrhistogram.Histogram
 	for i := range stages {
 		stages[i] = newHistogram()
--- a/internal/scale/tracker.go
+++ b/internal/scale/tracker.go
@@ -23,19 +23,19 @@
 	switch e.Kind {
 	case rules.MachineUp:
 		t.machines++
-	case rules.MachineGone:
+	case rules.MachineLost:
 		t.machines--
 		for task, machine := range t.on {
 			if machine == e.Machine {
 				t.left(task)
 			}
 		}
-	case rules.TaskOn:
+	case rules.TaskStarted:
 		if _, there := t.on[e.Task]; !there {
 			t.tell(e.Task, 1)
 		}
 		t.on[e.Task] = e.Machine
-	case rules.TaskOff:
+	case rules.TaskEnded:
 		t.left(e.Task)
 	}
 }
--- a/internal/scale/tracker_test.go
+++ b/internal/scale/tracker_test.go
@@ -19,18 +19,18 @@
 	upload := func(at time.Duration, id protocol.JobID, cpus float64) {
 		job := protocol.Job{ID: id, Class: urgentClass, Team: "bound00", Kind: protocol.KindJobArray, Tasks: 1, CPUs: cpus}
 		h.jobs[id] = job
-		h.users = append(h.users, rules.UserEvent{Asked: at, Answered: at, Kind: rules.UserUploads, Job: id, Details: job})
+		h.users = append(h.users, rules.UserEvent{RequestedAt: at, AnsweredAt: at, Kind: rules.UserDescribes, Job: id, Description: job})
 	}
 	event := func(at time.Duration, kind rules.MachineEventKind, machine protocol.MachineID, id protocol.JobID) {
 		h.events = append(h.events, rules.MachineEvent{At: at, Kind: kind, Machine: machine, Task: protocol.TaskID{Job: id}})
 	}
 	upload(0, "job-large", 38)
-	event(time.Second, rules.TaskOn, "m1", "job-large")
+	event(time.Second, rules.TaskStarted, "m1", "job-large")
 	upload(2*time.Second, "job-fits", 2)
 	upload(3*time.Second, "job-waits", 3)
-	event(4*time.Second, rules.MachineGone, "m1", "")
+	event(4*time.Second, rules.MachineLost, "m1", "")
 	upload(5*time.Second, "job-after", 3)
-	event(6*time.Second, rules.TaskOn, "m2", "job-waits")
+	event(6*time.Second, rules.TaskStarted, "m2", "job-waits")
 	got := h.atLimit()
 	for id, want := range map[protocol.JobID]bool{"job-large": false, "job-fits": false, "job-waits": true, "job-after": false} {
 		if got[id] != want {
--- a/internal/scale/users.go
+++ b/internal/scale/users.go
@@ -184,11 +184,11 @@
 
 // request sends one request and keeps what came of it.
 func (r *usersRole) request(ctx context.Context, kind rules.UserEventKind, job protocol.JobID, method, target string, body []byte, wait time.Duration) rules.UserEvent {
-	e := rules.UserEvent{Asked: Now(), Kind: kind, Job: job}
+	e := rules.UserEvent{RequestedAt: Now(), Kind: kind, Job: job}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	m, err := r.balancer.do(ctx, method, target, body)
-	e.Answered = Now()
+	e.AnsweredAt = Now()
 	var status protocol.JobStatus
 	if err == nil {
 		e.Status = m.Status
@@ -209,7 +209,7 @@
 		r.unanswered++
 		return
 	}
-	observe(r.polls, e.Answered-e.Asked)
+	observe(r.polls, e.AnsweredAt-e.RequestedAt)
 }
 
 // exchanges passes what users saw to the hub.
--- a/internal/scale/workers.go
+++ b/internal/scale/workers.go
@@ -176,22 +176,22 @@
 
 // Gone notes a machine that is gone.
 func (r *workersRole) Gone(id protocol.MachineID, at time.Duration) {
-	r.note(rules.MachineEvent{At: at, Kind: rules.MachineGone, Machine: id})
+	r.note(rules.MachineEvent{At: at, Kind: rules.MachineLost, Machine: id})
 }
 
 // Ordered notes a task whose start was taken.
 func (r *workersRole) Ordered(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration) {
-	r.note(rules.MachineEvent{At: at, Kind: rules.TaskOrdered, Machine: id, Task: task, Attempt: attempt})
+	r.note(rules.MachineEvent{At: at, Kind: rules.TaskStartAccepted, Machine: id, Task: task, Attempt: attempt})
 }
 
 // On notes a task that has come onto its machine.
 func (r *workersRole) On(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration) {
-	r.note(rules.MachineEvent{At: at, Kind: rules.TaskOn, Machine: id, Task: task, Attempt: attempt})
+	r.note(rules.MachineEvent{At: at, Kind: rules.TaskStarted, Machine: id, Task: task, Attempt: attempt})
 }
 
 // Off notes a task that has left its machine.
 func (r *workersRole) Off(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, cause protocol.EndCause, at time.Duration) {
-	r.note(rules.MachineEvent{At: at, Kind: rules.TaskOff, Machine: id, Task: task, Attempt: attempt, Cause: cause})
+	r.note(rules.MachineEvent{At: at, Kind: rules.TaskEnded, Machine: id, Task: task, Attempt: attempt, Cause: cause})
 }
 
 func (r *workersRole) note(e rules.MachineEvent) {
