--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -160,7 +160,7 @@
 			settle(reply)
 			return
 		}
-		w.transact(n, *txn, func(out message.Outcome, _ protocol.Revision) {
+		n.transact(*txn, func(out message.Outcome, _ protocol.Revision) {
 			if turn++; out == message.OutcomeDone {
 				settle(reply)
 				return
@@ -233,12 +233,12 @@
 		},
 		"one hears the records, but reaches neither its peers nor the state service": func(w *configuredWorld, _ *simNode) {
 			w.cut(string(w.nodes[2].name), "state", 30*time.Second, false)
-			w.cutFromPeers(w.nodes[2], 30*time.Second, true)
+			w.nodes[2].cutFromPeers(30*time.Second, true)
 		},
 		"a zone with a controller is apart": func(w *configuredWorld, _ *simNode) {
 			w.part("b", true, 60*time.Second, true)
 		},
-		"one restarts meanwhile": func(w *configuredWorld, _ *simNode) { w.crashFor(w.nodes[1], 200*time.Millisecond) },
+		"one restarts meanwhile": func(w *configuredWorld, _ *simNode) { w.nodes[1].crashFor(200 * time.Millisecond) },
 		"all restart":            func(w *configuredWorld, _ *simNode) { w.rollBySignal() },
 		"shares move": func(w *configuredWorld, _ *simNode) {
 			for i := range 20 {
@@ -281,7 +281,7 @@
 	for at := time.Duration(0); at < 200*time.Millisecond; at += 10 * time.Millisecond {
 		w := newConfigured(t, 930+uint64(at/time.Millisecond), 3, 12)
 		w.limit(0, "bound", 24)
-		w.after(at, func() { w.crash(w.nodes[0]) })
+		w.after(at, func() { w.nodes[0].crash() })
 		w.run(w.now + 30*time.Second)
 		w.allActBy(t, 1)
 	}
@@ -319,7 +319,7 @@
 		})
 	}
 	w.after(20*time.Second, func() { w.nodes[1].frozen = w.now + 15*time.Second })
-	w.after(45*time.Second, func() { w.crashFor(w.nodes[2], time.Second) })
+	w.after(45*time.Second, func() { w.nodes[2].crashFor(time.Second) })
 	w.busy(70 * time.Second)
 	w.run(w.now + 20*time.Second)
 	w.scan()
@@ -375,7 +375,7 @@
 	}
 	w.limit(0, "bound", 24)
 	older := w.nodes[2]
-	w.crash(older)
+	older.crash()
 	w.after(100*time.Millisecond, func() { older.layout = record.LayoutShards })
 	w.layout = record.LayoutShards
 	w.run(w.now + 25*time.Second)
@@ -408,7 +408,7 @@
 				w.after(time.Duration(i)*700*time.Millisecond, func() { w.moveSome(8) })
 			}
 		},
-		"one is cut off from its peers": func(w *configuredWorld) { w.cutFromPeers(w.nodes[1], 25*time.Second, true) },
+		"one is cut off from its peers": func(w *configuredWorld) { w.nodes[1].cutFromPeers(25*time.Second, true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -135,7 +135,7 @@
 	w := newConfigured(t, 1100, 3, 20)
 	w.limit(0, "bound", 24)
 	w.after(2*time.Second, func() { w.moveSome(8) })
-	w.after(5*time.Second, func() { w.crash(w.nodes[1]) })
+	w.after(5*time.Second, func() { w.nodes[1].crash() })
 	w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 3, CPUs: 4, EstimateS: 10})
 	w.busy(15 * time.Second)
 	w.limit(2, "other", 30)
--- a/internal/simulator/frontends_test.go
+++ b/internal/simulator/frontends_test.go
@@ -29,10 +29,10 @@
 	if f.in != nil && f.life == f.n.life {
 		return true
 	}
-	f.life, f.in, f.replies = f.n.life, admission.New(w.settingsOf(f.n), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
+	f.life, f.in, f.replies = f.n.life, admission.New(f.n.settingsOf(), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
 	f.step(admission.Configured{Effective: f.n.core.ConfigurationInForce()})
 	if w.now > 0 { // some time passes before it knows the machine types
-		w.alive(f.n, time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
+		f.n.alive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
 	} else {
 		f.step(admission.TypesRead{Types: w.types})
 	}
@@ -57,17 +57,17 @@
 		return
 	}
 	if w.now < f.n.frozen {
-		w.alive(f.n, f.n.frozen-w.now, func() { f.step(msg) })
+		f.n.alive(f.n.frozen-w.now, func() { f.step(msg) })
 		return
 	}
-	for _, a := range f.in.Step(w.clock(f.n), msg) {
+	for _, a := range f.in.Step(f.n.clock(), msg) {
 		f.carryOut(a)
 	}
 }
 
 // later gives the process a message after a while, unless it has ended by then.
 func (f *frontend) later(d time.Duration, msg any) {
-	f.u.alive(f.n, d, func() { f.step(msg) })
+	f.n.alive(d, func() { f.step(msg) })
 }
 
 func (f *frontend) carryOut(a admission.Action) {
@@ -101,7 +101,7 @@
 			return c
 		}, func(out message.Outcome) any { return admission.Compared{Look: a.Look, Outcome: out} })
 	case admission.Write:
-		w.transact(f.n, a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
+		f.n.transact(a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
 	case admission.QueryOwners:
 		f.step(f.n.core.AnswerOwnerQuery(a))
 	case admission.PassOn:
@@ -114,7 +114,7 @@
 	case admission.Announce:
 		f.u.halt(f, a)
 	case admission.Wake:
-		f.later(time.Duration(a.At-w.clock(f.n)), admission.Tick{})
+		f.later(time.Duration(a.At-f.n.clock()), admission.Tick{})
 	}
 }
 
@@ -122,12 +122,12 @@
 func (f *frontend) read(answer func() any, without func(message.Outcome) any) {
 	w := f.u.world
 	switch {
-	case w.outage <= w.now && !w.stateReachable(f.n) && w.cuts[string(f.n.name)+">state"].hold:
+	case w.outage <= w.now && !f.n.stateReachable() && w.cuts[string(f.n.name)+">state"].hold:
 		f.later(1500*time.Millisecond, without(message.OutcomeUnknown))
-	case !w.stateReachable(f.n):
+	case !f.n.stateReachable():
 		f.later(w.delay(), without(message.OutcomeRefused))
 	default:
-		w.alive(f.n, w.delay()+w.slow/2, func() {
+		f.n.alive(w.delay()+w.slow/2, func() {
 			got := answer()
 			if w.rng.IntN(30) == 0 {
 				f.later(1500*time.Millisecond, without(message.OutcomeUnknown))
@@ -150,13 +150,13 @@
 		if to.core == nil {
 			return
 		}
-		w.alive(to, max(0, to.frozen-w.now), func() {
-			w.stepNode(to, message.JobCancelled{Job: a.Job})
+		to.alive(max(0, to.frozen-w.now), func() {
+			to.stepNode(message.JobCancelled{Job: a.Job})
 			w.carry(string(a.To), string(f.n.name), func() { f.later(0, admission.Announced{Job: a.Job, By: a.To}) })
 		})
 	}
 	if to == f.n {
-		w.stepNode(to, message.JobCancelled{Job: a.Job})
+		to.stepNode(message.JobCancelled{Job: a.Job})
 		f.later(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
--- a/internal/simulator/guests_test.go
+++ b/internal/simulator/guests_test.go
@@ -59,7 +59,7 @@
 				w.submit(protocol.Job{Class: "idle", Team: "guest", Kind: protocol.KindJobArray, Priority: "low", Tasks: 150, CPUs: 1, EstimateS: 90, Spot: true})
 			}
 			if i == 45 {
-				w.crash(w.nodes[i%3])
+				w.nodes[i%3].crash()
 			}
 			w.run(w.now + time.Second)
 		}
--- a/internal/simulator/hard_test.go
+++ b/internal/simulator/hard_test.go
@@ -78,7 +78,7 @@
 	t.Parallel()
 	w := newFleet(t, 1)
 	for _, n := range w.nodes {
-		w.crashFor(n, 25*time.Second) // leases last 15 s
+		n.crashFor(25 * time.Second) // leases last 15 s
 	}
 	w.run(w.now + 25*time.Second)
 	if w.lapsed < hardFleet*9/10 {
@@ -144,7 +144,7 @@
 	w := newFleet(t, 4)
 	w.slow = 450 * time.Millisecond
 	w.submitEvery(time.Second, 6*time.Second)
-	w.crashFor(w.nodes[2], 30*time.Second)
+	w.nodes[2].crashFor(30 * time.Second)
 	w.submitEvery(time.Second, 28*time.Second)
 	if n := w.kept(); n < hardFleet*8/10 {
 		t.Errorf("%d machines kept by the two that are left", n)
@@ -159,8 +159,8 @@
 func TestOneKeepsAll(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 5)
-	w.crashFor(w.nodes[0], 60*time.Second)
-	w.crashFor(w.nodes[1], 60*time.Second)
+	w.nodes[0].crashFor(60 * time.Second)
+	w.nodes[1].crashFor(60 * time.Second)
 	w.submitEvery(time.Second, 18*time.Second)
 	lapsed, starts := w.lapsed, w.starts
 	w.submitEvery(time.Second, 30*time.Second)
--- a/internal/simulator/machines.go
+++ b/internal/simulator/machines.go
@@ -11,6 +11,7 @@
 )
 
 type simWorker struct {
+	world *world
 	*fake.Worker
 	target  int
 	nextAt  time.Duration
@@ -30,7 +31,7 @@
 			info = t
 		}
 	}
-	sw := &simWorker{target: w.rng.IntN(w.settings.Site.Count), Worker: &fake.Worker{
+	sw := &simWorker{world: w, target: w.rng.IntN(w.settings.Site.Count), Worker: &fake.Worker{
 		ID: id, Info: info, Zone: r.Zone, Spot: r.Spot, LeaseS: w.settings.Site.Workers.LeaseS, Results: w.results,
 		GangWait: time.Duration(w.settings.Site.Workers.GangWaitS) * time.Second,
 		Jobs:     func(j protocol.JobID) (protocol.Job, bool) { job, ok := w.jobs[j]; return job, ok },
@@ -53,13 +54,15 @@
 
 // tickWorker lets time pass on a machine before it is told something, in an exact
 // world; elsewhere time passes for all at each step.
-func (w *world) tickWorker(sw *simWorker) {
+func (sw *simWorker) tickWorker() {
+	w := sw.world
 	if w.exact {
-		w.tick(sw)
+		sw.tick()
 	}
 }
 
-func (w *world) tick(sw *simWorker) {
+func (sw *simWorker) tick() {
+	w := sw.world
 	session := sw.Session
 	if w.now < sw.hung {
 		sw.Skip(w.now)
@@ -85,7 +88,8 @@
 	}
 }
 
-func (w *world) report(sw *simWorker) {
+func (sw *simWorker) report() {
+	w := sw.world
 	if w.now < sw.hung {
 		sw.nextAt = sw.hung + w.delay()
 		return
@@ -96,7 +100,7 @@
 		return
 	}
 	sw.waiting = true
-	w.tickWorker(sw)
+	sw.tickWorker()
 	sent, r := w.now, sw.Report()
 	if w.forNext && len(w.keptReports) < keptReportsMost {
 		w.keptReports = append(w.keptReports, r)
@@ -116,10 +120,10 @@
 	if w.lateReports > 0 && w.rng.Float64() < w.lateReports {
 		// Its answer goes to nobody, but whatever else it has the controller do.
 		w.after(2*time.Second+time.Duration(w.rng.Float64()*2*w.settings.Site.Workers.LeaseS*float64(time.Second)), func() {
-			w.stepNode(n, message.HeartbeatReceived{Heartbeat: r})
+			n.stepNode(message.HeartbeatReceived{Heartbeat: r})
 		})
 	}
-	w.carryToZone(n, sw.Zone, func() {
+	n.carryToZone(sw.Zone, func() {
 		if n.core == nil {
 			if !over {
 				sw.target = (sw.target + 1) % len(w.nodes)
@@ -127,7 +131,7 @@
 			}
 			return
 		}
-		for _, a := range w.stepNode(n, message.HeartbeatReceived{Heartbeat: r}) {
+		for _, a := range n.stepNode(message.HeartbeatReceived{Heartbeat: r}) {
 			rr, ok := a.(message.ReplyHeartbeat)
 			if !ok {
 				continue
@@ -145,7 +149,7 @@
 				switch rr.Status {
 				case 200:
 					before := sw.Term
-					w.tickWorker(sw)
+					sw.tickWorker()
 					sw.Answer(r.AgentEpoch, sent, rr.Reply)
 					sw.due = w.now
 					next(time.Duration(w.settings.Site.Workers.ReportS * float64(time.Second)))
@@ -180,7 +184,7 @@
 	w.viewAt = it.Version
 	for _, r := range w.keptReports {
 		for _, n := range w.nodes {
-			w.after(time.Duration(w.rng.IntN(500))*time.Millisecond, func() { w.stepNode(n, message.HeartbeatReceived{Heartbeat: r}) })
+			w.after(time.Duration(w.rng.IntN(500))*time.Millisecond, func() { n.stepNode(message.HeartbeatReceived{Heartbeat: r}) })
 		}
 	}
 	w.keptReports = nil
--- a/internal/simulator/meetings_test.go
+++ b/internal/simulator/meetings_test.go
@@ -26,7 +26,8 @@
 }
 
 // cutFromPeers cuts a controller from all others.
-func (w *world) cutFromPeers(n *simNode, d time.Duration, hold bool) {
+func (n *simNode) cutFromPeers(d time.Duration, hold bool) {
+	w := n.world
 	for _, p := range w.nodes {
 		w.cut(string(n.name), string(p.name), d, hold)
 	}
@@ -43,7 +44,8 @@
 
 // refusedThenOut: the state service refuses a controller alone, jobs are cancelled
 // through the others meanwhile, then it is out for all, longer than cancel_s.
-func (w *world) refusedThenOut(n *simNode) {
+func (n *simNode) refusedThenOut() {
+	w := n.world
 	if w.now < 25*time.Second || w.outage > w.now {
 		return // there has to be something that runs
 	}
@@ -61,7 +63,7 @@
 	case 0:
 		w.after(refused/2, func() { n.frozen = max(n.frozen, w.now+time.Duration(3+w.rng.IntN(37))*time.Second) })
 	case 1:
-		w.after(refused/2, func() { w.crashFor(n, 200*time.Millisecond) })
+		w.after(refused/2, func() { n.crashFor(200 * time.Millisecond) })
 	case 2:
 		w.after(refused/2, func() { w.moveSome(16) })
 	}
@@ -79,11 +81,11 @@
 		w.after(d, func() { w.heldUp = 0 })
 	case 0:
 		if w.rng.IntN(6) == 0 {
-			w.refusedThenOut(n)
+			n.refusedThenOut()
 		}
 	case 1: // cut from the records and from its peers, not from workers
 		w.cut(string(n.name), "state", d, hold)
-		w.cutFromPeers(n, d, hold)
+		n.cutFromPeers(d, hold)
 		w.cancelOver(3, d)
 	case 2, 3:
 		w.lateWrites = 0.1 + w.rng.Float64()/2
@@ -96,11 +98,11 @@
 	case 7, 8: // most within their lease
 		w.some(0.4, func(sw *simWorker) { sw.hung = w.now + time.Duration(300+w.rng.IntN(17_000))*time.Millisecond })
 	case 9:
-		w.crashFor(n, time.Duration(100+w.rng.IntN(900))*time.Millisecond)
+		n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 	case 10:
 		for _, n := range w.nodes {
 			if n != w.nodes[0] || w.rng.IntN(2) == 0 {
-				w.crashFor(n, time.Duration(100+w.rng.IntN(900))*time.Millisecond)
+				n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 			}
 		}
 	case 11:
@@ -161,7 +163,7 @@
 		case 4: // as in docs/incidents/2026-12-02-array-task-started-twice.md
 			if w.rng.IntN(4) == 0 {
 				for _, n := range w.nodes {
-					w.crashFor(n, time.Duration(100+w.rng.IntN(6000))*time.Millisecond)
+					n.crashFor(time.Duration(100+w.rng.IntN(6000)) * time.Millisecond)
 				}
 			}
 		}
@@ -196,7 +198,7 @@
 	out := time.Duration(w.settings.Site.Workers.CancelS)*time.Second + 10*time.Second
 	w.cut(string(n.name), "state", m.refused+out, m.hold)
 	if m.peers {
-		w.cutFromPeers(n, m.refused+out, m.hold)
+		n.cutFromPeers(m.refused+out, m.hold)
 	}
 	if m.do != nil {
 		m.do(w, n)
@@ -252,7 +254,7 @@
 		"all held back, peers too":          {refused: 5 * time.Second, peers: true, hold: true},
 		"it stands still for a moment":      {refused: 6 * time.Second, do: freeze(3 * time.Second)},
 		"it stands still for long":          {refused: 6 * time.Second, do: freeze(40 * time.Second)},
-		"it ends and is back at once":       {refused: 6 * time.Second, do: func(w *world, n *simNode) { w.after(2*time.Second, func() { w.crashFor(n, 200*time.Millisecond) }) }},
+		"it ends and is back at once":       {refused: 6 * time.Second, do: func(w *world, n *simNode) { w.after(2*time.Second, func() { n.crashFor(200 * time.Millisecond) }) }},
 		"shares move from and to it":        {refused: 4 * time.Second, do: func(w *world, _ *simNode) { w.moveSome(60) }},
 		"commands are held up":              {refused: 9 * time.Second, do: func(w *world, _ *simNode) { w.heldUp = 0.4 }},
 		"machines stand still":              {refused: 9 * time.Second, do: func(w *world, _ *simNode) { w.some(0.5, func(sw *simWorker) { sw.hung = w.now + 12*time.Second }) }},
@@ -310,7 +312,7 @@
 // over, with jobs of a few tasks that end far apart.
 func TestRulesHoldInEachMeeting(t *testing.T) {
 	back := func(w *world, most time.Duration) {
-		w.crashFor(w.nodes[w.rng.IntN(3)], 100*time.Millisecond+time.Duration(w.rng.Int64N(int64(most))))
+		w.nodes[w.rng.IntN(3)].crashFor(100*time.Millisecond + time.Duration(w.rng.Int64N(int64(most))))
 	}
 	for name, trouble := range map[string]func(*world){
 		"jobs end across changes of leader": func(w *world) { back(w, 9*time.Second) },
@@ -318,7 +320,7 @@
 			if n, d := w.nodes[w.rng.IntN(3)], time.Duration(4+w.rng.IntN(70))*time.Second; w.rng.IntN(6) == 0 {
 				hold := w.rng.IntN(2) == 0
 				w.cut(string(n.name), "state", d, hold)
-				w.cutFromPeers(n, d, hold)
+				n.cutFromPeers(d, hold)
 				w.cancelOver(4, d)
 			}
 		},
@@ -349,7 +351,7 @@
 		"slow, refused alone, out for all": func(w *world) {
 			w.slow = time.Duration(w.rng.IntN(4)) * 200 * time.Millisecond
 			if w.rng.IntN(8) == 0 {
-				w.refusedThenOut(w.nodes[w.rng.IntN(3)])
+				w.nodes[w.rng.IntN(3)].refusedThenOut()
 			}
 		},
 		"old reports come after newer ones": func(w *world) {
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -39,7 +39,8 @@
 
 // carryToZone is carry between a controller and a machine, whose zone may be
 // cut off from it.
-func (w *world) carryToZone(n *simNode, z protocol.Zone, deliver func()) {
+func (n *simNode) carryToZone(z protocol.Zone, deliver func()) {
+	w := n.world
 	if w.heldUp > 0 {
 		held := deliver
 		deliver = func() { w.after(w.workerDelay(), held) }
--- a/internal/simulator/nodes.go
+++ b/internal/simulator/nodes.go
@@ -22,6 +22,7 @@
 )
 
 type simNode struct {
+	world    *world
 	name     protocol.NodeName
 	core     *controller.Core
 	life     int // counts processes and sessions: answers to earlier ones are lost
@@ -42,13 +43,15 @@
 	busyUntil time.Duration
 }
 
-func (w *world) stateReachable(n *simNode) bool {
+func (n *simNode) stateReachable() bool {
+	w := n.world
 	c, ok := w.cuts[string(n.name)+">state"]
 	return w.outage <= w.now && (!ok || c.until <= w.now)
 }
 
 // settingsOf are a controller's own settings.
-func (w *world) settingsOf(n *simNode) *config.Settings {
+func (n *simNode) settingsOf() *config.Settings {
+	w := n.world
 	s := *w.settings
 	s.Name, s.Members = n.name, nil
 	for i, o := range w.nodes {
@@ -61,7 +64,8 @@
 	return &s
 }
 
-func (w *world) startNode(n *simNode) {
+func (n *simNode) startNode() {
+	w := n.world
 	n.life++
 	life := n.life
 	level := slog.LevelError + 1
@@ -76,7 +80,7 @@
 		return a
 	}
 	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level, ReplaceAttr: simulated})).With("node", n.name)
-	n.core = controller.NewCore(w.settingsOf(n), w.operator, rand.New(rand.NewPCG(w.rng.Uint64(), 2)), log)
+	n.core = controller.NewCore(n.settingsOf(), w.operator, rand.New(rand.NewPCG(w.rng.Uint64(), 2)), log)
 	n.born = w.now
 	n.session = 0
 	n.outboxes = map[protocol.NodeName]*simOutbox{}
@@ -84,32 +88,34 @@
 		name := protocol.NodeName(fmt.Sprint("node-", i))
 		n.outboxes[name] = &simOutbox{Outbox: controller.NewOutbox(n.name, nil, log)}
 	}
-	w.stepNode(n, message.CatalogueRead{Types: w.types})
-	w.after(w.delay(), func() { w.openSession(n, life) })
+	n.stepNode(message.CatalogueRead{Types: w.types})
+	w.after(w.delay(), func() { n.openSession(life) })
 }
 
-func (w *world) crash(n *simNode) { w.crashFor(n, 6*time.Second) }
+func (n *simNode) crash() { n.crashFor(6 * time.Second) }
 
 // crashFor ends a controller's process, and starts it again after a while.
-func (w *world) crashFor(n *simNode, d time.Duration) {
+func (n *simNode) crashFor(d time.Duration) {
+	w := n.world
 	n.life++
 	n.core = nil
 	life := n.life
 	w.after(d, func() {
 		if n.life == life {
 			n.layout = w.layout
-			w.startNode(n)
+			n.startNode()
 		}
 	})
 }
 
 // openSession does what Node.runSession does.
-func (w *world) openSession(n *simNode, life int) {
+func (n *simNode) openSession(life int) {
+	w := n.world
 	if n.life != life {
 		return
 	}
-	if !w.stateReachable(n) {
-		w.after(300*time.Millisecond, func() { w.openSession(n, life) })
+	if !n.stateReachable() {
+		w.after(300*time.Millisecond, func() { n.openSession(life) })
 		return
 	}
 	items, at := w.state.List(record.FollowedPrefix), w.state.Changes()
@@ -121,12 +127,16 @@
 		Changes:    []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout}, Lease: &lease}},
 	})
 	n.session, n.followed, n.extendAt = lease, at, w.now
-	w.stepNode(n, message.Snapshot{Session: lease, Items: items, WallMS: w.wallMS()})
+	n.stepNode(message.Snapshot{Session: lease, Items: items, WallMS: w.wallMS()})
 }
 
-func (w *world) clock(n *simNode) controller.Time { return controller.Time(w.now-n.born) + 1 }
+func (n *simNode) clock() controller.Time {
+	w := n.world
+	return controller.Time(w.now-n.born) + 1
+}
 
-func (w *world) stepNode(n *simNode, msg any) []message.Action {
+func (n *simNode) stepNode(msg any) []message.Action {
+	w := n.world
 	if n.core == nil {
 		return nil
 	}
@@ -134,45 +144,47 @@
 		life := n.life
 		w.after(n.frozen-w.now, func() {
 			if n.life == life {
-				w.stepNode(n, msg)
+				n.stepNode(msg)
 			}
 		})
 		return nil
 	}
-	actions := n.core.Step(w.clock(n), msg)
-	w.noteMoves(n)
-	w.carryOut(n, actions)
+	actions := n.core.Step(n.clock(), msg)
+	n.noteMoves()
+	n.carryOut(actions)
 	if w.exact && n.core != nil {
 		for _, to := range slices.Sorted(maps.Keys(n.outboxes)) {
-			w.flush(n, to, n.outboxes[to])
+			n.flush(to, n.outboxes[to])
 		}
 	}
 	return actions
 }
 
 // later gives a node's core a message, unless that process has ended.
-func (w *world) later(n *simNode, msg any) {
-	w.alive(n, w.delay(), func() { w.stepNode(n, msg) })
+func (n *simNode) later(msg any) {
+	w := n.world
+	n.alive(w.delay(), func() { n.stepNode(msg) })
 }
 
-func (w *world) carryOut(n *simNode, actions []message.Action) {
+func (n *simNode) carryOut(actions []message.Action) {
+	w := n.world
 	for _, a := range actions {
 		switch a := a.(type) {
 		case message.Send:
 			n.outboxes[a.To].Add(a)
 		case message.Commit:
-			w.commit(n, a)
+			n.commit(a)
 		case message.ConfigurationChanged:
 			w.configured(n, a.Effective)
 		case message.LoadBitmap:
-			ok := w.stateReachable(n)
-			w.later(n, message.BitmapLoaded{Job: a.Job, Chunks: w.state.List(record.BitmapPrefix(a.Job)), OK: ok})
+			ok := n.stateReachable()
+			n.later(message.BitmapLoaded{Job: a.Job, Chunks: w.state.List(record.BitmapPrefix(a.Job)), OK: ok})
 		case message.Command:
 			w.ordered(n, a.Commands.Orders)
-			w.command(n, a)
+			n.command(a)
 		case message.Provision:
 			if w.silent > w.now {
-				w.later(n, message.ProvisionDone{Request: a.Request, Outcome: message.OutcomeUnknown})
+				n.later(message.ProvisionDone{Request: a.Request, Outcome: message.OutcomeUnknown})
 				continue
 			}
 			all, fresh := w.cloud.Rent(a.Request)
@@ -188,20 +200,20 @@
 			if len(all) == 0 {
 				out = message.OutcomeFailed
 			}
-			w.later(n, message.ProvisionDone{Request: a.Request, Machines: all, Outcome: out})
+			n.later(message.ProvisionDone{Request: a.Request, Machines: all, Outcome: out})
 		case message.Terminate:
 			if w.silent > w.now {
-				w.later(n, message.TerminateDone{Machines: a.Machines})
+				n.later(message.TerminateDone{Machines: a.Machines})
 				continue
 			}
 			for _, id := range a.Machines {
 				w.kill(id)
 				delete(w.cloud.Machines, id)
 			}
-			w.later(n, message.TerminateDone{Machines: a.Machines, OK: true})
+			n.later(message.TerminateDone{Machines: a.Machines, OK: true})
 		case message.ListMachines:
 			if w.silent > w.now {
-				w.later(n, message.MachinesListed{})
+				n.later(message.MachinesListed{})
 				continue
 			}
 			var list []protocol.ListedMachine
@@ -213,46 +225,49 @@
 				}
 				list = append(list, protocol.ListedMachine{ID: id, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: st, AgeS: w.heldS(id)})
 			}
-			w.later(n, message.MachinesListed{Machines: list, OK: true})
+			n.later(message.MachinesListed{Machines: list, OK: true})
 		}
 	}
 }
 
 // commit applies a core's transaction.
-func (w *world) commit(n *simNode, a message.Commit) {
+func (n *simNode) commit(a message.Commit) {
+	w := n.world
 	w.checkSize(a)
-	w.transact(n, a.Txn, func(out message.Outcome, at protocol.Revision) {
-		w.stepNode(n, message.CommitDone{Tag: a.Tag, Outcome: out, Revision: at})
+	n.transact(a.Txn, func(out message.Outcome, at protocol.Revision) {
+		n.stepNode(message.CommitDone{Tag: a.Tag, Outcome: out, Revision: at})
 	})
 }
 
 // transact applies a transaction of a process, which is told of the outcome unless it
 // has ended; behind a cut it may be applied late, with no answer.
-func (w *world) transact(n *simNode, txn protocol.Transaction, done func(message.Outcome, protocol.Revision)) {
-	if !w.stateReachable(n) {
+func (n *simNode) transact(txn protocol.Transaction, done func(message.Outcome, protocol.Revision)) {
+	w := n.world
+	if !n.stateReachable() {
 		c := w.cuts[string(n.name)+">state"]
 		if c.hold && w.outage <= w.now {
 			w.after(c.until-w.now+w.delay(), func() { w.state.Txn(txn) })
-			w.unanswered(n, done)
+			n.unanswered(done)
 			return
 		}
-		w.alive(n, w.delay(), func() { done(message.OutcomeRefused, 0) })
+		n.alive(w.delay(), func() { done(message.OutcomeRefused, 0) })
 		return
 	}
 	if w.lateWrites > 0 && w.rng.Float64() < w.lateWrites {
 		w.after(2*time.Second+time.Duration(w.rng.IntN(10_000))*time.Millisecond, func() { w.state.Txn(txn) })
-		w.unanswered(n, done)
+		n.unanswered(done)
 		return
 	}
 	if w.slow > 0 {
-		w.after(w.slow/2, func() { w.execute(n, txn, done) })
+		w.after(w.slow/2, func() { n.execute(txn, done) })
 		return
 	}
-	w.execute(n, txn, done)
+	n.execute(txn, done)
 }
 
 // alive does something later, unless a process has ended by then.
-func (w *world) alive(n *simNode, d time.Duration, do func()) {
+func (n *simNode) alive(d time.Duration, do func()) {
+	w := n.world
 	life := n.life
 	w.after(d, func() {
 		if n.life == life {
@@ -262,11 +277,12 @@
 }
 
 // unanswered has a process give a transaction up.
-func (w *world) unanswered(n *simNode, done func(message.Outcome, protocol.Revision)) {
-	w.alive(n, 1500*time.Millisecond, func() { done(message.OutcomeUnknown, 0) })
+func (n *simNode) unanswered(done func(message.Outcome, protocol.Revision)) {
+	n.alive(1500*time.Millisecond, func() { done(message.OutcomeUnknown, 0) })
 }
 
-func (w *world) execute(n *simNode, txn protocol.Transaction, done func(message.Outcome, protocol.Revision)) {
+func (n *simNode) execute(txn protocol.Transaction, done func(message.Outcome, protocol.Revision)) {
+	w := n.world
 	out := message.OutcomeFailed
 	if w.state.Txn(txn) {
 		out = message.OutcomeDone
@@ -276,8 +292,8 @@
 	if w.rng.IntN(20) == 0 || w.lostAnswers > 0 && w.rng.Float64() < w.lostAnswers {
 		out = message.OutcomeUnknown // the answer is lost
 	}
-	w.alive(n, w.slow/2, func() {
-		w.alive(n, w.delay(), func() { done(out, at) })
+	n.alive(w.slow/2, func() {
+		n.alive(w.delay(), func() { done(out, at) })
 	})
 }
 
@@ -299,13 +315,14 @@
 	}
 }
 
-func (w *world) command(n *simNode, a message.Command) {
+func (n *simNode) command(a message.Command) {
+	w := n.world
 	life := n.life
 	answered := false
 	done := message.CommandDone{Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: a.Commands.AgentEpoch, Orders: a.Commands.Orders}
 	sw := w.workers[a.Machine]
 	if sw == nil {
-		sw = &simWorker{Worker: &fake.Worker{Dead: true}}
+		sw = &simWorker{world: w, Worker: &fake.Worker{Dead: true}}
 	}
 	var execute func()
 	execute = func() {
@@ -316,7 +333,7 @@
 			w.after(sw.hung-w.now+w.delay(), execute)
 			return
 		}
-		w.tickWorker(sw)
+		sw.tickWorker()
 		done.Executed = sw.Do(a.Commands)
 		sw.due = w.now
 		done.Heartbeat = sw.Report()
@@ -328,16 +345,16 @@
 		w.after(w.workerDelay(), func() {
 			if !answered && n.life == life {
 				answered = true
-				w.stepNode(n, done)
+				n.stepNode(done)
 			}
 		})
 	}
-	w.carryToZone(n, sw.Zone, execute)
+	n.carryToZone(sw.Zone, execute)
 	w.after(dispatcher.DirectTimeout, func() {
 		if !answered && n.life == life {
 			answered = true
 			done.Answered = false
-			w.stepNode(n, done)
+			n.stepNode(done)
 		}
 	})
 }
@@ -360,12 +377,13 @@
 }
 
 // follow brings a controller the changes that it follows.
-func (w *world) follow(n *simNode) {
+func (n *simNode) follow() {
+	w := n.world
 	for n.followed < w.state.Changes() && w.age(n.followed) >= w.slow+w.lag {
 		ev := w.state.Change(n.followed)
 		n.followed++
 		if strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix) {
-			w.stepNode(n, message.RecordChanged{Event: ev})
+			n.stepNode(message.RecordChanged{Event: ev})
 		}
 	}
 }
@@ -379,46 +397,48 @@
 	for _, n := range w.nodes {
 		life := n.life
 		w.after(w.delay(), func() {
-			if n.life == life && n.core != nil && n.session != 0 && w.now >= n.frozen && w.stateReachable(n) {
-				w.follow(n)
+			if n.life == life && n.core != nil && n.session != 0 && w.now >= n.frozen && n.stateReachable() {
+				n.follow()
 			}
 		})
 	}
 }
 
-func (w *world) tickNode(n *simNode) {
+func (n *simNode) tickNode() {
+	w := n.world
 	if n.core == nil || w.now < n.frozen {
 		return
 	}
-	if n.session != 0 && w.stateReachable(n) {
-		w.follow(n)
+	if n.session != 0 && n.stateReachable() {
+		n.follow()
 		if w.now >= n.extendAt {
 			n.extendAt = w.now + time.Second
 			if !w.state.Extend(w.now, n.session) {
 				n.session = 0
-				w.stepNode(n, message.SessionEnded{})
+				n.stepNode(message.SessionEnded{})
 				for _, o := range n.outboxes {
 					o.busyUntil = 0
 				}
 				life := n.life
-				w.after(300*time.Millisecond, func() { w.openSession(n, life) })
+				w.after(300*time.Millisecond, func() { n.openSession(life) })
 				return
 			}
-			w.stepNode(n, message.LeaseExtended{Until: controller.LeaseDeadline(w.ownLease, w.clock(n), w.clock(n)-controller.Time(w.slow+w.lag))})
+			n.stepNode(message.LeaseExtended{Until: controller.LeaseDeadline(w.ownLease, n.clock(), n.clock()-controller.Time(w.slow+w.lag))})
 		}
 	}
 	if n.slowBy > 1 && w.now < n.slowUntil && int(w.now/w.step)%n.slowBy != 0 {
 		return // it computes so many times slower
 	}
 	if w.exact || w.now%(2*w.step) == 0 {
-		w.stepNode(n, message.Tick{WallMS: w.tickMS()})
+		n.stepNode(message.Tick{WallMS: w.tickMS()})
 	}
 	for _, to := range slices.Sorted(maps.Keys(n.outboxes)) {
-		w.flush(n, to, n.outboxes[to])
+		n.flush(to, n.outboxes[to])
 	}
 }
 
-func (w *world) flush(n *simNode, to protocol.NodeName, o *simOutbox) {
+func (n *simNode) flush(to protocol.NodeName, o *simOutbox) {
+	w := n.world
 	if w.now < o.busyUntil {
 		return
 	}
@@ -435,7 +455,7 @@
 		}
 	}
 	w.carry(string(n.name), string(to), func() {
-		for _, a := range w.stepNode(peer, message.BatchReceived{Batch: b}) {
+		for _, a := range peer.stepNode(message.BatchReceived{Batch: b}) {
 			if rb, ok := a.(message.ReplyBatch); ok {
 				w.carry(string(to), string(n.name), func() {
 					if n.life == life {
--- a/internal/simulator/plants_test.go
+++ b/internal/simulator/plants_test.go
@@ -76,7 +76,7 @@
 			// From the end of the day on nobody owns anything: jobs just accepted wait.
 			u.after(59*second, func() {
 				for _, n := range u.nodes {
-					u.crashFor(n, time.Hour)
+					n.crashFor(time.Hour)
 				}
 				j := protocol.Job{ID: "job-999999", Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, Spot: true}
 				u.world.jobs[j.ID], u.jobs[j.ID] = j, &userJob{id: j.ID, job: j, accepted: true}
--- a/internal/simulator/play.go
+++ b/internal/simulator/play.go
@@ -141,7 +141,7 @@
 	w.heldS = func(id protocol.MachineID) float64 { return (w.now - p.rentedAt[id].at).Seconds() }
 	w.started, w.endedTask = p.started, p.ends
 	for _, n := range w.nodes { // again, with this world's settings
-		w.startNode(n)
+		n.startNode()
 	}
 }
 
@@ -224,17 +224,17 @@
 		day  float64
 		do   func()
 	}{
-		{"controller ends", t.Crash, func() { p.crash(p.nodes[p.rng.IntN(3)]) }},
+		{"controller ends", t.Crash, func() { p.nodes[p.rng.IntN(3)].crash() }},
 		{"all controllers end", t.AllCrash, func() {
 			for _, n := range p.nodes {
-				p.crash(n)
+				n.crash()
 			}
 		}},
 		{"controller cut off from the state service", t.Cut, func() { p.cut(string(p.nodes[p.rng.IntN(3)].name), "state", 30*time.Second, p.rng.IntN(2) == 0) }},
 		{"state service out", t.StateOutage, func() { p.outage = p.now + time.Duration(5+p.rng.IntN(15))*time.Second }},
 		{"cloud silent", t.CloudSilent, func() { p.silent = p.now + 10*time.Minute }},
 		{"spot machines taken", t.SpotWave, p.takeSpots},
-		{"controller told to end", t.Leave, func() { p.leave(p.nodes[p.rng.IntN(3)]) }},
+		{"controller told to end", t.Leave, func() { p.nodes[p.rng.IntN(3)].leave() }},
 		{"roll of all controllers by signal", t.Roll, p.rollBySignal},
 		{"controller slowed five times", t.Slow, func() {
 			n := p.nodes[p.rng.IntN(3)]
@@ -284,7 +284,7 @@
 func (p *player) ask(r operatorapi.Request) {
 	n := p.nodes[p.rng.IntN(3)]
 	again := func() { p.after(time.Second, func() { p.ask(r) }) }
-	if n.core == nil || !p.stateReachable(n) {
+	if n.core == nil || !n.stateReachable() {
 		again()
 		return
 	}
--- a/internal/simulator/play_test.go
+++ b/internal/simulator/play_test.go
@@ -43,15 +43,15 @@
 		"nothing happens": {},
 		"all controllers end a second before": {before: time.Second, do: func(p *player) {
 			for _, n := range p.nodes {
-				p.crash(n)
+				n.crash()
 			}
 		}},
 		"all controllers end while it turns to holding": {before: 81 * time.Second, do: func(p *player) {
 			for _, n := range p.nodes {
-				p.crash(n)
+				n.crash()
 			}
 		}},
-		"the controller that rents ends":                 {before: 2 * time.Minute, do: func(p *player) { p.crash(p.nodes[2]) }},
+		"the controller that rents ends":                 {before: 2 * time.Minute, do: func(p *player) { p.nodes[2].crash() }},
 		"the state service is out over the moment":       {before: 10 * time.Second, do: func(p *player) { p.outage = p.now + 25*time.Second }},
 		"the cloud is silent for the ten minutes before": {before: 10 * time.Minute, do: func(p *player) { p.silent = p.now + 10*time.Minute }},
 		"spot machines are taken 30 s before":            {before: 30 * time.Second, do: (*player).takeSpots},
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -52,16 +52,16 @@
 	d := time.Duration(2+w.rng.IntN(25)) * time.Second
 	hold := w.rng.IntN(2) == 0
 	if len(w.order) == 0 {
-		w.crash(n)
+		n.crash()
 		return
 	}
 	machine := w.order[w.rng.IntN(len(w.order))]
 	switch w.rng.IntN(12) {
 	case 0, 1:
-		w.crash(n)
+		n.crash()
 	case 2:
 		for _, n := range w.nodes {
-			w.crash(n)
+			n.crash()
 		}
 	case 3, 4:
 		w.cut(string(n.name), "state", d, hold)
@@ -105,14 +105,14 @@
 // roll restarts all controllers, one after the other.
 func (w *world) roll() {
 	for i, n := range w.nodes {
-		w.after(time.Duration(i)*9*time.Second, func() { w.crash(n) })
+		w.after(time.Duration(i)*9*time.Second, func() { n.crash() })
 	}
 }
 
 // promise has an operator reserve something, declare a window or take one back.
 func (w *world) promise() {
 	n := w.nodes[w.rng.IntN(3)]
-	if n.core == nil || !w.stateReachable(n) {
+	if n.core == nil || !n.stateReachable() {
 		return
 	}
 	name := record.EntryName(fmt.Sprint("p", w.rng.IntN(4)))
@@ -180,7 +180,7 @@
 			w.moveSome(8)
 		}
 		if w.rng.IntN(40) == 0 {
-			w.leave(w.nodes[w.rng.IntN(3)])
+			w.nodes[w.rng.IntN(3)].leave()
 		}
 		if d.promises && w.rng.IntN(4) == 0 {
 			w.promise()
@@ -349,7 +349,7 @@
 			return
 		}
 		for _, n := range w.nodes { // longer than the leases, which last 15 s
-			w.crashFor(n, 20*time.Second)
+			n.crashFor(20 * time.Second)
 		}
 	}
 	day{machines: machinesAsked(3000), job: largeJob(23, 500), lasts: 50 * time.Second, trouble: trouble}.playSeeds(t, 1, 300_000)
@@ -393,7 +393,7 @@
 // the view, moves, takeovers and registrations, while the state service takes long,
 // so that what an earlier process asked for is done for the next one to see.
 func TestRulesHoldWhenBackAtOnce(t *testing.T) {
-	back := func(w *world, n *simNode) { w.crashFor(n, time.Duration(100+w.rng.IntN(400))*time.Millisecond) }
+	back := func(w *world, n *simNode) { n.crashFor(time.Duration(100+w.rng.IntN(400)) * time.Millisecond) }
 	trouble := func(w *world) {
 		n := w.nodes[w.rng.IntN(3)]
 		switch w.rng.IntN(8) {
@@ -423,7 +423,8 @@
 }
 
 // silence cuts a controller off from everything, or from one side.
-func (w *world) silence(n *simNode, d time.Duration, hold bool) {
+func (n *simNode) silence(d time.Duration, hold bool) {
+	w := n.world
 	sides := []string{"state", "workers"}
 	for _, peer := range w.nodes {
 		if peer != n {
@@ -452,13 +453,13 @@
 		hold := w.rng.IntN(2) == 0
 		switch w.rng.IntN(5) {
 		case 0:
-			w.silence(n, long, hold)
+			n.silence(long, hold)
 		case 1:
-			w.silence(n, long, hold)
-			w.after(long/2, func() { w.silence(next, long, hold) })
+			n.silence(long, hold)
+			w.after(long/2, func() { next.silence(long, hold) })
 		case 2:
 			w.roll()
-			w.silence(n, long, hold)
+			n.silence(long, hold)
 		case 3:
 			w.moveSome(16)
 			w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { n.frozen = max(n.frozen, w.now+still) })
--- a/internal/simulator/shares.go
+++ b/internal/simulator/shares.go
@@ -24,7 +24,8 @@
 }
 
 // held lists the shares that a controller's session keeps by the records.
-func (w *world) held(n *simNode) (ids []int) {
+func (n *simNode) held() (ids []int) {
+	w := n.world
 	s, _ := w.shares()
 	for i, st := range s.List {
 		if n.session != 0 && st.Holder == n.session {
@@ -51,7 +52,7 @@
 // moveSome moves up to so many shares from any controller to any other.
 func (w *world) moveSome(most int) {
 	from, to := w.nodes[w.rng.IntN(3)], w.nodes[w.rng.IntN(3)]
-	ids := w.held(from)
+	ids := from.held()
 	w.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	if n := min(len(ids), 1+w.rng.IntN(most)); n > 0 && from != to {
 		w.move(ids[:n], to)
@@ -63,9 +64,10 @@
 
 // leave tells a controller to end by a signal: it hands over what it keeps, ends
 // its lease, and comes back after a while.
-func (w *world) leave(n *simNode) {
+func (n *simNode) leave() {
+	w := n.world
 	life, end := n.life, w.now+handOverWithin
-	w.stepNode(n, message.Shutdown{})
+	n.stepNode(message.Shutdown{})
 	var wait func()
 	wait = func() {
 		if n.life != life || n.core == nil {
@@ -75,16 +77,17 @@
 			w.after(100*time.Millisecond, wait)
 			return
 		}
-		if n.session != 0 && w.stateReachable(n) {
+		if n.session != 0 && n.stateReachable() {
 			w.state.Release(n.session)
 		}
-		w.crash(n)
+		n.crash()
 	}
 	w.after(100*time.Millisecond, wait)
 }
 
 // noteMoves takes note of the moves of shares that a controller has seen end.
-func (w *world) noteMoves(n *simNode) {
+func (n *simNode) noteMoves() {
+	w := n.world
 	for _, m := range n.core.CompletedMoves() {
 		if m.GivenUp {
 			w.givenUp++
@@ -108,7 +111,7 @@
 	for i, n := range w.nodes {
 		w.after(time.Duration(i)*30*time.Second, func() {
 			if n.core != nil {
-				w.leave(n)
+				n.leave()
 			}
 		})
 	}
--- a/internal/simulator/shares_test.go
+++ b/internal/simulator/shares_test.go
@@ -49,7 +49,7 @@
 func (w *world) sharers() map[protocol.NodeName]int {
 	by := map[protocol.NodeName]int{}
 	for _, n := range w.nodes {
-		if k := len(w.held(n)); k > 0 {
+		if k := len(n.held()); k > 0 {
 			by[n.name] = k
 		}
 	}
@@ -74,12 +74,12 @@
 	epoch := w.tokens()
 	for i := range 3 {
 		from, to := w.nodes[i], w.nodes[(i+1)%3]
-		if ids := w.held(from); !w.move(ids[:len(ids)/2], to) {
+		if ids := from.held(); !w.move(ids[:len(ids)/2], to) {
 			t.Fatal("nobody takes the request")
 		}
 		w.work(4 * time.Second)
 	}
-	one := w.held(w.nodes[0])[:1]
+	one := w.nodes[0].held()[:1]
 	for i := range 60 {
 		w.move(one, w.nodes[i%3])
 		w.submit(busyJob(w, 100))
@@ -121,7 +121,7 @@
 	before, _ := w.shares()
 	asked := map[int]bool{}
 	for i, n := range w.nodes {
-		ids := w.held(n)
+		ids := n.held()
 		ids = ids[:(len(ids)+2)/3]
 		for _, id := range ids {
 			asked[id] = true
@@ -167,7 +167,7 @@
 	t.Parallel()
 	w := shared(t, 12, 3, 300)
 	for _, n := range w.nodes {
-		w.leave(n)
+		n.leave()
 		w.work(6 * time.Second)
 		if n.core != nil && n.core.Status().Queues > 0 {
 			t.Fatalf("%s keeps %d machines though it was told to end", n.name, n.core.Status().Queues)
@@ -192,7 +192,7 @@
 	before, _ := w.shares()
 	gone := w.nodes[1]
 	session := gone.session
-	w.crashFor(gone, 40*time.Second)
+	gone.crashFor(40 * time.Second)
 	w.work(20 * time.Second)
 	after, _ := w.shares()
 	moved := 0
@@ -224,11 +224,11 @@
 			t.Parallel()
 			for at := 5 * time.Millisecond; at < 320*time.Millisecond; at += 15 * time.Millisecond {
 				w := shared(t, uint64(at), 3, 40)
-				ids := w.held(w.nodes[0])
+				ids := w.nodes[0].held()
 				w.move(ids[:min(len(ids), 8)], w.nodes[1])
 				w.after(at, func() {
 					for _, i := range who {
-						w.crash(w.nodes[i])
+						w.nodes[i].crash()
 					}
 				})
 				w.work(4 * time.Second)
@@ -272,15 +272,15 @@
 		"the record of the shares is lost": func(w *world, _, _ *simNode) {
 			w.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Delete: record.ShardTableKey}}})
 		},
-		"a third controller ends": func(w *world, _, _ *simNode) { w.crash(w.nodes[2]) },
-		"the move goes back":      func(w *world, a, b *simNode) { w.move(w.held(b), a) },
+		"a third controller ends": func(w *world, _, _ *simNode) { w.nodes[2].crash() },
+		"the move goes back":      func(w *world, a, b *simNode) { w.move(b.held(), a) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, at := range []time.Duration{1, 40, 75, 110, 160, 230} {
 				w := shared(t, 100+uint64(at), 3, 40)
 				a, b := w.nodes[0], w.nodes[1]
-				w.move(w.held(a), b)
+				w.move(a.held(), b)
 				w.after(at*time.Millisecond, func() { trouble(w, a, b) })
 				w.work(4 * time.Second)
 				w.run(w.now + 45*time.Second)
@@ -310,7 +310,7 @@
 		for i := range 12 {
 			w.run(w.now + 250*time.Millisecond)
 			w.moveSome(12)
-			w.move(w.held(w.nodes[i%3]), w.nodes[(i+1)%3])
+			w.move(w.nodes[i%3].held(), w.nodes[(i+1)%3])
 		}
 	}
 	w.allEnd(t, 240*time.Second) // a team at its limit takes long
@@ -328,8 +328,8 @@
 	if by := w.sharers(); len(by) != 5 {
 		t.Errorf("shares are kept by %v", by)
 	}
-	w.crashFor(w.nodes[1], 30*time.Second)
-	w.crashFor(w.nodes[3], 30*time.Second)
+	w.nodes[1].crashFor(30 * time.Second)
+	w.nodes[3].crashFor(30 * time.Second)
 	w.work(20 * time.Second)
 	if by := w.sharers(); len(by) != 3 {
 		t.Errorf("shares are kept by %v without two", by)
@@ -337,7 +337,7 @@
 	w.allEnd(t, 150*time.Second)
 
 	w = shared(t, 16, 1, 30)
-	w.leave(w.nodes[0]) // to nobody
+	w.nodes[0].leave() // to nobody
 	w.work(3 * time.Second)
 	w.run(w.now + 30*time.Second)
 	w.allEnd(t, 150*time.Second)
@@ -357,18 +357,18 @@
 	w.work(5 * time.Second)
 	w.layout = record.LayoutShards
 	for i, n := range w.nodes[:2] {
-		w.crash(n)
+		n.crash()
 		w.work(15 * time.Second)
 		if _, there := w.shares(); there {
 			t.Fatalf("shares with %d of 3 controllers that know them", i+1)
 		}
 	}
 	w.layout = record.LayoutBlocks // back
-	w.crash(w.nodes[0])
+	w.nodes[0].crash()
 	w.work(15 * time.Second)
 	w.layout = record.LayoutShards
 	for _, n := range w.nodes {
-		w.crash(n)
+		n.crash()
 		w.work(15 * time.Second)
 	}
 	if by := w.sharers(); len(by) != 3 {
@@ -388,7 +388,7 @@
 			if w.rng.IntN(2) == 0 {
 				w.trouble()
 			} else {
-				w.leave(w.nodes[w.rng.IntN(3)])
+				w.nodes[w.rng.IntN(3)].leave()
 			}
 		})
 	}
--- a/internal/simulator/userdays_test.go
+++ b/internal/simulator/userdays_test.go
@@ -199,8 +199,10 @@
 // a confirmed cancellation, where nothing else goes wrong; jobs are cancelled, asked for
 // and submitted again at the moment at which their last task ends, too.
 func TestUsersOnADayWithoutTroubles(t *testing.T) {
-	d := userDay{machines: 9, lasts: 60 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4,
-		prepare: func(u *users) { u.closely, u.cancelEnds = true, 0.5 }}
+	d := userDay{
+		machines: 9, lasts: 60 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4,
+		prepare: func(u *users) { u.closely, u.cancelEnds = true, 0.5 },
+	}
 	d.playSeeds(t, 6, 1_000_000)
 }
 
@@ -219,6 +221,8 @@
 			u.moveSome(16)
 		}
 	}
-	userDay{machines: 9, lasts: 120 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4, after: 30 * time.Second,
-		prepare: func(u *users) { u.closely, u.cancelEnds = true, 0.2 }, trouble: trouble}.playSeeds(t, 20, 1_100_000)
+	userDay{
+		machines: 9, lasts: 120 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4, after: 30 * time.Second,
+		prepare: func(u *users) { u.closely, u.cancelEnds = true, 0.2 }, trouble: trouble,
+	}.playSeeds(t, 20, 1_100_000)
 }
--- a/internal/simulator/usermeetings_test.go
+++ b/internal/simulator/usermeetings_test.go
@@ -15,8 +15,9 @@
 )
 
 // back ends a controller's process, which is back within a second.
-func (w *world) back(n *simNode) {
-	w.crashFor(n, time.Duration(100+w.rng.IntN(900))*time.Millisecond)
+func (n *simNode) back() {
+	w := n.world
+	n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 }
 
 // leader is the controller that writes machines' records, as far as anybody knows.
@@ -115,7 +116,7 @@
 				u.lag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
 				n := u.nodes[u.rng.IntN(3)]
 				for end := u.now + 3*second; u.now < end; { // some begin as they are asked
-					u.after(time.Duration(u.rng.IntN(2000))*time.Millisecond, func() { u.back(n) })
+					u.after(time.Duration(u.rng.IntN(2000))*time.Millisecond, func() { n.back() })
 					u.run(u.now + second)
 				}
 				u.slow = time.Duration(u.rng.IntN(3)) * 150 * time.Millisecond
@@ -130,11 +131,11 @@
 				u.lostAnswers = 0.5
 				switch u.rng.IntN(4) {
 				case 0:
-					u.back(u.nodes[u.rng.IntN(3)])
+					u.nodes[u.rng.IntN(3)].back()
 				case 1:
 					u.moveSome(16)
 				case 2:
-					u.leave(u.nodes[u.rng.IntN(3)])
+					u.nodes[u.rng.IntN(3)].leave()
 				}
 			}
 		}),
@@ -150,7 +151,7 @@
 				u.callOff(4, time.Duration(1+u.rng.IntN(20))*second)
 				switch u.rng.IntN(4) {
 				case 0, 1:
-					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { u.back(n) })
+					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { n.back() })
 				case 2:
 					u.moveSome(24)
 				case 3: // a keeper takes over, and then follows late what is cancelled
@@ -172,9 +173,9 @@
 				case 0:
 					u.moveSome(24)
 				case 1:
-					u.leave(n)
+					n.leave()
 				case 2:
-					u.back(n)
+					n.back()
 				case 3:
 					u.cut(string(n.name), "state", 10*second, u.rng.IntN(2) == 0)
 				}
@@ -192,7 +193,7 @@
 				u.rented = func(id protocol.MachineID, r protocol.ProvisionRequest) {
 					rented(id, r)
 					if u.rng.IntN(3) == 0 && u.now < 100*second {
-						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.back(u.leader()) })
+						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.leader().back() })
 					}
 				}
 			}
@@ -209,9 +210,9 @@
 				u.some(0.2, func(sw *simWorker) { sw.hung = u.now + time.Duration(u.rng.IntN(20))*second })
 				switch u.rng.IntN(3) {
 				case 0:
-					u.back(u.leader())
+					u.leader().back()
 				case 1:
-					u.crashFor(u.leader(), 9*second)
+					u.leader().crashFor(9 * second)
 				}
 			}
 		}),
@@ -219,7 +220,7 @@
 			d.job, d.every, d.cancels, d.machines = smallJob, second/4, 0.25, 9
 			d.trouble = func(u *users) {
 				if u.rng.IntN(6) == 0 {
-					u.back(u.nodes[u.rng.IntN(3)])
+					u.nodes[u.rng.IntN(3)].back()
 				}
 			}
 		}),
@@ -229,7 +230,7 @@
 				u.some(0.15, func(sw *simWorker) { u.kill(sw.ID) })
 				u.some(0.15, func(sw *simWorker) { sw.deaf = u.now + time.Duration(u.rng.IntN(25))*second })
 				if u.rng.IntN(3) == 0 {
-					u.back(u.nodes[u.rng.IntN(3)])
+					u.nodes[u.rng.IntN(3)].back()
 				}
 			}
 		}),
@@ -237,7 +238,7 @@
 			d.lasts = 120 * second
 			d.trouble = func(u *users) {
 				if u.rng.IntN(2) == 0 {
-					u.crashFor(u.leader(), time.Duration(100+u.rng.IntN(9000))*time.Millisecond)
+					u.leader().crashFor(time.Duration(100+u.rng.IntN(9000)) * time.Millisecond)
 				}
 				if u.rng.IntN(5) == 0 {
 					u.outage = u.now + time.Duration(3+u.rng.IntN(15))*second
@@ -250,7 +251,7 @@
 				u.some(0.3, func(sw *simWorker) { sw.mute = u.now + time.Duration(u.rng.IntN(30))*second })
 				u.cancelOver(2, 5*second)
 				if u.rng.IntN(4) == 0 {
-					u.back(u.nodes[u.rng.IntN(3)])
+					u.nodes[u.rng.IntN(3)].back()
 				}
 			}
 		}),
@@ -281,7 +282,7 @@
 				if u.rng.IntN(6) == 0 {
 					away := time.Duration(16+u.rng.IntN(20)) * second
 					for _, n := range u.nodes {
-						u.crashFor(n, away+time.Duration(u.rng.IntN(1500))*time.Millisecond)
+						n.crashFor(away + time.Duration(u.rng.IntN(1500))*time.Millisecond)
 					}
 				}
 			}
@@ -336,10 +337,10 @@
 		do   func(*world, *simNode)
 		over time.Duration
 	}{
-		"shares move":     {func(w *world, n *simNode) { w.move(w.held(n), w.nodes[0]) }, time.Second},
-		"told to end":     {func(w *world, n *simNode) { w.leave(n) }, 1500 * time.Millisecond},
-		"ends":            {func(w *world, n *simNode) { w.crashFor(n, 200*time.Millisecond) }, 1500 * time.Millisecond},
-		"ends for longer": {func(w *world, n *simNode) { w.crashFor(n, 12*time.Second) }, 12 * time.Second},
+		"shares move":     {func(w *world, n *simNode) { w.move(n.held(), w.nodes[0]) }, time.Second},
+		"told to end":     {func(w *world, n *simNode) { n.leave() }, 1500 * time.Millisecond},
+		"ends":            {func(w *world, n *simNode) { n.crashFor(200 * time.Millisecond) }, 1500 * time.Millisecond},
+		"ends for longer": {func(w *world, n *simNode) { n.crashFor(12 * time.Second) }, 12 * time.Second},
 		"refused alone":   {func(w *world, n *simNode) { w.cut(string(n.name), "state", 12*time.Second, false) }, 12 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -423,8 +424,8 @@
 			_, ids := u.cloud.Rent(r)
 			u.boot(ids[0], r)
 		},
-		"of an election":            func(u *users) { u.crashFor(u.leader(), 9*time.Second) },
-		"of an election, back soon": func(u *users) { u.back(u.leader()) },
+		"of an election":            func(u *users) { u.leader().crashFor(9 * time.Second) },
+		"of an election, back soon": func(u *users) { u.leader().back() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -441,8 +442,8 @@
 				w.run(w.now + time.Second)
 				w.slow, w.lateWrites = 100*time.Millisecond, 0.2
 				first(u)
-				w.after(at, func() { w.crashFor(u.leader(), 300*time.Millisecond) })
-				w.after(at+600*time.Millisecond, func() { w.crashFor(u.leader(), 300*time.Millisecond) })
+				w.after(at, func() { u.leader().crashFor(300 * time.Millisecond) })
+				w.after(at+600*time.Millisecond, func() { u.leader().crashFor(300 * time.Millisecond) })
 				w.run(w.now + 15*time.Second)
 				w.slow, w.lateWrites = 0, 0
 				for end := w.now + 2*time.Minute; w.now < end && slices.ContainsFunc(slices.Collect(maps.Values(u.jobs)), func(j *userJob) bool { return j.floor < over }); {
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -166,9 +166,9 @@
 		w.boot(ids[0], r)
 	}
 	for i := range settings.Site.Count {
-		n := &simNode{name: protocol.NodeName(fmt.Sprint("node-", i)), layout: record.LayoutShards}
+		n := &simNode{world: w, name: protocol.NodeName(fmt.Sprint("node-", i)), layout: record.LayoutShards}
 		w.nodes = append(w.nodes, n)
-		w.startNode(n)
+		n.startNode()
 	}
 	return w
 }
@@ -233,20 +233,20 @@
 			sw := w.workers[id]
 			switch {
 			case !w.exact:
-				w.tick(sw)
+				sw.tick()
 			case w.now >= sw.due && !sw.Dead:
-				w.tick(sw)
+				sw.tick()
 				if sw.due = max(sw.Next(), w.now+1); !sw.waiting {
 					sw.nextAt = min(sw.nextAt, w.now+w.step) // something changed
 				}
 			}
 			if !sw.Dead && !sw.waiting && w.now >= sw.nextAt {
-				w.report(sw)
+				sw.report()
 			}
 		}
 		w.gangs()
 		for _, n := range w.nodes {
-			w.tickNode(n)
+			n.tickNode()
 		}
 		w.checkRules()
 	}
