--- /dev/null
+++ b/internal/simulator/actions.go
@@ -0,0 +1,168 @@
+package simulator
+
+import (
+	"maps"
+	"slices"
+	"strings"
+
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// States of machines as the cloud lists them.
+const (
+	machineBooting = "booting"
+	machineRunning = "running"
+)
+
+// isWatched reports whether controllers watch the record that a change concerns.
+func isWatched(ev protocol.Event) bool {
+	return strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix)
+}
+
+// execute executes the actions of the core.
+func (n *node) execute(actions []message.Action) {
+	w := n.world
+	for _, a := range actions {
+		switch a := a.(type) {
+		case message.Send:
+			n.outboxes[a.To].Add(a)
+		case message.Commit:
+			n.commit(a)
+		case message.ConfigurationChanged:
+			w.onConfiguration(n, a.Effective)
+		case message.LoadBitmap:
+			ok := n.stateReachable()
+			n.deliver(message.BitmapLoaded{Job: a.Job, Chunks: w.state.List(record.BitmapPrefix(a.Job)), OK: ok})
+		case message.Command:
+			w.onOrders(n, a.Commands.Orders)
+			n.sendCommands(a)
+		case message.Provision:
+			n.provision(a)
+		case message.Terminate:
+			n.terminate(a)
+		case message.ListMachines:
+			n.listMachines()
+		}
+	}
+}
+
+// isCloudSilent reports whether the cloud does not answer.
+func (w *world) isCloudSilent() bool { return w.cloudSilentUntil > w.now }
+
+// provision has the cloud provision machines, which boot after a while.
+func (n *node) provision(a message.Provision) {
+	w := n.world
+	if w.isCloudSilent() {
+		n.deliver(message.ProvisionDone{Request: a.Request, Outcome: message.OutcomeUnknown})
+		return
+	}
+	all, added := w.cloud.Rent(a.Request)
+	for _, id := range added {
+		w.onProvisioned(id, a.Request)
+		w.after(w.bootTime(a.Request), func() {
+			if _, ok := w.cloud.Machines[id]; ok {
+				w.bootMachine(id, a.Request)
+			}
+		})
+	}
+	out := message.OutcomeDone
+	if len(all) == 0 {
+		out = message.OutcomeFailed
+	}
+	n.deliver(message.ProvisionDone{Request: a.Request, Machines: all, Outcome: out})
+}
+
+// terminate has the cloud terminate machines.
+func (n *node) terminate(a message.Terminate) {
+	w := n.world
+	if w.isCloudSilent() {
+		n.deliver(message.TerminateDone{Machines: a.Machines})
+		return
+	}
+	for _, id := range a.Machines {
+		w.killMachine(id)
+		delete(w.cloud.Machines, id)
+	}
+	n.deliver(message.TerminateDone{Machines: a.Machines, OK: true})
+}
+
+// listMachines has the cloud list its machines.
+func (n *node) listMachines() {
+	w := n.world
+	if w.isCloudSilent() {
+		n.deliver(message.MachinesListed{})
+		return
+	}
+	var list []protocol.ListedMachine
+	for _, id := range slices.Sorted(maps.Keys(w.cloud.Machines)) {
+		r := w.cloud.Machines[id]
+		state := machineBooting
+		if w.workers[id] != nil {
+			state = machineRunning
+		}
+		list = append(list, protocol.ListedMachine{ID: id, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: state, AgeS: w.ageS(id)})
+	}
+	n.deliver(message.MachinesListed{Machines: list, OK: true})
+}
+
+// commandExchange is a command on its way to a worker, until it is answered or times out.
+type commandExchange struct {
+	node        *node
+	incarnation int // of the node that sent it
+	worker      *worker
+	commands    protocol.Commands
+	done        message.CommandDone
+	over        bool
+}
+
+// sendCommands sends commands to a worker.
+func (n *node) sendCommands(a message.Command) {
+	w := n.world
+	x := &commandExchange{
+		node: n, incarnation: n.incarnation, worker: w.workers[a.Machine], commands: a.Commands,
+		done: message.CommandDone{Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: a.Commands.AgentEpoch, Orders: a.Commands.Orders},
+	}
+	if x.worker == nil {
+		x.worker = &worker{world: w, Worker: &fake.Worker{Dead: true}}
+	}
+	n.sendToZone(x.worker.Zone, x.execute)
+	w.after(dispatcher.DirectTimeout, func() {
+		x.done.Answered = false
+		x.finish()
+	})
+}
+
+// execute has the worker execute the commands and answer.
+func (x *commandExchange) execute() {
+	m, w := x.worker, x.node.world
+	if m.Dead || w.now < m.inboundLostUntil {
+		return
+	}
+	if w.now < m.pausedUntil { // executed later, before or after what else has arrived
+		w.after(m.pausedUntil-w.now+w.delay(), x.execute)
+		return
+	}
+	m.advanceBeforeMessage()
+	x.done.Executed = m.Do(x.commands)
+	m.nextEvent = w.now
+	x.done.Heartbeat = m.Report()
+	x.done.Answered = true
+	if w.rng.IntN(30) == 0 {
+		x.done.Answered = false // the answer is lost
+		return
+	}
+	w.after(w.workerDelay(), x.finish)
+}
+
+// finish passes the outcome to the core, once, unless the process that sent the commands
+// has ended.
+func (x *commandExchange) finish() {
+	if !x.over && x.node.incarnation == x.incarnation {
+		x.over = true
+		x.node.step(x.done)
+	}
+}
--- a/internal/simulator/boots_test.go
+++ b/internal/simulator/boots_test.go
@@ -15,8 +15,8 @@
 	t.Parallel()
 	w := newWorld(t.Fatalf, 41, fake.Settings(), 40, 6)
 	rentedAt, asked, booting, most := map[protocol.MachineID]time.Duration{}, 0, map[protocol.MachineID]bool{}, 0
-	w.heldS = func(id protocol.MachineID) float64 { return (w.now - rentedAt[id]).Seconds() }
-	w.rented = func(id protocol.MachineID, r protocol.ProvisionRequest) {
+	w.ageS = func(id protocol.MachineID) float64 { return (w.now - rentedAt[id]).Seconds() }
+	w.onProvisioned = func(id protocol.MachineID, r protocol.ProvisionRequest) {
 		rentedAt[id] = w.now
 		if r.Type == "large" {
 			asked++
--- /dev/null
+++ b/internal/simulator/checks.go
@@ -0,0 +1,131 @@
+package simulator
+
+import (
+	"strings"
+	"time"
+
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+const (
+	// cpuTolerance is the rounding error allowed in sums of processors.
+	cpuTolerance = 1e-9
+	// maxMisplacedMachines bounds the size of worlds whose controllers' machines are
+	// checked, as that takes long.
+	maxMisplacedMachines = 1000
+)
+
+// checkStart checks the rules for a task that starts on a machine.
+func (w *world) checkStart(m *fake.Worker, id protocol.TaskID, _ protocol.Attempt) {
+	w.starts++
+	w.onTaskStarted(m.ID, id)
+	j := w.jobs[id.Job]
+	if other := w.onMachine[id]; other != nil && other != m {
+		w.fail("%v ran_twice: %v starts on %s while on %s", w.now, id, m.ID, other.ID)
+	}
+	w.onMachine[id] = m
+	w.peakRunning = max(w.peakRunning, len(w.onMachine))
+	if w.isOverdue(id.Job) {
+		w.fail("%v ran_cancelled: %v starts on %s", w.now, id, m.ID)
+	}
+	if m.Spot && !j.Spot || j.Zone != "" && j.Zone != m.Zone || len(j.Types) > 0 && j.Types[0] != m.Info.Name {
+		w.fail("%v wrong_place: %v on %s", w.now, id, m.ID)
+	}
+	w.checkRunning(m, j)
+}
+
+// isOverdue reports whether the tasks of a job had to be stopped by now, as it is
+// cancelled.
+func (w *world) isOverdue(id protocol.JobID) bool {
+	at, cancelled := w.cancelled[id]
+	return cancelled && (w.now-at).Seconds() > w.settings.Site.Workers.CancelS
+}
+
+// checkRunning checks the rules for all running tasks of a job and its team, of which one
+// has started on a machine.
+func (w *world) checkRunning(m *fake.Worker, j protocol.Job) {
+	var used float64
+	zones := map[protocol.Zone]int{}
+	for t, on := range w.onMachine {
+		if other := w.jobs[t.Job]; other.Team == j.Team {
+			used += other.CPUs
+		}
+		if t.Job == j.ID {
+			zones[on.Zone]++
+		}
+	}
+	if limit := w.teamLimit(j.Team); limit > 0 && used > limit+cpuTolerance {
+		w.fail("%v quota: %s uses %v of %v", w.now, j.Team, used, limit)
+	}
+	if j.OneZone && len(zones) > 1 || j.Spread && zones[m.Zone] > int(j.Tasks+1)/2 {
+		w.fail("%v wrong_place: zones of %v: %v", w.now, j.ID, zones)
+	}
+}
+
+// checkRules checks the rules after a step.
+func (w *world) checkRules() {
+	if w.now%time.Second == 0 && len(w.machineOrder) <= maxMisplacedMachines {
+		w.checkMisplaced()
+	}
+	for t := range w.onMachine {
+		if w.isOverdue(t.Job) {
+			w.fail("%v ran_cancelled: %v is still on a machine", w.now, t)
+		}
+	}
+	for ; w.checkedChanges < w.state.Changes(); w.checkedChanges++ {
+		w.checkChange(w.state.Change(w.checkedChanges))
+	}
+}
+
+// checkMisplaced checks that controllers have no machines of shards that they don't hold.
+func (w *world) checkMisplaced() {
+	for _, n := range w.nodes {
+		if n.core == nil {
+			continue
+		}
+		if m := n.core.Status().Misplaced; len(m) > 0 {
+			w.fail("%v %s keeps %v of shares that it does not hold", w.now, n.name, m)
+		}
+	}
+}
+
+// checkChange checks a change of the state service: jobs are not forgotten, keep their
+// final state, and are done only if their tasks are.
+func (w *world) checkChange(ev protocol.Event) {
+	key, isJob := strings.CutPrefix(ev.Put+ev.Delete, record.JobKey(""))
+	if !isJob {
+		return
+	}
+	id := protocol.JobID(key)
+	if ev.Put == "" {
+		w.fail("%v forgotten: %v", w.now, id)
+	}
+	var r record.JobRecord
+	if err := protocol.Decode(ev.Value, &r); err != nil {
+		w.fail("%v", err)
+	}
+	if previous := w.finalState[id]; previous != "" && previous != r.State {
+		w.fail("%v went_back: %v from %s to %s", w.now, id, previous, r.State)
+	}
+	if r.State == record.RecordLive || w.finalState[id] != "" {
+		return
+	}
+	w.finalState[id] = r.State
+	if r.State == record.RecordDone {
+		w.checkDone(id)
+	}
+}
+
+// checkDone checks that all tasks of a job have completed. The tasks of a gang complete
+// together.
+func (w *world) checkDone(id protocol.JobID) {
+	j := w.jobs[id]
+	for i := range j.Tasks {
+		if w.results[protocol.TaskID{Job: id, Index: i}] || j.Kind == protocol.KindGang && w.results[protocol.TaskID{Job: id}] {
+			continue
+		}
+		w.fail("%v not_done: %v/%d", w.now, id, i)
+	}
+}
--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -58,11 +58,11 @@
 		}
 	}
 	w.runTime = func(protocol.TaskID) time.Duration { return time.Duration(8000+w.rng.IntN(8000)) * time.Millisecond }
-	w.limitOf = w.limitInForce
-	w.ordered = w.checkOrders
-	w.world.configured = func(n *simNode, e *dynamicconfig.Effective) {
+	w.teamLimit = w.limitInForce
+	w.onOrders = w.checkOrders
+	w.onConfiguration = func(n *node, e *dynamicconfig.Effective) {
 		w.scan()
-		if at, known := w.commits[e.Revision]; known && n.born < at && n.frozen < at {
+		if at, known := w.commits[e.Revision]; known && n.startedAt < at && n.pausedUntil < at {
 			w.worst = max(w.worst, w.now-at)
 		}
 	}
@@ -86,8 +86,8 @@
 	for ; w.scanned < w.state.Changes(); w.scanned++ {
 		e := w.state.Change(w.scanned)
 		at := w.now
-		if i := w.scanned - w.state.Before; i < len(w.loggedAt) {
-			at = w.loggedAt[i]
+		if i := w.scanned - w.state.Before; i < len(w.changeTimes) {
+			at = w.changeTimes[i]
 		}
 		followed, _ := record.ParseFollowedKey(e.Put)
 		var head record.Configuration
@@ -117,7 +117,7 @@
 }
 
 // checkOrders: who sends commands acts by no revision that was replaced too long ago.
-func (w *configuredWorld) checkOrders(n *simNode, orders []protocol.Order) {
+func (w *configuredWorld) checkOrders(n *node, orders []protocol.Order) {
 	w.scan()
 	acts := n.core.ConfigurationInForce().Revision
 	if at, replaced := w.commits[acts+1]; replaced && w.now-at > config.ConfiguredWithin && len(orders) > 0 {
@@ -139,7 +139,7 @@
 		if settled {
 			return
 		}
-		if n.core == nil || w.now < n.frozen {
+		if n.core == nil || w.now < n.pausedUntil {
 			next(at+1, 300*time.Millisecond)
 			return
 		}
@@ -220,38 +220,38 @@
 // failure that it has to stand goes on. No start puts the team over a limit that was
 // in force, the request is carried out once, and in the end all act by it.
 func TestLimitLoweredInTrouble(t *testing.T) {
-	for name, trouble := range map[string]func(w *configuredWorld, first *simNode){
-		"none": func(*configuredWorld, *simNode) {},
-		"one stands still for 40 s and wakes": func(w *configuredWorld, _ *simNode) {
-			w.nodes[1].frozen = w.now + 40*time.Second
+	for name, trouble := range map[string]func(w *configuredWorld, first *node){
+		"none": func(*configuredWorld, *node) {},
+		"one stands still for 40 s and wakes": func(w *configuredWorld, _ *node) {
+			w.nodes[1].pausedUntil = w.now + 40*time.Second
 		},
-		"the state service is out": func(w *configuredWorld, _ *simNode) {
-			w.after(20*time.Millisecond, func() { w.outage = w.now + 15*time.Second })
+		"the state service is out": func(w *configuredWorld, _ *node) {
+			w.after(20*time.Millisecond, func() { w.outageUntil = w.now + 15*time.Second })
 		},
-		"one is cut off from the state service, not from workers": func(w *configuredWorld, _ *simNode) {
-			w.cut(string(w.nodes[1].name), "state", 40*time.Second, true)
+		"one is cut off from the state service, not from workers": func(w *configuredWorld, _ *node) {
+			w.partition(string(w.nodes[1].name), "state", 40*time.Second, true)
 		},
-		"one hears the records, but reaches neither its peers nor the state service": func(w *configuredWorld, _ *simNode) {
-			w.cut(string(w.nodes[2].name), "state", 30*time.Second, false)
-			w.nodes[2].cutFromPeers(30*time.Second, true)
+		"one hears the records, but reaches neither its peers nor the state service": func(w *configuredWorld, _ *node) {
+			w.partition(string(w.nodes[2].name), "state", 30*time.Second, false)
+			w.nodes[2].partitionFromPeers(30*time.Second, true)
 		},
-		"a zone with a controller is apart": func(w *configuredWorld, _ *simNode) {
-			w.part("b", true, 60*time.Second, true)
+		"a zone with a controller is apart": func(w *configuredWorld, _ *node) {
+			w.partitionZone("b", true, 60*time.Second, true)
 		},
-		"one restarts meanwhile": func(w *configuredWorld, _ *simNode) { w.nodes[1].crashFor(200 * time.Millisecond) },
-		"all restart":            func(w *configuredWorld, _ *simNode) { w.rollBySignal() },
-		"shares move": func(w *configuredWorld, _ *simNode) {
+		"one restarts meanwhile": func(w *configuredWorld, _ *node) { w.nodes[1].crashFor(200 * time.Millisecond) },
+		"all restart":            func(w *configuredWorld, _ *node) { w.rollingShutdown() },
+		"shares move": func(w *configuredWorld, _ *node) {
 			for i := range 20 {
-				w.after(time.Duration(i)*300*time.Millisecond, func() { w.moveSome(8) })
+				w.after(time.Duration(i)*300*time.Millisecond, func() { w.moveRandomShards(8) })
 			}
 		},
-		"the records are followed far too late": func(w *configuredWorld, _ *simNode) {
-			w.lag = 20 * time.Second
-			w.after(30*time.Second, func() { w.lag = 0 })
+		"the records are followed far too late": func(w *configuredWorld, _ *node) {
+			w.watchLag = 20 * time.Second
+			w.after(30*time.Second, func() { w.watchLag = 0 })
 		},
-		"transactions are late, or only their answers are lost": func(w *configuredWorld, _ *simNode) {
-			w.lateWrites, w.lostAnswers = 0.4, 0.4
-			w.after(10*time.Second, func() { w.lateWrites, w.lostAnswers = 0, 0 })
+		"transactions are late, or only their answers are lost": func(w *configuredWorld, _ *node) {
+			w.lateWriteFraction, w.lostAnswerFraction = 0.4, 0.4
+			w.after(10*time.Second, func() { w.lateWriteFraction, w.lostAnswerFraction = 0, 0 })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -318,7 +318,7 @@
 			w.limit(i%3, []string{"bound", "other"}[i%2], float64(40+w.rng.IntN(20)))
 		})
 	}
-	w.after(20*time.Second, func() { w.nodes[1].frozen = w.now + 15*time.Second })
+	w.after(20*time.Second, func() { w.nodes[1].pausedUntil = w.now + 15*time.Second })
 	w.after(45*time.Second, func() { w.nodes[2].crashFor(time.Second) })
 	w.busy(70 * time.Second)
 	w.run(w.now + 20*time.Second)
@@ -338,7 +338,7 @@
 	t.Parallel()
 	w := newConfigured(t, 995, 3, 40)
 	closed, starts := false, 0
-	w.started = func(id protocol.MachineID, _ protocol.TaskID) {
+	w.onTaskStarted = func(id protocol.MachineID, _ protocol.TaskID) {
 		if w.workers[id].Zone == "a" {
 			starts++
 		}
@@ -405,10 +405,10 @@
 		"none": func(*configuredWorld) {},
 		"shares move": func(w *configuredWorld) {
 			for i := range 12 {
-				w.after(time.Duration(i)*700*time.Millisecond, func() { w.moveSome(8) })
+				w.after(time.Duration(i)*700*time.Millisecond, func() { w.moveRandomShards(8) })
 			}
 		},
-		"one is cut off from its peers": func(w *configuredWorld) { w.nodes[1].cutFromPeers(25*time.Second, true) },
+		"one is cut off from its peers": func(w *configuredWorld) { w.nodes[1].partitionFromPeers(25*time.Second, true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -95,14 +95,14 @@
 		if play.long {
 			continue
 		}
-		troubles := reflect.ValueOf(loadSite(t, play.site).Troubles)
+		troubles := reflect.ValueOf(loadSite(t, play.site).Faults)
 		for i := range troubles.NumField() {
 			if troubles.Field(i).Float()*play.play.Hours()/24 >= 1 {
 				had[troubles.Type().Field(i).Name] = true
 			}
 		}
 	}
-	for _, field := range reflect.VisibleFields(reflect.TypeFor[Troubles]()) {
+	for _, field := range reflect.VisibleFields(reflect.TypeFor[FaultRates]()) {
 		if !had[field.Name] {
 			t.Errorf("no site has the trouble %s", field.Name)
 		}
@@ -134,7 +134,7 @@
 	t.Helper()
 	w := newConfigured(t, 1100, 3, 20)
 	w.limit(0, "bound", 24)
-	w.after(2*time.Second, func() { w.moveSome(8) })
+	w.after(2*time.Second, func() { w.moveRandomShards(8) })
 	w.after(5*time.Second, func() { w.nodes[1].crash() })
 	w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 3, CPUs: 4, EstimateS: 10})
 	w.busy(15 * time.Second)
@@ -148,7 +148,7 @@
 		Worst                                                 time.Duration
 		Final                                                 map[protocol.JobID]string
 		Records                                               []protocol.Item
-	}{w.starts, w.submitted, len(w.pauses), w.givenUp, len(w.commits), w.state.Changes(), w.worst, w.final, w.state.List("")})
+	}{w.starts, w.submissions, len(w.movePauses), w.abortedMoves, len(w.commits), w.state.Changes(), w.worst, w.finalState, w.state.List("")})
 }
 
 // indentedJSON encodes a value as "damsonkeel emulate --output json" does.
--- a/internal/simulator/frontends_test.go
+++ b/internal/simulator/frontends_test.go
@@ -13,7 +13,7 @@
 // frontend plays the actor around a controller's intake, as coordination.Node does.
 type frontend struct {
 	u       *users
-	n       *simNode
+	n       *node
 	life    int // of the process that it belongs to
 	in      *admission.Admission
 	lastID  admission.RequestID
@@ -26,20 +26,20 @@
 	if f.n.core == nil {
 		return false
 	}
-	if f.in != nil && f.life == f.n.life {
+	if f.in != nil && f.life == f.n.incarnation {
 		return true
 	}
-	f.life, f.in, f.replies = f.n.life, admission.New(f.n.settingsOf(), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
+	f.life, f.in, f.replies = f.n.incarnation, admission.New(f.n.settings(), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
 	f.step(admission.Configured{Effective: f.n.core.ConfigurationInForce()})
 	if w.now > 0 { // some time passes before it knows the machine types
-		f.n.alive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
+		f.n.afterIfAlive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
 	} else {
 		f.step(admission.TypesRead{Types: w.types})
 	}
 	return true
 }
 
-// ask gives the process a request; nobody answers if there is none.
+// requestUntilDone gives the process a request; nobody answers if there is none.
 func (f *frontend) ask(a admission.Request, reply func(admission.Answer)) {
 	if !f.begin() {
 		return
@@ -56,8 +56,8 @@
 	if !f.begin() {
 		return
 	}
-	if w.now < f.n.frozen {
-		f.n.alive(f.n.frozen-w.now, func() { f.step(msg) })
+	if w.now < f.n.pausedUntil {
+		f.n.afterIfAlive(f.n.pausedUntil-w.now, func() { f.step(msg) })
 		return
 	}
 	for _, a := range f.in.Step(f.n.clock(), msg) {
@@ -65,9 +65,9 @@
 	}
 }
 
-// later gives the process a message after a while, unless it has ended by then.
+// deliver gives the process a message after a while, unless it has ended by then.
 func (f *frontend) later(d time.Duration, msg any) {
-	f.n.alive(d, func() { f.step(msg) })
+	f.n.afterIfAlive(d, func() { f.step(msg) })
 }
 
 func (f *frontend) carryOut(a admission.Action) {
@@ -106,9 +106,9 @@
 		f.step(f.n.core.AnswerOwnerQuery(a))
 	case admission.PassOn:
 		p := f.u.front(a.To)
-		w.carry(string(f.n.name), string(a.To), func() {
+		w.send(string(f.n.name), string(a.To), func() {
 			p.ask(admission.Request{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
-				w.carry(string(a.To), string(f.n.name), func() { f.later(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
+				w.send(string(a.To), string(f.n.name), func() { f.later(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
 			})
 		})
 	case admission.Announce:
@@ -122,18 +122,18 @@
 func (f *frontend) read(answer func() any, without func(message.Outcome) any) {
 	w := f.u.world
 	switch {
-	case w.outage <= w.now && !f.n.stateReachable() && w.cuts[string(f.n.name)+">state"].hold:
+	case w.outageUntil <= w.now && !f.n.stateReachable() && w.partitions[string(f.n.name)+">state"].delayed:
 		f.later(1500*time.Millisecond, without(message.OutcomeUnknown))
 	case !f.n.stateReachable():
 		f.later(w.delay(), without(message.OutcomeRefused))
 	default:
-		f.n.alive(w.delay()+w.slow/2, func() {
+		f.n.afterIfAlive(w.delay()+w.stateLatency/2, func() {
 			got := answer()
 			if w.rng.IntN(30) == 0 {
 				f.later(1500*time.Millisecond, without(message.OutcomeUnknown))
 				return
 			}
-			f.later(w.delay()+w.slow/2, got)
+			f.later(w.delay()+w.stateLatency/2, got)
 		})
 	}
 }
@@ -150,17 +150,17 @@
 		if to.core == nil {
 			return
 		}
-		to.alive(max(0, to.frozen-w.now), func() {
-			to.stepNode(message.JobCancelled{Job: a.Job})
-			w.carry(string(a.To), string(f.n.name), func() { f.later(0, admission.Announced{Job: a.Job, By: a.To}) })
+		to.afterIfAlive(max(0, to.pausedUntil-w.now), func() {
+			to.step(message.JobCancelled{Job: a.Job})
+			w.send(string(a.To), string(f.n.name), func() { f.later(0, admission.Announced{Job: a.Job, By: a.To}) })
 		})
 	}
 	if to == f.n {
-		to.stepNode(message.JobCancelled{Job: a.Job})
+		to.step(message.JobCancelled{Job: a.Job})
 		f.later(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
-	w.carry(string(f.n.name), string(a.To), heard)
+	w.send(string(f.n.name), string(a.To), heard)
 }
 
 func (u *users) front(name protocol.NodeName) *frontend {
--- /dev/null
+++ b/internal/simulator/gangs.go
@@ -0,0 +1,54 @@
+package simulator
+
+import "damsonkeel/internal/protocol"
+
+// gangTask is a task of a gang on a worker.
+type gangTask struct {
+	worker  *worker
+	id      protocol.TaskID
+	attempt protocol.Attempt
+	state   protocol.TaskState
+}
+
+// advanceGangs starts gangs of which all tasks wait, and stops those that have lost some.
+func (w *world) advanceGangs() {
+	for _, id := range w.jobOrder {
+		j := w.jobs[id]
+		if j.Kind == protocol.KindGang && j.Tasks >= 2 && w.finalState[id] == "" {
+			w.advanceGang(j)
+		}
+	}
+}
+
+// advanceGang starts or stops the tasks of a gang.
+func (w *world) advanceGang(j protocol.Job) {
+	waiting, running := map[protocol.Attempt]int{}, map[protocol.Attempt]int{}
+	w.eachGangTask(j, func(t gangTask) {
+		switch t.state {
+		case protocol.TaskWaiting:
+			waiting[t.attempt]++
+		case protocol.TaskRunning:
+			running[t.attempt]++
+		}
+	})
+	w.eachGangTask(j, func(t gangTask) {
+		switch {
+		case waiting[t.attempt] == int(j.Tasks):
+			t.worker.Meet(t.id)
+		case running[t.attempt] > 0 && running[t.attempt] < int(j.Tasks):
+			t.worker.Part(t.id)
+		}
+	})
+}
+
+// eachGangTask calls do for each task of a gang on each worker.
+func (w *world) eachGangTask(j protocol.Job, do func(gangTask)) {
+	for _, m := range w.machineOrder {
+		for i := range j.Tasks {
+			id := protocol.TaskID{Job: j.ID, Index: i}
+			if attempt, state, ok := w.workers[m].Gang(id); ok {
+				do(gangTask{w.workers[m], id, attempt, state})
+			}
+		}
+	}
+}
--- a/internal/simulator/guests_test.go
+++ b/internal/simulator/guests_test.go
@@ -33,7 +33,7 @@
 		w.runTime = func(id protocol.TaskID) time.Duration {
 			return config.Seconds(w.jobs[id.Job].EstimateS)
 		}
-		w.started = func(_ protocol.MachineID, id protocol.TaskID) {
+		w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) {
 			switch j := w.jobs[id.Job]; {
 			case j.Class == "idle":
 				if on++; on > most {
@@ -44,7 +44,7 @@
 				waits = append(waits, w.now-came[id.Job])
 			}
 		}
-		w.endedTask = func(_ protocol.MachineID, id protocol.TaskID, _ protocol.EndCause) {
+		w.onTaskEnded = func(_ protocol.MachineID, id protocol.TaskID, _ protocol.EndCause) {
 			if w.jobs[id.Job].Class == "idle" {
 				on--
 			}
@@ -86,7 +86,7 @@
 	waits []time.Duration
 }
 
-// comes notes that the job submitted last has to begin.
+// submitReserved notes that the job submitted last has to begin.
 func (b *begins) comes(w *world) { b.came[w.jobOrder[len(w.jobOrder)-1]] = w.now }
 
 // late reports that some have not begun, or not soon enough.
@@ -97,7 +97,7 @@
 	w, b := newWorld(t.Fatalf, seed, guestSettings(), 20, 20), &begins{came: map[protocol.JobID]time.Duration{}}
 	w.cloud.Capacity = 20
 	w.runTime = func(id protocol.TaskID) time.Duration { return config.Seconds(w.jobs[id.Job].EstimateS) }
-	w.started = func(_ protocol.MachineID, id protocol.TaskID) {
+	w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) {
 		if at, awaited := b.came[id.Job]; awaited {
 			b.waits = append(b.waits, w.now-at)
 			delete(b.came, id.Job)
--- a/internal/simulator/hard_test.go
+++ b/internal/simulator/hard_test.go
@@ -81,8 +81,8 @@
 		n.crashFor(25 * time.Second) // leases last 15 s
 	}
 	w.run(w.now + 25*time.Second)
-	if w.lapsed < hardFleet*9/10 {
-		t.Fatalf("%d leases have run out", w.lapsed)
+	if w.expiredLeases < hardFleet*9/10 {
+		t.Fatalf("%d leases have run out", w.expiredLeases)
 	}
 	writes := w.blockWrites
 	w.submitEvery(170*time.Millisecond, 10*time.Second)
@@ -103,7 +103,7 @@
 func TestZoneAwayDuringARoll(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 2)
-	w.part("a", true, 70*time.Second, true)
+	w.partitionZone("a", true, 70*time.Second, true)
 	w.submitEvery(2*time.Second, 20*time.Second)
 	w.cancel(w.jobOrder[len(w.jobOrder)-1])
 	w.submitEvery(3*time.Second, 40*time.Second)
@@ -122,7 +122,7 @@
 	frozen := w.nodes[1]
 	w.submit(fleetJob(w))
 	w.run(w.now + 100*time.Millisecond)
-	frozen.frozen = w.now + 40*time.Second
+	frozen.pausedUntil = w.now + 40*time.Second
 	term := w.nodes[0].core.Status().Term
 	w.submitEvery(2*time.Second, 39*time.Second)
 	if w.nodes[0].core.Status().Term == term {
@@ -142,14 +142,14 @@
 func TestTakeoverWithASlowStateService(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 4)
-	w.slow = 450 * time.Millisecond
+	w.stateLatency = 450 * time.Millisecond
 	w.submitEvery(time.Second, 6*time.Second)
 	w.nodes[2].crashFor(30 * time.Second)
 	w.submitEvery(time.Second, 28*time.Second)
 	if n := w.kept(); n < hardFleet*8/10 {
 		t.Errorf("%d machines kept by the two that are left", n)
 	}
-	w.slow = 0
+	w.stateLatency = 0
 	w.allEnd(t, 120*time.Second)
 }
 
@@ -162,13 +162,13 @@
 	w.nodes[0].crashFor(60 * time.Second)
 	w.nodes[1].crashFor(60 * time.Second)
 	w.submitEvery(time.Second, 18*time.Second)
-	lapsed, starts := w.lapsed, w.starts
+	lapsed, starts := w.expiredLeases, w.starts
 	w.submitEvery(time.Second, 30*time.Second)
 	if n := w.nodes[2].core.Status().Queues; n < hardFleet/2 {
 		t.Errorf("%d machines kept", n)
 	}
-	if w.lapsed > lapsed {
-		t.Errorf("%d leases ran out while one controller kept all machines", w.lapsed-lapsed)
+	if w.expiredLeases > lapsed {
+		t.Errorf("%d leases ran out while one controller kept all machines", w.expiredLeases-lapsed)
 	}
 	if w.starts == starts {
 		t.Error("nothing was started")
--- a/internal/simulator/meetings_test.go
+++ b/internal/simulator/meetings_test.go
@@ -18,54 +18,54 @@
 			if len(w.jobOrder) == 0 {
 				return
 			}
-			if id := w.jobOrder[w.rng.IntN(len(w.jobOrder))]; w.final[id] == "" {
+			if id := w.jobOrder[w.rng.IntN(len(w.jobOrder))]; w.finalState[id] == "" {
 				w.cancel(id)
 			}
 		})
 	}
 }
 
-// cutFromPeers cuts a controller from all others.
-func (n *simNode) cutFromPeers(d time.Duration, hold bool) {
+// partitionFromPeers cuts a controller from all others.
+func (n *node) partitionFromPeers(d time.Duration, hold bool) {
 	w := n.world
 	for _, p := range w.nodes {
-		w.cut(string(n.name), string(p.name), d, hold)
+		w.partition(string(n.name), string(p.name), d, hold)
 	}
 }
 
 // some calls do with a part of the machines.
-func (w *world) some(part float64, do func(*simWorker)) {
-	for _, id := range w.order {
+func (w *world) some(part float64, do func(*worker)) {
+	for _, id := range w.machineOrder {
 		if sw := w.workers[id]; !sw.Dead && w.rng.Float64() < part {
 			do(sw)
 		}
 	}
 }
 
-// refusedThenOut: the state service refuses a controller alone, jobs are cancelled
+// partitionThenOutage: the state service refuses a controller alone, jobs are cancelled
 // through the others meanwhile, then it is out for all, longer than cancel_s.
-func (n *simNode) refusedThenOut() {
+func (n *node) partitionThenOutage() {
 	w := n.world
-	if w.now < 25*time.Second || w.outage > w.now {
+	if w.now < 25*time.Second || w.outageUntil > w.now {
 		return // there has to be something that runs
 	}
 	refused := time.Duration(1000+w.rng.IntN(15_000)) * time.Millisecond
 	out := time.Duration(w.settings.Site.Workers.CancelS+float64(w.rng.IntN(20))) * time.Second
-	w.cut(string(n.name), "state", refused+out, w.rng.IntN(2) == 0)
+	w.partition(string(n.name), "state", refused+out, w.rng.IntN(2) == 0)
 	if w.rng.IntN(3) == 0 {
 		for _, p := range w.nodes {
-			w.cut(string(n.name), string(p.name), refused+out/2, w.rng.IntN(2) == 0)
+			w.partition(string(n.name), string(p.name), refused+out/2, w.rng.IntN(2) == 0)
 		}
 	}
 	w.cancelOver(1+w.rng.IntN(6), refused)
-	w.after(refused, func() { w.outage = max(w.outage, w.now+out) })
+	w.after(refused, func() { w.outageUntil = max(w.outageUntil, w.now+out) })
 	switch w.rng.IntN(4) {
 	case 0:
-		w.after(refused/2, func() { n.frozen = max(n.frozen, w.now+time.Duration(3+w.rng.IntN(37))*time.Second) })
+		w.after(refused/2, func() { n.pausedUntil = max(n.pausedUntil, w.now+time.Duration(3+w.rng.IntN(37))*time.Second) })
 	case 1:
 		w.after(refused/2, func() { n.crashFor(200 * time.Millisecond) })
 	case 2:
-		w.after(refused/2, func() { w.moveSome(16) })
+		w.after(refused/2, func() { w.moveRandomShards(16) })
 	}
 }
 
@@ -77,26 +77,26 @@
 	hold := w.rng.IntN(2) == 0
 	switch w.rng.IntN(14) {
 	case 12, 13:
-		w.heldUp = 0.1 + w.rng.Float64()/2
-		w.after(d, func() { w.heldUp = 0 })
+		w.slowMessageFraction = 0.1 + w.rng.Float64()/2
+		w.after(d, func() { w.slowMessageFraction = 0 })
 	case 0:
 		if w.rng.IntN(6) == 0 {
-			n.refusedThenOut()
+			n.partitionThenOutage()
 		}
 	case 1: // cut from the records and from its peers, not from workers
-		w.cut(string(n.name), "state", d, hold)
-		n.cutFromPeers(d, hold)
+		w.partition(string(n.name), "state", d, hold)
+		n.partitionFromPeers(d, hold)
 		w.cancelOver(3, d)
 	case 2, 3:
-		w.lateWrites = 0.1 + w.rng.Float64()/2
-		w.after(d, func() { w.lateWrites = 0 })
+		w.lateWriteFraction = 0.1 + w.rng.Float64()/2
+		w.after(d, func() { w.lateWriteFraction = 0 })
 	case 4, 5:
-		w.lateReports = 0.1 + w.rng.Float64()/2
-		w.after(d, func() { w.lateReports = 0 })
+		w.duplicateHeartbeatFraction = 0.1 + w.rng.Float64()/2
+		w.after(d, func() { w.duplicateHeartbeatFraction = 0 })
 	case 6:
-		w.some(0.3, func(sw *simWorker) { sw.deaf = w.now + d })
+		w.some(0.3, func(sw *worker) { sw.inboundLostUntil = w.now + d })
 	case 7, 8: // most within their lease
-		w.some(0.4, func(sw *simWorker) { sw.hung = w.now + time.Duration(300+w.rng.IntN(17_000))*time.Millisecond })
+		w.some(0.4, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(300+w.rng.IntN(17_000))*time.Millisecond })
 	case 9:
 		n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 	case 10:
@@ -106,8 +106,8 @@
 			}
 		}
 	case 11:
-		w.slow = time.Duration(1+w.rng.IntN(3)) * 200 * time.Millisecond
-		w.after(d, func() { w.slow = 0 })
+		w.stateLatency = time.Duration(1+w.rng.IntN(3)) * 200 * time.Millisecond
+		w.after(d, func() { w.stateLatency = 0 })
 	}
 }
 
@@ -143,20 +143,20 @@
 // and then all controllers end.
 func TestRulesHoldWhenCommandsAreHeldUp(t *testing.T) {
 	trouble := func(w *world) {
-		w.heldUp = 0.2 + w.rng.Float64()/2
+		w.slowMessageFraction = 0.2 + w.rng.Float64()/2
 		switch w.rng.IntN(5) {
 		case 0:
-			w.moveSome(16)
+			w.moveRandomShards(16)
 		case 1:
-			w.some(0.3, func(sw *simWorker) { sw.hung = w.now + time.Duration(300+w.rng.IntN(9000))*time.Millisecond })
+			w.some(0.3, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(300+w.rng.IntN(9000))*time.Millisecond })
 		case 2:
-			w.some(0.2, func(sw *simWorker) {
+			w.some(0.2, func(sw *worker) {
 				notice := 12.0
 				sw.Notice = &notice
 				w.after(12*time.Second, func() { sw.Notice = nil }) // not taken after all
 			})
 		case 3:
-			w.some(0.2, func(sw *simWorker) {
+			w.some(0.2, func(sw *worker) {
 				sw.Faulty = true
 				w.after(3*time.Second, func() { sw.Faulty = false })
 			})
@@ -177,7 +177,7 @@
 	refused time.Duration // alone, before the outage
 	hold    bool          // held back rather than refused
 	peers   bool          // cut from the other controllers too
-	do      func(*world, *simNode)
+	do      func(*world, *node)
 }
 
 // play plays it on machines full of long tasks, with jobs cancelled during the time of
@@ -186,7 +186,7 @@
 func (m firstMeeting) play(fail func(string, ...any), seed uint64, ownLease time.Duration) (on int, last time.Duration) {
 	const machines = 24
 	w := newWorld(fail, seed, fake.Settings(), machines, machines)
-	w.ownLease = ownLease
+	w.nodeLease = ownLease
 	w.runTime = func(protocol.TaskID) time.Duration { return 10 * time.Minute }
 	w.run(3 * time.Second)
 	for range 40 { // some still fetch their images, or wait, when it begins
@@ -196,9 +196,9 @@
 	}
 	n := w.nodes[seed%3]
 	out := time.Duration(w.settings.Site.Workers.CancelS)*time.Second + 10*time.Second
-	w.cut(string(n.name), "state", m.refused+out, m.hold)
+	w.partition(string(n.name), "state", m.refused+out, m.hold)
 	if m.peers {
-		n.cutFromPeers(m.refused+out, m.hold)
+		n.partitionFromPeers(m.refused+out, m.hold)
 	}
 	if m.do != nil {
 		m.do(w, n)
@@ -223,7 +223,7 @@
 		for range 12 {
 			cancel()
 		}
-		w.outage = w.now + out
+		w.outageUntil = w.now + out
 	})
 	for w.now < start+m.refused+out {
 		w.run(w.now + 100*time.Millisecond)
@@ -238,9 +238,9 @@
 
 // firstMeetings are the ways that are played.
 func firstMeetings() map[string]firstMeeting {
-	freeze := func(d time.Duration) func(*world, *simNode) {
-		return func(w *world, n *simNode) {
-			w.after(time.Second, func() { n.frozen = w.now + d })
+	freeze := func(d time.Duration) func(*world, *node) {
+		return func(w *world, n *node) {
+			w.after(time.Second, func() { n.pausedUntil = w.now + d })
 		}
 	}
 	return map[string]firstMeeting{
@@ -254,11 +254,11 @@
 		"all held back, peers too":          {refused: 5 * time.Second, peers: true, hold: true},
 		"it stands still for a moment":      {refused: 6 * time.Second, do: freeze(3 * time.Second)},
 		"it stands still for long":          {refused: 6 * time.Second, do: freeze(40 * time.Second)},
-		"it ends and is back at once":       {refused: 6 * time.Second, do: func(w *world, n *simNode) { w.after(2*time.Second, func() { n.crashFor(200 * time.Millisecond) }) }},
-		"shares move from and to it":        {refused: 4 * time.Second, do: func(w *world, _ *simNode) { w.moveSome(60) }},
-		"commands are held up":              {refused: 9 * time.Second, do: func(w *world, _ *simNode) { w.heldUp = 0.4 }},
-		"machines stand still":              {refused: 9 * time.Second, do: func(w *world, _ *simNode) { w.some(0.5, func(sw *simWorker) { sw.hung = w.now + 12*time.Second }) }},
-		"transactions are carried out late": {refused: 9 * time.Second, do: func(w *world, _ *simNode) { w.lateWrites = 0.3 }},
+		"it ends and is back at once":       {refused: 6 * time.Second, do: func(w *world, n *node) { w.after(2*time.Second, func() { n.crashFor(200 * time.Millisecond) }) }},
+		"shares move from and to it":        {refused: 4 * time.Second, do: func(w *world, _ *node) { w.moveRandomShards(60) }},
+		"commands are held up":              {refused: 9 * time.Second, do: func(w *world, _ *node) { w.slowMessageFraction = 0.4 }},
+		"machines stand still":              {refused: 9 * time.Second, do: func(w *world, _ *node) { w.some(0.5, func(sw *worker) { sw.pausedUntil = w.now + 12*time.Second }) }},
+		"transactions are carried out late": {refused: 9 * time.Second, do: func(w *world, _ *node) { w.lateWriteFraction = 0.3 }},
 	}
 }
 
@@ -270,12 +270,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seeds(3)) {
-				on, last := m.play(t.Fatalf, 900+seed, simNodeLease)
+				on, last := m.play(t.Fatalf, 900+seed, nodeLeaseDuration)
 				if on == 0 {
 					t.Error("no cancelled task was on a machine: nothing is shown")
 				}
 				w := fake.Settings().Site.Workers
-				if bound := config.CancelledWithin(simNodeLease, w) + usualStep; last > bound {
+				if bound := config.CancelledWithin(nodeLeaseDuration, w) + defaultStep; last > bound {
 					t.Errorf("seed %d: stayed for %v, the bound is %v", seed, last, bound)
 				}
 				t.Logf("%d tasks of cancelled jobs on machines, the last for %v", on, last)
@@ -319,24 +319,24 @@
 		"cut from the records and all peers": func(w *world) {
 			if n, d := w.nodes[w.rng.IntN(3)], time.Duration(4+w.rng.IntN(70))*time.Second; w.rng.IntN(6) == 0 {
 				hold := w.rng.IntN(2) == 0
-				w.cut(string(n.name), "state", d, hold)
-				n.cutFromPeers(d, hold)
+				w.partition(string(n.name), "state", d, hold)
+				n.partitionFromPeers(d, hold)
 				w.cancelOver(4, d)
 			}
 		},
 		"transactions are carried out late": func(w *world) {
-			w.lateWrites = 0.35
+			w.lateWriteFraction = 0.35
 			if w.rng.IntN(3) == 0 {
 				back(w, time.Second)
 			}
 		},
 		"a leader ends while machines are deaf or away": func(w *world) {
 			d := time.Duration(2+w.rng.IntN(30)) * time.Second
-			w.some(0.3, func(sw *simWorker) {
+			w.some(0.3, func(sw *worker) {
 				if w.rng.IntN(2) == 0 {
-					sw.deaf = w.now + d
+					sw.inboundLostUntil = w.now + d
 				} else {
-					sw.hung = w.now + d
+					sw.pausedUntil = w.now + d
 				}
 			})
 			if w.rng.IntN(3) == 0 {
@@ -344,25 +344,25 @@
 			}
 		},
 		"handed over and back, within a second": func(w *world) {
-			w.moveSome(24)
+			w.moveRandomShards(24)
 			w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { back(w, 900*time.Millisecond) })
-			w.after(time.Duration(300+w.rng.IntN(900))*time.Millisecond, func() { w.moveSome(24) })
+			w.after(time.Duration(300+w.rng.IntN(900))*time.Millisecond, func() { w.moveRandomShards(24) })
 		},
 		"slow, refused alone, out for all": func(w *world) {
-			w.slow = time.Duration(w.rng.IntN(4)) * 200 * time.Millisecond
+			w.stateLatency = time.Duration(w.rng.IntN(4)) * 200 * time.Millisecond
 			if w.rng.IntN(8) == 0 {
-				w.nodes[w.rng.IntN(3)].refusedThenOut()
+				w.nodes[w.rng.IntN(3)].partitionThenOutage()
 			}
 		},
 		"old reports come after newer ones": func(w *world) {
-			w.lateReports = 0.6
+			w.duplicateHeartbeatFraction = 0.6
 			switch w.rng.IntN(5) {
 			case 0:
 				back(w, 9*time.Second)
 			case 1:
-				w.moveSome(24)
+				w.moveRandomShards(24)
 			case 2:
-				w.some(0.2, func(sw *simWorker) { sw.hung = w.now + time.Duration(w.rng.IntN(25))*time.Second })
+				w.some(0.2, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(w.rng.IntN(25))*time.Second })
 			}
 		},
 	} {
--- a/internal/simulator/mistakes_test.go
+++ b/internal/simulator/mistakes_test.go
@@ -18,11 +18,11 @@
 	w.run(3 * time.Second)
 	faulty := map[protocol.MachineID]bool{}
 	for _, i := range []int{5, 25, 45} {
-		faulty[w.order[i]] = true
-		w.workers[w.order[i]].Faulty = true
+		faulty[w.machineOrder[i]] = true
+		w.workers[w.machineOrder[i]].Faulty = true
 	}
 	starts := map[protocol.JobID]int{}
-	w.started = func(_ protocol.MachineID, id protocol.TaskID) { starts[id.Job]++ }
+	w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) { starts[id.Job]++ }
 	aside, good := map[protocol.MachineID]bool{}, 0
 	for i := range 80 {
 		j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true}
@@ -36,7 +36,7 @@
 		}
 		if i%2 == 0 {
 			w.submit(j)
-			w.mistaken[w.jobOrder[len(w.jobOrder)-1]] = i/2%3 == 0
+			w.faultyJobs[w.jobOrder[len(w.jobOrder)-1]] = i/2%3 == 0
 		}
 		w.run(w.now + time.Second)
 		for _, n := range w.nodes {
@@ -56,24 +56,24 @@
 		t.Errorf("good machines are set aside for %d s in all", good)
 	}
 	mended := w.jobOrder[0]
-	if !w.mistaken[mended] {
+	if !w.faultyJobs[mended] {
 		t.Fatal("the first job has no mistake")
 	}
 	for _, id := range w.jobOrder {
-		if j := w.jobs[id]; w.mistaken[id] && starts[id] > 3*int(j.Tasks)+30 {
+		if j := w.jobs[id]; w.faultyJobs[id] && starts[id] > 3*int(j.Tasks)+30 {
 			t.Errorf("%s of %d tasks, which fail everywhere, was started %d times", id, j.Tasks, starts[id])
 		}
 	}
-	delete(w.mistaken, mended)
-	for end := w.now + 400*time.Second; w.final[mended] == "" && w.now < end; {
+	delete(w.faultyJobs, mended)
+	for end := w.now + 400*time.Second; w.finalState[mended] == "" && w.now < end; {
 		w.run(w.now + time.Second)
 	}
 	w.run(w.now + 60*time.Second)
 	for _, id := range w.jobOrder {
-		if w.final[id] == "" != w.mistaken[id] {
-			t.Errorf("%s, with a mistake: %v, is %q", id, w.mistaken[id], w.final[id])
+		if w.finalState[id] == "" != w.faultyJobs[id] {
+			t.Errorf("%s, with a mistake: %v, is %q", id, w.faultyJobs[id], w.finalState[id])
 		}
-		if w.mistaken[id] {
+		if w.faultyJobs[id] {
 			w.cancel(id)
 		}
 	}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -1,80 +1,105 @@
 package simulator
 
 import (
+	"math/rand/v2"
 	"time"
 
 	"damsonkeel/internal/protocol"
 )
 
-type cut struct {
-	until time.Duration
-	hold  bool // packets are held and delivered later, else lost
+// Ends of messages, beside the names of nodes.
+const (
+	stateEnd   = "state"
+	workersEnd = "workers"
+)
+
+// zoneEnd is the end of messages to and from a zone's workers.
+func zoneEnd(zone protocol.Zone) string { return "zone " + string(zone) }
+
+// network carries messages between two ends, with delays and partitions.
+type network struct {
+	*timeline
+	rng        *rand.Rand
+	partitions map[string]partition // by the two ends
+	// slowMessageFraction is the fraction of commands, heartbeats and their answers that
+	// take seconds.
+	slowMessageFraction float64
+}
+
+// partition is a partition of two ends.
+type partition struct {
+	until   time.Duration
+	delayed bool // messages are delivered once it ends, otherwise lost
 }
 
-func (w *world) delay() time.Duration {
-	return time.Duration(1+w.rng.IntN(30)) * time.Millisecond
+// partitionKey is the key of a partition, which is that of the first end.
+func partitionKey(from, to string) string { return from + ">" + to }
+
+// partition partitions two ends for a while.
+func (n *network) partition(a, b string, d time.Duration, delayed bool) {
+	n.partitions[partitionKey(a, b)] = partition{n.now + d, delayed}
+}
+
+// delay draws the time that a message takes.
+func (n *network) delay() time.Duration {
+	return time.Duration(1+n.rng.IntN(30)) * time.Millisecond
 }
 
-// workerDelay is how long a message from or to a worker takes.
-func (w *world) workerDelay() time.Duration {
-	if w.heldUp > 0 && w.rng.Float64() < w.heldUp {
-		return time.Duration(100+w.rng.IntN(7000)) * time.Millisecond
+// workerDelay draws the time that a message from or to a worker takes.
+func (n *network) workerDelay() time.Duration {
+	if n.slowMessageFraction > 0 && n.rng.Float64() < n.slowMessageFraction {
+		return time.Duration(100+n.rng.IntN(7000)) * time.Millisecond
 	}
-	return w.delay()
+	return n.delay()
 }
 
-// carry passes a message between two ends: delivered, held back, or lost.
-func (w *world) carry(a, b string, deliver func()) (delivered bool) {
-	for _, key := range []string{a + ">" + b, b + ">" + a} {
-		if c, ok := w.cuts[key]; ok && c.until > w.now {
-			if c.hold {
-				w.after(c.until-w.now+w.delay(), deliver)
+// send carries a message between two ends: it is delivered, delayed or lost.
+func (n *network) send(from, to string, deliver func()) {
+	for _, key := range []string{partitionKey(from, to), partitionKey(to, from)} {
+		if p, ok := n.partitions[key]; ok && p.until > n.now {
+			if p.delayed {
+				n.after(p.until-n.now+n.delay(), deliver)
 			}
-			return false
+			return
 		}
 	}
-	w.after(w.delay(), deliver)
-	return true
+	n.after(n.delay(), deliver)
 }
 
-// carryToZone is carry between a controller and a machine, whose zone may be
-// cut off from it.
-func (n *simNode) carryToZone(z protocol.Zone, deliver func()) {
+// sendToZone carries a message between a controller and a worker, whose zone may be
+// partitioned from the controller.
+func (n *node) sendToZone(zone protocol.Zone, deliver func()) {
 	w := n.world
-	if w.heldUp > 0 {
-		held := deliver
-		deliver = func() { w.after(w.workerDelay(), held) }
+	if w.slowMessageFraction > 0 {
+		inTime := deliver
+		deliver = func() { w.after(w.workerDelay(), inTime) }
 	}
-	w.carry(string(n.name), "zone "+string(z), func() { w.carry(string(n.name), "workers", deliver) })
+	w.send(string(n.name), zoneEnd(zone), func() { w.send(string(n.name), workersEnd, deliver) })
 }
 
-// zoneOf is the zone of a controller.
+// zoneOf returns the zone of a controller.
 func (w *world) zoneOf(i int) protocol.Zone {
 	zones := w.types[0].AllowZones
 	return zones[i%len(zones)]
 }
 
-// part cuts zones off from one another: all their controllers and machines. A
-// zone that is cut off from everything does not reach the state service.
-func (w *world) part(z protocol.Zone, everything bool, d time.Duration, hold bool) {
+// partitionZone partitions a zone, with its controllers and machines, from the others. One
+// that is partitioned from everything does not reach the state service either.
+func (w *world) partitionZone(zone protocol.Zone, everything bool, d time.Duration, delayed bool) {
 	for i, n := range w.nodes {
-		inside := w.zoneOf(i) == z
+		inside := w.zoneOf(i) == zone
 		if inside && everything {
-			w.cut(string(n.name), "state", d, hold)
+			w.partition(string(n.name), stateEnd, d, delayed)
 		}
 		for _, other := range w.types[0].AllowZones {
-			if (other == z) != inside {
-				w.cut(string(n.name), "zone "+string(other), d, hold)
+			if (other == zone) != inside {
+				w.partition(string(n.name), zoneEnd(other), d, delayed)
 			}
 		}
 		for k, peer := range w.nodes {
-			if inside && w.zoneOf(k) != z {
-				w.cut(string(n.name), string(peer.name), d, hold)
+			if inside && w.zoneOf(k) != zone {
+				w.partition(string(n.name), string(peer.name), d, delayed)
 			}
 		}
 	}
 }
-
-func (w *world) cut(a, b string, d time.Duration, hold bool) {
-	w.cuts[a+">"+b] = cut{w.now + d, hold}
-}
--- /dev/null
+++ b/internal/simulator/node.go
@@ -0,0 +1,295 @@
+package simulator
+
+import (
+	"fmt"
+	"log/slog"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+const (
+	// nodePrefix begins the names of nodes, which end with their index.
+	nodePrefix = "node-"
+	// restartDelay is how long a crashed process is down.
+	restartDelay = 6 * time.Second
+	// sessionRetryDelay is the time between two attempts to open a session.
+	sessionRetryDelay = 300 * time.Millisecond
+	// renewInterval is the time between two renewals of a session's lease.
+	renewInterval = time.Second
+	// logVariable is the environment variable that turns on the logs of controllers.
+	logVariable = "WORLD_LOG"
+)
+
+// node is a simulated node that runs a controller's core.
+type node struct {
+	world       *world
+	name        protocol.NodeName
+	core        *controller.Core // nil: the process is down
+	incarnation int              // counts processes: answers to earlier ones are lost
+	startedAt   time.Duration
+	outboxes    map[protocol.NodeName]*outbox
+	session     protocol.LeaseID // of the state service; 0: there is none
+	renewAt     time.Duration    // when the session's lease is renewed next
+	watched     int              // changes of the state service that it has seen
+	layout      record.Layout
+	pausedUntil time.Duration // its process stands still while clocks run on
+	// slowdown is how many times slower its process ticks until slowdownUntil.
+	slowdown      int
+	slowdownUntil time.Duration
+}
+
+// outbox holds a node's messages to a peer.
+type outbox struct {
+	*controller.Outbox
+	busyUntil time.Duration // a batch is on its way
+}
+
+// settings returns the node's own settings.
+func (n *node) settings() *config.Settings {
+	w := n.world
+	s := *w.settings
+	s.Name, s.Members = n.name, nil
+	for i, other := range w.nodes {
+		if other == n {
+			s.Zone = w.zoneOf(i)
+		} else {
+			s.Members = append(s.Members, config.Member{Name: other.name, Zone: w.zoneOf(i)})
+		}
+	}
+	return &s
+}
+
+// logger returns the logger of the node's controller, with simulated times.
+func (n *node) logger() *slog.Logger {
+	level := slog.LevelError + 1
+	if os.Getenv(logVariable) != "" {
+		level = slog.LevelDebug
+	}
+	simulatedTime := func(_ []string, a slog.Attr) slog.Attr {
+		if a.Key == slog.TimeKey {
+			return slog.Duration("at", n.world.now)
+		}
+		return a
+	}
+	handler := slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level, ReplaceAttr: simulatedTime})
+	return slog.New(handler).With("node", n.name)
+}
+
+// start starts the node's process.
+func (n *node) start() {
+	w := n.world
+	n.incarnation++
+	incarnation := n.incarnation
+	log := n.logger()
+	n.core = controller.NewCore(n.settings(), w.operator, rand.New(rand.NewPCG(w.rng.Uint64(), 2)), log)
+	n.startedAt = w.now
+	n.session = 0
+	n.outboxes = map[protocol.NodeName]*outbox{}
+	for i := range w.settings.Site.Count {
+		name := protocol.NodeName(fmt.Sprint(nodePrefix, i))
+		n.outboxes[name] = &outbox{Outbox: controller.NewOutbox(n.name, nil, log)}
+	}
+	n.step(message.CatalogueRead{Types: w.types})
+	w.after(w.delay(), func() { n.openSession(incarnation) })
+}
+
+// crash ends the node's process and restarts it after a while.
+func (n *node) crash() { n.crashFor(restartDelay) }
+
+// crashFor ends the node's process and restarts it after a time.
+func (n *node) crashFor(d time.Duration) {
+	w := n.world
+	n.incarnation++
+	n.core = nil
+	n.afterIfAlive(d, func() {
+		n.layout = w.layout
+		n.start()
+	})
+}
+
+// openSession opens a session of the state service and reads what the core watches, as the
+// controller's node does.
+func (n *node) openSession(incarnation int) {
+	w := n.world
+	if n.incarnation != incarnation {
+		return
+	}
+	if !n.stateReachable() {
+		w.after(sessionRetryDelay, func() { n.openSession(incarnation) })
+		return
+	}
+	items, at := w.state.List(record.FollowedPrefix), w.state.Changes()
+	lease := w.state.Lease(w.now, nodeLeaseDuration)
+	key := record.NodeKey(n.name)
+	it, _ := w.state.Get(key)
+	w.state.Txn(protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: key, Version: it.Version}},
+		Changes:    []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout}, Lease: &lease}},
+	})
+	n.session, n.watched, n.renewAt = lease, at, w.now
+	n.step(message.Snapshot{Session: lease, Items: items, WallMS: w.wallMS()})
+}
+
+// clock returns the time of the node's own clock.
+func (n *node) clock() controller.Time { return controller.Time(n.world.now-n.startedAt) + 1 }
+
+// afterIfAlive does something after a time, unless the node's process has ended by then.
+func (n *node) afterIfAlive(d time.Duration, do func()) {
+	incarnation := n.incarnation
+	n.world.after(d, func() {
+		if n.incarnation == incarnation {
+			do()
+		}
+	})
+}
+
+// step passes a message to the core and executes its actions.
+func (n *node) step(msg any) []message.Action {
+	w := n.world
+	if n.core == nil {
+		return nil
+	}
+	if w.now < n.pausedUntil { // handled later; whoever waits for the answer has given up
+		n.afterIfAlive(n.pausedUntil-w.now, func() { n.step(msg) })
+		return nil
+	}
+	actions := n.core.Step(n.clock(), msg)
+	n.recordMoves()
+	n.execute(actions)
+	if w.eventDriven && n.core != nil {
+		n.flushAll()
+	}
+	return actions
+}
+
+// deliver passes a message to the core after a while, unless the process has ended.
+func (n *node) deliver(msg any) {
+	n.afterIfAlive(n.world.delay(), func() { n.step(msg) })
+}
+
+// tick lets a step pass on the node: it sees changes, renews its session and ticks.
+func (n *node) tick() {
+	w := n.world
+	if n.core == nil || w.now < n.pausedUntil {
+		return
+	}
+	if n.session != 0 && n.stateReachable() {
+		n.watch()
+		if w.now >= n.renewAt && !n.renewSession() {
+			return
+		}
+	}
+	if n.slowdown > 1 && w.now < n.slowdownUntil && int(w.now/w.step)%n.slowdown != 0 {
+		return // a slow process misses most ticks
+	}
+	if w.eventDriven || w.now%(2*w.step) == 0 {
+		n.step(message.Tick{WallMS: w.tickMS()})
+	}
+	n.flushAll()
+}
+
+// renewSession renews the session's lease. If that has expired, it opens another session
+// and returns false.
+func (n *node) renewSession() bool {
+	w := n.world
+	n.renewAt = w.now + renewInterval
+	if w.state.Extend(w.now, n.session) {
+		n.step(message.LeaseExtended{Until: controller.LeaseDeadline(w.nodeLease, n.clock(), n.clock()-controller.Time(w.stateLatency+w.watchLag))})
+		return true
+	}
+	n.session = 0
+	n.step(message.SessionEnded{})
+	for _, o := range n.outboxes {
+		o.busyUntil = 0
+	}
+	incarnation := n.incarnation
+	w.after(sessionRetryDelay, func() { n.openSession(incarnation) })
+	return false
+}
+
+// tickMS returns the time of day that ticks carry. In worlds that are not event-driven,
+// which last a few minutes, that of the session is enough.
+func (w *world) tickMS() int64 {
+	if !w.eventDriven {
+		return 0
+	}
+	return w.wallMS()
+}
+
+// watch passes changes of the state service to the core that are old enough to be seen.
+func (n *node) watch() {
+	w := n.world
+	for n.watched < w.state.Changes() && w.changeAge(n.watched) >= w.stateLatency+w.watchLag {
+		ev := w.state.Change(n.watched)
+		n.watched++
+		if isWatched(ev) {
+			n.step(message.RecordChanged{Event: ev})
+		}
+	}
+}
+
+// watchSoon has all nodes see the latest changes after a while, in an event-driven world.
+func (w *world) watchSoon() {
+	if !w.eventDriven {
+		return
+	}
+	for _, n := range w.nodes {
+		n.afterIfAlive(w.delay(), func() {
+			if n.core != nil && n.session != 0 && w.now >= n.pausedUntil && n.stateReachable() {
+				n.watch()
+			}
+		})
+	}
+}
+
+// flushAll sends what waits for each peer, in order of their names.
+func (n *node) flushAll() {
+	for _, to := range slices.Sorted(maps.Keys(n.outboxes)) {
+		n.flush(to, n.outboxes[to])
+	}
+}
+
+// flush sends the next batch to a peer unless one is on its way.
+func (n *node) flush(to protocol.NodeName, o *outbox) {
+	w := n.world
+	if w.now < o.busyUntil {
+		return
+	}
+	batch, ok := o.Batch()
+	if !ok {
+		return
+	}
+	o.busyUntil = w.now + controller.PeerTimeout
+	incarnation := n.incarnation
+	peer := w.nodeByName(to)
+	w.send(string(n.name), string(to), func() {
+		for _, a := range peer.step(message.BatchReceived{Batch: batch}) {
+			if reply, ok := a.(message.ReplyBatch); ok {
+				w.send(string(to), string(n.name), func() {
+					if n.incarnation == incarnation {
+						o.HandleReply(batch, reply.Reply)
+						o.busyUntil = w.now
+					}
+				})
+			}
+		}
+	})
+}
+
+// nodeByName returns a node by its name.
+func (w *world) nodeByName(name protocol.NodeName) *node {
+	i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == name })
+	if i < 0 {
+		return nil
+	}
+	return w.nodes[i]
+}
--- a/internal/simulator/plants_test.go
+++ b/internal/simulator/plants_test.go
@@ -84,7 +84,7 @@
 		}}, "left waiting"},
 		"starts after a confirmed cancellation": {userDay{cancels: 0.6, prepare: func(u *users) {
 			u.unheard, u.closely = true, true
-			u.lag = second
+			u.watchLag = second
 		}, atEnd: func(u *users) {
 			if u.startsAfter > u.apart {
 				u.fail("started after the confirmation")
--- a/internal/simulator/play_test.go
+++ b/internal/simulator/play_test.go
@@ -52,25 +52,25 @@
 			}
 		}},
 		"the controller that rents ends":                 {before: 2 * time.Minute, do: func(p *player) { p.nodes[2].crash() }},
-		"the state service is out over the moment":       {before: 10 * time.Second, do: func(p *player) { p.outage = p.now + 25*time.Second }},
-		"the cloud is silent for the ten minutes before": {before: 10 * time.Minute, do: func(p *player) { p.silent = p.now + 10*time.Minute }},
-		"spot machines are taken 30 s before":            {before: 30 * time.Second, do: (*player).takeSpots},
+		"the state service is out over the moment":       {before: 10 * time.Second, do: func(p *player) { p.outageUntil = p.now + 25*time.Second }},
+		"the cloud is silent for the ten minutes before": {before: 10 * time.Minute, do: func(p *player) { p.cloudSilentUntil = p.now + 10*time.Minute }},
+		"spot machines are taken 30 s before":            {before: 30 * time.Second, do: (*player).preemptSpotMachines},
 		"a machine that is held for it is lost": {before: 20 * time.Second, do: func(p *player) {
 			for _, n := range p.nodes {
 				if n.core != nil && len(n.core.Status().Holds) > 0 {
-					p.kill(n.core.Status().Holds[0].Machine)
+					p.killMachine(n.core.Status().Holds[0].Machine)
 					return
 				}
 			}
 		}},
-		"its job comes four minutes late":  {change: func(s *Site) { s.Reservations[0].ComesS = 240 }},
-		"its job comes five minutes early": {change: func(s *Site) { s.Reservations[0].ComesS = -300 }},
-		"it has more tasks than reserved":  {change: func(s *Site) { s.Reservations[0].More = 6 }},
+		"its job comes four minutes late":  {change: func(s *Site) { s.Reservations[0].SubmitAfterS = 240 }},
+		"its job comes five minutes early": {change: func(s *Site) { s.Reservations[0].SubmitAfterS = -300 }},
+		"it has more tasks than reserved":  {change: func(s *Site) { s.Reservations[0].ExtraTasks = 6 }},
 		"a gang in one zone":               {change: func(s *Site) { s.Reservations[0].Gang, s.Reservations[0].OneZone = true, true }},
-		"no job ever comes":                {change: func(s *Site) { s.Reservations[0].Never = true }, never: true},
-		"it is cancelled while one is away": {never: true, change: func(s *Site) { s.Reservations[0].Never = true }, before: 5 * time.Minute, do: func(p *player) {
-			p.cut("node-1", "state", 4*time.Second, false)
-			p.ask(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one"})
+		"no job ever comes":                {change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, never: true},
+		"it is cancelled while one is away": {never: true, change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, before: 5 * time.Minute, do: func(p *player) {
+			p.partition("node-1", "state", 4*time.Second, false)
+			p.requestUntilDone(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one"})
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -81,10 +81,10 @@
 			}
 			o := Options{For: playFor, Seed: 1}
 			if tc.do != nil {
-				o.script = func(p *player) { p.at(warmUp+due-tc.before, func() { tc.do(p) }) }
+				o.onStart = func(p *player) { p.at(warmUpTime+due-tc.before, func() { tc.do(p) }) }
 			}
 			var state record.ReservationState
-			o.atEnd = func(p *player) {
+			o.onEnd = func(p *player) {
 				it, _ := p.state.Get(record.ReservationKey("one"))
 				var r record.Reservation
 				if err := protocol.Decode(it.Value, &r); err != nil {
@@ -105,7 +105,7 @@
 				if state != record.Expired && state != record.Cancelled {
 					t.Errorf("it is %s", state)
 				}
-			case !got.Started || got.DelayS > inTime:
+			case !got.Started || got.DelayS > maxDelayS:
 				t.Errorf("started %v, %.0f s late, at risk %q", got.Started, got.DelayS, got.Risk)
 			case state != record.Used:
 				t.Errorf("it is %s after its job started", state)
@@ -124,7 +124,7 @@
 	if len(r.Rules) > 0 {
 		t.Fatal(r.Rules)
 	}
-	if got := r.Occurrences[0]; got.Started && got.DelayS <= inTime {
+	if got := r.Occurrences[0]; got.Started && got.DelayS <= maxDelayS {
 		t.Errorf("%.0f s late", got.DelayS)
 	}
 	if r.InWindow > 0 {
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -51,11 +51,11 @@
 	n := w.nodes[w.rng.IntN(3)]
 	d := time.Duration(2+w.rng.IntN(25)) * time.Second
 	hold := w.rng.IntN(2) == 0
-	if len(w.order) == 0 {
+	if len(w.machineOrder) == 0 {
 		n.crash()
 		return
 	}
-	machine := w.order[w.rng.IntN(len(w.order))]
+	machine := w.machineOrder[w.rng.IntN(len(w.machineOrder))]
 	switch w.rng.IntN(12) {
 	case 0, 1:
 		n.crash()
@@ -64,20 +64,20 @@
 			n.crash()
 		}
 	case 3, 4:
-		w.cut(string(n.name), "state", d, hold)
+		w.partition(string(n.name), "state", d, hold)
 	case 5:
-		w.outage = w.now + d
+		w.outageUntil = w.now + d
 	case 6, 7:
-		w.cut(string(n.name), "workers", d, hold)
+		w.partition(string(n.name), "workers", d, hold)
 	case 8:
-		w.cut(string(n.name), fmt.Sprint("node-", w.rng.IntN(3)), d, hold)
+		w.partition(string(n.name), fmt.Sprint("node-", w.rng.IntN(3)), d, hold)
 	case 9:
-		w.kill(machine)
+		w.killMachine(machine)
 	case 10:
 		notice := 8.0
 		sw := w.workers[machine]
 		sw.Notice = &notice
-		w.after(8*time.Second, func() { w.kill(machine) })
+		w.after(8*time.Second, func() { w.killMachine(machine) })
 	case 11:
 		sw := w.workers[machine]
 		sw.Faulty = true
@@ -87,18 +87,18 @@
 
 // wave takes a share of the spot machines at once, some with a notice.
 func (w *world) wave() {
-	for _, id := range w.order {
+	for _, id := range w.machineOrder {
 		sw := w.workers[id]
 		if !sw.Spot || sw.Dead || w.rng.IntN(3) > 0 {
 			continue
 		}
 		if w.rng.IntN(2) == 0 {
-			w.kill(id)
+			w.killMachine(id)
 			continue
 		}
 		notice := 6.0
 		sw.Notice = &notice
-		w.after(6*time.Second, func() { w.kill(id) })
+		w.after(6*time.Second, func() { w.killMachine(id) })
 	}
 }
 
@@ -131,7 +131,7 @@
 		}
 	}
 	if reply, txn := n.core.Decide("ops", &r); txn != nil && reply.Code == operatorapi.Done && w.state.Txn(*txn) {
-		w.promised++
+		w.reservationChanges++
 	}
 }
 
@@ -168,19 +168,19 @@
 			before := len(w.jobOrder)
 			w.submit(d.job(w))
 			if len(w.jobOrder) > before && w.rng.IntN(15) == 0 {
-				w.mistaken[w.jobOrder[before]] = true
+				w.faultyJobs[w.jobOrder[before]] = true
 			}
 		}
 		if len(w.jobOrder) > 0 && w.rng.IntN(6) == 0 {
-			if id := w.jobOrder[w.rng.IntN(len(w.jobOrder))]; w.final[id] == "" {
+			if id := w.jobOrder[w.rng.IntN(len(w.jobOrder))]; w.finalState[id] == "" {
 				w.cancel(id)
 			}
 		}
 		if w.rng.IntN(3) == 0 {
-			w.moveSome(8)
+			w.moveRandomShards(8)
 		}
 		if w.rng.IntN(40) == 0 {
-			w.nodes[w.rng.IntN(3)].leave()
+			w.nodes[w.rng.IntN(3)].shutDown()
 		}
 		if d.promises && w.rng.IntN(4) == 0 {
 			w.promise()
@@ -205,11 +205,11 @@
 		w.run(w.now + time.Duration(1+w.rng.IntN(6))*time.Second)
 	}
 	w.run(w.now + d.after)
-	w.outage, w.slow, w.lateWrites, w.lateReports, w.heldUp = 0, 0, 0, 0, 0
-	clear(w.cuts) // what was held back still comes
+	w.outageUntil, w.stateLatency, w.lateWriteFraction, w.duplicateHeartbeatFraction, w.slowMessageFraction = 0, 0, 0, 0, 0
+	clear(w.partitions) // what was held back still comes
 	w.run(w.now + 40*time.Second)
 	for _, id := range w.jobOrder {
-		if (w.jobs[id].Kind == protocol.KindService || w.mistaken[id]) && w.final[id] == "" {
+		if (w.jobs[id].Kind == protocol.KindService || w.faultyJobs[id]) && w.finalState[id] == "" {
 			w.cancel(id)
 		}
 	}
@@ -219,14 +219,14 @@
 	}
 	w.run(w.now + 5*time.Second)
 	for _, id := range w.jobOrder {
-		if w.final[id] == "" {
+		if w.finalState[id] == "" {
 			t.Errorf("job %s never came to its end: %+v\n%s", id, w.jobs[id], w.whereabouts(id))
 		}
 	}
 	if w.starts == 0 {
 		t.Error("nothing ran")
 	}
-	t.Logf("%d machines at first, %d jobs, %d starts, at most %d tasks on machines, %d writes of blocks, %d changes of the calendar", up, len(w.jobOrder), w.starts, w.mostOn, w.blockWrites, w.promised)
+	t.Logf("%d machines at first, %d jobs, %d starts, at most %d tasks on machines, %d writes of blocks, %d changes of the calendar", up, len(w.jobOrder), w.starts, w.peakRunning, w.blockWrites, w.reservationChanges)
 	return w
 }
 
@@ -234,7 +234,7 @@
 func (w *world) unended() int {
 	n := 0
 	for _, id := range w.jobOrder {
-		if w.final[id] == "" {
+		if w.finalState[id] == "" {
 			n++
 		}
 	}
@@ -345,7 +345,7 @@
 	trouble := func(w *world) {
 		d := time.Duration(10+w.rng.IntN(30)) * time.Second
 		if w.rng.IntN(3) > 0 {
-			w.part(w.zoneOf(w.rng.IntN(2)), w.rng.IntN(2) == 0, d, w.rng.IntN(2) == 0)
+			w.partitionZone(w.zoneOf(w.rng.IntN(2)), w.rng.IntN(2) == 0, d, w.rng.IntN(2) == 0)
 			return
 		}
 		for _, n := range w.nodes { // longer than the leases, which last 15 s
@@ -375,11 +375,11 @@
 		d := time.Duration(5+w.rng.IntN(50)) * time.Second // leases last 15 s, cancellations 35 s
 		switch w.rng.IntN(4) {
 		case 0:
-			w.part(w.zoneOf(w.rng.IntN(2)), true, d, w.rng.IntN(2) == 0)
+			w.partitionZone(w.zoneOf(w.rng.IntN(2)), true, d, w.rng.IntN(2) == 0)
 		case 1:
-			w.part(w.zoneOf(w.rng.IntN(2)), false, d, w.rng.IntN(2) == 0)
+			w.partitionZone(w.zoneOf(w.rng.IntN(2)), false, d, w.rng.IntN(2) == 0)
 		case 2:
-			w.cut(string(w.nodes[w.rng.IntN(3)].name), "state", d, false)
+			w.partition(string(w.nodes[w.rng.IntN(3)].name), "state", d, false)
 		case 3:
 			w.cloud.Capacity = len(w.cloud.Machines) / 2
 			w.after(d, func() { w.cloud.Capacity = machines + 6 })
@@ -393,7 +393,7 @@
 // the view, moves, takeovers and registrations, while the state service takes long,
 // so that what an earlier process asked for is done for the next one to see.
 func TestRulesHoldWhenBackAtOnce(t *testing.T) {
-	back := func(w *world, n *simNode) { n.crashFor(time.Duration(100+w.rng.IntN(400)) * time.Millisecond) }
+	back := func(w *world, n *node) { n.crashFor(time.Duration(100+w.rng.IntN(400)) * time.Millisecond) }
 	trouble := func(w *world) {
 		n := w.nodes[w.rng.IntN(3)]
 		switch w.rng.IntN(8) {
@@ -412,18 +412,18 @@
 				w.after(time.Duration(i)*time.Second, func() { back(w, n) })
 			}
 		case 6: // while its shares move
-			w.moveSome(16)
+			w.moveRandomShards(16)
 			w.after(time.Duration(w.rng.IntN(400))*time.Millisecond, func() { back(w, n) })
 		case 7:
-			w.slow = time.Duration(w.rng.IntN(3)) * 200 * time.Millisecond
-			w.after(5*time.Second, func() { w.slow = 0 })
+			w.stateLatency = time.Duration(w.rng.IntN(3)) * 200 * time.Millisecond
+			w.after(5*time.Second, func() { w.stateLatency = 0 })
 		}
 	}
 	day{machines: 9, job: (*world).randomJob, lasts: 120 * time.Second, trouble: trouble, often: true}.playSeeds(t, 40, 500_000)
 }
 
-// silence cuts a controller off from everything, or from one side.
-func (n *simNode) silence(d time.Duration, hold bool) {
+// partitionSilently cuts a controller off from everything, or from one side.
+func (n *node) partitionSilently(d time.Duration, hold bool) {
 	w := n.world
 	sides := []string{"state", "workers"}
 	for _, peer := range w.nodes {
@@ -435,7 +435,7 @@
 		sides = sides[one : one+1]
 	}
 	for _, side := range sides {
-		w.cut(string(n.name), side, d, hold)
+		w.partition(string(n.name), side, d, hold)
 	}
 }
 
@@ -453,19 +453,19 @@
 		hold := w.rng.IntN(2) == 0
 		switch w.rng.IntN(5) {
 		case 0:
-			n.silence(long, hold)
+			n.partitionSilently(long, hold)
 		case 1:
-			n.silence(long, hold)
-			w.after(long/2, func() { next.silence(long, hold) })
+			n.partitionSilently(long, hold)
+			w.after(long/2, func() { next.partitionSilently(long, hold) })
 		case 2:
 			w.roll()
-			n.silence(long, hold)
+			n.partitionSilently(long, hold)
 		case 3:
-			w.moveSome(16)
-			w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { n.frozen = max(n.frozen, w.now+still) })
+			w.moveRandomShards(16)
+			w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { n.pausedUntil = max(n.pausedUntil, w.now+still) })
 		case 4:
-			n.frozen = max(n.frozen, w.now+still)
-			w.after(still/2, func() { next.frozen = max(next.frozen, w.now+still) })
+			n.pausedUntil = max(n.pausedUntil, w.now+still)
+			w.after(still/2, func() { next.pausedUntil = max(next.pausedUntil, w.now+still) })
 		}
 	}
 	day{machines: 9, job: (*world).randomJob, lasts: 150 * time.Second, trouble: trouble}.playSeeds(t, 40, 600_000)
--- a/internal/simulator/shares_test.go
+++ b/internal/simulator/shares_test.go
@@ -49,7 +49,7 @@
 func (w *world) sharers() map[protocol.NodeName]int {
 	by := map[protocol.NodeName]int{}
 	for _, n := range w.nodes {
-		if k := len(n.held()); k > 0 {
+		if k := len(n.shards()); k > 0 {
 			by[n.name] = k
 		}
 	}
@@ -59,7 +59,7 @@
 // work submits a job a second for a while.
 func (w *world) work(d time.Duration) {
 	for end := w.now + d; w.now < end; {
-		w.submit(busyJob(w, len(w.order)))
+		w.submit(busyJob(w, len(w.machineOrder)))
 		w.run(w.now + time.Second)
 	}
 }
@@ -74,14 +74,14 @@
 	epoch := w.tokens()
 	for i := range 3 {
 		from, to := w.nodes[i], w.nodes[(i+1)%3]
-		if ids := from.held(); !w.move(ids[:len(ids)/2], to) {
+		if ids := from.shards(); !w.moveShards(ids[:len(ids)/2], to) {
 			t.Fatal("nobody takes the request")
 		}
 		w.work(4 * time.Second)
 	}
-	one := w.nodes[0].held()[:1]
+	one := w.nodes[0].shards()[:1]
 	for i := range 60 {
-		w.move(one, w.nodes[i%3])
+		w.moveShards(one, w.nodes[i%3])
 		w.submit(busyJob(w, 100))
 		w.run(w.now + 700*time.Millisecond)
 	}
@@ -98,12 +98,12 @@
 		t.Errorf("%d shares moved", moved)
 	}
 	w.allEnd(t, 120*time.Second)
-	if w.lapsed > 0 || w.starts != w.tasks() {
-		t.Errorf("%d leases ran out; %d starts for %d tasks", w.lapsed, w.starts, w.tasks())
+	if w.expiredLeases > 0 || w.starts != w.tasks() {
+		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.tasks())
 	}
 	w.sameTerm(t, 1)
-	if p := w.pause99(); len(w.pauses) < moved || p > 500*time.Millisecond {
-		t.Errorf("%d moves, which pause starts for %v at the 99th percentile", len(w.pauses), p)
+	if p := w.movePauseP99(); len(w.movePauses) < moved || p > 500*time.Millisecond {
+		t.Errorf("%d moves, which pause starts for %v at the 99th percentile", len(w.movePauses), p)
 	}
 }
 
@@ -118,33 +118,33 @@
 		w.submit(busyJob(w, 2600))
 		w.run(w.now + 500*time.Millisecond)
 	}
-	before, _ := w.shares()
+	before, _ := w.shardTable()
 	asked := map[int]bool{}
 	for i, n := range w.nodes {
-		ids := n.held()
+		ids := n.shards()
 		ids = ids[:(len(ids)+2)/3]
 		for _, id := range ids {
 			asked[id] = true
 		}
-		w.move(ids, w.nodes[(i+1)%3])
+		w.moveShards(ids, w.nodes[(i+1)%3])
 	}
 	w.run(w.now + 4*time.Second)
-	after, _ := w.shares()
+	after, _ := w.shardTable()
 	for i, st := range after.List {
 		if moved := st != before.List[i]; moved != asked[i] {
 			t.Errorf("share %d moved %v, asked for %v", i, moved, asked[i])
 		}
 	}
 	w.allEnd(t, 200*time.Second)
-	if p := w.pause99(); len(asked) < 20 || w.givenUp > 0 || p > 500*time.Millisecond || w.lapsed > 0 || w.starts != w.tasks() {
-		t.Errorf("%d moves, %d given up, pause %v at the 99th percentile; %d starts for %d tasks, %d leases out", len(asked), w.givenUp, p, w.starts, w.tasks(), w.lapsed)
+	if p := w.movePauseP99(); len(asked) < 20 || w.abortedMoves > 0 || p > 500*time.Millisecond || w.expiredLeases > 0 || w.starts != w.tasks() {
+		t.Errorf("%d moves, %d given up, pause %v at the 99th percentile; %d starts for %d tasks, %d leases out", len(asked), w.abortedMoves, p, w.starts, w.tasks(), w.expiredLeases)
 	}
 	w.sameTerm(t, 1)
 }
 
 // tokens are the epochs of the shares.
 func (w *world) tokens() (epochs []protocol.Term) {
-	s, _ := w.shares()
+	s, _ := w.shardTable()
 	for _, st := range s.List {
 		epochs = append(epochs, st.Epoch)
 	}
@@ -167,7 +167,7 @@
 	t.Parallel()
 	w := shared(t, 12, 3, 300)
 	for _, n := range w.nodes {
-		n.leave()
+		n.shutDown()
 		w.work(6 * time.Second)
 		if n.core != nil && n.core.Status().Queues > 0 {
 			t.Fatalf("%s keeps %d machines though it was told to end", n.name, n.core.Status().Queues)
@@ -179,8 +179,8 @@
 		t.Errorf("shares are kept by %v", by)
 	}
 	w.allEnd(t, 120*time.Second)
-	if w.lapsed > 0 || w.starts != w.tasks() {
-		t.Errorf("%d leases ran out; %d starts for %d tasks", w.lapsed, w.starts, w.tasks())
+	if w.expiredLeases > 0 || w.starts != w.tasks() {
+		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.tasks())
 	}
 }
 
@@ -189,12 +189,12 @@
 func TestOneEndsOthersGoOn(t *testing.T) {
 	t.Parallel()
 	w := shared(t, 13, 3, 300)
-	before, _ := w.shares()
+	before, _ := w.shardTable()
 	gone := w.nodes[1]
 	session := gone.session
 	gone.crashFor(40 * time.Second)
 	w.work(20 * time.Second)
-	after, _ := w.shares()
+	after, _ := w.shardTable()
 	moved := 0
 	for i, st := range before.List {
 		switch {
@@ -224,8 +224,8 @@
 			t.Parallel()
 			for at := 5 * time.Millisecond; at < 320*time.Millisecond; at += 15 * time.Millisecond {
 				w := shared(t, uint64(at), 3, 40)
-				ids := w.nodes[0].held()
-				w.move(ids[:min(len(ids), 8)], w.nodes[1])
+				ids := w.nodes[0].shards()
+				w.moveShards(ids[:min(len(ids), 8)], w.nodes[1])
 				w.after(at, func() {
 					for _, i := range who {
 						w.nodes[i].crash()
@@ -241,46 +241,46 @@
 // TestMoveInTrouble: a move meets each other failure that it has to stand, at each
 // of some moments; everything goes on and ends.
 func TestMoveInTrouble(t *testing.T) {
-	for name, trouble := range map[string]func(w *world, source, target *simNode){
-		"the target's transaction is lost":          func(w *world, _, b *simNode) { w.cut(string(b.name), "state", 5*time.Second, false) },
-		"the target's transaction is late":          func(w *world, _, b *simNode) { w.cut(string(b.name), "state", 5*time.Second, true) },
-		"the source hears nothing of the records":   func(w *world, a, _ *simNode) { w.cut(string(a.name), "state", 5*time.Second, true) },
-		"the state service is out":                  func(w *world, _, _ *simNode) { w.outage = w.now + 12*time.Second },
-		"source and target can't reach one another": func(w *world, a, b *simNode) { w.cut(string(a.name), string(b.name), 6*time.Second, true) },
-		"the source stands still for 40 s":          func(w *world, a, _ *simNode) { a.frozen = w.now + 40*time.Second },
-		"the target stands still for 40 s":          func(w *world, _, b *simNode) { b.frozen = w.now + 40*time.Second },
-		"workers' reports to the source are held back": func(w *world, a, _ *simNode) {
-			w.cut(string(a.name), "workers", 9*time.Second, true)
+	for name, trouble := range map[string]func(w *world, source, target *node){
+		"the target's transaction is lost":          func(w *world, _, b *node) { w.partition(string(b.name), "state", 5*time.Second, false) },
+		"the target's transaction is late":          func(w *world, _, b *node) { w.partition(string(b.name), "state", 5*time.Second, true) },
+		"the source hears nothing of the records":   func(w *world, a, _ *node) { w.partition(string(a.name), "state", 5*time.Second, true) },
+		"the state service is out":                  func(w *world, _, _ *node) { w.outageUntil = w.now + 12*time.Second },
+		"source and target can't reach one another": func(w *world, a, b *node) { w.partition(string(a.name), string(b.name), 6*time.Second, true) },
+		"the source stands still for 40 s":          func(w *world, a, _ *node) { a.pausedUntil = w.now + 40*time.Second },
+		"the target stands still for 40 s":          func(w *world, _, b *node) { b.pausedUntil = w.now + 40*time.Second },
+		"workers' reports to the source are held back": func(w *world, a, _ *node) {
+			w.partition(string(a.name), "workers", 9*time.Second, true)
 		},
-		"jobs are cancelled": func(w *world, _, _ *simNode) {
+		"jobs are cancelled": func(w *world, _, _ *node) {
 			for _, id := range w.jobOrder {
-				if w.final[id] == "" {
+				if w.finalState[id] == "" {
 					w.cancel(id)
 				}
 			}
 		},
-		"machines are lost": func(w *world, _, _ *simNode) {
-			for _, id := range w.order[:5] {
-				w.kill(id)
+		"machines are lost": func(w *world, _, _ *node) {
+			for _, id := range w.machineOrder[:5] {
+				w.killMachine(id)
 			}
 		},
-		"workers begin new sessions": func(w *world, _, _ *simNode) {
-			for _, id := range w.order[5:12] {
+		"workers begin new sessions": func(w *world, _, _ *node) {
+			for _, id := range w.machineOrder[5:12] {
 				w.workers[id].Restart(w.now)
 			}
 		},
-		"the record of the shares is lost": func(w *world, _, _ *simNode) {
+		"the record of the shares is lost": func(w *world, _, _ *node) {
 			w.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Delete: record.ShardTableKey}}})
 		},
-		"a third controller ends": func(w *world, _, _ *simNode) { w.nodes[2].crash() },
-		"the move goes back":      func(w *world, a, b *simNode) { w.move(b.held(), a) },
+		"a third controller ends": func(w *world, _, _ *node) { w.nodes[2].crash() },
+		"the move goes back":      func(w *world, a, b *node) { w.moveShards(b.shards(), a) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, at := range []time.Duration{1, 40, 75, 110, 160, 230} {
 				w := shared(t, 100+uint64(at), 3, 40)
 				a, b := w.nodes[0], w.nodes[1]
-				w.move(a.held(), b)
+				w.moveShards(a.shards(), b)
 				w.after(at*time.Millisecond, func() { trouble(w, a, b) })
 				w.work(4 * time.Second)
 				w.run(w.now + 45*time.Second)
@@ -309,8 +309,8 @@
 		w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true})
 		for i := range 12 {
 			w.run(w.now + 250*time.Millisecond)
-			w.moveSome(12)
-			w.move(w.nodes[i%3].held(), w.nodes[(i+1)%3])
+			w.moveRandomShards(12)
+			w.moveShards(w.nodes[i%3].shards(), w.nodes[(i+1)%3])
 		}
 	}
 	w.allEnd(t, 240*time.Second) // a team at its limit takes long
@@ -337,7 +337,7 @@
 	w.allEnd(t, 150*time.Second)
 
 	w = shared(t, 16, 1, 30)
-	w.nodes[0].leave() // to nobody
+	w.nodes[0].shutDown() // to nobody
 	w.work(3 * time.Second)
 	w.run(w.now + 30*time.Second)
 	w.allEnd(t, 150*time.Second)
@@ -359,7 +359,7 @@
 	for i, n := range w.nodes[:2] {
 		n.crash()
 		w.work(15 * time.Second)
-		if _, there := w.shares(); there {
+		if _, there := w.shardTable(); there {
 			t.Fatalf("shares with %d of 3 controllers that know them", i+1)
 		}
 	}
@@ -382,13 +382,13 @@
 func TestRulesHoldWhileSharesMove(t *testing.T) {
 	trouble := func(w *world) {
 		for range 1 + w.rng.IntN(4) {
-			w.moveSome(32)
+			w.moveRandomShards(32)
 		}
 		w.after(time.Duration(w.rng.IntN(400))*time.Millisecond, func() {
 			if w.rng.IntN(2) == 0 {
 				w.trouble()
 			} else {
-				w.nodes[w.rng.IntN(3)].leave()
+				w.nodes[w.rng.IntN(3)].shutDown()
 			}
 		})
 	}
--- /dev/null
+++ b/internal/simulator/stateservice.go
@@ -0,0 +1,159 @@
+package simulator
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+	"time"
+
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+const (
+	// transactionTimeout is how long a process waits for the answer to a transaction.
+	transactionTimeout = 1500 * time.Millisecond
+	// maxTransactionBytes bounds the values of a transaction.
+	maxTransactionBytes = 64 << 10
+)
+
+// stateService is the model of the state service, with its faults.
+type stateService struct {
+	*timeline
+	state          *fake.State
+	outageUntil    time.Duration
+	wasUnavailable bool          // at the last step
+	stateLatency   time.Duration // of a transaction
+	watchLag       time.Duration // by which controllers see changes later
+	// lateWriteFraction is the fraction of the transactions that get no answer and are
+	// applied seconds later, after newer ones.
+	lateWriteFraction float64
+	// lostAnswerFraction is the fraction of the transactions of which only the answer is
+	// lost, beside those that always are.
+	lostAnswerFraction float64
+	changeTimes        []time.Duration // when its changes happened
+}
+
+// isUnavailable reports whether the state service is out.
+func (s *stateService) isUnavailable() bool { return s.outageUntil > s.now }
+
+// advanceStateService ends outages and expires leases.
+func (s *stateService) advanceStateService() {
+	unavailable := s.isUnavailable()
+	if s.wasUnavailable && !unavailable {
+		s.state.Restore(s.now)
+	}
+	if s.wasUnavailable = unavailable; !unavailable {
+		s.state.Expire(s.now)
+	}
+}
+
+// recordChangeTimes records the time of changes that have happened since the last step.
+func (s *stateService) recordChangeTimes() {
+	for s.state.Before+len(s.changeTimes) < s.state.Changes() {
+		s.changeTimes = append(s.changeTimes, s.now)
+	}
+}
+
+// changeAge returns how long ago a change happened.
+func (s *stateService) changeAge(i int) time.Duration {
+	if i -= s.state.Before; i >= len(s.changeTimes) {
+		return 0 // in this step
+	}
+	return s.now - s.changeTimes[i]
+}
+
+// transactionDone is called with the outcome of a transaction.
+type transactionDone func(message.Outcome, protocol.Revision)
+
+// stateReachable reports whether a node reaches the state service.
+func (n *node) stateReachable() bool {
+	w := n.world
+	p, ok := w.partitions[partitionKey(string(n.name), stateEnd)]
+	return !w.isUnavailable() && (!ok || p.until <= w.now)
+}
+
+// commit applies a core's transaction.
+func (n *node) commit(a message.Commit) {
+	n.world.checkTransactionSize(a)
+	n.transact(a.Txn, func(out message.Outcome, at protocol.Revision) {
+		n.step(message.CommitDone{Tag: a.Tag, Outcome: out, Revision: at})
+	})
+}
+
+// transact applies a transaction of a process, which gets the outcome unless it has ended.
+// Behind a partition it may be applied late, without an answer.
+func (n *node) transact(txn protocol.Transaction, done transactionDone) {
+	w := n.world
+	if !n.stateReachable() {
+		p := w.partitions[partitionKey(string(n.name), stateEnd)]
+		if p.delayed && !w.isUnavailable() {
+			w.after(p.until-w.now+w.delay(), func() { w.state.Txn(txn) })
+			n.loseAnswer(done)
+			return
+		}
+		n.afterIfAlive(w.delay(), func() { done(message.OutcomeRefused, 0) })
+		return
+	}
+	if w.lateWriteFraction > 0 && w.rng.Float64() < w.lateWriteFraction {
+		w.after(2*time.Second+time.Duration(w.rng.IntN(10_000))*time.Millisecond, func() { w.state.Txn(txn) })
+		n.loseAnswer(done)
+		return
+	}
+	if w.stateLatency > 0 {
+		w.after(w.stateLatency/2, func() { n.apply(txn, done) })
+		return
+	}
+	n.apply(txn, done)
+}
+
+// loseAnswer lets a transaction of a process time out.
+func (n *node) loseAnswer(done transactionDone) {
+	n.afterIfAlive(transactionTimeout, func() { done(message.OutcomeUnknown, 0) })
+}
+
+// apply applies a transaction at the state service and answers it.
+func (n *node) apply(txn protocol.Transaction, done transactionDone) {
+	w := n.world
+	out := message.OutcomeFailed
+	if w.state.Txn(txn) {
+		out = message.OutcomeDone
+		w.watchSoon()
+	}
+	at := w.state.Revision
+	if w.rng.IntN(20) == 0 || w.lostAnswerFraction > 0 && w.rng.Float64() < w.lostAnswerFraction {
+		out = message.OutcomeUnknown // the answer is lost
+	}
+	n.afterIfAlive(w.stateLatency/2, func() {
+		n.afterIfAlive(w.delay(), func() { done(out, at) })
+	})
+}
+
+// checkTransactionSize checks a transaction against the limits of the state service.
+func (w *world) checkTransactionSize(a message.Commit) {
+	limits := w.settings.Site.State
+	if ops := len(a.Txn.Changes); ops > limits.TxnOps || len(a.Txn.Conditions) > 4*limits.TxnOps {
+		w.fail("%v transaction %T of %d conditions and %d changes", w.now, a.Tag, len(a.Txn.Conditions), ops)
+	}
+	total := 0
+	for _, change := range a.Txn.Changes {
+		if block, ok := change.Value.(record.Block); ok {
+			w.blockWrites++
+			text, err := json.Marshal(block)
+			if total += len(text); err != nil || float64(len(text)) > 1024*limits.ValueKB || total > maxTransactionBytes {
+				w.fail("%v value of %d bytes, %d in all, %v", w.now, len(text), total, err)
+			}
+		}
+	}
+}
+
+// newStateService returns the model of an empty state service.
+func newStateService(t *timeline) stateService {
+	return stateService{timeline: t, state: fake.NewState()}
+}
+
+// newNetwork returns a network without partitions.
+func newNetwork(t *timeline, rng *rand.Rand) network {
+	return network{timeline: t, rng: rng, partitions: map[string]partition{}}
+}
--- a/internal/simulator/userdays_test.go
+++ b/internal/simulator/userdays_test.go
@@ -42,7 +42,7 @@
 		settings.Site.Teams = d.teams
 	}
 	w := newWorld(fail, uint64(seed), settings, d.machines, d.machines)
-	w.exact = true // controllers are asked within milliseconds
+	w.eventDriven = true // controllers are asked within milliseconds
 	u := w.withUsers()
 	u.closely = d.closely
 	if d.prepare != nil {
@@ -68,11 +68,11 @@
 		w.run(w.now + time.Duration(1000+w.rng.IntN(5000))*time.Millisecond)
 	}
 	w.run(w.now + d.after)
-	w.outage, w.slow, w.lateWrites, w.lateReports, w.heldUp, w.lostAnswers, w.lag, w.forNext = 0, 0, 0, 0, 0, 0, 0, false
-	clear(w.cuts)
-	for _, id := range w.order {
+	w.outageUntil, w.stateLatency, w.lateWriteFraction, w.duplicateHeartbeatFraction, w.slowMessageFraction, w.lostAnswerFraction, w.watchLag, w.keepHeartbeats = 0, 0, 0, 0, 0, 0, 0, false
+	clear(w.partitions)
+	for _, id := range w.machineOrder {
 		sw := w.workers[id]
-		sw.hung, sw.deaf, sw.mute = min(sw.hung, w.now), min(sw.deaf, w.now), min(sw.mute, w.now)
+		sw.pausedUntil, sw.inboundLostUntil, sw.outboundLostUntil = min(sw.pausedUntil, w.now), min(sw.inboundLostUntil, w.now), min(sw.outboundLostUntil, w.now)
 	}
 	w.run(w.now + 40*time.Second)
 	u.wellSince = w.now
@@ -90,7 +90,7 @@
 		u.checkRecords()
 		u.checkForgotten()
 		for _, j := range ordered.Of(u.jobs) {
-			if j.accepted && j.floor < over && (j.job.Kind == protocol.KindService || w.mistaken[j.id]) {
+			if j.accepted && j.floor < over && (j.job.Kind == protocol.KindService || w.faultyJobs[j.id]) {
 				u.cancelJob(j)
 			}
 		}
@@ -100,7 +100,7 @@
 	}
 	for _, j := range ordered.Of(u.jobs) {
 		if j.accepted && j.floor < over {
-			fail("the user of %s was never told of its end; record %q, cancelled %v, %+v\n%s", j.id, w.final[j.id], j.cancels, j.job, w.whereabouts(j.id))
+			fail("the user of %s was never told of its end; record %q, cancelled %v, %+v\n%s", j.id, w.finalState[j.id], j.cancels, j.job, w.whereabouts(j.id))
 		}
 	}
 	if w.starts == 0 {
@@ -127,7 +127,7 @@
 	missing, zones, used := false, map[protocol.Zone]int{}, 0.0
 	free := map[protocol.MachineID]float64{}
 	placed := map[protocol.TaskID]bool{}
-	for _, id := range u.order {
+	for _, id := range u.machineOrder {
 		sw := u.workers[id]
 		free[id] = sw.Info.CPUs
 		for _, task := range sw.Tasks() {
@@ -150,7 +150,7 @@
 	if !missing || len(placed) > 0 || team.MaxCPUs > 0 && used+j.job.CPUs > team.MaxCPUs {
 		return "", false
 	}
-	for _, id := range u.order {
+	for _, id := range u.machineOrder {
 		sw := u.workers[id]
 		fits := !sw.Dead && !sw.Faulty && sw.Notice == nil && free[id] >= j.job.CPUs && (j.job.Spot || !sw.Spot) && (j.job.Zone == "" || j.job.Zone == sw.Zone) &&
 			(len(j.job.Types) == 0 || slices.Contains(j.job.Types, sw.Info.Name))
@@ -168,7 +168,7 @@
 func (u *users) checkLeftWaiting(since map[protocol.JobID]time.Duration) {
 	for _, j := range ordered.Of(u.jobs) {
 		m, waits := protocol.MachineID(""), false
-		if j.accepted && u.final[j.id] == "" && !u.mistaken[j.id] {
+		if j.accepted && u.finalState[j.id] == "" && !u.faultyJobs[j.id] {
 			m, waits = u.waitsBeside(j)
 		}
 		switch {
@@ -218,7 +218,7 @@
 			u.meeting()
 			u.meeting()
 		case 3:
-			u.moveSome(16)
+			u.moveRandomShards(16)
 		}
 	}
 	userDay{
--- a/internal/simulator/usermeetings_test.go
+++ b/internal/simulator/usermeetings_test.go
@@ -14,14 +14,14 @@
 	"damsonkeel/internal/record"
 )
 
-// back ends a controller's process, which is back within a second.
-func (n *simNode) back() {
+// restore ends a controller's process, which is back within a second.
+func (n *node) restore() {
 	w := n.world
 	n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 }
 
 // leader is the controller that writes machines' records, as far as anybody knows.
-func (w *world) leader() *simNode {
+func (w *world) leader() *node {
 	for _, n := range w.nodes {
 		if n.core != nil && n.core.Status().Writes {
 			return n
@@ -54,15 +54,15 @@
 	if hang == 0 {
 		return
 	}
-	for _, id := range u.order {
+	for _, id := range u.machineOrder {
 		if sw := u.workers[id]; machines[id] && u.rng.IntN(3) > 0 {
 			switch u.rng.IntN(3) {
 			case 0:
-				sw.hung = max(sw.hung, u.now+hang)
+				sw.pausedUntil = max(sw.pausedUntil, u.now+hang)
 			case 1:
-				sw.deaf = max(sw.deaf, u.now+hang)
+				sw.inboundLostUntil = max(sw.inboundLostUntil, u.now+hang)
 			case 2:
-				sw.mute = max(sw.mute, u.now+hang)
+				sw.outboundLostUntil = max(sw.outboundLostUntil, u.now+hang)
 			}
 		}
 	}
@@ -113,29 +113,29 @@
 		"users ask at all nodes within milliseconds": with(func(d *userDay) {
 			d.prepare = closely
 			d.trouble = func(u *users) {
-				u.lag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
+				u.watchLag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
 				n := u.nodes[u.rng.IntN(3)]
 				for end := u.now + 3*second; u.now < end; { // some begin as they are asked
-					u.after(time.Duration(u.rng.IntN(2000))*time.Millisecond, func() { n.back() })
+					u.after(time.Duration(u.rng.IntN(2000))*time.Millisecond, func() { n.restore() })
 					u.run(u.now + second)
 				}
-				u.slow = time.Duration(u.rng.IntN(3)) * 150 * time.Millisecond
+				u.stateLatency = time.Duration(u.rng.IntN(3)) * 150 * time.Millisecond
 				if u.rng.IntN(2) == 0 {
-					u.cut(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(10))*second, u.rng.IntN(2) == 0)
+					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(10))*second, u.rng.IntN(2) == 0)
 				}
 			}
 		}),
 		"only the answer of a transaction is lost": with(func(d *userDay) {
 			d.prepare = closely
 			d.trouble = func(u *users) {
-				u.lostAnswers = 0.5
+				u.lostAnswerFraction = 0.5
 				switch u.rng.IntN(4) {
 				case 0:
-					u.nodes[u.rng.IntN(3)].back()
+					u.nodes[u.rng.IntN(3)].restore()
 				case 1:
-					u.moveSome(16)
+					u.moveRandomShards(16)
 				case 2:
-					u.nodes[u.rng.IntN(3)].leave()
+					u.nodes[u.rng.IntN(3)].shutDown()
 				}
 			}
 		}),
@@ -144,21 +144,21 @@
 			d.prepare = long
 			d.trouble = func(u *users) {
 				n := u.nodes[u.rng.IntN(3)]
-				u.lag = time.Duration(u.rng.IntN(4)) * 500 * time.Millisecond
+				u.watchLag = time.Duration(u.rng.IntN(4)) * 500 * time.Millisecond
 				if u.rng.IntN(2) == 0 {
-					u.cut(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(7))*second, true) // follows late
+					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(7))*second, true) // follows late
 				}
 				u.callOff(4, time.Duration(1+u.rng.IntN(20))*second)
 				switch u.rng.IntN(4) {
 				case 0, 1:
-					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { n.back() })
+					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { n.restore() })
 				case 2:
-					u.moveSome(24)
+					u.moveRandomShards(24)
 				case 3: // a keeper takes over, and then follows late what is cancelled
-					u.moveSome(60)
+					u.moveRandomShards(60)
 					after := time.Duration(u.rng.IntN(1500)) * time.Millisecond
 					u.after(after, func() {
-						u.cut(string(n.name), "state", time.Duration(4+u.rng.IntN(4))*second, true)
+						u.partition(string(n.name), "state", time.Duration(4+u.rng.IntN(4))*second, true)
 						u.callOff(8, 0)
 					})
 				}
@@ -168,16 +168,16 @@
 			d.prepare = closely
 			d.trouble = func(u *users) {
 				n := u.nodes[u.rng.IntN(3)]
-				u.lag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
+				u.watchLag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
 				switch u.rng.IntN(4) {
 				case 0:
-					u.moveSome(24)
+					u.moveRandomShards(24)
 				case 1:
-					n.leave()
+					n.shutDown()
 				case 2:
-					n.back()
+					n.restore()
 				case 3:
-					u.cut(string(n.name), "state", 10*second, u.rng.IntN(2) == 0)
+					u.partition(string(n.name), "state", 10*second, u.rng.IntN(2) == 0)
 				}
 				u.cancelOver(4, 2*second)
 			}
@@ -189,28 +189,28 @@
 				u.bootTime = func(protocol.ProvisionRequest) time.Duration {
 					return time.Duration(100+u.rng.IntN(1900)) * time.Millisecond
 				}
-				rented := u.rented
-				u.rented = func(id protocol.MachineID, r protocol.ProvisionRequest) {
+				rented := u.onProvisioned
+				u.onProvisioned = func(id protocol.MachineID, r protocol.ProvisionRequest) {
 					rented(id, r)
 					if u.rng.IntN(3) == 0 && u.now < 100*second {
-						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.leader().back() })
+						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.leader().restore() })
 					}
 				}
 			}
 			d.trouble = func(u *users) {
-				u.lateWrites = 0.4
-				if u.rng.IntN(3) == 0 && len(u.order) > 3 {
-					u.kill(u.order[u.rng.IntN(len(u.order))])
+				u.lateWriteFraction = 0.4
+				if u.rng.IntN(3) == 0 && len(u.machineOrder) > 3 {
+					u.killMachine(u.machineOrder[u.rng.IntN(len(u.machineOrder))])
 				}
 			}
 		}),
 		"an old report reaches every controller as a new leader begins": with(func(d *userDay) {
 			d.trouble = func(u *users) {
-				u.forNext, u.lateReports = true, 0.3
-				u.some(0.2, func(sw *simWorker) { sw.hung = u.now + time.Duration(u.rng.IntN(20))*second })
+				u.keepHeartbeats, u.duplicateHeartbeatFraction = true, 0.3
+				u.some(0.2, func(sw *worker) { sw.pausedUntil = u.now + time.Duration(u.rng.IntN(20))*second })
 				switch u.rng.IntN(3) {
 				case 0:
-					u.leader().back()
+					u.leader().restore()
 				case 1:
 					u.leader().crashFor(9 * second)
 				}
@@ -220,17 +220,17 @@
 			d.job, d.every, d.cancels, d.machines = smallJob, second/4, 0.25, 9
 			d.trouble = func(u *users) {
 				if u.rng.IntN(6) == 0 {
-					u.nodes[u.rng.IntN(3)].back()
+					u.nodes[u.rng.IntN(3)].restore()
 				}
 			}
 		}),
 		"jobs bound to one zone lose machines": with(func(d *userDay) {
 			d.job = oneZoneJob
 			d.trouble = func(u *users) {
-				u.some(0.15, func(sw *simWorker) { u.kill(sw.ID) })
-				u.some(0.15, func(sw *simWorker) { sw.deaf = u.now + time.Duration(u.rng.IntN(25))*second })
+				u.some(0.15, func(sw *worker) { u.killMachine(sw.ID) })
+				u.some(0.15, func(sw *worker) { sw.inboundLostUntil = u.now + time.Duration(u.rng.IntN(25))*second })
 				if u.rng.IntN(3) == 0 {
-					u.nodes[u.rng.IntN(3)].back()
+					u.nodes[u.rng.IntN(3)].restore()
 				}
 			}
 		}),
@@ -241,17 +241,17 @@
 					u.leader().crashFor(time.Duration(100+u.rng.IntN(9000)) * time.Millisecond)
 				}
 				if u.rng.IntN(5) == 0 {
-					u.outage = u.now + time.Duration(3+u.rng.IntN(15))*second
+					u.outageUntil = u.now + time.Duration(3+u.rng.IntN(15))*second
 				}
 			}
 		}),
 		"workers reach no controller, commands reach them": with(func(d *userDay) {
 			d.prepare = long
 			d.trouble = func(u *users) {
-				u.some(0.3, func(sw *simWorker) { sw.mute = u.now + time.Duration(u.rng.IntN(30))*second })
+				u.some(0.3, func(sw *worker) { sw.outboundLostUntil = u.now + time.Duration(u.rng.IntN(30))*second })
 				u.cancelOver(2, 5*second)
 				if u.rng.IntN(4) == 0 {
-					u.nodes[u.rng.IntN(3)].back()
+					u.nodes[u.rng.IntN(3)].restore()
 				}
 			}
 		}),
@@ -259,7 +259,7 @@
 			d.lasts, d.prepare = 150*second, long
 			d.trouble = func(u *users) {
 				if u.rng.IntN(3) == 0 {
-					u.part(u.zoneOf(u.rng.IntN(2)), u.rng.IntN(2) == 0, time.Duration(16+u.rng.IntN(30))*second, u.rng.IntN(2) == 0)
+					u.partitionZone(u.zoneOf(u.rng.IntN(2)), u.rng.IntN(2) == 0, time.Duration(16+u.rng.IntN(30))*second, u.rng.IntN(2) == 0)
 				}
 				u.cancelOver(2, 5*second)
 			}
@@ -267,13 +267,13 @@
 		"cancelled at the moment of the lone refusal, then out for all": with(func(d *userDay) {
 			d.lasts, d.prepare, d.after = 200*second, long, 90*second
 			d.trouble = func(u *users) {
-				if u.now < 25*second || u.outage > u.now || u.rng.IntN(3) > 0 {
+				if u.now < 25*second || u.outageUntil > u.now || u.rng.IntN(3) > 0 {
 					return
 				}
 				out := time.Duration(36+u.rng.IntN(15)) * second
-				u.cut(string(u.nodes[u.rng.IntN(3)].name), "state", second+out, u.rng.IntN(2) == 0)
+				u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", second+out, u.rng.IntN(2) == 0)
 				u.callOff(6, time.Duration(u.rng.IntN(2)*10)*second)
-				u.after(second, func() { u.outage = u.now + out })
+				u.after(second, func() { u.outageUntil = u.now + out })
 			}
 		}),
 		"all controllers are away for longer than leases": with(func(d *userDay) {
@@ -297,7 +297,7 @@
 			}
 			d.lasts = 60 * second
 			d.prepare = func(u *users) { u.cloud.Capacity = 6 }
-			d.trouble = func(u *users) { u.slow, u.heldUp = 300*time.Millisecond, 0.3 }
+			d.trouble = func(u *users) { u.stateLatency, u.slowMessageFraction = 300*time.Millisecond, 0.3 }
 		}),
 		"two troubles at once": with(func(d *userDay) {
 			d.prepare = func(u *users) { closely(u); long(u) }
@@ -309,11 +309,11 @@
 				u.callOff(u.rng.IntN(3), time.Duration(u.rng.IntN(15))*second)
 				switch u.rng.IntN(5) {
 				case 0:
-					u.lostAnswers = u.rng.Float64() / 2
+					u.lostAnswerFraction = u.rng.Float64() / 2
 				case 1:
-					u.forNext = !u.forNext
+					u.keepHeartbeats = !u.keepHeartbeats
 				case 2:
-					u.some(0.2, func(sw *simWorker) { sw.mute = u.now + time.Duration(u.rng.IntN(20))*second })
+					u.some(0.2, func(sw *worker) { sw.outboundLostUntil = u.now + time.Duration(u.rng.IntN(20))*second })
 				}
 			}
 		}),
@@ -334,14 +334,14 @@
 // are gone in time, and none is started after the confirmation.
 func TestCancelledAtEachStepOfAHandover(t *testing.T) {
 	for name, hand := range map[string]struct {
-		do   func(*world, *simNode)
+		do   func(*world, *node)
 		over time.Duration
 	}{
-		"shares move":     {func(w *world, n *simNode) { w.move(n.held(), w.nodes[0]) }, time.Second},
-		"told to end":     {func(w *world, n *simNode) { n.leave() }, 1500 * time.Millisecond},
-		"ends":            {func(w *world, n *simNode) { n.crashFor(200 * time.Millisecond) }, 1500 * time.Millisecond},
-		"ends for longer": {func(w *world, n *simNode) { n.crashFor(12 * time.Second) }, 12 * time.Second},
-		"refused alone":   {func(w *world, n *simNode) { w.cut(string(n.name), "state", 12*time.Second, false) }, 12 * time.Second},
+		"shares move":     {func(w *world, n *node) { w.moveShards(n.shards(), w.nodes[0]) }, time.Second},
+		"told to end":     {func(w *world, n *node) { n.shutDown() }, 1500 * time.Millisecond},
+		"ends":            {func(w *world, n *node) { n.crashFor(200 * time.Millisecond) }, 1500 * time.Millisecond},
+		"ends for longer": {func(w *world, n *node) { n.crashFor(12 * time.Second) }, 12 * time.Second},
+		"refused alone":   {func(w *world, n *node) { w.partition(string(n.name), "state", 12*time.Second, false) }, 12 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -351,7 +351,7 @@
 			}
 			for at := time.Duration(0); at < hand.over; at += step {
 				w := newWorld(t.Fatalf, 77, fake.Settings(), 6, 6)
-				w.exact = true
+				w.eventDriven = true
 				w.runTime = func(protocol.TaskID) time.Duration { return 5 * time.Minute }
 				u := w.withUsers()
 				u.wellFormed = true
@@ -371,7 +371,7 @@
 				w.run(w.now + at + time.Duration(w.settings.Site.Workers.CancelS)*time.Second + 10*time.Second)
 				for id, j := range ordered.Of(u.jobs) {
 					if j.told != protocol.JobCancelled {
-						t.Errorf("after %v: the user of %s was not told: %+v, record %q", at, id, *j, w.final[id])
+						t.Errorf("after %v: the user of %s was not told: %+v, record %q", at, id, *j, w.finalState[id])
 					}
 				}
 				if len(w.onMachine) > 0 {
@@ -392,8 +392,8 @@
 	d := userDay{machines: 9, lasts: 120 * time.Second, job: smallJob, every: time.Second / 4, cancels: 0.25, prepare: func(u *users) { u.wellFormed = true }}
 	u := d.play(t, 1_300_000)
 	most, from := 0, 0
-	for at := range u.loggedAt {
-		for u.loggedAt[at]-u.loggedAt[from] > time.Second {
+	for at := range u.changeTimes {
+		for u.changeTimes[at]-u.changeTimes[from] > time.Second {
 			from++
 		}
 		most = max(most, at-from+1)
@@ -422,16 +422,16 @@
 		"of a registration": func(u *users) {
 			r := protocol.ProvisionRequest{Name: "new", Type: "large", Zone: "a", Count: 1}
 			_, ids := u.cloud.Rent(r)
-			u.boot(ids[0], r)
+			u.bootMachine(ids[0], r)
 		},
 		"of an election":            func(u *users) { u.leader().crashFor(9 * time.Second) },
-		"of an election, back soon": func(u *users) { u.leader().back() },
+		"of an election, back soon": func(u *users) { u.leader().restore() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for at := time.Duration(0); at < 2500*time.Millisecond; at += 20 * time.Millisecond {
 				w := newWorld(t.Fatalf, 78, fake.Settings(), 3, 3)
-				w.exact = true
+				w.eventDriven = true
 				w.cloud.Capacity = 4
 				u := w.withUsers()
 				u.wellFormed = true
@@ -440,12 +440,12 @@
 					u.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, EstimateS: 5, Spot: true})
 				}
 				w.run(w.now + time.Second)
-				w.slow, w.lateWrites = 100*time.Millisecond, 0.2
+				w.stateLatency, w.lateWriteFraction = 100*time.Millisecond, 0.2
 				first(u)
 				w.after(at, func() { u.leader().crashFor(300 * time.Millisecond) })
 				w.after(at+600*time.Millisecond, func() { u.leader().crashFor(300 * time.Millisecond) })
 				w.run(w.now + 15*time.Second)
-				w.slow, w.lateWrites = 0, 0
+				w.stateLatency, w.lateWriteFraction = 0, 0
 				for end := w.now + 2*time.Minute; w.now < end && slices.ContainsFunc(slices.Collect(maps.Values(u.jobs)), func(j *userJob) bool { return j.floor < over }); {
 					w.run(w.now + time.Second)
 				}
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -88,10 +88,10 @@
 		w.after(100*time.Millisecond, tick)
 	}
 	tick()
-	w.ordered = u.orders
-	w.cancelBy = func(id protocol.JobID) { u.cancelJob(u.jobs[id]) }
-	ended := w.endedTask
-	w.endedTask = func(m protocol.MachineID, id protocol.TaskID, why protocol.EndCause) {
+	w.onOrders = u.orders
+	w.cancelVia = func(id protocol.JobID) { u.cancelJob(u.jobs[id]) }
+	ended := w.onTaskEnded
+	w.onTaskEnded = func(m protocol.MachineID, id protocol.TaskID, why protocol.EndCause) {
 		ended(m, id, why)
 		u.taskEnded(id, why)
 	}
@@ -99,7 +99,7 @@
 }
 
 // orders counts starts that are sent after a user was told that the job is cancelled.
-func (u *users) orders(n *simNode, orders []protocol.Order) {
+func (u *users) orders(n *node, orders []protocol.Order) {
 	for _, o := range orders {
 		if o.Op != protocol.OpStart {
 			continue
@@ -107,7 +107,7 @@
 		u.tasks++
 		if j := u.jobs[o.Task.Job]; j != nil && j.confirmed != 0 {
 			u.startsAfter++
-			for key, c := range u.cuts {
+			for key, c := range u.partitions {
 				if c.until > j.confirmed && strings.Contains(key, string(n.name)) && !strings.Contains(key, "zone") && !strings.Contains(key, "workers") {
 					u.apart++
 					break
@@ -168,8 +168,8 @@
 
 // submit has a user submit a job until it is taken or a minute has passed.
 func (u *users) submit(j protocol.Job) *userJob {
-	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", u.submitted))
-	u.submitted++
+	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", u.submissions))
+	u.submissions++
 	j.Image, j.ImageGB, j.MemoryGB = "img", 1, 1
 	m := wire(&j)
 	uj := &userJob{id: j.ID, job: j}
