--- a/internal/simulator/boots_test.go
+++ b/internal/simulator/boot_test.go
@@ -8,10 +8,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestMachinesThatNeverComeUp: from some moment on no machine of one type comes up, and
+// TestMachinesThatNeverBoot: from some moment on no machine of one type comes up, and
 // those of the other take five times as long. Work goes on on the other type; what
-// does not come is given back, and neither asked for nor paid for without bound.
-func TestMachinesThatNeverComeUp(t *testing.T) {
+// does not come up is terminated, and neither requested nor paid for without bound.
+func TestMachinesThatNeverBoot(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 41, fake.Settings(), 40, 6)
 	rentedAt, asked, booting, most := map[protocol.MachineID]time.Duration{}, 0, map[protocol.MachineID]bool{}, 0
@@ -41,7 +41,7 @@
 		}
 		most = max(most, up)
 	}
-	w.allEnd(t, 400*time.Second)
+	w.expectAllFinished(t, 400*time.Second)
 	w.run(w.now + 120*time.Second)
 	left := 0
 	for id := range booting {
--- /dev/null
+++ b/internal/simulator/configuredworld_test.go
@@ -0,0 +1,219 @@
+package simulator
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// startWithin is how long after its command a task may come onto its machine: its
+// image takes a second, messages a part of one.
+const startWithin = 1500 * time.Millisecond
+
+// configuredWorld is a world whose configuration changes while it runs. Starts are held
+// against the limits that were in force, by what workers see.
+type configuredWorld struct {
+	*world
+	commits map[dynamicconfig.Revision]time.Duration
+	limits  map[protocol.Team][]limitSince
+	scanned int // changes of the state service
+	// worst is the longest that a controller which neither restarted nor was paused took
+	// to apply a revision.
+	worst     time.Duration
+	requests  int
+	unsettled int
+}
+
+// limitSince is a limit and when it came into force.
+type limitSince struct {
+	at   time.Duration
+	cpus float64
+}
+
+// newConfigured is a busy world of controllers that follow the configuration, but for
+// some of an earlier version, with two teams that are always at their limits of 60
+// processors.
+func newConfigured(t *testing.T, seed uint64, machines int, older ...int) *configuredWorld {
+	t.Helper()
+	const controllers = 3
+	s := fake.Settings()
+	s.Site.Count = controllers
+	s.Site.Teams = []config.Team{{Name: "free"}, {Name: "bound", CPUs: 8, MaxCPUs: 60}, {Name: "other", CPUs: 8, MaxCPUs: 60}}
+	w := &configuredWorld{
+		world: newWorld(t.Fatalf, seed, s, machines, machines), commits: map[dynamicconfig.Revision]time.Duration{},
+		limits: map[protocol.Team][]limitSince{"bound": {{0, 60}}, "other": {{0, 60}}},
+	}
+	w.operator.OperatorKeys = "keys"
+	w.layout = record.LayoutConfiguration
+	for i, n := range w.nodes {
+		if !slices.Contains(older, i) {
+			n.layout = w.layout
+		}
+	}
+	w.runTime = func(protocol.TaskID) time.Duration { return time.Duration(8000+w.rng.IntN(8000)) * time.Millisecond }
+	w.teamLimit = w.limitInForce
+	w.onOrders = w.checkOrders
+	w.onConfiguration = func(n *node, e *dynamicconfig.Effective) {
+		w.recordCommits()
+		if at, known := w.commits[e.Revision]; known && n.startedAt < at && n.pausedUntil < at {
+			w.worst = max(w.worst, w.now-at)
+		}
+	}
+	w.run(3 * time.Second)
+	w.runAtLimits(12 * time.Second)
+	return w
+}
+
+// runAtLimits keeps both teams at their limits for a while, in addition to other work.
+func (w *configuredWorld) runAtLimits(d time.Duration) {
+	for end := w.now + d; w.now < end; {
+		for _, team := range []protocol.Team{"bound", "other", "free"} {
+			w.submit(protocol.Job{Class: "array", Team: team, Kind: protocol.KindJobArray, Priority: "standard", Tasks: 10, CPUs: 1, EstimateS: 12, Spot: true})
+		}
+		w.run(w.now + time.Second)
+	}
+}
+
+// recordCommits records the revisions that the state service has taken, and their limits.
+func (w *configuredWorld) recordCommits() {
+	for ; w.scanned < w.state.Changes(); w.scanned++ {
+		e := w.state.Change(w.scanned)
+		at := w.now
+		if i := w.scanned - w.state.Before; i < len(w.changeTimes) {
+			at = w.changeTimes[i]
+		}
+		followed, _ := record.ParseFollowedKey(e.Put)
+		var head record.Configuration
+		var entry record.ConfigurationEntry
+		switch team, isTeam := record.TeamOf(followed.ConfigurationEntry); {
+		case followed.Configuration && protocol.Decode(e.Value, &head) == nil:
+			w.commits[head.Revision] = at
+		case isTeam && protocol.Decode(e.Value, &entry) == nil && entry.Team != nil:
+			w.limits[team] = append(w.limits[team], limitSince{at, entry.Team.MaxCPUs})
+		}
+	}
+}
+
+// limitInForce is the highest limit of a team that may have been acted by for a task
+// that comes onto its machine now.
+func (w *configuredWorld) limitInForce(team protocol.Team) float64 {
+	w.recordCommits()
+	since := w.now - config.ConfiguredWithin - startWithin
+	most := 0.0
+	for i, l := range w.limits[team] {
+		if i+1 < len(w.limits[team]) && w.limits[team][i+1].at < since {
+			continue // replaced before that
+		}
+		most = max(most, l.cpus)
+	}
+	return most
+}
+
+// checkOrders: who sends commands acts by no revision that was replaced too long ago.
+func (w *configuredWorld) checkOrders(n *node, orders []protocol.Order) {
+	w.recordCommits()
+	acts := n.core.ConfigurationInForce().Revision
+	if at, replaced := w.commits[acts+1]; replaced && w.now-at > config.ConfiguredWithin && len(orders) > 0 {
+		w.fail("%v %s acts by revision %d, replaced %v ago", w.now, n.name, acts, w.now-at)
+	}
+}
+
+// put has an operator request a change, first at one controller, until it is done:
+// as the command does, with one id. Done hears how it ended.
+func (w *configuredWorld) put(first int, done func(operatorapi.Reply), changes ...operatorapi.ConfigChange) {
+	w.requests++
+	w.unsettled++
+	r := operatorapi.Request{Op: operatorapi.OpConfigure, ID: fmt.Sprint("request-", w.requests), Config: &operatorapi.ConfigRequest{Changes: changes}}
+	settled := false
+	var try func(at int)
+	try = func(at int) {
+		n := w.nodes[at%len(w.nodes)]
+		turn, next := 0, func(at int, after time.Duration) { w.after(after, func() { try(at) }) }
+		if settled {
+			return
+		}
+		if n.core == nil || w.now < n.pausedUntil {
+			next(at+1, 300*time.Millisecond)
+			return
+		}
+		settle := func(reply operatorapi.Reply) {
+			if !settled {
+				settled = true
+				w.unsettled--
+				done(reply)
+			}
+		}
+		request := r
+		reply, txn := n.core.Decide("ops", &request)
+		switch {
+		case txn == nil && reply.Code == operatorapi.Later:
+			next(at+1, 300*time.Millisecond)
+			return
+		case txn == nil:
+			settle(reply)
+			return
+		}
+		n.transact(*txn, func(out message.Outcome, _ protocol.Revision) {
+			if turn++; out == message.OutcomeDone {
+				settle(reply)
+				return
+			}
+			if turn == 1 {
+				next(at, 100*time.Millisecond)
+			}
+		})
+		w.after(4*time.Second, func() {
+			if turn == 0 { // the controller has ended, or is paused
+				turn++
+				try(at + 1)
+			}
+		})
+	}
+	try(first)
+}
+
+// limit changes a team's limit.
+func (w *configuredWorld) limit(first int, team string, cpus float64) {
+	w.put(first, func(reply operatorapi.Reply) {
+		if reply.Code != operatorapi.Done {
+			w.fail("%v limit of %s to %v: %+v", w.now, team, cpus, reply)
+		}
+	}, operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntryTeam, team), MaxCPUs: &cpus})
+}
+
+// expectInForce fails unless every running controller applies the last revision, and
+// each request was carried out once.
+func (w *configuredWorld) expectInForce(t *testing.T, revision dynamicconfig.Revision) {
+	t.Helper()
+	w.recordCommits()
+	if len(w.commits) != int(revision) || w.unsettled > 0 {
+		t.Errorf("%d revisions, want %d; %d requests are not settled", len(w.commits), revision, w.unsettled)
+	}
+	for _, n := range w.nodes {
+		if n.core == nil {
+			continue
+		}
+		if got := n.core.ConfigurationInForce().Revision; got != revision {
+			t.Errorf("%s acts by revision %d, want %d", n.name, got, revision)
+		}
+	}
+}
+
+// usedCPUs is what a team's tasks take.
+func (w *configuredWorld) usedCPUs(team protocol.Team) (cpus float64) {
+	for task := range w.onMachine {
+		if j := w.jobs[task.Job]; j.Team == team {
+			cpus += j.CPUs
+		}
+	}
+	return cpus
+}
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -34,9 +34,9 @@
 	long bool // left out by -short
 }
 
-// digestPlays are the plays whose results are held. Those of the deployed sites are the
+// digestPlays are the runs whose results are compared. Those of the deployed sites are the
 // same bytes as "damsonkeel emulate --site SITE --for PLAY --seed SEED --output json"
-// prints. The week is held for its first ten minutes only: six hours of it take too long
+// prints. The week is compared for its first ten minutes only: six hours of it take too long
 // for every run (with seed 3 their digest begins with 8216dde14c5af28b at the time of
 // writing).
 var digestPlays = []digestPlay{
@@ -87,18 +87,18 @@
 	}
 }
 
-// TestDigestSitesHaveAllTroubles fails if a kind of trouble happens in none of the small
-// sites whose digests are held.
-func TestDigestSitesHaveAllTroubles(t *testing.T) {
+// TestDigestSitesHaveAllFaults fails if a kind of fault happens in none of the small
+// sites whose digests are compared.
+func TestDigestSitesHaveAllFaults(t *testing.T) {
 	had := map[string]bool{}
 	for _, play := range digestPlays {
 		if play.long {
 			continue
 		}
-		troubles := reflect.ValueOf(loadSite(t, play.site).Faults)
-		for i := range troubles.NumField() {
-			if troubles.Field(i).Float()*play.play.Hours()/24 >= 1 {
-				had[troubles.Type().Field(i).Name] = true
+		faults := reflect.ValueOf(loadSite(t, play.site).Faults)
+		for i := range faults.NumField() {
+			if faults.Field(i).Float()*play.play.Hours()/24 >= 1 {
+				had[faults.Type().Field(i).Name] = true
 			}
 		}
 	}
@@ -128,21 +128,21 @@
 }
 
 // configurationChangeJSON lowers and raises teams' limits on a busy site of arrays and
-// a gang, and has shares move and a controller end meanwhile. It returns the outcome
+// a gang, and has shards move and a controller end meanwhile. It returns the outcome
 // with all records of the state service.
 func configurationChangeJSON(t *testing.T) []byte {
 	t.Helper()
-	w := newConfigured(t, 1100, 3, 20)
+	w := newConfigured(t, 1100, 20)
 	w.limit(0, "bound", 24)
 	w.after(2*time.Second, func() { w.moveRandomShards(8) })
 	w.after(5*time.Second, func() { w.nodes[1].crash() })
 	w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 3, CPUs: 4, EstimateS: 10})
-	w.busy(15 * time.Second)
+	w.runAtLimits(15 * time.Second)
 	w.limit(2, "other", 30)
 	w.limit(0, "bound", 50)
-	w.busy(15 * time.Second)
+	w.runAtLimits(15 * time.Second)
 	w.run(w.now + 30*time.Second)
-	w.allActBy(t, 3)
+	w.expectInForce(t, 3)
 	return indentedJSON(t, struct {
 		Starts, Submitted, Moves, GivenUp, Revisions, Changes int
 		Worst                                                 time.Duration
--- a/internal/simulator/mistakes_test.go
+++ b/internal/simulator/faultyjobs_test.go
@@ -8,11 +8,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestMistakes: a third of the jobs fail wherever they run, arrays of hundreds and
+// TestFaultyJobs: a third of the jobs fail wherever they run, arrays of hundreds and
 // gangs too, while three machines fail everything. No good machine is set aside for
 // long, each bad one is; what fails everywhere is tried ever less often and takes
 // nothing from the rest; one whose mistake is mended runs to its end.
-func TestMistakes(t *testing.T) {
+func TestFaultyJobs(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 31, fake.Settings(), 60, 60)
 	w.run(3 * time.Second)
--- a/internal/simulator/frontends_test.go
+++ b/internal/simulator/frontend_test.go
@@ -12,12 +12,12 @@
 
 // frontend plays the actor around a controller's intake, as coordination.Node does.
 type frontend struct {
-	u       *users
-	n       *node
-	life    int // of the process that it belongs to
-	in      *admission.Admission
-	lastID  admission.RequestID
-	replies map[admission.RequestID]func(admission.Answer)
+	u           *users
+	n           *node
+	incarnation int // of the process that it belongs to
+	in          *admission.Admission
+	lastID      admission.RequestID
+	replies     map[admission.RequestID]func(admission.Answer)
 }
 
 // begin makes the intake of a process that has begun, and says whether one is there.
@@ -26,10 +26,10 @@
 	if f.n.core == nil {
 		return false
 	}
-	if f.in != nil && f.life == f.n.incarnation {
+	if f.in != nil && f.incarnation == f.n.incarnation {
 		return true
 	}
-	f.life, f.in, f.replies = f.n.incarnation, admission.New(f.n.settings(), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
+	f.incarnation, f.in, f.replies = f.n.incarnation, admission.New(f.n.settings(), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
 	f.step(admission.Configured{Effective: f.n.core.ConfigurationInForce()})
 	if w.now > 0 { // some time passes before it knows the machine types
 		f.n.afterIfAlive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
@@ -40,7 +40,7 @@
 }
 
 // requestUntilDone gives the process a request; nobody answers if there is none.
-func (f *frontend) ask(a admission.Request, reply func(admission.Answer)) {
+func (f *frontend) request(a admission.Request, reply func(admission.Answer)) {
 	if !f.begin() {
 		return
 	}
@@ -50,7 +50,7 @@
 	f.step(a)
 }
 
-// step has the process handle a message, when it goes on if it stands still.
+// step has the process handle a message, when it goes on if it is paused.
 func (f *frontend) step(msg any) {
 	w := f.u.world
 	if !f.begin() {
@@ -61,22 +61,22 @@
 		return
 	}
 	for _, a := range f.in.Step(f.n.clock(), msg) {
-		f.carryOut(a)
+		f.execute(a)
 	}
 }
 
 // deliver gives the process a message after a while, unless it has ended by then.
-func (f *frontend) later(d time.Duration, msg any) {
+func (f *frontend) deliver(d time.Duration, msg any) {
 	f.n.afterIfAlive(d, func() { f.step(msg) })
 }
 
-func (f *frontend) carryOut(a admission.Action) {
+func (f *frontend) execute(a admission.Action) {
 	w := f.u.world
 	switch a := a.(type) {
 	case admission.Reply:
 		reply := f.replies[a.ID]
 		delete(f.replies, a.ID)
-		f.u.sent(a.Answer)
+		f.u.recordAnswer(a.Answer)
 		w.after(w.delay(), func() { reply(a.Answer) })
 	case admission.Get:
 		f.read(func() any {
@@ -107,42 +107,42 @@
 	case admission.PassOn:
 		p := f.u.front(a.To)
 		w.send(string(f.n.name), string(a.To), func() {
-			p.ask(admission.Request{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
-				w.send(string(a.To), string(f.n.name), func() { f.later(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
+			p.request(admission.Request{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
+				w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
 			})
 		})
 	case admission.Announce:
 		f.u.halt(f, a)
 	case admission.Wake:
-		f.later(time.Duration(a.At-f.n.clock()), admission.Tick{})
+		f.deliver(time.Duration(a.At-f.n.clock()), admission.Tick{})
 	}
 }
 
-// read asks the state service something that changes nothing.
+// read reads from the state service.
 func (f *frontend) read(answer func() any, without func(message.Outcome) any) {
 	w := f.u.world
 	switch {
 	case w.outageUntil <= w.now && !f.n.stateReachable() && w.partitions[string(f.n.name)+">state"].delayed:
-		f.later(1500*time.Millisecond, without(message.OutcomeUnknown))
+		f.deliver(1500*time.Millisecond, without(message.OutcomeUnknown))
 	case !f.n.stateReachable():
-		f.later(w.delay(), without(message.OutcomeRefused))
+		f.deliver(w.delay(), without(message.OutcomeRefused))
 	default:
 		f.n.afterIfAlive(w.delay()+w.stateLatency/2, func() {
 			got := answer()
 			if w.rng.IntN(30) == 0 {
-				f.later(1500*time.Millisecond, without(message.OutcomeUnknown))
+				f.deliver(1500*time.Millisecond, without(message.OutcomeUnknown))
 				return
 			}
-			f.later(w.delay()+w.stateLatency/2, got)
+			f.deliver(w.delay()+w.stateLatency/2, got)
 		})
 	}
 }
 
-// halt tells a controller's core that a job is cancelled.
+// halt notifies a controller's core that a job is cancelled.
 func (u *users) halt(f *frontend, a admission.Announce) {
 	w := u.world
-	if u.unheard {
-		f.later(0, admission.Announced{Job: a.Job, By: a.To})
+	if u.dropCancellations {
+		f.deliver(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
 	to := u.front(a.To).n
@@ -152,12 +152,12 @@
 		}
 		to.afterIfAlive(max(0, to.pausedUntil-w.now), func() {
 			to.step(message.JobCancelled{Job: a.Job})
-			w.send(string(a.To), string(f.n.name), func() { f.later(0, admission.Announced{Job: a.Job, By: a.To}) })
+			w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.Announced{Job: a.Job, By: a.To}) })
 		})
 	}
 	if to == f.n {
 		to.step(message.JobCancelled{Job: a.Job})
-		f.later(0, admission.Announced{Job: a.Job, By: a.To})
+		f.deliver(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
 	w.send(string(f.n.name), string(a.To), heard)
--- a/internal/simulator/meetings_test.go
+++ b/internal/simulator/overlaps_test.go
@@ -11,8 +11,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// cancelOver cancels live jobs at random moments of a while.
-func (w *world) cancelOver(n int, d time.Duration) {
+// cancelRandomJobs cancels live jobs at random moments of a while.
+func (w *world) cancelRandomJobs(n int, d time.Duration) {
 	for range n {
 		w.after(time.Duration(w.rng.Int64N(int64(d)+1)), func() {
 			if len(w.jobOrder) == 0 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// some calls do with a part of the machines.
-func (w *world) some(part float64, do func(*worker)) {
+// eachOf calls do with a random fraction of the machines.
+func (w *world) eachOf(part float64, do func(*worker)) {
 	for _, id := range w.machineOrder {
 		if sw := w.workers[id]; !sw.Dead && w.rng.Float64() < part {
 			do(sw)
@@ -57,7 +57,7 @@
 			w.partition(string(n.name), string(p.name), refused+out/2, w.rng.IntN(2) == 0)
 		}
 	}
-	w.cancelOver(1+w.rng.IntN(6), refused)
+	w.cancelRandomJobs(1+w.rng.IntN(6), refused)
 	w.after(refused, func() { w.outageUntil = max(w.outageUntil, w.now+out) })
 	switch w.rng.IntN(4) {
 	case 0:
@@ -69,9 +69,9 @@
 	}
 }
 
-// meeting makes one of the troubles that the operators name; two or three at a time
-// are a meeting.
-func (w *world) meeting() {
+// injectOverlappingFault injects one of the faults that the operators name; two or three
+// at a time overlap.
+func (w *world) injectOverlappingFault() {
 	n := w.nodes[w.rng.IntN(3)]
 	d := time.Duration(2+w.rng.IntN(25)) * time.Second
 	hold := w.rng.IntN(2) == 0
@@ -86,7 +86,7 @@
 	case 1: // cut from the records and from its peers, not from workers
 		w.partition(string(n.name), "state", d, hold)
 		n.partitionFromPeers(d, hold)
-		w.cancelOver(3, d)
+		w.cancelRandomJobs(3, d)
 	case 2, 3:
 		w.lateWriteFraction = 0.1 + w.rng.Float64()/2
 		w.after(d, func() { w.lateWriteFraction = 0 })
@@ -94,9 +94,9 @@
 		w.duplicateHeartbeatFraction = 0.1 + w.rng.Float64()/2
 		w.after(d, func() { w.duplicateHeartbeatFraction = 0 })
 	case 6:
-		w.some(0.3, func(sw *worker) { sw.inboundLostUntil = w.now + d })
+		w.eachOf(0.3, func(sw *worker) { sw.inboundLostUntil = w.now + d })
 	case 7, 8: // most within their lease
-		w.some(0.4, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(300+w.rng.IntN(17_000))*time.Millisecond })
+		w.eachOf(0.4, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(300+w.rng.IntN(17_000))*time.Millisecond })
 	case 9:
 		n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 	case 10:
@@ -111,52 +111,51 @@
 	}
 }
 
-// farApart has the tasks of a job run for very different times, some longer than
-// most troubles last.
-func (w *world) farApart(protocol.TaskID) time.Duration {
+// drawSpreadRunTime draws run times that differ widely, some longer than most faults last.
+func (w *world) drawSpreadRunTime(protocol.TaskID) time.Duration {
 	if w.rng.IntN(4) == 0 {
 		return time.Duration(20+w.rng.IntN(40)) * time.Second
 	}
 	return time.Duration(500+w.rng.IntN(9000)) * time.Millisecond
 }
 
-// TestRulesHoldWhenTroublesMeet plays days on which two or three of the operators'
-// troubles come at once, again and again, with long tasks, jobs of a few tasks that
+// TestRulesHoldUnderOverlappingFaults runs scenarios in which two or three of the operators'
+// faults come at once, again and again, with long tasks, jobs of a few tasks that
 // end far apart, and many cancellations.
-func TestRulesHoldWhenTroublesMeet(t *testing.T) {
-	trouble := func(w *world) {
-		w.runTime = w.farApart
+func TestRulesHoldUnderOverlappingFaults(t *testing.T) {
+	fault := func(w *world) {
+		w.runTime = w.drawSpreadRunTime
 		if w.rng.IntN(2) == 0 {
 			return
 		}
 		for range 2 + w.rng.IntN(2) {
-			w.meeting()
+			w.injectOverlappingFault()
 		}
-		w.cancelOver(w.rng.IntN(3), 2*time.Second)
+		w.cancelRandomJobs(w.rng.IntN(3), 2*time.Second)
 	}
-	day{machines: 9, job: (*world).randomJob, lasts: 150 * time.Second, trouble: trouble, often: true, after: 30 * time.Second}.playSeeds(t, 40, 700_000)
+	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, fault: fault, faultEveryStep: true, settleTime: 30 * time.Second}.playSeeds(t, 40, 700_000)
 }
 
-// TestRulesHoldWhenCommandsAreHeldUp plays days on which a good part of all commands,
-// reports and their answers takes seconds and arrives in any order, machines stand
-// still and go on, while tokens rise, shares move, machines are given notice, and now
-// and then all controllers end.
-func TestRulesHoldWhenCommandsAreHeldUp(t *testing.T) {
-	trouble := func(w *world) {
+// TestRulesHoldWithDelayedCommands runs scenarios in which a good part of all commands,
+// heartbeats and their answers takes seconds and arrives in any order, machines are
+// paused and resume, while fencing tokens rise, shards move, machines are given notice, and now
+// and then all controllers crash.
+func TestRulesHoldWithDelayedCommands(t *testing.T) {
+	fault := func(w *world) {
 		w.slowMessageFraction = 0.2 + w.rng.Float64()/2
 		switch w.rng.IntN(5) {
 		case 0:
 			w.moveRandomShards(16)
 		case 1:
-			w.some(0.3, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(300+w.rng.IntN(9000))*time.Millisecond })
+			w.eachOf(0.3, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(300+w.rng.IntN(9000))*time.Millisecond })
 		case 2:
-			w.some(0.2, func(sw *worker) {
+			w.eachOf(0.2, func(sw *worker) {
 				notice := 12.0
 				sw.Notice = &notice
 				w.after(12*time.Second, func() { sw.Notice = nil }) // not taken after all
 			})
 		case 3:
-			w.some(0.2, func(sw *worker) {
+			w.eachOf(0.2, func(sw *worker) {
 				sw.Faulty = true
 				w.after(3*time.Second, func() { sw.Faulty = false })
 			})
@@ -168,22 +167,22 @@
 			}
 		}
 	}
-	day{machines: 9, job: (*world).randomJob, lasts: 120 * time.Second, trouble: trouble, often: true, after: 15 * time.Second}.playSeeds(t, 20, 800_000)
+	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true, settleTime: 15 * time.Second}.playSeeds(t, 20, 800_000)
 }
 
-// firstMeeting is one way in which the state service refuses a controller alone, others
+// partitionOutage is one way in which the state service refuses a controller alone, others
 // confirm cancellations, and it is then out for all.
-type firstMeeting struct {
+type partitionOutage struct {
 	refused time.Duration // alone, before the outage
-	hold    bool          // held back rather than refused
+	hold    bool          // delayed rather than refused
 	peers   bool          // cut from the other controllers too
 	do      func(*world, *node)
 }
 
 // play plays it on machines full of long tasks, with jobs cancelled during the time of
 // being refused and in its last moment. It returns how many tasks of cancelled
-// jobs were on machines when their users were told, and how long the last stayed.
-func (m firstMeeting) play(fail func(string, ...any), seed uint64, ownLease time.Duration) (on int, last time.Duration) {
+// jobs were on machines when their users were answered, and how long the last stayed.
+func (m partitionOutage) play(fail func(string, ...any), seed uint64, ownLease time.Duration) (on int, last time.Duration) {
 	const machines = 24
 	w := newWorld(fail, seed, fake.Settings(), machines, machines)
 	w.nodeLease = ownLease
@@ -236,14 +235,14 @@
 	return on, last
 }
 
-// firstMeetings are the ways that are played.
-func firstMeetings() map[string]firstMeeting {
+// partitionOutages are the ways that are played.
+func partitionOutages() map[string]partitionOutage {
 	freeze := func(d time.Duration) func(*world, *node) {
 		return func(w *world, n *node) {
 			w.after(time.Second, func() { n.pausedUntil = w.now + d })
 		}
 	}
-	return map[string]firstMeeting{
+	return map[string]partitionOutage{
 		"its session survives":              {refused: 3 * time.Second},
 		"the outage comes at once":          {refused: 200 * time.Millisecond},
 		"before anybody notices":            {refused: 7 * time.Second},
@@ -257,16 +256,16 @@
 		"it ends and is back at once":       {refused: 6 * time.Second, do: func(w *world, n *node) { w.after(2*time.Second, func() { n.crashFor(200 * time.Millisecond) }) }},
 		"shares move from and to it":        {refused: 4 * time.Second, do: func(w *world, _ *node) { w.moveRandomShards(60) }},
 		"commands are held up":              {refused: 9 * time.Second, do: func(w *world, _ *node) { w.slowMessageFraction = 0.4 }},
-		"machines stand still":              {refused: 9 * time.Second, do: func(w *world, _ *node) { w.some(0.5, func(sw *worker) { sw.pausedUntil = w.now + 12*time.Second }) }},
+		"machines stand still":              {refused: 9 * time.Second, do: func(w *world, _ *node) { w.eachOf(0.5, func(sw *worker) { sw.pausedUntil = w.now + 12*time.Second }) }},
 		"transactions are carried out late": {refused: 9 * time.Second, do: func(w *world, _ *node) { w.lateWriteFraction = 0.3 }},
 	}
 }
 
-// TestRefusedAloneThenOut: the first meeting, each way with each controller as the one
-// refused: the tasks of what is cancelled are gone in time, which the bound of
-// docs/design.md says.
-func TestRefusedAloneThenOut(t *testing.T) {
-	for name, m := range firstMeetings() {
+// TestPartitionThenOutage: each way with each controller as the partitioned one: the tasks of cancelled jobs
+// are stopped within the bound of
+// docs/design.md.
+func TestPartitionThenOutage(t *testing.T) {
+	for name, m := range partitionOutages() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seeds(3)) {
@@ -284,15 +283,15 @@
 	}
 }
 
-// TestActingTooLongIsNoticed: with a controller that answers workers far longer than it
-// may, the same play breaks the rule: the check bites.
-func TestActingTooLongIsNoticed(t *testing.T) {
+// TestExpiredLeaseViolationIsDetected: with a controller that answers workers far longer than it
+// may, the same play breaks the rule: the check works.
+func TestExpiredLeaseViolationIsDetected(t *testing.T) {
 	broken := false
 	fail := func(format string, args ...any) {
 		broken = broken || strings.Contains(fmt.Sprintf(format, args...), "ran_cancelled")
 	}
 	for seed := range uint64(3) {
-		firstMeeting{refused: 3 * time.Second}.play(fail, 900+seed, time.Minute)
+		partitionOutage{refused: 3 * time.Second}.play(fail, 900+seed, time.Minute)
 	}
 	if !broken {
 		t.Error("a cancelled task stayed too long, and no rule was broken")
@@ -308,20 +307,20 @@
 	return j
 }
 
-// TestRulesHoldInEachMeeting plays each of the operators' meetings by itself, over and
+// TestRulesHoldInEachOverlap plays each of the operators' overlapping faults by itself, over and
 // over, with jobs of a few tasks that end far apart.
-func TestRulesHoldInEachMeeting(t *testing.T) {
+func TestRulesHoldInEachOverlap(t *testing.T) {
 	back := func(w *world, most time.Duration) {
 		w.nodes[w.rng.IntN(3)].crashFor(100*time.Millisecond + time.Duration(w.rng.Int64N(int64(most))))
 	}
-	for name, trouble := range map[string]func(*world){
+	for name, fault := range map[string]func(*world){
 		"jobs end across changes of leader": func(w *world) { back(w, 9*time.Second) },
 		"cut from the records and all peers": func(w *world) {
 			if n, d := w.nodes[w.rng.IntN(3)], time.Duration(4+w.rng.IntN(70))*time.Second; w.rng.IntN(6) == 0 {
 				hold := w.rng.IntN(2) == 0
 				w.partition(string(n.name), "state", d, hold)
 				n.partitionFromPeers(d, hold)
-				w.cancelOver(4, d)
+				w.cancelRandomJobs(4, d)
 			}
 		},
 		"transactions are carried out late": func(w *world) {
@@ -332,7 +331,7 @@
 		},
 		"a leader ends while machines are deaf or away": func(w *world) {
 			d := time.Duration(2+w.rng.IntN(30)) * time.Second
-			w.some(0.3, func(sw *worker) {
+			w.eachOf(0.3, func(sw *worker) {
 				if w.rng.IntN(2) == 0 {
 					sw.inboundLostUntil = w.now + d
 				} else {
@@ -362,17 +361,17 @@
 			case 1:
 				w.moveRandomShards(24)
 			case 2:
-				w.some(0.2, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(w.rng.IntN(25))*time.Second })
+				w.eachOf(0.2, func(sw *worker) { sw.pausedUntil = w.now + time.Duration(w.rng.IntN(25))*time.Second })
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			all := func(w *world) {
-				w.runTime = w.farApart
-				trouble(w)
-				w.cancelOver(w.rng.IntN(2), time.Second)
+				w.runTime = w.drawSpreadRunTime
+				fault(w)
+				w.cancelRandomJobs(w.rng.IntN(2), time.Second)
 			}
-			day{machines: 9, job: fewTasks, lasts: 100 * time.Second, trouble: all, often: true, after: 30 * time.Second}.playSeeds(t, 6, 900_000)
+			scenario{machines: 9, job: fewTasks, duration: 100 * time.Second, fault: all, faultEveryStep: true, settleTime: 30 * time.Second}.playSeeds(t, 6, 900_000)
 		})
 	}
 }
--- a/internal/simulator/play_test.go
+++ b/internal/simulator/play_test.go
@@ -30,10 +30,10 @@
 	playFor = 105 * time.Minute
 )
 
-// TestPromisesAreKept: a reserved job starts within a minute of its time, on a
+// TestReservationsAreMet: a reserved job starts within a minute of its time, on a
 // full fleet of equally urgent work that runs twice as long as its owners say,
 // whatever happens right before: what each of the hard cases names.
-func TestPromisesAreKept(t *testing.T) {
+func TestReservationsAreMet(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*Site)
 		before time.Duration // how long before its time it happens
@@ -115,7 +115,7 @@
 }
 
 // TestWithoutReservation: the same job on the same site waits where no room is
-// held for it, so the test above could fail; and nothing starts in a window.
+// reserved for it, so the test above could fail; and nothing starts in a window.
 func TestWithoutReservation(t *testing.T) {
 	t.Parallel()
 	s := smallSite()
--- /dev/null
+++ b/internal/simulator/scenario_test.go
@@ -0,0 +1,296 @@
+package simulator
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// scenario describes a generated run: its size, load and faults.
+type scenario struct {
+	machines       int
+	job            func(*world) protocol.Job
+	duration       time.Duration
+	startEmpty     bool // no machine is up at the start
+	teams          []config.Team
+	fault          func(*world)  // beside those that every scenario has
+	faultEveryStep bool          // faults are injected at each step
+	reservations   bool          // reservations and windows are added and cancelled
+	settleTime     time.Duration // for which the last faults may last
+}
+
+// play runs a scenario of faults; when all is well again, every job must come to
+// its end.
+func (d scenario) play(t *testing.T, seed int) *world {
+	t.Helper()
+	settings, up := fake.Settings(), d.machines
+	if d.teams != nil {
+		settings.Site.Teams = d.teams
+	}
+	if d.startEmpty {
+		up = 0
+	}
+	w := newWorld(t.Fatalf, uint64(seed), settings, d.machines, up)
+	for _, n := range w.nodes { // of an earlier version until they are restarted
+		n.layout = record.Layout(1 + seed%3)
+	}
+	w.run(3 * time.Second)
+	for w.now < d.duration {
+		if w.rng.IntN(3) > 0 {
+			before := len(w.jobOrder)
+			w.submit(d.job(w))
+			if len(w.jobOrder) > before && w.rng.IntN(15) == 0 {
+				w.faultyJobs[w.jobOrder[before]] = true
+			}
+		}
+		if len(w.jobOrder) > 0 && w.rng.IntN(6) == 0 {
+			if id := w.jobOrder[w.rng.IntN(len(w.jobOrder))]; w.finalState[id] == "" {
+				w.cancel(id)
+			}
+		}
+		if w.rng.IntN(3) == 0 {
+			w.moveRandomShards(8)
+		}
+		if w.rng.IntN(40) == 0 {
+			w.nodes[w.rng.IntN(3)].shutDown()
+		}
+		if d.reservations && w.rng.IntN(4) == 0 {
+			w.makeRandomReservation()
+		}
+		if d.faultEveryStep {
+			d.fault(w)
+		}
+		switch w.rng.IntN(20) {
+		case 0:
+			w.preemptSpotMachines()
+		case 1:
+			w.rollingRestart()
+		case 2, 3:
+			if d.fault != nil {
+				d.fault(w)
+			}
+		default:
+			if w.rng.IntN(2) == 0 {
+				w.injectRandomFault()
+			}
+		}
+		w.run(w.now + time.Duration(1+w.rng.IntN(6))*time.Second)
+	}
+	w.run(w.now + d.settleTime)
+	w.outageUntil, w.stateLatency, w.lateWriteFraction, w.duplicateHeartbeatFraction, w.slowMessageFraction = 0, 0, 0, 0, 0
+	clear(w.partitions) // delayed messages still arrive
+	w.run(w.now + 40*time.Second)
+	for _, id := range w.jobOrder {
+		if (w.jobs[id].Kind == protocol.KindService || w.faultyJobs[id]) && w.finalState[id] == "" {
+			w.cancel(id)
+		}
+	}
+	// A team may have so much waiting that its limit takes minutes for it.
+	for end := w.now + 300*time.Second; w.unfinished() > 0 && w.now < end; {
+		w.run(w.now + 5*time.Second)
+	}
+	w.run(w.now + 5*time.Second)
+	for _, id := range w.jobOrder {
+		if w.finalState[id] == "" {
+			t.Errorf("job %s never came to its end: %+v\n%s", id, w.jobs[id], w.describeJob(id))
+		}
+	}
+	if w.starts == 0 {
+		t.Error("nothing ran")
+	}
+	t.Logf("%d machines at first, %d jobs, %d starts, at most %d tasks on machines, %d writes of blocks, %d changes of the calendar", up, len(w.jobOrder), w.starts, w.peakRunning, w.blockWrites, w.reservationChanges)
+	return w
+}
+
+// playSeeds runs a scenario with so many seeds, from the first on.
+func (d scenario) playSeeds(t *testing.T, usual, first int) {
+	t.Helper()
+	for seed := range seeds(usual) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			d.play(t, first+seed)
+		})
+	}
+}
+
+// seeds returns how many scenarios are run; WORLD_SEEDS sets another number.
+func seeds(usual int) int {
+	if n, err := strconv.Atoi(os.Getenv("WORLD_SEEDS")); err == nil {
+		return n
+	}
+	return usual
+}
+
+// requestedMachines returns the size of a fleet; WORLD_MACHINES sets another one.
+func requestedMachines(usual int) int {
+	if n, err := strconv.Atoi(os.Getenv("WORLD_MACHINES")); err == nil {
+		return n
+	}
+	return usual
+}
+
+// randomJob makes a job that the world's machines can run.
+func (w *world) randomJob() protocol.Job {
+	j := protocol.Job{
+		Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(1 + w.rng.IntN(12)),
+		CPUs: float64(1 + w.rng.IntN(2)), EstimateS: 5, Spot: w.rng.IntN(2) == 0,
+	}
+	switch w.rng.IntN(8) {
+	case 0:
+		j.Class, j.Kind, j.Tasks, j.CPUs, j.Priority = "gang", protocol.KindGang, uint32(1+w.rng.IntN(3)), 4, "high"
+		j.OneZone = w.rng.IntN(2) == 0
+	case 1:
+		j.Kind, j.Tasks, j.CheckpointS, j.SaveS = protocol.KindService, 2, 0, 0
+	case 2:
+		j.Zone = "b"
+	case 3:
+		j.OneZone = true
+	case 4:
+		j.Spread = true
+	case 5:
+		j.Types = []protocol.MachineType{"large"}
+	}
+	if w.rng.IntN(3) == 0 {
+		j.Team = "bound"
+	}
+	if w.rng.IntN(3) == 0 && j.Kind == protocol.KindJobArray {
+		j.CheckpointS, j.SaveS = 2, 2
+	}
+	return j
+}
+
+// largeJob is a random job with gangs of up to so many tasks more than two, and
+// arrays so many times as large.
+func largeJob(gang int, array uint32) func(*world) protocol.Job {
+	return func(w *world) protocol.Job {
+		j := w.randomJob()
+		switch {
+		case j.Team == "bound": // its limit is for the few
+		case j.Kind == protocol.KindGang:
+			j.Tasks = uint32(2 + w.rng.IntN(gang))
+		case j.Kind == protocol.KindJobArray:
+			j.Tasks *= array
+		}
+		return j
+	}
+}
+
+// injectRandomFault injects a random fault.
+func (w *world) injectRandomFault() {
+	n := w.nodes[w.rng.IntN(3)]
+	d := time.Duration(2+w.rng.IntN(25)) * time.Second
+	hold := w.rng.IntN(2) == 0
+	if len(w.machineOrder) == 0 {
+		n.crash()
+		return
+	}
+	machine := w.machineOrder[w.rng.IntN(len(w.machineOrder))]
+	switch w.rng.IntN(12) {
+	case 0, 1:
+		n.crash()
+	case 2:
+		for _, n := range w.nodes {
+			n.crash()
+		}
+	case 3, 4:
+		w.partition(string(n.name), "state", d, hold)
+	case 5:
+		w.outageUntil = w.now + d
+	case 6, 7:
+		w.partition(string(n.name), "workers", d, hold)
+	case 8:
+		w.partition(string(n.name), fmt.Sprint("node-", w.rng.IntN(3)), d, hold)
+	case 9:
+		w.killMachine(machine)
+	case 10:
+		notice := 8.0
+		sw := w.workers[machine]
+		sw.Notice = &notice
+		w.after(8*time.Second, func() { w.killMachine(machine) })
+	case 11:
+		sw := w.workers[machine]
+		sw.Faulty = true
+		w.after(d, func() { sw.Faulty = false })
+	}
+}
+
+// preemptSpotMachines preempts a third of the spot machines at once, some with a notice.
+func (w *world) preemptSpotMachines() {
+	for _, id := range w.machineOrder {
+		sw := w.workers[id]
+		if !sw.Spot || sw.Dead || w.rng.IntN(3) > 0 {
+			continue
+		}
+		if w.rng.IntN(2) == 0 {
+			w.killMachine(id)
+			continue
+		}
+		notice := 6.0
+		sw.Notice = &notice
+		w.after(6*time.Second, func() { w.killMachine(id) })
+	}
+}
+
+// rollingRestart restarts all controllers, one after the other.
+func (w *world) rollingRestart() {
+	for i, n := range w.nodes {
+		w.after(time.Duration(i)*9*time.Second, func() { n.crash() })
+	}
+}
+
+// makeRandomReservation has an operator add a reservation or a window, or cancel one.
+func (w *world) makeRandomReservation() {
+	n := w.nodes[w.rng.IntN(3)]
+	if n.core == nil || !n.stateReachable() {
+		return
+	}
+	name := record.EntryName(fmt.Sprint("p", w.rng.IntN(4)))
+	when := time.UnixMilli(w.wallMS()).Add(time.Duration(w.rng.IntN(60)) * time.Second).UTC().Format("2006-01-02 at 15:04:05")
+	r := operatorapi.Request{Op: operatorapi.OpAdd, ID: fmt.Sprint(w.now), Replace: true}
+	switch w.rng.IntN(4) {
+	case 0:
+		r = operatorapi.Request{Op: operatorapi.OpCancel, Name: name, Window: w.rng.IntN(2) == 0}
+	case 1:
+		r.Window = true
+		r.Spec = &record.WindowSpec{Name: name, When: when, LengthS: float64(5 + w.rng.IntN(20)), Zone: []protocol.Zone{"a", "b", ""}[w.rng.IntN(3)]}
+	default:
+		r.Reservation = &record.ReservationSpec{
+			Name: name, Class: []string{"array", "gang"}[w.rng.IntN(2)], When: when, HoldS: 60, LengthS: 10, Tasks: 1 + w.rng.IntN(3),
+			CPUs: 2, MemoryGB: 1, Priority: []protocol.Priority{"standard", "high"}[w.rng.IntN(2)], OneZone: w.rng.IntN(2) == 0,
+		}
+	}
+	if reply, txn := n.core.Decide("ops", &r); txn != nil && reply.Code == operatorapi.Done && w.state.Txn(*txn) {
+		w.reservationChanges++
+	}
+}
+
+// unfinished returns how many jobs have not ended.
+func (w *world) unfinished() int {
+	n := 0
+	for _, id := range w.jobOrder {
+		if w.finalState[id] == "" {
+			n++
+		}
+	}
+	return n
+}
+
+// describeJob returns what the controllers know of a job that does not end.
+func (w *world) describeJob(id protocol.JobID) string {
+	var b strings.Builder
+	for _, n := range w.nodes {
+		if n.core != nil {
+			b.WriteString(n.core.DescribeJob(id))
+		}
+	}
+	return b.String()
+}
--- a/internal/simulator/shares_test.go
+++ b/internal/simulator/shards_test.go
@@ -10,9 +10,10 @@
 	"damsonkeel/internal/record"
 )
 
-// shared is a world of machines that are all up, registered and busy, kept by
-// shares.
-func shared(t *testing.T, seed uint64, controllers, machines int) *world {
+// newShardedWorld returns a world of machines that are all up, registered and busy, held by
+// shards.
+func newShardedWorld(t *testing.T, seed uint64, controllers, machines int) *world {
+	t.Helper()
 	s := fake.Settings()
 	s.Site.Count = controllers
 	w := newWorld(t.Fatalf, seed, s, machines, machines)
@@ -21,7 +22,7 @@
 		w.submit(busyJob(w, machines))
 		w.run(w.now + 500*time.Millisecond)
 	}
-	if n := w.kept(); n < machines*9/10 {
+	if n := w.registered(); n < machines*9/10 {
 		t.Fatalf("%d of %d machines kept after %v", n, machines, w.now)
 	}
 	return w
@@ -37,16 +38,16 @@
 	return j
 }
 
-// tasks is how many tasks have been accepted.
-func (w *world) tasks() (n int) {
+// runningTasks is how many tasks have been accepted.
+func (w *world) runningTasks() (n int) {
 	for _, j := range w.jobs {
 		n += int(j.Tasks)
 	}
 	return n
 }
 
-// sharers are the controllers that keep any shares by the records, and how many.
-func (w *world) sharers() map[protocol.NodeName]int {
+// shardsByNode returns how many shards each controller holds by the records.
+func (w *world) shardsByNode() map[protocol.NodeName]int {
 	by := map[protocol.NodeName]int{}
 	for _, n := range w.nodes {
 		if k := len(n.shards()); k > 0 {
@@ -56,28 +57,28 @@
 	return by
 }
 
-// work submits a job a second for a while.
-func (w *world) work(d time.Duration) {
+// runWithLoad submits a job a second for a while.
+func (w *world) runWithLoad(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.submit(busyJob(w, len(w.machineOrder)))
 		w.run(w.now + time.Second)
 	}
 }
 
-// TestMovesDisturbNothing: a third of a busy fleet's shares, then all of one
-// controller's, then one share back and forth, move while jobs run. Nothing is
+// TestShardMovesDisruptNothing: a third of a busy fleet's shards, then all of one
+// controller's, then one shard back and forth, move while jobs run. Nothing is
 // stopped, started twice or lost by that, no lease runs out, and moves take no
 // longer than stated.
-func TestMovesDisturbNothing(t *testing.T) {
+func TestShardMovesDisruptNothing(t *testing.T) {
 	t.Parallel()
-	w := shared(t, 11, 3, 300)
+	w := newShardedWorld(t, 11, 3, 300)
 	epoch := w.tokens()
 	for i := range 3 {
 		from, to := w.nodes[i], w.nodes[(i+1)%3]
 		if ids := from.shards(); !w.moveShards(ids[:len(ids)/2], to) {
 			t.Fatal("nobody takes the request")
 		}
-		w.work(4 * time.Second)
+		w.runWithLoad(4 * time.Second)
 	}
 	one := w.nodes[0].shards()[:1]
 	for i := range 60 {
@@ -97,20 +98,20 @@
 	if moved < 16 {
 		t.Errorf("%d shares moved", moved)
 	}
-	w.allEnd(t, 120*time.Second)
-	if w.expiredLeases > 0 || w.starts != w.tasks() {
-		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.tasks())
+	w.expectAllFinished(t, 120*time.Second)
+	if w.expiredLeases > 0 || w.starts != w.runningTasks() {
+		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.runningTasks())
 	}
-	w.sameTerm(t, 1)
+	w.expectTerm(t, 1)
 	if p := w.movePauseP99(); len(w.movePauses) < moved || p > 500*time.Millisecond {
 		t.Errorf("%d moves, which pause starts for %v at the 99th percentile", len(w.movePauses), p)
 	}
 }
 
-// TestThirdOfAFleetMoves: a third of the shares of 1,300 machines full of work moves
+// TestThirdOfShardsMove: a third of the shards of 1,300 machines full of work moves
 // at once. No task is stopped, started again or lost, no move is given up, and no
-// other share or the term changes.
-func TestThirdOfAFleetMoves(t *testing.T) {
+// other shard or the term changes.
+func TestThirdOfShardsMove(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 18, fake.Settings(), 1300, 1300)
 	w.run(3 * time.Second)
@@ -135,14 +136,14 @@
 			t.Errorf("share %d moved %v, asked for %v", i, moved, asked[i])
 		}
 	}
-	w.allEnd(t, 200*time.Second)
-	if p := w.movePauseP99(); len(asked) < 20 || w.abortedMoves > 0 || p > 500*time.Millisecond || w.expiredLeases > 0 || w.starts != w.tasks() {
-		t.Errorf("%d moves, %d given up, pause %v at the 99th percentile; %d starts for %d tasks, %d leases out", len(asked), w.abortedMoves, p, w.starts, w.tasks(), w.expiredLeases)
+	w.expectAllFinished(t, 200*time.Second)
+	if p := w.movePauseP99(); len(asked) < 20 || w.abortedMoves > 0 || p > 500*time.Millisecond || w.expiredLeases > 0 || w.starts != w.runningTasks() {
+		t.Errorf("%d moves, %d given up, pause %v at the 99th percentile; %d starts for %d tasks, %d leases out", len(asked), w.abortedMoves, p, w.starts, w.runningTasks(), w.expiredLeases)
 	}
-	w.sameTerm(t, 1)
+	w.expectTerm(t, 1)
 }
 
-// tokens are the epochs of the shares.
+// tokens are the epochs of the shards.
 func (w *world) tokens() (epochs []protocol.Term) {
 	s, _ := w.shardTable()
 	for _, st := range s.List {
@@ -151,8 +152,8 @@
 	return epochs
 }
 
-// sameTerm reports a term that was raised.
-func (w *world) sameTerm(t *testing.T, term protocol.Term) {
+// expectTerm reports an error if the term has changed.
+func (w *world) expectTerm(t *testing.T, term protocol.Term) {
 	t.Helper()
 	for _, n := range w.nodes {
 		if n.core != nil && n.core.Status().Term != term {
@@ -161,39 +162,39 @@
 	}
 }
 
-// TestRollBySignal: all controllers are told to end, one after the other. Each hands
+// TestRollingShutdown: all controllers are shut down, one after the other. Each hands
 // over everything first; no task is stopped, started again or lost by it.
-func TestRollBySignal(t *testing.T) {
+func TestRollingShutdown(t *testing.T) {
 	t.Parallel()
-	w := shared(t, 12, 3, 300)
+	w := newShardedWorld(t, 12, 3, 300)
 	for _, n := range w.nodes {
 		n.shutDown()
-		w.work(6 * time.Second)
+		w.runWithLoad(6 * time.Second)
 		if n.core != nil && n.core.Status().Queues > 0 {
 			t.Fatalf("%s keeps %d machines though it was told to end", n.name, n.core.Status().Queues)
 		}
-		w.work(12 * time.Second)
+		w.runWithLoad(12 * time.Second)
 	}
 	w.run(w.now + 20*time.Second)
-	if by := w.sharers(); len(by) != 3 {
+	if by := w.shardsByNode(); len(by) != 3 {
 		t.Errorf("shares are kept by %v", by)
 	}
-	w.allEnd(t, 120*time.Second)
-	if w.expiredLeases > 0 || w.starts != w.tasks() {
-		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.tasks())
+	w.expectAllFinished(t, 120*time.Second)
+	if w.expiredLeases > 0 || w.starts != w.runningTasks() {
+		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.runningTasks())
 	}
 }
 
-// TestOneEndsOthersGoOn: a controller ends without a word. The shares of the others
-// notice nothing: their holders, tenures and tokens stay.
-func TestOneEndsOthersGoOn(t *testing.T) {
+// TestOneCrashLeavesOtherShardsAlone: a controller crashes. The shards of the others
+// notice nothing: their holders, epochs and fencing tokens stay.
+func TestOneCrashLeavesOtherShardsAlone(t *testing.T) {
 	t.Parallel()
-	w := shared(t, 13, 3, 300)
+	w := newShardedWorld(t, 13, 3, 300)
 	before, _ := w.shardTable()
 	gone := w.nodes[1]
 	session := gone.session
 	gone.crashFor(40 * time.Second)
-	w.work(20 * time.Second)
+	w.runWithLoad(20 * time.Second)
 	after, _ := w.shardTable()
 	moved := 0
 	for i, st := range before.List {
@@ -206,24 +207,24 @@
 			t.Errorf("share %d of one that stayed: %+v, was %+v", i, after.List[i], st)
 		}
 	}
-	if by := w.sharers(); moved == 0 || len(by) != 2 || by["node-0"] > 2*by["node-2"] || by["node-2"] > 2*by["node-0"] {
+	if by := w.shardsByNode(); moved == 0 || len(by) != 2 || by["node-0"] > 2*by["node-2"] || by["node-2"] > 2*by["node-0"] {
 		t.Errorf("%d shares taken over, kept by %v", moved, by)
 	}
-	w.work(40 * time.Second)
-	if by := w.sharers(); len(by) != 3 {
+	w.runWithLoad(40 * time.Second)
+	if by := w.shardsByNode(); len(by) != 3 {
 		t.Errorf("shares are kept by %v after it came back", by)
 	}
-	w.allEnd(t, 120*time.Second)
+	w.expectAllFinished(t, 120*time.Second)
 }
 
-// TestEndsAtEachStep: source, target, both or all controllers end at each step of a
+// TestCrashAtEachStepOfShardMove: source, target, both or all controllers crash at each step of a
 // move, some milliseconds apart.
-func TestEndsAtEachStep(t *testing.T) {
+func TestCrashAtEachStepOfShardMove(t *testing.T) {
 	for name, who := range map[string][]int{"source": {0}, "target": {1}, "both": {0, 1}, "all": {0, 1, 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for at := 5 * time.Millisecond; at < 320*time.Millisecond; at += 15 * time.Millisecond {
-				w := shared(t, uint64(at), 3, 40)
+				w := newShardedWorld(t, uint64(at), 3, 40)
 				ids := w.nodes[0].shards()
 				w.moveShards(ids[:min(len(ids), 8)], w.nodes[1])
 				w.after(at, func() {
@@ -231,17 +232,17 @@
 						w.nodes[i].crash()
 					}
 				})
-				w.work(4 * time.Second)
-				w.allEnd(t, 150*time.Second)
+				w.runWithLoad(4 * time.Second)
+				w.expectAllFinished(t, 150*time.Second)
 			}
 		})
 	}
 }
 
-// TestMoveInTrouble: a move meets each other failure that it has to stand, at each
+// TestShardMoveDuringFaults: a move meets each other failure that it must tolerate, at each
 // of some moments; everything goes on and ends.
-func TestMoveInTrouble(t *testing.T) {
-	for name, trouble := range map[string]func(w *world, source, target *node){
+func TestShardMoveDuringFaults(t *testing.T) {
+	for name, fault := range map[string]func(w *world, source, target *node){
 		"the target's transaction is lost":          func(w *world, _, b *node) { w.partition(string(b.name), "state", 5*time.Second, false) },
 		"the target's transaction is late":          func(w *world, _, b *node) { w.partition(string(b.name), "state", 5*time.Second, true) },
 		"the source hears nothing of the records":   func(w *world, a, _ *node) { w.partition(string(a.name), "state", 5*time.Second, true) },
@@ -278,32 +279,33 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, at := range []time.Duration{1, 40, 75, 110, 160, 230} {
-				w := shared(t, 100+uint64(at), 3, 40)
+				w := newShardedWorld(t, 100+uint64(at), 3, 40)
 				a, b := w.nodes[0], w.nodes[1]
 				w.moveShards(a.shards(), b)
-				w.after(at*time.Millisecond, func() { trouble(w, a, b) })
-				w.work(4 * time.Second)
+				w.after(at*time.Millisecond, func() { fault(w, a, b) })
+				w.runWithLoad(4 * time.Second)
 				w.run(w.now + 45*time.Second)
-				w.allEnd(t, 150*time.Second)
+				w.expectAllFinished(t, 150*time.Second)
 			}
 		})
 	}
 }
 
-// TestGangOverMovingShares: a gang whose machines are of several shares of which
+// TestGangDuringShardMoves: a gang whose machines are of several shards of which
 // most move while it waits and runs is neither split nor started again, and a team
 // at its limit stays within it.
-func TestGangOverMovingShares(t *testing.T) {
+func TestGangDuringShardMoves(t *testing.T) {
 	for _, seed := range []uint64{14, 41, 42} { // with the last two, all that a gang lacks is refused for a while
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { gangOverMovingShares(t, seed) })
 	}
 }
 
 func gangOverMovingShares(t *testing.T, seed uint64) {
+	t.Helper()
 	t.Parallel()
-	w := shared(t, seed, 3, 60)
-	w.allEnd(t, 60*time.Second)
-	starts, tasks := w.starts, w.tasks()
+	w := newShardedWorld(t, seed, 3, 60)
+	w.expectAllFinished(t, 60*time.Second)
+	starts, tasks := w.starts, w.runningTasks()
 	for range 3 {
 		w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 9, CPUs: 4, EstimateS: 5, Spot: true})
 		w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true})
@@ -313,40 +315,40 @@
 			w.moveShards(w.nodes[i%3].shards(), w.nodes[(i+1)%3])
 		}
 	}
-	w.allEnd(t, 240*time.Second) // a team at its limit takes long
-	if again := w.starts - starts - (w.tasks() - tasks); again != 0 {
+	w.expectAllFinished(t, 240*time.Second) // a team at its limit takes long
+	if again := w.starts - starts - (w.runningTasks() - tasks); again != 0 {
 		t.Errorf("%d tasks started again", again)
 	}
 }
 
-// TestFiveAndOne: five controllers share the machines evenly and go on when two end;
-// one alone keeps all.
-func TestFiveAndOne(t *testing.T) {
+// TestFiveControllersAndOne: five controllers share the machines evenly and go on when two crash;
+// one alone holds all.
+func TestFiveControllersAndOne(t *testing.T) {
 	t.Parallel()
-	w := shared(t, 15, 5, 200)
+	w := newShardedWorld(t, 15, 5, 200)
 	w.run(w.now + 20*time.Second)
-	if by := w.sharers(); len(by) != 5 {
+	if by := w.shardsByNode(); len(by) != 5 {
 		t.Errorf("shares are kept by %v", by)
 	}
 	w.nodes[1].crashFor(30 * time.Second)
 	w.nodes[3].crashFor(30 * time.Second)
-	w.work(20 * time.Second)
-	if by := w.sharers(); len(by) != 3 {
+	w.runWithLoad(20 * time.Second)
+	if by := w.shardsByNode(); len(by) != 3 {
 		t.Errorf("shares are kept by %v without two", by)
 	}
-	w.allEnd(t, 150*time.Second)
+	w.expectAllFinished(t, 150*time.Second)
 
-	w = shared(t, 16, 1, 30)
+	w = newShardedWorld(t, 16, 1, 30)
 	w.nodes[0].shutDown() // to nobody
-	w.work(3 * time.Second)
+	w.runWithLoad(3 * time.Second)
 	w.run(w.now + 30*time.Second)
-	w.allEnd(t, 150*time.Second)
+	w.expectAllFinished(t, 150*time.Second)
 }
 
-// TestRollFromTheVersionBefore: controllers of a version that knows no shares are
+// TestRollingUpgrade: controllers of a version that knows no shards are
 // replaced one after the other; after two of three one goes back, and the roll is
-// done again. Shares begin with the last, and tokens only rise.
-func TestRollFromTheVersionBefore(t *testing.T) {
+// done again. Shares begin with the last, and fencing tokens only rise.
+func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	s := fake.Settings()
 	w := newWorld(t.Fatalf, 17, s, 60, 60)
@@ -354,43 +356,43 @@
 		n.layout = record.LayoutBlocks
 	}
 	w.run(3 * time.Second)
-	w.work(5 * time.Second)
+	w.runWithLoad(5 * time.Second)
 	w.layout = record.LayoutShards
 	for i, n := range w.nodes[:2] {
 		n.crash()
-		w.work(15 * time.Second)
+		w.runWithLoad(15 * time.Second)
 		if _, there := w.shardTable(); there {
 			t.Fatalf("shares with %d of 3 controllers that know them", i+1)
 		}
 	}
 	w.layout = record.LayoutBlocks // back
 	w.nodes[0].crash()
-	w.work(15 * time.Second)
+	w.runWithLoad(15 * time.Second)
 	w.layout = record.LayoutShards
 	for _, n := range w.nodes {
 		n.crash()
-		w.work(15 * time.Second)
+		w.runWithLoad(15 * time.Second)
 	}
-	if by := w.sharers(); len(by) != 3 {
+	if by := w.shardsByNode(); len(by) != 3 {
 		t.Errorf("shares are kept by %v", by)
 	}
-	w.allEnd(t, 150*time.Second)
+	w.expectAllFinished(t, 150*time.Second)
 }
 
-// TestRulesHoldWhileSharesMove plays generated days on which shares move all the
-// time, to and fro, with all the troubles of other days.
-func TestRulesHoldWhileSharesMove(t *testing.T) {
-	trouble := func(w *world) {
+// TestRulesHoldDuringShardMoves runs generated scenarios in which shards move all the
+// time, to and fro, with all the faults of other scenarios.
+func TestRulesHoldDuringShardMoves(t *testing.T) {
+	fault := func(w *world) {
 		for range 1 + w.rng.IntN(4) {
 			w.moveRandomShards(32)
 		}
 		w.after(time.Duration(w.rng.IntN(400))*time.Millisecond, func() {
 			if w.rng.IntN(2) == 0 {
-				w.trouble()
+				w.injectRandomFault()
 			} else {
 				w.nodes[w.rng.IntN(3)].shutDown()
 			}
 		})
 	}
-	day{machines: 12, job: (*world).randomJob, lasts: 120 * time.Second, trouble: trouble, often: true}.playSeeds(t, 60, 500_000)
+	scenario{machines: 12, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true}.playSeeds(t, 60, 500_000)
 }
--- a/internal/simulator/guests_test.go
+++ b/internal/simulator/sparecapacity_test.go
@@ -10,22 +10,22 @@
 	"damsonkeel/internal/protocol"
 )
 
-// guestSettings is a site with a team whose class has a deadline, and a guest team
+// spareCapacitySettings is a site with a team whose class has a deadline, and a low-priority team
 // without a guarantee.
-func guestSettings() *config.Settings {
+func spareCapacitySettings() *config.Settings {
 	s := fake.Settings()
 	s.Site.Teams = []config.Team{{Name: "home"}, {Name: "guest"}}
 	s.Site.Objectives = []config.Objective{{Kind: "deadline", Class: "sheet", Share: 0.85, Times: 1}}
 	return s
 }
 
-// TestGuestsTakeWhatIsLeft: guests' long tasks of the same priority, far more than
-// a fleet holds, come beside a class with a deadline, while controllers end. It
+// TestLowPriorityTeamUsesSpareCapacity: low-priority teams' long tasks of the same priority, far more than
+// a fleet holds, come beside a class with a deadline, while controllers crash. It
 // starts nearly as soon as without them; they get a good part of what it leaves.
-func TestGuestsTakeWhatIsLeft(t *testing.T) {
+func TestLowPriorityTeamUsesSpareCapacity(t *testing.T) {
 	t.Parallel()
 	play := func(seed uint64, guests bool) (waits []time.Duration, most int) {
-		w := newWorld(t.Fatalf, seed, guestSettings(), 60, 60)
+		w := newWorld(t.Fatalf, seed, spareCapacitySettings(), 60, 60)
 		for _, sw := range w.workers { // else every task would take a second more than anybody can know of
 			sw.Caches = true
 		}
@@ -80,40 +80,44 @@
 	}
 }
 
-// begins is which jobs have not begun, since when, and how long the others waited.
-type begins struct {
-	came  map[protocol.JobID]time.Duration
-	waits []time.Duration
+// startTracker records which jobs have not started, since when, and how long the others
+// waited.
+type startTracker struct {
+	submitted map[protocol.JobID]time.Duration
+	waits     []time.Duration
 }
 
-// submitReserved notes that the job submitted last has to begin.
-func (b *begins) comes(w *world) { b.came[w.jobOrder[len(w.jobOrder)-1]] = w.now }
+// comes records that the job submitted last has to start.
+func (b *startTracker) comes(w *world) { b.submitted[w.jobOrder[len(w.jobOrder)-1]] = w.now }
 
 // late reports that some have not begun, or not soon enough.
-func (b *begins) late(most time.Duration) bool { return len(b.came) > 0 || slices.Max(b.waits) > most }
+func (b *startTracker) late(most time.Duration) bool {
+	return len(b.submitted) > 0 || slices.Max(b.waits) > most
+}
 
-// beginning is a fleet of 20 machines, and no more, on which it is noted when jobs begin.
-func beginning(t *testing.T, seed uint64) (*world, *begins) {
-	w, b := newWorld(t.Fatalf, seed, guestSettings(), 20, 20), &begins{came: map[protocol.JobID]time.Duration{}}
+// newStartTracker returns a fleet of 20 machines, and no more, that records when jobs start.
+func newStartTracker(t *testing.T, seed uint64) (*world, *startTracker) {
+	t.Helper()
+	w, b := newWorld(t.Fatalf, seed, spareCapacitySettings(), 20, 20), &startTracker{submitted: map[protocol.JobID]time.Duration{}}
 	w.cloud.Capacity = 20
 	w.runTime = func(id protocol.TaskID) time.Duration { return config.Seconds(w.jobs[id.Job].EstimateS) }
 	w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) {
-		if at, awaited := b.came[id.Job]; awaited {
+		if at, awaited := b.submitted[id.Job]; awaited {
 			b.waits = append(b.waits, w.now-at)
-			delete(b.came, id.Job)
+			delete(b.submitted, id.Job)
 		}
 	}
 	w.run(3 * time.Second)
 	return w, b
 }
 
-// TestUrgentYieldsToNobody: jobs that no objective names, more urgent than all that
-// have one, are no guests: on a fleet that is full of less urgent work their tasks,
-// each as large as a machine, begin once what runs there ends. Taken for guests, they
+// TestUrgentJobsAreNotLimitedToSpareCapacity: jobs that no objective names, more urgent than all that
+// have one, do not count as low-priority: on a fleet that is full of less urgent work their tasks,
+// each as large as a machine, begin once what runs there ends. If they counted so, they
 // had what was left, in small pieces: nothing.
-func TestUrgentYieldsToNobody(t *testing.T) {
+func TestUrgentJobsAreNotLimitedToSpareCapacity(t *testing.T) {
 	t.Parallel()
-	w, b := beginning(t, 22)
+	w, b := newStartTracker(t, 22)
 	for i := range 200 {
 		w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindJobArray, Priority: "low", Tasks: 12, CPUs: 2, EstimateS: 12, Spot: true, DeadlineS: 60})
 		if i%20 == 10 {
@@ -124,16 +128,16 @@
 	}
 	w.run(w.now + 30*time.Second)
 	if b.late(60 * time.Second) {
-		t.Errorf("%d of 10 have not begun, the others waited up to %v", len(b.came), slices.Max(append(b.waits, 0)))
+		t.Errorf("%d of 10 have not begun, the others waited up to %v", len(b.submitted), slices.Max(append(b.waits, 0)))
 	}
 	t.Log(b.waits)
 }
 
-// TestGuestsBegin: beside a class with an objective that could use all there is,
+// TestJobsWithoutObjectiveStart: beside a class with an objective that could use all there is,
 // every job without one begins within two minutes, however large.
-func TestGuestsBegin(t *testing.T) {
+func TestJobsWithoutObjectiveStart(t *testing.T) {
 	t.Parallel()
-	w, b := beginning(t, 23)
+	w, b := newStartTracker(t, 23)
 	for i := range 240 {
 		w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindJobArray, Priority: "low", Tasks: uint32(4 + i%2), CPUs: 2, EstimateS: 12, Spot: true, DeadlineS: 60})
 		if i%10 == 5 && i < 120 {
@@ -143,7 +147,7 @@
 		w.run(w.now + time.Second)
 	}
 	if b.late(2 * time.Minute) {
-		t.Errorf("%d of 12 have not begun, the others waited up to %v", len(b.came), slices.Max(append(b.waits, 0)))
+		t.Errorf("%d of 12 have not begun, the others waited up to %v", len(b.submitted), slices.Max(append(b.waits, 0)))
 	}
 	t.Log(b.waits)
 }
--- /dev/null
+++ b/internal/simulator/usercheckfaults_test.go
@@ -0,0 +1,113 @@
+package simulator
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// TestUserChecksDetectInjectedFaults: each check on what users are answered, and on what is left waiting, finds
+// the fault that is injected for it.
+func TestUserChecksDetectInjectedFaults(t *testing.T) {
+	second := time.Second
+	long := func(u *users) { u.runTime = u.drawSpreadRunTime }
+	status := func(s protocol.JobState) func(id protocol.JobID) admission.Answer {
+		return func(id protocol.JobID) admission.Answer {
+			body, err := protocol.Encode(protocol.JobStatus{ID: id, State: s})
+			if err != nil {
+				t.Fatal(err)
+			}
+			return admission.Answer{Status: 200, Body: body}
+		}
+	}
+	says := func(answer func(protocol.JobID) admission.Answer, when func(*userJob) bool) func(*users) {
+		return func(u *users) {
+			long(u)
+			u.changeAnswer = func(j *userJob, a admission.Answer) admission.Answer {
+				if when(j) && u.rng.IntN(5) == 0 {
+					return answer(j.id)
+				}
+				return a
+			}
+		}
+	}
+	refusal := func(status int) func(protocol.JobID) admission.Answer {
+		return func(protocol.JobID) admission.Answer { return admission.Failure(status, "no") }
+	}
+	live := func(j *userJob) bool { return j.accepted && j.rejectStatus == 0 && j.rank < over }
+	ended := func(j *userJob) bool { return j.rank == over }
+	for name, injected := range map[string]struct {
+		scenario userScenario
+		want     string
+	}{
+		"live after it was over":      {userScenario{prepare: says(status(protocol.JobQueued), ended), closely: true}, "went_back"},
+		"cancelled by nobody":         {userScenario{prepare: says(status(protocol.JobCancelled), live)}, "went_back"},
+		"done before its tasks are":   {userScenario{prepare: says(status(protocol.JobDone), live)}, "not_done"},
+		"not known though accepted":   {userScenario{prepare: says(refusal(404), live)}, "forgotten"},
+		"refused though accepted":     {userScenario{prepare: says(refusal(422), live), closely: true}, "forgotten"},
+		"malformed though accepted":   {userScenario{prepare: says(refusal(400), live), closely: true}, "forgotten"},
+		"accepted though it can't be": {userScenario{prepare: says(status(protocol.JobQueued), func(j *userJob) bool { return j.rejectStatus != 0 })}, "invented"},
+		"no word when to come back":   {userScenario{prepare: says(func(protocol.JobID) admission.Answer { return admission.Answer{Status: 503} }, live)}, "no Retry-After"},
+		"never answered once all is well": {userScenario{prepare: func(u *users) {
+			u.runTime = func(protocol.TaskID) time.Duration { return 5 * time.Minute }
+			u.changeAnswer = func(_ *userJob, a admission.Answer) admission.Answer {
+				if u.faultFreeSince != 0 {
+					return admission.Failure(503, "no")
+				}
+				return a
+			}
+		}}, "forgotten: no question"},
+		"in the records though it can't run": {userScenario{prepare: func(u *users) {
+			u.after(10*second, func() {
+				for _, j := range u.jobs {
+					if j.rejectStatus != 0 {
+						u.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.JobKey(j.id), Value: record.JobRecord{State: record.RecordLive, Tasks: 1}}}})
+						return
+					}
+				}
+			})
+		}}, "accepted though"},
+		"left waiting": {userScenario{prepare: func(u *users) {
+			// From the end of the scenario on nobody owns anything: jobs just accepted wait.
+			u.after(59*second, func() {
+				for _, n := range u.nodes {
+					n.crashFor(time.Hour)
+				}
+				j := protocol.Job{ID: "job-999999", Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, Spot: true}
+				u.world.jobs[j.ID], u.jobs[j.ID] = j, &userJob{id: j.ID, job: j, accepted: true}
+			})
+		}}, "left waiting"},
+		"starts after a confirmed cancellation": {userScenario{cancels: 0.6, prepare: func(u *users) {
+			u.dropCancellations, u.requestOften = true, true
+			u.watchLag = second
+		}, atEnd: func(u *users) {
+			if u.startsAfter > u.startsByPartitioned {
+				u.fail("started after the confirmation")
+			}
+		}}, "started after"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			var seen []string
+			for seed := 0; seed < 6 && len(seen) == 0; seed++ {
+				d := injected.scenario
+				d.machines, d.duration, d.job, d.every = 9, 60*second, (*world).randomJob, second/2
+				d.cancels = max(d.cancels, 0.2)
+				d.fail = func(format string, args ...any) {
+					if what := fmt.Sprintf(format, args...); strings.Contains(what, injected.want) {
+						seen = append(seen, what)
+					}
+				}
+				d.play(t, 1_400_000+seed)
+			}
+			if len(seen) == 0 {
+				t.Errorf("nobody has seen %q", injected.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/simulator/userchecks_test.go
@@ -0,0 +1,136 @@
+package simulator
+
+import (
+	"strings"
+	"time"
+
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// checkAnswer checks an answer against the rules.
+func (u *users) checkAnswer(f *frontend, j, begun *userJob, op admission.Operation, a admission.Answer) {
+	says := func(what string) {
+		u.fail("%v %s: %s says %d %s of %s (operation %d, cancelled by its user %v, told before %q, bad %d)", u.now, what, f.n.name, a.Status, bodyOf(a), j.id, op, begun.cancelRequested, begun.finalAnswer, j.rejectStatus)
+	}
+	switch a.Status {
+	case 200, 201:
+	case 404:
+		if begun.rank > unknown {
+			says("forgotten")
+		}
+		j.lastAnswer = u.now
+		return
+	case 400, 422:
+		if j.rejectStatus != a.Status {
+			says("forgotten")
+		}
+		return
+	case 503:
+		u.refused++
+		if a.RetryAfterS == 0 {
+			says("no Retry-After")
+		}
+		return
+	default:
+		says("unexpected")
+		return
+	}
+	j.lastAnswer = u.now
+	var s protocol.JobStatus
+	if err := protocol.Decode(a.Body, &s); err != nil || s.ID != j.id {
+		says("unreadable")
+		return
+	}
+	if j.rejectStatus != 0 {
+		says("invented")
+		return
+	}
+	r := accepted
+	switch s.State {
+	case protocol.JobDone:
+		r = over
+		u.checkDone(j)
+		if j.finalAnswer == protocol.JobCancelled {
+			says("went_back")
+		}
+	case protocol.JobCancelled:
+		r = over
+		if !j.cancelRequested || j.finalAnswer == protocol.JobDone {
+			says("went_back")
+		}
+		if _, already := u.cancelled[j.id]; !already {
+			u.cancelled[j.id] = u.now
+		}
+	default:
+		if begun.endedAt != 0 && op == admission.Poll && begun.endedAt+3*time.Second < u.now-pollTimeout {
+			u.late++
+		}
+	}
+	if r < begun.rank {
+		says("went_back")
+	}
+	if r == over {
+		j.finalAnswer = s.State
+	}
+	newer := r > j.rank
+	j.rank = max(j.rank, r)
+	if !j.accepted {
+		j.accepted = true
+		u.jobOrder = append(u.jobOrder, j.id)
+		u.poll(j)
+		if u.cancelAtOnceFraction > 0 && u.rng.Float64() < u.cancelAtOnceFraction {
+			u.after(time.Duration(u.rng.IntN(5))*time.Millisecond, func() { u.cancelJob(j) })
+		}
+	}
+	if newer && u.requestOften {
+		u.requestEverywhere(j)
+	}
+}
+
+func bodyOf(a admission.Answer) string {
+	var s protocol.JobStatus
+	if protocol.Decode(a.Body, &s) == nil && s.ID != "" {
+		return string(s.State)
+	}
+	return string(a.Body)
+}
+
+// checkDone: all tasks of a job that is called done are.
+func (u *users) checkDone(j *userJob) {
+	for i := range j.job.Tasks {
+		if u.results[protocol.TaskID{Job: j.id, Index: i}] || j.job.Kind == protocol.KindGang && u.results[protocol.TaskID{Job: j.id}] {
+			continue
+		}
+		u.fail("%v not_done: %v/%d, as its user is told", u.now, j.id, i)
+	}
+}
+
+// checkForgotten: once all faults are over, no job goes without an answer for 75 s.
+func (u *users) checkForgotten() {
+	for _, j := range ordered.Of(u.jobs) {
+		if j.polled && j.rank < over && u.faultFreeSince != 0 && u.now-max(j.lastAnswer, u.faultFreeSince) > maxUnanswered {
+			u.fail("%v forgotten: no question about %s has been answered for %v", u.now, j.id, u.now-max(j.lastAnswer, u.faultFreeSince))
+		}
+	}
+}
+
+// checkRecords checks that every accepted job, answered or not, reaches its end, and nothing
+// else is there.
+func (u *users) checkRecords() {
+	for _, it := range u.state.List(record.JobKey("")) {
+		id := protocol.JobID(strings.TrimPrefix(it.Key, record.JobKey("")))
+		j := u.jobs[id]
+		if j == nil || j.rejectStatus != 0 {
+			u.fail("%v accepted though it can't run, or nobody's: %s", u.now, id)
+			continue
+		}
+		if !j.accepted { // its user has given it up
+			j.accepted = true
+			u.jobOrder = append(u.jobOrder, id)
+			u.poll(j)
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulator/useroverlaps_test.go
@@ -0,0 +1,325 @@
+package simulator
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/protocol"
+)
+
+// restore ends a controller's process, which is back within a second.
+func (n *node) restore() {
+	w := n.world
+	n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
+}
+
+// leader is the controller that writes machines' records, as far as anybody knows.
+func (w *world) leader() *node {
+	for _, n := range w.nodes {
+		if n.core != nil && n.core.Status().Writes {
+			return n
+		}
+	}
+	return w.nodes[w.rng.IntN(len(w.nodes))]
+}
+
+// callOff has users cancel up to so many jobs that run, within a fifth of a second, and
+// some of their machines hang for a while, or be partitioned from all controllers.
+func (u *users) callOff(most int, hang time.Duration) {
+	machines := map[protocol.MachineID]bool{}
+	n := 0
+	for _, id := range slices.Backward(u.jobOrder) {
+		j := u.jobs[id]
+		if j == nil || j.cancelRequested || j.rank == over || n >= most {
+			continue
+		}
+		runs := false
+		for t, m := range u.onMachine {
+			if t.Job == id {
+				runs, machines[m.ID] = true, true
+			}
+		}
+		if runs {
+			n++
+			u.after(time.Duration(u.rng.IntN(200))*time.Millisecond, func() { u.cancelJob(j) })
+		}
+	}
+	if hang == 0 {
+		return
+	}
+	for _, id := range u.machineOrder {
+		if sw := u.workers[id]; machines[id] && u.rng.IntN(3) > 0 {
+			switch u.rng.IntN(3) {
+			case 0:
+				sw.pausedUntil = max(sw.pausedUntil, u.now+hang)
+			case 1:
+				sw.inboundLostUntil = max(sw.inboundLostUntil, u.now+hang)
+			case 2:
+				sw.outboundLostUntil = max(sw.outboundLostUntil, u.now+hang)
+			}
+		}
+	}
+}
+
+// boundTeams are teams that all have limits, lower than what their jobs need.
+var boundTeams = []config.Team{{Name: "cold", CPUs: 8, MaxCPUs: 16}, {Name: "desk", CPUs: 6, MaxCPUs: 10}, {Name: "yield", MaxCPUs: 8}}
+
+// boundJob is a job of one of these.
+func boundJob(w *world) protocol.Job {
+	j := w.randomJob()
+	j.Team = boundTeams[w.rng.IntN(len(boundTeams))].Name
+	if j.Kind != protocol.KindJobArray {
+		j.Tasks = min(j.Tasks, uint32(8/j.CPUs))
+	}
+	return j
+}
+
+// oneZoneJob is bound to a zone, or has to have all of its tasks in one.
+func oneZoneJob(w *world) protocol.Job {
+	j := w.randomJob()
+	if j.Spread = false; w.rng.IntN(2) == 0 {
+		j.Zone, j.OneZone = []protocol.Zone{"a", "b"}[w.rng.IntN(2)], false
+	} else {
+		j.Zone, j.OneZone = "", true
+	}
+	return j
+}
+
+// smallJob has one task.
+func smallJob(w *world) protocol.Job {
+	return protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 3, Spot: true}
+}
+
+// userOverlaps are the operators' overlapping faults, each by itself, with users at all
+// controllers.
+func userOverlaps() map[string]userScenario {
+	second := time.Second
+	base := userScenario{machines: 9, duration: 100 * second, job: (*world).randomJob, every: second, cancels: 0.3, after: 30 * second}
+	with := func(change func(*userScenario)) userScenario {
+		d := base
+		change(&d)
+		return d
+	}
+	long := func(u *users) { u.runTime = u.drawSpreadRunTime }
+	closely := func(u *users) { u.requestOften, u.cancelAtEndFraction, u.cancelAtOnceFraction = true, 0.2, 0.2 }
+	return map[string]userScenario{
+		"users ask at all nodes within milliseconds": with(func(d *userScenario) {
+			d.prepare = closely
+			d.fault = func(u *users) {
+				u.watchLag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
+				n := u.nodes[u.rng.IntN(3)]
+				for end := u.now + 3*second; u.now < end; { // some start as requests arrive
+					u.after(time.Duration(u.rng.IntN(2000))*time.Millisecond, func() { n.restore() })
+					u.run(u.now + second)
+				}
+				u.stateLatency = time.Duration(u.rng.IntN(3)) * 150 * time.Millisecond
+				if u.rng.IntN(2) == 0 {
+					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(10))*second, u.rng.IntN(2) == 0)
+				}
+			}
+		}),
+		"only the answer of a transaction is lost": with(func(d *userScenario) {
+			d.prepare = closely
+			d.fault = func(u *users) {
+				u.lostAnswerFraction = 0.5
+				switch u.rng.IntN(4) {
+				case 0:
+					u.nodes[u.rng.IntN(3)].restore()
+				case 1:
+					u.moveRandomShards(16)
+				case 2:
+					u.nodes[u.rng.IntN(3)].shutDown()
+				}
+			}
+		}),
+		"teams at their limits, machines cut off or hanging, a new leader": with(func(d *userScenario) {
+			d.teams, d.job, d.waits = boundTeams, boundJob, true
+			d.prepare = long
+			d.fault = func(u *users) {
+				n := u.nodes[u.rng.IntN(3)]
+				u.watchLag = time.Duration(u.rng.IntN(4)) * 500 * time.Millisecond
+				if u.rng.IntN(2) == 0 {
+					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(7))*second, true) // follows late
+				}
+				u.callOff(4, time.Duration(1+u.rng.IntN(20))*second)
+				switch u.rng.IntN(4) {
+				case 0, 1:
+					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { n.restore() })
+				case 2:
+					u.moveRandomShards(24)
+				case 3: // a keeper takes over, and then follows late what is cancelled
+					u.moveRandomShards(60)
+					after := time.Duration(u.rng.IntN(1500)) * time.Millisecond
+					u.after(after, func() {
+						u.partition(string(n.name), "state", time.Duration(4+u.rng.IntN(4))*second, true)
+						u.callOff(8, 0)
+					})
+				}
+			}
+		}),
+		"jobs are cancelled while work changes hands": with(func(d *userScenario) {
+			d.prepare = closely
+			d.fault = func(u *users) {
+				n := u.nodes[u.rng.IntN(3)]
+				u.watchLag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
+				switch u.rng.IntN(4) {
+				case 0:
+					u.moveRandomShards(24)
+				case 1:
+					n.shutDown()
+				case 2:
+					n.restore()
+				case 3:
+					u.partition(string(n.name), "state", 10*second, u.rng.IntN(2) == 0)
+				}
+				u.cancelRandomJobs(4, 2*second)
+			}
+		}),
+		"new machines within two seconds, late writes, the leader ends": with(func(d *userScenario) {
+			d.machines, d.every = 3, second/2
+			d.prepare = func(u *users) {
+				u.cloud.Capacity = 14
+				u.bootTime = func(protocol.ProvisionRequest) time.Duration {
+					return time.Duration(100+u.rng.IntN(1900)) * time.Millisecond
+				}
+				rented := u.onProvisioned
+				u.onProvisioned = func(id protocol.MachineID, r protocol.ProvisionRequest) {
+					rented(id, r)
+					if u.rng.IntN(3) == 0 && u.now < 100*second {
+						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.leader().restore() })
+					}
+				}
+			}
+			d.fault = func(u *users) {
+				u.lateWriteFraction = 0.4
+				if u.rng.IntN(3) == 0 && len(u.machineOrder) > 3 {
+					u.killMachine(u.machineOrder[u.rng.IntN(len(u.machineOrder))])
+				}
+			}
+		}),
+		"an old report reaches every controller as a new leader begins": with(func(d *userScenario) {
+			d.fault = func(u *users) {
+				u.keepHeartbeats, u.duplicateHeartbeatFraction = true, 0.3
+				u.eachOf(0.2, func(sw *worker) { sw.pausedUntil = u.now + time.Duration(u.rng.IntN(20))*second })
+				switch u.rng.IntN(3) {
+				case 0:
+					u.leader().restore()
+				case 1:
+					u.leader().crashFor(9 * second)
+				}
+			}
+		}),
+		"one-task jobs come four a second": with(func(d *userScenario) {
+			d.job, d.every, d.cancels, d.machines = smallJob, second/4, 0.25, 9
+			d.fault = func(u *users) {
+				if u.rng.IntN(6) == 0 {
+					u.nodes[u.rng.IntN(3)].restore()
+				}
+			}
+		}),
+		"jobs bound to one zone lose machines": with(func(d *userScenario) {
+			d.job = oneZoneJob
+			d.fault = func(u *users) {
+				u.eachOf(0.15, func(sw *worker) { u.killMachine(sw.ID) })
+				u.eachOf(0.15, func(sw *worker) { sw.inboundLostUntil = u.now + time.Duration(u.rng.IntN(25))*second })
+				if u.rng.IntN(3) == 0 {
+					u.nodes[u.rng.IntN(3)].restore()
+				}
+			}
+		}),
+		"leaders change ten times in two minutes, also in an outage": with(func(d *userScenario) {
+			d.duration = 120 * second
+			d.fault = func(u *users) {
+				if u.rng.IntN(2) == 0 {
+					u.leader().crashFor(time.Duration(100+u.rng.IntN(9000)) * time.Millisecond)
+				}
+				if u.rng.IntN(5) == 0 {
+					u.outageUntil = u.now + time.Duration(3+u.rng.IntN(15))*second
+				}
+			}
+		}),
+		"workers reach no controller, commands reach them": with(func(d *userScenario) {
+			d.prepare = long
+			d.fault = func(u *users) {
+				u.eachOf(0.3, func(sw *worker) { sw.outboundLostUntil = u.now + time.Duration(u.rng.IntN(30))*second })
+				u.cancelRandomJobs(2, 5*second)
+				if u.rng.IntN(4) == 0 {
+					u.nodes[u.rng.IntN(3)].restore()
+				}
+			}
+		}),
+		"a zone with a controller cut off for longer than leases": with(func(d *userScenario) {
+			d.duration, d.prepare = 150*second, long
+			d.fault = func(u *users) {
+				if u.rng.IntN(3) == 0 {
+					u.partitionZone(u.zoneOf(u.rng.IntN(2)), u.rng.IntN(2) == 0, time.Duration(16+u.rng.IntN(30))*second, u.rng.IntN(2) == 0)
+				}
+				u.cancelRandomJobs(2, 5*second)
+			}
+		}),
+		"cancelled at the moment of the lone refusal, then out for all": with(func(d *userScenario) {
+			d.duration, d.prepare, d.after = 200*second, long, 90*second
+			d.fault = func(u *users) {
+				if u.now < 25*second || u.outageUntil > u.now || u.rng.IntN(3) > 0 {
+					return
+				}
+				out := time.Duration(36+u.rng.IntN(15)) * second
+				u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", second+out, u.rng.IntN(2) == 0)
+				u.callOff(6, time.Duration(u.rng.IntN(2)*10)*second)
+				u.after(second, func() { u.outageUntil = u.now + out })
+			}
+		}),
+		"all controllers are away for longer than leases": with(func(d *userScenario) {
+			d.duration, d.prepare = 150*second, long
+			d.fault = func(u *users) {
+				if u.rng.IntN(6) == 0 {
+					away := time.Duration(16+u.rng.IntN(20)) * second
+					for _, n := range u.nodes {
+						n.crashFor(away + time.Duration(u.rng.IntN(1500))*time.Millisecond)
+					}
+				}
+			}
+		}),
+		"more work than room, over slow links": with(func(d *userScenario) {
+			d.machines, d.every, d.waits = 5, second/3, true
+			d.job = func(w *world) protocol.Job {
+				j := w.randomJob()
+				j.Types = nil // the cloud has no more of a type
+				j.Priority = []protocol.Priority{"production", "high", "standard", "best_effort"}[w.rng.IntN(4)]
+				return j
+			}
+			d.duration = 60 * second
+			d.prepare = func(u *users) { u.cloud.Capacity = 6 }
+			d.fault = func(u *users) { u.stateLatency, u.slowMessageFraction = 300*time.Millisecond, 0.3 }
+		}),
+		"two troubles at once": with(func(d *userScenario) {
+			d.prepare = func(u *users) { closely(u); long(u) }
+			d.fault = func(u *users) {
+				if u.rng.IntN(2) == 0 {
+					u.injectOverlappingFault()
+					u.injectOverlappingFault()
+				}
+				u.callOff(u.rng.IntN(3), time.Duration(u.rng.IntN(15))*second)
+				switch u.rng.IntN(5) {
+				case 0:
+					u.lostAnswerFraction = u.rng.Float64() / 2
+				case 1:
+					u.keepHeartbeats = !u.keepHeartbeats
+				case 2:
+					u.eachOf(0.2, func(sw *worker) { sw.outboundLostUntil = u.now + time.Duration(u.rng.IntN(20))*second })
+				}
+			}
+		}),
+	}
+}
+
+// TestUsersInEachOverlap plays the operators' overlapping faults with users at all controllers.
+// Every rule is checked at every step, and every answer against all that arrived before
+// its question.
+func TestUsersInEachOverlap(t *testing.T) {
+	for name, d := range userOverlaps() {
+		t.Run(name, func(t *testing.T) { d.playSeeds(t, 5, 1_200_000) })
+	}
+}
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -7,70 +7,67 @@
 	"time"
 
 	"damsonkeel/internal/controller/admission"
-	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
-	"damsonkeel/internal/record"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
 
 const (
-	submitWait  = 5 * time.Second
-	pollWait    = 2 * time.Second
-	pollEvery   = 5 * time.Second
-	repeatFor   = 60 * time.Second
-	forgottenIn = 75 * time.Second
+	submitTimeout = 5 * time.Second
+	pollTimeout   = 2 * time.Second
+	pollInterval  = 5 * time.Second
+	submitPeriod  = 60 * time.Second
+	maxUnanswered = 75 * time.Second
 )
 
-// users submit jobs, poll and cancel them at any of the controllers, and remember
-// what they are told.
+// users submit, poll and cancel jobs at any of the controllers, and check the answers.
 type users struct {
 	*world
 	fronts []*frontend
 	jobs   map[protocol.JobID]*userJob
-	// closely has users ask at all controllers within milliseconds after each answer,
+	// requestOften has users send requests to all controllers within milliseconds after each answer,
 	// again and again, and repeat the submission.
-	closely bool
-	// cancelEnds is the share of jobs that are cancelled as their last task ends.
-	cancelEnds float64
-	// cancelAtOnce is the share of jobs that are cancelled as soon as they are accepted.
-	cancelAtOnce float64
-	wellFormed   bool // all submissions are
-	// unheard has controllers not hear of cancellations but through the records: a
-	// planted fault.
-	unheard bool
-	// tells, if set, changes what users are told: a planted fault.
-	tells func(*userJob, admission.Answer) admission.Answer
+	requestOften bool
+	// cancelAtEndFraction is the fraction of jobs that are cancelled as their last task ends.
+	cancelAtEndFraction float64
+	// cancelAtOnceFraction is the fraction of jobs that are cancelled as soon as they are accepted.
+	cancelAtOnceFraction float64
+	wellFormed           bool // all submissions are
+	// dropCancellations has controllers notified of cancellations only through the records: an
+	// injected fault.
+	dropCancellations bool
+	// changeAnswer, if set, changes what users are answered: an injected fault.
+	changeAnswer func(*userJob, admission.Answer) admission.Answer
 
-	wellSince time.Duration // since when there are no troubles; 0: there are
+	faultFreeSince time.Duration // since when there are no faults; 0: there are some
 
-	asked, answered, refused, late int
-	tasks, startsAfter             int // starts sent in all, and after a confirmed cancellation
-	apart                          int // of these, by a controller that was cut off from another or from the records since
-	cancelWaits                    []time.Duration
+	requests, answered, refused, late int
+	tasks, startsAfter                int // starts sent in all, and after a confirmed cancellation
+	startsByPartitioned               int // of these, by a controller that was partitioned from another or from the records since
+	cancelWaits                       []time.Duration
 }
 
 // userJob is what the users know of a job.
 type userJob struct {
-	id        protocol.JobID
-	job       protocol.Job
-	body      []byte
-	bad       int // the status that its submission has to get, of one that can't be taken
-	accepted  bool
-	cancels   bool // somebody has asked to cancel it
-	told      protocol.JobState
-	floor     rank          // the newest that any answer has said
-	confirmed time.Duration // when a controller first said that it is cancelled
-	heard     time.Duration // when a question was last answered
-	endedAt   time.Duration // when its last task ended
-	polls     bool          // it is polled
+	id                protocol.JobID
+	job               protocol.Job
+	body              []byte
+	rejectStatus      int // the status that its submission has to get, of one that can't be taken
+	accepted          bool
+	cancelRequested   bool // a user has requested its cancellation
+	finalAnswer       protocol.JobState
+	rank              answerRank    // the highest of all answers
+	cancelConfirmedAt time.Duration // when a controller first confirmed the cancellation
+	lastAnswer        time.Duration // when a request was last answered
+	endedAt           time.Duration // when its last task ended
+	polled            bool          // it is polled
 }
 
-// rank orders what users are told: a later answer is never of a lower rank.
-type rank int
+// answerRank orders the answers of a job: a later answer never has a lower rank.
+type answerRank int
 
 const (
-	unknown rank = iota
+	unknown answerRank = iota
 	accepted
 	over
 )
@@ -98,18 +95,18 @@
 	return u
 }
 
-// orders counts starts that are sent after a user was told that the job is cancelled.
+// orders counts starts that are sent after a user was answered that the job is cancelled.
 func (u *users) orders(n *node, orders []protocol.Order) {
 	for _, o := range orders {
 		if o.Op != protocol.OpStart {
 			continue
 		}
 		u.tasks++
-		if j := u.jobs[o.Task.Job]; j != nil && j.confirmed != 0 {
+		if j := u.jobs[o.Task.Job]; j != nil && j.cancelConfirmedAt != 0 {
 			u.startsAfter++
 			for key, c := range u.partitions {
-				if c.until > j.confirmed && strings.Contains(key, string(n.name)) && !strings.Contains(key, "zone") && !strings.Contains(key, "workers") {
-					u.apart++
+				if c.until > j.cancelConfirmedAt && strings.Contains(key, string(n.name)) && !strings.Contains(key, "zone") && !strings.Contains(key, "workers") {
+					u.startsByPartitioned++
 					break
 				}
 			}
@@ -117,18 +114,18 @@
 	}
 }
 
-// sent notes what a controller says as it says it.
-func (u *users) sent(a admission.Answer) {
+// recordAnswer records the first confirmation of a cancellation, when it is sent.
+func (u *users) recordAnswer(a admission.Answer) {
 	var s protocol.JobStatus
 	if a.Status != 200 || protocol.Decode(a.Body, &s) != nil || s.State != protocol.JobCancelled {
 		return
 	}
-	if j := u.jobs[s.ID]; j != nil && j.confirmed == 0 {
-		j.confirmed = u.now
+	if j := u.jobs[s.ID]; j != nil && j.cancelConfirmedAt == 0 {
+		j.cancelConfirmedAt = u.now
 	}
 }
 
-// taskEnded has jobs cancelled, asked for and submitted again as their last task ends.
+// taskEnded has jobs cancelled, polled and submitted again as their last task ends.
 func (u *users) taskEnded(id protocol.TaskID, why protocol.EndCause) {
 	j := u.jobs[id.Job]
 	if j == nil || why != protocol.EndDone {
@@ -142,11 +139,11 @@
 	if j.endedAt == 0 {
 		j.endedAt = u.now
 	}
-	if u.cancelEnds > 0 && u.rng.Float64() < u.cancelEnds {
+	if u.cancelAtEndFraction > 0 && u.rng.Float64() < u.cancelAtEndFraction {
 		u.after(time.Duration(u.rng.IntN(300))*time.Millisecond, func() { u.cancelJob(j) })
 	}
-	if u.closely {
-		u.look(j)
+	if u.requestOften {
+		u.requestEverywhere(j)
 	}
 }
 
@@ -180,9 +177,9 @@
 	switch kind { // some lack a field, or fit nothing
 	case 0:
 		delete(m, []string{"berth", "hauls", "cores", "scatter", "hullcast"}[u.rng.IntN(5)])
-		uj.bad = 400
+		uj.rejectStatus = 400
 	case 1:
-		m["cores"], uj.bad = 99.0, 422
+		m["cores"], uj.rejectStatus = 99.0, 422
 	}
 	body, err := protocol.Encode(m)
 	if err != nil {
@@ -190,15 +187,15 @@
 	}
 	uj.body = body
 	u.jobs[j.ID] = uj
-	if uj.bad == 0 {
+	if uj.rejectStatus == 0 {
 		u.world.jobs[j.ID] = j
 	}
-	u.trySubmit(uj, u.now+repeatFor)
+	u.trySubmit(uj, u.now+submitPeriod)
 	return uj
 }
 
 func (u *users) trySubmit(j *userJob, until time.Duration) {
-	u.request(j, admission.Submit, submitWait, func(status int) {
+	u.request(j, admission.Submit, submitTimeout, func(status int) {
 		if status == 200 || status == 201 || status == 400 || status == 422 || u.now > until {
 			return
 		}
@@ -208,14 +205,14 @@
 
 // cancelJob has a user cancel a job until that is confirmed, or it is done.
 func (u *users) cancelJob(j *userJob) {
-	if j.cancels || !j.accepted {
+	if j.cancelRequested || !j.accepted {
 		return
 	}
-	j.cancels = true
+	j.cancelRequested = true
 	from := u.now
 	var try func()
 	try = func() {
-		u.request(j, admission.Cancel, submitWait, func(status int) {
+		u.request(j, admission.Cancel, submitTimeout, func(status int) {
 			if status == 200 {
 				u.cancelWaits = append(u.cancelWaits, u.now-from)
 				return
@@ -226,32 +223,32 @@
 	try()
 }
 
-// poll asks about a job every 5 s until it is over.
+// poll polls a job every 5 s until it is over.
 func (u *users) poll(j *userJob) {
-	if j.polls {
+	if j.polled {
 		return
 	}
-	j.polls, j.heard = true, u.now
+	j.polled, j.lastAnswer = true, u.now
 	var again func()
 	again = func() {
-		if j.floor < over {
-			u.request(j, admission.Poll, pollWait, nil)
-			u.after(pollEvery, again)
+		if j.rank < over {
+			u.request(j, admission.Poll, pollTimeout, nil)
+			u.after(pollInterval, again)
 		}
 	}
-	u.after(pollEvery, again)
+	u.after(pollInterval, again)
 }
 
-// look asks about a job at all controllers within milliseconds, again and again, and
-// submits it once more.
-func (u *users) look(j *userJob) {
+// requestEverywhere polls a job at all controllers within milliseconds, several times, and
+// repeats its submission.
+func (u *users) requestEverywhere(j *userJob) {
 	for _, f := range u.fronts {
 		for range 1 + u.rng.IntN(3) {
 			op := admission.Poll
 			if u.rng.IntN(3) == 0 {
 				op = admission.Submit
 			}
-			u.after(time.Duration(u.rng.IntN(40_000))*time.Microsecond, func() { u.requestAt(f, j, op, pollWait, nil) })
+			u.after(time.Duration(u.rng.IntN(40_000))*time.Microsecond, func() { u.requestAt(f, j, op, pollTimeout, nil) })
 		}
 	}
 }
@@ -260,153 +257,28 @@
 	u.requestAt(u.fronts[u.rng.IntN(len(u.fronts))], j, op, wait, then)
 }
 
-// requestAt puts a request to a controller and holds the answer against all that was
+// requestAt sends a request to a controller and checks the answer against all that was
 // answered before the request began.
 func (u *users) requestAt(f *frontend, j *userJob, op admission.Operation, wait time.Duration, then func(status int)) {
 	begun := *j
-	u.asked++
+	u.requests++
 	given := false
 	finish := func(a admission.Answer) {
 		if given {
 			return // given up: nobody has read it
 		}
 		given = true
-		if a.Status != 0 && u.tells != nil {
-			a = u.tells(j, a)
+		if a.Status != 0 && u.changeAnswer != nil {
+			a = u.changeAnswer(j, a)
 		}
 		if a.Status != 0 {
 			u.answered++
-			u.judge(f, j, &begun, op, a)
+			u.checkAnswer(f, j, &begun, op, a)
 		}
 		if then != nil {
 			then(a.Status)
 		}
 	}
 	u.after(wait, func() { finish(admission.Answer{}) })
-	u.after(u.delay()/4, func() { f.ask(admission.Request{Operation: op, Job: j.id, Body: j.body}, finish) })
-}
-
-// judge holds an answer against the rules.
-func (u *users) judge(f *frontend, j, begun *userJob, op admission.Operation, a admission.Answer) {
-	says := func(what string) {
-		u.fail("%v %s: %s says %d %s of %s (operation %d, cancelled by its user %v, told before %q, bad %d)", u.now, what, f.n.name, a.Status, bodyOf(a), j.id, op, begun.cancels, begun.told, j.bad)
-	}
-	switch a.Status {
-	case 200, 201:
-	case 404:
-		if begun.floor > unknown {
-			says("forgotten")
-		}
-		j.heard = u.now
-		return
-	case 400, 422:
-		if j.bad != a.Status {
-			says("forgotten")
-		}
-		return
-	case 503:
-		u.refused++
-		if a.RetryAfterS == 0 {
-			says("no Retry-After")
-		}
-		return
-	default:
-		says("unexpected")
-		return
-	}
-	j.heard = u.now
-	var s protocol.JobStatus
-	if err := protocol.Decode(a.Body, &s); err != nil || s.ID != j.id {
-		says("unreadable")
-		return
-	}
-	if j.bad != 0 {
-		says("invented")
-		return
-	}
-	r := accepted
-	switch s.State {
-	case protocol.JobDone:
-		r = over
-		u.checkDone(j)
-		if j.told == protocol.JobCancelled {
-			says("went_back")
-		}
-	case protocol.JobCancelled:
-		r = over
-		if !j.cancels || j.told == protocol.JobDone {
-			says("went_back")
-		}
-		if _, already := u.cancelled[j.id]; !already {
-			u.cancelled[j.id] = u.now
-		}
-	default:
-		if begun.endedAt != 0 && op == admission.Poll && begun.endedAt+3*time.Second < u.now-pollWait {
-			u.late++
-		}
-	}
-	if r < begun.floor {
-		says("went_back")
-	}
-	if r == over {
-		j.told = s.State
-	}
-	newer := r > j.floor
-	j.floor = max(j.floor, r)
-	if !j.accepted {
-		j.accepted = true
-		u.jobOrder = append(u.jobOrder, j.id)
-		u.poll(j)
-		if u.cancelAtOnce > 0 && u.rng.Float64() < u.cancelAtOnce {
-			u.after(time.Duration(u.rng.IntN(5))*time.Millisecond, func() { u.cancelJob(j) })
-		}
-	}
-	if newer && u.closely {
-		u.look(j)
-	}
-}
-
-func bodyOf(a admission.Answer) string {
-	var s protocol.JobStatus
-	if protocol.Decode(a.Body, &s) == nil && s.ID != "" {
-		return string(s.State)
-	}
-	return string(a.Body)
-}
-
-// checkDone: all tasks of a job that is called done are.
-func (u *users) checkDone(j *userJob) {
-	for i := range j.job.Tasks {
-		if u.results[protocol.TaskID{Job: j.id, Index: i}] || j.job.Kind == protocol.KindGang && u.results[protocol.TaskID{Job: j.id}] {
-			continue
-		}
-		u.fail("%v not_done: %v/%d, as its user is told", u.now, j.id, i)
-	}
-}
-
-// checkForgotten: once all troubles are over, no job goes without an answer for 75 s.
-func (u *users) checkForgotten() {
-	for _, j := range ordered.Of(u.jobs) {
-		if j.polls && j.floor < over && u.wellSince != 0 && u.now-max(j.heard, u.wellSince) > forgottenIn {
-			u.fail("%v forgotten: no question about %s has been answered for %v", u.now, j.id, u.now-max(j.heard, u.wellSince))
-		}
-	}
-}
-
-// checkRecords: whatever was accepted, told or not, is followed to its end, and nothing
-// else is there.
-func (u *users) checkRecords() {
-	for _, it := range u.state.List(record.JobKey("")) {
-		id := protocol.JobID(strings.TrimPrefix(it.Key, record.JobKey("")))
-		j := u.jobs[id]
-		if j == nil || j.bad != 0 {
-			u.fail("%v accepted though it can't run, or nobody's: %s", u.now, id)
-			continue
-		}
-		if !j.accepted { // its user has given it up
-			j.accepted = true
-			u.jobOrder = append(u.jobOrder, id)
-			u.poll(j)
-		}
-	}
+	u.after(u.delay()/4, func() { f.request(admission.Request{Operation: op, Job: j.id, Body: j.body}, finish) })
 }
--- a/internal/simulator/userdays_test.go
+++ b/internal/simulator/userscenario_test.go
@@ -12,19 +12,19 @@
 	"damsonkeel/internal/protocol"
 )
 
-// userDay is a generated day on which users do all that is asked of controllers.
-type userDay struct {
+// userScenario describes a generated run on which users send all kinds of requests.
+type userScenario struct {
 	machines int
-	lasts    time.Duration
+	duration time.Duration
 	job      func(*world) protocol.Job
 	every    time.Duration // between submissions
 	cancels  float64       // share of the jobs that are cancelled at a random moment
 	teams    []config.Team
 	prepare  func(*users)
-	trouble  func(*users)  // at each step of a second to six
-	after    time.Duration // that troubles which have begun take to come about
+	fault    func(*users)  // at each step of a second to six
+	after    time.Duration // for which the last faults may last
 	fail     func(string, ...any)
-	closely  bool         // users ask at all controllers after each answer
+	closely  bool         // users send requests to all controllers after each answer
 	atEnd    func(*users) // when all is over
 	waits    bool         // jobs may be left waiting longer: there is more work than room
 }
@@ -32,7 +32,8 @@
 // leftWaiting is how long a job may wait, once all is well, beside a machine that fits.
 const leftWaiting = 90 * time.Second
 
-func (d userDay) play(t *testing.T, seed int) *users {
+func (d userScenario) play(t *testing.T, seed int) *users {
+	t.Helper()
 	fail := d.fail
 	if fail == nil {
 		fail = t.Fatalf
@@ -42,16 +43,16 @@
 		settings.Site.Teams = d.teams
 	}
 	w := newWorld(fail, uint64(seed), settings, d.machines, d.machines)
-	w.eventDriven = true // controllers are asked within milliseconds
+	w.eventDriven = true // requests arrive within milliseconds
 	u := w.withUsers()
-	u.closely = d.closely
+	u.requestOften = d.closely
 	if d.prepare != nil {
 		d.prepare(u)
 	}
 	w.run(3 * time.Second)
 	var submit func()
 	submit = func() {
-		if u.now >= d.lasts {
+		if u.now >= d.duration {
 			return
 		}
 		j := u.submit(d.job(w))
@@ -61,9 +62,9 @@
 		w.after(time.Duration(w.rng.Int64N(int64(2*d.every))), submit)
 	}
 	submit()
-	for w.now < d.lasts {
-		if d.trouble != nil {
-			d.trouble(u)
+	for w.now < d.duration {
+		if d.fault != nil {
+			d.fault(u)
 		}
 		w.run(w.now + time.Duration(1000+w.rng.IntN(5000))*time.Millisecond)
 	}
@@ -75,22 +76,22 @@
 		sw.pausedUntil, sw.inboundLostUntil, sw.outboundLostUntil = min(sw.pausedUntil, w.now), min(sw.inboundLostUntil, w.now), min(sw.outboundLostUntil, w.now)
 	}
 	w.run(w.now + 40*time.Second)
-	u.wellSince = w.now
+	u.faultFreeSince = w.now
 	since := map[protocol.JobID]time.Duration{}
 	open := func() (n int) {
 		for _, j := range u.jobs {
-			if j.accepted && j.floor < over {
+			if j.accepted && j.rank < over {
 				n++
 			}
 		}
 		return n
 	}
-	for end := w.now + 900*time.Second; w.now < end && (open() > 0 || w.now < u.wellSince+10*time.Second); {
+	for end := w.now + 900*time.Second; w.now < end && (open() > 0 || w.now < u.faultFreeSince+10*time.Second); {
 		w.run(w.now + 5*time.Second)
 		u.checkRecords()
 		u.checkForgotten()
 		for _, j := range ordered.Of(u.jobs) {
-			if j.accepted && j.floor < over && (j.job.Kind == protocol.KindService || w.faultyJobs[j.id]) {
+			if j.accepted && j.rank < over && (j.job.Kind == protocol.KindService || w.faultyJobs[j.id]) {
 				u.cancelJob(j)
 			}
 		}
@@ -99,8 +100,8 @@
 		}
 	}
 	for _, j := range ordered.Of(u.jobs) {
-		if j.accepted && j.floor < over {
-			fail("the user of %s was never told of its end; record %q, cancelled %v, %+v\n%s", j.id, w.finalState[j.id], j.cancels, j.job, w.whereabouts(j.id))
+		if j.accepted && j.rank < over {
+			fail("the user of %s was never told of its end; record %q, cancelled %v, %+v\n%s", j.id, w.finalState[j.id], j.cancelRequested, j.job, w.describeJob(j.id))
 		}
 	}
 	if w.starts == 0 {
@@ -114,7 +115,7 @@
 	if n := len(u.cancelWaits); n > 0 {
 		median = u.cancelWaits[n/2]
 	}
-	t.Logf("%d jobs, %d questions, %d answered, %d of these 503, %d late ends; %d starts sent, %d after a confirmed cancellation, %d of these by one cut off; %d cancellations, median %v", len(u.jobs), u.asked, u.answered, u.refused, u.late, u.tasks, u.startsAfter, u.apart, len(u.cancelWaits), median)
+	t.Logf("%d jobs, %d questions, %d answered, %d of these 503, %d late ends; %d starts sent, %d after a confirmed cancellation, %d of these by one cut off; %d cancellations, median %v", len(u.jobs), u.requests, u.answered, u.refused, u.late, u.tasks, u.startsAfter, u.startsByPartitioned, len(u.cancelWaits), median)
 	return u
 }
 
@@ -177,52 +178,53 @@
 		case since[j.id] == 0:
 			since[j.id] = u.now
 		case u.now-since[j.id] > leftWaiting:
-			u.fail("%v left waiting: %s for %v, beside %s\n%s", u.now, j.id, u.now-since[j.id], m, u.whereabouts(j.id))
+			u.fail("%v left waiting: %s for %v, beside %s\n%s", u.now, j.id, u.now-since[j.id], m, u.describeJob(j.id))
 		}
 	}
 }
 
-// playSeeds plays a day with so many seeds. No start may be sent after a confirmed
+// playSeeds runs a scenario with so many seeds. No start may be sent after a confirmed
 // cancellation by a controller that the others can reach.
-func (d userDay) playSeeds(t *testing.T, usual, first int) {
+func (d userScenario) playSeeds(t *testing.T, usual, first int) {
+	t.Helper()
 	for seed := range seeds(usual) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			if u := d.play(t, first+seed); u.startsAfter > u.apart {
-				t.Errorf("%d starts were sent after a confirmed cancellation, %d of these by one cut off", u.startsAfter, u.apart)
+			if u := d.play(t, first+seed); u.startsAfter > u.startsByPartitioned {
+				t.Errorf("%d starts were sent after a confirmed cancellation, %d of these by one cut off", u.startsAfter, u.startsByPartitioned)
 			}
 		})
 	}
 }
 
-// TestUsersOnADayWithoutTroubles: what users are told holds, and no start is sent after
-// a confirmed cancellation, where nothing else goes wrong; jobs are cancelled, asked for
+// TestUsersWithoutFaults: what users are answered holds, and no start is sent after
+// a confirmed cancellation, where nothing else goes wrong; jobs are cancelled, polled
 // and submitted again at the moment at which their last task ends, too.
-func TestUsersOnADayWithoutTroubles(t *testing.T) {
-	d := userDay{
-		machines: 9, lasts: 60 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4,
-		prepare: func(u *users) { u.closely, u.cancelEnds = true, 0.5 },
+func TestUsersWithoutFaults(t *testing.T) {
+	d := userScenario{
+		machines: 9, duration: 60 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4,
+		prepare: func(u *users) { u.requestOften, u.cancelAtEndFraction = true, 0.5 },
 	}
 	d.playSeeds(t, 6, 1_000_000)
 }
 
-// TestUsersOnDaysOfTroubles: the same while the troubles of the other generated days
+// TestUsersWithFaults: the same while the faults of the other generated scenarios
 // come, alone and two or three at once.
-func TestUsersOnDaysOfTroubles(t *testing.T) {
-	trouble := func(u *users) {
-		u.runTime = u.farApart
+func TestUsersWithFaults(t *testing.T) {
+	fault := func(u *users) {
+		u.runTime = u.drawSpreadRunTime
 		switch u.rng.IntN(6) {
 		case 0, 1:
-			u.trouble()
+			u.injectRandomFault()
 		case 2:
-			u.meeting()
-			u.meeting()
+			u.injectOverlappingFault()
+			u.injectOverlappingFault()
 		case 3:
 			u.moveRandomShards(16)
 		}
 	}
-	userDay{
-		machines: 9, lasts: 120 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4, after: 30 * time.Second,
-		prepare: func(u *users) { u.closely, u.cancelEnds = true, 0.2 }, trouble: trouble,
+	userScenario{
+		machines: 9, duration: 120 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4, after: 30 * time.Second,
+		prepare: func(u *users) { u.requestOften, u.cancelAtEndFraction = true, 0.2 }, fault: fault,
 	}.playSeeds(t, 20, 1_100_000)
 }
