--- a/internal/scale/forwarder/forwarder.go
+++ b/internal/scale/forwarder/forwarder.go
@@ -29,7 +29,7 @@
 	// chunkSize is the size of a read.
 	chunkSize   = 4 << 10
 	dialTimeout = 3 * time.Second
-	// partitionPoll is how often a held-back connection checks for the partition's end.
+	// partitionPoll is how often a delayed connection checks for the partition's end.
 	partitionPoll = 20 * time.Millisecond
 )
 
--- a/internal/scale/monitor/doc.go
+++ b/internal/scale/monitor/doc.go
@@ -1,5 +1,5 @@
 // Package monitor coordinates the processes of workers and users of a scale run. It knows
-// the machines, tells worker processes what happens to them (directives), completes gangs
+// the machines, tells worker processes what to do with them (directives), completes gangs
 // once all of their tasks have started, and collects what workers and users observe.
 //
 // The Monitor owns this state behind one lock; its RPC methods are called by the worker and
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -25,8 +25,8 @@
 // digestsFile holds a name and a SHA-256 digest per line, sorted by name.
 const digestsFile = "testdata/digests.txt"
 
-// digestPlay is a site file to emulate, and for how long by which seed.
-type digestPlay struct {
+// digestRun is a site file to emulate, and for how long by which seed.
+type digestRun struct {
 	name string
 	site string
 	play time.Duration
@@ -34,12 +34,12 @@
 	long bool // left out by -short
 }
 
-// digestPlays are the runs whose results are compared. Those of the deployed sites are the
+// digestRuns are the runs whose results are compared. Those of the deployed sites are the
 // same bytes as "damsonkeel emulate --site SITE --for PLAY --seed SEED --output json"
 // prints. The week is compared for its first ten minutes only: six hours of it take too long
 // for every run (with seed 3 their digest begins with 8216dde14c5af28b at the time of
 // writing).
-var digestPlays = []digestPlay{
+var digestRuns = []digestRun{
 	{name: "spot-seed-1", site: "testdata/digests/spot.toml", play: time.Hour, seed: 1},
 	{name: "spot-seed-2", site: "testdata/digests/spot.toml", play: time.Hour, seed: 2},
 	{name: "reservations-seed-1", site: "testdata/digests/reservations.toml", play: 125 * time.Minute, seed: 1},
@@ -58,9 +58,9 @@
 // leaves all of them as they are; one that is meant to writes them anew by -update.
 func TestDigests(t *testing.T) {
 	golden := readDigests(t)
-	got := make([]string, len(digestPlays)+1)
+	got := make([]string, len(digestRuns)+1)
 	t.Run("plays", func(t *testing.T) { // returns when all parallel subtests have ended
-		for i, play := range digestPlays {
+		for i, play := range digestRuns {
 			t.Run(play.name, func(t *testing.T) {
 				if play.long && testing.Short() {
 					t.Skip("long")
@@ -72,13 +72,13 @@
 		}
 		t.Run(configurationDigest, func(t *testing.T) {
 			t.Parallel()
-			got[len(digestPlays)] = digestOf(configurationChangeJSON(t))
-			checkDigest(t, golden, configurationDigest, got[len(digestPlays)])
+			got[len(digestRuns)] = digestOf(configurationChangeJSON(t))
+			checkDigest(t, golden, configurationDigest, got[len(digestRuns)])
 		})
 	})
 	if *updateDigests && !t.Failed() {
-		golden[configurationDigest] = got[len(digestPlays)]
-		for i, play := range digestPlays {
+		golden[configurationDigest] = got[len(digestRuns)]
+		for i, play := range digestRuns {
 			if got[i] != "" { // else it was left out, and its digest stays
 				golden[play.name] = got[i]
 			}
@@ -91,7 +91,7 @@
 // sites whose digests are compared.
 func TestDigestSitesHaveAllFaults(t *testing.T) {
 	had := map[string]bool{}
-	for _, play := range digestPlays {
+	for _, play := range digestRuns {
 		if play.long {
 			continue
 		}
@@ -121,7 +121,7 @@
 
 // resultJSON plays a site and returns its result as the command prints it. Broken rules
 // are part of the result.
-func resultJSON(t *testing.T, play digestPlay) []byte {
+func resultJSON(t *testing.T, play digestRun) []byte {
 	t.Helper()
 	result := Play(loadSite(t, play.site), Options{For: play.play, Seed: play.seed})
 	return indentedJSON(t, []*Result{result})
@@ -188,7 +188,7 @@
 	}
 	for lines := bufio.NewScanner(bytes.NewReader(file)); lines.Scan(); {
 		name, digest, _ := strings.Cut(lines.Text(), " ")
-		isPlay := slices.ContainsFunc(digestPlays, func(play digestPlay) bool { return play.name == name })
+		isPlay := slices.ContainsFunc(digestRuns, func(play digestRun) bool { return play.name == name })
 		if !isPlay && name != configurationDigest {
 			t.Errorf("%s: %q is not played", digestsFile, name)
 		}
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -4,6 +4,6 @@
 //
 // A world owns all simulated state: the timeline of events, the network with its
 // partitions, the state service, the nodes with their controllers, and the workers. A
-// player drives a world by the description of a site. The package does no input or output
+// driver drives a world by the description of a site. The package does no input or output
 // but reading a site's file, and controllers' cores see nothing of it but messages.
 package simulator
--- a/internal/simulator/player.go
+++ b/internal/simulator/driver.go
@@ -35,11 +35,11 @@
 	// Progress, if set, is called from time to time with the simulated time.
 	Progress func(time.Duration)
 
-	onStart, onEnd func(*player) // for tests
+	onStart, onEnd func(*driver) // for tests
 }
 
-// player drives a world by the description of a site.
-type player struct {
+// driver drives a world by the description of a site.
+type driver struct {
 	*world
 	site   *Site
 	opts   Options
@@ -91,52 +91,52 @@
 			result.Rules = append(result.Rules, fmt.Sprintf(format, args...))
 		}
 	}
-	p := &player{
+	d := &driver{
 		world: newWorld(addViolation, o.Seed, s.settings(), s.Machines, 0),
 		site:  s, opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)),
 		result:      result,
 		machineInfo: map[protocol.MachineType]protocol.TypeInfo{}, remaining: map[protocol.TaskID]time.Duration{},
 		jobState: map[protocol.JobID]*jobState{}, taskEndings: map[protocol.TaskID]taskEnding{}, provisioned: map[protocol.MachineID]provisionedMachine{},
 	}
-	p.prepare()
-	p.scheduleAll()
+	d.prepare()
+	d.scheduleAll()
 	if o.onStart != nil {
-		o.onStart(p)
+		o.onStart(d)
 	}
-	for end := warmUpTime + o.For; p.now < end; {
-		p.run(min(end, p.now+time.Minute))
-		p.forgetFinished()
+	for end := warmUpTime + o.For; d.now < end; {
+		d.run(min(end, d.now+time.Minute))
+		d.forgetFinished()
 		if o.Progress != nil {
-			o.Progress(p.now)
+			o.Progress(d.now)
 		}
 	}
 	if o.onEnd != nil {
-		o.onEnd(p)
+		o.onEnd(d)
 	}
-	p.finish()
-	return p.result
+	d.finish()
+	return d.result
 }
 
 // prepare sets the world up as the site describes it.
-func (p *player) prepare() {
-	w := p.world
-	w.step, w.eventDriven = time.Duration(p.site.StepMS)*time.Millisecond, true
-	w.startMS = p.site.Start.Add(-warmUpTime).UnixMilli()
-	w.types = p.site.machineTypes()
+func (d *driver) prepare() {
+	w := d.world
+	w.step, w.eventDriven = time.Duration(d.site.StepMS)*time.Millisecond, true
+	w.startMS = d.site.Start.Add(-warmUpTime).UnixMilli()
+	w.types = d.site.machineTypes()
 	for _, t := range w.types {
-		p.machineInfo[t.Name] = t
+		d.machineInfo[t.Name] = t
 	}
-	w.cloud.Capacity = p.site.Machines
-	w.cloud.PerZone = (p.site.Machines + len(p.site.zones()) - 1) / len(p.site.zones())
+	w.cloud.Capacity = d.site.Machines
+	w.cloud.PerZone = (d.site.Machines + len(d.site.zones()) - 1) / len(d.site.zones())
 	w.operator.Machines = map[protocol.MachineType]int{}
-	for _, t := range p.site.Types {
-		w.operator.Machines[t.Name] = p.site.Machines / len(p.site.Types)
+	for _, t := range d.site.Types {
+		w.operator.Machines[t.Name] = d.site.Machines / len(d.site.Types)
 	}
-	w.runTime, w.bootTime = p.drawRunTime, p.drawBootTime
-	w.onCheckpoint = func(id protocol.TaskID, remaining time.Duration) { p.remaining[id] = remaining }
-	w.onProvisioned, w.onTerminated = p.machineProvisioned, p.machineTerminated
-	w.ageS = func(id protocol.MachineID) float64 { return (w.now - p.provisioned[id].at).Seconds() }
-	w.onTaskStarted, w.onTaskEnded = p.taskStarted, p.taskEnded
+	w.runTime, w.bootTime = d.drawRunTime, d.drawBootTime
+	w.onCheckpoint = func(id protocol.TaskID, remaining time.Duration) { d.remaining[id] = remaining }
+	w.onProvisioned, w.onTerminated = d.machineProvisioned, d.machineTerminated
+	w.ageS = func(id protocol.MachineID) float64 { return (w.now - d.provisioned[id].at).Seconds() }
+	w.onTaskStarted, w.onTaskEnded = d.taskStarted, d.taskEnded
 	for _, n := range w.nodes { // again, with the site's settings
 		n.start()
 	}
@@ -144,148 +144,148 @@
 
 // drawBootTime draws how long a machine boots: usually 0.6 to 1.5 times as long as the
 // catalogue says, one in thirty three times as long, and one in a hundred forever.
-func (p *player) drawBootTime(r protocol.ProvisionRequest) time.Duration {
+func (d *driver) drawBootTime(r protocol.ProvisionRequest) time.Duration {
 	const forever = 1e6
-	factor := 0.6 + 0.9*p.world.rng.Float64()
-	switch n := p.world.rng.IntN(300); {
+	factor := 0.6 + 0.9*d.world.rng.Float64()
+	switch n := d.world.rng.IntN(300); {
 	case n < 3:
 		factor = forever
 	case n < 13:
 		factor = 3
 	}
-	return config.Seconds(factor * p.machineInfo[r.Type].BootS)
+	return config.Seconds(factor * d.machineInfo[r.Type].BootS)
 }
 
 // drawRunTime draws how long a task runs, or returns what remains after its checkpoint.
 // The tasks of a job have similar run times.
-func (p *player) drawRunTime(id protocol.TaskID) time.Duration {
-	if remaining, ok := p.remaining[id]; ok {
+func (d *driver) drawRunTime(id protocol.TaskID) time.Duration {
+	if remaining, ok := d.remaining[id]; ok {
 		return remaining
 	}
-	j := p.jobState[id.Job]
+	j := d.jobState[id.Job]
 	if j == nil {
 		return time.Second
 	}
-	return config.Seconds(j.estimateS * j.factor * (0.85 + 0.3*p.world.rng.Float64()))
+	return config.Seconds(j.estimateS * j.factor * (0.85 + 0.3*d.world.rng.Float64()))
 }
 
 // machineProvisioned starts to count the cost of a machine.
-func (p *player) machineProvisioned(id protocol.MachineID, r protocol.ProvisionRequest) {
-	info := p.machineInfo[r.Type]
+func (d *driver) machineProvisioned(id protocol.MachineID, r protocol.ProvisionRequest) {
+	info := d.machineInfo[r.Type]
 	price := info.Price
 	if r.Spot {
 		price = info.SpotPrice
 	}
-	p.provisioned[id] = provisionedMachine{p.now, price}
+	d.provisioned[id] = provisionedMachine{d.now, price}
 }
 
 // machineTerminated adds the cost of a machine.
-func (p *player) machineTerminated(id protocol.MachineID) {
-	if m, ok := p.provisioned[id]; ok {
-		delete(p.provisioned, id)
-		p.result.Cost += m.price * (p.now - m.at).Hours()
+func (d *driver) machineTerminated(id protocol.MachineID) {
+	if m, ok := d.provisioned[id]; ok {
+		delete(d.provisioned, id)
+		d.result.Cost += m.price * (d.now - m.at).Hours()
 	}
 }
 
 // taskStarted records a start of a task.
-func (p *player) taskStarted(m protocol.MachineID, id protocol.TaskID) {
-	p.checkWindows(m)
-	j := p.jobState[id.Job]
+func (d *driver) taskStarted(m protocol.MachineID, id protocol.TaskID) {
+	d.checkWindows(m)
+	j := d.jobState[id.Job]
 	if j == nil {
 		return
 	}
 	if j.started[id.Index] {
-		p.countRestart(id)
+		d.countRestart(id)
 		return
 	}
 	j.started[id.Index] = true
-	j.class.waits = append(j.class.waits, (p.now - j.submitted).Seconds())
+	j.class.waits = append(j.class.waits, (d.now - j.submitted).Seconds())
 	if o := j.occurrence; o != nil && len(j.started) == min(j.reserved, j.tasks) {
-		due := max(j.submitted, warmUpTime+o.Start.Sub(p.site.Start))
-		o.DelayS, o.Started = math.Max(0, (p.now-due).Seconds()), true
+		due := max(j.submitted, warmUpTime+o.Start.Sub(d.site.Start))
+		o.DelayS, o.Started = math.Max(0, (d.now-due).Seconds()), true
 	}
 }
 
 // checkWindows counts starts on machines that are under maintenance.
-func (p *player) checkWindows(id protocol.MachineID) {
-	m := p.workers[id]
-	now := reservation.Moment(p.wallMS())
-	for _, w := range p.windows {
+func (d *driver) checkWindows(id protocol.MachineID) {
+	m := d.workers[id]
+	now := reservation.Moment(d.wallMS())
+	for _, w := range d.windows {
 		if reservation.Covers(w.spec, id, m.Info.Name, m.Zone) && len(w.when.Occurrences(reservation.After(now, -config.Seconds(w.spec.LengthS)+1), now)) > 0 {
-			p.result.InWindow++
+			d.result.InWindow++
 		}
 	}
 }
 
 // forgetFinished drops jobs, machines and changes that are not needed any more.
-func (p *player) forgetFinished() {
-	p.collectFinishedJobs()
-	for len(p.finishedJobs) > maxFinishedJobs {
-		p.forgetJob(p.finishedJobs[0])
-		p.finishedJobs = p.finishedJobs[1:]
+func (d *driver) forgetFinished() {
+	d.collectFinishedJobs()
+	for len(d.finishedJobs) > maxFinishedJobs {
+		d.forgetJob(d.finishedJobs[0])
+		d.finishedJobs = d.finishedJobs[1:]
 	}
-	p.machineOrder = slices.DeleteFunc(p.machineOrder, func(id protocol.MachineID) bool {
-		if p.workers[id].Dead {
-			delete(p.workers, id)
+	d.machineOrder = slices.DeleteFunc(d.machineOrder, func(id protocol.MachineID) bool {
+		if d.workers[id].Dead {
+			delete(d.workers, id)
 			return true
 		}
 		return false
 	})
-	p.forgetChanges()
+	d.forgetChanges()
 }
 
 // collectFinishedJobs moves finished jobs out of the order of jobs, and counts them.
-func (p *player) collectFinishedJobs() {
+func (d *driver) collectFinishedJobs() {
 	var open []protocol.JobID
-	for _, id := range p.jobOrder {
-		if p.finalState[id] == "" {
+	for _, id := range d.jobOrder {
+		if d.finalState[id] == "" {
 			open = append(open, id)
 			continue
 		}
-		if j := p.jobState[id]; j != nil {
+		if j := d.jobState[id]; j != nil {
 			j.class.Done++
-			j.class.times = append(j.class.times, (p.now - j.submitted).Seconds())
-			delete(p.jobState, id)
+			j.class.times = append(j.class.times, (d.now - j.submitted).Seconds())
+			delete(d.jobState, id)
 		}
-		p.finishedJobs = append(p.finishedJobs, id)
+		d.finishedJobs = append(d.finishedJobs, id)
 	}
-	p.jobOrder = open
+	d.jobOrder = open
 }
 
 // forgetJob drops what is known of a job.
-func (p *player) forgetJob(id protocol.JobID) {
-	for i := range p.jobs[id].Tasks {
+func (d *driver) forgetJob(id protocol.JobID) {
+	for i := range d.jobs[id].Tasks {
 		task := protocol.TaskID{Job: id, Index: i}
-		delete(p.results, task)
-		delete(p.remaining, task)
-		delete(p.taskEndings, task)
+		delete(d.results, task)
+		delete(d.remaining, task)
+		delete(d.taskEndings, task)
 	}
-	delete(p.jobs, id)
-	delete(p.cancelled, id)
+	delete(d.jobs, id)
+	delete(d.cancelled, id)
 }
 
 // forgetChanges drops changes of the state service that all nodes and checks have seen.
-func (p *player) forgetChanges() {
-	seen := p.state.Changes()
-	for _, n := range p.nodes {
+func (d *driver) forgetChanges() {
+	seen := d.state.Changes()
+	for _, n := range d.nodes {
 		if n.session != 0 {
 			seen = min(seen, n.watched)
 		}
 	}
-	if n := min(min(seen, p.checkedChanges)-p.state.Before, len(p.changeTimes)); n > minForgottenChanges {
-		p.changeTimes = slices.Clone(p.changeTimes[n:])
-		p.state.Forget(p.state.Before + n)
+	if n := min(min(seen, d.checkedChanges)-d.state.Before, len(d.changeTimes)); n > minForgottenChanges {
+		d.changeTimes = slices.Clone(d.changeTimes[n:])
+		d.state.Forget(d.state.Before + n)
 	}
 }
 
 // finish computes the result.
-func (p *player) finish() {
-	for _, id := range slices.Sorted(maps.Keys(p.provisioned)) { // sorted, as float sums depend on their order
-		p.machineTerminated(id)
+func (d *driver) finish() {
+	for _, id := range slices.Sorted(maps.Keys(d.provisioned)) { // sorted, as float sums depend on their order
+		d.machineTerminated(id)
 	}
-	p.result.Starts = p.starts
-	p.result.Shares = SharesResult{
-		Moves: len(p.movePauses), GivenUp: p.abortedMoves, PauseP99S: p.movePauseP99().Seconds(), StoppedByMoves: p.stoppedByMoves, LostByMoves: p.lostByMoves,
+	d.result.Starts = d.starts
+	d.result.Shares = SharesResult{
+		Moves: len(d.movePauses), GivenUp: d.abortedMoves, PauseP99S: d.movePauseP99().Seconds(), StoppedByMoves: d.stoppedByMoves, LostByMoves: d.lostByMoves,
 	}
-	p.result.summarize()
+	d.result.summarize()
 }
--- a/internal/simulator/overlaps_test.go
+++ b/internal/simulator/overlaps_test.go
@@ -133,7 +133,7 @@
 		}
 		w.cancelRandomJobs(w.rng.IntN(3), 2*time.Second)
 	}
-	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, fault: fault, faultEveryStep: true, settleTime: 30 * time.Second}.playSeeds(t, 40, 700_000)
+	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, fault: fault, faultEveryStep: true, settleTime: 30 * time.Second}.runSeeds(t, 40, 700_000)
 }
 
 // TestRulesHoldWithDelayedCommands runs scenarios in which a good part of all commands,
@@ -167,7 +167,7 @@
 			}
 		}
 	}
-	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true, settleTime: 15 * time.Second}.playSeeds(t, 20, 800_000)
+	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true, settleTime: 15 * time.Second}.runSeeds(t, 20, 800_000)
 }
 
 // partitionOutage is one way in which the state service refuses a controller alone, others
@@ -179,10 +179,10 @@
 	do      func(*world, *node)
 }
 
-// play plays it on machines full of long tasks, with jobs cancelled during the time of
+// run plays it on machines full of long tasks, with jobs cancelled during the time of
 // being refused and in its last moment. It returns how many tasks of cancelled
 // jobs were on machines when their users were answered, and how long the last stayed.
-func (m partitionOutage) play(fail func(string, ...any), seed uint64, ownLease time.Duration) (on int, last time.Duration) {
+func (m partitionOutage) run(fail func(string, ...any), seed uint64, ownLease time.Duration) (on int, last time.Duration) {
 	const machines = 24
 	w := newWorld(fail, seed, fake.Settings(), machines, machines)
 	w.nodeLease = ownLease
@@ -269,7 +269,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seeds(3)) {
-				on, last := m.play(t.Fatalf, 900+seed, nodeLeaseDuration)
+				on, last := m.run(t.Fatalf, 900+seed, nodeLeaseDuration)
 				if on == 0 {
 					t.Error("no cancelled task was on a machine: nothing is shown")
 				}
@@ -291,7 +291,7 @@
 		broken = broken || strings.Contains(fmt.Sprintf(format, args...), "ran_cancelled")
 	}
 	for seed := range uint64(3) {
-		partitionOutage{refused: 3 * time.Second}.play(fail, 900+seed, time.Minute)
+		partitionOutage{refused: 3 * time.Second}.run(fail, 900+seed, time.Minute)
 	}
 	if !broken {
 		t.Error("a cancelled task stayed too long, and no rule was broken")
@@ -371,7 +371,7 @@
 				fault(w)
 				w.cancelRandomJobs(w.rng.IntN(2), time.Second)
 			}
-			scenario{machines: 9, job: fewTasks, duration: 100 * time.Second, fault: all, faultEveryStep: true, settleTime: 30 * time.Second}.playSeeds(t, 6, 900_000)
+			scenario{machines: 9, job: fewTasks, duration: 100 * time.Second, fault: all, faultEveryStep: true, settleTime: 30 * time.Second}.runSeeds(t, 6, 900_000)
 		})
 	}
 }
--- a/internal/simulator/play_test.go
+++ b/internal/simulator/reservations_test.go
@@ -37,25 +37,25 @@
 	for name, tc := range map[string]struct {
 		change func(*Site)
 		before time.Duration // how long before its time it happens
-		do     func(*player)
+		do     func(*driver)
 		never  bool // no job is expected to start
 	}{
 		"nothing happens": {},
-		"all controllers end a second before": {before: time.Second, do: func(p *player) {
+		"all controllers end a second before": {before: time.Second, do: func(p *driver) {
 			for _, n := range p.nodes {
 				n.crash()
 			}
 		}},
-		"all controllers end while it turns to holding": {before: 81 * time.Second, do: func(p *player) {
+		"all controllers end while it turns to holding": {before: 81 * time.Second, do: func(p *driver) {
 			for _, n := range p.nodes {
 				n.crash()
 			}
 		}},
-		"the controller that rents ends":                 {before: 2 * time.Minute, do: func(p *player) { p.nodes[2].crash() }},
-		"the state service is out over the moment":       {before: 10 * time.Second, do: func(p *player) { p.outageUntil = p.now + 25*time.Second }},
-		"the cloud is silent for the ten minutes before": {before: 10 * time.Minute, do: func(p *player) { p.cloudSilentUntil = p.now + 10*time.Minute }},
-		"spot machines are taken 30 s before":            {before: 30 * time.Second, do: (*player).preemptSpotMachines},
-		"a machine that is held for it is lost": {before: 20 * time.Second, do: func(p *player) {
+		"the controller that rents ends":                 {before: 2 * time.Minute, do: func(p *driver) { p.nodes[2].crash() }},
+		"the state service is out over the moment":       {before: 10 * time.Second, do: func(p *driver) { p.outageUntil = p.now + 25*time.Second }},
+		"the cloud is silent for the ten minutes before": {before: 10 * time.Minute, do: func(p *driver) { p.cloudSilentUntil = p.now + 10*time.Minute }},
+		"spot machines are taken 30 s before":            {before: 30 * time.Second, do: (*driver).preemptSpotMachines},
+		"a machine that is held for it is lost": {before: 20 * time.Second, do: func(p *driver) {
 			for _, n := range p.nodes {
 				if n.core != nil && len(n.core.Status().Holds) > 0 {
 					p.killMachine(n.core.Status().Holds[0].Machine)
@@ -68,7 +68,7 @@
 		"it has more tasks than reserved":  {change: func(s *Site) { s.Reservations[0].ExtraTasks = 6 }},
 		"a gang in one zone":               {change: func(s *Site) { s.Reservations[0].Gang, s.Reservations[0].OneZone = true, true }},
 		"no job ever comes":                {change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, never: true},
-		"it is cancelled while one is away": {never: true, change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, before: 5 * time.Minute, do: func(p *player) {
+		"it is cancelled while one is away": {never: true, change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, before: 5 * time.Minute, do: func(p *driver) {
 			p.partition("node-1", "state", 4*time.Second, false)
 			p.requestUntilDone(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one"})
 		}},
@@ -81,10 +81,10 @@
 			}
 			o := Options{For: playFor, Seed: 1}
 			if tc.do != nil {
-				o.onStart = func(p *player) { p.at(warmUpTime+due-tc.before, func() { tc.do(p) }) }
+				o.onStart = func(p *driver) { p.at(warmUpTime+due-tc.before, func() { tc.do(p) }) }
 			}
 			var state record.ReservationState
-			o.onEnd = func(p *player) {
+			o.onEnd = func(p *driver) {
 				it, _ := p.state.Get(record.ReservationKey("one"))
 				var r record.Reservation
 				if err := protocol.Decode(it.Value, &r); err != nil {
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -14,19 +14,19 @@
 // transactions, outages, lost machines and restarts in turn. Every rule is
 // checked at every step.
 func TestRulesHold(t *testing.T) {
-	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second}.playSeeds(t, 60, 0)
+	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second}.runSeeds(t, 60, 0)
 }
 
 // TestRulesHoldWithReservations plays the same with reservations and windows that
 // come, change and go at any moment, due within a minute.
 func TestRulesHoldWithReservations(t *testing.T) {
-	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, reservations: true}.playSeeds(t, 25, 400_000)
+	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, reservations: true}.runSeeds(t, 25, 400_000)
 }
 
 // TestRulesHoldAtSize runs scenarios of many machines that all register at once,
 // gangs of up to ten tasks, often in one zone, and arrays of hundreds.
 func TestRulesHoldAtSize(t *testing.T) {
-	scenario{machines: 150, job: largeJob(9, 20), duration: 80 * time.Second}.playSeeds(t, 4, 100_000)
+	scenario{machines: 150, job: largeJob(9, 20), duration: 80 * time.Second}.runSeeds(t, 4, 100_000)
 }
 
 // TestRunsAreReproducible: a scenario gives the same result each time it is run with its seed, to
@@ -38,7 +38,7 @@
 			var first []protocol.Event
 			for try := range 2 {
 				d := scenario{machines: 150, job: largeJob(9, 20), duration: 50 * time.Second}
-				log := d.play(t, 100_000+seed).state.Log
+				log := d.run(t, 100_000+seed).state.Log
 				if try == 0 {
 					first = log
 					continue
@@ -67,7 +67,7 @@
 			n.crashFor(20 * time.Second)
 		}
 	}
-	scenario{machines: requestedMachines(3000), job: largeJob(23, 500), duration: 50 * time.Second, fault: fault}.playSeeds(t, 1, 300_000)
+	scenario{machines: requestedMachines(3000), job: largeJob(23, 500), duration: 50 * time.Second, fault: fault}.runSeeds(t, 1, 300_000)
 }
 
 // TestRulesHoldForLimitedTeams runs scenarios that begin without a machine, with teams
@@ -100,7 +100,7 @@
 			w.after(d, func() { w.cloud.Capacity = machines + 6 })
 		}
 	}
-	scenario{machines: machines, job: job, duration: 150 * time.Second, startEmpty: true, teams: teams, fault: fault}.playSeeds(t, 40, 200_000)
+	scenario{machines: machines, job: job, duration: 150 * time.Second, startEmpty: true, teams: teams, fault: fault}.runSeeds(t, 40, 200_000)
 }
 
 // TestRulesHoldWithFastRestarts runs scenarios in which processes that end are back within
@@ -134,7 +134,7 @@
 			w.after(5*time.Second, func() { w.stateLatency = 0 })
 		}
 	}
-	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true}.playSeeds(t, 40, 500_000)
+	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true}.runSeeds(t, 40, 500_000)
 }
 
 // partitionSilently cuts a controller off from everything, or from one side.
@@ -183,5 +183,5 @@
 			w.after(still/2, func() { next.pausedUntil = max(next.pausedUntil, w.now+still) })
 		}
 	}
-	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, fault: fault}.playSeeds(t, 40, 600_000)
+	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, fault: fault}.runSeeds(t, 40, 600_000)
 }
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -28,9 +28,9 @@
 	settleTime     time.Duration // for which the last faults may last
 }
 
-// play runs a scenario of faults; when all is well again, every job must come to
+// run runs a scenario of faults; when all is well again, every job must come to
 // its end.
-func (d scenario) play(t *testing.T, seed int) *world {
+func (d scenario) run(t *testing.T, seed int) *world {
 	t.Helper()
 	settings, up := fake.Settings(), d.machines
 	if d.teams != nil {
@@ -111,13 +111,13 @@
 	return w
 }
 
-// playSeeds runs a scenario with so many seeds, from the first on.
-func (d scenario) playSeeds(t *testing.T, usual, first int) {
+// runSeeds runs a scenario with so many seeds, from the first on.
+func (d scenario) runSeeds(t *testing.T, usual, first int) {
 	t.Helper()
 	for seed := range seeds(usual) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d.play(t, first+seed)
+			d.run(t, first+seed)
 		})
 	}
 }
--- a/internal/simulator/schedule.go
+++ b/internal/simulator/schedule.go
@@ -26,70 +26,70 @@
 )
 
 // at does something at a time of the simulation, unless it has passed.
-func (p *player) at(t time.Duration, do func()) {
-	if t > p.now {
-		p.after(t-p.now, do)
+func (d *driver) at(t time.Duration, do func()) {
+	if t > d.now {
+		d.after(t-d.now, do)
 	}
 }
 
 // scheduleAll schedules the load, the operators' requests, the reservations and the
 // faults. The order determines the random draws and that of events of the same time.
-func (p *player) scheduleAll() {
-	for i := range p.site.Load {
-		p.scheduleArrival(&p.site.Load[i])
+func (d *driver) scheduleAll() {
+	for i := range d.site.Load {
+		d.scheduleArrival(&d.site.Load[i])
 	}
-	p.at(operatorDelay, func() { p.requestAll() })
-	for i := range p.site.Windows {
-		x := &p.site.Windows[i]
+	d.at(operatorDelay, func() { d.requestAll() })
+	for i := range d.site.Windows {
+		x := &d.site.Windows[i]
 		if w, err := reservation.ParseWhen(x.When); err == nil { // otherwise its request is rejected
-			p.windows = append(p.windows, openWindow{x.spec(), w})
+			d.windows = append(d.windows, openWindow{x.spec(), w})
 		}
 	}
-	for i := range p.site.Reservations {
-		p.scheduleReservation(&p.site.Reservations[i])
+	for i := range d.site.Reservations {
+		d.scheduleReservation(&d.site.Reservations[i])
 	}
-	slices.Sort(p.reservationTimes)
-	p.scheduleFaults()
+	slices.Sort(d.reservationTimes)
+	d.scheduleFaults()
 }
 
 // scheduleReservation schedules the jobs of a reservation.
-func (p *player) scheduleReservation(r *Reservation) {
+func (d *driver) scheduleReservation(r *Reservation) {
 	when, err := reservation.ParseWhen(r.When)
 	if err != nil {
 		return // its request is rejected
 	}
-	from := reservation.Moment(p.site.Start.UnixMilli())
-	for _, moment := range when.Occurrences(from, reservation.After(from, p.opts.For)) {
+	from := reservation.Moment(d.site.Start.UnixMilli())
+	for _, moment := range when.Occurrences(from, reservation.After(from, d.opts.For)) {
 		at := warmUpTime + reservation.Between(from, moment)
 		o := &Occurrence{Name: r.Name, Start: time.UnixMilli(int64(moment)).UTC(), Tasks: r.Tasks}
-		p.result.Occurrences = append(p.result.Occurrences, o)
-		p.reservationTimes = append(p.reservationTimes, at)
+		d.result.Occurrences = append(d.result.Occurrences, o)
+		d.reservationTimes = append(d.reservationTimes, at)
 		if !r.NeverSubmitted {
-			p.at(at+config.Seconds(r.SubmitAfterS), func() { p.submitReserved(r, o) })
+			d.at(at+config.Seconds(r.SubmitAfterS), func() { d.submitReserved(r, o) })
 		}
-		p.at(at+time.Second, func() { p.queryOccurrence(o) })
+		d.at(at+time.Second, func() { d.queryOccurrence(o) })
 	}
 }
 
 // scheduleArrival schedules the next job of a load.
-func (p *player) scheduleArrival(l *Load) {
-	p.after(config.Seconds(p.rng.ExpFloat64()*l.EveryS), func() {
-		tasks := 1 + int(p.rng.ExpFloat64()*float64(l.Tasks-1)+0.5)
-		p.submitUntilAccepted(protocol.Job{
+func (d *driver) scheduleArrival(l *Load) {
+	d.after(config.Seconds(d.rng.ExpFloat64()*l.EveryS), func() {
+		tasks := 1 + int(d.rng.ExpFloat64()*float64(l.Tasks-1)+0.5)
+		d.submitUntilAccepted(protocol.Job{
 			Class: l.Class, Team: l.Team, Kind: protocol.KindJobArray, Priority: l.Priority, Tasks: uint32(min(tasks, maxTasksFactor*l.Tasks)),
 			CPUs: l.CPUs, EstimateS: l.EstimateS, CheckpointS: l.CheckpointS, SaveS: l.SaveS, Spot: l.Spot,
 		}, jobState{factor: l.Factor})
-		p.scheduleArrival(l)
+		d.scheduleArrival(l)
 	})
 }
 
 // submitReserved submits the job of a reservation.
-func (p *player) submitReserved(r *Reservation, o *Occurrence) {
+func (d *driver) submitReserved(r *Reservation, o *Occurrence) {
 	kind := protocol.KindJobArray
 	if r.Gang {
 		kind = protocol.KindGang
 	}
-	p.submitUntilAccepted(protocol.Job{
+	d.submitUntilAccepted(protocol.Job{
 		Class: r.Class, Team: r.Team, Kind: kind, Priority: r.Priority, Tasks: uint32(r.Tasks + r.ExtraTasks),
 		CPUs: r.CPUs, EstimateS: r.LengthS, OneZone: r.OneZone, Zone: r.Zone,
 	}, jobState{factor: reservedRunTimeFactor, occurrence: o, reserved: r.Tasks})
@@ -97,49 +97,49 @@
 
 // submitUntilAccepted submits a job until it is accepted. State has what is known of it
 // beforehand.
-func (p *player) submitUntilAccepted(j protocol.Job, state jobState) {
-	state.submitted, state.tasks, state.estimateS, state.started = p.now, int(j.Tasks), j.EstimateS, map[uint32]bool{}
+func (d *driver) submitUntilAccepted(j protocol.Job, state jobState) {
+	state.submitted, state.tasks, state.estimateS, state.started = d.now, int(j.Tasks), j.EstimateS, map[uint32]bool{}
 	var try func()
 	try = func() {
-		before := len(p.jobOrder)
-		p.submit(j)
-		if len(p.jobOrder) == before {
-			p.after(submitRetryDelay, try)
+		before := len(d.jobOrder)
+		d.submit(j)
+		if len(d.jobOrder) == before {
+			d.after(submitRetryDelay, try)
 			return
 		}
-		state.class = p.result.class(j.Class)
+		state.class = d.result.class(j.Class)
 		state.class.Jobs++
-		p.jobState[p.jobOrder[before]] = &state
+		d.jobState[d.jobOrder[before]] = &state
 	}
 	try()
 }
 
 // requestAll makes the requests for all windows and reservations, as operators do.
-func (p *player) requestAll() {
-	for i := range p.site.Windows {
-		x := &p.site.Windows[i]
-		p.requestUntilDone(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "window " + string(x.Name), Spec: x.spec()})
+func (d *driver) requestAll() {
+	for i := range d.site.Windows {
+		x := &d.site.Windows[i]
+		d.requestUntilDone(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "window " + string(x.Name), Spec: x.spec()})
 	}
-	if p.opts.Without {
+	if d.opts.Without {
 		return
 	}
-	for i := range p.site.Reservations {
-		r := &p.site.Reservations[i]
-		p.requestUntilDone(operatorapi.Request{Op: operatorapi.OpAdd, ID: "reservation " + string(r.Name), Reservation: r.spec()})
+	for i := range d.site.Reservations {
+		r := &d.site.Reservations[i]
+		d.requestUntilDone(operatorapi.Request{Op: operatorapi.OpAdd, ID: "reservation " + string(r.Name), Reservation: r.spec()})
 	}
 }
 
 // requestUntilDone sends a request to controllers until it is done or rejected.
-func (p *player) requestUntilDone(r operatorapi.Request) {
-	n := p.nodes[p.rng.IntN(3)]
-	retry := func() { p.after(requestRetryDelay, func() { p.requestUntilDone(r) }) }
+func (d *driver) requestUntilDone(r operatorapi.Request) {
+	n := d.nodes[d.rng.IntN(3)]
+	retry := func() { d.after(requestRetryDelay, func() { d.requestUntilDone(r) }) }
 	if n.core == nil || !n.stateReachable() {
 		retry()
 		return
 	}
 	reply, txn := n.core.Decide(simulatorOperator, &r)
 	switch {
-	case reply.Code == operatorapi.Later, txn != nil && !p.state.Txn(*txn):
+	case reply.Code == operatorapi.Later, txn != nil && !d.state.Txn(*txn):
 		retry()
 	case reply.Code != operatorapi.Done:
 		name := r.Name
@@ -148,13 +148,13 @@
 		} else if r.Spec != nil {
 			name = r.Spec.Name
 		}
-		p.result.Refused = append(p.result.Refused, Refusal{Name: name, Reason: reply.Reason, InTheWay: reply.InTheWay})
+		d.result.Refused = append(d.result.Refused, Refusal{Name: name, Reason: reply.Reason, InTheWay: reply.InTheWay})
 	}
 }
 
 // queryOccurrence records what is known of an occurrence at its time.
-func (p *player) queryOccurrence(o *Occurrence) {
-	for _, n := range p.nodes {
+func (d *driver) queryOccurrence(o *Occurrence) {
+	for _, n := range d.nodes {
 		if n.core == nil || n.session == 0 {
 			continue
 		}
--- a/internal/simulator/shards.go
+++ b/internal/simulator/shards.go
@@ -137,24 +137,24 @@
 }
 
 // taskEnded records how a task ended.
-func (p *player) taskEnded(id protocol.MachineID, t protocol.TaskID, cause protocol.EndCause) {
-	table, ok := p.shardTable()
-	m := p.workers[id]
+func (d *driver) taskEnded(id protocol.MachineID, t protocol.TaskID, cause protocol.EndCause) {
+	table, ok := d.shardTable()
+	m := d.workers[id]
 	if !ok || m == nil {
 		return
 	}
-	at, moved := p.movedAt[sharding.Of(&table, id, m.Zone)]
-	p.taskEndings[t] = taskEnding{cause, moved && p.now-at < moveAftermath}
+	at, moved := d.movedAt[sharding.Of(&table, id, m.Zone)]
+	d.taskEndings[t] = taskEnding{cause, moved && d.now-at < moveAftermath}
 }
 
 // countRestart counts a task that starts once more after a move, which may merely coincide
 // with it.
-func (p *player) countRestart(t protocol.TaskID) {
-	switch ending := p.taskEndings[t]; {
+func (d *driver) countRestart(t protocol.TaskID) {
+	switch ending := d.taskEndings[t]; {
 	case !ending.afterMove:
 	case ending.cause == protocol.EndDone:
-		p.lostByMoves++
+		d.lostByMoves++
 	default:
-		p.stoppedByMoves++
+		d.stoppedByMoves++
 	}
 }
--- a/internal/simulator/shards_test.go
+++ b/internal/simulator/shards_test.go
@@ -394,5 +394,5 @@
 			}
 		})
 	}
-	scenario{machines: 12, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true}.playSeeds(t, 60, 500_000)
+	scenario{machines: 12, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true}.runSeeds(t, 60, 500_000)
 }
--- a/internal/simulator/usercheckfaults_test.go
+++ b/internal/simulator/usercheckfaults_test.go
@@ -103,7 +103,7 @@
 						seen = append(seen, what)
 					}
 				}
-				d.play(t, 1_400_000+seed)
+				d.run(t, 1_400_000+seed)
 			}
 			if len(seen) == 0 {
 				t.Errorf("nobody has seen %q", injected.want)
--- a/internal/simulator/userhandover_test.go
+++ b/internal/simulator/userhandover_test.go
@@ -74,7 +74,7 @@
 // nothing but their states behind.
 func TestSmallJobsStayWithinRates(t *testing.T) {
 	d := userScenario{machines: 9, duration: 120 * time.Second, job: smallJob, every: time.Second / 4, cancels: 0.25, prepare: func(u *users) { u.wellFormed = true }}
-	u := d.play(t, 1_300_000)
+	u := d.run(t, 1_300_000)
 	most, from := 0, 0
 	for at := range u.changeTimes {
 		for u.changeTimes[at]-u.changeTimes[from] > time.Second {
--- a/internal/simulator/useroverlaps_test.go
+++ b/internal/simulator/useroverlaps_test.go
@@ -320,6 +320,6 @@
 // its question.
 func TestUsersInEachOverlap(t *testing.T) {
 	for name, d := range userOverlaps() {
-		t.Run(name, func(t *testing.T) { d.playSeeds(t, 5, 1_200_000) })
+		t.Run(name, func(t *testing.T) { d.runSeeds(t, 5, 1_200_000) })
 	}
 }
--- a/internal/simulator/userscenario_test.go
+++ b/internal/simulator/userscenario_test.go
@@ -32,7 +32,7 @@
 // leftWaiting is how long a job may wait, once all is well, beside a machine that fits.
 const leftWaiting = 90 * time.Second
 
-func (d userScenario) play(t *testing.T, seed int) *users {
+func (d userScenario) run(t *testing.T, seed int) *users {
 	t.Helper()
 	fail := d.fail
 	if fail == nil {
@@ -183,14 +183,14 @@
 	}
 }
 
-// playSeeds runs a scenario with so many seeds. No start may be sent after a confirmed
+// runSeeds runs a scenario with so many seeds. No start may be sent after a confirmed
 // cancellation by a controller that the others can reach.
-func (d userScenario) playSeeds(t *testing.T, usual, first int) {
+func (d userScenario) runSeeds(t *testing.T, usual, first int) {
 	t.Helper()
 	for seed := range seeds(usual) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			if u := d.play(t, first+seed); u.startsAfter > u.startsByPartitioned {
+			if u := d.run(t, first+seed); u.startsAfter > u.startsByPartitioned {
 				t.Errorf("%d starts were sent after a confirmed cancellation, %d of these by one cut off", u.startsAfter, u.startsByPartitioned)
 			}
 		})
@@ -205,7 +205,7 @@
 		machines: 9, duration: 60 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4,
 		prepare: func(u *users) { u.requestOften, u.cancelAtEndFraction = true, 0.5 },
 	}
-	d.playSeeds(t, 6, 1_000_000)
+	d.runSeeds(t, 6, 1_000_000)
 }
 
 // TestUsersWithFaults: the same while the faults of the other generated scenarios
@@ -226,5 +226,5 @@
 	userScenario{
 		machines: 9, duration: 120 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4, after: 30 * time.Second,
 		prepare: func(u *users) { u.requestOften, u.cancelAtEndFraction = true, 0.2 }, fault: fault,
-	}.playSeeds(t, 20, 1_100_000)
+	}.runSeeds(t, 20, 1_100_000)
 }
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -83,7 +83,7 @@
 	abortedMoves       int
 }
 
-// hooks are called by a world for what its user decides or wants to know.
+// hooks are called by a world for what the driver or a test decides or observes.
 type hooks struct {
 	runTime       func(protocol.TaskID) time.Duration
 	bootTime      func(protocol.ProvisionRequest) time.Duration
