--- a/internal/simulator/frontends_test.go
+++ b/internal/simulator/frontend_test.go
@@ -12,12 +12,12 @@
 
 // frontend plays the actor around a controller's intake, as coordination.Node does.
 type frontend struct {
-	u       *users
-	n       *simNode
-	life    int // of the process that it belongs to
-	in      *admission.Admission
-	lastID  admission.RequestID
-	replies map[admission.RequestID]func(admission.Answer)
+	u           *users
+	n           *node
+	incarnation int // of the process that it belongs to
+	in          *admission.Admission
+	lastID      admission.RequestID
+	replies     map[admission.RequestID]func(admission.Answer)
 }
 
 // begin makes the intake of a process that has begun, and says whether one is there.
@@ -26,21 +26,21 @@
 	if f.n.core == nil {
 		return false
 	}
-	if f.in != nil && f.life == f.n.life {
+	if f.in != nil && f.incarnation == f.n.incarnation {
 		return true
 	}
-	f.life, f.in, f.replies = f.n.life, admission.New(w.settingsOf(f.n), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
+	f.incarnation, f.in, f.replies = f.n.incarnation, admission.New(f.n.settings(), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
 	f.step(admission.Configured{Effective: f.n.core.ConfigurationInForce()})
 	if w.now > 0 { // some time passes before it knows the machine types
-		w.alive(f.n, time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
+		f.n.afterIfAlive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
 	} else {
 		f.step(admission.TypesRead{Types: w.types})
 	}
 	return true
 }
 
-// ask gives the process a request; nobody answers if there is none.
-func (f *frontend) ask(a admission.Request, reply func(admission.Answer)) {
+// requestUntilDone gives the process a request; nobody answers if there is none.
+func (f *frontend) request(a admission.Request, reply func(admission.Answer)) {
 	if !f.begin() {
 		return
 	}
@@ -50,33 +50,33 @@
 	f.step(a)
 }
 
-// step has the process handle a message, when it goes on if it stands still.
+// step has the process handle a message, when it goes on if it is paused.
 func (f *frontend) step(msg any) {
 	w := f.u.world
 	if !f.begin() {
 		return
 	}
-	if w.now < f.n.frozen {
-		w.alive(f.n, f.n.frozen-w.now, func() { f.step(msg) })
+	if w.now < f.n.pausedUntil {
+		f.n.afterIfAlive(f.n.pausedUntil-w.now, func() { f.step(msg) })
 		return
 	}
-	for _, a := range f.in.Step(w.clock(f.n), msg) {
-		f.carryOut(a)
+	for _, a := range f.in.Step(f.n.clock(), msg) {
+		f.execute(a)
 	}
 }
 
-// later gives the process a message after a while, unless it has ended by then.
-func (f *frontend) later(d time.Duration, msg any) {
-	f.u.alive(f.n, d, func() { f.step(msg) })
+// deliver gives the process a message after a while, unless it has ended by then.
+func (f *frontend) deliver(d time.Duration, msg any) {
+	f.n.afterIfAlive(d, func() { f.step(msg) })
 }
 
-func (f *frontend) carryOut(a admission.Action) {
+func (f *frontend) execute(a admission.Action) {
 	w := f.u.world
 	switch a := a.(type) {
 	case admission.Reply:
 		reply := f.replies[a.ID]
 		delete(f.replies, a.ID)
-		f.u.sent(a.Answer)
+		f.u.recordAnswer(a.Answer)
 		w.after(w.delay(), func() { reply(a.Answer) })
 	case admission.Get:
 		f.read(func() any {
@@ -101,48 +101,48 @@
 			return c
 		}, func(out message.Outcome) any { return admission.Compared{Look: a.Look, Outcome: out} })
 	case admission.Write:
-		w.transact(f.n, a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
+		f.n.transact(a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
 	case admission.QueryOwners:
 		f.step(f.n.core.AnswerOwnerQuery(a))
 	case admission.PassOn:
 		p := f.u.front(a.To)
-		w.carry(string(f.n.name), string(a.To), func() {
-			p.ask(admission.Request{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
-				w.carry(string(a.To), string(f.n.name), func() { f.later(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
+		w.send(string(f.n.name), string(a.To), func() {
+			p.request(admission.Request{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
+				w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
 			})
 		})
 	case admission.Announce:
 		f.u.halt(f, a)
 	case admission.Wake:
-		f.later(time.Duration(a.At-w.clock(f.n)), admission.Tick{})
+		f.deliver(time.Duration(a.At-f.n.clock()), admission.Tick{})
 	}
 }
 
-// read asks the state service something that changes nothing.
+// read reads from the state service.
 func (f *frontend) read(answer func() any, without func(message.Outcome) any) {
 	w := f.u.world
 	switch {
-	case w.outage <= w.now && !w.stateReachable(f.n) && w.cuts[string(f.n.name)+">state"].hold:
-		f.later(1500*time.Millisecond, without(message.OutcomeUnknown))
-	case !w.stateReachable(f.n):
-		f.later(w.delay(), without(message.OutcomeRefused))
+	case w.outageUntil <= w.now && !f.n.stateReachable() && w.partitions[string(f.n.name)+">state"].delayed:
+		f.deliver(1500*time.Millisecond, without(message.OutcomeUnknown))
+	case !f.n.stateReachable():
+		f.deliver(w.delay(), without(message.OutcomeRefused))
 	default:
-		w.alive(f.n, w.delay()+w.slow/2, func() {
+		f.n.afterIfAlive(w.delay()+w.stateLatency/2, func() {
 			got := answer()
 			if w.rng.IntN(30) == 0 {
-				f.later(1500*time.Millisecond, without(message.OutcomeUnknown))
+				f.deliver(1500*time.Millisecond, without(message.OutcomeUnknown))
 				return
 			}
-			f.later(w.delay()+w.slow/2, got)
+			f.deliver(w.delay()+w.stateLatency/2, got)
 		})
 	}
 }
 
-// halt tells a controller's core that a job is cancelled.
+// halt notifies a controller's core that a job is cancelled.
 func (u *users) halt(f *frontend, a admission.Announce) {
 	w := u.world
-	if u.unheard {
-		f.later(0, admission.Announced{Job: a.Job, By: a.To})
+	if u.dropCancellations {
+		f.deliver(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
 	to := u.front(a.To).n
@@ -150,17 +150,17 @@
 		if to.core == nil {
 			return
 		}
-		w.alive(to, max(0, to.frozen-w.now), func() {
-			w.stepNode(to, message.JobCancelled{Job: a.Job})
-			w.carry(string(a.To), string(f.n.name), func() { f.later(0, admission.Announced{Job: a.Job, By: a.To}) })
+		to.afterIfAlive(max(0, to.pausedUntil-w.now), func() {
+			to.step(message.JobCancelled{Job: a.Job})
+			w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.Announced{Job: a.Job, By: a.To}) })
 		})
 	}
 	if to == f.n {
-		w.stepNode(to, message.JobCancelled{Job: a.Job})
-		f.later(0, admission.Announced{Job: a.Job, By: a.To})
+		to.step(message.JobCancelled{Job: a.Job})
+		f.deliver(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
-	w.carry(string(f.n.name), string(a.To), heard)
+	w.send(string(f.n.name), string(a.To), heard)
 }
 
 func (u *users) front(name protocol.NodeName) *frontend {
--- /dev/null
+++ b/internal/simulator/shards_test.go
@@ -0,0 +1,398 @@
+package simulator
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"damsonkeel/internal/fake"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// newShardedWorld returns a world of machines that are all up, registered and busy, held by
+// shards.
+func newShardedWorld(t *testing.T, seed uint64, controllers, machines int) *world {
+	t.Helper()
+	s := fake.Settings()
+	s.Site.Count = controllers
+	w := newWorld(t.Fatalf, seed, s, machines, machines)
+	w.run(3 * time.Second)
+	for range 8 {
+		w.submit(busyJob(w, machines))
+		w.run(w.now + 500*time.Millisecond)
+	}
+	if n := w.registered(); n < machines*9/10 {
+		t.Fatalf("%d of %d machines kept after %v", n, machines, w.now)
+	}
+	return w
+}
+
+// busyJob is an array that fills a third of the machines, now and then a gang, all
+// of one priority: nothing is stopped for anything else.
+func busyJob(w *world, machines int) protocol.Job {
+	j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(machines/3 + w.rng.IntN(10)), CPUs: 2, EstimateS: 5, Spot: true}
+	if w.rng.IntN(4) == 0 {
+		j.Class, j.Kind, j.Tasks, j.CPUs, j.Priority = "gang", protocol.KindGang, uint32(2+w.rng.IntN(5)), 4, "standard"
+	}
+	return j
+}
+
+// runningTasks is how many tasks have been accepted.
+func (w *world) runningTasks() (n int) {
+	for _, j := range w.jobs {
+		n += int(j.Tasks)
+	}
+	return n
+}
+
+// shardsByNode returns how many shards each controller holds by the records.
+func (w *world) shardsByNode() map[protocol.NodeName]int {
+	by := map[protocol.NodeName]int{}
+	for _, n := range w.nodes {
+		if k := len(n.shards()); k > 0 {
+			by[n.name] = k
+		}
+	}
+	return by
+}
+
+// runWithLoad submits a job a second for a while.
+func (w *world) runWithLoad(d time.Duration) {
+	for end := w.now + d; w.now < end; {
+		w.submit(busyJob(w, len(w.machineOrder)))
+		w.run(w.now + time.Second)
+	}
+}
+
+// TestShardMovesDisruptNothing: a third of a busy fleet's shards, then all of one
+// controller's, then one shard back and forth, move while jobs run. Nothing is
+// stopped, started twice or lost by that, no lease runs out, and moves take no
+// longer than stated.
+func TestShardMovesDisruptNothing(t *testing.T) {
+	t.Parallel()
+	w := newShardedWorld(t, 11, 3, 300)
+	epoch := w.tokens()
+	for i := range 3 {
+		from, to := w.nodes[i], w.nodes[(i+1)%3]
+		if ids := from.shards(); !w.moveShards(ids[:len(ids)/2], to) {
+			t.Fatal("nobody takes the request")
+		}
+		w.runWithLoad(4 * time.Second)
+	}
+	one := w.nodes[0].shards()[:1]
+	for i := range 60 {
+		w.moveShards(one, w.nodes[i%3])
+		w.submit(busyJob(w, 100))
+		w.run(w.now + 700*time.Millisecond)
+	}
+	moved := 0
+	for id, e := range w.tokens() {
+		if e < epoch[id] {
+			t.Errorf("the epoch of share %d fell from %d to %d", id, epoch[id], e)
+		}
+		if e > epoch[id] {
+			moved++
+		}
+	}
+	if moved < 16 {
+		t.Errorf("%d shares moved", moved)
+	}
+	w.expectAllFinished(t, 120*time.Second)
+	if w.expiredLeases > 0 || w.starts != w.runningTasks() {
+		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.runningTasks())
+	}
+	w.expectTerm(t, 1)
+	if p := w.movePauseP99(); len(w.movePauses) < moved || p > 500*time.Millisecond {
+		t.Errorf("%d moves, which pause starts for %v at the 99th percentile", len(w.movePauses), p)
+	}
+}
+
+// TestThirdOfShardsMove: a third of the shards of 1,300 machines full of work moves
+// at once. No task is stopped, started again or lost, no move is given up, and no
+// other shard or the term changes.
+func TestThirdOfShardsMove(t *testing.T) {
+	t.Parallel()
+	w := newWorld(t.Fatalf, 18, fake.Settings(), 1300, 1300)
+	w.run(3 * time.Second)
+	for range 12 {
+		w.submit(busyJob(w, 2600))
+		w.run(w.now + 500*time.Millisecond)
+	}
+	before, _ := w.shardTable()
+	asked := map[int]bool{}
+	for i, n := range w.nodes {
+		ids := n.shards()
+		ids = ids[:(len(ids)+2)/3]
+		for _, id := range ids {
+			asked[id] = true
+		}
+		w.moveShards(ids, w.nodes[(i+1)%3])
+	}
+	w.run(w.now + 4*time.Second)
+	after, _ := w.shardTable()
+	for i, st := range after.List {
+		if moved := st != before.List[i]; moved != asked[i] {
+			t.Errorf("share %d moved %v, asked for %v", i, moved, asked[i])
+		}
+	}
+	w.expectAllFinished(t, 200*time.Second)
+	if p := w.movePauseP99(); len(asked) < 20 || w.abortedMoves > 0 || p > 500*time.Millisecond || w.expiredLeases > 0 || w.starts != w.runningTasks() {
+		t.Errorf("%d moves, %d given up, pause %v at the 99th percentile; %d starts for %d tasks, %d leases out", len(asked), w.abortedMoves, p, w.starts, w.runningTasks(), w.expiredLeases)
+	}
+	w.expectTerm(t, 1)
+}
+
+// tokens are the epochs of the shards.
+func (w *world) tokens() (epochs []protocol.Term) {
+	s, _ := w.shardTable()
+	for _, st := range s.List {
+		epochs = append(epochs, st.Epoch)
+	}
+	return epochs
+}
+
+// expectTerm reports an error if the term has changed.
+func (w *world) expectTerm(t *testing.T, term protocol.Term) {
+	t.Helper()
+	for _, n := range w.nodes {
+		if n.core != nil && n.core.Status().Term != term {
+			t.Errorf("%s is in term %d, want %d", n.name, n.core.Status().Term, term)
+		}
+	}
+}
+
+// TestRollingShutdown: all controllers are shut down, one after the other. Each hands
+// over everything first; no task is stopped, started again or lost by it.
+func TestRollingShutdown(t *testing.T) {
+	t.Parallel()
+	w := newShardedWorld(t, 12, 3, 300)
+	for _, n := range w.nodes {
+		n.shutDown()
+		w.runWithLoad(6 * time.Second)
+		if n.core != nil && n.core.Status().Queues > 0 {
+			t.Fatalf("%s keeps %d machines though it was told to end", n.name, n.core.Status().Queues)
+		}
+		w.runWithLoad(12 * time.Second)
+	}
+	w.run(w.now + 20*time.Second)
+	if by := w.shardsByNode(); len(by) != 3 {
+		t.Errorf("shares are kept by %v", by)
+	}
+	w.expectAllFinished(t, 120*time.Second)
+	if w.expiredLeases > 0 || w.starts != w.runningTasks() {
+		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.runningTasks())
+	}
+}
+
+// TestOneCrashLeavesOtherShardsAlone: a controller crashes. The shards of the others
+// notice nothing: their holders, epochs and fencing tokens stay.
+func TestOneCrashLeavesOtherShardsAlone(t *testing.T) {
+	t.Parallel()
+	w := newShardedWorld(t, 13, 3, 300)
+	before, _ := w.shardTable()
+	gone := w.nodes[1]
+	session := gone.session
+	gone.crashFor(40 * time.Second)
+	w.runWithLoad(20 * time.Second)
+	after, _ := w.shardTable()
+	moved := 0
+	for i, st := range before.List {
+		switch {
+		case st.Holder == session && after.List[i].Holder == session:
+			t.Errorf("share %d has no keeper", i)
+		case st.Holder == session:
+			moved++
+		case st.Holder != after.List[i].Holder || st.Since != after.List[i].Since:
+			t.Errorf("share %d of one that stayed: %+v, was %+v", i, after.List[i], st)
+		}
+	}
+	if by := w.shardsByNode(); moved == 0 || len(by) != 2 || by["node-0"] > 2*by["node-2"] || by["node-2"] > 2*by["node-0"] {
+		t.Errorf("%d shares taken over, kept by %v", moved, by)
+	}
+	w.runWithLoad(40 * time.Second)
+	if by := w.shardsByNode(); len(by) != 3 {
+		t.Errorf("shares are kept by %v after it came back", by)
+	}
+	w.expectAllFinished(t, 120*time.Second)
+}
+
+// TestCrashAtEachStepOfShardMove: source, target, both or all controllers crash at each step of a
+// move, some milliseconds apart.
+func TestCrashAtEachStepOfShardMove(t *testing.T) {
+	for name, who := range map[string][]int{"source": {0}, "target": {1}, "both": {0, 1}, "all": {0, 1, 2}} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for at := 5 * time.Millisecond; at < 320*time.Millisecond; at += 15 * time.Millisecond {
+				w := newShardedWorld(t, uint64(at), 3, 40)
+				ids := w.nodes[0].shards()
+				w.moveShards(ids[:min(len(ids), 8)], w.nodes[1])
+				w.after(at, func() {
+					for _, i := range who {
+						w.nodes[i].crash()
+					}
+				})
+				w.runWithLoad(4 * time.Second)
+				w.expectAllFinished(t, 150*time.Second)
+			}
+		})
+	}
+}
+
+// TestShardMoveDuringFaults: a move meets each other failure that it must tolerate, at each
+// of some moments; everything goes on and ends.
+func TestShardMoveDuringFaults(t *testing.T) {
+	for name, fault := range map[string]func(w *world, source, target *node){
+		"the target's transaction is lost":          func(w *world, _, b *node) { w.partition(string(b.name), "state", 5*time.Second, false) },
+		"the target's transaction is late":          func(w *world, _, b *node) { w.partition(string(b.name), "state", 5*time.Second, true) },
+		"the source hears nothing of the records":   func(w *world, a, _ *node) { w.partition(string(a.name), "state", 5*time.Second, true) },
+		"the state service is out":                  func(w *world, _, _ *node) { w.outageUntil = w.now + 12*time.Second },
+		"source and target can't reach one another": func(w *world, a, b *node) { w.partition(string(a.name), string(b.name), 6*time.Second, true) },
+		"the source stands still for 40 s":          func(w *world, a, _ *node) { a.pausedUntil = w.now + 40*time.Second },
+		"the target stands still for 40 s":          func(w *world, _, b *node) { b.pausedUntil = w.now + 40*time.Second },
+		"workers' reports to the source are held back": func(w *world, a, _ *node) {
+			w.partition(string(a.name), "workers", 9*time.Second, true)
+		},
+		"jobs are cancelled": func(w *world, _, _ *node) {
+			for _, id := range w.jobOrder {
+				if w.finalState[id] == "" {
+					w.cancel(id)
+				}
+			}
+		},
+		"machines are lost": func(w *world, _, _ *node) {
+			for _, id := range w.machineOrder[:5] {
+				w.killMachine(id)
+			}
+		},
+		"workers begin new sessions": func(w *world, _, _ *node) {
+			for _, id := range w.machineOrder[5:12] {
+				w.workers[id].Restart(w.now)
+			}
+		},
+		"the record of the shares is lost": func(w *world, _, _ *node) {
+			w.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Delete: record.ShardTableKey}}})
+		},
+		"a third controller ends": func(w *world, _, _ *node) { w.nodes[2].crash() },
+		"the move goes back":      func(w *world, a, b *node) { w.moveShards(b.shards(), a) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for _, at := range []time.Duration{1, 40, 75, 110, 160, 230} {
+				w := newShardedWorld(t, 100+uint64(at), 3, 40)
+				a, b := w.nodes[0], w.nodes[1]
+				w.moveShards(a.shards(), b)
+				w.after(at*time.Millisecond, func() { fault(w, a, b) })
+				w.runWithLoad(4 * time.Second)
+				w.run(w.now + 45*time.Second)
+				w.expectAllFinished(t, 150*time.Second)
+			}
+		})
+	}
+}
+
+// TestGangDuringShardMoves: a gang whose machines are of several shards of which
+// most move while it waits and runs is neither split nor started again, and a team
+// at its limit stays within it.
+func TestGangDuringShardMoves(t *testing.T) {
+	for _, seed := range []uint64{14, 41, 42} { // with the last two, all that a gang lacks is refused for a while
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { gangOverMovingShares(t, seed) })
+	}
+}
+
+func gangOverMovingShares(t *testing.T, seed uint64) {
+	t.Helper()
+	t.Parallel()
+	w := newShardedWorld(t, seed, 3, 60)
+	w.expectAllFinished(t, 60*time.Second)
+	starts, tasks := w.starts, w.runningTasks()
+	for range 3 {
+		w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 9, CPUs: 4, EstimateS: 5, Spot: true})
+		w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true})
+		for i := range 12 {
+			w.run(w.now + 250*time.Millisecond)
+			w.moveRandomShards(12)
+			w.moveShards(w.nodes[i%3].shards(), w.nodes[(i+1)%3])
+		}
+	}
+	w.expectAllFinished(t, 240*time.Second) // a team at its limit takes long
+	if again := w.starts - starts - (w.runningTasks() - tasks); again != 0 {
+		t.Errorf("%d tasks started again", again)
+	}
+}
+
+// TestFiveControllersAndOne: five controllers share the machines evenly and go on when two crash;
+// one alone holds all.
+func TestFiveControllersAndOne(t *testing.T) {
+	t.Parallel()
+	w := newShardedWorld(t, 15, 5, 200)
+	w.run(w.now + 20*time.Second)
+	if by := w.shardsByNode(); len(by) != 5 {
+		t.Errorf("shares are kept by %v", by)
+	}
+	w.nodes[1].crashFor(30 * time.Second)
+	w.nodes[3].crashFor(30 * time.Second)
+	w.runWithLoad(20 * time.Second)
+	if by := w.shardsByNode(); len(by) != 3 {
+		t.Errorf("shares are kept by %v without two", by)
+	}
+	w.expectAllFinished(t, 150*time.Second)
+
+	w = newShardedWorld(t, 16, 1, 30)
+	w.nodes[0].shutDown() // to nobody
+	w.runWithLoad(3 * time.Second)
+	w.run(w.now + 30*time.Second)
+	w.expectAllFinished(t, 150*time.Second)
+}
+
+// TestRollingUpgrade: controllers of a version that knows no shards are
+// replaced one after the other; after two of three one goes back, and the roll is
+// done again. Shares begin with the last, and fencing tokens only rise.
+func TestRollingUpgrade(t *testing.T) {
+	t.Parallel()
+	s := fake.Settings()
+	w := newWorld(t.Fatalf, 17, s, 60, 60)
+	for _, n := range w.nodes {
+		n.layout = record.LayoutBlocks
+	}
+	w.run(3 * time.Second)
+	w.runWithLoad(5 * time.Second)
+	w.layout = record.LayoutShards
+	for i, n := range w.nodes[:2] {
+		n.crash()
+		w.runWithLoad(15 * time.Second)
+		if _, there := w.shardTable(); there {
+			t.Fatalf("shares with %d of 3 controllers that know them", i+1)
+		}
+	}
+	w.layout = record.LayoutBlocks // back
+	w.nodes[0].crash()
+	w.runWithLoad(15 * time.Second)
+	w.layout = record.LayoutShards
+	for _, n := range w.nodes {
+		n.crash()
+		w.runWithLoad(15 * time.Second)
+	}
+	if by := w.shardsByNode(); len(by) != 3 {
+		t.Errorf("shares are kept by %v", by)
+	}
+	w.expectAllFinished(t, 150*time.Second)
+}
+
+// TestRulesHoldDuringShardMoves runs generated scenarios in which shards move all the
+// time, to and fro, with all the faults of other scenarios.
+func TestRulesHoldDuringShardMoves(t *testing.T) {
+	fault := func(w *world) {
+		for range 1 + w.rng.IntN(4) {
+			w.moveRandomShards(32)
+		}
+		w.after(time.Duration(w.rng.IntN(400))*time.Millisecond, func() {
+			if w.rng.IntN(2) == 0 {
+				w.injectRandomFault()
+			} else {
+				w.nodes[w.rng.IntN(3)].shutDown()
+			}
+		})
+	}
+	scenario{machines: 12, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true}.runSeeds(t, 60, 500_000)
+}
