--- a/cmd/damsonkeel/emulate.go
+++ b/cmd/damsonkeel/emulate.go
@@ -42,7 +42,7 @@
 	var wg sync.WaitGroup
 	for i := range e.Seeds {
 		wg.Go(func() {
-			results[i] = simulator.Play(site, simulator.Options{
+			results[i] = simulator.Run(site, simulator.Options{
 				For: e.For, Seed: e.Seed + uint64(i), Without: e.Without, Progress: func(time.Duration) { _ = bar.Add(1) },
 			})
 		})
@@ -80,7 +80,7 @@
 	t.AppendHeader(table.Row{"seed", "days", "reserved jobs", "in time", "late", "late, at risk", "median delay s", "worst s", "starts in windows", "starts", "cost", "refused"})
 	classes := map[string]*simulator.Class{}
 	for _, r := range results {
-		t.AppendRow(table.Row{r.Seed, fmt.Sprintf("%.1f", r.Days), r.Due, r.InTime, r.Late, r.AtRisk, fmt.Sprintf("%.1f", r.MedianS), fmt.Sprintf("%.1f", r.WorstS), r.InWindow, r.Starts, fmt.Sprintf("%.1f", r.Cost), len(r.Refused)})
+		t.AppendRow(table.Row{r.Seed, fmt.Sprintf("%.1f", r.Days), r.Started, r.InTime, r.Late, r.AtRisk, fmt.Sprintf("%.1f", r.MedianS), fmt.Sprintf("%.1f", r.WorstS), r.InWindow, r.Starts, fmt.Sprintf("%.1f", r.Cost), len(r.Refused)})
 		for name, c := range r.Classes {
 			if c.Jobs > 2*int(r.Days) { // the load, not single jobs
 				classes[name] = c
@@ -91,7 +91,7 @@
 	t = newTable()
 	t.AppendHeader(table.Row{"seed", "moves of shares", "given up", "pause p99 s", "stopped by moves", "lost by moves", "rules broken"})
 	for _, r := range results {
-		t.AppendRow(table.Row{r.Seed, r.Shares.Moves, r.Shares.GivenUp, fmt.Sprintf("%.2f", r.Shares.PauseP99S), r.Shares.StoppedByMoves, r.Shares.LostByMoves, len(r.Rules)})
+		t.AppendRow(table.Row{r.Seed, r.ShardMoves.Moves, r.ShardMoves.Aborted, fmt.Sprintf("%.2f", r.ShardMoves.PauseP99S), r.ShardMoves.StoppedByMoves, r.ShardMoves.LostByMoves, len(r.Rules)})
 	}
 	t.Render()
 	for _, r := range results {
@@ -101,7 +101,7 @@
 			}
 		}
 		for _, f := range r.Refused {
-			fmt.Printf("seed %d: %s refused: %s (%s)\n", r.Seed, f.Name, f.Reason, names(f.InTheWay))
+			fmt.Printf("seed %d: %s refused: %s (%s)\n", r.Seed, f.Name, f.Reason, names(f.Conflicts))
 		}
 	}
 	t = newTable()
--- a/cmd/damsonkeel/real_test.go
+++ b/cmd/damsonkeel/real_test.go
@@ -89,7 +89,7 @@
 cpu = 1
 ram_mb = 512
 max_connections = 400
-`, server.ReportS, server.LeaseS)
+`, server.HeartbeatSeconds, server.LeaseSeconds)
 		r.settings[n] = r.write(string(n)+".toml", text)
 		r.start(n)
 	}
--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// RequestsMost bounds the requests that wait for an answer at a time.
-	RequestsMost = 256
+	// MaxRequests bounds the requests that wait for an answer at a time.
+	MaxRequests = 256
 	// requestBudget is how long a request may take: users wait 2 s for a poll.
 	requestBudget = 1800 * time.Millisecond
 	// writeRecheckDelay is how long the key-value store takes to answer a write as a
@@ -105,7 +105,7 @@
 		a.ownersAnswered(m)
 	case Compared:
 		a.compared(m)
-	case PassedOn:
+	case Forwarded:
 		a.forwarded(m)
 	case Announced:
 		a.announced(m)
@@ -135,13 +135,13 @@
 
 // receive begins a user's request.
 func (a *Admission) receive(m Request) {
-	if len(a.requests) >= RequestsMost {
+	if len(a.requests) >= MaxRequests {
 		a.emit(Reply{m.ID, Failure(statusUnavailable, "too many requests at once")})
 		return
 	}
 	r := &request{Request: m, deadline: a.after(requestBudget)}
-	if m.Passed {
-		r.deadline = a.after(PassOnWait)
+	if m.Forwarded {
+		r.deadline = a.after(ForwardTimeout)
 	}
 	a.requests[m.ID] = r
 	switch m.Operation {
--- a/internal/controller/admission/answer.go
+++ b/internal/controller/admission/answer.go
@@ -6,8 +6,8 @@
 	"damsonkeel/internal/record"
 )
 
-// RetryAfterS is after how many seconds a user who gets 503 may retry.
-const RetryAfterS = 1
+// RetryAfterSeconds is after how many seconds a user who gets 503 may retry.
+const RetryAfterSeconds = 1
 
 // HTTP status codes of the answers.
 const (
@@ -25,7 +25,7 @@
 	body, _ := protocol.Encode(protocol.ErrorBody{Error: what}) // a struct of text always encodes
 	answer := Answer{Status: status, Body: body}
 	if status == statusUnavailable {
-		answer.RetryAfterS = RetryAfterS
+		answer.RetryAfterS = RetryAfterSeconds
 	}
 	return answer
 }
--- a/internal/controller/admission/cancellation.go
+++ b/internal/controller/admission/cancellation.go
@@ -9,10 +9,10 @@
 	"damsonkeel/internal/record"
 )
 
-// AnnounceWait is how long a user waits at the most for all controllers to acknowledge
+// AnnounceTimeout is how long a user waits at the most for all controllers to acknowledge
 // a cancellation. The bound on tasks of cancelled jobs rests on what controllers
 // follow, not on this.
-const AnnounceWait = 250 * time.Millisecond
+const AnnounceTimeout = 250 * time.Millisecond
 
 // announcement is a cancellation that is being announced to the controllers.
 type announcement struct {
@@ -43,7 +43,7 @@
 	}
 	current := a.announcements[r.Job]
 	if current == nil {
-		current = &announcement{record: rec, deadline: a.after(AnnounceWait)}
+		current = &announcement{record: rec, deadline: a.after(AnnounceTimeout)}
 		a.announcements[r.Job] = current
 		a.queryOwners(announceQuery{r.Job})
 	}
--- a/internal/controller/admission/cancellation_test.go
+++ b/internal/controller/admission/cancellation_test.go
@@ -20,7 +20,7 @@
 		members := []protocol.NodeName{"node-0", "node-1", "node-2"}
 		var silent protocol.NodeName
 		var notified []protocol.NodeName
-		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Look, Members: members} }
+		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: members} }
 		h.get = func(g Get) any {
 			return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordCancelled, Tasks: 2}}
 		}
@@ -48,22 +48,22 @@
 			}
 			return time.Duration(h.now - from)
 		}
-		if d := ask(1, "job-000001"); d >= AnnounceWait {
+		if d := ask(1, "job-000001"); d >= AnnounceTimeout {
 			t.Errorf("operation %d: answered after %v, though all have acknowledged", op, d)
 		}
 		if slices.Sort(notified); !slices.Equal(notified, members) {
 			t.Errorf("operation %d: %v are notified", op, notified)
 		}
 		silent = "node-2"
-		if d := ask(2, "job-000002"); d < AnnounceWait {
+		if d := ask(2, "job-000002"); d < AnnounceTimeout {
 			t.Errorf("operation %d: answered after %v, though one has not acknowledged", op, d)
 		}
 		members = members[:2]
-		if d := ask(3, "job-000003"); d >= AnnounceWait {
+		if d := ask(3, "job-000003"); d >= AnnounceTimeout {
 			t.Errorf("operation %d: waited %v for one that is no member", op, d)
 		}
 		members = nil // not known: any controller may be one
-		if d := ask(4, "job-000004"); d < AnnounceWait {
+		if d := ask(4, "job-000004"); d < AnnounceTimeout {
 			t.Errorf("operation %d: answered after %v, though one that may be a member has not acknowledged", op, d)
 		}
 		notified = nil
--- a/internal/controller/admission/configuration_test.go
+++ b/internal/controller/admission/configuration_test.go
@@ -30,7 +30,7 @@
 // again.
 type closingTeam struct {
 	t         *rapid.T
-	state     *fake.State
+	state     *fake.KeyValueStore
 	operator  *dynamicconfig.Followed // follows at once, as it makes the changes
 	frontends []*frontend
 	now       clock.Time
@@ -47,7 +47,7 @@
 	op := config.DefaultOperator()
 	op.OperatorKeys = "keys"
 	c := &closingTeam{
-		t: t, state: fake.NewState(), operator: dynamicconfig.NewFollowed(&s.Site, op), now: 1,
+		t: t, state: fake.NewKeyValueStore(), operator: dynamicconfig.NewFollowed(&s.Site, op), now: 1,
 		changesAt: map[RequestID]int{}, closed: []bool{false},
 	}
 	for range 2 {
@@ -179,7 +179,7 @@
 		}
 		c.step(f, r)
 	case QueryOwners:
-		c.step(f, OwnersAnswered{Query: a.Look})
+		c.step(f, OwnersAnswered{Query: a.Query})
 	}
 }
 
--- a/internal/controller/admission/forwarding.go
+++ b/internal/controller/admission/forwarding.go
@@ -6,8 +6,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// PassOnWait is how long a peer may take to answer a forwarded submission.
-const PassOnWait = 700 * time.Millisecond
+// ForwardTimeout is how long a peer may take to answer a forwarded submission.
+const ForwardTimeout = 700 * time.Millisecond
 
 // unavailable answers a request that can't be settled now. A submission is forwarded
 // to a leading peer, once: the key-value store may be out of reach of this controller
@@ -15,12 +15,12 @@
 func (a *Admission) unavailable(r *request, reason string) {
 	a.log.Debug("request not settled", "operation", r.Operation, "job", r.Job, "reason", reason)
 	answer := Failure(statusUnavailable, reason)
-	if r.Operation != Submit || r.Passed || r.fallback != nil || a.now >= r.deadline {
+	if r.Operation != Submit || r.Forwarded || r.fallback != nil || a.now >= r.deadline {
 		a.reply(r, answer)
 		return
 	}
 	r.fallback = &answer
-	r.deadline = min(r.deadline, a.after(PassOnWait))
+	r.deadline = min(r.deadline, a.after(ForwardTimeout))
 	a.queryOwners(forwardQuery{r})
 }
 
@@ -36,7 +36,7 @@
 func (a *Admission) forward(r *request, leading []protocol.NodeName) {
 	for _, m := range a.settings.Members {
 		if len(leading) > 0 && m.Name == leading[0] && a.requests[r.ID] == r {
-			a.emit(PassOn{r.ID, m.Name, r.Body})
+			a.emit(Forward{r.ID, m.Name, r.Body})
 			return
 		}
 	}
@@ -45,7 +45,7 @@
 
 // forwarded gives back a peer's answer to a forwarded submission. Without one the job
 // may have been accepted or not: the user finds out by a retry.
-func (a *Admission) forwarded(m PassedOn) {
+func (a *Admission) forwarded(m Forwarded) {
 	r := a.requests[m.ID]
 	if r == nil || r.fallback == nil {
 		return
--- a/internal/controller/admission/forwarding_test.go
+++ b/internal/controller/admission/forwarding_test.go
@@ -31,15 +31,15 @@
 		asked := 0
 		body := submission(t, "job-000001", nil)
 		h.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeRefused} }
-		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Look, Leading: tc.leading} }
-		h.passOn = func(p PassOn) any {
+		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Leading: tc.leading} }
+		h.passOn = func(p Forward) any {
 			if asked++; p.To != "node-1" || string(p.Body) != string(body) {
 				t.Errorf("%s: asked %v", tc.name, p)
 			}
 			if tc.silent {
 				return nil
 			}
-			return PassedOn{ID: p.ID, Answer: tc.reply}
+			return Forwarded{ID: p.ID, Answer: tc.reply}
 		}
 		h.step(t, smallType)
 		h.step(t, Request{ID: 1, Operation: Submit, Body: body})
@@ -58,7 +58,7 @@
 	h := newHarness()
 	h.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeRefused} }
 	h.step(t, smallType)
-	h.step(t, Request{ID: 1, Operation: Submit, Body: submission(t, "job-000001", nil), Passed: true}) // would panic without queryOwners
+	h.step(t, Request{ID: 1, Operation: Submit, Body: submission(t, "job-000001", nil), Forwarded: true}) // would panic without queryOwners
 	if h.answers[1].Status != 503 {
 		t.Error("forwarded twice")
 	}
--- a/internal/controller/admission/harness_test.go
+++ b/internal/controller/admission/harness_test.go
@@ -20,7 +20,7 @@
 	write       func(Write) any
 	queryOwners func(QueryOwners) any
 	compare     func(Compare) any
-	passOn      func(PassOn) any
+	passOn      func(Forward) any
 	announce    func(Announce) any
 }
 
@@ -64,7 +64,7 @@
 				next = h.queryOwners(a)
 			case Compare:
 				next = h.compare(a)
-			case PassOn:
+			case Forward:
 				next = h.passOn(a)
 			case Announce:
 				next = h.announce(a)
--- a/internal/controller/admission/jobrecord_test.go
+++ b/internal/controller/admission/jobrecord_test.go
@@ -21,7 +21,7 @@
 			if op == Submit {
 				found = nil
 			}
-			h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Look, Members: []protocol.NodeName{"node-0"}} }
+			h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: []protocol.NodeName{"node-0"}} }
 			h.announce = func(action Announce) any { return Announced{Job: action.Job, By: action.To} }
 			h.get = func(g Get) any {
 				if found == nil {
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -32,7 +32,7 @@
 		Operation Operation
 		Job       protocol.JobID // of polls and cancellations
 		Body      []byte         // of submissions
-		Passed    bool           // forwarded by a peer: not to be forwarded again
+		Forwarded bool           // forwarded by a peer: not to be forwarded again
 		WallMS    int64          // the time of day, in milliseconds of the Unix epoch
 	}
 	// Read answers a Get.
@@ -57,12 +57,12 @@
 	}
 	// Compared answers a Compare: done if nothing differs, failed if something does.
 	Compared struct {
-		Look    QueryID
-		Outcome message.Outcome
-		Differ  []string // keys that are named as different
+		Query     QueryID
+		Outcome   message.Outcome
+		Differing []string // keys that are named as different
 	}
-	// PassedOn answers a PassOn; status 0: the peer did not answer.
-	PassedOn struct {
+	// Forwarded answers a Forward; status 0: the peer did not answer.
+	Forwarded struct {
 		ID     RequestID
 		Answer Answer
 	}
@@ -116,16 +116,16 @@
 	// QueryOwners asks this controller's core what it knows of jobs, which peers lead,
 	// and which controllers are members.
 	QueryOwners struct {
-		Look QueryID
-		Jobs []protocol.JobID
+		Query QueryID
+		Jobs  []protocol.JobID
 	}
 	// Compare is a transaction that only compares.
 	Compare struct {
-		Look       QueryID
+		Query      QueryID
 		Conditions []protocol.Condition
 	}
-	// PassOn forwards a submission to a peer.
-	PassOn struct {
+	// Forward forwards a submission to a peer.
+	Forward struct {
 		ID   RequestID
 		To   protocol.NodeName
 		Body []byte
--- a/internal/controller/admission/polling.go
+++ b/internal/controller/admission/polling.go
@@ -105,16 +105,16 @@
 
 // compared answers polls, or compares once more without the records that differ.
 func (a *Admission) compared(m Compared) {
-	c := a.comparisons[m.Look]
+	c := a.comparisons[m.Query]
 	if c == nil {
 		return
 	}
 	if m.Outcome == message.OutcomeFailed {
-		c.dropChanged(m.Differ)
-		a.compare(m.Look, c)
+		c.dropChanged(m.Differing)
+		a.compare(m.Query, c)
 		return
 	}
-	delete(a.comparisons, m.Look)
+	delete(a.comparisons, m.Query)
 	for _, r := range c.polls {
 		if m.Outcome == message.OutcomeDone {
 			a.reply(r, liveAnswer(r.Job, c.jobs[r.Job].Progress))
--- a/internal/controller/admission/polling_test.go
+++ b/internal/controller/admission/polling_test.go
@@ -36,10 +36,10 @@
 		live := func(id protocol.JobID) bool { k, ok := known[id]; return ok && k.Version == records[id] }
 		outage, namesAll := rapid.IntRange(0, 5).Draw(t, "outage") == 0, rapid.Bool().Draw(t, "names all")
 		requests, read := 0, map[protocol.JobID]bool{}
-		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Look, Jobs: known} }
+		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Jobs: known} }
 		h.compare = func(c Compare) any {
 			requests++
-			out := Compared{Look: c.Look, Outcome: message.OutcomeDone}
+			out := Compared{Query: c.Query, Outcome: message.OutcomeDone}
 			if len(c.Conditions) > 16 {
 				t.Fatalf("%d conditions", len(c.Conditions))
 			}
@@ -48,8 +48,8 @@
 				return out
 			}
 			for id, v := range records {
-				if slices.ContainsFunc(c.Conditions, func(c protocol.Condition) bool { return c.Key == record.JobKey(id) && c.Version != v }) && (namesAll || len(out.Differ) == 0) {
-					out.Differ, out.Outcome = append(out.Differ, record.JobKey(id)), message.OutcomeFailed
+				if slices.ContainsFunc(c.Conditions, func(c protocol.Condition) bool { return c.Key == record.JobKey(id) && c.Version != v }) && (namesAll || len(out.Differing) == 0) {
+					out.Differing, out.Outcome = append(out.Differing, record.JobKey(id)), message.OutcomeFailed
 				}
 			}
 			return out
--- a/internal/controller/autoscaler/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -86,8 +86,8 @@
 	p.demands = p.reservationDemands()
 	usable := func(m *reservation.Machine, d *reservation.Demand) bool {
 		latest := max(d.StartMS, reservation.After(now, time.Minute)) // a late machine is better than none
-		end := reservation.After(d.StartMS, reservation.Busy(&d.Spec))
-		return m.Up <= latest && !p.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, end)
+		end := reservation.After(d.StartMS, reservation.MaxDuration(&d.Spec))
+		return m.UpAt <= latest && !p.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, end)
 	}
 	held := p.reservations
 	plan := reservation.ChooseHolds(p.demands, p.reservableMachines(), held.List, usable, now)
@@ -100,7 +100,7 @@
 func (p *ReservationPlanner) mostMachinesInventoried() bool {
 	inventoried := 0
 	for _, m := range p.table.Machines {
-		if p.table.Recent(m, 3*p.Op.RelayEvery) && m.Reported.Heard {
+		if p.table.Recent(m, 3*p.Op.RelayEvery) && m.State.Heard {
 			inventoried++
 		}
 	}
@@ -135,10 +135,10 @@
 		short, missing := p.shortfall[name], p.missing[name]
 		cloudSilent := p.Since(p.autoscaler.receivedAt) > cloudSilence
 		switch {
-		case short > 0 && cloudSilent && reservation.Between(now, d.Clear) < retainAhead:
-			p.risks[name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
-		case missing > 0 && now >= d.Clear:
-			p.risks[name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
+		case short > 0 && cloudSilent && reservation.Between(now, d.ClearBy) < retainAhead:
+			p.risks[name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Remaining)
+		case missing > 0 && now >= d.ClearBy:
+			p.risks[name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Remaining)
 		}
 	}
 }
@@ -169,9 +169,9 @@
 		return
 	}
 	came, desired, started := p.reservations.JobsOf(e)
-	next, changed := reservation.Advance(*e.Reservation, e.When, reservation.Observation{
+	next, changed := reservation.Advance(*e.Reservation, e.Schedule, reservation.Observation{
 		Now: now, ClockError: p.Settings.Site.ClockError(), Lead: p.NoticeBefore(&e.Reservation.Spec),
-		Came: came, Wanted: desired, Started: started, Risk: p.risks[name],
+		JobAccepted: came, Wanted: desired, Started: started, Risk: p.risks[name],
 	})
 	if !changed {
 		return
@@ -184,8 +184,8 @@
 	}})
 }
 
-// RecordBoot records how long a machine that registers for the first time took to boot.
-func (p *ReservationPlanner) RecordBoot(id protocol.MachineID, rec record.Machine) {
+// RecordBootTime records how long a machine that registers for the first time took to boot.
+func (p *ReservationPlanner) RecordBootTime(id protocol.MachineID, rec record.Machine) {
 	if m, awaited := p.autoscaler.booting[id]; awaited && rec.Session == 1 {
 		p.reservations.Boots.Note(p.Since(m.at), p.Types[m.Type].BootS)
 	}
--- a/internal/controller/autoscaler/provision.go
+++ b/internal/controller/autoscaler/provision.go
@@ -83,7 +83,7 @@
 			Name: fmt.Sprintf("%s-%d-%d-%d", a.Self, a.Session, a.View.Term, a.provisionCount),
 			Type: order.Type, Zone: order.Zone, Spot: order.Spot, Count: order.Count,
 		}
-		call := &provisionCall{request: request, reservation: reservation.Name(order.For)}
+		call := &provisionCall{request: request, reservation: reservation.Name(order.Purpose)}
 		a.provisionCalls[request.Name] = call
 		a.provision(call)
 	}
--- a/internal/controller/autoscaler/reservabledemand.go
+++ b/internal/controller/autoscaler/reservabledemand.go
@@ -43,7 +43,7 @@
 		_, desired, started := p.reservations.JobsOf(e)
 		if left := desired - started; left > 0 {
 			clearFrom := reservation.After(e.StartMS, -p.NoticeBefore(&e.Reservation.Spec))
-			demands = append(demands, reservation.Demand{Reservation: e.Reservation, Left: left, Clear: clearFrom})
+			demands = append(demands, reservation.Demand{Reservation: e.Reservation, Remaining: left, ClearBy: clearFrom})
 		}
 	}
 	return demands
@@ -68,7 +68,7 @@
 			continue // it is overdue and may never come up, or it is up
 		}
 		machines = append(machines, reservation.Machine{
-			ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, Up: reservation.After(now, remaining),
+			ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, UpAt: reservation.After(now, remaining),
 		})
 	}
 	return machines
@@ -78,7 +78,7 @@
 // has to be recent, unless there are holds on it already: while a controller is
 // unreachable, its machines would otherwise lose their holds and be filled by other work.
 func (p *ReservationPlanner) isReservable(m *waittable.Machine) bool {
-	if !m.Open() || m.Reported.Epoch != m.Epoch {
+	if !m.Open() || m.State.Epoch != m.Epoch {
 		return false
 	}
 	return p.table.Recent(m, 3*p.Op.RelayEvery) || len(p.reservations.Holds[m.ID]) > 0
@@ -87,7 +87,7 @@
 // expectedRuns returns the attempts on a machine with the times when they are expected to
 // end, all of them in the future.
 func (p *ReservationPlanner) expectedRuns(m *waittable.Machine, now reservation.Moment) []reservation.Run {
-	runs := slices.Clone(m.Reported.Runs)
+	runs := slices.Clone(m.State.Runs)
 	for i := range runs {
 		run := &runs[i]
 		for _, h := range p.reservations.Holds[m.ID] {
@@ -108,7 +108,7 @@
 	now := p.WallTime()
 	for _, d := range p.demands {
 		short := p.shortfall[d.Spec.Name] - p.requestedTasks(&d.Spec)
-		if short <= 0 || now < d.Clear {
+		if short <= 0 || now < d.ClearBy {
 			continue
 		}
 		j := jobOf(&d.Spec)
--- a/internal/controller/autoscaler/scalein.go
+++ b/internal/controller/autoscaler/scalein.go
@@ -46,7 +46,7 @@
 			a.dropRecord(m)
 			continue
 		}
-		if m.Reported.Epoch != m.Epoch || !a.table.Recent(m, maxStateAge) {
+		if m.State.Epoch != m.Epoch || !a.table.Recent(m, maxStateAge) {
 			continue
 		}
 		id := m.ID
@@ -59,10 +59,10 @@
 			// worker's lease expires.
 			a.Log.Info("deleting a silent machine that seems taken", "machine", id)
 			ids = append(ids, id)
-		case empty && (m.Reported.Draining || m.Reported.Suspect):
+		case empty && (m.State.Draining || m.State.Suspect):
 			ids = append(ids, id)
 		case a.planner.retainForReservation(m):
-		case empty && a.mayDrain(m, headroom) && claims.Release(m):
+		case empty && a.mayDrain(m, headroom) && claims.ReleaseMachine(m):
 			headroom -= m.Info.CPUs
 			a.Log.Info("returning an idle machine", "machine", id, "idle_s", int(a.idleSeconds(m)))
 			a.Send(a.DispatcherOf(id), message.PeerMessage{Drain: &id})
@@ -74,7 +74,7 @@
 // isEmpty reports whether a machine is known to have no attempts, running, queued or
 // announced. One that its dispatcher has received no heartbeat from may have some.
 func isEmpty(m *waittable.Machine) bool {
-	return m.Reported.Heard && m.Reported.Held == 0 && m.PendingSum == 0
+	return m.State.Heard && m.State.Held == 0 && m.PendingSum == 0
 }
 
 // mostExpensiveFirst lists the registered machines by price per processor, those of the
@@ -90,11 +90,11 @@
 // seemsPreempted reports whether a machine whose worker is silent was probably preempted
 // by the cloud: the cloud announced it, or no longer lists the machine.
 func (a *Autoscaler) seemsPreempted(m *waittable.Machine) bool {
-	if m.Reported.Silence != message.SilenceLong {
+	if m.State.Silence != message.SilenceLong {
 		return false
 	}
 	_, isListed := a.listed[m.ID]
-	return m.Reported.Noticed || a.seenUp[m.ID] && !isListed
+	return m.State.Noticed || a.seenUp[m.ID] && !isListed
 }
 
 // mayDrain reports whether an empty machine has been idle for long enough, and its
@@ -105,7 +105,7 @@
 
 // idleSeconds is how long a machine has been idle, in seconds.
 func (a *Autoscaler) idleSeconds(m *waittable.Machine) float64 {
-	return m.Reported.IdleS + a.Since(m.ReportedAt).Seconds()
+	return m.State.IdleS + a.Since(m.StateReceivedAt).Seconds()
 }
 
 // idleTimeout is how long a machine of a type may be idle before it is drained, in
@@ -126,7 +126,7 @@
 func (a *Autoscaler) headroomProcessors() float64 {
 	topRank, headroom, expected := 0, 0.0, false
 	for _, class := range ordered.Of(a.workload.Classes) {
-		if work := a.workload.ComingWork(class); work > 0 {
+		if work := a.workload.ExpectedWork(class); work > 0 {
 			headroom -= work / a.workload.BootSeconds(&class.Job)
 			topRank, expected = max(topRank, class.Job.Priority.Rank()), true
 		}
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -63,13 +63,13 @@
 		if a.canaryOnly(m.Kind) {
 			continue
 		}
-		slot := binpack.Fresh(a.Types[m.Type], m.Kind, 1)
-		slot.InS = math.Max(slot.Info.BootS-a.Since(m.at).Seconds(), minBootRemaining)
+		slot := binpack.NewSlot(a.Types[m.Type], m.Kind, 1)
+		slot.ReadyInSeconds = math.Max(slot.Info.BootS-a.Since(m.at).Seconds(), minBootRemaining)
 		slot.Free = slot.Free.Minus(clusterstate.ReservedBy(a.reservations.Holds[id], a.WallTime()))
 		slots = append(slots, slot)
 	}
 	for _, call := range ordered.Of(a.provisionCalls) {
-		slots = append(slots, binpack.Fresh(a.Types[call.request.Type], call.kind(), call.request.Count))
+		slots = append(slots, binpack.NewSlot(a.Types[call.request.Type], call.kind(), call.request.Count))
 	}
 	return slots
 }
@@ -130,10 +130,10 @@
 		runS += d.EstimateS * float64(d.Unstarted)
 		tasks += float64(d.Unstarted)
 	}
-	plan.Gather(topRank, runS/math.Max(tasks, 1))
+	plan.PoolCapacity(topRank, runS/math.Max(tasks, 1))
 	for _, d := range demands {
 		j := a.demandedJob(d)
-		plan.WorkOff(a.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, a.timeLeft(j, d))
+		plan.ReserveBefore(a.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, a.timeLeft(j, d))
 	}
 }
 
@@ -142,10 +142,10 @@
 // burst would wait for the machines that the last one needed.
 func (a *Autoscaler) workOffExpected(plan *binpack.Plan) {
 	for _, class := range ordered.Of(a.workload.Classes) {
-		if work := a.workload.ComingWork(class); work > 0 {
+		if work := a.workload.ExpectedWork(class); work > 0 {
 			estimateS := a.Estimate(&class.Job)
 			n := int(work / (estimateS * math.Max(class.Job.CPUs, resource.Slack)))
-			plan.WorkOff(a.work(&clusterstate.LiveJob{Job: class.Job}, 0, estimateS), n, a.workload.BootSeconds(&class.Job))
+			plan.ReserveBefore(a.work(&clusterstate.LiveJob{Job: class.Job}, 0, estimateS), n, a.workload.BootSeconds(&class.Job))
 		}
 	}
 }
@@ -153,8 +153,8 @@
 // work describes tasks of a job to a plan.
 func (a *Autoscaler) work(j *clusterstate.LiveJob, level resource.Level, estimateS float64) binpack.Work {
 	return binpack.Work{
-		Need: resource.Need(&j.Job), Level: level, OneZone: j.OneZone && j.Zone == "", Shun: a.workload.AvoidsSpot(&j.Job),
-		EstimateS: estimateS, FetchS: func(t protocol.TypeInfo) float64 { return clusterstate.FetchS(t, &j.Job) },
+		Need: resource.Need(&j.Job), Level: level, OneZone: j.OneZone && j.Zone == "", AvoidsSpot: a.workload.AvoidsSpot(&j.Job),
+		EstimateSeconds: estimateS, FetchSeconds: func(t protocol.TypeInfo) float64 { return clusterstate.FetchS(t, &j.Job) },
 		Allows: j.AllowsKind, Offers: a.offers(j),
 	}
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -77,14 +77,14 @@
 	})
 }
 
-// report sends a worker's next heartbeat and returns the answer.
-func (b *bench) report(id protocol.MachineID, session protocol.AgentEpoch, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
+// heartbeat sends a worker's next heartbeat and returns the answer.
+func (b *bench) heartbeat(id protocol.MachineID, session protocol.AgentEpoch, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
 	b.seq++
-	return b.reportSeq(id, session, b.seq, term, tasks...)
+	return b.heartbeatNumbered(id, session, b.seq, term, tasks...)
 }
 
-// reportSeq is report with the number of the heartbeat.
-func (b *bench) reportSeq(id protocol.MachineID, session protocol.AgentEpoch, seq protocol.Seq, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
+// heartbeatNumbered is report with the number of the heartbeat.
+func (b *bench) heartbeatNumbered(id protocol.MachineID, session protocol.AgentEpoch, seq protocol.Seq, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
 	for _, a := range b.step(message.HeartbeatReceived{Heartbeat: protocol.Heartbeat{
 		Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: session, Seq: seq, Term: term, Tasks: tasks,
 	}}) {
@@ -118,8 +118,8 @@
 	return n
 }
 
-// keptBy returns a machine that a member dispatches to.
-func (b *bench) keptBy(n protocol.NodeName) protocol.MachineID {
+// machineOf returns a machine that a member dispatches to.
+func (b *bench) machineOf(n protocol.NodeName) protocol.MachineID {
 	id := protocol.MachineID("vm-0")
 	for i := 0; clusterstate.RendezvousDispatcher(b.c.View, id) != n; i++ {
 		id = protocol.MachineID("vm-" + string(rune('a'+i)))
@@ -127,8 +127,8 @@
 	return id
 }
 
-// kept returns the attempt of a task in the queue of a machine.
-func (b *bench) kept(id protocol.MachineID, task protocol.TaskID) (found dispatcher.Attempt) {
+// attempt returns the attempt of a task in the queue of a machine.
+func (b *bench) attempt(id protocol.MachineID, task protocol.TaskID) (found dispatcher.Attempt) {
 	for _, a := range b.c.dispatcher.Attempts(id) {
 		if a.Task == task {
 			found = a
@@ -140,9 +140,9 @@
 // ready brings one machine into service: registered, with its inventory complete in the
 // present term.
 func (b *bench) ready(id protocol.MachineID) {
-	b.report(id, 1, 0)
+	b.heartbeat(id, 1, 0)
 	b.machine(id, 1)
-	b.report(id, 1, b.c.View.Term)
+	b.heartbeat(id, 1, b.c.View.Term)
 	b.now += Time(1100 * time.Millisecond)
 	b.step(message.Tick{})
 }
--- a/internal/controller/binpack/plan.go
+++ b/internal/controller/binpack/plan.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// AskAtMost is how many machines are requested at once.
-const AskAtMost = 50
+// MaxPerRequest is how many machines are requested at once.
+const MaxPerRequest = 50
 
 // Kind is a kind of machine that the cloud offers.
 type Kind struct {
@@ -23,9 +23,9 @@
 // Alike is what machines of a slot have in common.
 type Alike struct {
 	Kind
-	Free resource.Amount // now, or when they are up
-	Held resource.Uses   // by attempts on each or in its queue
-	InS  float64         // when they are up, in seconds
+	Free           resource.Amount // now, or when they are up
+	Held           resource.Uses   // by attempts on each or in its queue
+	ReadyInSeconds float64         // when they are up, in seconds
 }
 
 // Slot is machines that are up or starting, and alike in all that a plan asks of
@@ -33,13 +33,13 @@
 // classes of tasks.
 type Slot struct {
 	Alike
-	Info protocol.TypeInfo
-	N    int // machines
+	Info     protocol.TypeInfo
+	Machines int // machines
 }
 
-// Fresh is a slot of machines that were just requested.
-func Fresh(info protocol.TypeInfo, k Kind, count int) Slot {
-	return Slot{Alike: Alike{Kind: k, Free: resource.Capacity(info), InS: info.BootS}, Info: info, N: count}
+// NewSlot is a slot of machines that were just requested.
+func NewSlot(info protocol.TypeInfo, k Kind, count int) Slot {
+	return Slot{Alike: Alike{Kind: k, Free: resource.Capacity(info), ReadyInSeconds: info.BootS}, Info: info, Machines: count}
 }
 
 // withTasks is so many of a slot's machines once each has taken some tasks.
@@ -48,7 +48,7 @@
 		s.Free = s.Free.Minus(w.Need)
 		s.Held.Add(w.Level, w.Need)
 	}
-	s.N = machines
+	s.Machines = machines
 	return s
 }
 
@@ -69,7 +69,7 @@
 		s.index[a] = i
 		s.List = append(s.List, Slot{Alike: a, Info: info})
 	}
-	s.List[i].N++
+	s.List[i].Machines++
 }
 
 // Work is tasks of one size that need resources.
@@ -77,12 +77,12 @@
 	Need    resource.Amount
 	Level   resource.Level
 	OneZone bool // all of them in the same one, whichever
-	// Shun: they are not placed on spot machines that are there.
-	Shun bool
-	// EstimateS is how long one runs, FetchS how long its image takes to fetch on a
+	// AvoidsSpot: they are not placed on spot machines that are there.
+	AvoidsSpot bool
+	// EstimateSeconds is how long one runs, FetchSeconds how long its image takes to fetch on a
 	// machine of a type, in seconds.
-	EstimateS float64
-	FetchS    func(protocol.TypeInfo) float64
+	EstimateSeconds float64
+	FetchSeconds    func(protocol.TypeInfo) float64
 	// Allows reports whether they may run on machines of a kind, Offers lists
 	// what may be provisioned for them, the cheapest per task first.
 	Allows func(protocol.TypeInfo, protocol.Zone, bool) bool
@@ -91,7 +91,7 @@
 
 // canUse reports whether the work may run on the machines of a slot.
 func (w *Work) canUse(s *Slot) bool {
-	return (!w.Shun || !s.Spot) && w.Allows(s.Info, s.Zone, s.Spot)
+	return (!w.AvoidsSpot || !s.Spot) && w.Allows(s.Info, s.Zone, s.Spot)
 }
 
 // inZone is the work bound to a zone.
@@ -105,8 +105,8 @@
 // Order is machines of one kind to be requested from the cloud.
 type Order struct {
 	Kind
-	Count int
-	For   string // what they are for, if for one purpose alone
+	Count   int
+	Purpose string // what they are for, if for one purpose alone
 }
 
 // Plan is the state of one plan.
@@ -147,7 +147,7 @@
 	for _, k := range w.Offers {
 		count := p.request(k, machinesFor(left, p.tasksPerMachine(k, &w)))
 		if count > 0 {
-			p.slots = append(p.slots, Fresh(p.types[k.Type], k, count))
+			p.slots = append(p.slots, NewSlot(p.types[k.Type], k, count))
 			left = p.fill(&w, left)
 		}
 		if left <= 0 {
@@ -165,7 +165,7 @@
 		if tasks <= 0 || perMachine == 0 {
 			return
 		}
-		count := min(AskAtMost-p.underWay[k], machinesFor(tasks, perMachine))
+		count := min(MaxPerRequest-p.underWay[k], machinesFor(tasks, perMachine))
 		if count <= 0 {
 			continue
 		}
@@ -197,22 +197,22 @@
 // machines are filled first, then part of one more; both become slots of their own.
 func (p *Plan) fillSlot(i int, w *Work, tasks int) (taken int) {
 	s := &p.slots[i]
-	if s.N == 0 || !w.canUse(s) {
+	if s.Machines == 0 || !w.canUse(s) {
 		return 0
 	}
 	perMachine := s.Free.CountFitting(w.Need)
 	if perMachine == 0 {
 		return 0
 	}
-	full := min(s.N, tasks/perMachine)
+	full := min(s.Machines, tasks/perMachine)
 	part := 0
-	if full < s.N {
+	if full < s.Machines {
 		part = min(tasks-full*perMachine, perMachine)
 	}
 	before := *s
-	s.N -= full
+	s.Machines -= full
 	if part > 0 {
-		s.N--
+		s.Machines--
 	}
 	if full > 0 {
 		p.slots = append(p.slots, before.withTasks(w, perMachine, full))
@@ -229,7 +229,7 @@
 	fits, offered := map[protocol.Zone]int{}, map[protocol.Zone]bool{}
 	for i := range p.slots {
 		if s := &p.slots[i]; w.canUse(s) {
-			fits[s.Zone] += s.N * s.Free.CountFitting(w.Need)
+			fits[s.Zone] += s.Machines * s.Free.CountFitting(w.Need)
 		}
 	}
 	for _, k := range w.Offers {
@@ -252,7 +252,7 @@
 // count on: no more of a kind at a time than one request, whose answer tells whether
 // there are more.
 func (p *Plan) request(k Kind, count int) int {
-	count = max(0, min(count, AskAtMost-p.requested[k]-p.underWay[k]))
+	count = max(0, min(count, MaxPerRequest-p.requested[k]-p.underWay[k]))
 	if count > 0 {
 		p.requested[k] += count
 	}
--- a/internal/controller/binpack/pools.go
+++ b/internal/controller/binpack/pools.go
@@ -18,28 +18,28 @@
 	backlogSeconds float64         // processor seconds that they have to work off before
 }
 
-// Gather pools what the slots have left for work of a rank or below that runs
+// PoolCapacity pools what the slots have left for work of a rank or below that runs
 // for so long, and what of it runs already: half of its time, on average, is
 // still to come.
-func (p *Plan) Gather(rank int, runS float64) {
+func (p *Plan) PoolCapacity(rank int, runS float64) {
 	for _, s := range p.slots {
 		pooled := p.pool(s.Kind)
-		left, machines := resource.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.N)
-		if left.CPUs <= resource.Slack || s.N == 0 {
+		left, machines := resource.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.Machines)
+		if left.CPUs <= resource.Slack || s.Machines == 0 {
 			continue
 		}
 		pooled.capacity = pooled.capacity.Plus(left.Times(machines))
-		pooled.backlogSeconds += machines * left.CPUs * s.InS
-		if s.InS == 0 {
+		pooled.backlogSeconds += machines * left.CPUs * s.ReadyInSeconds
+		if s.ReadyInSeconds == 0 {
 			busy := math.Max(0, left.CPUs-math.Max(0, s.Free.CPUs))
 			pooled.backlogSeconds += machines * busy * runS / 2
 		}
 	}
 }
 
-// WorkOff has the pools begin tasks in the time that is left, in seconds, and
+// ReserveBefore has the pools begin tasks in the time that is left, in seconds, and
 // requests machines for those that they can't.
-func (p *Plan) WorkOff(w Work, tasks int, leftS float64) {
+func (p *Plan) ReserveBefore(w Work, tasks int, leftS float64) {
 	remaining := float64(tasks)
 	if len(w.Offers) > 0 {
 		// A machine requested now brings nothing for what begins before it is up.
@@ -50,26 +50,26 @@
 		if !w.Allows(pooled.info, k.Zone, k.Spot) {
 			continue
 		}
-		remaining -= pooled.take(remaining, w.Need, w.EstimateS, leftS)
+		remaining -= pooled.take(remaining, w.Need, w.EstimateSeconds, leftS)
 	}
 	for _, k := range w.Offers {
 		if remaining < negligibleTasks {
 			return
 		}
 		readySeconds := p.readySeconds(k, &w)
-		rounds := math.Max(0, leftS-readySeconds)/w.EstimateS + 1
+		rounds := math.Max(0, leftS-readySeconds)/w.EstimateSeconds + 1
 		perMachine := float64(p.tasksPerMachine(k, &w)) * rounds
 		count := p.request(k, int(math.Ceil(remaining/perMachine)))
 		pooled := p.pool(k)
 		pooled.addMachines(count, readySeconds)
-		remaining -= pooled.take(remaining, w.Need, w.EstimateS, leftS)
+		remaining -= pooled.take(remaining, w.Need, w.EstimateSeconds, leftS)
 	}
 }
 
 // readySeconds is how long a machine requested now takes until it runs a task.
 func (p *Plan) readySeconds(k Kind, w *Work) float64 {
 	info := p.types[k.Type]
-	return info.BootS + w.FetchS(info)
+	return info.BootS + w.FetchSeconds(info)
 }
 
 // pool is that of a kind; it is made if there is none.
@@ -93,7 +93,7 @@
 // take has a pool do as many of some tasks as it can begin in the time that is left, and
 // returns that number.
 func (l *pool) take(tasks float64, size resource.Amount, estimateS, leftS float64) float64 {
-	places := l.capacity.Places(size)
+	places := l.capacity.FractionalFit(size)
 	if places < 1 {
 		return 0
 	}
--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -18,7 +18,7 @@
 // changes of machines' records it counts.
 type recorder struct {
 	*bench
-	state    *fake.State
+	state    *fake.KeyValueStore
 	followed int
 	changes  int
 	outcome  func(message.Commit) message.Outcome // of a transaction; nil: executed
@@ -27,7 +27,7 @@
 
 // newRecorder makes a core that is a member and uses blocks.
 func newRecorder(tb testing.TB) *recorder {
-	r := &recorder{bench: newBench(tb), state: fake.NewState()}
+	r := &recorder{bench: newBench(tb), state: fake.NewKeyValueStore()}
 	r.c.reset()
 	lease := r.state.Lease(0, time.Hour)
 	r.step(message.Snapshot{Session: lease})
@@ -93,7 +93,7 @@
 // registered counts the machines that are registered with an agent epoch.
 func (r *recorder) registered(session protocol.AgentEpoch) int {
 	n := 0
-	for _, m := range r.c.table.Machines {
+	for _, m := range r.c.waitTable.Machines {
 		if m.Record.Session == session {
 			n++
 		}
@@ -176,11 +176,11 @@
 	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
 	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
 	r.settle(2)
-	epoch := r.c.table.Machines["vm-000000"].Epoch
+	epoch := r.c.waitTable.Machines["vm-000000"].Epoch
 	r.wave(1, 2) // comes back with a later session: moves into a block
 	r.settle(5)
 	inBlock := r.c.registrar.InBlock("vm-000000")
-	if m := r.c.table.Machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
+	if m := r.c.waitTable.Machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
 		t.Fatalf("not moved into a block: %+v", m)
 	}
 	if _, there := r.state.Get(record.MachineKey("vm-000000")); there {
@@ -188,8 +188,8 @@
 	}
 	r.now += Time(r.c.WorkerLeaseBound())
 	r.settle(60)
-	if len(r.c.table.Machines) != 0 || r.c.registrar.Blocks() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
-		t.Errorf("%d machines, %d blocks, records %v", len(r.c.table.Machines), r.c.registrar.Blocks(), r.state.List(record.FollowedPrefix))
+	if len(r.c.waitTable.Machines) != 0 || r.c.registrar.BlockCount() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
+		t.Errorf("%d machines, %d blocks, records %v", len(r.c.waitTable.Machines), r.c.registrar.BlockCount(), r.state.List(record.FollowedPrefix))
 	}
 }
 
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -18,15 +18,15 @@
 	for i, spot := range []bool{false, true, false, true} {
 		id := protocol.MachineID(fmt.Sprint("vm-", i))
 		b.ready(id)
-		m := b.c.table.Machines[id]
-		m.Record.Spot, m.Reported.Queued = spot, 0
+		m := b.c.waitTable.Machines[id]
+		m.Record.Spot, m.State.Queued = spot, 0
 	}
 	j := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	b.put(record.LiveKey(j.ID), j)
 	b.step(message.Tick{})
 	on := map[bool]int{}
 	for _, p := range b.c.jobs.ByID["job-1"].Placed {
-		on[b.c.table.Machines[p.Machine].Record.Spot]++
+		on[b.c.waitTable.Machines[p.Machine].Record.Spot]++
 	}
 	if on[true] != 6 {
 		t.Errorf("%d of 6 tasks on the cheap machines", on[true])
@@ -40,9 +40,9 @@
 	b.ready("vm-1")
 	b.ready("vm-2")
 	queued := func(id protocol.MachineID, l resource.Level, work float64) {
-		m := b.c.table.Machines[id]
-		m.Reported.Queued, m.Reported.Wait, m.Reported.Queue = 1, 100+work, make([]float64, l+1)
-		m.Reported.Queue[l] = work
+		m := b.c.waitTable.Machines[id]
+		m.State.Queued, m.State.Wait, m.State.Queue = 1, 100+work, make([]float64, l+1)
+		m.State.Queue[l] = work
 	}
 	queued("vm-1", resource.LevelOf("standard", false), 900)
 	queued("vm-2", resource.LevelOf("high", false), 400)
--- a/internal/controller/classes_test.go
+++ b/internal/controller/classes_test.go
@@ -34,7 +34,7 @@
 		t.Fatal("nothing is reserved")
 	}
 	b.ready("vm-1")
-	m := b.c.table.Machines["vm-1"]
+	m := b.c.waitTable.Machines["vm-1"]
 	cl := b.c.placer.NewClaims()
 	small := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
 	if ok := cl.LeavesClaimed(small, m, resource.Need(&small.Job)); ok {
--- a/internal/controller/clusterstate/clusterstate_test.go
+++ b/internal/controller/clusterstate/clusterstate_test.go
@@ -32,7 +32,7 @@
 		if name != "c" && moved != name {
 			t.Errorf("%s moves from %s to %s", key, name, moved)
 		}
-		if excluded := RendezvousBut(before, []protocol.NodeName{"c"}, key); excluded != moved {
+		if excluded := RendezvousExcluding(before, []protocol.NodeName{"c"}, key); excluded != moved {
 			t.Errorf("%s: %s without c, %s in a view without c", key, excluded, moved)
 		}
 	}
--- a/internal/controller/clusterstate/rendezvous.go
+++ b/internal/controller/clusterstate/rendezvous.go
@@ -10,11 +10,11 @@
 // Rendezvous returns the member of a view that is responsible for a key, by highest random
 // weight: every controller with the same view returns the same member.
 func Rendezvous(view record.View, key string) protocol.NodeName {
-	return RendezvousBut(view, nil, key)
+	return RendezvousExcluding(view, nil, key)
 }
 
-// RendezvousBut is Rendezvous without some of the members.
-func RendezvousBut(view record.View, excluded []protocol.NodeName, key string) protocol.NodeName {
+// RendezvousExcluding is Rendezvous without some of the members.
+func RendezvousExcluding(view record.View, excluded []protocol.NodeName, key string) protocol.NodeName {
 	var best protocol.NodeName
 	var bestScore uint64
 	for name := range view.Members {
@@ -36,7 +36,7 @@
 	if len(view.Deaf) >= len(view.Members) {
 		return Rendezvous(view, key)
 	}
-	return RendezvousBut(view, view.Deaf, key)
+	return RendezvousExcluding(view, view.Deaf, key)
 }
 
 // The offset basis and the prime of 64-bit FNV-1a.
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -131,7 +131,7 @@
 // ReservedEnd returns when a task is assumed to have ended: no later than its own
 // resources are held, which no window shortens.
 func ReservedEnd(holds []reservation.Hold, task *reservation.Task) reservation.Moment {
-	if until := reservation.OwnUntil(holds, task.Of); until != 0 {
+	if until := reservation.ReservedUntil(holds, task.IsOf); until != 0 {
 		return min(task.Ends, until)
 	}
 	return task.Ends
--- a/internal/controller/clusterstate/responsibility.go
+++ b/internal/controller/clusterstate/responsibility.go
@@ -32,7 +32,7 @@
 func (s *State) DispatcherInZone(machine protocol.MachineID, zone protocol.Zone) protocol.NodeName {
 	switch {
 	case s.Sharded():
-		return s.Holder(sharding.Of(s.Shards, machine, zone))
+		return s.Holder(sharding.ShardOf(s.Shards, machine, zone))
 	case s.View.Layout >= record.LayoutShards:
 		return "" // the shard table was lost, and is not written anew yet
 	}
@@ -77,7 +77,7 @@
 // epoch of its shard, or the term where there are no shards.
 func (s *State) FencingToken(machine protocol.MachineID, zone protocol.Zone) protocol.Term {
 	if s.Sharded() {
-		return s.Shards.List[sharding.Of(s.Shards, machine, zone)].Epoch
+		return s.Shards.List[sharding.ShardOf(s.Shards, machine, zone)].Epoch
 	}
 	return s.View.Term
 }
@@ -86,7 +86,7 @@
 // there are no shards, since the holder depends on the term alone then.
 func (s *State) ShardEpoch(machine protocol.MachineID, zone protocol.Zone) protocol.Term {
 	if s.Sharded() {
-		return s.Shards.List[sharding.Of(s.Shards, machine, zone)].Since
+		return s.Shards.List[sharding.ShardOf(s.Shards, machine, zone)].Since
 	}
 	return 0
 }
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -36,9 +36,9 @@
 	ShardsVersion protocol.Version
 	// Leaving: the process is shutting down, and hands its shards over first.
 	Leaving bool
-	// HighestToken is the highest fencing token that any worker has reported since the
+	// HighestFencingToken is the highest fencing token that any worker has reported since the
 	// process started.
-	HighestToken protocol.Term
+	HighestFencingToken protocol.Term
 
 	Live          map[protocol.JobID]*LiveJob
 	endedJobs     map[protocol.JobID]clock.Time // when each was observed to end
@@ -49,7 +49,7 @@
 	Configuration *dynamicconfig.Followed
 }
 
-// NewState returns a state that knows nothing but its settings.
+// NewKeyValueStore returns a state that knows nothing but its settings.
 func NewState(settings *config.Settings, op config.Operator, log *slog.Logger) *State {
 	s := &State{
 		Self:          settings.Name,
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -23,9 +23,9 @@
 	case dispatcher.RegisterTag:
 		c.dispatcher.RegistrationDone(tag, m.Outcome)
 	case jobs.FinishTag:
-		c.jobs.FinishWritten(tag, m.Outcome)
+		c.jobs.HandleFinishWritten(tag, m.Outcome)
 	case jobs.BitmapTag:
-		c.jobs.BitmapWritten(tag, m.Outcome, m.Revision)
+		c.jobs.HandleBitmapWritten(tag, m.Outcome, m.Revision)
 	case holds.Tag:
 		c.reservations.Written(m.Outcome)
 	case workerregistry.Tag:
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -39,7 +39,7 @@
 	c.Op = effective.Operator
 	c.Log.Info("configuration in force", "revision", uint64(effective.Revision))
 	c.jobs.InvalidateOrder()
-	c.table.PlacementDue = true
+	c.waitTable.PlacementDue = true
 	c.refreshDeadlines()
 	c.dispatcher.AdoptConfiguration()
 	c.dispatcher.InvalidateOrder()
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -30,7 +30,7 @@
 	members      *membership.Members
 	registrar    *workerregistry.Registrar
 	dispatcher   *dispatcher.Dispatcher
-	table        *waittable.Table
+	waitTable    *waittable.Table
 	workload     *workload.Workload
 	reservations *holds.Holds
 	jobs         *jobs.Owned
@@ -64,7 +64,7 @@
 		members:      members,
 		registrar:    workerregistry.New(module),
 		dispatcher:   queues,
-		table:        table,
+		waitTable:    table,
 		workload:     work,
 		reservations: reservations,
 		jobs:         owned,
@@ -83,7 +83,7 @@
 	c.members.Reset()
 	c.registrar.Reset()
 	c.workload.Reset()
-	c.table.Reset()
+	c.waitTable.Reset()
 	c.dispatcher.Reset()
 	c.jobs.Reset()
 	c.placer.Reset()
@@ -135,7 +135,7 @@
 	case message.CommitDone:
 		c.commitDone(m)
 	case message.BitmapLoaded:
-		c.jobs.BitmapLoaded(m)
+		c.jobs.HandleBitmapLoaded(m)
 	case message.CommandDone:
 		c.dispatcher.CommandDone(m)
 	case message.PeerLeads:
@@ -189,13 +189,13 @@
 		c.Types[t.Name] = t
 	}
 	c.placer.RefreshPrices()
-	c.table.RefreshTypes()
+	c.waitTable.RefreshTypes()
 }
 
 // heartbeat answers a worker, or redirects it to the controller that dispatches to its
 // machine.
 func (c *Core) heartbeat(heartbeat protocol.Heartbeat) {
-	c.HighestToken = max(c.HighestToken, heartbeat.Term)
+	c.HighestFencingToken = max(c.HighestFencingToken, heartbeat.Term)
 	if heartbeat.Term > c.FencingToken(heartbeat.Machine, heartbeat.Zone) || !c.HoldsLease() {
 		// A higher term means that another controller has raised the token: nothing
 		// is answered until its record has been read here.
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -38,7 +38,7 @@
 		}
 		return raised
 	}
-	b.report("vm-1", 1, 1)
+	b.heartbeat("vm-1", 1, 1)
 	if raised() {
 		t.Error("the term is raised while an answer may come")
 	}
@@ -46,25 +46,25 @@
 	if raised() {
 		t.Error("the term is raised for a silent worker")
 	}
-	b.report("vm-1", 1, 1) // not listed, and proves nothing
+	b.heartbeat("vm-1", 1, 1) // not listed, and proves nothing
 	if !raised() {
 		t.Error("the term is not raised")
 	}
-	if e := b.kept("vm-1", task); !e.Sent {
+	if e := b.attempt("vm-1", task); !e.Sent {
 		t.Fatalf("counted as never started: %+v", e)
 	}
 	ended := protocol.TaskStatus{Task: task, Attempt: attempt, State: protocol.TaskEnded, Cause: protocol.EndStopped}
 	for range 2 {
-		for _, o := range b.report("vm-1", 1, 1, ended).Reply.Orders {
+		for _, o := range b.heartbeat("vm-1", 1, 1, ended).Reply.Orders {
 			if o.Op == protocol.OpForget && o.Task == task && o.Attempt == attempt {
 				t.Fatal("forgotten while its start may be under way")
 			}
 		}
 	}
 	b.view(2, "node-0")
-	b.report("vm-1", 1, 1, ended)
+	b.heartbeat("vm-1", 1, 1, ended)
 	forgotten := false
-	for _, o := range b.report("vm-1", 1, 2, ended).Reply.Orders {
+	for _, o := range b.heartbeat("vm-1", 1, 2, ended).Reply.Orders {
 		forgotten = forgotten || o.Op == protocol.OpForget && o.Attempt == attempt
 	}
 	if !forgotten {
@@ -109,7 +109,7 @@
 	for range 2 {
 		b.now += Time(5 * time.Second)
 		for _, id := range theirs {
-			if r := b.report(id, 1, 1); r.Status != 421 || r.Leader != "node-1" {
+			if r := b.heartbeat(id, 1, 1); r.Status != 421 || r.Leader != "node-1" {
 				t.Fatalf("%+v", r)
 			}
 		}
@@ -123,7 +123,7 @@
 		t.Fatalf("next view: %+v", next)
 	}
 	b.put(record.ViewKey, next)
-	if r := b.report(theirs[0], 1, 1); r.Status != 200 {
+	if r := b.heartbeat(theirs[0], 1, 1); r.Status != 200 {
 		t.Errorf("its machine is not dispatched to from here: %+v", r)
 	}
 }
@@ -134,7 +134,7 @@
 	b := newBench(t)
 	b.ready("vm-1")
 	b.step(message.LeaseExtended{Until: b.now + 1})
-	if r := b.report("vm-1", 1, 1); r.Status != 503 {
+	if r := b.heartbeat("vm-1", 1, 1); r.Status != 503 {
 		t.Errorf("answered %+v", r)
 	}
 	if a := b.put(record.LiveKey("job-1"), protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Tasks: 1, CPUs: 1}); len(commands(a)) > 0 {
@@ -147,7 +147,7 @@
 func TestHeartbeatOfALaterTermIsNotAnswered(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	if r := b.report("vm-1", 1, 7); r.Status != 503 {
+	if r := b.heartbeat("vm-1", 1, 7); r.Status != 503 {
 		t.Errorf("answered %+v", r)
 	}
 }
@@ -174,7 +174,7 @@
 			t.Fatalf("reply %v", r)
 		}
 	}
-	if got := b.c.table.Machines["vm-1"].PendingSum; got != 5 {
+	if got := b.c.waitTable.Machines["vm-1"].PendingSum; got != 5 {
 		t.Errorf("wait %v: a repeated batch counts again", got)
 	}
 	old, late, ahead := good, good, good
@@ -184,7 +184,7 @@
 	if deliver(old) != message.BatchExcluded || deliver(late) != message.BatchStale || deliver(ahead) != message.BatchBehind {
 		t.Error("a batch of another session or term is accepted")
 	}
-	if got := b.c.table.Machines["vm-1"].PendingSum; got != 5 {
+	if got := b.c.waitTable.Machines["vm-1"].PendingSum; got != 5 {
 		t.Errorf("wait %v: a batch that is dropped counts", got)
 	}
 }
@@ -200,7 +200,7 @@
 	for i := range uint32(2) {
 		task := protocol.TaskID{Job: "job-1", Index: i}
 		b.step(message.Tick{})
-		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.HandleTaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: task, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 		for _, a := range b.c.Actions {
 			if c, ok := a.(message.Commit); ok && c.Tag == (jobs.FinishTag{Job: "job-1"}) {
 				if i == 0 {
@@ -231,7 +231,7 @@
 		b.machine(id, 1)
 		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: id}
 		o().Placed[ref.Task] = &jobs.Attempt{Task: ref.Task, Number: 1, Machine: id}
-		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
+		b.c.jobs.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndError})
 	}
 	if o().NotBefore <= b.now {
 		t.Error("it is retried at once")
@@ -264,16 +264,16 @@
 	b.job("job-1", "free", 1) // placed there
 	b.machine("vm-1", 1)
 	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-1"}, Attempt: 77, State: protocol.TaskRunning}
-	b.report("vm-1", 1, 0, running)
-	e := b.kept("vm-1", running.Task)
+	b.heartbeat("vm-1", 1, 0, running)
+	e := b.attempt("vm-1", running.Task)
 	if e.Attempt != 77 {
 		t.Fatalf("not in the queue: %+v", e)
 	}
 	if e.Kill {
 		t.Error("to be killed because of a heartbeat of an earlier term")
 	}
-	b.report("vm-1", 1, b.c.View.Term, running)
-	if !b.kept("vm-1", running.Task).Kill {
+	b.heartbeat("vm-1", 1, b.c.View.Term, running)
+	if !b.attempt("vm-1", running.Task).Kill {
 		t.Error("an attempt that its owner never placed goes on")
 	}
 }
@@ -286,21 +286,21 @@
 	b.job("job-1", "free", 1)
 	o := b.c.jobs.ByID["job-1"]
 	for _, p := range o.Placed {
-		b.report("vm-1", 1, 1, protocol.TaskStatus{Task: p.Task, Attempt: p.Number, State: protocol.TaskEnded, Cause: protocol.EndError})
+		b.heartbeat("vm-1", 1, 1, protocol.TaskStatus{Task: p.Task, Attempt: p.Number, State: protocol.TaskEnded, Cause: protocol.EndError})
 	}
-	b.report("vm-1", 1, 1) // forgotten there
+	b.heartbeat("vm-1", 1, 1) // forgotten there
 	b.step(message.Tick{})
 	if len(o.Placed) > 0 {
 		t.Error("retried at once")
 	}
 	b.now += Time(6 * time.Second)
-	b.report("vm-1", 1, 1)
+	b.heartbeat("vm-1", 1, 1)
 	b.step(message.Tick{})
 	if b.step(message.Tick{}); len(o.Placed) == 0 {
 		t.Error("not retried")
 	}
 	b.machine("vm-2", 1)
-	if b.c.placer.Feasible(o, nil)(b.c.table.Machines["vm-1"]) {
+	if b.c.placer.Feasible(o, nil)(b.c.waitTable.Machines["vm-1"]) {
 		t.Error("retried there though there is another machine")
 	}
 }
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -82,7 +82,7 @@
 				f.version++
 				timed(&adopts, message.RecordChanged{Event: protocol.Event{Put: record.ViewKey, Value: raw, Version: f.version}})
 				for range 40 {
-					f.now += Time(tickEvery)
+					f.now += Time(tickInterval)
 					timed(&ticks, message.Tick{})
 				}
 			}
@@ -97,9 +97,9 @@
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("%d machines, %d tasks", s.machines, s.tasks), func(b *testing.B) {
 			w := fleetOf(b, s.machines, s.tasks)
-			w.report("vm-00001", 1, 1)
+			w.heartbeat("vm-00001", 1, 1)
 			for b.Loop() {
-				w.report("vm-00001", 1, 1)
+				w.heartbeat("vm-00001", 1, 1)
 			}
 		})
 	}
@@ -173,7 +173,7 @@
 		w.step(message.Tick{})
 	}
 	huge := w.c.jobs.ByID["job-huge"]
-	most := 20 * 4 * (int(placement.QueueAtMost.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
+	most := 20 * 4 * (int(placement.MaxQueueWait.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
 	if n := len(huge.Placed); n == 0 || n > most {
 		t.Errorf("%d tasks placed, want up to %d", n, most)
 	}
@@ -215,7 +215,7 @@
 				f.c.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: "soon", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, MemoryGB: 1, EstimateS: 10}}
 				demand = append(demand, message.Demand{Job: id, Unstarted: 20, EstimateS: 10})
 			}
-			f.c.table.Peers["node-0"].Demand = demand
+			f.c.waitTable.Peers["node-0"].Demand = demand
 			for b.Loop() {
 				f.c.Actions = nil
 				f.c.autoscaler.PlanScaleOut()
@@ -233,7 +233,7 @@
 				for range 10 {
 					f.now += Time(placement.Interval)
 					f.c.Now, f.c.Actions = f.now, nil
-					f.c.placer.Schedule()
+					f.c.placer.PlacePending()
 				}
 			}
 			b.ReportMetric(float64(f.c.placer.Examined)/float64(b.N), "looked/op")
@@ -249,11 +249,11 @@
 	f := stuckFleet(t, machines, 30000, gangs)
 	for range 20 {
 		f.now += Time(placement.Interval)
-		f.c.table.PlacementDue = true
+		f.c.waitTable.PlacementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	// Two passes for each gang that is tried: one for room, one to claim.
-	if most := 2 * 20 * 2 * placement.MaxExaminedPerStep; f.c.placer.Examined > most || f.c.placer.Examined < gangs*machines {
+	if most := 2 * 20 * 2 * placement.MaxExaminedForGangs; f.c.placer.Examined > most || f.c.placer.Examined < gangs*machines {
 		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.placer.Examined, gangs, most)
 	}
 	for i := range 8 { // machines come
@@ -264,7 +264,7 @@
 	f.hear(0)
 	for range 20 {
 		f.now += Time(placement.Interval)
-		f.c.table.PlacementDue = true
+		f.c.waitTable.PlacementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	placed := 0
--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -57,7 +57,7 @@
 func TestJobsThatCanMeetDeadlineGoBeforeLateOnes(t *testing.T) {
 	b := newBench(t)
 	for id, deadline := range map[protocol.JobID]float64{"job-1": 20, "job-2": 60} {
-		b.c.jobs.Accepted(protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, 1, false)
+		b.c.jobs.AddAccepted(protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, 1, false)
 	}
 	if b.c.jobs.InOrder()[0].ID != "job-1" {
 		t.Fatal("the earliest deadline does not go first")
--- a/internal/controller/dispatcher/dispatcher.go
+++ b/internal/controller/dispatcher/dispatcher.go
@@ -68,7 +68,7 @@
 
 // BeginTerm begins the new term's log of changes, with every machine as changed.
 func (d *Dispatcher) BeginTerm() {
-	d.changes = replication.Log[protocol.MachineID]{}
+	d.changes = replication.ChangeLog[protocol.MachineID]{}
 	d.TouchAll()
 }
 
--- a/internal/controller/dispatcher/handover_test.go
+++ b/internal/controller/dispatcher/handover_test.go
@@ -19,7 +19,7 @@
 	b := newBench(t)
 	s := b.holdAllShards()
 	b.dispatcher.View.Members["node-1"] = 101
-	id := sharding.Of(s, "vm-1", "a")
+	id := sharding.ShardOf(s, "vm-1", "a")
 	b.machine()
 	b.heartbeat(1, s.List[id].Epoch)
 	b.job("job-1")
@@ -51,7 +51,7 @@
 		t.Fatal("no queue: nothing to test")
 	}
 	b.dispatcher.Shards = sharding.Copy(old)
-	sharding.Assign(b.dispatcher.Shards, sharding.Of(old, "vm-1", "a"), 101)
+	sharding.Assign(b.dispatcher.Shards, sharding.ShardOf(old, "vm-1", "a"), 101)
 	if b.dispatcher.AdoptShards(old); len(b.dispatcher.Machines()) != 0 {
 		t.Error("held though its shard has moved")
 	}
--- a/internal/controller/dispatcher/handoverin.go
+++ b/internal/controller/dispatcher/handoverin.go
@@ -73,7 +73,7 @@
 		delete(d.shards.incoming, id)
 	}
 	for id, m := range ordered.Of(d.Records) {
-		if !gained[sharding.Of(d.Shards, id, m.Record.Zone)] {
+		if !gained[sharding.ShardOf(d.Shards, id, m.Record.Zone)] {
 			continue
 		}
 		q := d.queues.get(id)
--- a/internal/controller/dispatcher/queueset.go
+++ b/internal/controller/dispatcher/queueset.go
@@ -62,7 +62,7 @@
 type environment struct {
 	clusterstate.Module
 	// changes lists the machines whose published state has changed in this term.
-	changes replication.Log[protocol.MachineID]
+	changes replication.ChangeLog[protocol.MachineID]
 	direct  directSchedule
 	shards  shardSet
 	// newTermNeeded is set while an unanswered direct start can only be settled by a
--- a/internal/controller/dispatcher/reservations.go
+++ b/internal/controller/dispatcher/reservations.go
@@ -32,19 +32,19 @@
 		return startNow, false
 	}
 	now := q.WallTime()
-	task := reservation.Task{Of: q.ReservationFilter(&job.Job), Need: e.need, Level: e.level, Saves: job.CheckpointS > 0}
+	task := reservation.Task{IsOf: q.ReservationFilter(&job.Job), Need: e.need, Level: e.level, SavesCheckpoint: job.CheckpointS > 0}
 	runSeconds := q.ExpectedRunSeconds(&job.Job, e.estimate) + q.fetchSeconds(job)
 	task.Ends = reservation.After(now, config.Seconds(runSeconds))
-	reserved := reservation.OwnUntil(holds, task.Of) != 0
+	reserved := reservation.ReservedUntil(holds, task.IsOf) != 0
 	if m := q.Records[q.id]; m != nil && q.InWindow(q.id, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &task)) {
 		return startElsewhere, reserved
 	}
 	switch {
 	case q.SpansReservation(&job.Job, task.Ends):
 		return startAfterOthers, reserved
-	case reservation.LeavesRoom(holds, &task, free, now):
+	case reservation.AllowsStart(holds, &task, free, now):
 		return startNow, reserved
-	case reservation.LeavesRoom(holds, &task, resource.Capacity(q.machineType), now):
+	case reservation.AllowsStart(holds, &task, resource.Capacity(q.machineType), now):
 		return startAfterOthers, reserved
 	}
 	return startElsewhere, reserved
@@ -53,7 +53,7 @@
 // hasReservation reports whether resources that are reserved for an attempt's job are free.
 func (q *queue) hasReservation(e *entry) bool {
 	job := q.Live[e.task.Job]
-	return job != nil && q.free().Covers(e.need) && reservation.OwnUntil(q.Reservations.Holds[q.id], q.ReservationFilter(&job.Job)) != 0
+	return job != nil && q.free().Covers(e.need) && reservation.ReservedUntil(q.Reservations.Holds[q.id], q.ReservationFilter(&job.Job)) != 0
 }
 
 // clearReserved stops what is in the way of a reservation on the machine, at the last
@@ -66,7 +66,7 @@
 	}
 	now := q.WallTime()
 	for i := range holds {
-		if holds[i].Stop(maxStopTime, now) { // else long before it
+		if holds[i].ShouldStop(maxStopTime, now) { // else long before it
 			q.clearHold(&holds[i], now)
 		}
 	}
@@ -79,7 +79,7 @@
 	for _, e := range victims {
 		seconds = min(max(seconds, q.stopSeconds(e)), maxStopTime.Seconds())
 	}
-	if !hold.Stop(config.Seconds(seconds), now) {
+	if !hold.ShouldStop(config.Seconds(seconds), now) {
 		return
 	}
 	free := q.freeAfterStops()
--- a/internal/controller/dispatcher/shards.go
+++ b/internal/controller/dispatcher/shards.go
@@ -73,7 +73,7 @@
 
 // handingOver reports whether the shard of a machine is being handed over.
 func (s *shardSet) handingOver(machine protocol.MachineID, zone protocol.Zone) bool {
-	return s.Sharded() && s.byID(sharding.Of(s.Shards, machine, zone)).handover != nil
+	return s.Sharded() && s.byID(sharding.ShardOf(s.Shards, machine, zone)).handover != nil
 }
 
 // isHeld reports whether this controller holds a shard in the epoch that a peer names.
@@ -182,7 +182,7 @@
 }
 
 // shardID is the shard of the queue's machine.
-func (q *queue) shardID() sharding.ID { return sharding.Of(q.Shards, q.id, q.zone) }
+func (q *queue) shardID() sharding.ID { return sharding.ShardOf(q.Shards, q.id, q.zone) }
 
 // shard is the state of the shard of the queue's machine.
 func (q *queue) shard() *shardState { return q.shards.byID(q.shardID()) }
--- a/internal/controller/dynamicconfig/store_test.go
+++ b/internal/controller/dynamicconfig/store_test.go
@@ -29,13 +29,13 @@
 // store is a key-value store with the records of the configuration, and one that follows
 // them.
 type store struct {
-	state *fake.State
+	state *fake.KeyValueStore
 	*Followed
 	seen int
 }
 
 func newStore() *store {
-	return &store{state: fake.NewState(), Followed: NewFollowed(site(), config.DefaultOperator())}
+	return &store{state: fake.NewKeyValueStore(), Followed: NewFollowed(site(), config.DefaultOperator())}
 }
 
 // fataler is a *testing.T or a *rapid.T.
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -19,8 +19,8 @@
 	b := newBench(t, "node-1")
 	const machines, jobs, ticks = 600, 300, 20
 	b.zoned("a", machines, false, fullyUsedAt(2))
-	for _, m := range b.c.table.InOrder() {
-		m.Reported.Wait = 10_000
+	for _, m := range b.c.waitTable.InOrder() {
+		m.State.Wait = 10_000
 	}
 	var first protocol.JobID
 	for i := range 2 * jobs {
@@ -35,17 +35,17 @@
 	}
 	before := b.c.placer.Examined
 	for range ticks {
-		b.c.table.PlacementDue = true
+		b.c.waitTable.PlacementDue = true
 		b.step(message.Tick{})
 	}
 	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*placement.MaxExaminedForArrays {
 		t.Errorf("%d machines examined in %d steps", n, ticks)
 	}
-	all := b.c.table.InOrder()
+	all := b.c.waitTable.InOrder()
 	m := all[slices.IndexFunc(all, func(m *waittable.Machine) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // the others have dispatchers that do not run here
-	m.Reported.FreeCPUs, m.Reported.FreeGB, m.Reported.Wait = 1, 4, 0
+	m.State.FreeCPUs, m.State.FreeGB, m.State.Wait = 1, 4, 0
 	for range ticks {
-		b.c.table.PlacementDue = true
+		b.c.waitTable.PlacementDue = true
 		b.step(message.Tick{})
 	}
 	if len(b.c.jobs.AttemptsOn[m.ID]) == 0 || b.c.jobs.ByID[first].Placed[protocol.TaskID{Job: first}] == nil {
--- a/internal/controller/forecast/spot.go
+++ b/internal/controller/forecast/spot.go
@@ -19,18 +19,18 @@
 	uptimeS   float64 // machine seconds, weighted by age
 }
 
-// Watch adds the uptime of some spot machines.
-func (s *Spot) Watch(machines int, uptime time.Duration) {
+// NoteUptime adds the uptime of some spot machines.
+func (s *Spot) NoteUptime(machines int, uptime time.Duration) {
 	decay := math.Exp2(-uptime.Seconds() / SpotMemory.Seconds())
 	s.reclaimed *= decay
 	s.uptimeS = s.uptimeS*decay + float64(machines)*uptime.Seconds()
 }
 
-// Lost adds a machine that was reclaimed.
-func (s *Spot) Lost() { s.reclaimed++ }
+// NoteReclaimed adds a machine that was reclaimed.
+func (s *Spot) NoteReclaimed() { s.reclaimed++ }
 
-// Losses returns how many were reclaimed lately.
-func (s *Spot) Losses() float64 { return s.reclaimed }
+// Reclaimed returns how many were reclaimed lately.
+func (s *Spot) Reclaimed() float64 { return s.reclaimed }
 
 // Rate returns how many times a second a spot machine is reclaimed.
 func (s *Spot) Rate() float64 { return (s.reclaimed + 1) / (s.uptimeS + priorUptimeS) }
--- a/internal/controller/frontend/actor.go
+++ b/internal/controller/frontend/actor.go
@@ -104,7 +104,7 @@
 		f.queryOwners(ctx, a)
 	case admission.Compare:
 		go func() { f.post(ctx, f.compare(ctx, a)) }()
-	case admission.PassOn:
+	case admission.Forward:
 		go func() { f.post(ctx, f.forward(a)) }()
 	case admission.Announce:
 		f.announce(ctx, a)
@@ -117,7 +117,7 @@
 func (f *Frontend) queryOwners(ctx context.Context, query admission.QueryOwners) {
 	answer := func(answered admission.OwnersAnswered) { f.post(ctx, answered) }
 	if !f.controller.QueryOwners(query, answer) {
-		f.local = append(f.local, admission.OwnersAnswered{Query: query.Look})
+		f.local = append(f.local, admission.OwnersAnswered{Query: query.Query})
 	}
 }
 
@@ -147,16 +147,16 @@
 
 func (f *Frontend) compare(ctx context.Context, a admission.Compare) admission.Compared {
 	differ, err := f.store.Compare(ctx, a.Conditions)
-	return admission.Compared{Look: a.Look, Outcome: outcome.Of(err), Differ: differ}
+	return admission.Compared{Query: a.Query, Outcome: outcome.Of(err), Differing: differ}
 }
 
 // forward passes a submission on to a peer; the answer is empty if none came.
-func (f *Frontend) forward(a admission.PassOn) admission.PassedOn {
+func (f *Frontend) forward(a admission.Forward) admission.Forwarded {
 	answer, err := f.controller.ForwardSubmission(a.To, a.Body)
 	if err != nil {
 		f.log.Debug("submission not forwarded", "err", err)
 	}
-	return admission.PassedOn{ID: a.ID, Answer: answer}
+	return admission.Forwarded{ID: a.ID, Answer: answer}
 }
 
 // readJob reads a job's record. OutcomeFailed means that there is none.
--- a/internal/controller/frontend/frontend.go
+++ b/internal/controller/frontend/frontend.go
@@ -91,7 +91,7 @@
 		log:            log,
 		admission:      admission.New(settings, operator, log),
 		replies:        map[admission.RequestID]transport.Reply{},
-		mailbox:        make(chan any, 4*admission.RequestsMost),
+		mailbox:        make(chan any, 4*admission.MaxRequests),
 		configurations: make(chan *dynamicconfig.Effective, 1),
 		operatorSlots:  make(chan struct{}, maxOperatorRequests),
 	}
@@ -126,7 +126,7 @@
 // SubmitForwarded takes a submission that a peer could not accept. Any goroutine may
 // call it.
 func (f *Frontend) SubmitForwarded(body []byte, reply transport.Reply) {
-	f.admit(admission.Request{Operation: admission.Submit, Body: body, Passed: true}, reply)
+	f.admit(admission.Request{Operation: admission.Submit, Body: body, Forwarded: true}, reply)
 }
 
 // jobRequest handles a poll or a cancellation of one job.
--- a/internal/controller/frontend/responses.go
+++ b/internal/controller/frontend/responses.go
@@ -53,7 +53,7 @@
 	status := operatorStatus[reply.Code]
 	m := success(status, reply)
 	if status == http.StatusServiceUnavailable {
-		m.RetryAfterS = admission.RetryAfterS
+		m.RetryAfterS = admission.RetryAfterSeconds
 	}
 	return m
 }
--- a/internal/controller/frontendcontroller.go
+++ b/internal/controller/frontendcontroller.go
@@ -47,7 +47,7 @@
 // ForwardSubmission passes a submission on to a peer.
 func (fc *frontendController) ForwardSubmission(to protocol.NodeName, body []byte) (admission.Answer, error) {
 	var answer admission.Answer
-	if err := fc.node.peers[to].Call("Peer.Submit", ForwardedSubmission{body}, &answer, admission.PassOnWait); err != nil {
+	if err := fc.node.peers[to].Call("Peer.Submit", ForwardedSubmission{body}, &answer, admission.ForwardTimeout); err != nil {
 		return admission.Answer{}, fmt.Errorf("forward a submission to %s: %w", to, err)
 	}
 	return answer, nil
@@ -55,7 +55,7 @@
 
 // AnnounceCancellation tells a peer of a cancelled job.
 func (fc *frontendController) AnnounceCancellation(to protocol.NodeName, job protocol.JobID) error {
-	if err := fc.node.peers[to].Call("Peer.Halt", job, new(bool), admission.AnnounceWait); err != nil {
+	if err := fc.node.peers[to].Call("Peer.Halt", job, new(bool), admission.AnnounceTimeout); err != nil {
 		return fmt.Errorf("announce the cancellation of %s to %s: %w", job, to, err)
 	}
 	return nil
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -29,8 +29,8 @@
 			AnnouncedUses: held,
 		}
 		free := resource.Capacity(m.Info).Minus(held.NonPreemptible(0))
-		m.Reported = message.MachineState{Machine: id, Epoch: 1, FreeCPUs: free.CPUs, FreeGB: free.GB}
-		b.c.table.Add(m)
+		m.State = message.MachineState{Machine: id, Epoch: 1, FreeCPUs: free.CPUs, FreeGB: free.GB}
+		b.c.waitTable.Add(m)
 	}
 }
 
@@ -119,13 +119,13 @@
 		t.Fatal("avoided before any was lost")
 	}
 	for range 40 {
-		m := &waittable.Machine{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, Reported: message.MachineState{Noticed: true}}
+		m := &waittable.Machine{Machine: &clusterstate.Machine{Record: record.Machine{Spot: true}}, State: message.MachineState{Noticed: true}}
 		b.c.workload.RecordSpotLoss(m)
-		m.Reported = message.MachineState{Draining: true, Noticed: true}
+		m.State = message.MachineState{Draining: true, Noticed: true}
 		b.c.workload.RecordSpotLoss(m) // terminated by the autoscaler
 	}
-	if b.c.workload.Spots.Losses() != 40 {
-		t.Errorf("%v losses counted, want 40", b.c.workload.Spots.Losses())
+	if b.c.workload.Spots.Reclaimed() != 40 {
+		t.Errorf("%v losses counted, want 40", b.c.workload.Spots.Reclaimed())
 	}
 	if !b.c.workload.AvoidsSpot(&o.Job) {
 		t.Fatal("not avoided though they are lost all the time")
@@ -141,7 +141,7 @@
 			t.Error("placed on a spot machine rather than where something may be preempted")
 		}
 	}
-	b.c.workload.Spots.Watch(0, 10*forecast.SpotMemory)
+	b.c.workload.Spots.NoteUptime(0, 10*forecast.SpotMemory)
 	if b.c.workload.AvoidsSpot(&o.Job) {
 		t.Error("avoided long after the last was lost")
 	}
--- a/internal/controller/heartbeat/queue.go
+++ b/internal/controller/heartbeat/queue.go
@@ -30,9 +30,9 @@
 	arrivals uint64
 }
 
-// New returns a queue that holds at most so many heartbeats. One that has waited longer
+// NewQueue returns a queue that holds at most so many heartbeats. One that has waited longer
 // than patience is worth nothing: its worker waits for the answer no more.
-func New[T any](capacity int, patience time.Duration) *Queue[T] {
+func NewQueue[T any](capacity int, patience time.Duration) *Queue[T] {
 	return &Queue[T]{capacity: capacity, patience: patience, answered: map[protocol.MachineID]clock.Time{}}
 }
 
--- a/internal/controller/heartbeat/queue_test.go
+++ b/internal/controller/heartbeat/queue_test.go
@@ -24,7 +24,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		type heartbeat struct{ number, answered, arrived int }
 		const capacity, patience = 5, 10
-		q := New[heartbeat](capacity, patience)
+		q := NewQueue[heartbeat](capacity, patience)
 		lastAnswer := map[int]int{}
 		var waiting []heartbeat // in the order of service
 		order := func(a, b heartbeat) int {
@@ -173,7 +173,7 @@
 // many do.
 func TestLeasesAreKept(t *testing.T) {
 	const workers, perSecond = 3000, 200
-	if expired := expiredLeases(byLease{New[int](256, 3500*time.Millisecond)}, workers, perSecond); expired > 0 {
+	if expired := expiredLeases(byLease{NewQueue[int](256, 3500*time.Millisecond)}, workers, perSecond); expired > 0 {
 		t.Errorf("%d leases expired", expired)
 	}
 	if expired := expiredLeases(&fifo{}, workers, perSecond); expired < 100 {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -37,7 +37,7 @@
 }
 
 func newHeartbeatQueue() *heartbeatQueue {
-	return &heartbeatQueue{ready: make(chan struct{}, 1), queue: heartbeat.New[pendingHeartbeat](maxPendingHeartbeats, heartbeatPatience)}
+	return &heartbeatQueue{ready: make(chan struct{}, 1), queue: heartbeat.NewQueue[pendingHeartbeat](maxPendingHeartbeats, heartbeatPatience)}
 }
 
 // add queues a heartbeat. It runs on the server's event loop and never waits.
--- a/internal/controller/holding_test.go
+++ b/internal/controller/holding_test.go
@@ -63,14 +63,14 @@
 	b := newReservationBench(t)
 	b.ready("vm-1")
 	b.c.reservations.Any = true
-	m := b.c.table.Machines["vm-1"]
+	m := b.c.waitTable.Machines["vm-1"]
 	task := protocol.TaskID{Job: "job-1"}
 	soon := reservation.After(b.c.WallTime(), time.Minute)
-	m.Reported.Runs = []reservation.Run{{Task: task, Attempt: 3, Ends: soon, Level: 0}}
+	m.State.Runs = []reservation.Run{{Task: task, Attempt: 3, Ends: soon, Level: 0}}
 	found := message.MachineState{Machine: "vm-1", Epoch: m.Epoch, Heard: true, Runs: []reservation.Run{{Task: task, Attempt: 3, Ends: soon + 1e6, Level: 4}}}
-	b.c.table.ApplyMachineState("node-0", b.c.table.Peers["node-0"], message.MachineState{Machine: "vm-1", Epoch: m.Epoch}) // no heartbeat yet
-	b.c.table.ApplyMachineState("node-0", b.c.table.Peers["node-0"], found)
-	if r := m.Reported.Runs[0]; r.Ends != soon {
+	b.c.waitTable.ApplyMachineState("node-0", b.c.waitTable.Peers["node-0"], message.MachineState{Machine: "vm-1", Epoch: m.Epoch}) // no heartbeat yet
+	b.c.waitTable.ApplyMachineState("node-0", b.c.waitTable.Peers["node-0"], found)
+	if r := m.State.Runs[0]; r.Ends != soon {
 		t.Errorf("ends %d, want %d", r.Ends, soon)
 	}
 	b.job("job-1", "free", 1)
--- a/internal/controller/holds/calendar.go
+++ b/internal/controller/holds/calendar.go
@@ -14,8 +14,8 @@
 // placed: longer than tasks are likely to run.
 const windowsAhead = 24 * time.Hour
 
-// CalendarRecord adopts a record of the calendar.
-func (h *Holds) CalendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
+// AdoptCalendarRecord adopts a record of the calendar.
+func (h *Holds) AdoptCalendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
 	switch {
 	case f.Calendar:
 		err = h.adoptCalendar(value, version)
--- a/internal/controller/holds/exclusion.go
+++ b/internal/controller/holds/exclusion.go
@@ -9,12 +9,12 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Excluded returns a function that tells on which machines a job's tasks may not be
+// Exclusion returns a function that tells on which machines a job's tasks may not be
 // placed: they would run into a window, or use resources that are held for others.
-func (h *Holds) Excluded(j *protocol.Job, level resource.Level, estimateS float64) func(m *waittable.Machine) bool {
+func (h *Holds) Exclusion(j *protocol.Job, level resource.Level, estimateS float64) func(m *waittable.Machine) bool {
 	now := h.WallTime()
 	likelyS := h.ExpectedRunSeconds(j, estimateS)
-	task := reservation.Task{Of: h.ReservationFilter(j), Need: resource.Need(j), Level: level, Saves: j.CheckpointS > 0}
+	task := reservation.Task{IsOf: h.ReservationFilter(j), Need: resource.Need(j), Level: level, SavesCheckpoint: j.CheckpointS > 0}
 	return func(m *waittable.Machine) bool {
 		free, waitS := m.Free(), m.FetchSeconds(j)
 		if h.HeldFor(j, m) {
@@ -30,6 +30,6 @@
 		if h.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &task)) {
 			return true
 		}
-		return len(holds) > 0 && !reservation.LeavesRoom(holds, &task, free, now)
+		return len(holds) > 0 && !reservation.AllowsStart(holds, &task, free, now)
 	}
 }
--- a/internal/controller/holds/holds.go
+++ b/internal/controller/holds/holds.go
@@ -101,5 +101,5 @@
 
 // HeldFor reports whether resources are held for a job on a machine.
 func (h *Holds) HeldFor(j *protocol.Job, m *waittable.Machine) bool {
-	return reservation.OwnUntil(h.Holds[m.ID], h.ReservationFilter(j)) != 0
+	return reservation.ReservedUntil(h.Holds[m.ID], h.ReservationFilter(j)) != 0
 }
--- a/internal/controller/holds/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -46,9 +46,9 @@
 	h.recordStale = h.recordStale || out != message.OutcomeDone
 }
 
-// RecordSeen adopts the list in the record, unless a list has been received from a peer
+// AdoptRecord adopts the list in the record, unless a list has been received from a peer
 // already: that one is newer.
-func (h *Holds) RecordSeen(value protocol.RawValue, version protocol.Version) error {
+func (h *Holds) AdoptRecord(value protocol.RawValue, version protocol.Version) error {
 	h.recordVersion = version
 	var r Record
 	if err := protocol.Decode(value, &r); err != nil {
--- a/internal/controller/jobs/bitmap.go
+++ b/internal/controller/jobs/bitmap.go
@@ -51,8 +51,8 @@
 	o.Emit(message.Commit{Tag: tag, Txn: txn})
 }
 
-// BitmapWritten handles the outcome of a write of a job's bitmap.
-func (o *Owned) BitmapWritten(tag BitmapTag, outcome message.Outcome, at protocol.Revision) {
+// HandleBitmapWritten handles the outcome of a write of a job's bitmap.
+func (o *Owned) HandleBitmapWritten(tag BitmapTag, outcome message.Outcome, at protocol.Revision) {
 	job := o.ByID[tag.Job]
 	if job == nil {
 		return
@@ -74,8 +74,8 @@
 	o.Emit(message.LoadBitmap{Job: job.ID})
 }
 
-// BitmapLoaded merges a job's bitmap that was read from the records.
-func (o *Owned) BitmapLoaded(loaded message.BitmapLoaded) {
+// HandleBitmapLoaded merges a job's bitmap that was read from the records.
+func (o *Owned) HandleBitmapLoaded(loaded message.BitmapLoaded) {
 	job := o.ByID[loaded.Job]
 	if job == nil || job.Loaded && !job.bitmap.rereadNeeded {
 		return
--- a/internal/controller/jobs/completed.go
+++ b/internal/controller/jobs/completed.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// CompletedBefore handles the tasks that the job's previous owner knows to be done.
-func (o *Owned) CompletedBefore(completed *message.CompletedTasks) {
+// MergeCompletedTasks handles the tasks that the job's previous owner knows to be done.
+func (o *Owned) MergeCompletedTasks(completed *message.CompletedTasks) {
 	job := o.ByID[completed.Job]
 	if job == nil {
 		return
--- a/internal/controller/jobs/events.go
+++ b/internal/controller/jobs/events.go
@@ -11,8 +11,8 @@
 // retryAfterUnknown is how long a job waits after an attempt ended for an unknown cause.
 const retryAfterUnknown = 2 * time.Second
 
-// TaskEvent handles what a dispatcher reports of an attempt.
-func (o *Owned) TaskEvent(event message.TaskEvent) {
+// HandleTaskEvent handles what a dispatcher reports of an attempt.
+func (o *Owned) HandleTaskEvent(event message.TaskEvent) {
 	job := o.ByID[event.Task.Job]
 	if job == nil {
 		if event.What == message.EventEnded || event.What == message.EventReleased {
--- a/internal/controller/jobs/finish.go
+++ b/internal/controller/jobs/finish.go
@@ -59,9 +59,9 @@
 	return txn
 }
 
-// FinishWritten handles the outcome of the write of a job's end. If it failed, Retry writes
+// HandleFinishWritten handles the outcome of the write of a job's end. If it failed, Retry writes
 // it again; a conflict shows in the records.
-func (o *Owned) FinishWritten(tag FinishTag, outcome message.Outcome) {
+func (o *Owned) HandleFinishWritten(tag FinishTag, outcome message.Outcome) {
 	if job := o.ByID[tag.Job]; job != nil {
 		job.finishInFlight = outcome == message.OutcomeDone
 	}
--- a/internal/controller/jobs/fixture_test.go
+++ b/internal/controller/jobs/fixture_test.go
@@ -49,7 +49,7 @@
 			Machine: &clusterstate.Machine{
 				ID: id, Epoch: 1, Info: protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16}, Record: record.Machine{Zone: "a"},
 			},
-			Reported: message.MachineState{Machine: id, Epoch: 1, FreeCPUs: 4, FreeGB: 16},
+			State: message.MachineState{Machine: id, Epoch: 1, FreeCPUs: 4, FreeGB: 16},
 		})
 	}
 }
@@ -66,11 +66,11 @@
 		attempt.Epoch, attempt.Zone = m.Epoch, m.Record.Zone
 	}
 	owned.AddAttempt(job, attempt)
-	owned.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
+	owned.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
 	return attempt
 }
 
 // end reports the end of an attempt.
 func end(owned *Owned, ref message.TaskRef, cause protocol.EndCause) {
-	owned.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: cause})
+	owned.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: cause})
 }
--- a/internal/controller/jobs/inventory.go
+++ b/internal/controller/jobs/inventory.go
@@ -7,8 +7,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Inventory handles a dispatcher's proof of all attempts that are on a machine.
-func (o *Owned) Inventory(from protocol.NodeName, inventory *message.Inventory) {
+// HandleInventory handles a dispatcher's proof of all attempts that are on a machine.
+func (o *Owned) HandleInventory(from protocol.NodeName, inventory *message.Inventory) {
 	m := o.table.Machines[inventory.Machine]
 	if m == nil || !o.inventoryCurrent(from, inventory, m) {
 		return
@@ -72,11 +72,11 @@
 	switch held.State {
 	case "":
 	case protocol.TaskEnded:
-		o.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: held.Cause, Saved: held.Saved})
+		o.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: held.Cause, Saved: held.Saved})
 	case protocol.TaskRunning:
-		o.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
+		o.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventRunning})
 	default:
-		o.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventPresent})
+		o.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventPresent})
 	}
 }
 
--- a/internal/controller/jobs/notice_test.go
+++ b/internal/controller/jobs/notice_test.go
@@ -34,7 +34,7 @@
 			t.Fatalf("%s: estimate %v s, want 10", tc.name, attempt.Estimate)
 		}
 		owned.Now += clock.Time(tc.ran)
-		owned.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventNotice, LeftS: 5})
+		owned.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventNotice, LeftS: 5})
 		if attempt.Stopping != tc.stopped {
 			t.Errorf("%s: stopped %v", tc.name, attempt.Stopping)
 		}
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -51,7 +51,7 @@
 	runWatch       runDeadlines
 	// changes is the log by which all members follow the progress of the owned jobs, one
 	// stream per term.
-	changes replication.Log[protocol.JobID]
+	changes replication.ChangeLog[protocol.JobID]
 }
 
 // New returns the state of a controller that owns no jobs. Reset must be called before it
@@ -64,7 +64,7 @@
 func (o *Owned) Reset() {
 	o.Drop()
 	o.AttemptsOn = AttemptIndex{}
-	o.changes = replication.Log[protocol.JobID]{}
+	o.changes = replication.ChangeLog[protocol.JobID]{}
 }
 
 // Drop drops all owned jobs: this controller is not in the view.
@@ -86,9 +86,9 @@
 	return true
 }
 
-// Accepted adds a job whose live record was read: by a change of the records, or in a
+// AddAccepted adds a job whose live record was read: by a change of the records, or in a
 // snapshot of all of them.
-func (o *Owned) Accepted(accepted protocol.Job, version protocol.Version, snapshot bool) {
+func (o *Owned) AddAccepted(accepted protocol.Job, version protocol.Version, snapshot bool) {
 	if o.Live[accepted.ID] != nil {
 		return
 	}
@@ -116,8 +116,8 @@
 	return job
 }
 
-// End drops an owned job whose record says that it is over, and has its attempts killed.
-func (o *Owned) End(id protocol.JobID) {
+// RemoveEnded drops an owned job whose record says that it is over, and has its attempts killed.
+func (o *Owned) RemoveEnded(id protocol.JobID) {
 	job := o.ByID[id]
 	if job == nil {
 		return
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -48,7 +48,7 @@
 
 // BeginStream begins the stream of changes of a new term, with all owned jobs as changed.
 func (o *Owned) BeginStream() {
-	o.changes = replication.Log[protocol.JobID]{}
+	o.changes = replication.ChangeLog[protocol.JobID]{}
 	for id := range ordered.Of(o.ByID) {
 		o.changes.Touch(id)
 	}
--- a/internal/controller/jobs/slow.go
+++ b/internal/controller/jobs/slow.go
@@ -117,7 +117,7 @@
 // stateKnown reports whether the ends of a machine's tasks would be known here: it has sent
 // its inventory, its dispatcher's updates are recent, and it has not fallen silent.
 func (o *Owned) stateKnown(m *waittable.Machine) bool {
-	return !o.AwaitedInventories[m.ID] && o.table.Recent(m, recentUpdates*o.Op.RelayEvery) && m.Reported.Silence == message.SilenceNone
+	return !o.AwaitedInventories[m.ID] && o.table.Recent(m, recentUpdates*o.Op.RelayEvery) && m.State.Silence == message.SilenceNone
 }
 
 // countLateRun counts a task that runs too long against its machine, and drains the
@@ -127,10 +127,10 @@
 		m.LateRuns = 0
 	}
 	m.LateRuns, m.LastLateRun = m.LateRuns+1, o.Now
-	if m.LateRuns < slowTasks || m.Reported.Draining || o.tooManyDraining() {
+	if m.LateRuns < slowTasks || m.State.Draining || o.tooManyDraining() {
 		return
 	}
-	m.Reported.Draining = true // at once: its dispatcher has not published it yet
+	m.State.Draining = true // at once: its dispatcher has not published it yet
 	o.Log.Info("machine runs its tasks slowly: giving it up", "machine", m.ID)
 	o.Send(o.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
 	for _, attempt := range ordered.Tasks(o.AttemptsOn[m.ID]) {
@@ -144,7 +144,7 @@
 func (o *Owned) tooManyDraining() bool {
 	draining := 0
 	for _, other := range o.table.Machines {
-		if other.Reported.Draining {
+		if other.State.Draining {
 			draining++
 		}
 	}
--- a/internal/controller/jobs/slow_test.go
+++ b/internal/controller/jobs/slow_test.go
@@ -55,11 +55,11 @@
 		for range 2 {
 			owned.Now += clock.Time(tc.goesOn / 2)
 			for i, m := range machines {
-				m.ReportedBy = owned.table.Peers[owned.DispatcherOf(m.ID)]
+				m.StateFrom = owned.table.Peers[owned.DispatcherOf(m.ID)]
 				if tc.updated {
-					m.ReportedBy.Updates.At = owned.Now
+					m.StateFrom.Updates.At = owned.Now
 				}
-				m.Reported.Draining = i > 0 && i <= tc.draining
+				m.State.Draining = i > 0 && i <= tc.draining
 			}
 			owned.WatchSlow()
 		}
--- a/internal/controller/jobs/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -92,10 +92,10 @@
 func (o *Owned) ShardsMoved(moved map[sharding.ID]bool) {
 	o.EndedAttempts.unverifyOn(func(id protocol.MachineID) bool {
 		m := o.table.Machines[id]
-		return m != nil && moved[sharding.Of(o.Shards, id, m.Record.Zone)]
+		return m != nil && moved[sharding.ShardOf(o.Shards, id, m.Record.Zone)]
 	})
 	for id, m := range o.table.Machines {
-		if moved[sharding.Of(o.Shards, id, m.Record.Zone)] {
+		if moved[sharding.ShardOf(o.Shards, id, m.Record.Zone)] {
 			o.AttemptsOn.unverify(id)
 		}
 	}
--- a/internal/controller/jobs/usage.go
+++ b/internal/controller/jobs/usage.go
@@ -16,7 +16,7 @@
 	usage := map[protocol.Team]resource.Amount{}
 	for _, job := range o.ByID {
 		if o.Limited(job.Team) {
-			o.AddUse(job, usage, len(job.Placed))
+			o.AddUsage(job, usage, len(job.Placed))
 		}
 	}
 	for _, ended := range o.EndedAttempts {
@@ -44,8 +44,8 @@
 	return resource.Capacity(m.Info)
 }
 
-// AddUse adds what n tasks of a job use to its team's usage.
-func (o *Owned) AddUse(job *Job, usage map[protocol.Team]resource.Amount, n int) {
+// AddUsage adds what n tasks of a job use to its team's usage.
+func (o *Owned) AddUsage(job *Job, usage map[protocol.Team]resource.Amount, n int) {
 	used := usage[job.Team]
 	used.CPUs += job.CPUs * float64(n)
 	used.GPUs += job.GPUs * float64(n)
--- a/internal/controller/limit_test.go
+++ b/internal/controller/limit_test.go
@@ -15,7 +15,7 @@
 // its team fill the queues of the others.
 func TestQueuedTasksLeaveLimitToWaitingJob(t *testing.T) {
 	b := newBench(t, "node-1")
-	id := b.keptBy("node-1")
+	id := b.machineOf("node-1")
 	team := b.limited(6)
 	b.machine(id, 1) // four processors
 	load := func(job protocol.JobID) {
@@ -32,7 +32,7 @@
 	}
 	end := func(i uint32) {
 		ref := message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: first.Placed[protocol.TaskID{Job: "job-1", Index: i}].Number, Machine: id}
-		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: protocol.EndDone})
 		b.step(message.Tick{})
 	}
 	end(0)
--- a/internal/controller/membership/peers.go
+++ b/internal/controller/membership/peers.go
@@ -108,9 +108,9 @@
 	return true
 }
 
-// ShardsFloor is the epoch of the shard table that all other members are known to have
+// ObservedShardEpoch is the epoch of the shard table that all other members are known to have
 // observed.
-func (ms *Members) ShardsFloor() protocol.Term {
+func (ms *Members) ObservedShardEpoch() protocol.Term {
 	floor := ms.ShardTableEpoch()
 	for name, p := range ms.peers {
 		if name != ms.Self {
--- a/internal/controller/membership/shardtable.go
+++ b/internal/controller/membership/shardtable.go
@@ -38,7 +38,7 @@
 		return
 	}
 	next := sharding.Copy(ms.Shards)
-	sharding.RaiseEpochAbove(next, ms.HighestToken)
+	sharding.RaiseEpochAbove(next, ms.HighestFencingToken)
 	for _, id := range take {
 		sharding.Assign(next, id, ms.Session)
 	}
@@ -86,7 +86,7 @@
 	}
 	next := sharding.Copy(table)
 	// Before there was a shard table, terms were used as fencing tokens.
-	sharding.RaiseEpochAbove(next, max(ms.View.Term, ms.HighestToken))
+	sharding.RaiseEpochAbove(next, max(ms.View.Term, ms.HighestFencingToken))
 	moves := sharding.Orphans(table, sharding.Loads(table, ms.machinesByZone()), ms.shardHolders(view, table))
 	if len(moves) == 0 && table == ms.Shards {
 		return nil
--- a/internal/controller/membership/view.go
+++ b/internal/controller/membership/view.go
@@ -38,10 +38,10 @@
 	ms.reachability.adopt(view, ms.Self, ms.Now)
 }
 
-// Check writes a view of the next term when the present one does not name exactly the
+// UpdateView writes a view of the next term when the present one does not name exactly the
 // registered controllers, or when raise asks for it. A controller that refuses
 // connections stays a member; only lease expiry removes it.
-func (ms *Members) Check(raise bool) {
+func (ms *Members) UpdateView(raise bool) {
 	if ms.Session == 0 || ms.Now >= ms.LeaseDeadline || ms.writing || ms.Now < ms.retryAt {
 		return
 	}
--- a/internal/controller/message/step.go
+++ b/internal/controller/message/step.go
@@ -46,7 +46,7 @@
 		// all that it wrote.
 		Revision protocol.Revision
 	}
-	// BitmapLoaded answers a LoadBitmap.
+	// HandleBitmapLoaded answers a LoadBitmap.
 	BitmapLoaded struct {
 		Job    protocol.JobID
 		Chunks []protocol.Item
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -22,7 +22,7 @@
 const (
 	// ticksPerRateSample is the number of ticks between two measurements of how many
 	// calls to the key-value store are wanted: a second.
-	ticksPerRateSample = int(time.Second / tickEvery)
+	ticksPerRateSample = int(time.Second / tickInterval)
 	// serverRestartDelay is the time until a server that stopped is started again.
 	serverRestartDelay = 200 * time.Millisecond
 )
@@ -167,7 +167,7 @@
 // runTicker gives the core its ticks, and once a second the demand for calls to the
 // key-value store.
 func (n *Node) runTicker(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for i := 1; ; i++ {
 		select {
--- a/internal/controller/operatorrequest/calendar.go
+++ b/internal/controller/operatorrequest/calendar.go
@@ -11,7 +11,7 @@
 // facts is what decisions on the calendar need to know of the site.
 func (h *Handler) facts() *reservation.Facts {
 	return &reservation.Facts{
-		Types: h.Types, Most: h.Op.Machines,
+		Types: h.Types, MaxMachines: h.Op.Machines,
 		Team: func(name protocol.Team) (config.Team, bool) {
 			t, ok := h.Team(name)
 			return t.Team, ok
@@ -49,7 +49,7 @@
 		return d
 	}
 	rec := record.Reservation{
-		Spec: spec, Request: r.ID, By: by, MadeMS: h.WallTime(), Order: h.reservations.Changes + 1, State: record.Accepted, StartMS: a.First[0],
+		Spec: spec, Request: r.ID, By: by, MadeMS: h.WallTime(), Order: h.reservations.Changes + 1, State: record.Accepted, StartMS: a.FirstTimes[0],
 	}
 	if r.DryRun {
 		rec.State = record.Proposed
@@ -91,7 +91,7 @@
 	if !r.DryRun {
 		d.Transaction = h.changeCalendar(record.WindowKey(spec.Name), versionOf(existing), rec)
 	}
-	d.Reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.First[0], Overruns: h.overruns(&spec, a.First[0])}}
+	d.Reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.FirstTimes[0], Overruns: h.overruns(&spec, a.FirstTimes[0])}}
 	return d
 }
 
@@ -101,7 +101,7 @@
 	if !a.OK {
 		code = operatorapi.Refused
 	}
-	return Decision{Reply: operatorapi.Reply{Code: code, Reason: a.Reason, InTheWay: a.InTheWay, Beside: a.Beside, FirstMS: a.First}}
+	return Decision{Reply: operatorapi.Reply{Code: code, Reason: a.Reason, InTheWay: a.Conflicts, Beside: a.Overlapping, FirstMS: a.FirstTimes}}
 }
 
 // versionOf is the version of an entry's record; 0 if there is none.
@@ -134,7 +134,7 @@
 	switch {
 	case e == nil:
 		return refuse(operatorapi.NotFound, "no "+what+" of this name")
-	case r.Made != 0 && e.Made() != r.Made:
+	case r.Made != 0 && e.CreatedAt() != r.Made:
 		return refuse(operatorapi.Refused, "it was made anew since")
 	case !e.Valid():
 		return Decision{Reply: done}
--- a/internal/controller/operatorrequest/calendarview.go
+++ b/internal/controller/operatorrequest/calendarview.go
@@ -92,7 +92,7 @@
 		return v
 	}
 	length := config.Seconds(e.Window.Spec.LengthS)
-	if times := e.When.Occurrences(reservation.After(now, -length), reservation.After(now, reservation.Ahead)); len(times) > 0 {
+	if times := e.Schedule.Occurrences(reservation.After(now, -length), reservation.After(now, reservation.Horizon)); len(times) > 0 {
 		v.NextMS, v.Open = times[0], times[0] <= now
 		v.Overruns = h.overruns(&e.Window.Spec, v.NextMS)
 	}
@@ -108,7 +108,7 @@
 			continue
 		}
 		lastEnd := reservation.Moment(0)
-		for _, run := range m.Reported.Runs {
+		for _, run := range m.State.Runs {
 			lastEnd = max(lastEnd, run.Ends)
 		}
 		if lastEnd > opens {
--- a/internal/controller/operatorrequest/shards.go
+++ b/internal/controller/operatorrequest/shards.go
@@ -21,7 +21,7 @@
 	reply := operatorapi.Reply{Code: operatorapi.Done, Controllers: h.members.Controllers()}
 	machines := make([]int, len(h.Shards.List))
 	for id, m := range h.Records {
-		machines[sharding.Of(h.Shards, id, m.Record.Zone)]++
+		machines[sharding.ShardOf(h.Shards, id, m.Record.Zone)]++
 	}
 	index := map[protocol.NodeName]int{} // in reply.Controllers
 	for i := range reply.Controllers {
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -39,17 +39,17 @@
 	case m.Stop != nil:
 		c.dispatcher.Stop(*m.Stop)
 	case m.Event != nil:
-		c.jobs.TaskEvent(*m.Event)
+		c.jobs.HandleTaskEvent(*m.Event)
 	case m.Released != nil:
 		for _, ref := range m.Released {
-			c.jobs.TaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
+			c.jobs.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
 		}
 	case m.Forget != nil:
 		c.dispatcher.Forget(*m.Forget)
 	case m.Inventory != nil:
-		c.jobs.Inventory(from, m.Inventory)
+		c.jobs.HandleInventory(from, m.Inventory)
 	case m.Added != nil:
-		c.table.WaitsAdded(from, m.Added)
+		c.waitTable.WaitsAdded(from, m.Added)
 	case m.Relay != nil:
 		c.stateUpdated(from, m.Relay)
 	case m.Drain != nil:
@@ -57,14 +57,14 @@
 	case m.Record != nil:
 		c.registrar.RequestChange(from, *m.Record)
 	case m.Done != nil:
-		c.jobs.CompletedBefore(m.Done)
+		c.jobs.MergeCompletedTasks(m.Done)
 	case m.Move != nil:
 		c.dispatcher.HandOver(m.Move)
 	case m.Hand != nil:
 		c.dispatcher.ReceiveHandover(m.Hand)
 	case m.AskTable:
-		c.table.SendCopy(from)
+		c.waitTable.SendCopy(from)
 	case m.Table != nil:
-		c.table.Fill(m.Table)
+		c.waitTable.Fill(m.Table)
 	}
 }
--- a/internal/controller/placement/array.go
+++ b/internal/controller/placement/array.go
@@ -37,7 +37,7 @@
 			break
 		}
 		placed = append(placed, p.placeFrom(from, uint32(i), m, p.jobs.NextAttempt(), zones))
-		p.jobs.AddUse(job, usage, 1)
+		p.jobs.AddUsage(job, usage, 1)
 	}
 	return placed
 }
--- a/internal/controller/placement/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -14,11 +14,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// QueueAtMost is the longest expected wait for which a task is queued on a machine. A
+// MaxQueueWait is the longest expected wait for which a task is queued on a machine. A
 // task that would wait longer stays pending with its job's owner: otherwise a job of
 // 100,000 tasks on a small fleet would fill the memory of every controller and delay
 // everything that is queued after it.
-const QueueAtMost = 2 * time.Minute
+const MaxQueueWait = 2 * time.Minute
 
 // microsecondsPerSecond converts expected waits to whole microseconds.
 const microsecondsPerSecond = 1e6
@@ -185,7 +185,7 @@
 		return false
 	}
 	return c.job.UsesHeadroom ||
-		k.wait > QueueAtMost.Microseconds() && !k.machine.NonPreemptibleFree(c.job.Level).Covers(c.need)
+		k.wait > MaxQueueWait.Microseconds() && !k.machine.NonPreemptibleFree(c.job.Level).Covers(c.need)
 }
 
 // smallest returns the machine with the smallest expected wait per processor, ties broken
--- a/internal/controller/placement/candidates_test.go
+++ b/internal/controller/placement/candidates_test.go
@@ -37,7 +37,7 @@
 			if !claims.IsClaimed(job, m) {
 				wait -= bonus
 			}
-		} else if wait > QueueAtMost.Seconds() && !m.NonPreemptibleFree(job.Level).Covers(need) {
+		} else if wait > MaxQueueWait.Seconds() && !m.NonPreemptibleFree(job.Level).Covers(need) {
 			continue
 		}
 		waits[m] = wait
@@ -67,12 +67,12 @@
 			},
 		}
 		busy := float64(rapid.IntRange(0, int(info.CPUs)).Draw(t, "busy"))
-		m.Reported = message.MachineState{
+		m.State = message.MachineState{
 			Machine: id, Epoch: 1, FreeCPUs: info.CPUs - busy, FreeGB: info.MemoryGB - busy, Wait: 10 * busy,
 			Suspect: rapid.IntRange(0, 9).Draw(t, "suspect") == 0,
 		}
-		if m.Reported.FreeCPUs == 0 && rapid.Bool().Draw(t, "queue") {
-			m.Reported.Queued, m.Reported.Wait = 3, m.Reported.Wait+float64(rapid.IntRange(0, 50).Draw(t, "queued"))
+		if m.State.FreeCPUs == 0 && rapid.Bool().Draw(t, "queue") {
+			m.State.Queued, m.State.Wait = 3, m.State.Wait+float64(rapid.IntRange(0, 50).Draw(t, "queued"))
 		}
 		table.Add(m)
 	}
--- a/internal/controller/placement/claims.go
+++ b/internal/controller/placement/claims.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// Release deducts a whole machine from what can be spared, and reports whether it can be.
+// ReleaseMachine deducts a whole machine from what can be spared, and reports whether it can be.
 // If not, nothing is deducted.
-func (c *Claims) Release(m *waittable.Machine) bool {
+func (c *Claims) ReleaseMachine(m *waittable.Machine) bool {
 	capacity := resource.Capacity(m.Info)
 	for i := range c.Classes {
 		if reserve := &c.Classes[i]; reserve.canUse(m) && reserve.Spare < reserve.placesLost(m, capacity) {
--- a/internal/controller/placement/demand.go
+++ b/internal/controller/placement/demand.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		tasks := p.countWithinLimit(job, usage, min(job.MaxPlaceable(int(job.Pending.Count())), maxDemandPerJob))
-		p.jobs.AddUse(job, usage, tasks)
+		p.jobs.AddUsage(job, usage, tasks)
 		tasks += job.Unstarted
 		if tasks > 0 {
 			demands = append(demands, message.Demand{
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -30,7 +30,7 @@
 	for _, zone := range p.gangZones(job, claims) {
 		attempt := p.jobs.NextAttempt()
 		if placed := p.placeTogether(job, attempt, map[protocol.Zone]int{}, zone, claims); placed != nil {
-			p.jobs.AddUse(job, usage, tasks)
+			p.jobs.AddUsage(job, usage, tasks)
 			return placed
 		}
 	}
@@ -90,7 +90,7 @@
 	if p.withinLimit(job, usage, missing) {
 		if placed := p.placeTogether(job, number, job.ZoneCounts(), "", claims); placed != nil {
 			job.IncompleteSince = 0
-			p.jobs.AddUse(job, usage, missing)
+			p.jobs.AddUsage(job, usage, missing)
 			return placed
 		}
 	}
--- a/internal/controller/placement/levels_test.go
+++ b/internal/controller/placement/levels_test.go
@@ -13,7 +13,7 @@
 	placer := newPlacer(t)
 	for i, tasks := range []uint32{5, 3, 1} {
 		id := protocol.JobID("job-" + string(rune('1'+i)))
-		placer.jobs.Accepted(protocol.Job{
+		placer.jobs.AddAccepted(protocol.Job{
 			ID: id, Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: 10,
 			SubmittedMS: int64(i), // the team is guaranteed 8 processors
 		}, protocol.Version(i+1), false)
--- a/internal/controller/placement/limits.go
+++ b/internal/controller/placement/limits.go
@@ -45,7 +45,7 @@
 	total := map[protocol.Team]resource.Amount{job.Team: usage[job.Team]}
 	waitsLongest := longestWaiting == nil || p.waitsForLimit(job) && compareWaiting(job, longestWaiting) < 0
 	if !waitsLongest {
-		p.jobs.AddUse(longestWaiting, total, 1)
+		p.jobs.AddUsage(longestWaiting, total, 1)
 	}
 	return p.withinLimit(job, total, 1)
 }
@@ -88,5 +88,5 @@
 	if !p.reservations.Active() {
 		return nil
 	}
-	return p.reservations.Excluded(&job.Job, job.Level, p.jobs.EstimateOf(job))
+	return p.reservations.Exclusion(&job.Job, job.Level, p.jobs.EstimateOf(job))
 }
--- a/internal/controller/placement/placer.go
+++ b/internal/controller/placement/placer.go
@@ -21,9 +21,9 @@
 	// MaxPerStep bounds the placements of one step, so that a huge job does not delay
 	// everything else; the rest follows in the next step.
 	MaxPerStep = 2000
-	// MaxExaminedPerStep is how many machines may be examined in a step for gangs that
+	// MaxExaminedForGangs is how many machines may be examined in a step for gangs that
 	// found no place when they were last tried. See failedSearch for arrays.
-	MaxExaminedPerStep = 30_000
+	MaxExaminedForGangs = 30_000
 )
 
 // Placer chooses the machines for the tasks of owned jobs.
@@ -39,9 +39,9 @@
 	failedSearches []failedSearch
 	nextRoundAt    clock.Time // no placing round starts before
 
-	// RebalancedUpTo is the machine at which the last rebalance left the rest to the next
+	// RebalancePosition is the machine at which the last rebalance left the rest to the next
 	// tick; empty if nothing is left.
-	RebalancedUpTo protocol.MachineID
+	RebalancePosition protocol.MachineID
 	// Examined counts the machines examined for placements since the start.
 	Examined int
 }
@@ -67,6 +67,6 @@
 		return false
 	}
 	p.nextRoundAt = p.After(Interval)
-	p.Schedule()
+	p.PlacePending()
 	return true
 }
--- a/internal/controller/placement/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// MovesMost bounds the tasks moved in one step. When thousands of machines come back
+	// MaxMovesPerStep bounds the tasks moved in one step. When thousands of machines come back
 	// at once, the rest follows with the next ticks.
-	MovesMost = 500
+	MaxMovesPerStep = 500
 	// maxMovable bounds the queued tasks examined in one step: those of the longest
 	// queues.
 	maxMovable = 20000
@@ -40,7 +40,7 @@
 // continues after the machine at which the step before stopped: the tasks for the machines
 // up to that one are on their way, which the waittable does not show yet.
 func (p *Placer) Rebalance(after protocol.MachineID) {
-	p.RebalancedUpTo = ""
+	p.RebalancePosition = ""
 	if !p.HoldsLease() {
 		return
 	}
@@ -53,13 +53,13 @@
 		return
 	}
 	least := smallestNeed(movable)
-	claims, remaining := p.NewClaims(), MovesMost
+	claims, remaining := p.NewClaims(), MaxMovesPerStep
 	for _, m := range receivers {
 		if m.Idle().Covers(least) {
 			remaining -= p.moveTasksTo(m, movable, claims, remaining)
 		}
 		if remaining <= 0 {
-			p.RebalancedUpTo = m.ID
+			p.RebalancePosition = m.ID
 			return
 		}
 	}
@@ -67,8 +67,8 @@
 
 // ContinueRebalance does what the last rebalance left.
 func (p *Placer) ContinueRebalance() {
-	if p.RebalancedUpTo != "" {
-		p.Rebalance(p.RebalancedUpTo)
+	if p.RebalancePosition != "" {
+		p.Rebalance(p.RebalancePosition)
 	}
 }
 
@@ -77,10 +77,10 @@
 func (p *Placer) machinesWithFreeResources(after protocol.MachineID) []*waittable.Machine {
 	var free []*waittable.Machine
 	for _, m := range p.table.InOrder() {
-		if m.ID <= after || !p.table.Usable(m) || m.Reported.Epoch != m.Epoch {
+		if m.ID <= after || !p.table.Usable(m) || m.State.Epoch != m.Epoch {
 			continue
 		}
-		if m.Reported.Queued == 0 && m.Free().CPUs > resource.Slack ||
+		if m.State.Queued == 0 && m.Free().CPUs > resource.Slack ||
 			len(p.reservations.Holds[m.ID]) > 0 && m.Idle().CPUs > resource.Slack {
 			free = append(free, m)
 		}
@@ -142,7 +142,7 @@
 func (p *Placer) machinesWithQueues() []*waittable.Machine {
 	var queued []*waittable.Machine
 	for _, m := range p.table.InOrder() {
-		if m.Reported.Queued > 0 && len(p.jobs.AttemptsOn[m.ID]) > 0 {
+		if m.State.Queued > 0 && len(p.jobs.AttemptsOn[m.ID]) > 0 {
 			queued = append(queued, m)
 		}
 	}
@@ -161,7 +161,7 @@
 			if len(tasks.tasks) == 0 || !free.Covers(tasks.need) || best != nil && !tasks.before(best) {
 				continue
 			}
-			mayOvertake := m.Reported.Queued == 0 || p.reservations.HeldFor(&tasks.job.Job, m)
+			mayOvertake := m.State.Queued == 0 || p.reservations.HeldFor(&tasks.job.Job, m)
 			if mayOvertake && p.mayMove(tasks, m, claims) {
 				best = tasks
 			}
--- a/internal/controller/placement/round.go
+++ b/internal/controller/placement/round.go
@@ -22,9 +22,9 @@
 	stuckGangs int // gangs that found no place when they were last tried
 }
 
-// Schedule places what is pending: each task once, on the machine with the smallest
+// PlacePending places what is pending: each task once, on the machine with the smallest
 // expected wait per processor among those that can run it.
-func (p *Placer) Schedule() {
+func (p *Placer) PlacePending() {
 	p.table.PlacementDue = false
 	if len(p.Types) == 0 {
 		return
@@ -68,7 +68,7 @@
 // retryInterval returns how often gangs that found no place are tried again when there are
 // so many: at each step where that is cheap, less often where many wait on a large fleet.
 func (p *Placer) retryInterval(stuckGangs int) time.Duration {
-	return Interval * time.Duration(stuckGangs*len(p.table.InOrder())/MaxExaminedPerStep)
+	return Interval * time.Duration(stuckGangs*len(p.table.InOrder())/MaxExaminedForGangs)
 }
 
 // placeJob places what is pending of one job.
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -70,11 +70,11 @@
 	case key.ShardTable:
 		return c.shardTableUpdated(value, version)
 	case key.ReservationHolds:
-		return wrapRecordError("reservation holds", c.reservations.RecordSeen(value, version))
+		return wrapRecordError("reservation holds", c.reservations.AdoptRecord(value, version))
 	case key.Configuration || key.ConfigurationEntry != "":
 		return c.configurationUpdated(key, value, version)
 	case key.Calendar || key.Reservation != "" || key.Window != "":
-		return wrapRecordError("calendar", c.reservations.CalendarRecord(key, value, version))
+		return wrapRecordError("calendar", c.reservations.AdoptCalendarRecord(key, value, version))
 	}
 	return nil
 }
@@ -102,7 +102,7 @@
 func (c *Core) jobUpdated(value protocol.RawValue, version protocol.Version, snapshot bool) error {
 	job, err := decodeRecord[protocol.Job](value)
 	if err == nil {
-		c.jobs.Accepted(job, version, snapshot)
+		c.jobs.AddAccepted(job, version, snapshot)
 	}
 	return err
 }
@@ -160,7 +160,7 @@
 	failing := c.jobs.IsFailing(id)
 	delete(c.Live, id)
 	c.MarkEnded(id)
-	c.table.ForgetProgress(id)
-	c.jobs.End(id)
+	c.waitTable.ForgetProgress(id)
+	c.jobs.RemoveEnded(id)
 	c.dispatcher.JobEnded(id, failing)
 }
--- a/internal/controller/replication/changelog.go
+++ b/internal/controller/replication/changelog.go
@@ -1,8 +1,8 @@
 package replication
 
-// Log numbers the changes of keyed state. Of each key only the last change counts: the
+// ChangeLog numbers the changes of keyed state. Of each key only the last change counts: the
 // sender sends the state that the key has at that time. The zero value is an empty log.
-type Log[K comparable] struct {
+type ChangeLog[K comparable] struct {
 	version uint64
 	changes map[K]*change[K]
 	newest  *change[K]
@@ -16,10 +16,10 @@
 }
 
 // Version returns the number of the last change; 0 before the first.
-func (l *Log[K]) Version() uint64 { return l.version }
+func (l *ChangeLog[K]) Version() uint64 { return l.version }
 
 // Touch records that a key has changed.
-func (l *Log[K]) Touch(key K) {
+func (l *ChangeLog[K]) Touch(key K) {
 	if l.changes == nil {
 		l.changes = map[K]*change[K]{}
 	}
@@ -41,7 +41,7 @@
 
 // Drop removes a key. That is not replicated: receivers learn of it from the records in
 // the key-value store.
-func (l *Log[K]) Drop(key K) {
+func (l *ChangeLog[K]) Drop(key K) {
 	if c := l.changes[key]; c != nil {
 		l.unlink(c)
 		delete(l.changes, key)
@@ -49,7 +49,7 @@
 }
 
 // unlink takes a change out of the list.
-func (l *Log[K]) unlink(c *change[K]) {
+func (l *ChangeLog[K]) unlink(c *change[K]) {
 	if c.older != nil {
 		c.older.newer = c.newer
 	}
@@ -64,7 +64,7 @@
 // Since lists the keys changed after a number, the oldest change first and no more than a
 // limit, and returns the number that they bring a receiver to. It visits the changes after
 // the number only, not all keys.
-func (l *Log[K]) Since(number uint64, limit int) (keys []K, upto uint64) {
+func (l *ChangeLog[K]) Since(number uint64, limit int) (keys []K, upto uint64) {
 	oldest, count := l.oldestAfter(number)
 	complete := count <= limit
 	keys = make([]K, 0, min(count, limit))
@@ -81,7 +81,7 @@
 }
 
 // oldestAfter returns the oldest change after a number, and how many there are.
-func (l *Log[K]) oldestAfter(number uint64) (oldest *change[K], count int) {
+func (l *ChangeLog[K]) oldestAfter(number uint64) (oldest *change[K], count int) {
 	for c := l.newest; c != nil && c.number > number; c = c.older {
 		oldest = c
 		count++
--- a/internal/controller/replication/replication_test.go
+++ b/internal/controller/replication/replication_test.go
@@ -22,7 +22,7 @@
 // all that its number covers; once all messages arrive again it soon has everything.
 func TestReplicaConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var log Log[int]
+		var log ChangeLog[int]
 		var cursor Cursor
 		var replica Replica
 		stream := uint64(1)
@@ -95,7 +95,7 @@
 // TestSinceListsChanges: every changed key is listed once, the oldest change first, and no
 // dropped key.
 func TestSinceListsChanges(t *testing.T) {
-	var log Log[string]
+	var log ChangeLog[string]
 	for _, k := range []string{"a", "b", "c", "a", "d", "d"} {
 		log.Touch(k)
 	}
--- a/internal/controller/reservation/calendar.go
+++ b/internal/controller/reservation/calendar.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// Ahead is how far ahead the calendar reaches: a new entry is checked against all
+	// Horizon is how far ahead the calendar reaches: a new entry is checked against all
 	// that is accepted until then.
-	Ahead = 366 * day
+	Horizon = 366 * day
 	// retainPast is for how long occurrences that are over are kept.
 	retainPast = 25 * time.Hour
 	// listAtOnce is how far ahead an entry's occurrences are listed when it comes; the
@@ -24,7 +24,7 @@
 	// that is done.
 	listMargin = day
 	// listSingle is how far ahead an entry is listed that does not recur.
-	listSingle = 100 * Ahead
+	listSingle = 100 * Horizon
 	// maxExtendedEntries bounds the entries whose occurrences are listed in one go.
 	maxExtendedEntries = 20
 )
@@ -53,11 +53,11 @@
 
 // PutReservation takes over a record; it replaces an earlier one.
 func (c *Calendar) PutReservation(r record.Reservation, v protocol.Version, now Moment) error {
-	w, err := ParseWhen(r.Spec.When)
+	w, err := ParseSchedule(r.Spec.When)
 	if err != nil {
 		return fmt.Errorf("reservation %s: %w", r.Spec.Name, err)
 	}
-	e := &Entry{Reservation: &r, Version: v, When: w, length: Busy(&r.Spec)}
+	e := &Entry{Reservation: &r, Version: v, Schedule: w, length: MaxDuration(&r.Spec)}
 	if old := c.reservations[r.Spec.Name]; old != nil && old.Order == r.Order && e.Valid() {
 		// The same reservation in another state: its occurrences stay.
 		old.Reservation, old.Version = e.Reservation, v
@@ -69,11 +69,11 @@
 
 // PutWindow takes over a record; it replaces an earlier one.
 func (c *Calendar) PutWindow(w record.Window, v protocol.Version, now Moment) error {
-	when, err := ParseWhen(w.Spec.When)
+	when, err := ParseSchedule(w.Spec.When)
 	if err != nil {
 		return fmt.Errorf("window %s: %w", w.Spec.Name, err)
 	}
-	c.put(&Entry{Window: &w, Version: v, When: when, length: config.Seconds(w.Spec.LengthS)}, now)
+	c.put(&Entry{Window: &w, Version: v, Schedule: when, length: config.Seconds(w.Spec.LengthS)}, now)
 	return nil
 }
 
@@ -86,7 +86,7 @@
 	}
 	e.listedTo = After(now, -retainPast)
 	c.list(e, After(now, listAtOnce))
-	if e.When.Recurs() {
+	if e.Schedule.Recurs() {
 		e.incomplete = true
 		c.toExtend = append(c.toExtend, e)
 	} else {
@@ -96,7 +96,7 @@
 
 // list adds an entry's occurrences until before a moment to the index.
 func (c *Calendar) list(e *Entry, to Moment) {
-	for _, start := range e.When.Occurrences(e.listedTo, to) {
+	for _, start := range e.Schedule.Occurrences(e.listedTo, to) {
 		if c.index.full() {
 			break
 		}
@@ -126,7 +126,7 @@
 	for range min(maxExtendedEntries, len(c.toExtend)) {
 		e := c.toExtend[0]
 		c.toExtend = c.toExtend[1:]
-		c.list(e, After(now, Ahead+listMargin))
+		c.list(e, After(now, Horizon+listMargin))
 		e.incomplete = false
 	}
 	if Between(c.extendedAt, now) < listMargin || len(c.toExtend) > 0 {
@@ -136,7 +136,7 @@
 	for _, entries := range []map[Name]*Entry{c.reservations, c.windows} {
 		for _, e := range entries {
 			c.dropPast(e, now)
-			if e.When.Recurs() && e.Valid() && e.listedTo < After(now, Ahead) {
+			if e.Schedule.Recurs() && e.Valid() && e.listedTo < After(now, Horizon) {
 				c.toExtend = append(c.toExtend, e)
 			}
 		}
--- a/internal/controller/reservation/calendar_test.go
+++ b/internal/controller/reservation/calendar_test.go
@@ -30,7 +30,7 @@
 			if err := c.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: start, Order: uint64(i + 1)}, 1, noon); err != nil {
 				t.Fatal(err)
 			}
-			all[n] = Occurrence{Name: n, Start: start, End: After(start, Busy(s))}
+			all[n] = Occurrence{Name: n, Start: start, End: After(start, MaxDuration(s))}
 		}
 		from := After(noon, time.Duration(rapid.IntRange(-100, 6000).Draw(t, "from"))*time.Minute)
 		to := After(from, time.Duration(rapid.IntRange(1, 600).Draw(t, "to"))*time.Minute)
@@ -95,7 +95,7 @@
 	if n := len(c.Overlapping(midnight, After(midnight, time.Minute))); n == 0 || n > 5 {
 		t.Errorf("%d overlap one minute", n)
 	}
-	if a := c.DecideReservation(spec("one", "daily at 04:30", 2), facts(0), noon); !a.OK || len(a.Beside) == 0 {
+	if a := c.DecideReservation(spec("one", "daily at 04:30", 2), facts(0), noon); !a.OK || len(a.Overlapping) == 0 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/controller/reservation/capacity.go
+++ b/internal/controller/reservation/capacity.go
@@ -19,18 +19,18 @@
 	Info protocol.TypeInfo
 	Zone protocol.Zone
 	Spot bool
-	// Up is when it is up; 0: it is.
-	Up   Moment
+	// UpAt is when it is up; 0: it is.
+	UpAt Moment
 	Runs []Run
 }
 
 // Demand is an occurrence of a reservation that resources are held for.
 type Demand struct {
 	*record.Reservation
-	Left int // of its tasks, not started yet
-	// Clear is from when on the resources have to be free of what can't be stopped for
+	Remaining int // of its tasks, not started yet
+	// ClearBy is from when on the resources have to be free of what can't be stopped for
 	// it: as long before its time as another machine takes to come.
-	Clear Moment
+	ClearBy Moment
 }
 
 // level is that of the reserved work: no more than its priority gives it.
@@ -52,8 +52,8 @@
 // over. With preempting, what can be stopped for it counts as over, too.
 func (m *machineCapacity) free(d *Demand, now Moment, preempting bool) resource.Amount {
 	by := Moment(0)
-	if now <= d.Clear {
-		by = After(d.Clear, startDelay)
+	if now <= d.ClearBy {
+		by = After(d.ClearBy, startDelay)
 	}
 	return m.freeBy(d, by, preempting)
 }
@@ -79,9 +79,9 @@
 // earliestCapacity is how many tasks of an occurrence are likely to fit on a machine at
 // the earliest, and from when on; 0: none ever will.
 func (m *machineCapacity) earliestCapacity(d *Demand, now Moment) (by Moment, tasks int) {
-	ends := []Moment{max(now, m.Up)}
+	ends := []Moment{max(now, m.UpAt)}
 	for _, r := range m.Runs {
-		ends = append(ends, max(r.Ends, now, m.Up))
+		ends = append(ends, max(r.Ends, now, m.UpAt))
 	}
 	slices.Sort(ends)
 	for _, by := range ends {
--- a/internal/controller/reservation/decision.go
+++ b/internal/controller/reservation/decision.go
@@ -22,9 +22,9 @@
 type Facts struct {
 	Types map[protocol.MachineType]protocol.TypeInfo
 	Team  func(protocol.Team) (config.Team, bool)
-	// Most is how many machines of a type there can be at the most, as far as
+	// MaxMachines is how many machines of a type there can be at the most, as far as
 	// operators say so; the cloud does not.
-	Most map[protocol.MachineType]int
+	MaxMachines map[protocol.MachineType]int
 	// Machine finds the type and zone of a machine that is up.
 	Machine func(protocol.MachineID) (protocol.MachineType, protocol.Zone, bool)
 }
@@ -33,21 +33,21 @@
 type Answer struct {
 	OK     bool
 	Reason string // why it is refused, or what it gets
-	// InTheWay names what it can't be kept beside, Beside what overlaps it and
+	// Conflicts names what it can't be kept beside, Beside what overlaps it and
 	// fits as well.
-	InTheWay []Name
-	Beside   []Name
-	First    []Moment // its first times
+	Conflicts   []Name
+	Overlapping []Name
+	FirstTimes  []Moment // its first times
 }
 
 func refused(inTheWay []Name, format string, args ...any) Answer {
-	return Answer{Reason: fmt.Sprintf(format, args...), InTheWay: inTheWay}
+	return Answer{Reason: fmt.Sprintf(format, args...), Conflicts: inTheWay}
 }
 
 func accepted(reason string, times []Moment, beside map[Name]bool) Answer {
 	return Answer{
-		OK: true, Reason: reason, First: times[:min(len(times), maxFirstTimes)],
-		Beside: slices.Sorted(maps.Keys(beside)),
+		OK: true, Reason: reason, FirstTimes: times[:min(len(times), maxFirstTimes)],
+		Overlapping: slices.Sorted(maps.Keys(beside)),
 	}
 }
 
@@ -67,7 +67,7 @@
 		return refused(nil, "%v", err)
 	}
 	beside := map[Name]bool{}
-	for m, active := range c.adjacent(times, Busy(s), s.Name, beside) {
+	for m, active := range c.adjacent(times, MaxDuration(s), s.Name, beside) {
 		if a := c.checkCapacity(s, active, f); !a.OK {
 			a.Reason += " on " + clockTime(m)
 			return a
@@ -112,11 +112,11 @@
 
 // timesAhead lists the occurrences of a time as far ahead as the calendar reaches.
 func timesAhead(when string, now Moment) ([]Moment, error) {
-	w, err := ParseWhen(when)
+	w, err := ParseSchedule(when)
 	if err != nil {
 		return nil, err
 	}
-	times := w.Occurrences(now, After(now, Ahead))
+	times := w.Occurrences(now, After(now, Horizon))
 	if len(times) == 0 {
 		return nil, errNoTimeAhead
 	}
@@ -127,7 +127,7 @@
 
 // describeAcceptance says what a reservation gets.
 func describeAcceptance(s *record.ReservationSpec, f *Facts) string {
-	if len(f.Most) == 0 {
+	if len(f.MaxMachines) == 0 {
 		return fmt.Sprintf("room for %d tasks; what is not there is rented, as the cloud does not say how much it has", s.Tasks)
 	}
 	return fmt.Sprintf("room for %d tasks, within the machines that operators count on", s.Tasks)
--- a/internal/controller/reservation/decision_test.go
+++ b/internal/controller/reservation/decision_test.go
@@ -27,7 +27,7 @@
 		}
 		c.Extend(noon)
 		a := accept(c, spec("two", "weekly on wed at "+tc.at, tc.second), facts(tc.machines), 2)
-		if a.OK != tc.ok || slices.Contains(a.Beside, "one") != tc.beside || !tc.ok && !slices.Contains(a.InTheWay, "one") {
+		if a.OK != tc.ok || slices.Contains(a.Overlapping, "one") != tc.beside || !tc.ok && !slices.Contains(a.Conflicts, "one") {
 			t.Errorf("%+v: %+v", tc, a)
 		}
 	}
@@ -39,7 +39,7 @@
 	c := NewCalendar()
 	_ = c.PutWindow(record.Window{Spec: record.WindowSpec{Name: "all", When: "daily at 03:50", LengthS: 1200}}, 1, noon)
 	_ = c.PutWindow(record.Window{Spec: record.WindowSpec{Name: "zone-a", When: "daily at 12:00", LengthS: 600, Zone: "a"}}, 1, noon)
-	if a := c.DecideReservation(spec("one", "daily at 04:00", 1), facts(9), noon); a.OK || !slices.Contains(a.InTheWay, "all") {
+	if a := c.DecideReservation(spec("one", "daily at 04:00", 1), facts(9), noon); a.OK || !slices.Contains(a.Conflicts, "all") {
 		t.Errorf("beside a window of the whole site: %+v", a)
 	}
 	if a := c.DecideReservation(spec("one", "daily at 12:05", 1), facts(9), noon); !a.OK {
@@ -51,7 +51,7 @@
 	}
 	// Of four machines each zone has two: a zone that is closed takes them with
 	// it, and what needs one zone finds no more in any.
-	if a := c.DecideReservation(spec("one", "daily at 12:05", 5), facts(4), noon); a.OK || !slices.Contains(a.InTheWay, "zone-a") {
+	if a := c.DecideReservation(spec("one", "daily at 12:05", 5), facts(4), noon); a.OK || !slices.Contains(a.Conflicts, "zone-a") {
 		t.Errorf("more than the zone that is left has: %+v", a)
 	}
 	whole := spec("one", "daily at 06:00", 5)
@@ -72,10 +72,10 @@
 	}
 	more := spec("more", "daily at 06:20", 3)
 	more.Team = "small"
-	if a := c.DecideReservation(more, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
+	if a := c.DecideReservation(more, facts(0), noon); a.OK || !slices.Contains(a.Conflicts, "one") {
 		t.Errorf("over its team's limit: %+v", a)
 	}
-	if a := c.DecideWindow(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60}, facts(0), noon); a.OK || !slices.Contains(a.InTheWay, "one") {
+	if a := c.DecideWindow(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60}, facts(0), noon); a.OK || !slices.Contains(a.Conflicts, "one") {
 		t.Errorf("a window over what is promised: %+v", a)
 	}
 	if a := c.DecideWindow(&record.WindowSpec{Name: "new", When: "daily at 06:00", LengthS: 60, Zone: "b"}, facts(0), noon); !a.OK {
--- a/internal/controller/reservation/entry.go
+++ b/internal/controller/reservation/entry.go
@@ -16,8 +16,8 @@
 type Entry struct {
 	*record.Reservation
 	*record.Window
-	Version protocol.Version // of its record
-	When    When
+	Version  protocol.Version // of its record
+	Schedule Schedule
 
 	length     time.Duration
 	keys       []int64 // of its occurrences in the index, the earliest first
@@ -25,9 +25,9 @@
 	incomplete bool    // its occurrences were not listed as far as Ahead yet
 }
 
-// Busy is how long a reservation keeps its resources at the most: held for its job,
+// MaxDuration is how long a reservation keeps its resources at the most: held for its job,
 // then used by it.
-func Busy(s *record.ReservationSpec) time.Duration {
+func MaxDuration(s *record.ReservationSpec) time.Duration {
 	return config.Seconds(s.HoldS + s.LengthS)
 }
 
@@ -39,8 +39,8 @@
 	return e.Reservation.Spec.Name
 }
 
-// Made is when the entry was requested.
-func (e *Entry) Made() Moment {
+// CreatedAt is when the entry was requested.
+func (e *Entry) CreatedAt() Moment {
 	if e.Window != nil {
 		return e.Window.MadeMS
 	}
--- a/internal/controller/reservation/feasibility.go
+++ b/internal/controller/reservation/feasibility.go
@@ -97,7 +97,7 @@
 				continue
 			}
 			count := f.maxMachines(name, i, len(t.AllowZones)) - f.machinesInWindows(windows, name, z)
-			slots = append(slots, binpack.Fresh(t, binpack.Kind{Type: name, Zone: z}, max(0, count)))
+			slots = append(slots, binpack.NewSlot(t, binpack.Kind{Type: name, Zone: z}, max(0, count)))
 		}
 	}
 	return slots
@@ -107,7 +107,7 @@
 // number of all is known, each zone has its part, as nobody knows in which the cloud has
 // them.
 func (f *Facts) maxMachines(t protocol.MachineType, zone, zones int) int {
-	total, known := f.Most[t]
+	total, known := f.MaxMachines[t]
 	if !known {
 		return unlimitedMachines
 	}
--- a/internal/controller/reservation/fixture_test.go
+++ b/internal/controller/reservation/fixture_test.go
@@ -25,7 +25,7 @@
 		Machine: func(protocol.MachineID) (protocol.MachineType, protocol.Zone, bool) { return "m8", "a", true },
 	}
 	if machines > 0 {
-		f.Most = map[protocol.MachineType]int{"m8": machines}
+		f.MaxMachines = map[protocol.MachineType]int{"m8": machines}
 	}
 	return f
 }
@@ -34,7 +34,7 @@
 func accept(c *Calendar, s *record.ReservationSpec, f *Facts, order uint64) Answer {
 	a := c.DecideReservation(s, f, noon)
 	if a.OK {
-		_ = c.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: a.First[0], Order: order}, 1, noon)
+		_ = c.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: a.FirstTimes[0], Order: order}, 1, noon)
 	}
 	return a
 }
--- a/internal/controller/reservation/hold.go
+++ b/internal/controller/reservation/hold.go
@@ -39,16 +39,16 @@
 
 // Task is work that is to start, as far as holds are concerned.
 type Task struct {
-	Of    func(Name) bool // whether it is of a reservation
-	Need  resource.Amount
-	Level resource.Level
-	Saves bool   // it saves a checkpoint when it is stopped
-	Ends  Moment // when it is likely to be over, if it starts now
+	IsOf            func(Name) bool // whether it is of a reservation
+	Need            resource.Amount
+	Level           resource.Level
+	SavesCheckpoint bool   // it saves a checkpoint when it is stopped
+	Ends            Moment // when it is likely to be over, if it starts now
 }
 
-// LeavesRoom reports whether a machine's holds let a task start in the free resources.
-func LeavesRoom(holds []Hold, t *Task, free resource.Amount, now Moment) bool {
-	until := OwnUntil(holds, t.Of)
+// AllowsStart reports whether a machine's holds let a task start in the free resources.
+func AllowsStart(holds []Hold, t *Task, free resource.Amount, now Moment) bool {
+	until := ReservedUntil(holds, t.IsOf)
 	for i := range holds {
 		if h := &holds[i]; !h.allows(t, now) && (until == 0 || until > h.From) {
 			free = free.Minus(h.Need)
@@ -57,10 +57,10 @@
 	return free.Covers(t.Need)
 }
 
-// OwnUntil is until when resources are held for a task, by which reservations it is of;
+// ReservedUntil is until when resources are held for a task, by which reservations it is of;
 // 0: none are. What is held there from a later moment on was accepted beside that, and
 // does not keep the task from starting, however wrong estimates of its kind may be.
-func OwnUntil(holds []Hold, of func(Name) bool) Moment {
+func ReservedUntil(holds []Hold, of func(Name) bool) Moment {
 	until := Moment(0)
 	for i := range holds {
 		if h := &holds[i]; of(h.For) {
@@ -73,14 +73,14 @@
 // allows reports whether held resources may be used by a task: they are held for it, it
 // is likely to end in time, or it saves checkpoints and may be stopped in time.
 func (h *Hold) allows(t *Task, now Moment) bool {
-	return t.Of(h.For) || now >= h.Until || t.Ends <= h.Clear && now <= h.Clear ||
-		t.Saves && t.Level < h.Level && now < h.stopAt(stopLead)
+	return t.IsOf(h.For) || now >= h.Until || t.Ends <= h.Clear && now <= h.Clear ||
+		t.SavesCheckpoint && t.Level < h.Level && now < h.stopAt(stopLead)
 }
 
 func (h *Hold) stopAt(lead time.Duration) Moment { return After(h.From, -lead) }
 
-// Stop reports whether it is time to stop the work that uses the resources of a hold,
+// ShouldStop reports whether it is time to stop the work that uses the resources of a hold,
 // given how long that takes to save a checkpoint.
-func (h *Hold) Stop(checkpoint time.Duration, now Moment) bool {
+func (h *Hold) ShouldStop(checkpoint time.Duration, now Moment) bool {
 	return now >= h.stopAt(stopLead+checkpoint) && now < h.Until
 }
--- a/internal/controller/reservation/hold_test.go
+++ b/internal/controller/reservation/hold_test.go
@@ -11,7 +11,7 @@
 func TestTaskStartsOnlyInWhatHoldsLeave(t *testing.T) {
 	h := []Hold{{For: "one", Need: resource.Amount{CPUs: 4}, Level: 1, Clear: 1000_000, From: 1200_000, Until: 3000_000}}
 	task := func(of bool, cpus float64, l resource.Level, saves bool, ends Moment) *Task {
-		return &Task{Of: func(Name) bool { return of }, Need: resource.Amount{CPUs: cpus}, Level: l, Saves: saves, Ends: ends}
+		return &Task{IsOf: func(Name) bool { return of }, Need: resource.Amount{CPUs: cpus}, Level: l, SavesCheckpoint: saves, Ends: ends}
 	}
 	for i, tc := range []struct {
 		t    *Task
@@ -29,7 +29,7 @@
 		{task(false, 2, 1, false, 1150_000), 1100_000, false}, // has to be clear now
 		{task(false, 2, 1, false, 9e9), 3000_000, true},       // over
 	} {
-		if got := LeavesRoom(h, tc.t, resource.Amount{CPUs: 5}, tc.now); got != tc.want {
+		if got := AllowsStart(h, tc.t, resource.Amount{CPUs: 5}, tc.now); got != tc.want {
 			t.Errorf("case %d: %v", i, got)
 		}
 	}
@@ -41,12 +41,12 @@
 func TestHoldIsNotBlockedByLaterHold(t *testing.T) {
 	mine := Hold{For: "one", Need: resource.Amount{CPUs: 8}, From: 1000_000, Clear: 900_000, Until: 2000_000}
 	later := Hold{For: "two", Need: resource.Amount{CPUs: 8}, From: 2000_000, Clear: 1700_000, Until: 4000_000}
-	task := &Task{Of: func(n Name) bool { return n == "one" }, Need: resource.Amount{CPUs: 8}, Ends: 9000_000}
-	if !LeavesRoom([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
+	task := &Task{IsOf: func(n Name) bool { return n == "one" }, Need: resource.Amount{CPUs: 8}, Ends: 9000_000}
+	if !AllowsStart([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
 		t.Error("kept out by what was accepted beside it")
 	}
 	later.From = 1500_000
-	if LeavesRoom([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
+	if AllowsStart([]Hold{mine, later}, task, resource.Amount{CPUs: 8}, 1000_000) {
 		t.Error("starts where something else is held meanwhile")
 	}
 }
--- a/internal/controller/reservation/holdchoice.go
+++ b/internal/controller/reservation/holdchoice.go
@@ -111,10 +111,10 @@
 // learn of a change a moment later, and meanwhile others start both in what was given up
 // and in what is not held yet.
 func (c *holdChooser) holdReliable(d *Demand, machines []*machineCapacity) (short int) {
-	short = d.Left
-	headroom := 1 + d.Left/tasksPerHeadroom
-	if c.now < d.Clear {
-		headroom = 1 + d.Left/tasksPerHeadroomEarly
+	short = d.Remaining
+	headroom := 1 + d.Remaining/tasksPerHeadroom
+	if c.now < d.ClearBy {
+		headroom = 1 + d.Remaining/tasksPerHeadroomEarly
 	}
 	previous := c.previous[d.Spec.Name]
 	ranked := c.rank(d, machines)
@@ -163,7 +163,7 @@
 	}
 	h := Hold{
 		For: d.Spec.Name, Machine: m.ID, Tasks: tasks, Need: d.size().Times(float64(tasks)), Level: d.level(),
-		Clear: d.Clear, From: d.StartMS, Until: d.until(),
+		Clear: d.ClearBy, From: d.StartMS, Until: d.until(),
 	}
 	for _, r := range m.Runs {
 		if r.For != d.Spec.Name && r.Level >= h.Level {
@@ -187,7 +187,7 @@
 		}
 	}
 	for _, z := range slices.Sorted(maps.Keys(fits)) {
-		if best == "" || min(fits[z], d.Left) > min(fits[best], d.Left) {
+		if best == "" || min(fits[z], d.Remaining) > min(fits[best], d.Remaining) {
 			best = z
 		}
 	}
@@ -220,7 +220,7 @@
 			falseFirst(a.tasks == 0, b.tasks == 0),
 			falseFirst(previous[a.ID] <= 0, previous[b.ID] <= 0),
 			falseFirst(a.Spot, b.Spot),
-			cmp.Compare(a.Up, b.Up),
+			cmp.Compare(a.UpAt, b.UpAt),
 			cmp.Compare(b.tasks, a.tasks),
 			cmp.Compare(a.Info.Price, b.Info.Price),
 			cmp.Compare(a.ID, b.ID))
--- a/internal/controller/reservation/holdchoice_test.go
+++ b/internal/controller/reservation/holdchoice_test.go
@@ -32,7 +32,7 @@
 		var dues []Demand
 		for i := range rapid.IntRange(1, 3).Draw(t, "dues") {
 			r := &record.Reservation{Spec: *spec(fmt.Sprint("r", i), "daily at 04:00", rapid.IntRange(1, 6).Draw(t, "tasks")), Order: uint64(i), StartMS: After(now, time.Duration(rapid.IntRange(1, 90).Draw(t, "in"))*time.Minute)}
-			dues = append(dues, Demand{Reservation: r, Left: r.Spec.Tasks, Clear: After(r.StartMS, -2*time.Minute)})
+			dues = append(dues, Demand{Reservation: r, Remaining: r.Spec.Tasks, ClearBy: After(r.StartMS, -2*time.Minute)})
 		}
 		usable := func(*Machine, *Demand) bool { return true }
 		p := ChooseHolds(dues, machines, nil, usable, now)
@@ -55,8 +55,8 @@
 			}
 		}
 		for _, d := range dues {
-			if got := tasks[d.Spec.Name]; got < d.Left-max(p.Short[d.Spec.Name], p.Missing[d.Spec.Name]) || got > d.Left+1+d.Left/tasksPerHeadroomEarly {
-				t.Fatalf("room for %d of %d tasks, %d short", got, d.Left, p.Short[d.Spec.Name])
+			if got := tasks[d.Spec.Name]; got < d.Remaining-max(p.Short[d.Spec.Name], p.Missing[d.Spec.Name]) || got > d.Remaining+1+d.Remaining/tasksPerHeadroomEarly {
+				t.Fatalf("room for %d of %d tasks, %d short", got, d.Remaining, p.Short[d.Spec.Name])
 			}
 		}
 		if again := ChooseHolds(dues, machines, p.Holds, usable, now); len(p.Short) == 0 && !slices.Equal(again.Holds, p.Holds) {
@@ -70,7 +70,7 @@
 func TestHoldsStayWhereTheyWere(t *testing.T) {
 	info := facts(0).Types["m8"]
 	r := &record.Reservation{Spec: *spec("one", "daily at 04:00", 4), StartMS: After(noon, 10*time.Second)}
-	due := Demand{Reservation: r, Left: 4, Clear: After(noon, -time.Minute)}
+	due := Demand{Reservation: r, Remaining: 4, ClearBy: After(noon, -time.Minute)}
 	half := Machine{ID: "vm-half", Info: info, Zone: "a", Runs: []Run{{Ends: noon + 1e7, Need: resource.Amount{CPUs: 4}, Level: 1}}}
 	large := info
 	large.CPUs = 64
--- a/internal/controller/reservation/lifecycle.go
+++ b/internal/controller/reservation/lifecycle.go
@@ -11,9 +11,9 @@
 	Now        Moment
 	ClockError time.Duration // by how much any controller's time of day may be off
 	Lead       time.Duration // how long before its time resources are held
-	// Came: its job was accepted; Wanted of its tasks are within what is
+	// JobAccepted: its job was accepted; Wanted of its tasks are within what is
 	// reserved, Started of them have started so far, or are done.
-	Came            bool
+	JobAccepted     bool
 	Wanted, Started int
 	// Risk is why it may not be kept; empty: no reason is known.
 	Risk string
@@ -32,7 +32,7 @@
 //
 // One that was not seen in time, as no controller held its lease, goes through the same
 // states late. Cancelled is never left.
-func Advance(r record.Reservation, w When, s Observation) (record.Reservation, bool) {
+func Advance(r record.Reservation, w Schedule, s Observation) (record.Reservation, bool) {
 	began := beginHolding(&r, s)
 	ended := endHolding(&r, s)
 	risk := updateRisk(&r, s)
@@ -55,11 +55,11 @@
 		return false
 	}
 	holdEnded := s.Now >= After(afterSeconds(r.StartMS, r.Spec.HoldS), s.ClockError)
-	ended := s.Now >= After(r.StartMS, Busy(&r.Spec))
+	ended := s.Now >= After(r.StartMS, MaxDuration(&r.Spec))
 	switch {
-	case s.Came && s.Started >= s.Wanted:
+	case s.JobAccepted && s.Started >= s.Wanted:
 		r.State = record.Used
-	case holdEnded && !s.Came, ended:
+	case holdEnded && !s.JobAccepted, ended:
 		r.State = record.Expired
 	default:
 		return false
@@ -84,11 +84,11 @@
 
 // recur goes on from an occurrence that is over to the next one that can still be met:
 // several may have passed unseen.
-func recur(r *record.Reservation, w When, s Observation) bool {
+func recur(r *record.Reservation, w Schedule, s Observation) bool {
 	if r.State != record.Used && r.State != record.Expired || !w.Recurs() {
 		return false
 	}
-	for _, next := range w.Occurrences(r.StartMS+1, After(s.Now, Ahead)) {
+	for _, next := range w.Occurrences(r.StartMS+1, After(s.Now, Horizon)) {
 		if afterSeconds(next, r.Spec.HoldS) <= s.Now {
 			continue
 		}
--- a/internal/controller/reservation/lifecycle_test.go
+++ b/internal/controller/reservation/lifecycle_test.go
@@ -10,11 +10,11 @@
 // TestAdvance: a reservation goes through its states, late too, and a recurring
 // one on to its next time that can still be met.
 func TestAdvance(t *testing.T) {
-	w, _ := ParseWhen("daily at 04:00")
-	start := w.Occurrences(noon, After(noon, Ahead))[0]
+	w, _ := ParseSchedule("daily at 04:00")
+	start := w.Occurrences(noon, After(noon, Horizon))[0]
 	r := record.Reservation{Spec: *spec("one", "daily at 04:00", 4), State: record.Accepted, StartMS: start}
 	step := func(r record.Reservation, now Moment, came bool, started int, risk string) record.Reservation {
-		r, _ = Advance(r, w, Observation{Now: now, ClockError: time.Second, Lead: 5 * time.Minute, Came: came, Wanted: 4, Started: started, Risk: risk})
+		r, _ = Advance(r, w, Observation{Now: now, ClockError: time.Second, Lead: 5 * time.Minute, JobAccepted: came, Wanted: 4, Started: started, Risk: risk})
 		return r
 	}
 	if got := step(r, After(start, -6*time.Minute), false, 0, ""); got.State != record.Accepted {
--- a/internal/controller/reservation/schedule.go
+++ b/internal/controller/reservation/schedule.go
@@ -12,7 +12,7 @@
 	zoneMargin = 2 * day
 )
 
-// When is a time, or a recurring one:
+// Schedule is a time, or a recurring one:
 //
 //	2026-12-24 at 04:00 in Europe/Berlin
 //	daily at 04:00 in Europe/Berlin until 2027-03-31
@@ -21,7 +21,7 @@
 // Without a zone it is UTC. Dates are those of the zone; "until" includes its
 // day. Where clocks change, a time that does not exist is the first moment after
 // the gap, and one that exists twice is the first of the two.
-type When struct {
+type Schedule struct {
 	daily    bool
 	weekdays []rrule.Weekday
 	date     time.Time // of one that does not recur; dates and clock are kept in UTC, whatever the zone
@@ -32,10 +32,10 @@
 }
 
 // Recurs reports whether it comes more than once.
-func (w When) Recurs() bool { return w.daily || len(w.weekdays) > 0 }
+func (w Schedule) Recurs() bool { return w.daily || len(w.weekdays) > 0 }
 
 // Occurrences lists when it begins, from a moment until before another.
-func (w When) Occurrences(from, to Moment) []Moment {
+func (w Schedule) Occurrences(from, to Moment) []Moment {
 	if !w.Recurs() {
 		if m := w.moment(w.date); m >= from && m < to {
 			return []Moment{m}
@@ -62,7 +62,7 @@
 
 // rule lists the dates of a recurring time from a moment until before another, with a
 // margin for the zone on both sides; nil: there are none.
-func (w When) rule(from, to Moment) *rrule.RRule {
+func (w Schedule) rule(from, to Moment) *rrule.RRule {
 	start := time.UnixMilli(int64(from)).UTC().Truncate(day).Add(-zoneMargin)
 	if w.from.After(start) {
 		start = w.from
@@ -86,7 +86,7 @@
 }
 
 // moment is the time of day on a date, in the zone.
-func (w When) moment(date time.Time) Moment {
+func (w Schedule) moment(date time.Time) Moment {
 	local := date.Add(w.clock) // as if the zone were UTC
 	offset := func(at time.Time) time.Duration {
 		_, s := at.In(w.zone).Zone()
--- a/internal/controller/reservation/schedule_test.go
+++ b/internal/controller/reservation/schedule_test.go
@@ -30,17 +30,17 @@
 		{"on 2026-12-24 at 04:00:30 in Asia/Tokyo", "2026-01-01T00:00:00Z", "2026-12-23T19:00:30Z"},
 		{"weekly on mon, thu at 23:30 from 2026-12-07", "2026-12-01T00:00:00Z", "2026-12-07T23:30:00Z"},
 	} {
-		w, err := ParseWhen(tc.when)
+		w, err := ParseSchedule(tc.when)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := w.Occurrences(at(tc.from), After(at(tc.from), Ahead))
+		got := w.Occurrences(at(tc.from), After(at(tc.from), Horizon))
 		if len(got) == 0 || got[0] != at(tc.want) {
 			t.Errorf("%s from %s: %v, want %s", tc.when, tc.from, got[:min(1, len(got))], tc.want)
 		}
 	}
 	for _, bad := range []string{"", "daily", "daily at 25:00", "daily at 04:00 in Nowhere/Else", "2026-02-30 at 04:00", "weekly on foo at 01:00", "2026-12-24 at 04:00 until 2027-01-01", "daily at 04:00 in Local"} {
-		if _, err := ParseWhen(bad); err == nil {
+		if _, err := ParseSchedule(bad); err == nil {
 			t.Errorf("%q is accepted", bad)
 		}
 	}
@@ -55,7 +55,7 @@
 		zone := rapid.SampledFrom(zones).Draw(t, "zone")
 		clock := time.Duration(rapid.IntRange(0, 24*60-1).Draw(t, "clock")) * time.Minute
 		text := time.Time{}.Add(clock).Format("15:04")
-		w, err := ParseWhen("daily at " + text + " in " + zone)
+		w, err := ParseSchedule("daily at " + text + " in " + zone)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/controller/reservation/scheduleparser.go
+++ b/internal/controller/reservation/scheduleparser.go
@@ -54,24 +54,24 @@
 	"mon": rrule.MO, "tue": rrule.TU, "wed": rrule.WE, "thu": rrule.TH, "fri": rrule.FR, "sat": rrule.SA, "sun": rrule.SU,
 }
 
-// ParseWhen parses a time; its errors say what could not be read.
-func ParseWhen(text string) (When, error) {
+// ParseSchedule parses a time; its errors say what could not be read.
+func ParseSchedule(text string) (Schedule, error) {
 	if len(text) > maxScheduleLength {
-		return When{}, invalidField("time", "longer than %d characters", maxScheduleLength)
+		return Schedule{}, invalidField("time", "longer than %d characters", maxScheduleLength)
 	}
 	parsed, err := scheduleParser.ParseString("", text)
 	if err != nil {
-		return When{}, fmt.Errorf("time %q: %w", text, err)
+		return Schedule{}, fmt.Errorf("time %q: %w", text, err)
 	}
 	w, problem := parsed.when()
 	if problem != "" {
-		return When{}, &ScheduleError{Text: text, Problem: problem}
+		return Schedule{}, &ScheduleError{Text: text, Problem: problem}
 	}
 	return w, nil
 }
 
 // when converts the parts of a text, or says which of them is wrong.
-func (t *scheduleText) when() (w When, problem string) {
+func (t *scheduleText) when() (w Schedule, problem string) {
 	w.daily = t.Daily
 	if w.weekdays, problem = t.weekdays(); problem != "" {
 		return w, problem
--- a/internal/controller/reservation/validation.go
+++ b/internal/controller/reservation/validation.go
@@ -43,7 +43,7 @@
 	if err := checkName(s.Name); err != nil {
 		return err
 	}
-	w, err := ParseWhen(s.When)
+	w, err := ParseSchedule(s.When)
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 	if err := checkName(s.Name); err != nil {
 		return err
 	}
-	if _, err := ParseWhen(s.When); err != nil {
+	if _, err := ParseSchedule(s.When); err != nil {
 		return err
 	}
 	if len(s.Machines) > maxListed {
@@ -89,7 +89,7 @@
 }
 
 // checkTarget checks that a reservation is for one job or for one class of jobs.
-func checkTarget(s *record.ReservationSpec, w When) error {
+func checkTarget(s *record.ReservationSpec, w Schedule) error {
 	if (s.Job == "") == (s.Class == "") {
 		return invalidField("job, class", "one of the two is needed")
 	}
--- a/internal/controller/resource/amount.go
+++ b/internal/controller/resource/amount.go
@@ -63,9 +63,9 @@
 	return count
 }
 
-// Places returns how many tasks of a need the amount is enough for, with fractions; 0 for a
+// FractionalFit returns how many tasks of a need the amount is enough for, with fractions; 0 for a
 // task that uses nothing.
-func (a Amount) Places(need Amount) float64 {
+func (a Amount) FractionalFit(need Amount) float64 {
 	places := math.Inf(1)
 	for _, r := range [...]struct{ available, need float64 }{
 		{a.CPUs, need.CPUs},
--- a/internal/controller/resource/resource_test.go
+++ b/internal/controller/resource/resource_test.go
@@ -26,7 +26,7 @@
 			if got := free.CountFitting(tc.need); got != tc.count {
 				t.Errorf("%d fit, want %d", got, tc.count)
 			}
-			if got := free.Places(tc.need); Round(got) != Round(tc.places) {
+			if got := free.FractionalFit(tc.need); Round(got) != Round(tc.places) {
 				t.Errorf("%v places, want %v", got, tc.places)
 			}
 		})
--- a/internal/controller/runtimes_test.go
+++ b/internal/controller/runtimes_test.go
@@ -24,7 +24,7 @@
 	b.inventory("vm-1", held...)
 	o := b.c.jobs.ByID["job-1"]
 	for _, h := range held {
-		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: 1, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.HandleTaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: 1, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 	}
 	if o.DoneCount != 12 {
 		t.Fatalf("%d of 12 done", o.DoneCount)
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -82,12 +82,12 @@
 			t.Fatalf("scaled in %v", ids)
 		}
 	}
-	if b.c.table.Machines["vm-1"].Reported.Heard || b.c.table.Machines["vm-1"].Reported.IdleS > 0 {
-		t.Errorf("state %+v", b.c.table.Machines["vm-1"].Reported)
+	if b.c.waitTable.Machines["vm-1"].State.Heard || b.c.waitTable.Machines["vm-1"].State.IdleS > 0 {
+		t.Errorf("state %+v", b.c.waitTable.Machines["vm-1"].State)
 	}
-	b.report("vm-1", 1, b.c.View.Term)
+	b.heartbeat("vm-1", 1, b.c.View.Term)
 	b.nextPlan()
-	if !b.c.table.Machines["vm-1"].Reported.Heard {
+	if !b.c.waitTable.Machines["vm-1"].State.Heard {
 		t.Error("no inventory after a heartbeat")
 	}
 }
--- a/internal/controller/scaleout_test.go
+++ b/internal/controller/scaleout_test.go
@@ -95,7 +95,7 @@
 			if !ok {
 				continue
 			}
-			if r.Request.Count > binpack.AskAtMost {
+			if r.Request.Count > binpack.MaxPerRequest {
 				t.Fatalf("%d in one request", r.Request.Count)
 			}
 			asked[r.Request.Zone] += r.Request.Count
@@ -152,7 +152,7 @@
 	o.Loaded = true
 	o.Pending.FlipRange(0, 60)
 	b.c.Live["job-1"] = o.LiveJob
-	b.c.placer.PlaceAttempt(o, 0, b.c.table.Machines["vm-bfalse0"], 1)
+	b.c.placer.PlaceAttempt(o, 0, b.c.waitTable.Machines["vm-bfalse0"], 1)
 	requested := 0
 	for _, a := range append(b.nextPlan(), b.nextPlan()...) {
 		if r, ok := a.(message.Provision); ok {
--- a/internal/controller/sharding/table.go
+++ b/internal/controller/sharding/table.go
@@ -35,9 +35,9 @@
 	return table
 }
 
-// Of returns the shard of a machine: one of its zone's, or any where the table does not
+// ShardOf returns the shard of a machine: one of its zone's, or any where the table does not
 // know the zone.
-func Of(table *record.ShardTable, machine protocol.MachineID, zone protocol.Zone) ID {
+func ShardOf(table *record.ShardTable, machine protocol.MachineID, zone protocol.Zone) ID {
 	hash := xxhash.Sum64String(string(machine))
 	if i, ok := slices.BinarySearch(table.Zones, zone); ok {
 		return ID(i*table.Slots + int(hash%uint64(table.Slots)))
--- a/internal/controller/sharding/table_test.go
+++ b/internal/controller/sharding/table_test.go
@@ -14,11 +14,11 @@
 	used := map[ID]bool{}
 	for i := range 2000 {
 		m := protocol.MachineID(fmt.Sprintf("vm-%06d", i))
-		id := Of(table, m, "b")
+		id := ShardOf(table, m, "b")
 		if used[id] = true; ZoneOf(table, id) != "b" {
 			t.Fatalf("%s in zone %s", m, ZoneOf(table, id))
 		}
-		if id := Of(table, m, "elsewhere"); int(id) >= len(table.List) {
+		if id := ShardOf(table, m, "elsewhere"); int(id) >= len(table.List) {
 			t.Fatalf("shard %d", id)
 		}
 	}
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -19,7 +19,7 @@
 func (c *Core) beginUpdates() {
 	c.dispatcher.BeginTerm()
 	c.jobs.BeginStream()
-	c.table.BeginStreams()
+	c.waitTable.BeginStreams()
 }
 
 // sendUpdates sends what changed to the peers: once in each update period to all of them,
@@ -31,7 +31,7 @@
 		c.setRateAllotment() // before a peer can use what is granted to it
 	}
 	var previous *message.StateUpdate // as sent to the peer before
-	for name, peer := range ordered.Of(c.table.Peers) {
+	for name, peer := range ordered.Of(c.waitTable.Peers) {
 		if !regular && !peer.Updates.Short {
 			continue
 		}
@@ -98,14 +98,14 @@
 		return // the rest goes with the next update
 	}
 	update.Handled = map[protocol.NodeName]uint64{}
-	for name := range c.table.Peers {
+	for name := range c.waitTable.Peers {
 		update.Handled[name] = c.dispatcher.HandledPlaces(name)
 	}
 }
 
 // stateUpdated handles a peer's state update.
 func (c *Core) stateUpdated(from protocol.NodeName, update *message.StateUpdate) {
-	peer := c.table.Peers[from]
+	peer := c.waitTable.Peers[from]
 	if peer == nil {
 		return
 	}
@@ -125,7 +125,7 @@
 		c.applyStreams(from, peer, update)
 	}
 	if c.jobs.AnyPlaceable() {
-		c.table.PlacementDue = true
+		c.waitTable.PlacementDue = true
 	}
 }
 
@@ -144,10 +144,10 @@
 	if streams.MachinesFrom.Accept(update.Machines) {
 		streams.At = c.Now
 		for _, state := range update.States {
-			c.table.ApplyMachineState(from, peer, state)
+			c.waitTable.ApplyMachineState(from, peer, state)
 		}
 		if update.Handled != nil {
-			c.table.DropCounted(peer, update.Handled)
+			c.waitTable.DropCounted(peer, update.Handled)
 		}
 	}
 	if streams.JobsFrom.Accept(update.Jobs) {
--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -73,7 +73,7 @@
 	var sizes []int
 	complete := 0
 	for i := range 12 {
-		f.now += Time(tickEvery)
+		f.now += Time(tickInterval)
 		for _, r := range stateUpdatesTo(f.play(message.Tick{}), "node-1") {
 			if len(r.States) > 0 {
 				sizes = append(sizes, len(r.States))
@@ -111,7 +111,7 @@
 			t.Fatalf("%d inventories in one step", n)
 		}
 		sent += n
-		f.now += Time(tickEvery)
+		f.now += Time(tickInterval)
 		actions = f.play(message.Tick{})
 	}
 	if sent != machines {
@@ -135,7 +135,7 @@
 
 	// The dispatcher's side: its log of changes, the waits of its machines and the last
 	// placement that it has handled.
-	log     replication.Log[protocol.MachineID]
+	log     replication.ChangeLog[protocol.MachineID]
 	cursor  replication.Cursor
 	waits   map[protocol.MachineID]float64
 	handled uint64
@@ -185,7 +185,7 @@
 	if p.number > m.lastIncluded {
 		m.open[p.number] = p
 	}
-	m.core.table.WaitsAdded("node-1", &message.WaitsAdded{
+	m.core.waitTable.WaitsAdded("node-1", &message.WaitsAdded{
 		Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
 		Waits: []message.WaitChange{{Machine: p.id, Add: p.add, Taken: []message.LevelUse{{CPUs: 1}}}},
 	})
@@ -218,7 +218,7 @@
 	r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: m.cursor.Next(), Upto: upto}}
 	m.cursor.Sent(upto)
 	for _, id := range ids {
-		r.States = append(r.States, message.MachineState{Machine: id, Epoch: m.core.table.Machines[id].Epoch, Wait: m.waits[id]})
+		r.States = append(r.States, message.MachineState{Machine: id, Epoch: m.core.waitTable.Machines[id].Epoch, Wait: m.waits[id]})
 	}
 	if upto == m.log.Version() {
 		r.Handled = map[protocol.NodeName]uint64{"node-1": m.handled}
@@ -233,7 +233,7 @@
 	}
 	r := m.updates[0]
 	m.updates = m.updates[1:]
-	before := m.core.table.Peers["node-2"].Updates.MachinesFrom
+	before := m.core.waitTable.Peers["node-2"].Updates.MachinesFrom
 	m.core.stateUpdated("node-2", r)
 	if !before.Accept(r.Machines) || r.Handled == nil {
 		return
@@ -255,7 +255,7 @@
 
 // acknowledge has the dispatcher learn how far the core has its stream.
 func (m *announcementModel) acknowledge() {
-	m.cursor.Acknowledged(m.core.table.Peers["node-2"].Updates.MachinesFrom.Have())
+	m.cursor.Acknowledged(m.core.waitTable.Peers["node-2"].Updates.MachinesFrom.Have())
 }
 
 // step plays one random event.
@@ -304,7 +304,7 @@
 		want[p.id] += p.add
 	}
 	for _, id := range m.ids {
-		if got := m.core.table.Machines[id].PendingSum; got != want[id] {
+		if got := m.core.waitTable.Machines[id].PendingSum; got != want[id] {
 			m.t.Fatalf("%s: %v announced, want %v", id, got, want[id])
 		}
 	}
@@ -313,7 +313,7 @@
 // checkSettled checks that the table is the dispatcher's state.
 func (m *announcementModel) checkSettled() {
 	for _, id := range m.ids {
-		if machine := m.core.table.Machines[id]; machine.Wait() != m.waits[id] || len(machine.PendingWaits) > 0 {
+		if machine := m.core.waitTable.Machines[id]; machine.Wait() != m.waits[id] || len(machine.PendingWaits) > 0 {
 			m.t.Fatalf("%s: wait %v with %d still pending, its dispatcher has %v", id, machine.Wait(), len(machine.PendingWaits), m.waits[id])
 		}
 	}
@@ -340,17 +340,17 @@
 // record has not arrived here yet is kept until it does: it is not published again.
 func TestStateBeforeRecordIsKept(t *testing.T) {
 	b := newBench(t, "node-1")
-	id := b.keptBy("node-1")
+	id := b.machineOf("node-1")
 	b.c.stateUpdated("node-1", &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, Upto: 1}, States: []message.MachineState{
 		{Machine: id, Epoch: b.version + 1, FreeCPUs: 3, FreeGB: 3, Heard: true},
 	}})
 	b.machine(id, 1)
-	m := b.c.table.Machines[id]
-	if m.Free().CPUs != 3 || !b.c.table.Recent(m, time.Minute) {
-		t.Errorf("free %+v, state %+v", m.Free(), m.Reported)
+	m := b.c.waitTable.Machines[id]
+	if m.Free().CPUs != 3 || !b.c.waitTable.Recent(m, time.Minute) {
+		t.Errorf("free %+v, state %+v", m.Free(), m.State)
 	}
 	b.view(2, "node-0", "node-1")
-	if b.c.table.Recent(m, time.Minute) {
+	if b.c.waitTable.Recent(m, time.Minute) {
 		t.Error("a state of an earlier term counts as recent")
 	}
 }
@@ -365,9 +365,9 @@
 	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
 	o.Loaded = true
 	i := uint32(0)
-	for _, m := range b.c.table.InOrder() {
+	for _, m := range b.c.waitTable.InOrder() {
 		if m.Record.Zone == "b" { // full, and more waits there
-			m.Reported.FreeCPUs, m.Reported.Queued = 0, 12
+			m.State.FreeCPUs, m.State.Queued = 0, 12
 			for range 12 {
 				b.c.placer.PlaceAttempt(o, i, m, 1)
 				i++
@@ -381,12 +381,12 @@
 		sizes = append(sizes, releasesAsked(o)-before)
 	}
 	moved("")
-	for b.c.placer.RebalancedUpTo != "" && len(sizes) < 9 {
-		moved(b.c.placer.RebalancedUpTo)
+	for b.c.placer.RebalancePosition != "" && len(sizes) < 9 {
+		moved(b.c.placer.RebalancePosition)
 	}
 	total := 0
 	for _, n := range sizes {
-		if total += n; n > placement.MovesMost {
+		if total += n; n > placement.MaxMovesPerStep {
 			t.Errorf("%d moved in one step", n)
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -14,17 +14,17 @@
 
 // Status is what can be seen of a Core from outside.
 type Status struct {
-	Term   protocol.Term
-	Queues int // machines whose queues are here
-	Heard  int // of these, the registered ones whose inventory is complete
-	Holds  []reservation.Hold
-	Writes bool // it is the one that writes the machines' records
-	Shares int  // shards held; 0 where machines are not sharded
+	Term        protocol.Term
+	Queues      int // machines whose queues are here
+	Inventoried int // of these, the registered ones whose inventory is complete
+	Holds       []reservation.Hold
+	Registers   bool // it is the one that writes the machines' records
+	Shards      int  // shards held; 0 where machines are not sharded
 	// Misplaced are machines whose queues are here though their shards are not.
 	Misplaced []protocol.MachineID
-	// SetAside are machines with queues here that are cordoned because they fail what
+	// Cordoned are machines with queues here that are cordoned because they fail what
 	// they start.
-	SetAside []protocol.MachineID
+	Cordoned []protocol.MachineID
 	// Waits are the machines whose entry in the wait table is not empty: there is work,
 	// or a placement has been announced.
 	Waits []protocol.MachineID
@@ -33,22 +33,22 @@
 // Status describes the core for checks and tests.
 func (c *Core) Status() Status {
 	status := Status{
-		Term:   c.View.Term,
-		Queues: len(c.dispatcher.Machines()),
-		Heard:  c.dispatcher.InventoriedMachines(),
-		Writes: c.HoldsLease() && c.Registrar() == c.Self,
-		Shares: c.dispatcher.ShardsHeld(),
-		Holds:  c.reservations.List,
+		Term:        c.View.Term,
+		Queues:      len(c.dispatcher.Machines()),
+		Inventoried: c.dispatcher.InventoriedMachines(),
+		Registers:   c.HoldsLease() && c.Registrar() == c.Self,
+		Shards:      c.dispatcher.ShardsHeld(),
+		Holds:       c.reservations.List,
 	}
 	if c.Sharded() && c.Member() {
 		status.Misplaced = c.misplacedMachines()
 	}
 	for _, id := range c.dispatcher.Machines() {
 		if state, queued := c.dispatcher.StateOf(id); queued && state.Suspect {
-			status.SetAside = append(status.SetAside, id)
+			status.Cordoned = append(status.Cordoned, id)
 		}
 	}
-	for _, machine := range c.table.InOrder() {
+	for _, machine := range c.waitTable.InOrder() {
 		if len(machine.PendingWaits) > 0 || machine.Wait() != 0 {
 			status.Waits = append(status.Waits, machine.ID)
 		}
@@ -78,8 +78,8 @@
 		for _, attempt := range job.Placed {
 			fmt.Fprintf(&b, "  placed %+v\n", *attempt)
 		}
-		for _, m := range c.table.InOrder() {
-			fmt.Fprintf(&b, "  %s in %s, spot %v, dispatcher %s: usable %v, free %+v, reported %+v\n", m.ID, m.Record.Zone, m.Record.Spot, c.DispatcherOf(m.ID), c.table.Usable(m), m.Free(), m.Reported)
+		for _, m := range c.waitTable.InOrder() {
+			fmt.Fprintf(&b, "  %s in %s, spot %v, dispatcher %s: usable %v, free %+v, reported %+v\n", m.ID, m.Record.Zone, m.Record.Spot, c.DispatcherOf(m.ID), c.waitTable.Usable(m), m.Free(), m.State)
 		}
 	}
 	for _, machine := range c.dispatcher.Machines() {
@@ -105,5 +105,5 @@
 		}
 	}
 	members := slices.Sorted(maps.Keys(c.View.Members))
-	return admission.OwnersAnswered{Query: query.Look, Jobs: found, Leading: c.members.LeadingPeers(), Members: members}
+	return admission.OwnersAnswered{Query: query.Query, Jobs: found, Leading: c.members.LeadingPeers(), Members: members}
 }
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -19,8 +19,8 @@
 
 // inventory sends the inventory of a machine from its dispatcher.
 func (b *bench) inventory(id protocol.MachineID, held ...message.HeldAttempt) {
-	b.c.jobs.Inventory(clusterstate.RendezvousDispatcher(b.c.View, id), &message.Inventory{
-		Term: b.c.View.Term, Machine: id, Epoch: b.c.table.Machines[id].Epoch, Upto: 1 << 40, Held: held,
+	b.c.jobs.HandleInventory(clusterstate.RendezvousDispatcher(b.c.View, id), &message.Inventory{
+		Term: b.c.View.Term, Machine: id, Epoch: b.c.waitTable.Machines[id].Epoch, Upto: 1 << 40, Held: held,
 	})
 }
 
@@ -53,7 +53,7 @@
 // left is unverified until its machine's new dispatcher sends an inventory.
 func TestAttemptUnverifiedAfterDispatcherChange(t *testing.T) {
 	b := newBench(t, "node-1")
-	id := b.keptBy("node-1")
+	id := b.machineOf("node-1")
 	b.machine(id, 1)
 	job := protocol.JobID("job-1")
 	for i := 0; b.c.JobOwner(b.c.View, &protocol.Job{ID: job, Team: "free"}) != "node-0"; i++ {
@@ -91,13 +91,13 @@
 	}
 	placed(8, "before the machine's inventory")
 	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-0"}, Attempt: 1, State: protocol.TaskRunning}
-	b.report("vm-1", 1, 3, running)
+	b.heartbeat("vm-1", 1, 3, running)
 	placed(8, "while an attempt of an ended job runs")
 	running.State, running.Cause = protocol.TaskEnded, protocol.EndStopped
-	b.report("vm-1", 1, 3, running)
+	b.heartbeat("vm-1", 1, 3, running)
 	placed(12, "when all is known")
 	b.view(5, "node-0")
-	b.c.table.Machines["vm-1"].Info = protocol.TypeInfo{}
+	b.c.waitTable.Machines["vm-1"].Info = protocol.TypeInfo{}
 	if usage := b.c.jobs.TeamUsage()["bound"]; !math.IsInf(usage.CPUs, 1) {
 		t.Fatalf("a machine of unknown size takes %v", usage.CPUs)
 	}
@@ -107,7 +107,7 @@
 // removed only after a whole lease in which every member is known to follow this term.
 func TestMachineRemovedOnlyAfterLeaseInTermOfAllMembers(t *testing.T) {
 	b := newBench(t, "node-1")
-	id := b.keptBy("node-0")
+	id := b.machineOf("node-0")
 	b.machine(id, 1)
 	removed := func() bool {
 		for _, a := range b.step(message.Tick{}) {
@@ -142,7 +142,7 @@
 func TestMachineRemovedWhenSilentBeforeRegistration(t *testing.T) {
 	b := newBench(t)
 	b.ready("vm-1")
-	b.report("vm-1", 2, 1) // the registration is never answered
+	b.heartbeat("vm-1", 2, 1) // the registration is never answered
 	for range 60 {
 		b.now += Time(time.Second)
 		if dropped(b.step(message.Tick{}), "vm-1") {
@@ -158,7 +158,7 @@
 // agent epoch, only the worker's next heartbeat proves it.
 func TestInventoryNotAwaitedFromContinuousDispatcher(t *testing.T) {
 	b := newBench(t, "node-1")
-	id := b.keptBy("node-0")
+	id := b.machineOf("node-0")
 	b.ready(id)
 	awaited := func(want bool, when string) {
 		t.Helper()
@@ -166,14 +166,14 @@
 			t.Errorf("inventory awaited %v %s, want %v", !want, when, want)
 		}
 	}
-	b.report(id, 1, 1)
+	b.heartbeat(id, 1, 1)
 	b.view(2, "node-0")
 	awaited(false, "after the next term")
 	b.view(4, "node-0")
 	awaited(true, "after a missed term")
-	b.report(id, 1, 4)
+	b.heartbeat(id, 1, 4)
 	awaited(false, "after a heartbeat")
-	b.report(id, 2, 3) // of a worker that has not seen the term
+	b.heartbeat(id, 2, 3) // of a worker that has not seen the term
 	b.machine(id, 2)
 	b.view(5, "node-0")
 	awaited(true, "in a new agent epoch")
@@ -185,10 +185,10 @@
 func TestEndedAttemptsDroppedAfterDispatcherRestart(t *testing.T) {
 	for _, over := range []string{"before the view", "after it"} {
 		b := newBench(t, "node-1")
-		id := b.keptBy("node-1")
+		id := b.machineOf("node-1")
 		team := protocol.Team("bound")
 		b.c.Settings.Site.Teams = nil
-		for i := 0; clusterstate.Rendezvous(b.c.View, "team "+string(team)) != "node-0" || clusterstate.RendezvousBut(b.c.View, []protocol.NodeName{"node-1"}, "team "+string(team)) != "node-0"; i++ {
+		for i := 0; clusterstate.Rendezvous(b.c.View, "team "+string(team)) != "node-0" || clusterstate.RendezvousExcluding(b.c.View, []protocol.NodeName{"node-1"}, "team "+string(team)) != "node-0"; i++ {
 			team = protocol.Team("bound" + string(rune('a'+i)))
 		}
 		b.c.Settings.Site.Teams = []config.Team{{Name: team, MaxCPUs: 4}}
@@ -217,7 +217,7 @@
 		if len(b.c.jobs.EndedAttempts) != 4 {
 			t.Fatalf("over %s: %d attempts count", over, len(b.c.jobs.EndedAttempts))
 		}
-		b.c.jobs.Inventory("node-1", &message.Inventory{Term: 2, Machine: id, Epoch: b.c.table.Machines[id].Epoch})
+		b.c.jobs.HandleInventory("node-1", &message.Inventory{Term: 2, Machine: id, Epoch: b.c.waitTable.Machines[id].Epoch})
 		if n := len(b.c.jobs.EndedAttempts); n > 0 {
 			t.Errorf("over %s: %d attempts count for ever", over, n)
 		}
@@ -243,7 +243,7 @@
 	for _, takenOver := range []bool{false, true} {
 		for _, state := range []protocol.TaskState{protocol.TaskRunning, protocol.TaskFetching, ""} {
 			b := newBench(t, "node-1")
-			id := b.keptBy("node-1")
+			id := b.machineOf("node-1")
 			team := b.limited(4)
 			b.machine(id, 1)
 			b.job("job-1", team, 4)
@@ -256,12 +256,12 @@
 			for i := range uint32(4) {
 				held = append(held, message.HeldAttempt{Task: protocol.TaskID{Job: "job-1", Index: i}, Attempt: protocol.Attempt(i + 1), State: state, Team: team, Need: resource.Amount{CPUs: 1}})
 			}
-			b.c.jobs.Inventory("node-1", &message.Inventory{Term: 1, Machine: id, Epoch: b.c.table.Machines[id].Epoch, Upto: 99, Held: held})
+			b.c.jobs.HandleInventory("node-1", &message.Inventory{Term: 1, Machine: id, Epoch: b.c.waitTable.Machines[id].Epoch, Upto: 99, Held: held})
 			if used := b.c.jobs.TeamUsage()[team].CPUs; used != 4 {
 				t.Errorf("taken over %v, %q: %v processors count, want 4", takenOver, state, used)
 			}
 			for _, h := range held {
-				b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: id}, What: message.EventEnded, Cause: protocol.EndStopped})
+				b.c.jobs.HandleTaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: h.Task, Attempt: h.Attempt, Machine: id}, What: message.EventEnded, Cause: protocol.EndStopped})
 			}
 			if used := b.c.jobs.TeamUsage()[team].CPUs; used != 0 {
 				t.Errorf("taken over %v, %q: %v processors count for ever", takenOver, state, used)
@@ -312,7 +312,7 @@
 	}
 	end := func(i uint32) {
 		b.step(message.Tick{})
-		b.c.jobs.TaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
+		b.c.jobs.HandleTaskEvent(message.TaskEvent{TaskRef: message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: i}, Machine: "vm-1"}, What: message.EventEnded, Cause: protocol.EndDone})
 	}
 	end(0)
 	first, _ := next()
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -8,8 +8,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// tickEvery is the time between two ticks.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is the time between two ticks.
+const tickInterval = 100 * time.Millisecond
 
 // tick does what is due as time passes.
 func (c *Core) tick(m message.Tick) {
@@ -28,7 +28,7 @@
 		c.workBetween()
 	}
 	c.registrar.Write()
-	c.table.AskMorePeers()
+	c.waitTable.AskMorePeers()
 	c.jobs.Retry()
 }
 
@@ -39,7 +39,7 @@
 	c.reservations.Refresh()
 	c.workload.WatchSpots()
 	c.jobs.WatchSlow()
-	c.dispatcher.ExpireSilent(c.members.AllAdopted(), c.members.ShardsFloor())
+	c.dispatcher.ExpireSilent(c.members.AllAdopted(), c.members.ObservedShardEpoch())
 	c.placer.Rebalance("")
 	c.dispatcher.Maintain(c.announcedLevel, c.jobs.IsFailing)
 	c.jobs.WriteBitmaps()
@@ -88,7 +88,7 @@
 // interval.
 func (c *Core) measureTickLateness() {
 	if c.lastTick != 0 {
-		late := max(0, c.Since(c.lastTick)-tickEvery)
+		late := max(0, c.Since(c.lastTick)-tickInterval)
 		c.tickLatenessMS = latenessRetention*c.tickLatenessMS + (1-latenessRetention)*float64(late)/float64(time.Millisecond)
 	}
 	c.lastTick = c.Now
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -7,7 +7,7 @@
 )
 
 // checkView has the view changed if it should be.
-func (c *Core) checkView() { c.members.Check(c.dispatcher.NeedsNewTerm()) }
+func (c *Core) checkView() { c.members.UpdateView(c.dispatcher.NeedsNewTerm()) }
 
 // adoptView adopts a new view. Work whose dispatcher and owner have the same sessions in
 // both views goes on; everything else is unverified until an inventory proves it. A
@@ -20,7 +20,7 @@
 	c.members.Adopt(view, version)
 	c.registrar.Adopted()
 	c.dispatcher.TermAdopted()
-	c.table.AdoptPeers(view)
+	c.waitTable.AdoptPeers(view)
 	c.dispatcher.ForgetOwners(old)
 	if !c.Member() {
 		c.dropWork()
@@ -34,7 +34,7 @@
 	c.beginUpdates()
 	c.dispatcher.BeginInventories()
 	if !wasMember {
-		c.table.AskPeers()
+		c.waitTable.AskPeers()
 	}
 	c.autoscaler.ViewAdopted(c.Now)
 }
@@ -44,7 +44,7 @@
 func (c *Core) dropWork() {
 	c.jobs.Drop()
 	c.placer.ForgetSearches()
-	c.table.PlacementDue = false
+	c.waitTable.PlacementDue = false
 	c.dispatcher.DropAll()
 }
 
@@ -65,7 +65,7 @@
 	}
 	if len(moved) > 0 {
 		c.jobs.ShardsMoved(moved)
-		c.table.ShardsMoved(moved)
+		c.waitTable.ShardsMoved(moved)
 	}
 	c.dispatcher.AdoptShards(old)
 }
--- a/internal/controller/waittable/machine.go
+++ b/internal/controller/waittable/machine.go
@@ -16,29 +16,29 @@
 // published, and the announced placements which that state does not include yet.
 type Machine struct {
 	*clusterstate.Machine
-	Reported      message.MachineState // last published by its dispatcher
-	ReportedBy    *Peer                // the dispatcher's session that published it in this term, if any
-	ReportedAt    clock.Time           // when that was
-	PendingWaits  []PendingWait        // announced placements that Reported does not include
-	PendingSum    float64              // sum of their waits, in processor seconds
-	PendingUses   resource.Uses        // resources that they use
-	Reserved      resource.Amount      // part of its free resources that is held for reservations now
-	copiedWait    float64              // its wait by a peer's table, until its dispatcher publishes a state
-	AnnouncedUses resource.Uses        // resources of the attempts that its dispatcher has queued or started there
-	Refused       bool                 // its dispatcher refused a placement and has published no state since
-	LateRuns      int                  // tasks of this owner that recently ran too long there
-	LastLateRun   clock.Time           // when the last of them was noticed
+	State           message.MachineState // last published by its dispatcher
+	StateFrom       *Peer                // the dispatcher's session that published it in this term, if any
+	StateReceivedAt clock.Time           // when that was
+	PendingWaits    []PendingWait        // announced placements that Reported does not include
+	PendingSum      float64              // sum of their waits, in processor seconds
+	PendingUses     resource.Uses        // resources that they use
+	Reserved        resource.Amount      // part of its free resources that is held for reservations now
+	copiedWait      float64              // its wait by a peer's table, until its dispatcher publishes a state
+	AnnouncedUses   resource.Uses        // resources of the attempts that its dispatcher has queued or started there
+	Refused         bool                 // its dispatcher refused a placement and has published no state since
+	LateRuns        int                  // tasks of this owner that recently ran too long there
+	LastLateRun     clock.Time           // when the last of them was noticed
 }
 
 // Wait is the machine's expected wait, in processor seconds, as far as this
 // controller knows.
-func (m *Machine) Wait() float64 { return math.Max(0, m.Reported.Wait+m.copiedWait+m.PendingSum) }
+func (m *Machine) Wait() float64 { return math.Max(0, m.State.Wait+m.copiedWait+m.PendingSum) }
 
 // WaitBefore is the part of the machine's expected wait, in processor seconds, that
 // precedes a task of the given level: attempts queued at lower levels run after it.
 func (m *Machine) WaitBefore(level resource.Level) float64 {
 	wait := m.Wait()
-	for lower, work := range m.Reported.Queue {
+	for lower, work := range m.State.Queue {
 		if resource.Level(lower) < level {
 			wait -= work
 		}
@@ -49,10 +49,10 @@
 // Free is the resources that a machine has free now, as far as this controller
 // knows. A machine with a queue has none: the queued attempts come first.
 func (m *Machine) Free() resource.Amount {
-	if m.Reported.Epoch != m.Epoch {
+	if m.State.Epoch != m.Epoch {
 		return resource.Capacity(m.Info).Minus(m.PendingUses.NonPreemptible(0)) // no state of this epoch yet: as it came up
 	}
-	if m.Reported.Queued > 0 {
+	if m.State.Queued > 0 {
 		return resource.Amount{}
 	}
 	return m.Idle()
@@ -61,10 +61,10 @@
 // Idle is the resources of a machine that nothing runs on, whatever is queued there:
 // a job with a reservation on the machine does not wait behind the queue.
 func (m *Machine) Idle() resource.Amount {
-	if m.Reported.Epoch != m.Epoch {
+	if m.State.Epoch != m.Epoch {
 		return m.Free()
 	}
-	idle := resource.Amount{CPUs: m.Reported.FreeCPUs, GPUs: m.Reported.FreeGPUs, GB: m.Reported.FreeGB}
+	idle := resource.Amount{CPUs: m.State.FreeCPUs, GPUs: m.State.FreeGPUs, GB: m.State.FreeGB}
 	return idle.Minus(m.PendingUses.NonPreemptible(0))
 }
 
@@ -75,7 +75,7 @@
 // if all attempts were preempted that the task may preempt.
 func (m *Machine) NonPreemptibleFree(level resource.Level) resource.Amount {
 	free := resource.Capacity(m.Info).Minus(m.PendingUses.NonPreemptible(level))
-	if m.Reported.Epoch == m.Epoch {
+	if m.State.Epoch == m.Epoch {
 		free = free.Minus(m.AnnouncedUses.NonPreemptible(level))
 	}
 	return free
@@ -103,7 +103,7 @@
 // FetchSeconds is how long the machine takes to fetch a job's image, in seconds; 0 if
 // it has the image.
 func (m *Machine) FetchSeconds(j *protocol.Job) float64 {
-	if slices.Contains(m.Reported.Images, j.Image) {
+	if slices.Contains(m.State.Images, j.Image) {
 		return 0
 	}
 	return clusterstate.FetchS(m.Info, j)
@@ -111,7 +111,7 @@
 
 // Open reports whether the machine's dispatcher accepts placements on it.
 func (m *Machine) Open() bool {
-	return m.Info.Name != "" && !m.Reported.Closed && !m.Reported.Draining && !m.Reported.Suspect
+	return m.Info.Name != "" && !m.State.Closed && !m.State.Draining && !m.State.Suspect
 }
 
 // Kind is the machine's type, zone and purchase option.
--- a/internal/controller/waittable/table.go
+++ b/internal/controller/waittable/table.go
@@ -139,10 +139,10 @@
 // dropped.
 func (t *Table) ShardsMoved(moved map[sharding.ID]bool) {
 	for id, m := range t.Machines {
-		if !moved[sharding.Of(t.Shards, id, m.Record.Zone)] {
+		if !moved[sharding.ShardOf(t.Shards, id, m.Record.Zone)] {
 			continue
 		}
-		m.ReportedBy = nil
+		m.StateFrom = nil
 		if len(m.PendingWaits) > 0 {
 			m.PendingWaits = nil
 			m.recomputeWait()
@@ -156,5 +156,5 @@
 // Recent reports whether a machine's state was published by its present dispatcher in
 // this term, and was up to date no longer ago than maxAge.
 func (t *Table) Recent(m *Machine, maxAge time.Duration) bool {
-	return m.ReportedBy != nil && m.ReportedBy == t.Peers[t.DispatcherOf(m.ID)] && t.Since(m.ReportedBy.Updates.At) <= maxAge
+	return m.StateFrom != nil && m.StateFrom == t.Peers[t.DispatcherOf(m.ID)] && t.Since(m.StateFrom.Updates.At) <= maxAge
 }
--- a/internal/controller/waittable/tablecopy.go
+++ b/internal/controller/waittable/tablecopy.go
@@ -50,7 +50,7 @@
 func (t *Table) SendCopy(to protocol.NodeName) {
 	var waits []message.WaitChange
 	for id, m := range ordered.Of(t.Machines) {
-		if m.Reported.Epoch == m.Epoch {
+		if m.State.Epoch == m.Epoch {
 			waits = append(waits, message.WaitChange{Machine: id, Add: m.Wait()})
 		}
 	}
@@ -67,7 +67,7 @@
 	}
 	t.copied.received = true
 	for _, w := range waits {
-		if m := t.Machines[w.Machine]; m != nil && m.Reported.Epoch == 0 {
+		if m := t.Machines[w.Machine]; m != nil && m.State.Epoch == 0 {
 			m.copiedWait = w.Add
 		}
 	}
--- a/internal/controller/waittable/updates.go
+++ b/internal/controller/waittable/updates.go
@@ -49,7 +49,7 @@
 	switch {
 	case st.Epoch == 0:
 		if m != nil && t.DispatcherOf(m.ID) == from {
-			m.ReportedBy = nil
+			m.StateFrom = nil
 		}
 	case m == nil || st.Epoch > m.Epoch:
 		// The dispatcher does not publish this state again.
@@ -63,14 +63,14 @@
 
 // replaceState replaces the state of a machine by one that its dispatcher, p, published.
 func (t *Table) replaceState(m *Machine, p *Peer, st message.MachineState) {
-	if (m.Reported.Closed || m.Refused) && !st.Closed || m.Reported.Epoch == 0 {
+	if (m.State.Closed || m.Refused) && !st.Closed || m.State.Epoch == 0 {
 		t.PlacementDue = true
 	}
-	st.Runs = withKnownRuns(m.Reported.Runs, st.Runs)
-	if !st.Heard && m.Reported.Epoch == m.Epoch {
-		st.Runs = m.Reported.Runs // the new dispatcher has received no heartbeat yet
+	st.Runs = withKnownRuns(m.State.Runs, st.Runs)
+	if !st.Heard && m.State.Epoch == m.Epoch {
+		st.Runs = m.State.Runs // the new dispatcher has received no heartbeat yet
 	}
-	m.Reported, m.ReportedBy, m.ReportedAt = st, p, t.Now
+	m.State, m.StateFrom, m.StateReceivedAt = st, p, t.Now
 	m.copiedWait, m.Refused = 0, false
 	m.AnnouncedUses = resource.Uses{}
 	message.AddLevelUses(&m.AnnouncedUses, st.Uses)
@@ -109,7 +109,7 @@
 // BeginStreams starts the streams of a new term with all peers from their beginning.
 func (t *Table) BeginStreams() {
 	for _, m := range t.Machines {
-		m.ReportedBy = nil
+		m.StateFrom = nil
 	}
 	for _, p := range t.Peers {
 		updates := &p.Updates
--- a/internal/controller/workerregistry/registrar.go
+++ b/internal/controller/workerregistry/registrar.go
@@ -38,8 +38,8 @@
 	return in
 }
 
-// Blocks returns the number of blocks.
-func (g *Registrar) Blocks() int { return g.blocks.Len() }
+// BlockCount returns the number of blocks.
+func (g *Registrar) BlockCount() int { return g.blocks.Len() }
 
 // RequestChange queues a change that a dispatcher asks for. It replaces an earlier one
 // for the same machine. Requests of other terms, and those to a controller that is not
--- a/internal/controller/workerregistry/write_test.go
+++ b/internal/controller/workerregistry/write_test.go
@@ -107,10 +107,10 @@
 	name := record.BlockName(1)
 	entry := record.BlockEntry{ID: "vm-1", Epoch: 1}
 	changed, removed := g.BlockUpdated(name, record.Block{Machines: []record.BlockEntry{entry}}, 5)
-	if len(changed) != 1 || len(removed) != 0 || !g.InBlock("vm-1") || g.Blocks() != 1 {
-		t.Errorf("changed %v, removed %v, %d blocks", changed, removed, g.Blocks())
+	if len(changed) != 1 || len(removed) != 0 || !g.InBlock("vm-1") || g.BlockCount() != 1 {
+		t.Errorf("changed %v, removed %v, %d blocks", changed, removed, g.BlockCount())
 	}
-	if removed := g.BlockDeleted(name); len(removed) != 1 || g.InBlock("vm-1") || g.Blocks() != 0 {
-		t.Errorf("removed %v, %d blocks", removed, g.Blocks())
+	if removed := g.BlockDeleted(name); len(removed) != 1 || g.InBlock("vm-1") || g.BlockCount() != 0 {
+		t.Errorf("removed %v, %d blocks", removed, g.BlockCount())
 	}
 }
--- a/internal/controller/workload/classes.go
+++ b/internal/controller/workload/classes.go
@@ -12,7 +12,7 @@
 // Class is what this controller has observed of a class of jobs with an objective.
 type Class struct {
 	Job               protocol.Job // the last job of the class
-	Share             float64      // the share of its jobs that should meet the objective
+	ObjectiveShare    float64      // the share of its jobs that should meet the objective
 	HasStartObjective bool         // its jobs should start within a time
 	Arrivals          forecast.Arrivals
 }
@@ -28,7 +28,7 @@
 		class = &Class{}
 		w.Classes[j.Class] = class
 	}
-	class.Job, class.Share, class.HasStartObjective = *j, share, hasStart
+	class.Job, class.ObjectiveShare, class.HasStartObjective = *j, share, hasStart
 	work := float64(j.Tasks) * j.CPUs * w.Estimate(j)
 	class.Arrivals.Note(forecast.Arrival{At: w.Now, Tasks: float64(j.Tasks), Work: work})
 }
@@ -53,12 +53,12 @@
 
 // forecastOf forecasts the arrivals of a class from those observed.
 func (w *Workload) forecastOf(class *Class, size func(forecast.Arrival) float64) forecast.Arriving {
-	return class.Arrivals.Coming(w.Now, w.BootSeconds(&class.Job), class.Share, size)
+	return class.Arrivals.Coming(w.Now, w.BootSeconds(&class.Job), class.ObjectiveShare, size)
 }
 
-// ComingWork is the work, in processor seconds, that a class without a start objective is
+// ExpectedWork is the work, in processor seconds, that a class without a start objective is
 // likely to bring while a machine boots; 0 for a class with one.
-func (w *Workload) ComingWork(class *Class) float64 {
+func (w *Workload) ExpectedWork(class *Class) float64 {
 	if class.HasStartObjective {
 		return 0
 	}
@@ -85,8 +85,8 @@
 	live, sum := clusterstate.LiveJob{Job: *j}, 0.0
 	for _, m := range w.table.InOrder() {
 		if w.table.Usable(m) && live.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
-			ending := resource.Amount{CPUs: m.Reported.Ending.CPUs, GPUs: m.Reported.Ending.GPUs, GB: m.Reported.Ending.GB}
-			sum += ending.Places(resource.Need(j))
+			ending := resource.Amount{CPUs: m.State.Ending.CPUs, GPUs: m.State.Ending.GPUs, GB: m.State.Ending.GB}
+			sum += ending.FractionalFit(resource.Need(j))
 		}
 	}
 	return sum
--- a/internal/controller/workload/classes_test.go
+++ b/internal/controller/workload/classes_test.go
@@ -44,13 +44,13 @@
 // the same. A gang can't use resources that become free piece by piece.
 func TestEndingTasksReduceReserve(t *testing.T) {
 	w := newWorkload(t)
-	class := &Class{Job: protocol.Job{Class: "cert", Kind: protocol.KindJobArray, CPUs: 1, MemoryGB: 1}, Share: 0.8, HasStartObjective: true}
+	class := &Class{Job: protocol.Job{Class: "cert", Kind: protocol.KindJobArray, CPUs: 1, MemoryGB: 1}, ObjectiveShare: 0.8, HasStartObjective: true}
 	for i := range 10 {
 		age := time.Duration(9-i) * 4 * time.Second
 		class.Arrivals = append(class.Arrivals, forecast.Arrival{At: w.Now - clock.Time(age), Tasks: float64(10 + i)})
 	}
 	ending := func(id protocol.MachineID, cpus, gb float64) {
-		w.table.Machines[id].Reported.Ending = message.LevelUse{CPUs: cpus, GB: gb}
+		w.table.Machines[id].State.Ending = message.LevelUse{CPUs: cpus, GB: gb}
 	}
 	none := w.Reserve(class)
 	ending("vm-1", 2, 8)
--- a/internal/controller/workload/spot.go
+++ b/internal/controller/workload/spot.go
@@ -15,14 +15,14 @@
 // RecordSpotLoss counts a machine whose record was deleted, if it seems to be a spot
 // machine that was preempted.
 func (w *Workload) RecordSpotLoss(m *waittable.Machine) {
-	if m.Record.Spot && !m.Reported.Draining && (m.Reported.Noticed || m.Reported.Silence == message.SilenceLong) {
-		w.Spots.Lost()
+	if m.Record.Spot && !m.State.Draining && (m.State.Noticed || m.State.Silence == message.SilenceLong) {
+		w.Spots.NoteReclaimed()
 	}
 }
 
 // WatchSpots counts the spot machines, once a relay period.
 func (w *Workload) WatchSpots() {
-	w.Spots.Watch(w.table.SpotMachines, w.Op.RelayEvery)
+	w.Spots.NoteUptime(w.table.SpotMachines, w.Op.RelayEvery)
 }
 
 // SpotStretch is the part by which one spot machine lengthens a gang that runs on it: each
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -22,9 +22,9 @@
 	return &Cloud{Machines: map[protocol.MachineID]protocol.ProvisionRequest{}, Capacity: capacity, answers: map[string][]protocol.MachineID{}}
 }
 
-// Rent provisions machines. A repeated request gets the answer of the first one; fresh
+// Provision provisions machines. A repeated request gets the answer of the first one; fresh
 // are the machines that are new by this request.
-func (c *Cloud) Rent(r protocol.ProvisionRequest) (all, fresh []protocol.MachineID) {
+func (c *Cloud) Provision(r protocol.ProvisionRequest) (all, fresh []protocol.MachineID) {
 	if machines, ok := c.answers[r.Name]; ok {
 		return machines, nil
 	}
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -9,8 +9,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// State models the key-value store: items with versions, leases, and a log of changes.
-type State struct {
+// KeyValueStore models the key-value store: items with versions, leases, and a log of changes.
+type KeyValueStore struct {
 	Revision protocol.Revision
 	Log      []protocol.Event // the latest changes, in order
 	Before   int              // how many came before these
@@ -31,32 +31,32 @@
 	expiresAt time.Duration
 }
 
-// NewState makes an empty store.
-func NewState() *State {
-	return &State{items: map[string]item{}, leases: map[protocol.LeaseID]lease{}}
+// NewKeyValueStore makes an empty store.
+func NewKeyValueStore() *KeyValueStore {
+	return &KeyValueStore{items: map[string]item{}, leases: map[protocol.LeaseID]lease{}}
 }
 
 // Changes is how many changes there were.
-func (s *State) Changes() int { return s.Before + len(s.Log) }
+func (s *KeyValueStore) Changes() int { return s.Before + len(s.Log) }
 
 // Change is one of them, by its number from 0.
-func (s *State) Change(i int) protocol.Event { return s.Log[i-s.Before] }
+func (s *KeyValueStore) Change(i int) protocol.Event { return s.Log[i-s.Before] }
 
 // Forget drops the changes up to a number.
-func (s *State) Forget(upto int) {
+func (s *KeyValueStore) Forget(upto int) {
 	s.Log = append([]protocol.Event(nil), s.Log[upto-s.Before:]...)
 	s.Before = upto
 }
 
 // Lease grants a lease.
-func (s *State) Lease(now, ttl time.Duration) protocol.LeaseID {
+func (s *KeyValueStore) Lease(now, ttl time.Duration) protocol.LeaseID {
 	s.lastLease++
 	s.leases[s.lastLease] = lease{ttl, now + ttl}
 	return s.lastLease
 }
 
 // Extend renews a lease and reports whether it was still there.
-func (s *State) Extend(now time.Duration, id protocol.LeaseID) bool {
+func (s *KeyValueStore) Extend(now time.Duration, id protocol.LeaseID) bool {
 	l, ok := s.leases[id]
 	if ok {
 		s.leases[id] = lease{l.ttl, now + l.ttl}
@@ -65,7 +65,7 @@
 }
 
 // Expire ends the leases that have expired, and deletes their keys.
-func (s *State) Expire(now time.Duration) {
+func (s *KeyValueStore) Expire(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if s.leases[id].expiresAt <= now {
 			s.Release(id)
@@ -74,14 +74,14 @@
 }
 
 // Restore gives all leases their full time back, as after an outage.
-func (s *State) Restore(now time.Duration) {
+func (s *KeyValueStore) Restore(now time.Duration) {
 	for id, l := range s.leases {
 		s.leases[id] = lease{l.ttl, now + l.ttl}
 	}
 }
 
 // Release ends a lease, and deletes its keys.
-func (s *State) Release(id protocol.LeaseID) {
+func (s *KeyValueStore) Release(id protocol.LeaseID) {
 	if _, ok := s.leases[id]; !ok {
 		return
 	}
@@ -95,7 +95,7 @@
 }
 
 // LeaseMissing reports whether a transaction writes with a lease that is over.
-func (s *State) LeaseMissing(t protocol.Transaction) bool {
+func (s *KeyValueStore) LeaseMissing(t protocol.Transaction) bool {
 	for _, c := range t.Changes {
 		if c.Lease == nil {
 			continue
@@ -109,7 +109,7 @@
 
 // Txn executes a transaction and reports whether its conditions held and its
 // leases were there.
-func (s *State) Txn(t protocol.Transaction) bool {
+func (s *KeyValueStore) Txn(t protocol.Transaction) bool {
 	for _, c := range t.Conditions {
 		if s.items[c.Key].version != c.Version {
 			return false
@@ -129,7 +129,7 @@
 	return true
 }
 
-func (s *State) put(c protocol.Change) {
+func (s *KeyValueStore) put(c protocol.Change) {
 	value, err := protocol.Encode(c.Value)
 	if err != nil {
 		panic(err) // a test's own value
@@ -142,7 +142,7 @@
 	s.Log = append(s.Log, protocol.Event{Put: c.Put, Value: value, Version: it.version})
 }
 
-func (s *State) remove(key string) {
+func (s *KeyValueStore) remove(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
 		s.Log = append(s.Log, protocol.Event{Delete: key, Version: protocol.Version(s.Revision)})
@@ -150,7 +150,7 @@
 }
 
 // keys lists the keys with a prefix in order.
-func (s *State) keys(prefix string) []string {
+func (s *KeyValueStore) keys(prefix string) []string {
 	var keys []string
 	for k := range s.items {
 		if strings.HasPrefix(k, prefix) {
@@ -162,13 +162,13 @@
 }
 
 // Get reads a key.
-func (s *State) Get(key string) (protocol.Item, bool) {
+func (s *KeyValueStore) Get(key string) (protocol.Item, bool) {
 	it, ok := s.items[key]
 	return protocol.Item{Key: key, Value: it.value, Version: it.version}, ok
 }
 
 // List reads all keys with a prefix.
-func (s *State) List(prefix string) []protocol.Item {
+func (s *KeyValueStore) List(prefix string) []protocol.Item {
 	var items []protocol.Item
 	for _, k := range s.keys(prefix) {
 		it, _ := s.Get(k)
--- a/internal/fake/kvstore_test.go
+++ b/internal/fake/kvstore_test.go
@@ -10,7 +10,7 @@
 // TestTransactionHoldsOnVersions: a transaction is executed only if all of its conditions
 // hold, and all or none of its changes are made, in one version.
 func TestTransactionHoldsOnVersions(t *testing.T) {
-	s := NewState()
+	s := NewKeyValueStore()
 	create := protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: "a"}},
 		Changes:    []protocol.Change{{Put: "a", Value: 1}, {Put: "b", Value: 2}},
@@ -35,7 +35,7 @@
 // TestLeaseExpiryDeletesItsKeys: a key lives as long as its lease, which is extended and
 // restored, and no transaction writes by a lease that has expired.
 func TestLeaseExpiryDeletesItsKeys(t *testing.T) {
-	s := NewState()
+	s := NewKeyValueStore()
 	lease := s.Lease(0, time.Second)
 	write := protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1, Lease: &lease}}}
 	if !s.Txn(write) || !s.Extend(500*time.Millisecond, lease) {
--- a/internal/fake/server/cloudservice.go
+++ b/internal/fake/server/cloudservice.go
@@ -21,10 +21,10 @@
 
 // Fleet runs the machines that a cloud provisions.
 type Fleet interface {
-	// Rented has a provisioned machine come up.
-	Rented(protocol.MachineID, protocol.TypeInfo, protocol.ProvisionRequest)
-	// Return terminates machines and all that is on them, before it returns.
-	Return([]protocol.MachineID) error
+	// Provisioned has a provisioned machine come up.
+	Provisioned(protocol.MachineID, protocol.TypeInfo, protocol.ProvisionRequest)
+	// Terminate terminates machines and all that is on them, before it returns.
+	Terminate([]protocol.MachineID) error
 	// Machine is the address of a machine that is up, and when it came up.
 	Machine(protocol.MachineID) (Listed, bool)
 }
@@ -73,8 +73,8 @@
 // Close ends the service.
 func (c *CloudService) Close() { _ = c.server.Close() } // nothing is left to lose
 
-// Rent provisions machines as a request would.
-func (c *CloudService) Rent(req protocol.ProvisionRequest) []protocol.MachineID {
+// Provision provisions machines as a request would.
+func (c *CloudService) Provision(req protocol.ProvisionRequest) []protocol.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.provisionLocked(req)
@@ -99,9 +99,9 @@
 	if i < 0 {
 		return nil
 	}
-	machines, fresh := c.model.Rent(req)
+	machines, fresh := c.model.Provision(req)
 	for _, id := range fresh {
-		c.fleet.Rented(id, c.types[i], req)
+		c.fleet.Provisioned(id, c.types[i], req)
 	}
 	return machines
 }
@@ -112,7 +112,7 @@
 	if !ok {
 		return
 	}
-	if err := c.fleet.Return(req.Machines); err != nil {
+	if err := c.fleet.Terminate(req.Machines); err != nil {
 		answer(w, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "machines not terminated"})
 		return
 	}
--- a/internal/fake/server/host.go
+++ b/internal/fake/server/host.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Up puts a machine into service.
+// MachineUp puts a machine into service.
 func (h *Host) Up(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool) error {
 	w := &worker{changed: make(chan struct{}, 1)}
 	mux := http.NewServeMux()
@@ -87,7 +87,7 @@
 	defer h.mu.Unlock()
 	w.Start(now)
 	h.workers[id] = w
-	h.cfg.Observer.Up(id, info, zone, spot, now)
+	h.cfg.Observer.MachineUp(id, info, zone, spot, now)
 	go h.sendHeartbeats(w)
 	return nil
 }
@@ -95,15 +95,15 @@
 // newModel makes the model of a worker, which is called while the host is locked.
 func (h *Host) newModel(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool) *fake.Worker {
 	model := &fake.Worker{
-		ID: id, Info: info, Zone: zone, Spot: spot, LeaseS: h.cfg.Lease.Seconds(), GangWait: h.cfg.GangWait, Results: h.cfg.Results,
-		Caches:  h.cfg.CachedImages,
-		Jobs:    func(j protocol.JobID) (protocol.Job, bool) { job, ok := h.jobs[j]; return job, ok },
-		RunTime: func(id protocol.TaskID) time.Duration { return h.cfg.RunTime(h.jobs[id.Job], id) },
+		ID: id, Info: info, Zone: zone, Spot: spot, LeaseS: h.cfg.LeaseTime.Seconds(), GangWait: h.cfg.GangWait, Results: h.cfg.Results,
+		CachesImages: h.cfg.CachedImages,
+		Jobs:         func(j protocol.JobID) (protocol.Job, bool) { job, ok := h.jobs[j]; return job, ok },
+		RunTime:      func(id protocol.TaskID) time.Duration { return h.cfg.RunTime(h.jobs[id.Job], id) },
 		Started: func(w *fake.Worker, task protocol.TaskID, attempt protocol.Attempt) {
-			h.cfg.Observer.On(w.ID, task, attempt, h.cfg.Clock())
+			h.cfg.Observer.TaskStarted(w.ID, task, attempt, h.cfg.Clock())
 		},
 		Ordered: func(w *fake.Worker, task protocol.TaskID, attempt protocol.Attempt) {
-			h.cfg.Observer.Ordered(w.ID, task, attempt, h.cfg.Clock())
+			h.cfg.Observer.TaskStartAccepted(w.ID, task, attempt, h.cfg.Clock())
 		},
 		Ended: h.ended,
 	}
@@ -120,7 +120,7 @@
 		return
 	}
 	attempt, _, _ := w.Gang(task)
-	h.cfg.Observer.Off(w.ID, task, attempt, cause, min(h.cfg.Clock(), w.LeaseEnds()))
+	h.cfg.Observer.TaskEnded(w.ID, task, attempt, cause, min(h.cfg.Clock(), w.LeaseEnds()))
 }
 
 // Kill has machines stop with all that is on them.
@@ -135,7 +135,7 @@
 		w.Dead = true
 		_ = w.server.Close() // the machine has ended
 		delete(h.workers, id)
-		h.cfg.Observer.Gone(id, h.cfg.Clock())
+		h.cfg.Observer.MachineLost(id, h.cfg.Clock())
 	}
 }
 
@@ -171,8 +171,8 @@
 	return Listed{Address: w.addr, Since: w.since}, true
 }
 
-// OldestAnswered is the time since which each worker has had an answered heartbeat.
-func (h *Host) OldestAnswered() time.Duration {
+// OldestHeartbeat is the time since which each worker has had an answered heartbeat.
+func (h *Host) OldestHeartbeat() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	oldest := h.cfg.Clock()
--- a/internal/fake/server/host_test.go
+++ b/internal/fake/server/host_test.go
@@ -23,21 +23,21 @@
 // recorder is an Observer, whose events it passes on as text, and a JobSource.
 type recorder struct{ events chan string }
 
-func (r *recorder) Up(m protocol.MachineID, _ protocol.TypeInfo, _ protocol.Zone, _ bool, _ time.Duration) {
+func (r *recorder) MachineUp(m protocol.MachineID, _ protocol.TypeInfo, _ protocol.Zone, _ bool, _ time.Duration) {
 	r.events <- fmt.Sprint("up ", m)
 }
 
-func (r *recorder) Gone(m protocol.MachineID, _ time.Duration) { r.events <- fmt.Sprint("gone ", m) }
+func (r *recorder) MachineLost(m protocol.MachineID, _ time.Duration) { r.events <- fmt.Sprint("gone ", m) }
 
-func (r *recorder) Ordered(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, _ time.Duration) {
+func (r *recorder) TaskStartAccepted(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, _ time.Duration) {
 	r.events <- fmt.Sprint("ordered ", t.Job, " ", a)
 }
 
-func (r *recorder) On(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, _ time.Duration) {
+func (r *recorder) TaskStarted(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, _ time.Duration) {
 	r.events <- fmt.Sprint("on ", t.Job, " ", a)
 }
 
-func (r *recorder) Off(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, cause protocol.EndCause, _ time.Duration) {
+func (r *recorder) TaskEnded(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, cause protocol.EndCause, _ time.Duration) {
 	r.events <- fmt.Sprint("off ", t.Job, " ", a, " ", cause)
 }
 
@@ -97,8 +97,8 @@
 	seen := &recorder{events: make(chan string, 100)}
 	begun := time.Now()
 	host := NewHost(HostConfig{
-		Controllers: map[protocol.NodeName]string{"node-0": redirected, "node-1": leader},
-		Report:      time.Second, Lease: time.Minute, GangWait: time.Second,
+		Controllers:       map[protocol.NodeName]string{"node-0": redirected, "node-1": leader},
+		HeartbeatInterval: time.Second, LeaseTime: time.Minute, GangWait: time.Second,
 		RunTime: func(protocol.Job, protocol.TaskID) time.Duration { return time.Hour },
 		Jobs:    seen, Observer: seen, Clock: func() time.Duration { return time.Since(begun) },
 		Results: map[protocol.TaskID]bool{},
--- a/internal/fake/server/hostcommands.go
+++ b/internal/fake/server/hostcommands.go
@@ -33,7 +33,7 @@
 	}
 	h.advance(w)
 	status = http.StatusConflict
-	if w.Do(commands) {
+	if w.Execute(commands) {
 		status = http.StatusOK
 	}
 	return status, w.heartbeat(), true
