--- a/internal/fake/server/hostconfig.go
+++ b/internal/fake/server/hostconfig.go
@@ -9,14 +9,14 @@
 // Observer is notified of what can be seen at workers. Times are of the host's clock.
 // Calls come one at a time, while the host is locked: they must not call it.
 type Observer interface {
-	// Up and Gone are called when a machine comes up and when it ends.
-	Up(machine protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool, at time.Duration)
-	Gone(machine protocol.MachineID, at time.Duration)
-	// Ordered is called when a task's start was taken; its image may have to be fetched.
-	Ordered(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration)
-	// On and Off are called when a task comes onto its machine and leaves it.
-	On(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration)
-	Off(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, cause protocol.EndCause, at time.Duration)
+	// MachineUp and Gone are called when a machine comes up and when it ends.
+	MachineUp(machine protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool, at time.Duration)
+	MachineLost(machine protocol.MachineID, at time.Duration)
+	// TaskStartAccepted is called when a task's start was taken; its image may have to be fetched.
+	TaskStartAccepted(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration)
+	// TaskStarted and Off are called when a task comes onto its machine and leaves it.
+	TaskStarted(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration)
+	TaskEnded(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, cause protocol.EndCause, at time.Duration)
 }
 
 // JobSource knows the descriptions of jobs that users have uploaded.
@@ -29,9 +29,9 @@
 type HostConfig struct {
 	// Controllers are the addresses at which workers find the controllers.
 	Controllers map[protocol.NodeName]string
-	// Report is the time between heartbeats, Lease the workers' lease, GangWait how long
+	// HeartbeatInterval is the time between heartbeats, Lease the workers' lease, GangWait how long
 	// a task waits for its gang.
-	Report, Lease, GangWait time.Duration
+	HeartbeatInterval, LeaseTime, GangWait time.Duration
 	// CachedImages has an image fetched once and as large as its job says; else every
 	// fetch takes a second.
 	CachedImages bool
--- a/internal/fake/server/hostgang.go
+++ b/internal/fake/server/hostgang.go
@@ -7,12 +7,12 @@
 
 // GangComplete lets the waiting tasks of a gang's attempt run.
 func (h *Host) GangComplete(job protocol.JobID, attempt protocol.Attempt) {
-	h.eachOfGang(job, attempt, (*fake.Worker).Meet)
+	h.eachOfGang(job, attempt, (*fake.Worker).StartGangTask)
 }
 
 // GangLost ends the running tasks of a gang's attempt that lost another.
 func (h *Host) GangLost(job protocol.JobID, attempt protocol.Attempt) {
-	h.eachOfGang(job, attempt, (*fake.Worker).Part)
+	h.eachOfGang(job, attempt, (*fake.Worker).StopGangTask)
 }
 
 // GangDone has all tasks of a gang completed, as one of them has.
@@ -22,7 +22,7 @@
 		h.cfg.Results[protocol.TaskID{Job: job, Index: i}] = true
 	}
 	h.mu.Unlock()
-	h.eachOfGang(job, attempt, (*fake.Worker).Part)
+	h.eachOfGang(job, attempt, (*fake.Worker).StopGangTask)
 }
 
 // eachOfGang does something with each task here of a gang's attempt.
--- a/internal/fake/server/hostheartbeat.go
+++ b/internal/fake/server/hostheartbeat.go
@@ -132,7 +132,7 @@
 	h.mu.Lock()
 	if !w.restarting {
 		h.advance(w)
-		w.Answer(epoch, sent, reply)
+		w.TakeReply(epoch, sent, reply)
 		w.answered = max(w.answered, sent)
 	}
 	h.mu.Unlock()
@@ -140,7 +140,7 @@
 		w.heartbeatSoon()
 	}
 	jitter := 1 - heartbeatJitter + 2*heartbeatJitter*rand.Float64()
-	return time.Duration(jitter * float64(h.cfg.Report))
+	return time.Duration(jitter * float64(h.cfg.HeartbeatInterval))
 }
 
 // post sends a heartbeat to a controller.
@@ -164,7 +164,7 @@
 
 // heartbeat is what the worker sends now, with its address.
 func (w *worker) heartbeat() protocol.Heartbeat {
-	heartbeat := w.Report()
+	heartbeat := w.Heartbeat()
 	heartbeat.Address = w.addr
 	if heartbeat.Tasks == nil {
 		heartbeat.Tasks = []protocol.TaskStatus{}
--- a/internal/fake/server/platform.go
+++ b/internal/fake/server/platform.go
@@ -10,10 +10,10 @@
 
 // Times of the workers, in seconds, as the controllers' settings should name them.
 const (
-	// ReportS is the time between heartbeats.
-	ReportS = 2.0
-	// LeaseS is the workers' lease.
-	LeaseS = 12.0
+	// HeartbeatSeconds is the time between heartbeats.
+	HeartbeatSeconds = 2.0
+	// LeaseSeconds is the workers' lease.
+	LeaseSeconds = 12.0
 )
 
 // Machines take between minBootFactor and minBootFactor+bootSpread times the usual time
@@ -47,7 +47,7 @@
 		started: map[protocol.TaskID]time.Time{}, starts: map[protocol.JobID]int{},
 	}
 	p.host = NewHost(HostConfig{
-		Controllers: nodes, Report: seconds(ReportS), Lease: seconds(LeaseS), GangWait: time.Minute,
+		Controllers: nodes, HeartbeatInterval: seconds(HeartbeatSeconds), LeaseTime: seconds(LeaseSeconds), GangWait: time.Minute,
 		RunTime: func(j protocol.Job, _ protocol.TaskID) time.Duration { return seconds(j.EstimateS) },
 		Jobs:    p, Observer: p, Clock: p.now, Results: map[protocol.TaskID]bool{},
 	})
@@ -113,8 +113,8 @@
 // now is the platform's monotonic clock.
 func (p *Platform) now() time.Duration { return time.Since(p.startedAt) }
 
-// Rented has a provisioned machine come up after a while.
-func (p *Platform) Rented(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
+// Provisioned has a provisioned machine come up after a while.
+func (p *Platform) Provisioned(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
 	boot := seconds((minBootFactor + bootSpread*rand.Float64()) * info.BootS)
 	time.AfterFunc(boot, func() {
 		if p.isTerminated(id) {
@@ -135,8 +135,8 @@
 	return p.terminated[id]
 }
 
-// Return terminates machines.
-func (p *Platform) Return(ids []protocol.MachineID) error {
+// Terminate terminates machines.
+func (p *Platform) Terminate(ids []protocol.MachineID) error {
 	p.mu.Lock()
 	for _, id := range ids {
 		p.terminated[id] = true
@@ -149,17 +149,19 @@
 // Machine is a machine that is up.
 func (p *Platform) Machine(id protocol.MachineID) (Listed, bool) { return p.host.Machine(id) }
 
-// Up does nothing: no test asks for it.
-func (p *Platform) Up(protocol.MachineID, protocol.TypeInfo, protocol.Zone, bool, time.Duration) {}
+// MachineUp does nothing: no test asks for it.
+func (p *Platform) MachineUp(protocol.MachineID, protocol.TypeInfo, protocol.Zone, bool, time.Duration) {
+}
 
-// Gone does nothing: no test asks for it.
-func (p *Platform) Gone(protocol.MachineID, time.Duration) {}
+// MachineLost does nothing: no test asks for it.
+func (p *Platform) MachineLost(protocol.MachineID, time.Duration) {}
 
-// Ordered does nothing: no test asks for it.
-func (p *Platform) Ordered(protocol.MachineID, protocol.TaskID, protocol.Attempt, time.Duration) {}
+// TaskStartAccepted does nothing: no test asks for it.
+func (p *Platform) TaskStartAccepted(protocol.MachineID, protocol.TaskID, protocol.Attempt, time.Duration) {
+}
 
-// On counts the starts of a task.
-func (p *Platform) On(_ protocol.MachineID, task protocol.TaskID, _ protocol.Attempt, _ time.Duration) {
+// TaskStarted counts the starts of a task.
+func (p *Platform) TaskStarted(_ protocol.MachineID, task protocol.TaskID, _ protocol.Attempt, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.starts[task.Job]++
@@ -168,8 +170,8 @@
 	}
 }
 
-// Off does nothing: no test asks for it.
-func (p *Platform) Off(protocol.MachineID, protocol.TaskID, protocol.Attempt, protocol.EndCause, time.Duration) {
+// TaskEnded does nothing: no test asks for it.
+func (p *Platform) TaskEnded(protocol.MachineID, protocol.TaskID, protocol.Attempt, protocol.EndCause, time.Duration) {
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/fake/server/stateservice.go
+++ b/internal/fake/server/stateservice.go
@@ -33,7 +33,7 @@
 	done    chan struct{}
 
 	mu      sync.Mutex
-	state   *fake.State
+	state   *fake.KeyValueStore
 	changed chan struct{} // closed at each change
 }
 
@@ -42,7 +42,7 @@
 	throttle := newThrottle(limits)
 	s := &StateService{
 		Traffic: throttle.traffic, throttle: throttle, changes: limits.limiter(limits.Changes), clock: clock,
-		done: make(chan struct{}), state: fake.NewState(), changed: make(chan struct{}),
+		done: make(chan struct{}), state: fake.NewKeyValueStore(), changed: make(chan struct{}),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /keys", s.limited("list", s.list))
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -20,10 +20,10 @@
 	GangWait time.Duration
 	Dead     bool
 	Faulty   bool // fails every task
-	// Mistaken, if set, reports which jobs fail on every machine, after a second.
-	Mistaken func(protocol.JobID) bool
+	// IsFaulty, if set, reports which jobs fail on every machine, after a second.
+	IsFaulty func(protocol.JobID) bool
 	Notice   *float64
-	Session  protocol.AgentEpoch
+	Epoch    protocol.AgentEpoch
 	Term     protocol.Term
 	Seq      protocol.Seq
 
@@ -35,13 +35,13 @@
 	Started func(*Worker, protocol.TaskID, protocol.Attempt)
 	Ended   func(*Worker, protocol.TaskID, protocol.EndCause)
 	RunTime func(protocol.TaskID) time.Duration
-	// Saved, if set, is called with the time that a task which saved a checkpoint still
+	// OnCheckpoint, if set, is called with the time that a task which saved a checkpoint still
 	// has to run.
-	Saved   func(protocol.TaskID, time.Duration)
-	Results map[protocol.TaskID]bool // kept results, shared by all workers
-	// Caches has it fetch an image once; else every task fetches its own anew, which is
+	OnCheckpoint func(protocol.TaskID, time.Duration)
+	Results      map[protocol.TaskID]bool // kept results, shared by all workers
+	// CachesImages has it fetch an image once; else every task fetches its own anew, which is
 	// more work than there is, and more moments at which something can go wrong.
-	Caches bool
+	CachesImages bool
 	// FetchTime, if set, is how long an image takes to fetch; else it is a second.
 	FetchTime func(protocol.Job) time.Duration
 
@@ -56,7 +56,7 @@
 
 // Start puts a worker into service.
 func (w *Worker) Start(now time.Duration) {
-	w.Session, w.leaseRenewedAt, w.lastTick = 1, now, now
+	w.Epoch, w.leaseRenewedAt, w.lastTick = 1, now, now
 	w.tasks, w.cachedImages = map[protocol.TaskID]*workerTask{}, map[string]bool{}
 }
 
@@ -119,13 +119,13 @@
 		}
 	}
 	w.tasks, w.order = map[protocol.TaskID]*workerTask{}, nil
-	w.Session++
+	w.Epoch++
 	w.Seq = 0
 	w.leaseRenewedAt = now
 }
 
-// Next is when time next changes something here, if no command does.
-func (w *Worker) Next() time.Duration {
+// NextChange is when time next changes something here, if no command does.
+func (w *Worker) NextChange() time.Duration {
 	next := w.LeaseEnds() + 1
 	for _, t := range w.tasks {
 		if in, ok := t.nextChange(); ok {
@@ -146,12 +146,12 @@
 	return w.order
 }
 
-// Report is the heartbeat that the worker sends now.
-func (w *Worker) Report() protocol.Heartbeat {
+// Heartbeat is the heartbeat that the worker sends now.
+func (w *Worker) Heartbeat() protocol.Heartbeat {
 	w.Seq++
 	heartbeat := protocol.Heartbeat{
 		Machine: w.ID, Address: "worker " + string(w.ID), Type: w.Info.Name, Zone: w.Zone, Spot: w.Spot,
-		AgentEpoch: w.Session, Seq: w.Seq, Term: w.Term, NoticeS: w.Notice,
+		AgentEpoch: w.Epoch, Seq: w.Seq, Term: w.Term, NoticeS: w.Notice,
 	}
 	for _, id := range w.sorted() {
 		t := w.tasks[id]
@@ -162,9 +162,9 @@
 	return heartbeat
 }
 
-// Answer takes the answer to a heartbeat of an agent epoch, sent at a time.
-func (w *Worker) Answer(epoch protocol.AgentEpoch, sent time.Duration, reply protocol.HeartbeatReply) {
-	if w.Dead || epoch != w.Session || reply.Term < w.Term {
+// TakeReply takes the answer to a heartbeat of an agent epoch, sent at a time.
+func (w *Worker) TakeReply(epoch protocol.AgentEpoch, sent time.Duration, reply protocol.HeartbeatReply) {
+	if w.Dead || epoch != w.Epoch || reply.Term < w.Term {
 		return
 	}
 	w.Term = reply.Term
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -40,8 +40,8 @@
 // order has the worker execute one order for the first attempt of a task.
 func order(t *testing.T, w *Worker, op protocol.Op, task protocol.TaskID, grace float64) {
 	t.Helper()
-	commands := protocol.Commands{Term: 1, AgentEpoch: w.Session, Orders: []protocol.Order{{Op: op, Task: task, Attempt: 1, GraceS: &grace}}}
-	if !w.Do(commands) {
+	commands := protocol.Commands{Term: 1, AgentEpoch: w.Epoch, Orders: []protocol.Order{{Op: op, Task: task, Attempt: 1, GraceS: &grace}}}
+	if !w.Execute(commands) {
 		t.Fatalf("%s of %s refused", op, task.Job)
 	}
 }
@@ -66,7 +66,11 @@
 		{"on a faulty machine", batchTask, func(_ *testing.T, w *Worker) { w.Faulty = true; w.Tick(time.Second); w.Tick(2 * time.Second) }, protocol.TaskEnded, protocol.EndError, false},
 		{"a gang waits", gangTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second) }, protocol.TaskWaiting, "", false},
 		{"a gang stays incomplete", gangTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second); w.Tick(21 * time.Second) }, protocol.TaskEnded, protocol.EndIncomplete, false},
-		{"a gang loses a task", gangTask, func(_ *testing.T, w *Worker) { w.Tick(time.Second); w.Meet(gangTask); w.Part(gangTask) }, protocol.TaskEnded, protocol.EndGangLost, false},
+		{"a gang loses a task", gangTask, func(_ *testing.T, w *Worker) {
+			w.Tick(time.Second)
+			w.StartGangTask(gangTask)
+			w.StopGangTask(gangTask)
+		}, protocol.TaskEnded, protocol.EndGangLost, false},
 		{"stopped at once", batchTask, func(t *testing.T, w *Worker) {
 			w.Tick(time.Second)
 			order(t, w, protocol.OpStop, batchTask, 0)
@@ -85,7 +89,7 @@
 			w := newTestWorker()
 			order(t, w, protocol.OpStart, tc.task, 0)
 			tc.play(t, w)
-			reported := w.Report().Tasks
+			reported := w.Heartbeat().Tasks
 			if len(reported) != 1 {
 				t.Fatalf("%d tasks reported", len(reported))
 			}
@@ -101,14 +105,14 @@
 func TestLeaseExpiryLosesTasks(t *testing.T) {
 	w := newTestWorker()
 	order(t, w, protocol.OpStart, batchTask, 0)
-	w.Answer(1, 30*time.Second, protocol.HeartbeatReply{Term: 1})
-	if w.Tick(90 * time.Second); w.Session != 1 || w.LeaseEnds() != 90*time.Second {
-		t.Fatalf("epoch %d, lease until %v", w.Session, w.LeaseEnds())
+	w.TakeReply(1, 30*time.Second, protocol.HeartbeatReply{Term: 1})
+	if w.Tick(90 * time.Second); w.Epoch != 1 || w.LeaseEnds() != 90*time.Second {
+		t.Fatalf("epoch %d, lease until %v", w.Epoch, w.LeaseEnds())
 	}
-	if w.Tick(91 * time.Second); w.Session != 2 || len(w.Tasks()) != 0 {
-		t.Errorf("epoch %d with %d tasks after the lease expired", w.Session, len(w.Tasks()))
+	if w.Tick(91 * time.Second); w.Epoch != 2 || len(w.Tasks()) != 0 {
+		t.Errorf("epoch %d with %d tasks after the lease expired", w.Epoch, len(w.Tasks()))
 	}
-	if w.Do(protocol.Commands{Term: 1, AgentEpoch: 1}) {
+	if w.Execute(protocol.Commands{Term: 1, AgentEpoch: 1}) {
 		t.Error("a command for the epoch before is executed")
 	}
 }
--- a/internal/fake/workerorders.go
+++ b/internal/fake/workerorders.go
@@ -6,9 +6,9 @@
 // rounding.
 const cpuSlack = 1e-9
 
-// Do takes direct commands and reports whether they were executed.
-func (w *Worker) Do(c protocol.Commands) bool {
-	if c.Term < w.Term || c.AgentEpoch != w.Session {
+// Execute takes direct commands and reports whether they were executed.
+func (w *Worker) Execute(c protocol.Commands) bool {
+	if c.Term < w.Term || c.AgentEpoch != w.Epoch {
 		return false
 	}
 	w.Term = c.Term
@@ -52,7 +52,7 @@
 		if w.FetchTime != nil {
 			t.fetch = w.FetchTime(j)
 		}
-		if w.Caches && w.cachedImages[j.Image] {
+		if w.CachesImages && w.cachedImages[j.Image] {
 			t.fetch = 0
 		}
 		if w.Ordered != nil {
--- a/internal/fake/workertask.go
+++ b/internal/fake/workertask.go
@@ -82,7 +82,7 @@
 // complete together; a service is never done.
 func (w *Worker) tickRunning(id protocol.TaskID, t *workerTask) {
 	j, _ := w.Jobs(id.Job)
-	mistaken := w.Mistaken != nil && w.Mistaken(id.Job) && t.ran >= mistakeDelay
+	mistaken := w.IsFaulty != nil && w.IsFaulty(id.Job) && t.ran >= mistakeDelay
 	switch {
 	case w.Faulty || mistaken:
 		w.end(id, t, protocol.EndError)
@@ -101,8 +101,8 @@
 func (w *Worker) end(id protocol.TaskID, t *workerTask, cause protocol.EndCause) {
 	w.changes++
 	w.Ended(w, id, cause)
-	if t.checkpointed && w.Saved != nil {
-		w.Saved(id, t.remaining)
+	if t.checkpointed && w.OnCheckpoint != nil {
+		w.OnCheckpoint(id, t.remaining)
 	}
 	t.state, t.cause = protocol.TaskEnded, cause
 }
@@ -116,15 +116,15 @@
 	return t.attempt, t.state, true
 }
 
-// Meet lets a waiting task of a gang run, once all of its attempt wait.
-func (w *Worker) Meet(id protocol.TaskID) {
+// StartGangTask lets a waiting task of a gang run, once all of its attempt wait.
+func (w *Worker) StartGangTask(id protocol.TaskID) {
 	if t := w.tasks[id]; t.state == protocol.TaskWaiting {
 		t.state, t.remaining = protocol.TaskRunning, w.RunTime(id)
 	}
 }
 
-// Part ends a running task of a gang that lost another.
-func (w *Worker) Part(id protocol.TaskID) {
+// StopGangTask ends a running task of a gang that lost another.
+func (w *Worker) StopGangTask(id protocol.TaskID) {
 	if t := w.tasks[id]; t.state == protocol.TaskRunning {
 		cause := protocol.EndGangLost
 		if w.Results[id] {
--- a/internal/operatorapi/reply.go
+++ b/internal/operatorapi/reply.go
@@ -22,7 +22,7 @@
 	Code   Code   `cbor:"code" json:"code"`
 	Reason string `cbor:"reason,omitempty" json:"reason,omitempty"`
 
-	// InTheWay are the entries that conflict with what was requested, and Beside those
+	// Conflicts are the entries that conflict with what was requested, and Beside those
 	// that overlap without a conflict. FirstMS are the first occurrences.
 	InTheWay []record.EntryName `cbor:"in_the_way,omitempty" json:"in_the_way,omitempty"`
 	Beside   []record.EntryName `cbor:"beside,omitempty" json:"beside,omitempty"`
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -24,7 +24,7 @@
 //	together      OneZone      all tasks in the same zone
 //	scatter       Spread       tasks on different machines
 //	driftstock    Spot         spot machines, allowed or asked for
-//	passage_s     EstimateS    estimated run time
+//	passage_s     EstimateSeconds    estimated run time
 //	logmark_s     CheckpointS  interval of checkpoints
 //	stow_s        SaveS        time to save a checkpoint
 //	landfall_s    DeadlineS    deadline, after the submission
--- a/internal/scale/monitor/machines.go
+++ b/internal/scale/monitor/machines.go
@@ -47,8 +47,8 @@
 	m.direct(p, Directive{Kind: DirectStart, Machine: id, Type: info, Zone: req.Zone, Spot: req.Spot, After: boot})
 }
 
-// Rented starts a provisioned machine in its zone's shared process.
-func (m *Monitor) Rented(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
+// Provisioned starts a provisioned machine in its zone's shared process.
+func (m *Monitor) Provisioned(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.placeInitial != nil {
@@ -59,8 +59,8 @@
 	m.place(process.SharedWorkers(req.Zone), id, info, req, boot)
 }
 
-// Return terminates machines and waits until their processes have done so.
-func (m *Monitor) Return(ids []protocol.MachineID) error {
+// Terminate terminates machines and waits until their processes have done so.
+func (m *Monitor) Terminate(ids []protocol.MachineID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	last := map[*workerProcess]uint64{}
--- a/internal/scale/monitor/monitor_test.go
+++ b/internal/scale/monitor/monitor_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	m := New(site, 1)
-	m.Rented("vm-1", protocol.TypeInfo{Name: "m8"}, protocol.ProvisionRequest{Zone: "r1z1"})
+	m.Provisioned("vm-1", protocol.TypeInfo{Name: "m8"}, protocol.ProvisionRequest{Zone: "r1z1"})
 	name := process.SharedWorkers("r1z1")
 	exchange := func(number, executed uint64, events ...rules.MachineEvent) []Directive {
 		var out Directives
@@ -41,7 +41,7 @@
 		t.Errorf("sent again though executed: %+v", remaining)
 	}
 	terminated := make(chan error, 1)
-	go func() { terminated <- m.Return([]protocol.MachineID{"vm-1"}) }()
+	go func() { terminated <- m.Terminate([]protocol.MachineID{"vm-1"}) }()
 	for number := uint64(3); ; number++ {
 		list := exchange(number, 1)
 		if len(list) == 0 {
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -103,7 +103,7 @@
 		kind := neededType(site.Types, provisioned, i+1)
 		provisioned[kind]++
 		req := protocol.ProvisionRequest{Name: fmt.Sprintf("start-%d", i), Type: site.Types[kind].Name, Zone: zone, Count: 1}
-		if len(s.cloud.Rent(req)) == 0 {
+		if len(s.cloud.Provision(req)) == 0 {
 			return fmt.Errorf("machine %d of the start %w", i, errNotProvisioned)
 		}
 	}
--- a/internal/scale/workers/observer.go
+++ b/internal/scale/workers/observer.go
@@ -7,31 +7,31 @@
 	"damsonkeel/internal/scale/rules"
 )
 
-// Up records a machine that has come up.
-func (w *Workers) Up(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool, at time.Duration) {
+// MachineUp records a machine that has come up.
+func (w *Workers) MachineUp(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool, at time.Duration) {
 	w.record(rules.MachineEvent{At: at, Kind: rules.MachineUp, Machine: id, Type: info.Name, Zone: zone, Spot: spot})
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started = append(w.started, id)
 }
 
-// Gone records a machine that is lost.
-func (w *Workers) Gone(id protocol.MachineID, at time.Duration) {
+// MachineLost records a machine that is lost.
+func (w *Workers) MachineLost(id protocol.MachineID, at time.Duration) {
 	w.record(rules.MachineEvent{At: at, Kind: rules.MachineLost, Machine: id})
 }
 
-// Ordered records a task whose start was accepted.
-func (w *Workers) Ordered(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration) {
+// TaskStartAccepted records a task whose start was accepted.
+func (w *Workers) TaskStartAccepted(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration) {
 	w.record(rules.MachineEvent{At: at, Kind: rules.TaskStartAccepted, Machine: id, Task: task, Attempt: attempt})
 }
 
-// On records a task that has started on its machine.
-func (w *Workers) On(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration) {
+// TaskStarted records a task that has started on its machine.
+func (w *Workers) TaskStarted(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration) {
 	w.record(rules.MachineEvent{At: at, Kind: rules.TaskStarted, Machine: id, Task: task, Attempt: attempt})
 }
 
-// Off records a task that has ended.
-func (w *Workers) Off(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, cause protocol.EndCause, at time.Duration) {
+// TaskEnded records a task that has ended.
+func (w *Workers) TaskEnded(id protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, cause protocol.EndCause, at time.Duration) {
 	w.record(rules.MachineEvent{At: at, Kind: rules.TaskEnded, Machine: id, Task: task, Attempt: attempt, Cause: cause})
 }
 
--- a/internal/scale/workers/workers.go
+++ b/internal/scale/workers/workers.go
@@ -47,8 +47,8 @@
 func Start(cfg process.Config, log *slog.Logger) *Workers {
 	w := &Workers{client: monitor.NewClient(cfg.Name, cfg.Monitor), log: log, terminated: map[protocol.MachineID]bool{}}
 	w.host = server.NewHost(server.HostConfig{
-		Controllers: cfg.Controllers, Report: clock.Seconds(cfg.Site.Timings.ReportS),
-		Lease: clock.Seconds(cfg.Site.Timings.LeaseS), GangWait: clock.Seconds(cfg.Site.Timings.GangWaitS),
+		Controllers: cfg.Controllers, HeartbeatInterval: clock.Seconds(cfg.Site.Timings.ReportS),
+		LeaseTime: clock.Seconds(cfg.Site.Timings.LeaseS), GangWait: clock.Seconds(cfg.Site.Timings.GangWaitS),
 		CachedImages: true, RunTime: runTime, Jobs: w.client, Observer: w, Clock: clock.Now, Results: map[protocol.TaskID]bool{},
 	})
 	interval := singleExchangeInterval
@@ -103,7 +103,7 @@
 
 // collect takes what was not sent yet.
 func (w *Workers) collect() monitor.Exchange {
-	oldest := w.host.OldestAnswered()
+	oldest := w.host.OldestHeartbeat()
 	w.mu.Lock()
 	exchange := monitor.Exchange{Executed: w.executed, Machines: w.events, Oldest: oldest, Addresses: map[protocol.MachineID]server.Listed{}}
 	started := w.started
--- a/internal/simulator/actions.go
+++ b/internal/simulator/actions.go
@@ -60,7 +60,7 @@
 		n.deliver(message.ProvisionDone{Request: a.Request, Outcome: message.OutcomeUnknown})
 		return
 	}
-	all, added := w.cloud.Rent(a.Request)
+	all, added := w.cloud.Provision(a.Request)
 	for _, id := range added {
 		w.onProvisioned(id, a.Request)
 		w.after(w.bootTime(a.Request), func() {
@@ -147,9 +147,9 @@
 		return
 	}
 	m.advanceBeforeMessage()
-	x.done.Executed = m.Do(x.commands)
+	x.done.Executed = m.Execute(x.commands)
 	m.nextEvent = w.now
-	x.done.Heartbeat = m.Report()
+	x.done.Heartbeat = m.Heartbeat()
 	x.done.Answered = true
 	if w.rng.IntN(30) == 0 {
 		x.done.Answered = false // the answer is lost
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -123,7 +123,7 @@
 // are part of the result.
 func resultJSON(t *testing.T, play digestRun) []byte {
 	t.Helper()
-	result := Play(loadSite(t, play.site), Options{For: play.play, Seed: play.seed})
+	result := Run(loadSite(t, play.site), Options{For: play.play, Seed: play.seed})
 	return indentedJSON(t, []*Result{result})
 }
 
--- a/internal/simulator/driver.go
+++ b/internal/simulator/driver.go
@@ -68,7 +68,7 @@
 // openWindow is a maintenance window with its times.
 type openWindow struct {
 	spec *record.WindowSpec
-	when reservation.When
+	when reservation.Schedule
 }
 
 // jobState is what the result needs to know of a job.
@@ -83,8 +83,8 @@
 	estimateS  float64
 }
 
-// Play runs a site and returns the result, with the violations of rules.
-func Play(s *Site, o Options) *Result {
+// Run runs a site and returns the result, with the violations of rules.
+func Run(s *Site, o Options) *Result {
 	result := &Result{Seed: o.Seed, Without: o.Without, Days: o.For.Hours() / 24, Classes: map[string]*Class{}, Rules: []string{}}
 	addViolation := func(format string, args ...any) {
 		if len(result.Rules) < maxViolations {
@@ -284,8 +284,8 @@
 		d.machineTerminated(id)
 	}
 	d.result.Starts = d.starts
-	d.result.Shares = SharesResult{
-		Moves: len(d.movePauses), GivenUp: d.abortedMoves, PauseP99S: d.movePauseP99().Seconds(), StoppedByMoves: d.stoppedByMoves, LostByMoves: d.lostByMoves,
+	d.result.ShardMoves = ShardMovesResult{
+		Moves: len(d.movePauses), Aborted: d.abortedMoves, PauseP99S: d.movePauseP99().Seconds(), StoppedByMoves: d.stoppedByMoves, LostByMoves: d.lostByMoves,
 	}
 	d.result.summarize()
 }
--- a/internal/simulator/faultyjobs_test.go
+++ b/internal/simulator/faultyjobs_test.go
@@ -40,7 +40,7 @@
 		}
 		w.run(w.now + time.Second)
 		for _, n := range w.nodes {
-			for _, id := range n.core.Status().SetAside {
+			for _, id := range n.core.Status().Cordoned {
 				if aside[id] = true; !faulty[id] {
 					good++
 				}
--- a/internal/simulator/fleet_test.go
+++ b/internal/simulator/fleet_test.go
@@ -54,7 +54,7 @@
 	n := 0
 	for _, node := range w.nodes {
 		if node.core != nil {
-			n += node.core.Status().Heard
+			n += node.core.Status().Inventoried
 		}
 	}
 	return n
--- a/internal/simulator/frontend_test.go
+++ b/internal/simulator/frontend_test.go
@@ -92,23 +92,23 @@
 		}, func(out message.Outcome) any { return admission.Read{ID: a.ID, Outcome: out} })
 	case admission.Compare:
 		f.read(func() any {
-			c := admission.Compared{Look: a.Look, Outcome: message.OutcomeDone}
+			c := admission.Compared{Query: a.Query, Outcome: message.OutcomeDone}
 			for _, cond := range a.Conditions {
 				if it, _ := w.state.Get(cond.Key); it.Version != cond.Version {
-					c.Outcome, c.Differ = message.OutcomeFailed, append(c.Differ, cond.Key)
+					c.Outcome, c.Differing = message.OutcomeFailed, append(c.Differing, cond.Key)
 				}
 			}
 			return c
-		}, func(out message.Outcome) any { return admission.Compared{Look: a.Look, Outcome: out} })
+		}, func(out message.Outcome) any { return admission.Compared{Query: a.Query, Outcome: out} })
 	case admission.Write:
 		f.n.transact(a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
 	case admission.QueryOwners:
 		f.step(f.n.core.AnswerOwnerQuery(a))
-	case admission.PassOn:
+	case admission.Forward:
 		p := f.u.front(a.To)
 		w.send(string(f.n.name), string(a.To), func() {
-			p.request(admission.Request{Operation: admission.Submit, Body: a.Body, Passed: true}, func(answer admission.Answer) {
-				w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.PassedOn{ID: a.ID, Answer: answer}) })
+			p.request(admission.Request{Operation: admission.Submit, Body: a.Body, Forwarded: true}, func(answer admission.Answer) {
+				w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.Forwarded{ID: a.ID, Answer: answer}) })
 			})
 		})
 	case admission.Announce:
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -34,9 +34,9 @@
 	w.eachGangTask(j, func(t gangTask) {
 		switch {
 		case waiting[t.attempt] == int(j.Tasks):
-			t.worker.Meet(t.id)
+			t.worker.StartGangTask(t.id)
 		case running[t.attempt] > 0 && running[t.attempt] < int(j.Tasks):
-			t.worker.Part(t.id)
+			t.worker.StopGangTask(t.id)
 		}
 	})
 }
--- a/internal/simulator/heartbeat.go
+++ b/internal/simulator/heartbeat.go
@@ -44,7 +44,7 @@
 	}
 	m.awaitsAnswer = true
 	m.advanceBeforeMessage()
-	x := &heartbeatExchange{worker: m, node: w.nodes[m.target], sent: w.now, heartbeat: m.Report()}
+	x := &heartbeatExchange{worker: m, node: w.nodes[m.target], sent: w.now, heartbeat: m.Heartbeat()}
 	if w.keepHeartbeats && len(w.keptHeartbeats) < maxKeptHeartbeats {
 		w.keptHeartbeats = append(w.keptHeartbeats, x.heartbeat)
 	}
@@ -107,7 +107,7 @@
 	case http.StatusOK:
 		term := m.Term
 		m.advanceBeforeMessage()
-		m.Answer(x.heartbeat.AgentEpoch, x.sent, reply.Reply)
+		m.TakeReply(x.heartbeat.AgentEpoch, x.sent, reply.Reply)
 		m.nextEvent = w.now
 		x.finish(time.Duration(w.settings.Site.Workers.ReportS * float64(time.Second)))
 		if m.Term != term || len(reply.Reply.Orders) > 0 {
--- a/internal/simulator/reservations_test.go
+++ b/internal/simulator/reservations_test.go
@@ -92,7 +92,7 @@
 				}
 				state = r.State
 			}
-			r := Play(s, o)
+			r := Run(s, o)
 			if len(r.Rules) > 0 {
 				t.Fatal(r.Rules)
 			}
@@ -120,7 +120,7 @@
 	t.Parallel()
 	s := smallSite()
 	s.Windows = []Window{{Name: "w", When: "daily at 00:50", LengthS: 300, Zone: "a"}}
-	r := Play(s, Options{For: playFor, Seed: 1, Without: true})
+	r := Run(s, Options{For: playFor, Seed: 1, Without: true})
 	if len(r.Rules) > 0 {
 		t.Fatal(r.Rules)
 	}
--- a/internal/simulator/result.go
+++ b/internal/simulator/result.go
@@ -14,7 +14,7 @@
 	Without bool    `json:"without_reservations,omitempty"`
 	Days    float64 `json:"days"`
 
-	Due      int     `json:"due"`       // occurrences whose job started
+	Started  int     `json:"due"`       // occurrences whose job started
 	InTime   int     `json:"in_time"`   // of these, started within a minute
 	Late     int     `json:"late"`      // of the rest, not reported as at risk at their time
 	AtRisk   int     `json:"at_risk"`   // of the rest, reported
@@ -24,8 +24,8 @@
 	Starts   int     `json:"starts"`
 	Cost     float64 `json:"cost"`
 
-	Rules  []string     `json:"rules"` // violations
-	Shares SharesResult `json:"shares"`
+	Rules      []string         `json:"rules"` // violations
+	ShardMoves ShardMovesResult `json:"shares"`
 
 	Classes     map[string]*Class `json:"classes"`
 	Occurrences []*Occurrence     `json:"occurrences"`
@@ -33,12 +33,12 @@
 	Faults      []Fault           `json:"troubles,omitempty"`
 }
 
-// SharesResult describes moves of shards. Tasks that had to start again after they ended
+// ShardMovesResult describes moves of shards. Tasks that had to start again after they ended
 // within ten seconds of a move of their machine's shard are counted whatever the cause, so
 // that what merely coincides with a move counts as well.
-type SharesResult struct {
+type ShardMovesResult struct {
 	Moves          int     `json:"moves"`
-	GivenUp        int     `json:"given_up"`
+	Aborted        int     `json:"given_up"`
 	PauseP99S      float64 `json:"pause_p99_s"` // of starts on a moving shard
 	StoppedByMoves int     `json:"stopped_by_moves"`
 	LostByMoves    int     `json:"lost_by_moves"` // completed, and started again
@@ -69,9 +69,9 @@
 
 // Refusal is a request for a reservation or window that was rejected.
 type Refusal struct {
-	Name     record.EntryName   `json:"name"`
-	Reason   string             `json:"reason"`
-	InTheWay []record.EntryName `json:"in_the_way,omitempty"`
+	Name      record.EntryName   `json:"name"`
+	Reason    string             `json:"reason"`
+	Conflicts []record.EntryName `json:"in_the_way,omitempty"`
 }
 
 // Fault is a fault that was injected.
@@ -98,7 +98,7 @@
 		if !o.Started {
 			continue
 		}
-		r.Due++
+		r.Started++
 		delays = append(delays, o.DelayS)
 		switch {
 		case o.DelayS <= maxDelayS:
--- a/internal/simulator/schedule.go
+++ b/internal/simulator/schedule.go
@@ -41,7 +41,7 @@
 	d.at(operatorDelay, func() { d.requestAll() })
 	for i := range d.site.Windows {
 		x := &d.site.Windows[i]
-		if w, err := reservation.ParseWhen(x.When); err == nil { // otherwise its request is rejected
+		if w, err := reservation.ParseSchedule(x.When); err == nil { // otherwise its request is rejected
 			d.windows = append(d.windows, openWindow{x.spec(), w})
 		}
 	}
@@ -54,7 +54,7 @@
 
 // scheduleReservation schedules the jobs of a reservation.
 func (d *driver) scheduleReservation(r *Reservation) {
-	when, err := reservation.ParseWhen(r.When)
+	when, err := reservation.ParseSchedule(r.When)
 	if err != nil {
 		return // its request is rejected
 	}
@@ -148,7 +148,7 @@
 		} else if r.Spec != nil {
 			name = r.Spec.Name
 		}
-		d.result.Refused = append(d.result.Refused, Refusal{Name: name, Reason: reply.Reason, InTheWay: reply.InTheWay})
+		d.result.Refused = append(d.result.Refused, Refusal{Name: name, Reason: reply.Reason, Conflicts: reply.InTheWay})
 	}
 }
 
--- a/internal/simulator/shards.go
+++ b/internal/simulator/shards.go
@@ -143,7 +143,7 @@
 	if !ok || m == nil {
 		return
 	}
-	at, moved := d.movedAt[sharding.Of(&table, id, m.Zone)]
+	at, moved := d.movedAt[sharding.ShardOf(&table, id, m.Zone)]
 	d.taskEndings[t] = taskEnding{cause, moved && d.now-at < moveAftermath}
 }
 
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -16,7 +16,7 @@
 	Machines int    `toml:"machines"`
 	Types    []Type `toml:"types"`
 	Teams    []Team `toml:"teams"`
-	// ReportS is the interval of workers' heartbeats, and LeaseS the length of their leases.
+	// HeartbeatSeconds is the interval of workers' heartbeats, and LeaseSeconds the length of their leases.
 	ReportS float64 `toml:"report_s"`
 	LeaseS  float64 `toml:"lease_s"`
 
--- a/internal/simulator/sparecapacity_test.go
+++ b/internal/simulator/sparecapacity_test.go
@@ -27,7 +27,7 @@
 	play := func(seed uint64, guests bool) (waits []time.Duration, most int) {
 		w := newWorld(t.Fatalf, seed, spareCapacitySettings(), 60, 60)
 		for _, sw := range w.workers { // else every task would take a second more than anybody can know of
-			sw.Caches = true
+			sw.CachesImages = true
 		}
 		came, begun, on := map[protocol.JobID]time.Duration{}, map[protocol.TaskID]bool{}, 0
 		w.runTime = func(id protocol.TaskID) time.Duration {
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -21,7 +21,7 @@
 // stateService is the model of the state service, with its faults.
 type stateService struct {
 	*timeline
-	state          *fake.State
+	state          *fake.KeyValueStore
 	outageUntil    time.Duration
 	wasUnavailable bool          // at the last step
 	stateLatency   time.Duration // of a transaction
@@ -150,7 +150,7 @@
 
 // newStateService returns the model of an empty state service.
 func newStateService(t *timeline) stateService {
-	return stateService{timeline: t, state: fake.NewState()}
+	return stateService{timeline: t, state: fake.NewKeyValueStore()}
 }
 
 // newNetwork returns a network without partitions.
--- a/internal/simulator/userhandover_test.go
+++ b/internal/simulator/userhandover_test.go
@@ -105,7 +105,7 @@
 	for name, first := range map[string]func(*users){
 		"of a registration": func(u *users) {
 			r := protocol.ProvisionRequest{Name: "new", Type: "large", Zone: "a", Count: 1}
-			_, ids := u.cloud.Rent(r)
+			_, ids := u.cloud.Provision(r)
 			u.bootMachine(ids[0], r)
 		},
 		"of an election":            func(u *users) { u.leader().crashFor(9 * time.Second) },
--- a/internal/simulator/useroverlaps_test.go
+++ b/internal/simulator/useroverlaps_test.go
@@ -18,7 +18,7 @@
 // leader is the controller that writes machines' records, as far as anybody knows.
 func (w *world) leader() *node {
 	for _, n := range w.nodes {
-		if n.core != nil && n.core.Status().Writes {
+		if n.core != nil && n.core.Status().Registers {
 			return n
 		}
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -33,12 +33,12 @@
 	}
 	added := &worker{world: w, target: w.rng.IntN(w.settings.Site.Count), Worker: &fake.Worker{
 		ID: id, Info: info, Zone: r.Zone, Spot: r.Spot, LeaseS: w.settings.Site.Workers.LeaseS, Results: w.results,
-		GangWait: time.Duration(w.settings.Site.Workers.GangWaitS) * time.Second,
-		Jobs:     func(j protocol.JobID) (protocol.Job, bool) { job, ok := w.jobs[j]; return job, ok },
-		RunTime:  func(t protocol.TaskID) time.Duration { return w.runTime(t) }, // as it is when the task starts
-		Saved:    w.onCheckpoint,
-		Mistaken: func(j protocol.JobID) bool { return w.faultyJobs[j] },
-		Started:  w.checkStart,
+		GangWait:     time.Duration(w.settings.Site.Workers.GangWaitS) * time.Second,
+		Jobs:         func(j protocol.JobID) (protocol.Job, bool) { job, ok := w.jobs[j]; return job, ok },
+		RunTime:      func(t protocol.TaskID) time.Duration { return w.runTime(t) }, // as it is when the task starts
+		OnCheckpoint: w.onCheckpoint,
+		IsFaulty:     func(j protocol.JobID) bool { return w.faultyJobs[j] },
+		Started:      w.checkStart,
 		Ended: func(m *fake.Worker, id protocol.TaskID, cause protocol.EndCause) {
 			w.onTaskEnded(m.ID, id, cause)
 			if w.onMachine[id] == m {
@@ -74,7 +74,7 @@
 		m.advance()
 	case w.now >= m.nextEvent && !m.Dead:
 		m.advance()
-		if m.nextEvent = max(m.Next(), w.now+1); !m.awaitsAnswer {
+		if m.nextEvent = max(m.NextChange(), w.now+1); !m.awaitsAnswer {
 			m.nextHeartbeat = min(m.nextHeartbeat, w.now+w.step) // something changed
 		}
 	}
@@ -85,13 +85,13 @@
 
 // advance lets the time until now pass on a worker.
 func (m *worker) advance() {
-	epoch := m.Session
+	epoch := m.Epoch
 	if m.world.now < m.pausedUntil {
 		m.Skip(m.world.now)
 	} else {
 		m.Tick(m.world.now)
 	}
-	if m.Session != epoch {
+	if m.Epoch != epoch {
 		m.world.expiredLeases++
 	}
 }
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -121,7 +121,7 @@
 	w.hooks = w.defaultHooks()
 	for i := range up {
 		r := protocol.ProvisionRequest{Name: fmt.Sprint("first", i), Type: w.types[i%2].Name, Zone: w.types[0].AllowZones[i/2%2], Spot: i%3 == 0, Count: 1}
-		_, ids := w.cloud.Rent(r)
+		_, ids := w.cloud.Provision(r)
 		w.bootMachine(ids[0], r)
 	}
 	for i := range settings.Site.Count {
