--- a/internal/compat/records_test.go
+++ b/internal/compat/records_test.go
@@ -50,8 +50,10 @@
 		record.ShardTable{
 			Epoch: 9, Zones: []protocol.Zone{"x", "y"}, Slots: 2, Away: []protocol.NodeName{"c"},
 			List: []record.ShardAssignment{
-				{Holder: 21, Since: 1, Epoch: 2}, {Holder: 22, Since: 3, Epoch: 4},
-				{Holder: 21, Since: 5, Epoch: 6}, {Holder: 23, Since: 7, Epoch: 8},
+				{Holder: 21, Since: 1, Epoch: 2},
+				{Holder: 22, Since: 3, Epoch: 4},
+				{Holder: 21, Since: 5, Epoch: 6},
+				{Holder: 23, Since: 7, Epoch: 8},
 			},
 		},
 		cborShares{
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -127,9 +127,9 @@
 	return id
 }
 
-// attempt returns the attempt of a task in the queue of a machine.
-func (b *bench) attempt(id protocol.MachineID, task protocol.TaskID) (found dispatcher.Attempt) {
-	for _, a := range b.c.dispatcher.Attempts(id) {
+// attempt returns the attempt of a task in the queue of machine vm-1.
+func (b *bench) attempt(task protocol.TaskID) (found dispatcher.Attempt) {
+	for _, a := range b.c.dispatcher.Attempts("vm-1") {
 		if a.Task == task {
 			found = a
 		}
--- a/internal/controller/clusterstate/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -36,7 +36,7 @@
 	return zoneAllowed && spotAllowed && resource.Capacity(machineType).Covers(resource.Need(&j.Job))
 }
 
-// FetchSeconds returns how long a machine of a type takes to fetch a job's image, in seconds.
+// FetchS returns how long a machine of a type takes to fetch a job's image, in seconds.
 func FetchS(machineType protocol.TypeInfo, job *protocol.Job) float64 {
 	if machineType.FetchGBPS <= 0 {
 		return 0
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -49,7 +49,7 @@
 	Configuration *dynamicconfig.Followed
 }
 
-// NewKeyValueStore returns a state that knows nothing but its settings.
+// NewState returns a state that knows nothing but its settings.
 func NewState(settings *config.Settings, op config.Operator, log *slog.Logger) *State {
 	s := &State{
 		Self:          settings.Name,
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -50,7 +50,7 @@
 	if !raised() {
 		t.Error("the term is not raised")
 	}
-	if e := b.attempt("vm-1", task); !e.Sent {
+	if e := b.attempt(task); !e.Sent {
 		t.Fatalf("counted as never started: %+v", e)
 	}
 	ended := protocol.TaskStatus{Task: task, Attempt: attempt, State: protocol.TaskEnded, Cause: protocol.EndStopped}
@@ -265,7 +265,7 @@
 	b.machine("vm-1", 1)
 	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-1"}, Attempt: 77, State: protocol.TaskRunning}
 	b.heartbeat("vm-1", 1, 0, running)
-	e := b.attempt("vm-1", running.Task)
+	e := b.attempt(running.Task)
 	if e.Attempt != 77 {
 		t.Fatalf("not in the queue: %+v", e)
 	}
@@ -273,7 +273,7 @@
 		t.Error("to be killed because of a heartbeat of an earlier term")
 	}
 	b.heartbeat("vm-1", 1, b.c.View.Term, running)
-	if !b.attempt("vm-1", running.Task).Kill {
+	if !b.attempt(running.Task).Kill {
 		t.Error("an attempt that its owner never placed goes on")
 	}
 }
--- a/internal/controller/message/placement.go
+++ b/internal/controller/message/placement.go
@@ -52,7 +52,7 @@
 	GraceS float64
 }
 
-// EventKind is the kind of a HandleTaskEvent. Its numbers are sent to peers.
+// EventKind is the kind of a TaskEvent. Its numbers are sent to peers.
 type EventKind uint8
 
 // The kinds of events of attempts.
@@ -64,7 +64,7 @@
 	EventNotice                        // its machine is about to be reclaimed
 )
 
-// HandleTaskEvent notifies an owner of what became of an attempt.
+// TaskEvent notifies an owner of what became of an attempt.
 type TaskEvent struct {
 	TaskRef
 	What  EventKind
--- a/internal/controller/message/step.go
+++ b/internal/controller/message/step.go
@@ -46,7 +46,7 @@
 		// all that it wrote.
 		Revision protocol.Revision
 	}
-	// HandleBitmapLoaded answers a LoadBitmap.
+	// BitmapLoaded answers a LoadBitmap.
 	BitmapLoaded struct {
 		Job    protocol.JobID
 		Chunks []protocol.Item
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -101,7 +101,7 @@
 	b.job("job-1", "free", 1) // of 10 s
 	b.do(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "w", Spec: &record.WindowSpec{Name: "w", When: b.in(20 * time.Second), LengthS: 600, Zone: "a"}})
 	task := protocol.TaskID{Job: "job-1"}
-	e := b.attempt("vm-1", task)
+	e := b.attempt(task)
 	if e.Attempt == 0 {
 		t.Fatal("not placed")
 	}
@@ -110,7 +110,7 @@
 	b.step(message.Tick{})
 	b.job("job-2", "free", 1)
 	b.step(message.Tick{})
-	if b.attempt("vm-1", protocol.TaskID{Job: "job-2"}).Attempt != 0 {
+	if b.attempt(protocol.TaskID{Job: "job-2"}).Attempt != 0 {
 		t.Error("placed where it would run into the window")
 	}
 	reply, _ := b.operate(operatorapi.Request{Op: operatorapi.OpShow, Window: true, Name: "w"})
@@ -119,14 +119,14 @@
 	}
 	b.now += Time(time.Minute)
 	b.step(message.Tick{})
-	if os := b.heartbeat("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning}).Reply.Orders; len(os) != 0 || b.attempt("vm-1", task).Kill {
+	if os := b.heartbeat("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning}).Reply.Orders; len(os) != 0 || b.attempt(task).Kill {
 		t.Errorf("orders %+v while the window is open", os)
 	}
 	b.now += Time(10 * time.Minute)
 	b.heartbeat("vm-1", 1, 1, protocol.TaskStatus{Task: task, Attempt: e.Attempt, State: protocol.TaskRunning})
 	b.nextPlan()
 	b.step(message.Tick{})
-	if b.attempt("vm-1", protocol.TaskID{Job: "job-2"}).Attempt == 0 {
+	if b.attempt(protocol.TaskID{Job: "job-2"}).Attempt == 0 {
 		t.Error("not placed after the window")
 	}
 }
--- a/internal/fake/server/host.go
+++ b/internal/fake/server/host.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// MachineUp puts a machine into service.
+// Up puts a machine into service.
 func (h *Host) Up(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool) error {
 	w := &worker{changed: make(chan struct{}, 1)}
 	mux := http.NewServeMux()
--- a/internal/fake/server/host_test.go
+++ b/internal/fake/server/host_test.go
@@ -27,7 +27,9 @@
 	r.events <- fmt.Sprint("up ", m)
 }
 
-func (r *recorder) MachineLost(m protocol.MachineID, _ time.Duration) { r.events <- fmt.Sprint("gone ", m) }
+func (r *recorder) MachineLost(m protocol.MachineID, _ time.Duration) {
+	r.events <- fmt.Sprint("gone ", m)
+}
 
 func (r *recorder) TaskStartAccepted(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, _ time.Duration) {
 	r.events <- fmt.Sprint("ordered ", t.Job, " ", a)
--- a/internal/fake/server/hostconfig.go
+++ b/internal/fake/server/hostconfig.go
@@ -9,7 +9,7 @@
 // Observer is notified of what can be seen at workers. Times are of the host's clock.
 // Calls come one at a time, while the host is locked: they must not call it.
 type Observer interface {
-	// MachineUp and Gone are called when a machine comes up and when it ends.
+	// MachineUp and MachineLost are called when a machine comes up and when it ends.
 	MachineUp(machine protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool, at time.Duration)
 	MachineLost(machine protocol.MachineID, at time.Duration)
 	// TaskStartAccepted is called when a task's start was taken; its image may have to be fetched.
