--- /dev/null
+++ b/cmd/damsonkeel/client.go
@@ -0,0 +1,100 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"damsonkeel/internal/operatorapi"
+)
+
+// clientFlags are the flags of commands that send requests to controllers.
+type clientFlags struct {
+	Controller []string      `help:"Addresses of controllers, one or more." env:"DAMSONKEEL_CONTROLLERS" required:"" placeholder:"HOST:PORT"`
+	Key        string        `help:"File with an operator's key; the first in it is used." env:"DAMSONKEEL_KEY" required:"" type:"path" placeholder:"FILE"`
+	Output     string        `help:"Form of the answer: ${enum}." enum:"table,json" default:"table"`
+	Timeout    time.Duration `help:"How long to try." default:"30s"`
+}
+
+// exitCodes are the exit codes of replies to requests that were not fulfilled.
+var exitCodes = map[operatorapi.Code]int{
+	operatorapi.Refused:  exitRefused,
+	operatorapi.NotFound: exitNotFound,
+	operatorapi.Denied:   exitDenied,
+}
+
+// sendAndPrint sends a request and prints the reply.
+func (f *clientFlags) sendAndPrint(r operatorapi.Request) error {
+	reply, err := f.send(r)
+	if reply.Code == "" {
+		return err
+	}
+	return errors.Join(f.print(reply), err)
+}
+
+// send sends a request within the timeout. A reply that does not fulfil it is returned
+// with an exitError.
+func (f *clientFlags) send(r operatorapi.Request) (operatorapi.Reply, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
+	defer cancel()
+	reply, err := f.sendUntil(ctx, r)
+	if err != nil {
+		return operatorapi.Reply{}, err
+	}
+	if code := exitCodes[reply.Code]; code != 0 {
+		return reply, &exitError{code: code, reason: reply.Reason}
+	}
+	return reply, nil
+}
+
+// sendUntil sends a request until the context ends.
+//
+//nolint:wrapcheck // the texts of both errors are complete, and fixed output
+func (f *clientFlags) sendUntil(ctx context.Context, r operatorapi.Request) (operatorapi.Reply, error) {
+	keys, err := operatorapi.ReadKeys(f.Key)
+	if err != nil {
+		return operatorapi.Reply{}, err
+	}
+	return operatorapi.NewClient(keys[0], f.Controller).Do(ctx, r)
+}
+
+func (f *clientFlags) print(reply operatorapi.Reply) error {
+	if f.Output == outputJSON {
+		return printJSON(reply)
+	}
+	if reply.Code != operatorapi.Done {
+		if len(reply.InTheWay) > 0 {
+			fmt.Fprintln(os.Stderr, "in the way:", joinNames(reply.InTheWay))
+		}
+		return nil
+	}
+	if reply.Reason != "" {
+		fmt.Println(reply.Reason)
+	}
+	if len(reply.Beside) > 0 {
+		fmt.Println("overlaps, and fits beside:", joinNames(reply.Beside))
+	}
+	if len(reply.Controllers) > 0 {
+		printShards(reply)
+	}
+	if reply.Config != nil {
+		printConfig(reply.Config)
+	}
+	if len(reply.Reservations) > 0 {
+		printReservations(reply.Reservations)
+	}
+	if len(reply.Windows) > 0 {
+		printWindows(reply.Windows)
+	}
+	return nil
+}
+
+// printJSON prints a value as indented JSON.
+func printJSON(value any) error {
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value) //nolint:wrapcheck // only writing can fail, and the error says so
+}
--- a/cmd/damsonkeel/config_test.go
+++ b/cmd/damsonkeel/config_test.go
@@ -9,26 +9,26 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestConfigurationForReal: three real controllers on loopback, whose configuration is
-// changed through the command line while one of them is away. What is wrong is refused
-// by name, and with its exit code.
-func TestConfigurationForReal(t *testing.T) {
+// TestConfigurationChangesAcrossProcesses: three controllers as processes on loopback,
+// whose configuration is changed through the command line while one of them is killed.
+// What is wrong is refused by name, and with its exit code.
+func TestConfigurationChangesAcrossProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes about 40 seconds")
 	}
 	t.Parallel()
-	r := newReal(t, 4)
-	r.newKey()
+	c := newCluster(t, 4)
+	c.newKey()
 	run := func(want int, args ...string) operatorapi.Reply {
 		t.Helper()
-		reply, code := r.command(append([]string{"config"}, args...)...)
+		reply, code := c.command(append([]string{"config"}, args...)...)
 		if code != want {
 			t.Fatalf("%v: exit %d, want %d: %+v", args, code, want, reply)
 		}
 		return reply
 	}
 	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(300 * time.Millisecond) {
-		reply, code := r.command("config", "set", "team/extra", "cpus=2", "cpus_max=3", "--id", "first", "--wait")
+		reply, code := c.command("config", "set", "team/extra", "cpus=2", "cpus_max=3", "--id", "first", "--wait")
 		if code == 0 {
 			if reply.Config.Revision != 1 || !strings.HasPrefix(reply.Reason, "in force") {
 				t.Fatalf("%+v", reply)
@@ -44,8 +44,8 @@
 		t.Errorf("repeated: %+v", reply)
 	}
 	job := protocol.Job{ID: "job-extra-1", Class: "c", Team: "extra", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 3}
-	r.submit(job)
-	r.until("the new team's job runs", 60*time.Second, func() bool { return len(r.p.Started(job.ID)) == 6 })
+	c.submit(job)
+	c.waitUntil("the new team's job runs", 60*time.Second, func() bool { return len(c.p.Started(job.ID)) == 6 })
 
 	if reply := run(exitRefused, "set", "team/free", "cpus_max=3"); !strings.Contains(reply.Reason, "several owners") {
 		t.Errorf("%+v", reply)
@@ -53,23 +53,23 @@
 	if reply := run(exitRefused, "set", "team/extra", "cpus_max=4", "--revision", "7"); !strings.Contains(reply.Reason, "revision 1 is in force") {
 		t.Errorf("%+v", reply)
 	}
-	file := r.write("half.toml", "[[teams]]\nname = \"extra\"\ncpus_max = 9\n[[zones]]\nname = \"nowhere\"\nclosed = true\n")
+	file := c.write("half.toml", "[[teams]]\nname = \"extra\"\ncpus_max = 9\n[[zones]]\nname = \"nowhere\"\nclosed = true\n")
 	if reply := run(exitRefused, "apply", file); !strings.Contains(reply.Reason, "zone/nowhere") {
 		t.Errorf("%+v", reply)
 	}
-	good := r.write("good.toml", "revision = 1\n[[teams]]\nname = \"extra\"\nclosed = true\n[[classes]]\nname = \"c\"\n[[classes.objectives]]\nkind = \"wait\"\nwithin_s = 2.4\nshare = 0.9\n[settings]\nidleReturn = \"50s\"\n")
+	good := c.write("good.toml", "revision = 1\n[[teams]]\nname = \"extra\"\nclosed = true\n[[classes]]\nname = \"c\"\n[[classes.objectives]]\nkind = \"wait\"\nwithin_s = 2.4\nshare = 0.9\n[settings]\nidleReturn = \"50s\"\n")
 	if reply := run(0, "apply", good, "--dry-run"); len(reply.Config.Changes) != 3 {
 		t.Errorf("%+v", reply.Config)
 	}
-	r.kill("node-1")
+	c.kill("node-1")
 	began := time.Now()
 	reply := run(0, "apply", good, "--wait")
 	if reply.Config.Revision != 2 || time.Since(began) > 12*time.Second {
 		t.Errorf("%+v after %v", reply, time.Since(began))
 	}
 	t.Log(reply.Reason)
-	r.start("node-1")
-	r.until("all act by it", 30*time.Second, func() bool {
+	c.start("node-1")
+	c.waitUntil("all act by it", 30*time.Second, func() bool {
 		reply := run(0, "status")
 		for _, c := range reply.Config.Controllers {
 			if !c.Member || c.Revision != 2 {
--- /dev/null
+++ b/cmd/damsonkeel/configprint.go
@@ -0,0 +1,130 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/record"
+
+	"github.com/jedib0t/go-pretty/v6/table"
+)
+
+// printConfig prints what a reply has about the configuration.
+func printConfig(c *operatorapi.ConfigReply) {
+	fmt.Println("revision:", c.Revision)
+	if len(c.Entries) > 0 {
+		t := newTable("entry", "in force", "changed by revision")
+		for _, e := range c.Entries {
+			t.AppendRow(table.Row{e.Entry, entryText(&e), revisionText(e.Revision)})
+		}
+		t.Render()
+	}
+	printChanges(c.Changes)
+	for _, past := range c.History {
+		fmt.Printf("revision %d, %s, by %s\n", past.Revision, formatTime(past.AtMS), past.By)
+		printChanges(past.Changes)
+	}
+	if len(c.Controllers) > 0 {
+		printAppliedRevisions(c.Controllers)
+	}
+}
+
+func printAppliedRevisions(controllers []operatorapi.ConfigController) {
+	t := newTable("controller", "acts by revision", "said s ago", "state")
+	for _, c := range controllers {
+		state := "member"
+		switch {
+		case c.Older:
+			state = "does not follow the configuration: kept from acting"
+		case !c.Member:
+			state = "may not act"
+		}
+		t.AppendRow(table.Row{c.Name, c.Revision, fmt.Sprintf("%.1f", c.HeardS), state})
+	}
+	t.Render()
+}
+
+// revisionText formats the revision that changed an entry last.
+func revisionText(r record.ConfigurationRevision) string {
+	if r == 0 {
+		return "platform's file"
+	}
+	return fmt.Sprint(r)
+}
+
+func printChanges(changes []record.EntryChange) {
+	if len(changes) == 0 {
+		return
+	}
+	t := newTable("entry", "from", "to")
+	for _, c := range changes {
+		t.AppendRow(table.Row{c.Entry, recordText(&c.From), recordText(&c.To)})
+	}
+	t.Render()
+}
+
+// recordText formats the record of an entry.
+func recordText(e *record.ConfigurationEntry) string {
+	switch {
+	case e.Team != nil:
+		return teamText(e.Team)
+	case e.Class != nil:
+		return objectivesText(e.Class.Objectives)
+	case e.Place != nil && e.Place.Closed:
+		return "closed"
+	case e.Value != nil:
+		return string(*e.Value)
+	}
+	return "as in the platform's file"
+}
+
+// entryText formats an entry in force.
+func entryText(e *operatorapi.ConfigEntry) string {
+	kind, _ := e.Entry.Split()
+	switch {
+	case e.Team != nil:
+		return teamText(e.Team)
+	case kind == record.EntryClass:
+		return objectivesText(e.Objectives)
+	case kind == record.EntrySetting:
+		return string(e.Value)
+	case e.Closed:
+		return "closed"
+	}
+	return "open"
+}
+
+func teamText(t *record.TeamEntry) string {
+	if t.Removed {
+		return "removed"
+	}
+	text := fmt.Sprintf("cpus %v of %v, gpus %v of %v", t.CPUs, limitText(t.MaxCPUs), t.GPUs, limitText(t.MaxGPUs))
+	if t.Closed {
+		text += ", closed"
+	}
+	return text
+}
+
+// limitText formats a limit; 0 is none.
+func limitText(v float64) string {
+	if v == 0 {
+		return "any"
+	}
+	return fmt.Sprint(v)
+}
+
+func objectivesText(objectives []record.ObjectiveEntry) string {
+	var texts []string
+	for _, o := range objectives {
+		text := fmt.Sprintf("%s %v s", o.Kind, o.WithinS)
+		if o.Kind == objectiveDeadline {
+			text = fmt.Sprintf("%s times %v", o.Kind, o.Times)
+		}
+		texts = append(texts, fmt.Sprintf("%s, share %v", text, o.Share))
+	}
+	if len(texts) == 0 {
+		return "none"
+	}
+	return strings.Join(texts, "; ")
+}
--- /dev/null
+++ b/cmd/damsonkeel/emulateprint.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"damsonkeel/internal/simulator"
+
+	"github.com/jedib0t/go-pretty/v6/table"
+)
+
+// noticeableDelayS is the delay of a reserved job above which it is listed, in seconds.
+const noticeableDelayS = 60
+
+// printResults prints the results of all seeds as tables.
+func printResults(results []*simulator.Result) {
+	printReservedJobs(results)
+	printShardMoves(results)
+	printExceptions(results)
+	printClasses(results)
+}
+
+func printReservedJobs(results []*simulator.Result) {
+	t := newTable("seed", "days", "reserved jobs", "in time", "late", "late, at risk", "median delay s", "worst s", "starts in windows", "starts", "cost", "refused")
+	for _, r := range results {
+		t.AppendRow(table.Row{
+			r.Seed, fmt.Sprintf("%.1f", r.Days), r.Due, r.InTime, r.Late, r.AtRisk,
+			fmt.Sprintf("%.1f", r.MedianS), fmt.Sprintf("%.1f", r.WorstS),
+			r.InWindow, r.Starts, fmt.Sprintf("%.1f", r.Cost), len(r.Refused),
+		})
+	}
+	t.Render()
+}
+
+func printShardMoves(results []*simulator.Result) {
+	t := newTable("seed", "moves of shares", "given up", "pause p99 s", "stopped by moves", "lost by moves", "rules broken")
+	for _, r := range results {
+		t.AppendRow(table.Row{
+			r.Seed, r.Shares.Moves, r.Shares.GivenUp, fmt.Sprintf("%.2f", r.Shares.PauseP99S),
+			r.Shares.StoppedByMoves, r.Shares.LostByMoves, len(r.Rules),
+		})
+	}
+	t.Render()
+}
+
+// printExceptions prints the reserved jobs that were late and the refused requests.
+func printExceptions(results []*simulator.Result) {
+	for _, r := range results {
+		for _, o := range r.Occurrences {
+			if o.Started && o.DelayS > noticeableDelayS {
+				fmt.Printf("seed %d: %s at %s: %.0f s late, state %s, at risk: %q\n", r.Seed, o.Name, o.Start.Format(time.RFC3339), o.DelayS, o.State, o.Risk)
+			}
+		}
+		for _, f := range r.Refused {
+			fmt.Printf("seed %d: %s refused: %s (%s)\n", r.Seed, f.Name, f.Reason, joinNames(f.InTheWay))
+		}
+	}
+}
+
+// printClasses prints the waits of the classes that are load in any of the simulations.
+func printClasses(results []*simulator.Result) {
+	load := map[string]bool{}
+	for _, r := range results {
+		for name, class := range r.Classes {
+			if isLoad(r, class) {
+				load[name] = true
+			}
+		}
+	}
+	t := newTable("seed", "class", "jobs", "done", "tasks wait s", "95% of them", "jobs take s", "95% of them")
+	for _, r := range results {
+		for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
+			if !load[name] {
+				continue
+			}
+			c := r.Classes[name]
+			t.AppendRow(table.Row{
+				r.Seed, name, c.Jobs, c.Done,
+				fmt.Sprintf("%.0f", c.WaitMean), fmt.Sprintf("%.0f", c.Wait95),
+				fmt.Sprintf("%.0f", c.DoneMean), fmt.Sprintf("%.0f", c.Done95),
+			})
+		}
+	}
+	t.Render()
+}
+
+// isLoad reports whether a class has more than two jobs a day: others are single jobs.
+func isLoad(r *simulator.Result, class *simulator.Class) bool {
+	return class.Jobs > 2*int(r.Days)
+}
--- /dev/null
+++ b/cmd/damsonkeel/entry.go
@@ -0,0 +1,80 @@
+package main
+
+import (
+	"crypto/rand"
+
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/record"
+)
+
+// changeFlags are the flags of commands that add an entry.
+type changeFlags struct {
+	DryRun  bool   `help:"Tell what would be answered, and change nothing."`
+	Replace bool   `help:"Take the place of what has the name."`
+	ID      string `help:"Id of the request: repeated with it, it changes nothing more. Made up if not given."`
+}
+
+// whenHelp describes the times of reservations and windows.
+const whenHelp = `"2026-12-24 at 04:00 in Europe/Berlin", "daily at 04:00 in Europe/Berlin" or "weekly on mon, thu at 23:30", with "from DATE" and "until DATE" if it recurs; UTC if no zone is named.`
+
+// requestID returns the idempotency key of a request: the given one, or a new one.
+func requestID(given string) string {
+	if given == "" {
+		return rand.Text()
+	}
+	return given
+}
+
+// entryCommand is a command about one reservation or window.
+type entryCommand struct {
+	clientFlags `embed:""`
+	Name        string `arg:"" help:"Its name."`
+}
+
+func (c *entryCommand) request(op operatorapi.Op, window bool) operatorapi.Request {
+	return operatorapi.Request{Op: op, Window: window, Name: record.EntryName(c.Name)}
+}
+
+func (c *entryCommand) show(window bool) error {
+	return c.sendAndPrint(c.request(operatorapi.OpShow, window))
+}
+
+// cancel cancels the current entry: one of the same name that is added after it was read
+// here is not cancelled.
+func (c *entryCommand) cancel(window bool) error {
+	current, err := c.send(c.request(operatorapi.OpShow, window))
+	if err != nil {
+		return err
+	}
+	r := c.request(operatorapi.OpCancel, window)
+	for _, reservation := range current.Reservations {
+		r.Made = reservation.MadeMS
+	}
+	for _, window := range current.Windows {
+		r.Made = window.MadeMS
+	}
+	return c.sendAndPrint(r)
+}
+
+// listEntries prints all reservations or all windows, which it reads page by page.
+func (f *clientFlags) listEntries(window bool) error {
+	var all operatorapi.Reply
+	r := operatorapi.Request{Op: operatorapi.OpList, Window: window}
+	for {
+		page, err := f.send(r)
+		if err != nil {
+			return err
+		}
+		all.Code = page.Code
+		all.Reservations = append(all.Reservations, page.Reservations...)
+		all.Windows = append(all.Windows, page.Windows...)
+		if !page.More {
+			return f.print(all)
+		}
+		if window {
+			r.Name = page.Windows[len(page.Windows)-1].Spec.Name
+		} else {
+			r.Name = page.Reservations[len(page.Reservations)-1].Spec.Name
+		}
+	}
+}
--- a/cmd/damsonkeel/main.go
+++ b/cmd/damsonkeel/main.go
@@ -12,6 +12,7 @@
 
 const version = "0.2.0"
 
+// commandLine has the commands. Names and help texts are fixed output.
 type commandLine struct {
 	Run     runCommand     `cmd:"" default:"withargs" help:"Run a controller; the command if none is named."`
 	Reserve reserveCommand `cmd:"" help:"Reservations: room for a job at a time."`
@@ -24,34 +25,39 @@
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// Exit codes, beside 1 for what went wrong and the command line's own.
+// Exit codes, beside those of kong for a wrong command line.
 const (
+	exitFailed   = 1
 	exitRefused  = 3
 	exitNotFound = 4
 	exitDenied   = 5
 )
 
-// exitError ends a command with a code of its own.
+// exitError is a reply that ends the command with an exit code of its own.
 type exitError struct {
-	code int
-	err  error
+	code   int
+	reason string
 }
 
-func (e *exitError) Error() string { return e.err.Error() }
-func (e *exitError) Unwrap() error { return e.err }
+func (e *exitError) Error() string { return e.reason }
 
 func main() {
-	var cl commandLine
-	ctx := kong.Parse(&cl, kong.Name("damsonkeel"), kong.UsageOnError(),
+	var commands commandLine
+	ctx := kong.Parse(&commands, kong.Name("damsonkeel"), kong.UsageOnError(),
 		kong.Description("A cluster scheduler: one daemon, the same on every controller. LOG_LEVEL is error, info or debug.\n\n"+
 			"Commands exit with 0 when done, 3 when refused, 4 when there is nothing of the name, 5 when the key is no operator's, 80 for a wrong command line, 1 otherwise."),
 		kong.Vars{"version": "damsonkeel " + version, "when": whenHelp})
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "damsonkeel:", err)
-		var e *exitError
-		if errors.As(err, &e) {
-			os.Exit(e.code)
-		}
-		os.Exit(1)
+		os.Exit(exitCode(err))
 	}
 }
+
+// exitCode is the exit code of a command that failed.
+func exitCode(err error) int {
+	var exit *exitError
+	if errors.As(err, &exit) {
+		return exit.code
+	}
+	return exitFailed
+}
--- /dev/null
+++ b/cmd/damsonkeel/output.go
@@ -0,0 +1,40 @@
+package main
+
+import (
+	"os"
+	"strings"
+	"time"
+
+	"damsonkeel/internal/record"
+
+	"github.com/jedib0t/go-pretty/v6/table"
+)
+
+// outputJSON is the value of the flags of output for JSON; the other one is a table.
+const outputJSON = "json"
+
+// newTable makes a table that is printed to the standard output.
+func newTable(header ...any) table.Writer {
+	t := table.NewWriter()
+	t.SetOutputMirror(os.Stdout)
+	t.SetStyle(table.StyleLight)
+	t.AppendHeader(table.Row(header))
+	return t
+}
+
+// joinNames formats a list of names.
+func joinNames(entries []record.EntryName) string {
+	var names []string
+	for _, name := range entries {
+		names = append(names, string(name))
+	}
+	return strings.Join(names, ", ")
+}
+
+// formatTime formats a time in the local zone; none is empty.
+func formatTime(m record.Moment) string {
+	if m == 0 {
+		return ""
+	}
+	return time.UnixMilli(int64(m)).Format("2006-01-02 15:04:05 MST")
+}
--- a/cmd/damsonkeel/run.go
+++ b/cmd/damsonkeel/run.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"os"
@@ -20,46 +21,56 @@
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// Run runs a controller until it is ended.
-func (cl *runCommand) Run() error {
+// memoryLimitPart is the part of a controller's memory at which garbage collection becomes
+// more frequent.
+const memoryLimitPart = 0.6
+
+var errLogLevel = errors.New("is none of error, info, debug")
+
+// Run runs a controller until it is terminated.
+//
+//nolint:wrapcheck // the texts of all errors are complete, and fixed output
+func (c *runCommand) Run() error {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		return err
 	}
-	settings, err := config.Load(cl.Config)
+	settings, err := config.Load(c.Config)
 	if err != nil {
 		return err
 	}
-	op, err := config.LoadOperator(cl.Operator)
+	operator, err := config.LoadOperator(c.Operator)
 	if err != nil {
 		return err
 	}
-	if op, err = op.Fit(settings); err != nil {
+	operator, err = operator.Fit(settings)
+	if err != nil {
 		return err
 	}
-	if cl.Check {
+	if c.Check {
 		return nil
 	}
-	runtime.GOMAXPROCS(1) // a small share of one core: more threads only take turns
-	debug.SetMemoryLimit(int64(settings.Site.Limits.MemoryMB * 0.6 * (1 << 20)))
+	runtime.GOMAXPROCS(1) // a controller gets a part of one core: more threads would only compete
+	debug.SetMemoryLimit(int64(settings.Site.Limits.MemoryMB * memoryLimitPart * (1 << 20)))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	node := controller.NewNode(settings, op, log)
+	node := controller.NewNode(settings, operator, log)
 	go leaveOnSignal(node)
 	return node.Run(context.Background())
 }
 
-// leaveOnSignal has a controller hand over what it keeps when it is told to end by
-// a signal; by a second one it ends at once.
+// leaveOnSignal has a controller hand its shards over and end after a signal; a second one
+// terminates it at once.
 func leaveOnSignal(node *controller.Node) {
-	told := make(chan os.Signal, 1)
-	signal.Notify(told, syscall.SIGTERM, os.Interrupt)
-	<-told
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
+	<-signals
 	signal.Reset()
 	node.Leave()
 }
 
-func logLevel(s string) (slog.Level, error) {
-	switch s {
+// logLevel parses the value of LOG_LEVEL.
+func logLevel(name string) (slog.Level, error) {
+	switch name {
 	case "", "info":
 		return slog.LevelInfo, nil
 	case "error":
@@ -67,5 +78,5 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	}
-	return 0, fmt.Errorf("LOG_LEVEL: %q is none of error, info, debug", s)
+	return 0, fmt.Errorf("LOG_LEVEL: %q %w", name, errLogLevel)
 }
--- a/cmd/damsonkeel/shares.go
+++ b/cmd/damsonkeel/shares.go
@@ -15,53 +15,57 @@
 	Away sharesAway `cmd:"" help:"Have a controller keep nothing, until told otherwise."`
 }
 
-type sharesList struct{ askFlags }
+type sharesList struct{ clientFlags }
 
 type sharesMove struct {
-	askFlags   `embed:""`
-	Controller string `arg:"" help:"Controller to move them to."`
-	Share      []int  `arg:"" help:"Numbers of the shares, as listed."`
+	clientFlags `embed:""`
+	Controller  string `arg:"" help:"Controller to move them to."`
+	Share       []int  `arg:"" help:"Numbers of the shares, as listed."`
 }
 
 type sharesAway struct {
-	askFlags   `embed:""`
-	Controller string `arg:"" help:"The controller."`
-	End        bool   `help:"Shares move to it again."`
+	clientFlags `embed:""`
+	Controller  string `arg:"" help:"The controller."`
+	End         bool   `help:"Shares move to it again."`
 }
 
-// Run lists the shares.
-func (l *sharesList) Run() error { return l.ask(operatorapi.Request{Op: operatorapi.OpShares}) }
+// Run lists the shards.
+func (l *sharesList) Run() error {
+	return l.sendAndPrint(operatorapi.Request{Op: operatorapi.OpShares})
+}
 
-// Run has shares moved.
+// Run moves shards to a controller.
 func (m *sharesMove) Run() error {
-	return m.ask(operatorapi.Request{Op: operatorapi.OpMove, Controller: protocol.NodeName(m.Controller), Shares: m.Share})
+	return m.sendAndPrint(operatorapi.Request{Op: operatorapi.OpMove, Controller: protocol.NodeName(m.Controller), Shares: m.Share})
 }
 
-// Run has a controller keep nothing.
+// Run cordons a controller, or ends that.
 func (a *sharesAway) Run() error {
-	return a.ask(operatorapi.Request{Op: operatorapi.OpAway, Controller: protocol.NodeName(a.Controller), End: a.End})
+	return a.sendAndPrint(operatorapi.Request{Op: operatorapi.OpAway, Controller: protocol.NodeName(a.Controller), End: a.End})
 }
 
-func printShares(reply operatorapi.Reply) {
-	t := newTable()
-	t.AppendHeader(table.Row{"controller", "zone", "shares", "machines", "ticks late ms", "state"})
+// printShards prints a table of the controllers and one of the shards.
+func printShards(reply operatorapi.Reply) {
+	t := newTable("controller", "zone", "shares", "machines", "ticks late ms", "state")
 	for _, c := range reply.Controllers {
-		state := ""
-		switch {
-		case c.Leaving:
-			state = "ending"
-		case c.Away:
-			state = "away"
-		case c.Deaf:
-			state = "deaf"
-		}
-		t.AppendRow(table.Row{c.Name, c.Zone, c.Shares, c.Machines, fmt.Sprintf("%.0f", c.LateMS), state})
+		t.AppendRow(table.Row{c.Name, c.Zone, c.Shares, c.Machines, fmt.Sprintf("%.0f", c.LateMS), controllerState(&c)})
 	}
 	t.Render()
-	t = newTable()
-	t.AppendHeader(table.Row{"share", "zone", "machines", "controller", "since", "epoch"})
+	t = newTable("share", "zone", "machines", "controller", "since", "epoch")
 	for _, s := range reply.Shares {
 		t.AppendRow(table.Row{s.Number, s.Zone, s.Machines, s.Holder, s.Since, s.Epoch})
 	}
 	t.Render()
 }
+
+func controllerState(c *operatorapi.Controller) string {
+	switch {
+	case c.Leaving:
+		return "ending"
+	case c.Away:
+		return "away"
+	case c.Deaf:
+		return "deaf"
+	}
+	return ""
+}
