--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,18 +1,22 @@
-// Package fixedseed runs tests with a fixed seed of generated inputs: the same
-// sources give the same verdict. -rapid.seed on the command line searches
-// elsewhere.
+// Package fixedseed runs a package's tests with a fixed seed of generated inputs, so that
+// the same sources always have the same result.
+//
+// It sets the flag -rapid.seed and owns no state; only TestMain functions use it.
 package fixedseed
 
 import (
 	"flag"
 	"testing"
 
-	_ "pgregory.net/rapid" // brings the flag
+	_ "pgregory.net/rapid" // defines the flag
 )
 
+// seed is the value of -rapid.seed.
+const seed = "1"
+
 // Run runs a package's tests and returns their exit code.
 func Run(m *testing.M) int {
-	if err := flag.Set("rapid.seed", "1"); err != nil {
+	if err := flag.Set("rapid.seed", seed); err != nil {
 		panic(err)
 	}
 	return m.Run()
