--- a/cmd/damsonkeel/client.go
+++ b/cmd/damsonkeel/client.go
@@ -66,16 +66,16 @@
 		return printJSON(reply)
 	}
 	if reply.Code != operatorapi.Done {
-		if len(reply.InTheWay) > 0 {
-			fmt.Fprintln(os.Stderr, "in the way:", joinNames(reply.InTheWay))
+		if len(reply.Conflicts) > 0 {
+			fmt.Fprintln(os.Stderr, "in the way:", joinNames(reply.Conflicts))
 		}
 		return nil
 	}
 	if reply.Reason != "" {
 		fmt.Println(reply.Reason)
 	}
-	if len(reply.Beside) > 0 {
-		fmt.Println("overlaps, and fits beside:", joinNames(reply.Beside))
+	if len(reply.Overlapping) > 0 {
+		fmt.Println("overlaps, and fits beside:", joinNames(reply.Overlapping))
 	}
 	if len(reply.Controllers) > 0 {
 		printShards(reply)
--- a/cmd/damsonkeel/configprint.go
+++ b/cmd/damsonkeel/configprint.go
@@ -40,7 +40,7 @@
 		case !c.Member:
 			state = "may not act"
 		}
-		t.AppendRow(table.Row{c.Name, c.Revision, fmt.Sprintf("%.1f", c.HeardS), state})
+		t.AppendRow(table.Row{c.Name, c.Revision, fmt.Sprintf("%.1f", c.LastContactS), state})
 	}
 	t.Render()
 }
--- a/cmd/damsonkeel/entry.go
+++ b/cmd/damsonkeel/entry.go
@@ -48,10 +48,10 @@
 	}
 	r := c.request(operatorapi.OpCancel, window)
 	for _, reservation := range current.Reservations {
-		r.Made = reservation.MadeMS
+		r.CreatedAt = reservation.MadeMS
 	}
 	for _, window := range current.Windows {
-		r.Made = window.MadeMS
+		r.CreatedAt = window.MadeMS
 	}
 	return c.sendAndPrint(r)
 }
--- a/cmd/damsonkeel/reserve_test.go
+++ b/cmd/damsonkeel/reserve_test.go
@@ -39,7 +39,7 @@
 	if _, code := c.command(append(add, "--id", "two")...); code != exitRefused {
 		t.Errorf("of the same name: exit %d", code)
 	}
-	if reply, code := c.command("window", "add", "all", "--length", "1h", "--when", start.UTC().Format("2006-01-02 at 15:04:05")); code != exitRefused || len(reply.InTheWay) != 1 {
+	if reply, code := c.command("window", "add", "all", "--length", "1h", "--when", start.UTC().Format("2006-01-02 at 15:04:05")); code != exitRefused || len(reply.Conflicts) != 1 {
 		t.Errorf("a window over it: exit %d, %+v", code, reply)
 	}
 	if _, code := c.command("reserve", "show", "dusk"); code != exitNotFound {
--- a/cmd/damsonkeel/shares.go
+++ b/cmd/damsonkeel/shares.go
@@ -62,9 +62,9 @@
 	switch {
 	case c.Leaving:
 		return "ending"
-	case c.Away:
+	case c.Cordoned:
 		return "away"
-	case c.Deaf:
+	case c.Unreachable:
 		return "deaf"
 	}
 	return ""
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -57,20 +57,20 @@
 	return catalogue, err
 }
 
-// Rent provisions machines.
-func (c *Client) Rent(ctx context.Context, r protocol.ProvisionRequest) ([]protocol.MachineID, error) {
+// Provision provisions machines.
+func (c *Client) Provision(ctx context.Context, r protocol.ProvisionRequest) ([]protocol.MachineID, error) {
 	var provisioned protocol.MachineNames
 	err := c.do(ctx, http.MethodPost, "/hosts", r, &provisioned)
 	return provisioned.Machines, err
 }
 
-// Delete terminates machines. Without an error they no longer exist.
-func (c *Client) Delete(ctx context.Context, ids []protocol.MachineID) error {
+// Terminate terminates machines. Without an error they no longer exist.
+func (c *Client) Terminate(ctx context.Context, ids []protocol.MachineID) error {
 	return c.do(ctx, http.MethodPost, "/hosts/delete", protocol.MachineNames{Machines: ids}, nil)
 }
 
-// Machines lists all machines, page by page.
-func (c *Client) Machines(ctx context.Context) ([]protocol.ListedMachine, error) {
+// ListMachines lists all machines, page by page.
+func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	after := ""
 	for {
--- a/internal/compat/constants_test.go
+++ b/internal/compat/constants_test.go
@@ -121,7 +121,7 @@
 		{string(operatorapi.Refused), "refused"},
 		{string(operatorapi.NotFound), "not_found"},
 		{string(operatorapi.Denied), "denied"},
-		{string(operatorapi.Later), "later"},
+		{string(operatorapi.RetryLater), "later"},
 	} {
 		if word.got != word.want {
 			t.Errorf("%q, want %q", word.got, word.want)
--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -48,7 +48,7 @@
 		ID: "job-000017", Class: "nightly", Team: "red", Kind: "gang", Priority: "high", Tasks: 12,
 		CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "image", ImageGB: 4.5, Types: []protocol.MachineType{"m8", "m16"},
 		Zone: "x", OneZone: true, Spread: true, Spot: true,
-		EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, DeadlineS: 8.5,
+		EstimateS: 5.5, CheckpointS: 6.5, CheckpointDurationS: 7.5, DeadlineS: 8.5,
 	}
 	want := cborJob{
 		ID: "job-000017", Class: "nightly", Team: "red", Kind: "gang", Priority: "high", Tasks: 12,
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -57,9 +57,9 @@
 		t.Fatal(err)
 	}
 	checkSettings(t, got, config.Operator{
-		RelayEvery: 1100 * time.Millisecond, CopyWait: 1200 * time.Millisecond, DefaultEstimate: 13 * time.Second,
-		NodeLease: 5 * time.Second, IdleReturn: 2 * time.Minute,
-		SingleRecords: true, NoShares: true, FixedConfiguration: true,
+		ReplicationInterval: 1100 * time.Millisecond, CopyWait: 1200 * time.Millisecond, DefaultEstimate: 13 * time.Second,
+		NodeLease: 5 * time.Second, IdleTimeout: 2 * time.Minute,
+		SingleRecords: true, DisableShards: true, DisableDynamicConfig: true,
 		OperatorKeys: "/keys", Machines: map[protocol.MachineType]int{"m8": 50, "m16": 7},
 	})
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -85,7 +85,7 @@
 // TestParseOperatorReadsElements: elements that are given replace the defaults.
 func TestParseOperatorReadsElements(t *testing.T) {
 	op, err := ParseOperator(strings.NewReader(`<damsonkeel><!-- ours --><nodeLease> 9s </nodeLease></damsonkeel>`))
-	if err != nil || op.NodeLease != 9*time.Second || op.RelayEvery != DefaultOperator().RelayEvery {
+	if err != nil || op.NodeLease != 9*time.Second || op.ReplicationInterval != DefaultOperator().ReplicationInterval {
 		t.Fatalf("%+v, %v", op, err)
 	}
 	op, err = ParseOperator(strings.NewReader(`<damsonkeel><machineRecords>single</machineRecords><copyWait>3s</copyWait></damsonkeel>`))
@@ -174,7 +174,7 @@
 		s.Site.Workers.LeaseS, s.Site.Workers.CancelS = 20, 200
 		op := DefaultOperator()
 		op.NodeLease = Seconds(rapid.Float64Range(0.1, 60).Draw(t, "nodeLease"))
-		op.FixedConfiguration = rapid.Bool().Draw(t, "fixed")
+		op.DisableDynamicConfig = rapid.Bool().Draw(t, "fixed")
 		if rapid.Bool().Draw(t, "keys") {
 			op.OperatorKeys = "keys"
 		}
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -43,15 +43,15 @@
 // elements has the parsers of all elements.
 func (op *Operator) elements() map[string]elementParser {
 	return map[string]elementParser{
-		"relayEvery":      durationInto(&op.RelayEvery),
+		"relayEvery":      durationInto(&op.ReplicationInterval),
 		"copyWait":        durationInto(&op.CopyWait),
 		"defaultEstimate": durationInto(&op.DefaultEstimate),
 		"nodeLease":       durationInto(&op.NodeLease),
-		"idleReturn":      durationInto(&op.IdleReturn),
+		"idleReturn":      durationInto(&op.IdleTimeout),
 		"operatorKeys":    pathInto(&op.OperatorKeys),
 		"machines":        machinesInto(op),
-		"configuration":   choiceInto(&op.FixedConfiguration, "off", "on"),
-		"machineShares":   choiceInto(&op.NoShares, "off", "on"),
+		"configuration":   choiceInto(&op.DisableDynamicConfig, "off", "on"),
+		"machineShares":   choiceInto(&op.DisableShards, "off", "on"),
 		"machineRecords":  choiceInto(&op.SingleRecords, "single", "blocks"),
 	}
 }
--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -51,18 +51,18 @@
 
 // precedence is the precedence of a transaction where calls to the key-value store are
 // scarce, by its tag.
-func precedence(tag any) kvstore.Precedence {
+func precedence(tag any) kvstore.Priority {
 	switch tag.(type) {
 	case jobs.BitmapTag:
-		return kvstore.Spare
+		return kvstore.PriorityLow
 	case dispatcher.RegisterTag, dispatcher.RemoveTag, workerregistry.Tag:
-		return kvstore.Later
+		return kvstore.PriorityNormal
 	}
-	return kvstore.First
+	return kvstore.PriorityHigh
 }
 
 func (n *Node) commit(ctx context.Context, a message.Commit) {
-	revision, err := n.store.CompareAndSwap(ctx, a.Txn, precedence(a.Tag))
+	revision, err := n.store.CompareAndSwap(ctx, a.Transaction, precedence(a.Tag))
 	if err != nil && !errors.Is(err, serviceclient.ErrConflict) {
 		n.log.Debug("transaction failed", "tag", a.Tag, "err", err)
 	}
@@ -70,12 +70,12 @@
 }
 
 func (n *Node) provision(ctx context.Context, request protocol.ProvisionRequest) {
-	machines, err := n.cloud.Rent(ctx, request)
+	machines, err := n.cloud.Provision(ctx, request)
 	n.post(message.ProvisionDone{Request: request, Machines: machines, Outcome: outcome.Of(err)})
 }
 
 func (n *Node) terminate(ctx context.Context, machines []protocol.MachineID) {
-	err := n.cloud.Delete(ctx, machines)
+	err := n.cloud.Terminate(ctx, machines)
 	if err != nil {
 		n.log.Info("machines not terminated", "machines", machines, "err", err)
 	}
@@ -83,7 +83,7 @@
 }
 
 func (n *Node) listMachines(ctx context.Context) {
-	machines, err := n.cloud.Machines(ctx)
+	machines, err := n.cloud.ListMachines(ctx)
 	if err != nil {
 		n.log.Info("machines not listed", "err", err)
 	}
--- a/internal/controller/admission/configuration_test.go
+++ b/internal/controller/admission/configuration_test.go
@@ -112,12 +112,12 @@
 		if err := protocol.Decode(ev.Value, &head); err != nil {
 			t.Fatal(err)
 		}
-		return f.TakeHead(head, ev.Version)
+		return f.ApplyRevision(head, ev.Version)
 	case known && key.ConfigurationEntry != "":
 		if err := protocol.Decode(ev.Value, &entry); err != nil {
 			t.Fatal(err)
 		}
-		return f.TakeEntry(key.ConfigurationEntry, entry)
+		return f.ApplyEntry(key.ConfigurationEntry, entry)
 	}
 	return false
 }
@@ -164,9 +164,9 @@
 	switch a := a.(type) {
 	case Write:
 		out := message.OutcomeFailed
-		if c.state.Txn(a.Txn) {
+		if c.state.Txn(a.Transaction) {
 			out = message.OutcomeDone
-			if c.closed[len(c.closed)-1] && len(a.Txn.Changes) > 0 {
+			if c.closed[len(c.closed)-1] && len(a.Transaction.Changes) > 0 {
 				c.t.Fatalf("request %d is accepted while the team is closed", a.ID)
 			}
 		}
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -110,8 +110,8 @@
 	}
 	// Write executes a transaction.
 	Write struct {
-		ID  RequestID
-		Txn protocol.Transaction
+		ID          RequestID
+		Transaction protocol.Transaction
 	}
 	// QueryOwners asks this controller's core what it knows of jobs, which peers lead,
 	// and which controllers are members.
--- a/internal/controller/autoscaler/offers.go
+++ b/internal/controller/autoscaler/offers.go
@@ -13,7 +13,7 @@
 // openTypes returns the machine types, with the zones, in which the configuration allows
 // machines to be provisioned.
 func (a *Autoscaler) openTypes() map[protocol.MachineType]protocol.TypeInfo {
-	if !a.Configuration.Effective().AnyPlaceClosed() {
+	if !a.Configuration.Effective().AnyPlaceCordoned() {
 		return a.Types
 	}
 	open := map[protocol.MachineType]protocol.TypeInfo{}
--- a/internal/controller/autoscaler/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -100,7 +100,7 @@
 func (p *ReservationPlanner) mostMachinesInventoried() bool {
 	inventoried := 0
 	for _, m := range p.table.Machines {
-		if p.table.Recent(m, 3*p.Op.RelayEvery) && m.State.Heard {
+		if p.table.Recent(m, 3*p.Op.ReplicationInterval) && m.State.Heard {
 			inventoried++
 		}
 	}
@@ -178,7 +178,7 @@
 	}
 	p.writing[name] = true
 	p.Log.Info("reservation", "name", name, "state", next.State, "start", next.StartMS, "risk", next.Risk)
-	p.Emit(message.Commit{Tag: ReservationTag{name}, Txn: protocol.Transaction{
+	p.Emit(message.Commit{Tag: ReservationTag{name}, Transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.ReservationKey(name), Version: e.Version}, p.ViewUnchanged()},
 		Changes:    []protocol.Change{{Put: record.ReservationKey(name), Value: next}},
 	}})
--- a/internal/controller/autoscaler/scalein.go
+++ b/internal/controller/autoscaler/scalein.go
@@ -113,7 +113,7 @@
 // likely to arrive meanwhile is known, and there is headroom for it without the machine. A
 // controller that has just started knows that of no class.
 func (a *Autoscaler) idleTimeout(t protocol.TypeInfo, headroom float64) float64 {
-	timeout := math.Min(t.BootS, a.Op.IdleReturn.Seconds())
+	timeout := math.Min(t.BootS, a.Op.IdleTimeout.Seconds())
 	if !math.IsInf(headroom, 1) && a.Since(a.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
 		timeout = math.Min(timeout, knownIdleTimeout.Seconds())
 	}
--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		if _, registration := c.Tag.(workerregistry.Tag); registration {
-			r.changes += len(c.Txn.Changes)
+			r.changes += len(c.Transaction.Changes)
 		}
 		out := message.OutcomeDone
 		if r.outcome != nil {
@@ -70,8 +70,8 @@
 		}
 		switch {
 		case out == message.OutcomeUnknown:
-			r.late = append(r.late, c.Txn)
-		case out == message.OutcomeDone && !r.state.Txn(c.Txn):
+			r.late = append(r.late, c.Transaction)
+		case out == message.OutcomeDone && !r.state.Txn(c.Transaction):
 			out = message.OutcomeFailed
 		}
 		r.carry(r.step(message.CommitDone{Tag: c.Tag, Outcome: out}))
@@ -202,7 +202,7 @@
 	node := func(name protocol.NodeName, session protocol.LeaseID, l record.Layout) (v record.View) {
 		for _, a := range append(b.put(record.NodeKey(name), record.Node{Session: session, Layout: l}), b.step(message.Tick{})...) {
 			if c, ok := a.(message.Commit); ok && c.Tag == (membership.ViewTag{}) {
-				v = c.Txn.Changes[0].Value.(record.View)
+				v = c.Transaction.Changes[0].Value.(record.View)
 			}
 		}
 		b.step(message.CommitDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
--- a/internal/controller/clusterstate/configuration.go
+++ b/internal/controller/clusterstate/configuration.go
@@ -13,7 +13,7 @@
 
 // limitedIn is Limited in a view.
 func (s *State) limitedIn(view record.View, name protocol.Team) bool {
-	return dynamicconfig.OneOwner(&s.Settings.Site, view.Layout, name)
+	return dynamicconfig.HasSingleOwner(&s.Settings.Site, view.Layout, name)
 }
 
 // Team returns a team as it is in force.
@@ -24,9 +24,9 @@
 // Objectives returns the service-level objectives in force.
 func (s *State) Objectives() []config.Objective { return s.Configuration.Effective().Objectives }
 
-// PlaceClosed reports whether a machine's type or zone accepts no new tasks.
+// PlaceCordoned reports whether a machine's type or zone accepts no new tasks.
 func (s *State) PlaceClosed(machineType protocol.MachineType, zone protocol.Zone) bool {
-	return s.Configuration.Effective().PlaceClosed(machineType, zone)
+	return s.Configuration.Effective().PlaceCordoned(machineType, zone)
 }
 
 // LimitLowered returns the last revision of the configuration that lowered a team's limit:
--- a/internal/controller/clusterstate/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -46,4 +46,4 @@
 
 // GraceS returns the grace period in which a task of a job may save a checkpoint, in
 // seconds.
-func GraceS(job *protocol.Job) float64 { return graceSaves*job.SaveS + graceSlackS }
+func GraceS(job *protocol.Job) float64 { return graceSaves*job.CheckpointDurationS + graceSlackS }
--- a/internal/controller/clusterstate/module.go
+++ b/internal/controller/clusterstate/module.go
@@ -56,7 +56,7 @@
 	if change.To != nil {
 		write = protocol.Change{Put: key, Value: *change.To}
 	}
-	m.Emit(message.Commit{Tag: tag, Txn: protocol.Transaction{
+	m.Emit(message.Commit{Tag: tag, Transaction: protocol.Transaction{
 		Conditions: append(conditions, protocol.Condition{Key: key, Version: change.Have}),
 		Changes:    []protocol.Change{write},
 	}})
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -15,13 +15,13 @@
 		if err != nil {
 			return err
 		}
-		changed = c.Configuration.TakeHead(head, version)
+		changed = c.Configuration.ApplyRevision(head, version)
 	} else {
 		entry, err := decodeRecord[record.ConfigurationEntry](value)
 		if err != nil {
 			return err
 		}
-		changed = c.Configuration.TakeEntry(key.ConfigurationEntry, entry)
+		changed = c.Configuration.ApplyEntry(key.ConfigurationEntry, entry)
 	}
 	if changed {
 		c.applyConfiguration()
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -116,7 +116,7 @@
 	}
 	for _, a := range b.step(message.Tick{}) {
 		if c, ok := a.(message.Commit); ok && c.Tag == (membership.ViewTag{}) {
-			next = c.Txn.Changes[0].Value.(record.View)
+			next = c.Transaction.Changes[0].Value.(record.View)
 		}
 	}
 	if len(next.Deaf) != 1 || next.Deaf[0] != "node-1" {
@@ -213,7 +213,7 @@
 	if finish == nil {
 		t.Fatal("the end is not written")
 	}
-	for _, cond := range finish.Txn.Conditions {
+	for _, cond := range finish.Transaction.Conditions {
 		if cond.Version != version {
 			t.Errorf("condition %+v, want version %d", cond, version)
 		}
--- a/internal/controller/dispatcher/configuration_test.go
+++ b/internal/controller/dispatcher/configuration_test.go
@@ -11,8 +11,8 @@
 // lowerLimit has the limit of a team lowered by a revision.
 func (b *bench) lowerLimit(revision record.ConfigurationRevision, version protocol.Version) {
 	id := record.NewEntryID(record.EntryTeam, "bound")
-	b.dispatcher.Configuration.TakeEntry(id, record.ConfigurationEntry{Revision: revision, Team: &record.TeamEntry{MaxCPUs: 2, Lowered: revision}})
-	b.dispatcher.Configuration.TakeHead(record.Configuration{Revision: revision, Entries: []record.EntryID{id}}, version)
+	b.dispatcher.Configuration.ApplyEntry(id, record.ConfigurationEntry{Revision: revision, Team: &record.TeamEntry{MaxCPUs: 2, Lowered: revision}})
+	b.dispatcher.Configuration.ApplyRevision(record.Configuration{Revision: revision, Entries: []record.EntryID{id}}, version)
 	b.dispatcher.AdoptConfiguration()
 }
 
--- a/internal/controller/dispatcher/quarantine.go
+++ b/internal/controller/dispatcher/quarantine.go
@@ -46,7 +46,7 @@
 		switch {
 		case fails(id):
 			q.quarantine.forgetJob(id)
-		case q.Since(since) >= 2*q.Op.RelayEvery:
+		case q.Since(since) >= 2*q.Op.ReplicationInterval:
 			count++
 		}
 	}
--- a/internal/controller/dispatcher/reservations_test.go
+++ b/internal/controller/dispatcher/reservations_test.go
@@ -58,7 +58,7 @@
 	b.hold(reservation.Hold{For: "one", Machine: "vm-1", Tasks: 2, Need: resource.Amount{CPUs: 4, GB: 2}, Level: 1, Clear: reservation.After(now, 8*time.Minute), From: reservation.After(now, 10*time.Minute), Until: reservation.After(now, 40*time.Minute)})
 	q := b.queue()
 	run := func(id protocol.JobID, p protocol.Priority) *entry {
-		b.dispatcher.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Priority: p, Team: "free", CPUs: 2, Tasks: 1, CheckpointS: 10, SaveS: 10}}
+		b.dispatcher.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Priority: p, Team: "free", CPUs: 2, Tasks: 1, CheckpointS: 10, CheckpointDurationS: 10}}
 		e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: 3600, need: resource.Amount{CPUs: 2}, level: resource.LevelOf(p, false), sent: true, present: true, state: protocol.TaskRunning}
 		q.addEntry(e)
 		return e
--- a/internal/controller/dynamicconfig/decide_test.go
+++ b/internal/controller/dynamicconfig/decide_test.go
@@ -114,10 +114,10 @@
 			take(t, s.Followed, s.state.Change(s.seen))
 		}
 	}
-	if r, done := s.DoneBefore(fmt.Sprint("request-", record.ConfigurationRequests+4)); !done || r != record.ConfigurationRequests+5 {
+	if r, done := s.AppliedBy(fmt.Sprint("request-", record.ConfigurationRequests+4)); !done || r != record.ConfigurationRequests+5 {
 		t.Errorf("the last request: %v, %v", r, done)
 	}
-	if _, done := s.DoneBefore("request-0"); done || len(s.head.Requests) != record.ConfigurationRequests {
+	if _, done := s.AppliedBy("request-0"); done || len(s.head.Requests) != record.ConfigurationRequests {
 		t.Errorf("%d requests are kept", len(s.head.Requests))
 	}
 	plan, err := s.Decide(facts(), []operatorapi.ConfigChange{{Entry: "team/other", MaxCPUs: number(float64(44 + record.ConfigurationRequests))}})
--- a/internal/controller/dynamicconfig/effective.go
+++ b/internal/controller/dynamicconfig/effective.go
@@ -52,13 +52,13 @@
 // tasks may still be on machines.
 func (e *Effective) TeamsEver() []protocol.Team { return slices.Sorted(maps.Keys(e.teamsEver)) }
 
-// PlaceClosed reports whether a zone or a machine type is cordoned.
-func (e *Effective) PlaceClosed(machineType protocol.MachineType, zone protocol.Zone) bool {
-	return e.AnyPlaceClosed() && (e.closedZones[zone] || e.closedTypes[machineType])
+// PlaceCordoned reports whether a zone or a machine type is cordoned.
+func (e *Effective) PlaceCordoned(machineType protocol.MachineType, zone protocol.Zone) bool {
+	return e.AnyPlaceCordoned() && (e.closedZones[zone] || e.closedTypes[machineType])
 }
 
-// AnyPlaceClosed reports whether any zone or machine type is cordoned.
-func (e *Effective) AnyPlaceClosed() bool { return len(e.closedZones)+len(e.closedTypes) > 0 }
+// AnyPlaceCordoned reports whether any zone or machine type is cordoned.
+func (e *Effective) AnyPlaceCordoned() bool { return len(e.closedZones)+len(e.closedTypes) > 0 }
 
 // LimitLowered returns the last revision that lowered a team's limit.
 func (e *Effective) LimitLowered(name protocol.Team) Revision { return e.teams[name].Lowered }
--- a/internal/controller/dynamicconfig/followed.go
+++ b/internal/controller/dynamicconfig/followed.go
@@ -54,9 +54,9 @@
 // Entries returns all entries that were ever changed, with those that were reset.
 func (f *Followed) Entries() map[record.EntryID]record.ConfigurationEntry { return f.entries }
 
-// TakeEntry adds the record of an entry that was read, and reports whether the
+// ApplyEntry adds the record of an entry that was read, and reports whether the
 // configuration in force has changed.
-func (f *Followed) TakeEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
+func (f *Followed) ApplyEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
 	if known, ok := f.nextEntries[id]; ok && known.Revision >= entry.Revision {
 		return false
 	}
@@ -74,9 +74,9 @@
 	return f.apply()
 }
 
-// TakeHead adds the record of a revision that was read, and reports whether the
+// ApplyRevision adds the record of a revision that was read, and reports whether the
 // configuration in force has changed.
-func (f *Followed) TakeHead(head record.Configuration, version protocol.Version) bool {
+func (f *Followed) ApplyRevision(head record.Configuration, version protocol.Version) bool {
 	if version <= f.version || f.nextHead != nil && version <= f.nextVersion {
 		return false
 	}
--- a/internal/controller/dynamicconfig/plan.go
+++ b/internal/controller/dynamicconfig/plan.go
@@ -58,8 +58,8 @@
 	return txn
 }
 
-// DoneBefore returns the revision by which a request was already carried out, if it was.
-func (f *Followed) DoneBefore(request string) (Revision, bool) {
+// AppliedBy returns the revision by which a request was already carried out, if it was.
+func (f *Followed) AppliedBy(request string) (Revision, bool) {
 	for _, r := range f.head.Requests {
 		if request != "" && r.ID == request {
 			return r.Revision, true
--- a/internal/controller/dynamicconfig/settings.go
+++ b/internal/controller/dynamicconfig/settings.go
@@ -16,7 +16,7 @@
 // same on all controllers.
 var settings = map[string]func(*config.Operator) *time.Duration{
 	"defaultEstimate": func(o *config.Operator) *time.Duration { return &o.DefaultEstimate },
-	"idleReturn":      func(o *config.Operator) *time.Duration { return &o.IdleReturn },
+	"idleReturn":      func(o *config.Operator) *time.Duration { return &o.IdleTimeout },
 }
 
 // Settings returns the names of the settings that may change, in order.
--- a/internal/controller/dynamicconfig/store_test.go
+++ b/internal/controller/dynamicconfig/store_test.go
@@ -72,11 +72,11 @@
 		if err := protocol.Decode(e.Value, &head); err != nil {
 			t.Fatalf("%v", err)
 		}
-		return f.TakeHead(head, e.Version)
+		return f.ApplyRevision(head, e.Version)
 	}
 	var entry record.ConfigurationEntry
 	if err := protocol.Decode(e.Value, &entry); err != nil {
 		t.Fatalf("%v", err)
 	}
-	return f.TakeEntry(key.ConfigurationEntry, entry)
+	return f.ApplyEntry(key.ConfigurationEntry, entry)
 }
--- a/internal/controller/dynamicconfig/team.go
+++ b/internal/controller/dynamicconfig/team.go
@@ -93,7 +93,7 @@
 		return refused("the limit (cpus_max %v, gpus_max %v) is below the guarantee (cpus %v, gpus %v)", t.MaxCPUs, t.MaxGPUs, t.CPUs, t.GPUs)
 	}
 	limited := t.MaxCPUs > 0 || t.MaxGPUs > 0
-	if limited && !OneOwner(f.site, record.LayoutConfiguration, name) {
+	if limited && !HasSingleOwner(f.site, record.LayoutConfiguration, name) {
 		return refused("the platform's file gives this team no limit, so its jobs have several owners, and none of them could check one")
 	}
 	return nil
@@ -133,12 +133,12 @@
 	return nil
 }
 
-// OneOwner reports whether all jobs of a team have the same owner, which enforces the
+// HasSingleOwner reports whether all jobs of a team have the same owner, which enforces the
 // team's limit. It depends on the platform's file alone, which is the same everywhere: if
 // it changed with a revision, a job would have two owners while some controllers act on
 // the previous one. Teams that the file does not have get one owner with the layout whose
 // members all know that.
-func OneOwner(site *config.Site, layout record.Layout, name protocol.Team) bool {
+func HasSingleOwner(site *config.Site, layout record.Layout, name protocol.Team) bool {
 	for _, t := range site.Teams {
 		if t.Name == name {
 			return t.Limited()
--- a/internal/controller/frontend/actor.go
+++ b/internal/controller/frontend/actor.go
@@ -138,7 +138,7 @@
 }
 
 func (f *Frontend) write(ctx context.Context, a admission.Write) admission.Written {
-	_, err := f.store.CompareAndSwap(ctx, a.Txn, kvstore.First)
+	_, err := f.store.CompareAndSwap(ctx, a.Transaction, kvstore.PriorityHigh)
 	if errors.Is(err, serviceclient.ErrMalformed) {
 		f.log.Error("job record refused by the key-value store", "err", err)
 	}
--- a/internal/controller/frontend/frontend_test.go
+++ b/internal/controller/frontend/frontend_test.go
@@ -185,7 +185,7 @@
 // TestOperatorCodesHaveTheirStatus: each code of a reply has its HTTP status, and only
 // "later" says when to come back.
 func TestOperatorCodesHaveTheirStatus(t *testing.T) {
-	for code, want := range map[operatorapi.Code]int{operatorapi.Done: 200, operatorapi.Refused: 409, operatorapi.NotFound: 404, operatorapi.Later: 503} {
+	for code, want := range map[operatorapi.Code]int{operatorapi.Done: 200, operatorapi.Refused: 409, operatorapi.NotFound: 404, operatorapi.RetryLater: 503} {
 		m := operatorResponse(operatorapi.Reply{Code: code})
 		if m.Status != want || (m.RetryAfterS != 0) != (want == 503) {
 			t.Errorf("%s is answered %d, retry after %d s; want %d", code, m.Status, m.RetryAfterS, want)
--- a/internal/controller/frontend/operators.go
+++ b/internal/controller/frontend/operators.go
@@ -69,7 +69,7 @@
 		if decision.Transaction == nil {
 			return operatorResponse(decision.Reply)
 		}
-		_, err := f.store.CompareAndSwap(ctx, *decision.Transaction, kvstore.First)
+		_, err := f.store.CompareAndSwap(ctx, *decision.Transaction, kvstore.PriorityHigh)
 		switch {
 		case err == nil:
 			f.log.Info("operator's change", "by", by, "op", request.Op, "window", request.Window, "name", request.Name, "controller", request.Controller, "id", request.ID)
--- a/internal/controller/frontend/responses.go
+++ b/internal/controller/frontend/responses.go
@@ -42,10 +42,10 @@
 
 // operatorStatus is the HTTP status for each code of an operator's reply.
 var operatorStatus = map[operatorapi.Code]int{
-	operatorapi.Done:     http.StatusOK,
-	operatorapi.Refused:  http.StatusConflict,
-	operatorapi.NotFound: http.StatusNotFound,
-	operatorapi.Later:    http.StatusServiceUnavailable,
+	operatorapi.Done:       http.StatusOK,
+	operatorapi.Refused:    http.StatusConflict,
+	operatorapi.NotFound:   http.StatusNotFound,
+	operatorapi.RetryLater: http.StatusServiceUnavailable,
 }
 
 // operatorResponse is the response to an operator's request.
--- a/internal/controller/holds/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -35,7 +35,7 @@
 	}
 	h.recordStale, h.recordWrittenAt = false, h.Now
 	list := h.List[:min(len(h.List), int(1024*h.Settings.Site.State.ValueKB/maxHoldBytes))]
-	h.Emit(message.Commit{Tag: Tag{}, Txn: protocol.Transaction{
+	h.Emit(message.Commit{Tag: Tag{}, Transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{h.ViewUnchanged(), {Key: record.ReservationHoldsKey, Version: h.recordVersion}},
 		Changes:    []protocol.Change{{Put: record.ReservationHoldsKey, Value: Record{list}}},
 	}})
--- a/internal/controller/jobs/bitmap.go
+++ b/internal/controller/jobs/bitmap.go
@@ -48,7 +48,7 @@
 	}
 	clear(job.bitmap.dirty)
 	job.bitmap.writing, job.bitmap.inFlight = true, tag.chunks
-	o.Emit(message.Commit{Tag: tag, Txn: txn})
+	o.Emit(message.Commit{Tag: tag, Transaction: txn})
 }
 
 // HandleBitmapWritten handles the outcome of a write of a job's bitmap.
--- a/internal/controller/jobs/finish.go
+++ b/internal/controller/jobs/finish.go
@@ -40,7 +40,7 @@
 		return
 	}
 	job.finishInFlight = true
-	o.Emit(message.Commit{Tag: FinishTag{job.ID}, Txn: job.finishTransaction()})
+	o.Emit(message.Commit{Tag: FinishTag{job.ID}, Transaction: job.finishTransaction()})
 }
 
 // finishTransaction returns the write of the job's end.
--- a/internal/controller/jobs/slow.go
+++ b/internal/controller/jobs/slow.go
@@ -117,7 +117,7 @@
 // stateKnown reports whether the ends of a machine's tasks would be known here: it has sent
 // its inventory, its dispatcher's updates are recent, and it has not fallen silent.
 func (o *Owned) stateKnown(m *waittable.Machine) bool {
-	return !o.AwaitedInventories[m.ID] && o.table.Recent(m, recentUpdates*o.Op.RelayEvery) && m.State.Silence == message.SilenceNone
+	return !o.AwaitedInventories[m.ID] && o.table.Recent(m, recentUpdates*o.Op.ReplicationInterval) && m.State.Silence == message.SilenceNone
 }
 
 // countLateRun counts a task that runs too long against its machine, and drains the
--- a/internal/controller/jobs/slow_test.go
+++ b/internal/controller/jobs/slow_test.go
@@ -34,7 +34,7 @@
 		owned := newOwned(t)
 		addMachines(owned.table, 20)
 		job := owned.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
-			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 10, CheckpointS: 5, SaveS: 1,
+			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 10, CheckpointS: 5, CheckpointDurationS: 1,
 		}})
 		job.Loaded = true
 		machines := owned.table.InOrder()
--- a/internal/controller/membership/members.go
+++ b/internal/controller/membership/members.go
@@ -88,12 +88,12 @@
 	zones := ms.zones()
 	for name, p := range ordered.Of(ms.peers) {
 		list = append(list, operatorapi.Controller{
-			Name:    name,
-			Zone:    zones[name],
-			LateMS:  p.load.LateMS,
-			Leaving: p.load.Leaving,
-			Deaf:    slices.Contains(ms.View.Deaf, name),
-			Away:    slices.Contains(ms.Shards.Away, name),
+			Name:        name,
+			Zone:        zones[name],
+			LateMS:      p.load.LateMS,
+			Leaving:     p.load.Leaving,
+			Unreachable: slices.Contains(ms.View.Deaf, name),
+			Cordoned:    slices.Contains(ms.Shards.Away, name),
 		})
 	}
 	return list
--- a/internal/controller/membership/peers.go
+++ b/internal/controller/membership/peers.go
@@ -59,7 +59,7 @@
 // recent reports whether a time is known and not longer ago than a peer in contact
 // takes for its next state update.
 func (ms *Members) recent(at clock.Time) bool {
-	return at != 0 && ms.Since(at) < contactUpdates*ms.Op.RelayEvery
+	return at != 0 && ms.Since(at) < contactUpdates*ms.Op.ReplicationInterval
 }
 
 // Received accepts a peer's batch and returns the messages in it that are new. Batches
--- a/internal/controller/membership/shardtable.go
+++ b/internal/controller/membership/shardtable.go
@@ -48,7 +48,7 @@
 	ms.writing = true
 	ms.writtenOn = ms.ShardsVersion
 	ms.writtenAt = ms.Now
-	ms.Emit(message.Commit{Tag: ShardsTag{}, Txn: protocol.Transaction{
+	ms.Emit(message.Commit{Tag: ShardsTag{}, Transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{
 			ms.ViewUnchanged(),
 			{Key: record.ShardTableKey, Version: ms.ShardsVersion},
--- a/internal/controller/membership/view.go
+++ b/internal/controller/membership/view.go
@@ -59,7 +59,7 @@
 		return
 	}
 	ms.writing = true
-	ms.Emit(message.Commit{Tag: ViewTag{}, Txn: ms.viewTransaction(next)})
+	ms.Emit(message.Commit{Tag: ViewTag{}, Transaction: ms.viewTransaction(next)})
 }
 
 // viewIsCurrent reports whether the view in force differs from the next one by no more
--- a/internal/controller/message/action.go
+++ b/internal/controller/message/action.go
@@ -31,8 +31,8 @@
 	}
 	// Commit executes a transaction.
 	Commit struct {
-		Tag any
-		Txn protocol.Transaction
+		Tag         any
+		Transaction protocol.Transaction
 	}
 	// LoadBitmap reads the bitmap of a job.
 	LoadBitmap struct{ Job protocol.JobID }
--- a/internal/controller/operatorrequest/calendar.go
+++ b/internal/controller/operatorrequest/calendar.go
@@ -41,7 +41,7 @@
 		return refuse(operatorapi.Refused, "there is a reservation of this name")
 	}
 	if !calendar.Complete() {
-		return refuse(operatorapi.Later, "the calendar is still being read, or is full")
+		return refuse(operatorapi.RetryLater, "the calendar is still being read, or is full")
 	}
 	a := calendar.DecideReservation(&spec, h.facts(), h.WallTime())
 	d := answered(a)
@@ -80,7 +80,7 @@
 		return refuse(operatorapi.Refused, "there is a window of this name")
 	}
 	if !calendar.Complete() {
-		return refuse(operatorapi.Later, "the calendar is still being read, or is full")
+		return refuse(operatorapi.RetryLater, "the calendar is still being read, or is full")
 	}
 	a := calendar.DecideWindow(&spec, h.facts(), h.WallTime())
 	d := answered(a)
@@ -101,7 +101,7 @@
 	if !a.OK {
 		code = operatorapi.Refused
 	}
-	return Decision{Reply: operatorapi.Reply{Code: code, Reason: a.Reason, InTheWay: a.Conflicts, Beside: a.Overlapping, FirstMS: a.FirstTimes}}
+	return Decision{Reply: operatorapi.Reply{Code: code, Reason: a.Reason, Conflicts: a.Conflicts, Overlapping: a.Overlapping, FirstMS: a.FirstTimes}}
 }
 
 // versionOf is the version of an entry's record; 0 if there is none.
@@ -134,7 +134,7 @@
 	switch {
 	case e == nil:
 		return refuse(operatorapi.NotFound, "no "+what+" of this name")
-	case r.Made != 0 && e.CreatedAt() != r.Made:
+	case r.CreatedAt != 0 && e.CreatedAt() != r.CreatedAt:
 		return refuse(operatorapi.Refused, "it was made anew since")
 	case !e.Valid():
 		return Decision{Reply: done}
--- a/internal/controller/operatorrequest/configuration.go
+++ b/internal/controller/operatorrequest/configuration.go
@@ -16,14 +16,14 @@
 // gets the same answer.
 func (h *Handler) configure(by string, r *operatorapi.Request) Decision {
 	followed := h.Configuration
-	if revision, done := followed.DoneBefore(r.ID); done {
+	if revision, done := followed.AppliedBy(r.ID); done {
 		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: h.configuredWithinS()}}
 		return Decision{Reply: reply}
 	}
 	present := followed.Effective().Revision
 	switch {
 	case !h.HoldsLease():
-		return refuse(operatorapi.Later, "may not act now")
+		return refuse(operatorapi.RetryLater, "may not act now")
 	case h.View.Layout < record.LayoutConfiguration:
 		return refuse(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", h.members.BlockingLayout(record.LayoutConfiguration)))
 	case r.Config.Revision != nil && *r.Config.Revision != present:
@@ -49,7 +49,7 @@
 
 // configuredWithinS is how long a controller may act on an earlier revision, in seconds.
 func (h *Handler) configuredWithinS() float64 {
-	return config.FollowedWithin(h.Op.NodeLease).Seconds()
+	return config.MaxWatchStaleness(h.Op.NodeLease).Seconds()
 }
 
 // configurationFacts is what decisions on the configuration need to know of the site.
--- a/internal/controller/operatorrequest/configurationview.go
+++ b/internal/controller/operatorrequest/configurationview.go
@@ -20,7 +20,7 @@
 	effective := h.Configuration.Effective()
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: effective.Revision}}
 	for _, id := range h.configurationIDs() {
-		if id <= r.Config.After || !r.Config.Wants(id) {
+		if id <= r.Config.After || !r.Config.Selects(id) {
 			continue
 		}
 		if len(reply.Config.Entries) >= maxConfigListed {
@@ -77,9 +77,9 @@
 			}
 		}
 	case record.EntryZone:
-		v.Closed = effective.PlaceClosed("", protocol.Zone(name))
+		v.Closed = effective.PlaceCordoned("", protocol.Zone(name))
 	case record.EntryType:
-		v.Closed = effective.PlaceClosed(protocol.MachineType(name), "")
+		v.Closed = effective.PlaceCordoned(protocol.MachineType(name), "")
 	case record.EntrySetting:
 		v.Value = effective.Setting(name)
 	}
@@ -99,8 +99,8 @@
 	for _, name := range slices.Compact(names) {
 		revision, ago := h.revisionOf(name)
 		reply.Config.Controllers = append(reply.Config.Controllers, operatorapi.ConfigController{
-			Name: name, Revision: revision, Member: h.View.Members[name] != 0, Older: slices.Contains(outdated, name), HeardS: ago.Seconds(),
-			Acting: name == h.Self && h.HoldsLease(),
+			Name: name, Revision: revision, Member: h.View.Members[name] != 0, Older: slices.Contains(outdated, name), LastContactS: ago.Seconds(),
+			HoldsLease: name == h.Self && h.HoldsLease(),
 		})
 	}
 	return Decision{Reply: reply}
--- a/internal/controller/operatorrequest/handler.go
+++ b/internal/controller/operatorrequest/handler.go
@@ -42,7 +42,7 @@
 // Decide decides a request of the operator named by.
 func (h *Handler) Decide(by string, r *operatorapi.Request) Decision {
 	if h.Session == 0 || len(h.Types) == 0 || h.WallMS == 0 {
-		return refuse(operatorapi.Later, "not ready")
+		return refuse(operatorapi.RetryLater, "not ready")
 	}
 	if r.Config == nil {
 		r.Config = &operatorapi.ConfigRequest{}
--- a/internal/controller/operatorrequest/handler_test.go
+++ b/internal/controller/operatorrequest/handler_test.go
@@ -59,8 +59,8 @@
 		code    operatorapi.Code
 		reason  string
 	}{
-		{"no session", func(h *Handler) { h.Session = 0 }, operatorapi.Request{Op: operatorapi.OpList}, operatorapi.Later, "not ready"},
-		{"no time of day", func(h *Handler) { h.WallMS = 0 }, operatorapi.Request{Op: operatorapi.OpList}, operatorapi.Later, "not ready"},
+		{"no session", func(h *Handler) { h.Session = 0 }, operatorapi.Request{Op: operatorapi.OpList}, operatorapi.RetryLater, "not ready"},
+		{"no time of day", func(h *Handler) { h.WallMS = 0 }, operatorapi.Request{Op: operatorapi.OpList}, operatorapi.RetryLater, "not ready"},
 		{"unknown operation", nil, operatorapi.Request{Op: "unknown"}, operatorapi.Refused, "no such operation"},
 		{"add without a reservation", nil, operatorapi.Request{Op: operatorapi.OpAdd}, operatorapi.Refused, "no such operation"},
 		{"add without a window", nil, operatorapi.Request{Op: operatorapi.OpAdd, Window: true}, operatorapi.Refused, "no such operation"},
@@ -73,7 +73,7 @@
 			"move without a lease",
 			func(h *Handler) { shard(h); h.LeaseDeadline = 0 },
 			operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1", Shares: []int{0}},
-			operatorapi.Later, "may not act now",
+			operatorapi.RetryLater, "may not act now",
 		},
 		{"move to no member", shard, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-9", Shares: []int{0}}, operatorapi.NotFound, "no such controller takes part"},
 		{"move of nothing", shard, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1"}, operatorapi.Refused, "no share is named"},
--- a/internal/controller/operatorrequest/shards.go
+++ b/internal/controller/operatorrequest/shards.go
@@ -48,7 +48,7 @@
 	case !h.Sharded():
 		return notSharded
 	case !h.HoldsLease():
-		return refuse(operatorapi.Later, "may not act now")
+		return refuse(operatorapi.RetryLater, "may not act now")
 	case session == 0:
 		return refuse(operatorapi.NotFound, "no such controller takes part")
 	case slices.Contains(h.Shards.Away, r.Controller):
--- a/internal/controller/recordblock/limits.go
+++ b/internal/controller/recordblock/limits.go
@@ -2,10 +2,10 @@
 
 // Limits bound what is written at once.
 type Limits struct {
-	Entries    int // machines in one block
-	ValueBytes int // size of one block in JSON
-	TxnBytes   int // size of all blocks of one transaction
-	Ops        int // puts and deletes of one transaction
+	Entries          int // machines in one block
+	ValueBytes       int // size of one block in JSON
+	TransactionBytes int // size of all blocks of one transaction
+	Ops              int // puts and deletes of one transaction
 }
 
 const (
@@ -20,9 +20,9 @@
 // value stays free, since sizes are estimated rather than measured.
 func LimitsOf(valueKB float64, txnOps int) Limits {
 	return Limits{
-		Entries:    maxEntries,
-		ValueBytes: int(valueKB * 1024 * 3 / 4),
-		TxnBytes:   maxTxnBytes,
-		Ops:        max(txnOps, 1),
+		Entries:          maxEntries,
+		ValueBytes:       int(valueKB * 1024 * 3 / 4),
+		TransactionBytes: maxTxnBytes,
+		Ops:              max(txnOps, 1),
 	}
 }
--- a/internal/controller/recordblock/pack.go
+++ b/internal/controller/recordblock/pack.go
@@ -123,7 +123,7 @@
 			}
 		}
 		first := len(p.drafts) == 0
-		if len(d.changes) > 0 && (first || p.bytes+d.bytes <= p.limits.TxnBytes) {
+		if len(d.changes) > 0 && (first || p.bytes+d.bytes <= p.limits.TransactionBytes) {
 			p.addDraft(d)
 		}
 	}
@@ -146,7 +146,7 @@
 	if d == nil || p.ops+c.ops() > p.limits.Ops {
 		return false
 	}
-	if len(p.drafts) > 1 && p.bytes+growth > p.limits.TxnBytes {
+	if len(p.drafts) > 1 && p.bytes+growth > p.limits.TransactionBytes {
 		return false
 	}
 	d.apply(c)
@@ -172,7 +172,7 @@
 		return nil
 	}
 	d := p.index.draft(p.nextBlock())
-	if len(p.drafts) > 0 && p.bytes+d.bytes+growth > p.limits.TxnBytes {
+	if len(p.drafts) > 0 && p.bytes+d.bytes+growth > p.limits.TransactionBytes {
 		return nil
 	}
 	p.addDraft(d)
--- a/internal/controller/recordblock/pack_test.go
+++ b/internal/controller/recordblock/pack_test.go
@@ -47,10 +47,10 @@
 func TestPack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
-			Entries:    rapid.IntRange(2, 9).Draw(t, "entries"),
-			ValueBytes: rapid.IntRange(700, 4000).Draw(t, "value"),
-			TxnBytes:   rapid.IntRange(4000, 9000).Draw(t, "txn"),
-			Ops:        rapid.IntRange(2, 8).Draw(t, "ops"),
+			Entries:          rapid.IntRange(2, 9).Draw(t, "entries"),
+			ValueBytes:       rapid.IntRange(700, 4000).Draw(t, "value"),
+			TransactionBytes: rapid.IntRange(4000, 9000).Draw(t, "txn"),
+			Ops:              rapid.IntRange(2, 8).Draw(t, "ops"),
 		}
 		x := NewIndex()
 		version := protocol.Version(0)
@@ -104,7 +104,7 @@
 			}
 		}
 	}
-	if ops > limits.Ops || bytes > limits.TxnBytes {
+	if ops > limits.Ops || bytes > limits.TransactionBytes {
 		t.Fatalf("%d changes, %d bytes at once", ops, bytes)
 	}
 }
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -79,11 +79,11 @@
 		t.Errorf("its name is taken: %+v", reply)
 	}
 	made := b.c.reservations.Calendar.Reservation("one").Reservation.MadeMS
-	if reply := b.do(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one", Made: made - 1}); reply.Code != operatorapi.Refused {
+	if reply := b.do(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one", CreatedAt: made - 1}); reply.Code != operatorapi.Refused {
 		t.Errorf("another one is cancelled: %+v", reply)
 	}
 	for range 2 {
-		if reply := b.do(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one", Made: made}); reply.Code != operatorapi.Done {
+		if reply := b.do(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one", CreatedAt: made}); reply.Code != operatorapi.Done {
 			t.Errorf("cancel: %+v", reply)
 		}
 	}
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -30,7 +30,7 @@
 // dropped reports whether a transaction deletes just the record of a machine.
 func dropped(actions []message.Action, id protocol.MachineID) bool {
 	for _, a := range actions {
-		if c, ok := a.(message.Commit); ok && len(c.Txn.Changes) == 1 && c.Txn.Changes[0].Delete == record.MachineKey(id) {
+		if c, ok := a.(message.Commit); ok && len(c.Transaction.Changes) == 1 && c.Transaction.Changes[0].Delete == record.MachineKey(id) {
 			return true
 		}
 	}
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -101,7 +101,7 @@
 	_, err = n.store.CompareAndSwap(ctx, protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: key, Version: version}},
 		Changes:    []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout()}, Lease: &lease}},
-	}, kvstore.First)
+	}, kvstore.PriorityHigh)
 	if err != nil {
 		return 0, fmt.Errorf("enter: %w", err)
 	}
@@ -113,7 +113,7 @@
 	switch {
 	case n.operator.SingleRecords:
 		return record.LayoutSingle
-	case n.operator.NoShares:
+	case n.operator.DisableShards:
 		return record.LayoutBlocks
 	case !n.operator.Configurable():
 		return record.LayoutShards
@@ -142,7 +142,7 @@
 // (docs/design.md, "How long a cancelled task may stay").
 func LeaseDeadline(ttl time.Duration, extended, followed Time) Time {
 	lease := extended + Time(ttl) - Time(ttl/clockDriftDivisor) - Time(leaseMargin)
-	return min(lease, followed+Time(config.FollowedWithin(ttl)))
+	return min(lease, followed+Time(config.MaxWatchStaleness(ttl)))
 }
 
 // keepLeaseAlive extends the lease until it is lost or the watch ends.
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -292,12 +292,12 @@
 						continue
 					}
 					w = write{commit: &a}
-					for _, cond := range a.Txn.Conditions {
+					for _, cond := range a.Transaction.Conditions {
 						if cond.Key == key {
 							w.version = cond.Version
 						}
 					}
-					if !slices.ContainsFunc(a.Txn.Conditions, func(c protocol.Condition) bool { return c.Key == key }) {
+					if !slices.ContainsFunc(a.Transaction.Conditions, func(c protocol.Condition) bool { return c.Key == key }) {
 						t.Fatal("written on any version")
 					}
 					return w, reads
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -21,7 +21,7 @@
 	if !c.Member() {
 		return
 	}
-	if c.Since(c.lastUpdate) >= c.Op.RelayEvery {
+	if c.Since(c.lastUpdate) >= c.Op.ReplicationInterval {
 		c.lastUpdate = c.Now
 		c.regularWork()
 	} else {
--- a/internal/controller/workerclients.go
+++ b/internal/controller/workerclients.go
@@ -44,7 +44,7 @@
 	}
 	if len(w.byAddress) >= w.limit {
 		for other, client := range w.byAddress { // any one: it is made again when needed
-			client.Forget()
+			client.CloseIdleConnections()
 			delete(w.byAddress, other)
 			break
 		}
--- a/internal/controller/workerregistry/write.go
+++ b/internal/controller/workerregistry/write.go
@@ -108,7 +108,7 @@
 		b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: record.ShardTableKey, Version: g.ShardsVersion})
 	}
 	p.inFlight = true
-	g.Emit(message.Commit{Tag: b.tag, Txn: b.txn})
+	g.Emit(message.Commit{Tag: b.tag, Transaction: b.txn})
 }
 
 // collectChanges adds the changes that are still needed to a batch, and discards the
--- a/internal/controller/workerregistry/write_test.go
+++ b/internal/controller/workerregistry/write_test.go
@@ -70,12 +70,12 @@
 	register(g, "vm-1", term)
 	g.Write()
 	first := takeCommit(t, g)
-	if first == nil || len(first.Txn.Changes) != 1 || first.Txn.Conditions[0].Key != record.ViewKey {
+	if first == nil || len(first.Transaction.Changes) != 1 || first.Transaction.Conditions[0].Key != record.ViewKey {
 		t.Fatalf("transaction %+v, want one block on the condition of the view", first)
 	}
-	block, ok := first.Txn.Changes[0].Value.(record.Block)
+	block, ok := first.Transaction.Changes[0].Value.(record.Block)
 	if !ok || len(block.Machines) != 1 || block.Machines[0].Epoch != protocol.Version(uint64(term)<<32|1) {
-		t.Fatalf("wrote %+v", first.Txn.Changes[0])
+		t.Fatalf("wrote %+v", first.Transaction.Changes[0])
 	}
 	register(g, "vm-2", term)
 	g.Write()
@@ -93,9 +93,9 @@
 	if second == nil {
 		t.Fatal("not retried")
 	}
-	for _, change := range second.Txn.Changes {
-		if change.Put != first.Txn.Changes[0].Put {
-			t.Errorf("a machine that may be in %s is put into %s", first.Txn.Changes[0].Put, change.Put)
+	for _, change := range second.Transaction.Changes {
+		if change.Put != first.Transaction.Changes[0].Put {
+			t.Errorf("a machine that may be in %s is put into %s", first.Transaction.Changes[0].Put, change.Put)
 		}
 	}
 }
--- a/internal/controller/workload/spot.go
+++ b/internal/controller/workload/spot.go
@@ -22,7 +22,7 @@
 
 // WatchSpots counts the spot machines, once a relay period.
 func (w *Workload) WatchSpots() {
-	w.Spots.NoteUptime(w.table.SpotMachines, w.Op.RelayEvery)
+	w.Spots.NoteUptime(w.table.SpotMachines, w.Op.ReplicationInterval)
 }
 
 // SpotStretch is the part by which one spot machine lengthens a gang that runs on it: each
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -20,7 +20,7 @@
 // newTestWorker makes a worker of four processors with a lease of a minute.
 func newTestWorker() *Worker {
 	jobs := map[protocol.JobID]protocol.Job{
-		"batch":   {ID: "batch", Kind: protocol.KindJobArray, Tasks: 1, CPUs: 1, CheckpointS: 5, SaveS: 3},
+		"batch":   {ID: "batch", Kind: protocol.KindJobArray, Tasks: 1, CPUs: 1, CheckpointS: 5, CheckpointDurationS: 3},
 		"gang":    {ID: "gang", Kind: protocol.KindGang, Tasks: 2, CPUs: 1},
 		"service": {ID: "service", Kind: protocol.KindService, Tasks: 1, CPUs: 1},
 		"large":   {ID: "large", Kind: protocol.KindJobArray, Tasks: 1, CPUs: 5},
--- a/internal/fake/workerorders.go
+++ b/internal/fake/workerorders.go
@@ -81,8 +81,8 @@
 	}
 	switch {
 	case t.state == protocol.TaskEnded:
-	case t.state == protocol.TaskRunning && j.CheckpointS > 0 && grace >= j.SaveS:
-		t.state, t.checkpoint = protocol.TaskSaving, seconds(j.SaveS)
+	case t.state == protocol.TaskRunning && j.CheckpointS > 0 && grace >= j.CheckpointDurationS:
+		t.state, t.checkpoint = protocol.TaskSaving, seconds(j.CheckpointDurationS)
 	case t.state == protocol.TaskSaving && grace > 0:
 	default:
 		w.end(o.Task, t, protocol.EndStopped)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -64,7 +64,7 @@
 // Get reads a key.
 func (c *Client) Get(ctx context.Context, key string) (protocol.Item, error) {
 	var item protocol.Item
-	if !c.budget.allow(0, First) {
+	if !c.budget.allow(0, PriorityHigh) {
 		return item, serviceclient.ErrRefused
 	}
 	err := c.do(ctx, http.MethodGet, "/keys/"+key, nil, &item)
@@ -109,7 +109,7 @@
 }
 
 // CompareAndSwap executes a transaction and returns its revision.
-func (c *Client) CompareAndSwap(ctx context.Context, t protocol.Transaction, p Precedence) (protocol.Revision, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, t protocol.Transaction, p Priority) (protocol.Revision, error) {
 	if !c.budget.allow(len(t.Changes), p) {
 		return 0, serviceclient.ErrRefused
 	}
@@ -128,7 +128,7 @@
 // Compare compares the versions of records, all in one request. Where some differ it
 // returns their keys and serviceclient.ErrConflict.
 func (c *Client) Compare(ctx context.Context, conditions []protocol.Condition) ([]string, error) {
-	if !c.budget.allow(0, First) {
+	if !c.budget.allow(0, PriorityHigh) {
 		return nil, serviceclient.ErrRefused
 	}
 	var reply protocol.TransactionReply
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -83,12 +83,12 @@
 		{410, serviceclient.ErrCompacted},
 	} {
 		next = &transport.Message{Status: tc.status}
-		if _, err := s.CompareAndSwap(ctx, txn, First); !errors.Is(err, tc.want) {
+		if _, err := s.CompareAndSwap(ctx, txn, PriorityHigh); !errors.Is(err, tc.want) {
 			t.Errorf("status %d: %v", tc.status, err)
 		}
 	}
 	next = nil
-	_, err := s.CompareAndSwap(ctx, txn, First)
+	_, err := s.CompareAndSwap(ctx, txn, PriorityHigh)
 	if err == nil || errors.Is(err, serviceclient.ErrRefused) || errors.Is(err, serviceclient.ErrConflict) {
 		t.Errorf("no answer: %v, want an unknown outcome", err)
 	}
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	addr := serve(t, func(*transport.Message) *transport.Message { return &transport.Message{Status: 200, Body: body} })
-	for p, want := range map[Precedence]int{First: 20, Later: 15, Spare: 10} {
+	for p, want := range map[Priority]int{PriorityHigh: 20, PriorityNormal: 15, PriorityLow: 10} {
 		s := NewClient(addr, 1e6, 1e6, 1)
 		s.budget.writes = rate.NewLimiter(0, 20) // full, and nothing comes back
 		done := 0
--- a/internal/kvstore/ratebudget.go
+++ b/internal/kvstore/ratebudget.go
@@ -22,14 +22,14 @@
 	return RateAllotment{rps * part, writeRPS * part}
 }
 
-// Precedence orders transactions when the allotment of changes runs short.
-type Precedence int
+// Priority orders transactions when the allotment of changes runs short.
+type Priority int
 
 // The precedences of transactions.
 const (
-	First Precedence = iota // users or agent epochs wait for it
-	Later                   // may be delayed, as the registration of many machines at once
-	Spare                   // only keeps a record up to date, as bitmaps
+	PriorityHigh   Priority = iota // users or agent epochs wait for it
+	PriorityNormal                 // may be delayed, as the registration of many machines at once
+	PriorityLow                    // only keeps a record up to date, as bitmaps
 )
 
 // reservedPerPrecedence is the part of the burst of changes that each step of precedence
@@ -88,7 +88,7 @@
 
 // allow takes a request with a number of changes out of the budget, and reports whether
 // it may be sent.
-func (b *rateBudget) allow(writes int, p Precedence) bool {
+func (b *rateBudget) allow(writes int, p Priority) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -133,7 +133,7 @@
 
 // defers reports whether a transaction has to leave the remaining budget of changes to
 // those of a higher precedence. With a full burst none has to.
-func (b *rateBudget) defers(now time.Time, writes int, p Precedence) bool {
+func (b *rateBudget) defers(now time.Time, writes int, p Priority) bool {
 	available, full := b.writes.TokensAt(now), float64(b.writes.Burst())
 	reserved := full * float64(p) * reservedPerPrecedence
 	return available < full && available-float64(writes) < reserved
--- a/internal/kvstore/ratebudget_test.go
+++ b/internal/kvstore/ratebudget_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("%d requests and %d changes while it lasts", b.requests.Burst(), b.writes.Burst())
 	}
 	b.borrowedUntil = time.Now() // an hour later
-	b.allow(1, First)
+	b.allow(1, PriorityHigh)
 	if b.requests.Burst() != 30 || b.writes.Burst() != 10 {
 		t.Errorf("%d requests and %d changes after it is over", b.requests.Burst(), b.writes.Burst())
 	}
@@ -36,7 +36,7 @@
 	s := NewClient("127.0.0.1:1", 10, 4, 1)
 	refused := 0
 	for range 40 {
-		if !s.budget.allow(1, First) {
+		if !s.budget.allow(1, PriorityHigh) {
 			refused++
 		}
 	}
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -99,7 +99,7 @@
 	if err := protocol.Decode(response.Body, &reply); err != nil || reply.Code == "" {
 		return Reply{}, fmt.Errorf("%w %d", errStatus, response.Status)
 	}
-	if reply.Code == Later {
+	if reply.Code == RetryLater {
 		return Reply{}, &LaterError{Reason: reply.Reason}
 	}
 	return reply, nil
--- a/internal/operatorapi/config.go
+++ b/internal/operatorapi/config.go
@@ -26,8 +26,8 @@
 	After record.EntryID `cbor:"after,omitempty"`
 }
 
-// Wants reports whether the request selects an entry.
-func (r *ConfigRequest) Wants(id record.EntryID) bool {
+// Selects reports whether the request selects an entry.
+func (r *ConfigRequest) Selects(id record.EntryID) bool {
 	kind, _ := id.Split()
 	return r.Entry == "" || r.Entry == id || string(r.Entry) == string(kind)
 }
@@ -76,13 +76,13 @@
 	Revision record.ConfigurationRevision `cbor:"revision" json:"revision"`
 	// Member is whether the controller is a member of the view.
 	Member bool `cbor:"member" json:"member"`
-	// Acting is whether it holds its lease, known only of the controller that replies.
-	Acting bool `cbor:"acting,omitempty" json:"acting,omitempty"`
+	// HoldsLease is whether it holds its lease, known only of the controller that replies.
+	HoldsLease bool `cbor:"acting,omitempty" json:"acting,omitempty"`
 	// Older is whether its version or its settings don't support the dynamic
 	// configuration, so that it is excluded from the view.
 	Older bool `cbor:"older,omitempty" json:"older,omitempty"`
-	// HeardS is the time since its last contact, in seconds.
-	HeardS float64 `cbor:"heard_s" json:"heard_s"`
+	// LastContactS is the time since its last contact, in seconds.
+	LastContactS float64 `cbor:"heard_s" json:"heard_s"`
 }
 
 // configFields is a set of kinds of fields of a ConfigChange.
--- a/internal/operatorapi/errortext_test.go
+++ b/internal/operatorapi/errortext_test.go
@@ -73,7 +73,7 @@
 		response *transport.Message
 		want     string
 	}{
-		{"later", &transport.Message{Status: 503, Body: body(Reply{Code: Later, Reason: "may not act now"})}, "may not act now"},
+		{"later", &transport.Message{Status: 503, Body: body(Reply{Code: RetryLater, Reason: "may not act now"})}, "may not act now"},
 		{"no keys", &transport.Message{Status: 404, Body: body(protocol.ErrorBody{Error: "no keys"})}, "takes no operators' requests: no keys"},
 		{"not found", &transport.Message{Status: 404}, "status 404"},
 		{"no code", &transport.Message{Status: 200, Body: body(Reply{})}, "status 200"},
--- a/internal/operatorapi/reply.go
+++ b/internal/operatorapi/reply.go
@@ -10,11 +10,11 @@
 
 // The codes of replies.
 const (
-	Done     Code = "done"
-	Refused  Code = "refused" // can't be fulfilled, or is malformed
-	NotFound Code = "not_found"
-	Denied   Code = "denied" // the seal is invalid or expired
-	Later    Code = "later"  // can't be decided now: retry
+	Done       Code = "done"
+	Refused    Code = "refused" // can't be fulfilled, or is malformed
+	NotFound   Code = "not_found"
+	Denied     Code = "denied" // the seal is invalid or expired
+	RetryLater Code = "later"  // can't be decided now: retry
 )
 
 // Reply is the reply to a request.
@@ -24,9 +24,9 @@
 
 	// Conflicts are the entries that conflict with what was requested, and Beside those
 	// that overlap without a conflict. FirstMS are the first occurrences.
-	InTheWay []record.EntryName `cbor:"in_the_way,omitempty" json:"in_the_way,omitempty"`
-	Beside   []record.EntryName `cbor:"beside,omitempty" json:"beside,omitempty"`
-	FirstMS  []record.Moment    `cbor:"first_ms,omitempty" json:"first_ms,omitempty"`
+	Conflicts   []record.EntryName `cbor:"in_the_way,omitempty" json:"in_the_way,omitempty"`
+	Overlapping []record.EntryName `cbor:"beside,omitempty" json:"beside,omitempty"`
+	FirstMS     []record.Moment    `cbor:"first_ms,omitempty" json:"first_ms,omitempty"`
 
 	Reservations []Reservation `cbor:"reservations,omitempty" json:"reservations,omitempty"`
 	Windows      []Window      `cbor:"windows,omitempty" json:"windows,omitempty"`
@@ -62,14 +62,14 @@
 
 // Controller is the state of a controller.
 type Controller struct {
-	Name     protocol.NodeName `cbor:"name" json:"name"`
-	Zone     protocol.Zone     `cbor:"zone,omitempty" json:"zone,omitempty"`
-	Shares   int               `cbor:"shares" json:"shares"`
-	Machines int               `cbor:"machines" json:"machines"`
-	LateMS   float64           `cbor:"late_ms" json:"late_ms"`                     // delay of its ticks
-	Deaf     bool              `cbor:"deaf,omitempty" json:"deaf,omitempty"`       // workers can't reach it
-	Away     bool              `cbor:"away,omitempty" json:"away,omitempty"`       // cordoned
-	Leaving  bool              `cbor:"leaving,omitempty" json:"leaving,omitempty"` // shutting down
+	Name        protocol.NodeName `cbor:"name" json:"name"`
+	Zone        protocol.Zone     `cbor:"zone,omitempty" json:"zone,omitempty"`
+	Shares      int               `cbor:"shares" json:"shares"`
+	Machines    int               `cbor:"machines" json:"machines"`
+	LateMS      float64           `cbor:"late_ms" json:"late_ms"`                     // delay of its ticks
+	Unreachable bool              `cbor:"deaf,omitempty" json:"deaf,omitempty"`       // workers can't reach it
+	Cordoned    bool              `cbor:"away,omitempty" json:"away,omitempty"`       // cordoned
+	Leaving     bool              `cbor:"leaving,omitempty" json:"leaving,omitempty"` // shutting down
 }
 
 // Share is the state of a shard of the machines.
--- a/internal/operatorapi/request.go
+++ b/internal/operatorapi/request.go
@@ -35,9 +35,9 @@
 	DryRun bool `cbor:"dry_run,omitempty"`
 	// Replace lets OpAdd replace the entry of the same name.
 	Replace bool `cbor:"replace,omitempty"`
-	// Made is the creation time of the entry to be cancelled. An entry of the same name
+	// CreatedAt is the creation time of the entry to be cancelled. An entry of the same name
 	// that was made at another time is not cancelled.
-	Made record.Moment `cbor:"made_ms,omitempty"`
+	CreatedAt record.Moment `cbor:"made_ms,omitempty"`
 
 	Reservation *record.ReservationSpec `cbor:"reservation,omitempty"`
 	Spec        *record.WindowSpec      `cbor:"spec,omitempty"` // the window of OpAdd
--- a/internal/operatorapi/seal.go
+++ b/internal/operatorapi/seal.go
@@ -50,10 +50,10 @@
 	return body, nil
 }
 
-// SealLasts is how old a sealed request may be, and how far ahead of the receiver's
+// SealLifetime is how old a sealed request may be, and how far ahead of the receiver's
 // clock, beyond the error of clocks. Within that time whoever has seen it can replay it;
 // a replayed change does nothing more because of its id.
-const SealLasts = 30 * time.Second
+const SealLifetime = 30 * time.Second
 
 // ErrSeal is returned for a request that no valid seal authenticates.
 var ErrSeal = errors.New("not sealed by an operator's key, or too long ago")
@@ -73,7 +73,7 @@
 		return k.Name == s.Key && hmac.Equal(seal, k.mac(s.AtMS, s.Request))
 	})
 	age := now.Sub(time.UnixMilli(s.AtMS)).Abs()
-	if !valid || age > SealLasts+2*clockError {
+	if !valid || age > SealLifetime+2*clockError {
 		return Request{}, "", ErrSeal
 	}
 	request, err := base64.StdEncoding.DecodeString(s.Request)
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -24,9 +24,9 @@
 //	together      OneZone      all tasks in the same zone
 //	scatter       Spread       tasks on different machines
 //	driftstock    Spot         spot machines, allowed or asked for
-//	passage_s     EstimateSeconds    estimated run time
+//	passage_s     EstimateS    estimated run time
 //	logmark_s     CheckpointS  interval of checkpoints
-//	stow_s        SaveS        time to save a checkpoint
+//	stow_s        CheckpointDurationS        time to save a checkpoint
 //	landfall_s    DeadlineS    deadline, after the submission
 //	submitted_ms  SubmittedMS  time of acceptance
 //	bearing       State        state of a job, a task or a machine
--- a/internal/protocol/fieldchecker.go
+++ b/internal/protocol/fieldchecker.go
@@ -54,7 +54,7 @@
 	job.Spot = c.flag("driftstock", s.Spot)
 	job.EstimateS = c.amount("passage_s", s.EstimateS)
 	job.CheckpointS = c.amount("logmark_s", s.CheckpointS)
-	job.SaveS = c.amount("stow_s", s.SaveS)
+	job.CheckpointDurationS = c.amount("stow_s", s.CheckpointDurationS)
 }
 
 // optional converts the fields that a submission may leave out.
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -35,27 +35,27 @@
 
 // Job is a job as its user described it.
 type Job struct {
-	ID          JobID         `cbor:"id"`
-	Class       string        `cbor:"berth"`
-	Team        Team          `cbor:"crew"`
-	Kind        Kind          `cbor:"rig"`
-	Priority    Priority      `cbor:"tide"`
-	Tasks       uint32        `cbor:"hauls"`
-	CPUs        float64       `cbor:"cores"`
-	GPUs        float64       `cbor:"gpus"`
-	MemoryGB    float64       `cbor:"memory_gb"`
-	Image       string        `cbor:"hullcast"`
-	ImageGB     float64       `cbor:"image_gb"`
-	Types       []MachineType `cbor:"hulls"`
-	Zone        Zone          `cbor:"quay"`
-	OneZone     bool          `cbor:"together"`
-	Spread      bool          `cbor:"scatter"`
-	Spot        bool          `cbor:"driftstock"`
-	EstimateS   float64       `cbor:"passage_s"`
-	CheckpointS float64       `cbor:"logmark_s"`
-	SaveS       float64       `cbor:"stow_s"`
-	DeadlineS   float64       `cbor:"landfall_s"`
-	SubmittedMS int64         `cbor:"submitted_ms,omitempty"` // no part of submissions: the time of acceptance, by the accepting controller's clock
+	ID                  JobID         `cbor:"id"`
+	Class               string        `cbor:"berth"`
+	Team                Team          `cbor:"crew"`
+	Kind                Kind          `cbor:"rig"`
+	Priority            Priority      `cbor:"tide"`
+	Tasks               uint32        `cbor:"hauls"`
+	CPUs                float64       `cbor:"cores"`
+	GPUs                float64       `cbor:"gpus"`
+	MemoryGB            float64       `cbor:"memory_gb"`
+	Image               string        `cbor:"hullcast"`
+	ImageGB             float64       `cbor:"image_gb"`
+	Types               []MachineType `cbor:"hulls"`
+	Zone                Zone          `cbor:"quay"`
+	OneZone             bool          `cbor:"together"`
+	Spread              bool          `cbor:"scatter"`
+	Spot                bool          `cbor:"driftstock"`
+	EstimateS           float64       `cbor:"passage_s"`
+	CheckpointS         float64       `cbor:"logmark_s"`
+	CheckpointDurationS float64       `cbor:"stow_s"`
+	DeadlineS           float64       `cbor:"landfall_s"`
+	SubmittedMS         int64         `cbor:"submitted_ms,omitempty"` // no part of submissions: the time of acceptance, by the accepting controller's clock
 }
 
 // JobState is the state of a job as reported to its users.
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -3,26 +3,26 @@
 // submission is the wire form of a submission. Every field is optional, so that an error
 // can name a missing one. The type's name is part of texts that users get from Decode.
 type submission struct {
-	ID          *string   `cbor:"id"`
-	Class       *string   `cbor:"berth"`
-	Team        *string   `cbor:"crew"`
-	Kind        *string   `cbor:"rig"`
-	Priority    *string   `cbor:"tide"`
-	Tasks       *uint64   `cbor:"hauls"`
-	CPUs        *float64  `cbor:"cores"`
-	GPUs        *float64  `cbor:"gpus"`
-	MemoryGB    *float64  `cbor:"memory_gb"`
-	Image       *string   `cbor:"hullcast"`
-	ImageGB     *float64  `cbor:"image_gb"`
-	Types       *[]string `cbor:"hulls"`
-	Zone        *string   `cbor:"quay"`
-	OneZone     *bool     `cbor:"together"`
-	Spread      *bool     `cbor:"scatter"`
-	Spot        *bool     `cbor:"driftstock"`
-	EstimateS   *float64  `cbor:"passage_s"`
-	CheckpointS *float64  `cbor:"logmark_s"`
-	SaveS       *float64  `cbor:"stow_s"`
-	DeadlineS   *float64  `cbor:"landfall_s"`
+	ID                  *string   `cbor:"id"`
+	Class               *string   `cbor:"berth"`
+	Team                *string   `cbor:"crew"`
+	Kind                *string   `cbor:"rig"`
+	Priority            *string   `cbor:"tide"`
+	Tasks               *uint64   `cbor:"hauls"`
+	CPUs                *float64  `cbor:"cores"`
+	GPUs                *float64  `cbor:"gpus"`
+	MemoryGB            *float64  `cbor:"memory_gb"`
+	Image               *string   `cbor:"hullcast"`
+	ImageGB             *float64  `cbor:"image_gb"`
+	Types               *[]string `cbor:"hulls"`
+	Zone                *string   `cbor:"quay"`
+	OneZone             *bool     `cbor:"together"`
+	Spread              *bool     `cbor:"scatter"`
+	Spot                *bool     `cbor:"driftstock"`
+	EstimateS           *float64  `cbor:"passage_s"`
+	CheckpointS         *float64  `cbor:"logmark_s"`
+	CheckpointDurationS *float64  `cbor:"stow_s"`
+	DeadlineS           *float64  `cbor:"landfall_s"`
 }
 
 // SubmittedID reads only the id of a submission that may otherwise be malformed, so that
@@ -71,7 +71,7 @@
 		ID: &id, Class: &class, Team: &team, Kind: &kind, Priority: &priority, Tasks: &tasks,
 		CPUs: &j.CPUs, GPUs: &j.GPUs, MemoryGB: &j.MemoryGB, Image: &j.Image, ImageGB: &j.ImageGB,
 		OneZone: &j.OneZone, Spread: &j.Spread, Spot: &j.Spot,
-		EstimateS: &j.EstimateS, CheckpointS: &j.CheckpointS, SaveS: &j.SaveS,
+		EstimateS: &j.EstimateS, CheckpointS: &j.CheckpointS, CheckpointDurationS: &j.CheckpointDurationS,
 	}
 	if j.DeadlineS > 0 {
 		s.DeadlineS = &j.DeadlineS
--- a/internal/scale/analysis/analysis.go
+++ b/internal/scale/analysis/analysis.go
@@ -71,7 +71,7 @@
 
 // requirements returns the parameters of the rules for the run.
 func (r *Run) requirements() rules.Requirements {
-	out := rules.Requirements{CancelGraceS: r.Site.Timings.CancelS, LimitChanges: r.LimitChanges, LimitGraceS: config.ConfiguredWithin.Seconds()}
+	out := rules.Requirements{CancelGraceS: r.Site.Timings.CancelS, LimitChanges: r.LimitChanges, LimitGraceS: config.ConfigPropagationLimit.Seconds()}
 	for _, team := range siteconfig.ControllerSettings(r.Site).Teams {
 		out.Teams = append(out.Teams, rules.Team{Name: team.Name, MaxCPUs: team.MaxCPUs})
 	}
--- a/internal/scale/operator/metrics.go
+++ b/internal/scale/operator/metrics.go
@@ -44,7 +44,7 @@
 	}
 	m := &Metrics{Changes: len(o.changes), Failed: o.failed, AnsweredP99S: metrics.WaitsOf(o.answerTimes).P99S, OldestS: max(0, o.longestStale.Seconds())}
 	inForce, answering := metrics.NewHistogram(), metrics.NewHistogram()
-	bound := config.FollowedWithin(o.nodeLease())
+	bound := config.MaxWatchStaleness(o.nodeLease())
 	for _, made := range o.changes {
 		d := o.delays(made, bound)
 		metrics.Observe(inForce, d.all)
@@ -86,7 +86,7 @@
 func (o *Operator) nodeLease() time.Duration {
 	operatorSettings, err := config.DefaultOperator().Fit(o.settings)
 	if err != nil {
-		return config.ConfiguredWithin
+		return config.ConfigPropagationLimit
 	}
 	return operatorSettings.NodeLease
 }
--- a/internal/scale/operator/watch.go
+++ b/internal/scale/operator/watch.go
@@ -40,7 +40,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, made := range o.changes {
-		if c.Revision >= made.revision || !c.Acting {
+		if c.Revision >= made.revision || !c.HoldsLease {
 			if _, applied := made.appliedAt[c.Name]; !applied {
 				made.appliedAt[c.Name] = max(answeredAt, made.answeredAt)
 			}
@@ -48,7 +48,7 @@
 		}
 		stale := requestedAt - made.answeredAt
 		o.longestStale = max(o.longestStale, stale)
-		if stale > config.ConfiguredWithin {
+		if stale > config.ConfigPropagationLimit {
 			o.violations = append(o.violations, rules.Violation{Rule: ruleConfiguration, At: requestedAt, Detail: fmt.Sprintf("%s acts by revision %d, %d was made %v ago", c.Name, c.Revision, made.revision, stale)})
 		}
 	}
--- a/internal/serviceclient/call.go
+++ b/internal/serviceclient/call.go
@@ -44,7 +44,7 @@
 	defer cancel()
 	response, err := client.Do(ctx, method, target, body)
 	if err != nil {
-		client.Forget() // other idle connections to an unreachable service are dead too
+		client.CloseIdleConnections() // other idle connections to an unreachable service are dead too
 		return fmt.Errorf("call the service: %w", err)
 	}
 	return DecodeResponse(response, out)
--- a/internal/simulator/configuredworld_test.go
+++ b/internal/simulator/configuredworld_test.go
@@ -107,7 +107,7 @@
 // that comes onto its machine now.
 func (w *configuredWorld) limitInForce(team protocol.Team) float64 {
 	w.recordCommits()
-	since := w.now - config.ConfiguredWithin - startWithin
+	since := w.now - config.ConfigPropagationLimit - startWithin
 	most := 0.0
 	for i, l := range w.limits[team] {
 		if i+1 < len(w.limits[team]) && w.limits[team][i+1].at < since {
@@ -122,7 +122,7 @@
 func (w *configuredWorld) checkOrders(n *node, orders []protocol.Order) {
 	w.recordCommits()
 	acts := n.core.ConfigurationInForce().Revision
-	if at, replaced := w.commits[acts+1]; replaced && w.now-at > config.ConfiguredWithin && len(orders) > 0 {
+	if at, replaced := w.commits[acts+1]; replaced && w.now-at > config.ConfigPropagationLimit && len(orders) > 0 {
 		w.fail("%v %s acts by revision %d, replaced %v ago", w.now, n.name, acts, w.now-at)
 	}
 }
@@ -155,7 +155,7 @@
 		request := r
 		reply, txn := n.core.Decide("ops", &request)
 		switch {
-		case txn == nil && reply.Code == operatorapi.Later:
+		case txn == nil && reply.Code == operatorapi.RetryLater:
 			next(at+1, 300*time.Millisecond)
 			return
 		case txn == nil:
--- a/internal/simulator/frontend_test.go
+++ b/internal/simulator/frontend_test.go
@@ -101,7 +101,7 @@
 			return c
 		}, func(out message.Outcome) any { return admission.Compared{Query: a.Query, Outcome: out} })
 	case admission.Write:
-		f.n.transact(a.Txn, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
+		f.n.transact(a.Transaction, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
 	case admission.QueryOwners:
 		f.step(f.n.core.AnswerOwnerQuery(a))
 	case admission.Forward:
--- a/internal/simulator/overlaps_test.go
+++ b/internal/simulator/overlaps_test.go
@@ -189,8 +189,8 @@
 	w.runTime = func(protocol.TaskID) time.Duration { return 10 * time.Minute }
 	w.run(3 * time.Second)
 	for range 40 { // some still fetch their images, or wait, when it begins
-		w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, SaveS: 2})
-		w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, SaveS: 2})
+		w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, CheckpointDurationS: 2})
+		w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, CheckpointDurationS: 2})
 		w.run(w.now + 250*time.Millisecond)
 	}
 	n := w.nodes[seed%3]
@@ -274,7 +274,7 @@
 					t.Error("no cancelled task was on a machine: nothing is shown")
 				}
 				w := fake.Settings().Site.Workers
-				if bound := config.CancelledWithin(nodeLeaseDuration, w) + defaultStep; last > bound {
+				if bound := config.MaxCancellationDelay(nodeLeaseDuration, w) + defaultStep; last > bound {
 					t.Errorf("seed %d: stayed for %v, the bound is %v", seed, last, bound)
 				}
 				t.Logf("%d tasks of cancelled jobs on machines, the last for %v", on, last)
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -149,7 +149,7 @@
 		j.Class, j.Kind, j.Tasks, j.CPUs, j.Priority = "gang", protocol.KindGang, uint32(1+w.rng.IntN(3)), 4, "high"
 		j.OneZone = w.rng.IntN(2) == 0
 	case 1:
-		j.Kind, j.Tasks, j.CheckpointS, j.SaveS = protocol.KindService, 2, 0, 0
+		j.Kind, j.Tasks, j.CheckpointS, j.CheckpointDurationS = protocol.KindService, 2, 0, 0
 	case 2:
 		j.Zone = "b"
 	case 3:
@@ -163,7 +163,7 @@
 		j.Team = "bound"
 	}
 	if w.rng.IntN(3) == 0 && j.Kind == protocol.KindJobArray {
-		j.CheckpointS, j.SaveS = 2, 2
+		j.CheckpointS, j.CheckpointDurationS = 2, 2
 	}
 	return j
 }
--- a/internal/simulator/schedule.go
+++ b/internal/simulator/schedule.go
@@ -77,7 +77,7 @@
 		tasks := 1 + int(d.rng.ExpFloat64()*float64(l.Tasks-1)+0.5)
 		d.submitUntilAccepted(protocol.Job{
 			Class: l.Class, Team: l.Team, Kind: protocol.KindJobArray, Priority: l.Priority, Tasks: uint32(min(tasks, maxTasksFactor*l.Tasks)),
-			CPUs: l.CPUs, EstimateS: l.EstimateS, CheckpointS: l.CheckpointS, SaveS: l.SaveS, Spot: l.Spot,
+			CPUs: l.CPUs, EstimateS: l.EstimateS, CheckpointS: l.CheckpointS, CheckpointDurationS: l.SaveS, Spot: l.Spot,
 		}, jobState{factor: l.Factor})
 		d.scheduleArrival(l)
 	})
@@ -139,7 +139,7 @@
 	}
 	reply, txn := n.core.Decide(simulatorOperator, &r)
 	switch {
-	case reply.Code == operatorapi.Later, txn != nil && !d.state.Txn(*txn):
+	case reply.Code == operatorapi.RetryLater, txn != nil && !d.state.Txn(*txn):
 		retry()
 	case reply.Code != operatorapi.Done:
 		name := r.Name
@@ -148,7 +148,7 @@
 		} else if r.Spec != nil {
 			name = r.Spec.Name
 		}
-		d.result.Refused = append(d.result.Refused, Refusal{Name: name, Reason: reply.Reason, Conflicts: reply.InTheWay})
+		d.result.Refused = append(d.result.Refused, Refusal{Name: name, Reason: reply.Reason, Conflicts: reply.Conflicts})
 	}
 }
 
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -77,7 +77,7 @@
 // commit applies a core's transaction.
 func (n *node) commit(a message.Commit) {
 	n.world.checkTransactionSize(a)
-	n.transact(a.Txn, func(out message.Outcome, at protocol.Revision) {
+	n.transact(a.Transaction, func(out message.Outcome, at protocol.Revision) {
 		n.step(message.CommitDone{Tag: a.Tag, Outcome: out, Revision: at})
 	})
 }
@@ -133,11 +133,11 @@
 // checkTransactionSize checks a transaction against the limits of the state service.
 func (w *world) checkTransactionSize(a message.Commit) {
 	limits := w.settings.Site.State
-	if ops := len(a.Txn.Changes); ops > limits.TxnOps || len(a.Txn.Conditions) > 4*limits.TxnOps {
-		w.fail("%v transaction %T of %d conditions and %d changes", w.now, a.Tag, len(a.Txn.Conditions), ops)
+	if ops := len(a.Transaction.Changes); ops > limits.TxnOps || len(a.Transaction.Conditions) > 4*limits.TxnOps {
+		w.fail("%v transaction %T of %d conditions and %d changes", w.now, a.Tag, len(a.Transaction.Conditions), ops)
 	}
 	total := 0
-	for _, change := range a.Txn.Changes {
+	for _, change := range a.Transaction.Changes {
 		if block, ok := change.Value.(record.Block); ok {
 			w.blockWrites++
 			text, err := json.Marshal(block)
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -152,7 +152,7 @@
 	m := map[string]any{
 		"id": j.ID, "berth": j.Class, "crew": j.Team, "rig": j.Kind, "tide": j.Priority, "hauls": j.Tasks, "cores": j.CPUs, "gpus": j.GPUs,
 		"memory_gb": j.MemoryGB, "hullcast": j.Image, "image_gb": j.ImageGB, "hulls": nil, "quay": nil, "together": j.OneZone, "scatter": j.Spread,
-		"driftstock": j.Spot, "passage_s": j.EstimateS, "logmark_s": j.CheckpointS, "stow_s": j.SaveS, "landfall_s": nil,
+		"driftstock": j.Spot, "passage_s": j.EstimateS, "logmark_s": j.CheckpointS, "stow_s": j.CheckpointDurationS, "landfall_s": nil,
 	}
 	if len(j.Types) > 0 {
 		m["hulls"] = j.Types
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -103,9 +103,9 @@
 	c.idle = append(c.idle, cc)
 }
 
-// Forget closes the idle connections. It is called after a request failed: the others
+// CloseIdleConnections closes the idle connections. It is called after a request failed: the others
 // are likely to be dead too.
-func (c *Client) Forget() {
+func (c *Client) CloseIdleConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, cc := range c.idle {
