--- a/cmd/damsonkeel/main.go
+++ b/cmd/damsonkeel/main.go
@@ -39,6 +39,7 @@
 	reason string
 }
 
+// Error implements error.
 func (e *exitError) Error() string { return e.reason }
 
 func main() {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -11,6 +11,7 @@
 	Problem string
 }
 
+// Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 // badField makes a FieldError with a formatted problem.
@@ -24,6 +25,7 @@
 	Problem string
 }
 
+// Error implements error.
 func (e *ValueError) Error() string { return fmt.Sprintf("%q %s", e.Text, e.Problem) }
 
 var (
--- a/internal/controller/clusterstate/configuration.go
+++ b/internal/controller/clusterstate/configuration.go
@@ -24,7 +24,7 @@
 // Objectives returns the service-level objectives in force.
 func (s *State) Objectives() []config.Objective { return s.Configuration.Effective().Objectives }
 
-// PlaceCordoned reports whether a machine's type or zone accepts no new tasks.
+// PlaceClosed reports whether a machine's type or zone accepts no new tasks.
 func (s *State) PlaceClosed(machineType protocol.MachineType, zone protocol.Zone) bool {
 	return s.Configuration.Effective().PlaceCordoned(machineType, zone)
 }
--- a/internal/controller/dynamicconfig/errors.go
+++ b/internal/controller/dynamicconfig/errors.go
@@ -5,6 +5,7 @@
 // RefusedError is a change that can't be made. Operators get the reason in the reply.
 type RefusedError struct{ Reason string }
 
+// Error implements error.
 func (e *RefusedError) Error() string { return e.Reason }
 
 // refused makes a RefusedError with a formatted reason.
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -27,6 +27,7 @@
 // LaterError is returned by a controller that can't decide a request now.
 type LaterError struct{ Reason string }
 
+// Error implements error.
 func (e *LaterError) Error() string { return e.Reason }
 
 // Client sends requests to controllers, one after the other, until one settles them.
--- a/internal/protocol/fieldchecker.go
+++ b/internal/protocol/fieldchecker.go
@@ -11,6 +11,7 @@
 	Problem string
 }
 
+// Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 // Problems of fields.
--- a/internal/transport/parser.go
+++ b/internal/transport/parser.go
@@ -17,6 +17,7 @@
 	Problem string
 }
 
+// Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("%d: %s", e.Status, e.Problem) }
 
 var (
