--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -14,19 +14,20 @@
 	"damsonkeel/internal/record"
 )
 
-// recorder is a lone core that records machines in blocks, with a state service
-// whose changes of machines' records it counts.
+// recorder is a single core that records machines in blocks, with a key-value store whose
+// changes of machines' records it counts.
 type recorder struct {
 	*bench
-	state    *fake.State
+	state    *fake.KeyValueStore
 	followed int
 	changes  int
 	outcome  func(message.Commit) message.Outcome // of a transaction; nil: executed
 	late     []protocol.Transaction
 }
 
+// newRecorder makes a core that is a member and uses blocks.
 func newRecorder(tb testing.TB) *recorder {
-	r := &recorder{bench: newBench(tb), state: fake.NewState()}
+	r := &recorder{bench: newBench(tb), state: fake.NewKeyValueStore()}
 	r.c.reset()
 	lease := r.state.Lease(0, time.Hour)
 	r.step(message.Snapshot{Session: lease})
@@ -39,7 +40,7 @@
 	return r
 }
 
-// settle plays so many ticks with what they bring.
+// settle runs so many ticks with the changes that follow from them.
 func (r *recorder) settle(ticks int) {
 	for range ticks {
 		r.carry(r.step(message.Tick{}))
@@ -53,14 +54,15 @@
 	}
 }
 
+// carry executes the transactions among the actions, with the outcomes that the test sets.
 func (r *recorder) carry(actions []message.Action) {
 	for _, a := range actions {
 		c, ok := a.(message.Commit)
 		if !ok {
 			continue
 		}
-		if _, pen := c.Tag.(workerregistry.Tag); pen {
-			r.changes += len(c.Txn.Changes)
+		if _, registration := c.Tag.(workerregistry.Tag); registration {
+			r.changes += len(c.Transaction.Changes)
 		}
 		out := message.OutcomeDone
 		if r.outcome != nil {
@@ -68,16 +70,16 @@
 		}
 		switch {
 		case out == message.OutcomeUnknown:
-			r.late = append(r.late, c.Txn)
-		case out == message.OutcomeDone && !r.state.Txn(c.Txn):
+			r.late = append(r.late, c.Transaction)
+		case out == message.OutcomeDone && !r.state.Txn(c.Transaction):
 			out = message.OutcomeFailed
 		}
 		r.carry(r.step(message.CommitDone{Tag: c.Tag, Outcome: out}))
 	}
 }
 
-// wave has so many workers report for the first time, or with a later session,
-// all at once.
+// wave has so many workers send their first heartbeat, or one with a later agent epoch, all
+// at once.
 func (r *recorder) wave(machines int, session protocol.AgentEpoch) {
 	for i := range machines {
 		r.seq++
@@ -88,9 +90,10 @@
 	}
 }
 
+// registered counts the machines that are registered with an agent epoch.
 func (r *recorder) registered(session protocol.AgentEpoch) int {
 	n := 0
-	for _, m := range r.c.table.Machines {
+	for _, m := range r.c.waitTable.Machines {
 		if m.Record.Session == session {
 			n++
 		}
@@ -98,9 +101,9 @@
 	return n
 }
 
-// TestWaveCostsFewChanges: 1,300 workers that register at once, and that come
-// back with a later session at once, cost a change of the state service for
-// some 50 of them. One record for each took 1,300.
+// TestWaveCostsFewChanges: 1,300 workers that register at once, and that come back with a
+// later agent epoch at once, cost a change of the key-value store for some 50 of them. One
+// record for each took 1,300.
 func TestWaveCostsFewChanges(t *testing.T) {
 	const machines = 1300
 	r := newRecorder(t)
@@ -118,15 +121,15 @@
 	}
 }
 
-// TestLateWriteOfBlocks: a write of blocks without an answer, executed much
-// later, puts no machine into two blocks and brings back no record.
-func TestLateWriteOfBlocks(t *testing.T) {
+// TestLateWritePutsNoMachineIntoTwoBlocks: a write of blocks without an answer, executed
+// much later, puts no machine into two blocks and brings back no record.
+func TestLateWritePutsNoMachineIntoTwoBlocks(t *testing.T) {
 	r := newRecorder(t)
 	r.wave(40, 1)
 	r.settle(10)
 	lost := 2
 	r.outcome = func(c message.Commit) message.Outcome {
-		if _, pen := c.Tag.(workerregistry.Tag); pen && lost > 0 {
+		if _, registration := c.Tag.(workerregistry.Tag); registration && lost > 0 {
 			lost--
 			return message.OutcomeUnknown
 		}
@@ -165,19 +168,19 @@
 }
 
 // TestSilentMachineLeavesItsBlock: a machine silent for longer than its lease
-// goes from its block, and one recorded by an earlier version, in a record of
-// its own, goes with that.
+// is removed from its block; the separate record of a machine that an earlier version
+// wrote is deleted.
 func TestSilentMachineLeavesItsBlock(t *testing.T) {
 	r := newRecorder(t)
 	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
 	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
 	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
 	r.settle(2)
-	epoch := r.c.table.Machines["vm-000000"].Epoch
+	epoch := r.c.waitTable.Machines["vm-000000"].Epoch
 	r.wave(1, 2) // comes back with a later session: moves into a block
 	r.settle(5)
 	inBlock := r.c.registrar.InBlock("vm-000000")
-	if m := r.c.table.Machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
+	if m := r.c.waitTable.Machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
 		t.Fatalf("not moved into a block: %+v", m)
 	}
 	if _, there := r.state.Get(record.MachineKey("vm-000000")); there {
@@ -185,8 +188,8 @@
 	}
 	r.now += Time(r.c.WorkerLeaseBound())
 	r.settle(60)
-	if len(r.c.table.Machines) != 0 || r.c.registrar.Blocks() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
-		t.Errorf("%d machines, %d blocks, records %v", len(r.c.table.Machines), r.c.registrar.Blocks(), r.state.List(record.FollowedPrefix))
+	if len(r.c.waitTable.Machines) != 0 || r.c.registrar.BlockCount() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
+		t.Errorf("%d machines, %d blocks, records %v", len(r.c.waitTable.Machines), r.c.registrar.BlockCount(), r.state.List(record.FollowedPrefix))
 	}
 }
 
@@ -199,7 +202,7 @@
 	node := func(name protocol.NodeName, session protocol.LeaseID, l record.Layout) (v record.View) {
 		for _, a := range append(b.put(record.NodeKey(name), record.Node{Session: session, Layout: l}), b.step(message.Tick{})...) {
 			if c, ok := a.(message.Commit); ok && c.Tag == (membership.ViewTag{}) {
-				v = c.Txn.Changes[0].Value.(record.View)
+				v = c.Transaction.Changes[0].Value.(record.View)
 			}
 		}
 		b.step(message.CommitDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -6,136 +6,16 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/controller/placement"
-
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/frontend"
 	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/placement"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 	"damsonkeel/internal/transport"
 )
 
-// fleetOf is a core that keeps and knows so many machines, with so many tasks
-// of ten jobs placed.
-func fleetOf(tb testing.TB, machines, tasks int) *bench {
-	b := newBench(tb)
-	for i := range machines {
-		b.machine(protocol.MachineID(fmt.Sprintf("vm-%05d", i)), 1)
-	}
-	for i := range 10 {
-		b.job(protocol.JobID(fmt.Sprint("job-", i)), "free", uint32(tasks/10))
-	}
-	for range 1 + tasks/placement.MaxPerStep {
-		b.step(message.Tick{})
-	}
-	return b
-}
-
-// sizes are fleets and backlogs from the smallest to twice the largest known.
-var sizes = []struct{ machines, tasks int }{{100, 300}, {300, 3000}, {900, 3000}, {900, 10000}, {10000, 100000}}
-
-// busyFleet is a fleet kept by one core, beside two controllers that workers
-// can't reach: all tasks are queued or run there, and its jobs are its own.
-type busyFleet struct {
-	*bench
-	ids  []protocol.MachineID
-	runs map[protocol.MachineID][]protocol.TaskStatus
-	turn int
-}
-
-func newBusyFleet(tb testing.TB, machines, tasks int) *busyFleet {
-	f := &busyFleet{bench: newBench(tb, "node-1", "node-2"), runs: map[protocol.MachineID][]protocol.TaskStatus{}}
-	v := f.c.View
-	f.put(record.ViewKey, record.View{Term: 2, Members: v.Members, Deaf: []protocol.NodeName{"node-1", "node-2"}})
-	for i := range machines {
-		id := protocol.MachineID(fmt.Sprintf("vm-%05d", i))
-		f.ids = append(f.ids, id)
-		f.machine(id, 1)
-	}
-	f.hear(0)
-	for i := 0; len(f.c.jobs.ByID) < 10; i++ {
-		id := protocol.JobID(fmt.Sprint("job-", i))
-		if clusterstate.Rendezvous(f.c.View, "job "+string(id)) == "node-0" {
-			f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
-				ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(tasks / 10), CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
-			}))
-		}
-	}
-	for range 10 + tasks/placement.MaxPerStep {
-		f.hear(0)
-		f.second()
-	}
-	placed := 0
-	for _, o := range f.c.jobs.ByID {
-		placed += len(o.Placed)
-	}
-	if placed < tasks {
-		tb.Fatalf("%d of %d tasks placed", placed, tasks)
-	}
-	return f
-}
-
-// play handles a message, and carries out what it asks workers to do.
-func (f *busyFleet) play(msg any) []message.Action {
-	actions := f.c.Step(f.now, msg)
-	f.obey(msg, actions)
-	return actions
-}
-
-// obey has workers start what they are told to.
-func (f *busyFleet) obey(msg any, actions []message.Action) {
-	for _, a := range actions {
-		switch a := a.(type) {
-		case message.ReplyHeartbeat:
-			f.start(msg.(message.HeartbeatReceived).Heartbeat.Machine, a.Reply.Orders)
-		case message.Command:
-			f.start(a.Machine, a.Commands.Orders)
-			f.play(message.CommandDone{
-				Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: 1, Orders: a.Commands.Orders, Answered: true, Executed: true, Heartbeat: f.says(a.Machine),
-			})
-		}
-	}
-}
-
-func (f *busyFleet) start(id protocol.MachineID, orders []protocol.Order) {
-	for _, o := range orders {
-		if o.Op == protocol.OpStart {
-			f.runs[id] = append(f.runs[id], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
-		}
-	}
-}
-
-func (f *busyFleet) says(id protocol.MachineID) protocol.Heartbeat {
-	f.seq++
-	return protocol.Heartbeat{Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: 1, Seq: f.seq, Term: f.c.View.Term, Tasks: f.runs[id]}
-}
-
-// hear has every worker report. Of so many machines, others each time, one task
-// has changed.
-func (f *busyFleet) hear(changed int) {
-	for range changed {
-		id := f.ids[f.turn%len(f.ids)]
-		f.turn++
-		if on := f.runs[id]; len(on) > 0 {
-			state := protocol.TaskSaving
-			if on[0].State == state {
-				state = protocol.TaskRunning
-			}
-			f.runs[id] = append([]protocol.TaskStatus{{Task: on[0].Task, Attempt: on[0].Attempt, State: state}}, on[1:]...)
-		}
-	}
-	for _, id := range f.ids {
-		f.play(message.HeartbeatReceived{Heartbeat: f.says(id)})
-	}
-}
-
-// second lets a second pass.
-func (f *busyFleet) second() []message.Action {
-	f.now += Time(time.Second)
-	return f.play(message.Tick{})
-}
-
 // BenchmarkRelay is a second's regular work, with what it sends to two peers in
 // the form of the wire: one task in a hundred has changed.
 func BenchmarkRelay(b *testing.B) {
@@ -202,7 +82,7 @@
 				f.version++
 				timed(&adopts, message.RecordChanged{Event: protocol.Event{Put: record.ViewKey, Value: raw, Version: f.version}})
 				for range 40 {
-					f.now += Time(tickEvery)
+					f.now += Time(tickInterval)
 					timed(&ticks, message.Tick{})
 				}
 			}
@@ -212,20 +92,20 @@
 	}
 }
 
-// BenchmarkReport is a worker's report that says nothing new.
+// BenchmarkReport is a worker's heartbeat that says nothing new.
 func BenchmarkReport(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("%d machines, %d tasks", s.machines, s.tasks), func(b *testing.B) {
 			w := fleetOf(b, s.machines, s.tasks)
-			w.report("vm-00001", 1, 1)
+			w.heartbeat("vm-00001", 1, 1)
 			for b.Loop() {
-				w.report("vm-00001", 1, 1)
+				w.heartbeat("vm-00001", 1, 1)
 			}
 		})
 	}
 }
 
-// BenchmarkReportOnTheWire is such a report of a busy machine, from the bytes of
+// BenchmarkReportOnTheWire is such a heartbeat of a busy machine, from the bytes of
 // the request to those of the answer.
 func BenchmarkReportOnTheWire(b *testing.B) {
 	f := newBusyFleet(b, 900, 10000)
@@ -249,7 +129,7 @@
 		}
 		for _, a := range f.c.Step(f.now, message.HeartbeatReceived{Heartbeat: came}) {
 			if rr, ok := a.(message.ReplyHeartbeat); ok {
-				transport.AppendResponse(nil, reportAnswer(rr))
+				transport.AppendResponse(nil, frontend.HeartbeatResponse(rr))
 			}
 		}
 	}
@@ -293,7 +173,7 @@
 		w.step(message.Tick{})
 	}
 	huge := w.c.jobs.ByID["job-huge"]
-	most := 20 * 4 * (int(placement.QueueAtMost.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
+	most := 20 * 4 * (int(placement.MaxQueueWait.Seconds())/10 + 2) // tasks of 10 s on 4 processors each
 	if n := len(huge.Placed); n == 0 || n > most {
 		t.Errorf("%d tasks placed, want up to %d", n, most)
 	}
@@ -335,7 +215,7 @@
 				f.c.Live[id] = &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: "soon", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, MemoryGB: 1, EstimateS: 10}}
 				demand = append(demand, message.Demand{Job: id, Unstarted: 20, EstimateS: 10})
 			}
-			f.c.table.Peers["node-0"].Demand = demand
+			f.c.waitTable.Peers["node-0"].Demand = demand
 			for b.Loop() {
 				f.c.Actions = nil
 				f.c.autoscaler.PlanScaleOut()
@@ -353,7 +233,7 @@
 				for range 10 {
 					f.now += Time(placement.Interval)
 					f.c.Now, f.c.Actions = f.now, nil
-					f.c.placer.Schedule()
+					f.c.placer.PlacePending()
 				}
 			}
 			b.ReportMetric(float64(f.c.placer.Examined)/float64(b.N), "looked/op")
@@ -361,24 +241,6 @@
 	}
 }
 
-// stuckFleet is a full fleet with gangs that find no place.
-func stuckFleet(tb testing.TB, machines, tasks, gangs int) *busyFleet {
-	f := newBusyFleet(tb, machines, tasks)
-	for i, n := 0, 0; n < gangs; i++ {
-		id := protocol.JobID(fmt.Sprint("job-gang-", i))
-		if clusterstate.Rendezvous(f.c.View, "job "+string(id)) != "node-0" {
-			continue
-		}
-		n++
-		f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
-			ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "best_effort", Tasks: 4, CPUs: 4, MemoryGB: 1, EstimateS: 10, Image: "i",
-		}))
-	}
-	f.hear(0)
-	f.c.placer.Examined = 0
-	return f
-}
-
 // TestStuckJobsAreRetriedLess: on a large fleet, gangs that find no place cost
 // a bounded number of machines looked at each second, however many they are;
 // each is tried again all the same, and placed once there is room.
@@ -387,11 +249,11 @@
 	f := stuckFleet(t, machines, 30000, gangs)
 	for range 20 {
 		f.now += Time(placement.Interval)
-		f.c.table.PlacementDue = true
+		f.c.waitTable.PlacementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	// Two passes for each gang that is tried: one for room, one to claim.
-	if most := 2 * 20 * 2 * placement.MaxExaminedPerStep; f.c.placer.Examined > most || f.c.placer.Examined < gangs*machines {
+	if most := 2 * 20 * 2 * placement.MaxExaminedForGangs; f.c.placer.Examined > most || f.c.placer.Examined < gangs*machines {
 		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.placer.Examined, gangs, most)
 	}
 	for i := range 8 { // machines come
@@ -402,7 +264,7 @@
 	f.hear(0)
 	for range 20 {
 		f.now += Time(placement.Interval)
-		f.c.table.PlacementDue = true
+		f.c.waitTable.PlacementDue = true
 		f.c.Step(f.now, message.Tick{})
 	}
 	placed := 0
--- a/internal/controller/membership/shardtable.go
+++ b/internal/controller/membership/shardtable.go
@@ -38,7 +38,7 @@
 		return
 	}
 	next := sharding.Copy(ms.Shards)
-	sharding.RaiseEpochAbove(next, ms.HighestToken)
+	sharding.RaiseEpochAbove(next, ms.HighestFencingToken)
 	for _, id := range take {
 		sharding.Assign(next, id, ms.Session)
 	}
@@ -48,7 +48,7 @@
 	ms.writing = true
 	ms.writtenOn = ms.ShardsVersion
 	ms.writtenAt = ms.Now
-	ms.Emit(message.Commit{Tag: ShardsTag{}, Txn: protocol.Transaction{
+	ms.Emit(message.Commit{Tag: ShardsTag{}, Transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{
 			ms.ViewUnchanged(),
 			{Key: record.ShardTableKey, Version: ms.ShardsVersion},
@@ -86,7 +86,7 @@
 	}
 	next := sharding.Copy(table)
 	// Before there was a shard table, terms were used as fencing tokens.
-	sharding.RaiseEpochAbove(next, max(ms.View.Term, ms.HighestToken))
+	sharding.RaiseEpochAbove(next, max(ms.View.Term, ms.HighestFencingToken))
 	moves := sharding.Orphans(table, sharding.Loads(table, ms.machinesByZone()), ms.shardHolders(view, table))
 	if len(moves) == 0 && table == ms.Shards {
 		return nil
--- /dev/null
+++ b/internal/simulator/schedule.go
@@ -0,0 +1,169 @@
+package simulator
+
+import (
+	"slices"
+	"time"
+
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/operatorapi"
+	"damsonkeel/internal/protocol"
+)
+
+const (
+	// operatorDelay is when operators make their requests.
+	operatorDelay = 20 * time.Second
+	// requestRetryDelay is the time between two attempts of an operator's request.
+	requestRetryDelay = time.Second
+	// submitRetryDelay is the time between two attempts of a submission.
+	submitRetryDelay = 2 * time.Second
+	// reservedRunTimeFactor is the true run time of reserved jobs, by their length.
+	reservedRunTimeFactor = 0.8
+	// maxTasksFactor bounds the size of a job, as a factor of the load's average.
+	maxTasksFactor = 20
+	// simulatorOperator is the name of the operator who makes the site's requests.
+	simulatorOperator = "emulator"
+)
+
+// at does something at a time of the simulation, unless it has passed.
+func (d *driver) at(t time.Duration, do func()) {
+	if t > d.now {
+		d.after(t-d.now, do)
+	}
+}
+
+// scheduleAll schedules the load, the operators' requests, the reservations and the
+// faults. The order determines the random draws and that of events of the same time.
+func (d *driver) scheduleAll() {
+	for i := range d.site.Load {
+		d.scheduleArrival(&d.site.Load[i])
+	}
+	d.at(operatorDelay, func() { d.requestAll() })
+	for i := range d.site.Windows {
+		x := &d.site.Windows[i]
+		if w, err := reservation.ParseSchedule(x.When); err == nil { // otherwise its request is rejected
+			d.windows = append(d.windows, openWindow{x.spec(), w})
+		}
+	}
+	for i := range d.site.Reservations {
+		d.scheduleReservation(&d.site.Reservations[i])
+	}
+	slices.Sort(d.reservationTimes)
+	d.scheduleFaults()
+}
+
+// scheduleReservation schedules the jobs of a reservation.
+func (d *driver) scheduleReservation(r *Reservation) {
+	when, err := reservation.ParseSchedule(r.When)
+	if err != nil {
+		return // its request is rejected
+	}
+	from := reservation.Moment(d.site.Start.UnixMilli())
+	for _, moment := range when.Occurrences(from, reservation.After(from, d.opts.For)) {
+		at := warmUpTime + reservation.Between(from, moment)
+		o := &Occurrence{Name: r.Name, Start: time.UnixMilli(int64(moment)).UTC(), Tasks: r.Tasks}
+		d.result.Occurrences = append(d.result.Occurrences, o)
+		d.reservationTimes = append(d.reservationTimes, at)
+		if !r.NeverSubmitted {
+			d.at(at+config.Seconds(r.SubmitAfterS), func() { d.submitReserved(r, o) })
+		}
+		d.at(at+time.Second, func() { d.queryOccurrence(o) })
+	}
+}
+
+// scheduleArrival schedules the next job of a load.
+func (d *driver) scheduleArrival(l *Load) {
+	d.after(config.Seconds(d.rng.ExpFloat64()*l.EveryS), func() {
+		tasks := 1 + int(d.rng.ExpFloat64()*float64(l.Tasks-1)+0.5)
+		d.submitUntilAccepted(protocol.Job{
+			Class: l.Class, Team: l.Team, Kind: protocol.KindJobArray, Priority: l.Priority, Tasks: uint32(min(tasks, maxTasksFactor*l.Tasks)),
+			CPUs: l.CPUs, EstimateS: l.EstimateS, CheckpointS: l.CheckpointS, CheckpointDurationS: l.SaveS, Spot: l.Spot,
+		}, jobState{factor: l.Factor})
+		d.scheduleArrival(l)
+	})
+}
+
+// submitReserved submits the job of a reservation.
+func (d *driver) submitReserved(r *Reservation, o *Occurrence) {
+	kind := protocol.KindJobArray
+	if r.Gang {
+		kind = protocol.KindGang
+	}
+	d.submitUntilAccepted(protocol.Job{
+		Class: r.Class, Team: r.Team, Kind: kind, Priority: r.Priority, Tasks: uint32(r.Tasks + r.ExtraTasks),
+		CPUs: r.CPUs, EstimateS: r.LengthS, OneZone: r.OneZone, Zone: r.Zone,
+	}, jobState{factor: reservedRunTimeFactor, occurrence: o, reserved: r.Tasks})
+}
+
+// submitUntilAccepted submits a job until it is accepted. State has what is known of it
+// beforehand.
+func (d *driver) submitUntilAccepted(j protocol.Job, state jobState) {
+	state.submitted, state.tasks, state.estimateS, state.started = d.now, int(j.Tasks), j.EstimateS, map[uint32]bool{}
+	var try func()
+	try = func() {
+		before := len(d.jobOrder)
+		d.submit(j)
+		if len(d.jobOrder) == before {
+			d.after(submitRetryDelay, try)
+			return
+		}
+		state.class = d.result.class(j.Class)
+		state.class.Jobs++
+		d.jobState[d.jobOrder[before]] = &state
+	}
+	try()
+}
+
+// requestAll makes the requests for all windows and reservations, as operators do.
+func (d *driver) requestAll() {
+	for i := range d.site.Windows {
+		x := &d.site.Windows[i]
+		d.requestUntilDone(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "window " + string(x.Name), Spec: x.spec()})
+	}
+	if d.opts.Without {
+		return
+	}
+	for i := range d.site.Reservations {
+		r := &d.site.Reservations[i]
+		d.requestUntilDone(operatorapi.Request{Op: operatorapi.OpAdd, ID: "reservation " + string(r.Name), Reservation: r.spec()})
+	}
+}
+
+// requestUntilDone sends a request to controllers until it is done or rejected.
+func (d *driver) requestUntilDone(r operatorapi.Request) {
+	n := d.nodes[d.rng.IntN(3)]
+	retry := func() { d.after(requestRetryDelay, func() { d.requestUntilDone(r) }) }
+	if n.core == nil || !n.stateReachable() {
+		retry()
+		return
+	}
+	reply, txn := n.core.Decide(simulatorOperator, &r)
+	switch {
+	case reply.Code == operatorapi.RetryLater, txn != nil && !d.state.Txn(*txn):
+		retry()
+	case reply.Code != operatorapi.Done:
+		name := r.Name
+		if r.Reservation != nil {
+			name = r.Reservation.Name
+		} else if r.Spec != nil {
+			name = r.Spec.Name
+		}
+		d.result.Refused = append(d.result.Refused, Refusal{Name: name, Reason: reply.Reason, Conflicts: reply.Conflicts})
+	}
+}
+
+// queryOccurrence records what is known of an occurrence at its time.
+func (d *driver) queryOccurrence(o *Occurrence) {
+	for _, n := range d.nodes {
+		if n.core == nil || n.session == 0 {
+			continue
+		}
+		reply, _ := n.core.Decide(simulatorOperator, &operatorapi.Request{Op: operatorapi.OpShow, Name: o.Name})
+		for _, r := range reply.Reservations {
+			if int64(r.StartMS) == o.Start.UnixMilli() {
+				o.State, o.Risk = r.State, r.Risk
+				return
+			}
+		}
+	}
+}
