--- a/internal/controller/autoscaler/autoscaler_test.go
+++ b/internal/controller/autoscaler/autoscaler_test.go
@@ -29,14 +29,13 @@
 	t.Helper()
 	settings := fake.Settings()
 	settings.Name = "node-0"
-	state := clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
-	state.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
-	state.Session = 100
-	state.Types[smallType.Name] = smallType
-	module := clusterstate.Module{State: state, Output: &clusterstate.Output{}}
+	module := clusterstate.NewModule(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
+	module.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
+	module.Session = 100
+	module.Types[smallType.Name] = smallType
 	table := waittable.New(module, rand.New(rand.NewPCG(1, 1)))
 	table.Reset()
-	table.AdoptPeers(state.View)
+	table.AdoptPeers(module.View)
 	work := workload.New(module, table)
 	work.Reset()
 	held := holds.New(module, table, nil, nil)
--- a/internal/controller/clusterstate/module.go
+++ b/internal/controller/clusterstate/module.go
@@ -1,6 +1,9 @@
 package clusterstate
 
 import (
+	"log/slog"
+
+	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
@@ -13,6 +16,11 @@
 	*Output
 }
 
+// NewModule returns a state that knows nothing but its settings, with an empty output.
+func NewModule(settings *config.Settings, operator config.Operator, log *slog.Logger) Module {
+	return Module{State: NewState(settings, operator, log), Output: &Output{}}
+}
+
 // Output is what a step asks for.
 type Output struct {
 	Actions []message.Action
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -50,7 +50,7 @@
 
 // NewCore makes a controller's state before its first session.
 func NewCore(settings *config.Settings, operator config.Operator, rng *rand.Rand, log *slog.Logger) *Core {
-	module := clusterstate.Module{State: clusterstate.NewState(settings, operator, log), Output: &clusterstate.Output{}}
+	module := clusterstate.NewModule(settings, operator, log)
 	table := waittable.New(module, rng)
 	work := workload.New(module, table)
 	queues := dispatcher.New(module)
--- a/internal/controller/dispatcher/bench_test.go
+++ b/internal/controller/dispatcher/bench_test.go
@@ -34,7 +34,7 @@
 func newBench(t *testing.T) *bench {
 	s := fake.Settings()
 	s.Name = "node-0"
-	p := clusterstate.Module{State: clusterstate.NewState(s, config.DefaultOperator(), slog.New(slog.DiscardHandler)), Output: &clusterstate.Output{}}
+	p := clusterstate.NewModule(s, config.DefaultOperator(), slog.New(slog.DiscardHandler))
 	p.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}}
 	p.Session, p.SessionStart, p.Now, p.LeaseDeadline = 100, 1, 1, clock.Time(time.Hour)
 	p.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
--- a/internal/controller/dispatcher/heartbeat.go
+++ b/internal/controller/dispatcher/heartbeat.go
@@ -3,9 +3,8 @@
 import (
 	"net/http"
 
-	"damsonkeel/internal/controller/ordered"
-
 	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/controller/dispatcher/orders.go
+++ b/internal/controller/dispatcher/orders.go
@@ -5,9 +5,8 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/controller/resource"
-
 	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/controller/dispatcher/shards.go
+++ b/internal/controller/dispatcher/shards.go
@@ -4,14 +4,13 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/record"
-
 	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
 )
 
 // maxCompletedMoves bounds the ended moves that are remembered until they are taken.
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -5,10 +5,9 @@
 	"slices"
 	"testing"
 
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/placement"
 	"damsonkeel/internal/controller/waittable"
-
-	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -5,14 +5,13 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/controller/jobs"
-	"damsonkeel/internal/controller/placement"
-	"damsonkeel/internal/controller/waittable"
-
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/forecast"
+	"damsonkeel/internal/controller/jobs"
 	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/placement"
 	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/waittable"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/record"
 )
--- a/internal/controller/holds/holds_test.go
+++ b/internal/controller/holds/holds_test.go
@@ -17,8 +17,7 @@
 // newHolds returns the holds of a controller without machines, jobs or reservations.
 func newHolds(t *testing.T) *Holds {
 	t.Helper()
-	state := clusterstate.NewState(fake.Settings(), config.DefaultOperator(), slog.New(slog.DiscardHandler))
-	module := clusterstate.Module{State: state, Output: &clusterstate.Output{}}
+	module := clusterstate.NewModule(fake.Settings(), config.DefaultOperator(), slog.New(slog.DiscardHandler))
 	table := waittable.New(module, rand.New(rand.NewPCG(1, 1)))
 	table.Reset()
 	progress := func(protocol.JobID) (message.Progress, bool) { return message.Progress{}, false }
--- a/internal/controller/jobs/fixture_test.go
+++ b/internal/controller/jobs/fixture_test.go
@@ -23,10 +23,7 @@
 	t.Helper()
 	settings := fake.Settings()
 	settings.Name = "node-0"
-	module := clusterstate.Module{
-		State:  clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler)),
-		Output: &clusterstate.Output{},
-	}
+	module := clusterstate.NewModule(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
 	rng := rand.New(rand.NewPCG(1, 1))
 	table := waittable.New(module, rng)
 	table.Reset()
--- a/internal/controller/limit_test.go
+++ b/internal/controller/limit_test.go
@@ -3,9 +3,8 @@
 import (
 	"testing"
 
-	"damsonkeel/internal/controller/placement"
-
 	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/placement"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/controller/membership/peers_test.go
+++ b/internal/controller/membership/peers_test.go
@@ -35,10 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			settings := fake.Settings()
 			settings.Name = "node-0"
-			module := clusterstate.Module{
-				State:  clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler)),
-				Output: &clusterstate.Output{},
-			}
+			module := clusterstate.NewModule(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
 			module.Session = 100
 			module.Now = clock.Time(time.Minute)
 			module.LeaseDeadline = clock.Time(time.Minute)
--- a/internal/controller/operatorrequest/handler_test.go
+++ b/internal/controller/operatorrequest/handler_test.go
@@ -26,11 +26,10 @@
 	t.Helper()
 	settings := fake.Settings()
 	settings.Name = "node-0"
-	state := clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
-	state.Session, state.LeaseDeadline, state.WallMS = 100, clock.Time(time.Hour), 1_770_000_000_000
-	state.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100, "node-1": 101}}
-	state.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}}
-	module := clusterstate.Module{State: state, Output: &clusterstate.Output{}}
+	module := clusterstate.NewModule(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
+	module.Session, module.LeaseDeadline, module.WallMS = 100, clock.Time(time.Hour), 1_770_000_000_000
+	module.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100, "node-1": 101}}
+	module.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}}
 	table := waittable.New(module, rand.New(rand.NewPCG(1, 1)))
 	table.Reset()
 	progress := func(protocol.JobID) (message.Progress, bool) { return message.Progress{}, false }
--- a/internal/controller/placement/fixture_test.go
+++ b/internal/controller/placement/fixture_test.go
@@ -24,10 +24,7 @@
 	t.Helper()
 	settings := fake.Settings()
 	settings.Name = "node-0"
-	module := clusterstate.Module{
-		State:  clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler)),
-		Output: &clusterstate.Output{},
-	}
+	module := clusterstate.NewModule(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
 	rng := rand.New(rand.NewPCG(1, 1))
 	table := waittable.New(module, rng)
 	table.Reset()
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -6,11 +6,10 @@
 	"testing"
 	"time"
 
-	"damsonkeel/internal/controller/jobs"
-
 	"damsonkeel/internal/config"
 	"damsonkeel/internal/controller/clusterstate"
 	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/jobs"
 	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
--- a/internal/controller/workerregistry/write_test.go
+++ b/internal/controller/workerregistry/write_test.go
@@ -25,16 +25,16 @@
 	t.Helper()
 	settings := fake.Settings()
 	settings.Name = self
-	state := clusterstate.NewState(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
-	state.Session = session
-	state.Now = clock.Time(time.Minute)
-	state.LeaseDeadline = clock.Time(time.Hour)
-	state.View = record.View{
+	module := clusterstate.NewModule(settings, config.DefaultOperator(), slog.New(slog.DiscardHandler))
+	module.Session = session
+	module.Now = clock.Time(time.Minute)
+	module.LeaseDeadline = clock.Time(time.Hour)
+	module.View = record.View{
 		Term:    term,
 		Members: map[protocol.NodeName]protocol.LeaseID{self: session},
 		Layout:  record.LayoutBlocks,
 	}
-	return New(clusterstate.Module{State: state, Output: &clusterstate.Output{}})
+	return New(module)
 }
 
 // takeCommit returns the only action since the last call; nil if there is none.
--- a/internal/controller/workload/classes_test.go
+++ b/internal/controller/workload/classes_test.go
@@ -23,10 +23,9 @@
 // newWorkload returns the workload of a controller with two idle machines, vm-1 and vm-2.
 func newWorkload(t *testing.T) *Workload {
 	t.Helper()
-	state := clusterstate.NewState(fake.Settings(), config.DefaultOperator(), slog.New(slog.DiscardHandler))
-	state.Now = clock.Time(time.Minute)
-	state.Types[smallType.Name] = smallType
-	module := clusterstate.Module{State: state, Output: &clusterstate.Output{}}
+	module := clusterstate.NewModule(fake.Settings(), config.DefaultOperator(), slog.New(slog.DiscardHandler))
+	module.Now = clock.Time(time.Minute)
+	module.Types[smallType.Name] = smallType
 	table := waittable.New(module, rand.New(rand.NewPCG(1, 1)))
 	table.Reset()
 	for _, id := range []protocol.MachineID{"vm-1", "vm-2"} {
