--- a/cmd/damsonkeel/calendar.go
+++ b/cmd/damsonkeel/calendar.go
@@ -12,7 +12,7 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 
 	"github.com/jedib0t/go-pretty/v6/table"
@@ -108,7 +108,7 @@
 	for _, t := range a.Types {
 		spec.Types = append(spec.Types, protocol.MachineType(t))
 	}
-	return a.ask(operators.Request{Op: operators.OpAdd, ID: a.id(), DryRun: a.DryRun, Replace: a.Replace, Reservation: spec})
+	return a.ask(operatorapi.Request{Op: operatorapi.OpAdd, ID: a.id(), DryRun: a.DryRun, Replace: a.Replace, Reservation: spec})
 }
 
 // Run declares a window.
@@ -119,7 +119,7 @@
 	for _, m := range a.Machines {
 		spec.Machines = append(spec.Machines, protocol.MachineID(m))
 	}
-	return a.ask(operators.Request{Op: operators.OpAdd, Window: true, ID: a.id(), DryRun: a.DryRun, Replace: a.Replace, Spec: spec})
+	return a.ask(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: a.id(), DryRun: a.DryRun, Replace: a.Replace, Spec: spec})
 }
 
 func (c *changeFlags) id() string { return requestID(c.ID) }
@@ -139,10 +139,10 @@
 func (l *windowList) Run() error { return l.list(true) }
 
 // Run shows a reservation.
-func (s *reserveShow) Run() error { return s.ask(s.request(operators.OpShow, false)) }
+func (s *reserveShow) Run() error { return s.ask(s.request(operatorapi.OpShow, false)) }
 
 // Run shows a window.
-func (s *windowShow) Run() error { return s.ask(s.request(operators.OpShow, true)) }
+func (s *windowShow) Run() error { return s.ask(s.request(operatorapi.OpShow, true)) }
 
 // Run cancels a reservation.
 func (s *reserveCancel) Run() error { return s.cancel(false) }
@@ -150,18 +150,18 @@
 // Run cancels a window.
 func (s *windowCancel) Run() error { return s.cancel(true) }
 
-func (n *named) request(op operators.Op, window bool) operators.Request {
-	return operators.Request{Op: op, Window: window, Name: bookkeeping.EntryName(n.Name)}
+func (n *named) request(op operatorapi.Op, window bool) operatorapi.Request {
+	return operatorapi.Request{Op: op, Window: window, Name: bookkeeping.EntryName(n.Name)}
 }
 
 // cancel looks what there is first, so that another one made of that name
 // meanwhile stays.
 func (n *named) cancel(window bool) error {
-	now, err := n.settle(n.request(operators.OpShow, window))
+	now, err := n.settle(n.request(operatorapi.OpShow, window))
 	if err != nil {
 		return err
 	}
-	r := n.request(operators.OpCancel, window)
+	r := n.request(operatorapi.OpCancel, window)
 	for _, have := range now.Reservations {
 		r.Made = have.MadeMS
 	}
@@ -173,8 +173,8 @@
 
 // list asks until all is listed.
 func (f *askFlags) list(window bool) error {
-	var all operators.Reply
-	for r := (operators.Request{Op: operators.OpList, Window: window}); ; {
+	var all operatorapi.Reply
+	for r := (operatorapi.Request{Op: operatorapi.OpList, Window: window}); ; {
 		reply, err := f.settle(r)
 		if err != nil {
 			return err
@@ -193,7 +193,7 @@
 }
 
 // ask puts a request and prints the answer.
-func (f *askFlags) ask(r operators.Request) error {
+func (f *askFlags) ask(r operatorapi.Request) error {
 	reply, err := f.settle(r)
 	if reply.Code == "" {
 		return err
@@ -202,14 +202,14 @@
 }
 
 // settle puts a request; what is not done is an error with its exit code.
-func (f *askFlags) settle(r operators.Request) (operators.Reply, error) {
+func (f *askFlags) settle(r operatorapi.Request) (operatorapi.Reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
 	defer cancel()
 	reply, err := f.put(ctx, r)
 	if err != nil {
-		return operators.Reply{}, err
+		return operatorapi.Reply{}, err
 	}
-	code := map[operators.Code]int{operators.Refused: exitRefused, operators.NotFound: exitNotFound, operators.Denied: exitDenied}[reply.Code]
+	code := map[operatorapi.Code]int{operatorapi.Refused: exitRefused, operatorapi.NotFound: exitNotFound, operatorapi.Denied: exitDenied}[reply.Code]
 	if code == 0 {
 		return reply, nil
 	}
@@ -217,21 +217,21 @@
 }
 
 // put puts a request until the context ends.
-func (f *askFlags) put(ctx context.Context, r operators.Request) (operators.Reply, error) {
-	keys, err := operators.ReadKeys(f.Key)
+func (f *askFlags) put(ctx context.Context, r operatorapi.Request) (operatorapi.Reply, error) {
+	keys, err := operatorapi.ReadKeys(f.Key)
 	if err != nil {
-		return operators.Reply{}, err
+		return operatorapi.Reply{}, err
 	}
-	return operators.NewClient(keys[0], f.Controller).Do(ctx, r)
+	return operatorapi.NewClient(keys[0], f.Controller).Do(ctx, r)
 }
 
-func (f *askFlags) print(reply operators.Reply) error {
+func (f *askFlags) print(reply operatorapi.Reply) error {
 	if f.Output == "json" {
 		e := json.NewEncoder(os.Stdout)
 		e.SetIndent("", "  ")
 		return e.Encode(reply)
 	}
-	if reply.Code != operators.Done {
+	if reply.Code != operatorapi.Done {
 		if len(reply.InTheWay) > 0 {
 			fmt.Fprintln(os.Stderr, "in the way:", names(reply.InTheWay))
 		}
@@ -280,7 +280,7 @@
 	return t
 }
 
-func printReservations(rs []operators.Reservation) {
+func printReservations(rs []operatorapi.Reservation) {
 	t := newTable()
 	t.AppendHeader(table.Row{"name", "for", "state", "time", "tasks", "held", "started", "at risk", "since"})
 	for _, r := range rs {
@@ -300,7 +300,7 @@
 	}
 }
 
-func printWindows(ws []operators.Window) {
+func printWindows(ws []operatorapi.Window) {
 	t := newTable()
 	t.AppendHeader(table.Row{"name", "covers", "next", "lasts", "state"})
 	for _, w := range ws {
@@ -343,7 +343,7 @@
 
 // Run prints a new key, in the form in which files of keys have it.
 func (k *keyCommand) Run() error {
-	key, err := operators.NewKey(k.Name)
+	key, err := operatorapi.NewKey(k.Name)
 	if err != nil {
 		return err
 	}
--- a/cmd/damsonkeel/config.go
+++ b/cmd/damsonkeel/config.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/operatorapi"
 
 	"github.com/jedib0t/go-pretty/v6/table"
 )
@@ -60,8 +60,8 @@
 
 // Run tells what is in force.
 func (g *configGet) Run() error {
-	var all operators.Reply
-	r := operators.Request{Op: operators.OpConfig, Config: &operators.ConfigRequest{Entry: bookkeeping.EntryID(g.Entry)}}
+	var all operatorapi.Reply
+	r := operatorapi.Request{Op: operatorapi.OpConfig, Config: &operatorapi.ConfigRequest{Entry: bookkeeping.EntryID(g.Entry)}}
 	for {
 		reply, err := g.settle(r)
 		if err != nil {
@@ -80,7 +80,7 @@
 
 // Run changes one entry.
 func (s *configSet) Run() error {
-	change := operators.ConfigChange{Entry: bookkeeping.EntryID(s.Entry), Reset: s.Reset, Remove: s.Remove}
+	change := operatorapi.ConfigChange{Entry: bookkeeping.EntryID(s.Entry), Reset: s.Reset, Remove: s.Remove}
 	for _, value := range s.Values {
 		name, text, ok := strings.Cut(value, "=")
 		if !ok {
@@ -90,11 +90,11 @@
 			return fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	return s.change(&s.askFlags, []operators.ConfigChange{change})
+	return s.change(&s.askFlags, []operatorapi.ConfigChange{change})
 }
 
 // setField takes a field of a change from its text.
-func setField(c *operators.ConfigChange, name, text string) error {
+func setField(c *operatorapi.ConfigChange, name, text string) error {
 	amounts := map[string]**float64{"cpus": &c.CPUs, "cpus_max": &c.MaxCPUs, "gpus": &c.GPUs, "gpus_max": &c.MaxGPUs}
 	switch into := amounts[name]; {
 	case into != nil:
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	file, err := operators.ParseConfigFile(b)
+	file, err := operatorapi.ParseConfigFile(b)
 	if err != nil {
 		return fmt.Errorf("%s: %w", a.File, err)
 	}
@@ -164,14 +164,16 @@
 }
 
 // Run lists the latest changes.
-func (h *configHistory) Run() error { return h.ask(operators.Request{Op: operators.OpConfigHistory}) }
+func (h *configHistory) Run() error {
+	return h.ask(operatorapi.Request{Op: operatorapi.OpConfigHistory})
+}
 
 // Run tells which controller acts by which revision.
-func (s *configStatus) Run() error { return s.ask(operators.Request{Op: operators.OpConfigStatus}) }
+func (s *configStatus) Run() error { return s.ask(operatorapi.Request{Op: operatorapi.OpConfigStatus}) }
 
 // change puts a change, and waits until it is in force if that is asked for.
-func (f *configChangeFlags) change(ask *askFlags, changes []operators.ConfigChange) error {
-	r := operators.Request{Op: operators.OpConfigure, ID: requestID(f.ID), DryRun: f.DryRun, Config: &operators.ConfigRequest{Changes: changes}}
+func (f *configChangeFlags) change(ask *askFlags, changes []operatorapi.ConfigChange) error {
+	r := operatorapi.Request{Op: operatorapi.OpConfigure, ID: requestID(f.ID), DryRun: f.DryRun, Config: &operatorapi.ConfigRequest{Changes: changes}}
 	if f.Revision != nil {
 		revision := bookkeeping.ConfigurationRevision(*f.Revision)
 		r.Config.Revision = &revision
@@ -191,12 +193,12 @@
 
 // inForce waits until no controller acts by a revision before a change, and says why
 // that is so.
-func (f *configChangeFlags) inForce(ask *askFlags, change *operators.ConfigReply) string {
+func (f *configChangeFlags) inForce(ask *askFlags, change *operatorapi.ConfigReply) string {
 	answered := time.Now()
 	bound := time.Duration(change.WithinS * float64(time.Second))
 	for time.Since(answered) < bound {
 		ctx, cancel := context.WithTimeout(context.Background(), bound-time.Since(answered))
-		reply, err := ask.put(ctx, operators.Request{Op: operators.OpConfigStatus})
+		reply, err := ask.put(ctx, operatorapi.Request{Op: operatorapi.OpConfigStatus})
 		cancel()
 		if err == nil && reply.Config != nil && allActBy(reply.Config.Controllers, change.Revision) {
 			return fmt.Sprintf("in force: all members act by it after %.1f s", time.Since(answered).Seconds())
@@ -207,7 +209,7 @@
 }
 
 // allActBy reports whether all members say that they act by a revision or a later one.
-func allActBy(controllers []operators.ConfigController, revision bookkeeping.ConfigurationRevision) bool {
+func allActBy(controllers []operatorapi.ConfigController, revision bookkeeping.ConfigurationRevision) bool {
 	for _, c := range controllers {
 		if c.Member && c.Revision < revision {
 			return false
@@ -216,7 +218,7 @@
 	return len(controllers) > 0
 }
 
-func printConfig(c *operators.ConfigReply) {
+func printConfig(c *operatorapi.ConfigReply) {
 	fmt.Println("revision:", c.Revision)
 	if len(c.Entries) > 0 {
 		t := newTable()
@@ -282,7 +284,7 @@
 	return "as in the platform's file"
 }
 
-func entryText(e *operators.ConfigEntry) string {
+func entryText(e *operatorapi.ConfigEntry) string {
 	kind, _ := e.Entry.Split()
 	switch {
 	case e.Team != nil:
--- a/cmd/damsonkeel/emulate.go
+++ b/cmd/damsonkeel/emulate.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"damsonkeel/internal/emulator"
+	"damsonkeel/internal/simulator"
 
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/schollz/progressbar/v3"
@@ -30,7 +30,7 @@
 // that was late and not reported as at risk, ends it with an error.
 func (e *emulateCommand) Run() error {
 	debug.SetGCPercent(800) // plays are short, and memory is there
-	site, err := emulator.LoadSite(e.Site)
+	site, err := simulator.LoadSite(e.Site)
 	if err != nil {
 		return err
 	}
@@ -38,11 +38,11 @@
 	if !e.Quiet {
 		bar = progressbar.NewOptions64(int64(e.For/time.Minute)*int64(e.Seeds), progressbar.OptionSetWriter(os.Stderr), progressbar.OptionSetDescription("simulated minutes"), progressbar.OptionThrottle(time.Second), progressbar.OptionClearOnFinish())
 	}
-	results := make([]*emulator.Result, e.Seeds)
+	results := make([]*simulator.Result, e.Seeds)
 	var wg sync.WaitGroup
 	for i := range e.Seeds {
 		wg.Go(func() {
-			results[i] = emulator.Play(site, emulator.Options{
+			results[i] = simulator.Play(site, simulator.Options{
 				For: e.For, Seed: e.Seed + uint64(i), Without: e.Without, Progress: func(time.Duration) { _ = bar.Add(1) },
 			})
 		})
@@ -75,10 +75,10 @@
 	return nil
 }
 
-func printResults(results []*emulator.Result) {
+func printResults(results []*simulator.Result) {
 	t := newTable()
 	t.AppendHeader(table.Row{"seed", "days", "reserved jobs", "in time", "late", "late, at risk", "median delay s", "worst s", "starts in windows", "starts", "cost", "refused"})
-	classes := map[string]*emulator.Class{}
+	classes := map[string]*simulator.Class{}
 	for _, r := range results {
 		t.AppendRow(table.Row{r.Seed, fmt.Sprintf("%.1f", r.Days), r.Due, r.InTime, r.Late, r.AtRisk, fmt.Sprintf("%.1f", r.MedianS), fmt.Sprintf("%.1f", r.WorstS), r.InWindow, r.Starts, fmt.Sprintf("%.1f", r.Cost), len(r.Refused)})
 		for name, c := range r.Classes {
--- a/cmd/damsonkeel/run.go
+++ b/cmd/damsonkeel/run.go
@@ -11,7 +11,7 @@
 	"syscall"
 
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination"
+	"damsonkeel/internal/controller"
 )
 
 type runCommand struct {
@@ -43,14 +43,14 @@
 	runtime.GOMAXPROCS(1) // a small share of one core: more threads only take turns
 	debug.SetMemoryLimit(int64(settings.Site.Limits.MemoryMB * 0.6 * (1 << 20)))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	node := coordination.NewNode(settings, op, log)
+	node := controller.NewNode(settings, op, log)
 	go leaveOnSignal(node)
 	return node.Run(context.Background())
 }
 
 // leaveOnSignal has a controller hand over what it keeps when it is told to end by
 // a signal; by a second one it ends at once.
-func leaveOnSignal(node *coordination.Node) {
+func leaveOnSignal(node *controller.Node) {
 	told := make(chan os.Signal, 1)
 	signal.Notify(told, syscall.SIGTERM, os.Interrupt)
 	<-told
--- a/cmd/damsonkeel/shares.go
+++ b/cmd/damsonkeel/shares.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 
 	"github.com/jedib0t/go-pretty/v6/table"
@@ -30,19 +30,19 @@
 }
 
 // Run lists the shares.
-func (l *sharesList) Run() error { return l.ask(operators.Request{Op: operators.OpShares}) }
+func (l *sharesList) Run() error { return l.ask(operatorapi.Request{Op: operatorapi.OpShares}) }
 
 // Run has shares moved.
 func (m *sharesMove) Run() error {
-	return m.ask(operators.Request{Op: operators.OpMove, Controller: protocol.NodeName(m.Controller), Shares: m.Share})
+	return m.ask(operatorapi.Request{Op: operatorapi.OpMove, Controller: protocol.NodeName(m.Controller), Shares: m.Share})
 }
 
 // Run has a controller keep nothing.
 func (a *sharesAway) Run() error {
-	return a.ask(operators.Request{Op: operators.OpAway, Controller: protocol.NodeName(a.Controller), End: a.End})
+	return a.ask(operatorapi.Request{Op: operatorapi.OpAway, Controller: protocol.NodeName(a.Controller), End: a.End})
 }
 
-func printShares(reply operators.Reply) {
+func printShares(reply operatorapi.Reply) {
 	t := newTable()
 	t.AppendHeader(table.Row{"controller", "zone", "shares", "machines", "ticks late ms", "state"})
 	for _, c := range reply.Controllers {
--- a/internal/coordination/intake/intake.go
+++ b/internal/controller/admission/admission.go
@@ -1,7 +1,7 @@
-// Package intake decides what users are told: of submissions, polls and
+// Package admission decides what users are told: of submissions, polls and
 // cancellations. What they are told comes from the records, never from a guess. It
 // is a step function over plain state; who calls it carries the messages.
-package intake
+package admission
 
 import (
 	"log/slog"
@@ -10,12 +10,12 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -49,7 +49,7 @@
 
 	// configured is the configuration in force, as followed. Where it may change,
 	// submissions are accepted and refused on its version.
-	configured   *configuration.Effective
+	configured   *dynamicconfig.Effective
 	configurable bool
 
 	types         []protocol.TypeInfo // nil: not known yet
@@ -101,7 +101,7 @@
 // New knows nothing but the settings.
 func New(s *config.Settings, op config.Operator, log *slog.Logger) *Intake {
 	return &Intake{
-		configured: configuration.Base(&s.Site, op), configurable: op.Configurable(),
+		configured: dynamicconfig.Base(&s.Site, op), configurable: op.Configurable(),
 		settings: s, log: log, requests: map[RequestID]*request{}, looks: map[LookID]*look{},
 		finals: map[protocol.JobID]bookkeeping.JobRecord{}, announcements: map[protocol.JobID]*announcement{},
 	}
@@ -435,11 +435,11 @@
 }
 
 func (in *Intake) tick() {
-	for id, h := range inorder.Of(in.announcements) {
+	for id, h := range ordered.Of(in.announcements) {
 		in.checkAnnouncement(id, h)
 	}
 	next := clock.Time(0)
-	for _, r := range inorder.Of(in.requests) {
+	for _, r := range ordered.Of(in.requests) {
 		switch {
 		case in.now >= r.until:
 			in.unavailable(r, "not settled in time")
@@ -528,7 +528,7 @@
 	if team.Closed {
 		return "the team is closed to new jobs"
 	}
-	l := stateview.LiveJob{Job: *j}
+	l := clusterstate.LiveJob{Job: *j}
 	l.Zone = "" // the zone may offer the type another day
 	fits := false
 	for _, t := range in.types {
@@ -541,7 +541,7 @@
 	if j.Kind != protocol.KindArray {
 		n = float64(j.Tasks)
 	}
-	if team.MaxCPUs > 0 && n*j.CPUs > team.MaxCPUs+room.Slack || team.MaxGPUs > 0 && n*j.GPUs > team.MaxGPUs+room.Slack {
+	if team.MaxCPUs > 0 && n*j.CPUs > team.MaxCPUs+resource.Slack || team.MaxGPUs > 0 && n*j.GPUs > team.MaxGPUs+resource.Slack {
 		return "more than the team's limit"
 	}
 	return ""
--- a/internal/coordination/intake/configured.go
+++ b/internal/controller/admission/configured.go
@@ -1,18 +1,18 @@
-package intake
+package admission
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/coordination/inorder"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
 )
 
 // configuredNow takes the configuration in force, and decides anew what one before
 // could not settle.
-func (in *Intake) configuredNow(effective *configuration.Effective) {
+func (in *Intake) configuredNow(effective *dynamicconfig.Effective) {
 	in.configured = effective
 	in.configurable = in.configurable || effective.Version > 0 // whatever this controller's own settings say
-	for _, r := range inorder.Of(in.requests) {
+	for _, r := range ordered.Of(in.requests) {
 		if r.configuredAnew && r.configuredBy != effective.Version {
 			in.submitAnew(r)
 		}
--- a/internal/coordination/calendar/main_test.go
+++ b/internal/controller/admission/main_test.go
@@ -1,4 +1,4 @@
-package calendar
+package admission
 
 import (
 	"os"
--- a/internal/coordination/intake/message.go
+++ b/internal/controller/admission/message.go
@@ -1,10 +1,10 @@
-package intake
+package admission
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
@@ -72,7 +72,7 @@
 		By  protocol.NodeName
 	}
 	// Configured brings the configuration in force, as followed.
-	Configured struct{ Effective *configuration.Effective }
+	Configured struct{ Effective *dynamicconfig.Effective }
 	// TypesRead brings the machine types.
 	TypesRead struct{ Types []protocol.TypeInfo }
 	// Tick lets time pass.
--- a/internal/coordination/intake/polls.go
+++ b/internal/controller/admission/polls.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/renting/plan.go
+++ b/internal/controller/autoscaler/plan.go
@@ -1,7 +1,7 @@
-// Package renting plans which machines to rent: all work that waits is reckoned
+// Package autoscaler plans which machines to rent: all work that waits is reckoned
 // together against what is up, coming or asked for, and what is missing is
 // asked for from the cheapest kinds that will do.
-package renting
+package autoscaler
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"math"
 	"slices"
 
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -32,15 +32,15 @@
 // Alike is what machines of a slot have in common.
 type Alike struct {
 	Kind
-	Free room.Amount // now, or when they are up
-	Held room.Uses   // by attempts on each or in its queue
-	InS  float64     // when they are up, in seconds
+	Free resource.Amount // now, or when they are up
+	Held resource.Uses   // by attempts on each or in its queue
+	InS  float64         // when they are up, in seconds
 }
 
 // Work is tasks of one size that need room.
 type Work struct {
-	Need    room.Amount
-	Level   room.Level
+	Need    resource.Amount
+	Level   resource.Level
 	OneZone bool // all of them in the same one, whichever
 	// Shun: spot machines are no room for them.
 	Shun bool
@@ -92,7 +92,7 @@
 
 // Fresh is the room of machines just asked for.
 func Fresh(info protocol.TypeInfo, k Kind, count int) Slot {
-	return Slot{Alike: Alike{Kind: k, Free: room.Capacity(info), InS: info.BootS}, Info: info, N: count}
+	return Slot{Alike: Alike{Kind: k, Free: resource.Capacity(info), InS: info.BootS}, Info: info, N: count}
 }
 
 // fill takes room for n tasks out of the slots, as far as there is, and returns
@@ -157,7 +157,7 @@
 		return
 	}
 	for _, k := range w.Offers {
-		per := room.Capacity(p.types[k.Type]).Fit(w.Need)
+		per := resource.Capacity(p.types[k.Type]).Fit(w.Need)
 		if count := p.ask(k, (n+per-1)/per); count > 0 {
 			p.slots = append(p.slots, Fresh(p.types[k.Type], k, count))
 			n = p.fill(&w, n)
@@ -227,7 +227,7 @@
 // time, so its answer tells whether there are more.
 func (p *Plan) Buy(w Work, n int, what string) {
 	for _, k := range w.Offers {
-		per := room.Capacity(p.types[k.Type]).Fit(w.Need)
+		per := resource.Capacity(p.types[k.Type]).Fit(w.Need)
 		if n <= 0 || per == 0 {
 			return
 		}
--- a/internal/coordination/renting/pools.go
+++ b/internal/controller/autoscaler/pools.go
@@ -1,9 +1,9 @@
-package renting
+package autoscaler
 
 import (
 	"math"
 
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -11,8 +11,8 @@
 // start at once.
 type pool struct {
 	info   protocol.TypeInfo
-	room   room.Amount // of all together
-	aheadS float64     // processor seconds that they have to do before
+	room   resource.Amount // of all together
+	aheadS float64         // processor seconds that they have to do before
 }
 
 // Gather pools what the slots have left for work of a rank or below that runs
@@ -21,8 +21,8 @@
 func (p *Plan) Gather(rank int, runS float64) {
 	for _, s := range p.slots {
 		k := p.pool(s.Kind)
-		left, n := room.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.N)
-		if left.CPUs <= room.Slack || s.N == 0 {
+		left, n := resource.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.N)
+		if left.CPUs <= resource.Slack || s.N == 0 {
 			continue
 		}
 		k.room = k.room.Plus(left.Times(n))
@@ -50,7 +50,7 @@
 		n -= l.take(n, w.Need, w.EstimateS, leftS)
 	}
 	for _, k := range w.Offers {
-		per := room.Capacity(p.types[k.Type]).Fit(w.Need)
+		per := resource.Capacity(p.types[k.Type]).Fit(w.Need)
 		rounds := math.Max(0, leftS-upS(k))/w.EstimateS + 1
 		if n < 0.5 {
 			return
@@ -58,7 +58,7 @@
 		count := p.ask(k, int(math.Ceil(n/(float64(per)*rounds))))
 		l := p.pool(k)
 		for range count {
-			l.room = l.room.Plus(room.Capacity(l.info))
+			l.room = l.room.Plus(resource.Capacity(l.info))
 		}
 		l.aheadS += float64(count) * l.info.CPUs * upS(k)
 		n -= l.take(n, w.Need, w.EstimateS, leftS)
@@ -75,12 +75,12 @@
 }
 
 // take has a pool do as many of n tasks as it can begin before they are late.
-func (l *pool) take(n float64, size room.Amount, estimateS, leftS float64) float64 {
+func (l *pool) take(n float64, size resource.Amount, estimateS, leftS float64) float64 {
 	places := l.room.Places(size)
 	if places < 1 {
 		return 0
 	}
-	can := math.Max(0, leftS+estimateS-l.aheadS/math.Max(l.room.CPUs, room.Slack)) / estimateS * places
+	can := math.Max(0, leftS+estimateS-l.aheadS/math.Max(l.room.CPUs, resource.Slack)) / estimateS * places
 	done := math.Min(n, can)
 	l.aheadS += done * estimateS * l.room.CPUs / places // a task without processors takes its part of the room, too
 	return done
--- a/internal/coordination/candidates.go
+++ b/internal/controller/candidates.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -17,7 +17,7 @@
 // that took it again.
 type candidates struct {
 	job           *ownedJob
-	need          room.Amount
+	need          resource.Amount
 	risk          float64 // what a spot machine adds to the wait, in seconds
 	shun          bool    // spot machines only if there is no other way
 	claims        *claims
@@ -66,7 +66,7 @@
 
 // candidatesFor looks for the machines that may run a job's tasks.
 func (c *Core) candidatesFor(o *ownedJob, zones map[protocol.Zone]int, cl *claims) *candidates {
-	s := &candidates{job: o, need: room.Need(&o.Job), bars: c.bars(o), claims: cl, risk: c.spotStretch(&o.Job) * c.Estimate(&o.Job), shun: c.risky(&o.Job), pricePremiums: c.pricePremiums}
+	s := &candidates{job: o, need: resource.Need(&o.Job), bars: c.bars(o), claims: cl, risk: c.spotStretch(&o.Job) * c.Estimate(&o.Job), shun: c.risky(&o.Job), pricePremiums: c.pricePremiums}
 	if s.bars != nil {
 		s.own = func(m *machineEntry) bool { return c.holdsFor(o, m) }
 	}
--- a/internal/coordination/claims.go
+++ b/internal/controller/claims.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"slices"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 )
 
 // claims is the room that is not free for everybody, though nothing is on it.
@@ -18,7 +18,7 @@
 	// with their levels: a gang placed later in the same step that could not be
 	// stopped for it goes elsewhere. Without that, a large gang would be starved
 	// by steady small ones.
-	gangs map[*machineEntry]room.Level
+	gangs map[*machineEntry]resource.Level
 	// leftOver is how many processors jobs may take that have only what others
 	// leave: see Core.leftOver.
 	leftOver float64
@@ -32,7 +32,7 @@
 
 // spared reports whether a machine's room may be used for a task without
 // touching what is reserved for other classes.
-func (cl *claims) spared(o *ownedJob, m *machineEntry, n room.Amount) bool {
+func (cl *claims) spared(o *ownedJob, m *machineEntry, n resource.Amount) bool {
 	for i := range cl.classes {
 		k := &cl.classes[i]
 		if !k.applies(o) || !k.suits(m) {
@@ -56,7 +56,7 @@
 }
 
 // spend takes the room that a task is about to use out of what can be spared.
-func (cl *claims) spend(m *machineEntry, n room.Amount) {
+func (cl *claims) spend(m *machineEntry, n resource.Amount) {
 	for i := range cl.classes {
 		if k := &cl.classes[i]; k.suits(m) {
 			k.spare -= k.costs(m, n)
@@ -66,7 +66,7 @@
 
 // give takes a whole machine out of it, if that can be spared.
 func (cl *claims) give(m *machineEntry) bool {
-	all := room.Capacity(m.Info)
+	all := resource.Capacity(m.Info)
 	for i := range cl.classes {
 		if k := &cl.classes[i]; k.suits(m) && k.spare < k.costs(m, all) {
 			return false
@@ -85,23 +85,23 @@
 
 // kept is room reserved for one class, wherever it is.
 type kept struct {
-	job   *stateview.LiveJob
+	job   *clusterstate.LiveJob
 	risky bool // spot machines are no room for it
-	need  room.Amount
+	need  resource.Amount
 	spare int // how many more tasks fit than are reserved
 }
 
 // claims reckons what is claimed when a step begins: what is reserved for
 // classes, and how much more there is. Gangs add theirs as they are tried.
 func (c *Core) claims() *claims {
-	cl := &claims{gangs: map[*machineEntry]room.Level{}}
-	for _, k := range inorder.Of(c.classes) {
+	cl := &claims{gangs: map[*machineEntry]resource.Level{}}
+	for _, k := range ordered.Of(c.classes) {
 		r := c.reserve(k)
 		if r == 0 {
 			continue
 		}
-		l := &stateview.LiveJob{Job: k.job}
-		kp := kept{job: l, risky: c.risky(&l.Job), need: room.Need(&l.Job), spare: -r}
+		l := &clusterstate.LiveJob{Job: k.job}
+		kp := kept{job: l, risky: c.risky(&l.Job), need: resource.Need(&l.Job), spare: -r}
 		for _, m := range c.machines {
 			if c.usable(m) && kp.suits(m) {
 				kp.spare += m.unreserved().Fit(kp.need)
@@ -114,7 +114,7 @@
 
 // costs is how many tasks of a reserved class would have no room any more if
 // a machine took a task of a size.
-func (k *kept) costs(m *machineEntry, n room.Amount) int {
+func (k *kept) costs(m *machineEntry, n resource.Amount) int {
 	free := m.unreserved()
 	return free.Fit(k.need) - free.Minus(n).Fit(k.need)
 }
--- a/internal/coordination/classes.go
+++ b/internal/controller/classes.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"math"
 
-	"damsonkeel/internal/coordination/forecast"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/forecast"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -39,10 +39,10 @@
 func (c *Core) upS(j *protocol.Job) float64 {
 	up := math.Inf(1)
 	for _, t := range c.Types {
-		l := stateview.LiveJob{Job: *j}
+		l := clusterstate.LiveJob{Job: *j}
 		l.Zone = ""
 		if l.AllowsKind(t, "", false) {
-			up = math.Min(up, t.BootS+stateview.FetchS(t, j))
+			up = math.Min(up, t.BootS+clusterstate.FetchS(t, j))
 		}
 	}
 	return up
@@ -79,10 +79,10 @@
 	if j.Kind != protocol.KindArray {
 		return 0
 	}
-	l, sum := stateview.LiveJob{Job: *j}, 0.0
+	l, sum := clusterstate.LiveJob{Job: *j}, 0.0
 	for _, m := range c.machinesInOrder() {
 		if c.usable(m) && l.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) {
-			sum += room.Amount{CPUs: m.reported.Ending.CPUs, GPUs: m.reported.Ending.GPUs, GB: m.reported.Ending.GB}.Places(room.Need(j))
+			sum += resource.Amount{CPUs: m.reported.Ending.CPUs, GPUs: m.reported.Ending.GPUs, GB: m.reported.Ending.GB}.Places(resource.Need(j))
 		}
 	}
 	return sum
--- a/internal/coordination/stateview/due.go
+++ b/internal/controller/clusterstate/due.go
@@ -1,10 +1,10 @@
-package stateview
+package clusterstate
 
 import (
 	"math"
 	"time"
 
-	"damsonkeel/internal/coordination/clock"
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/stateview/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -1,10 +1,10 @@
-package stateview
+package clusterstate
 
 import (
 	"slices"
 
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -23,7 +23,7 @@
 	if len(j.Types) > 0 && !slices.Contains(j.Types, t.Name) {
 		return false
 	}
-	return (j.Zone == "" || j.Zone == z) && (j.Spot || !spot) && room.Capacity(t).Covers(room.Need(&j.Job))
+	return (j.Zone == "" || j.Zone == z) && (j.Spot || !spot) && resource.Capacity(t).Covers(resource.Need(&j.Job))
 }
 
 // FetchS is how long a machine of a type takes to get a job's image, in
--- a/internal/coordination/stateview/part.go
+++ b/internal/controller/clusterstate/part.go
@@ -1,8 +1,8 @@
-package stateview
+package clusterstate
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/stateview/roles.go
+++ b/internal/controller/clusterstate/roles.go
@@ -1,10 +1,10 @@
-package stateview
+package clusterstate
 
 import (
 	"slices"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/sharing"
+	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
 )
 
@@ -78,7 +78,7 @@
 func (k *State) KeeperIn(m protocol.MachineID, z protocol.Zone) protocol.NodeName {
 	switch {
 	case k.Sharing():
-		return k.Holder(sharing.Of(k.Shares, m, z))
+		return k.Holder(sharding.Of(k.Shares, m, z))
 	case k.View.Layout >= bookkeeping.LayoutShares:
 		return "" // until the record of the shares is there again
 	}
@@ -86,7 +86,7 @@
 }
 
 // Holder is the member that keeps a share; none if its session is over.
-func (k *State) Holder(id sharing.ID) protocol.NodeName {
+func (k *State) Holder(id sharding.ID) protocol.NodeName {
 	return NameOf(k.View, k.Shares.List[id].Holder)
 }
 
@@ -104,7 +104,7 @@
 // or the term where there are no shares.
 func (k *State) Token(m protocol.MachineID, z protocol.Zone) protocol.Term {
 	if k.Sharing() {
-		return k.Shares.List[sharing.Of(k.Shares, m, z)].Epoch
+		return k.Shares.List[sharding.Of(k.Shares, m, z)].Epoch
 	}
 	return k.View.Term
 }
@@ -113,7 +113,7 @@
 // are no shares: the term tells then.
 func (k *State) Tenure(m protocol.MachineID, z protocol.Zone) protocol.Term {
 	if k.Sharing() {
-		return k.Shares.List[sharing.Of(k.Shares, m, z)].Since
+		return k.Shares.List[sharding.Of(k.Shares, m, z)].Since
 	}
 	return 0
 }
--- a/internal/coordination/stateview/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -1,8 +1,8 @@
-// Package stateview holds what a controller knows that all parts of its core read:
+// Package clusterstate holds what a controller knows that all parts of its core read:
 // the records that all controllers follow, the view, the time and its settings;
 // who keeps a machine and who owns a job by that; and what is promised. It
 // decides nothing.
-package stateview
+package clusterstate
 
 import (
 	"log/slog"
@@ -10,9 +10,9 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/configuration"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/protocol"
 )
 
@@ -47,14 +47,14 @@
 	Records      map[protocol.MachineID]*Machine
 	Reservations *Reservations
 	// Configured is the configuration: the settings with what operators have changed.
-	Configured *configuration.Followed
+	Configured *dynamicconfig.Followed
 }
 
 // NewState knows nothing but its settings.
 func NewState(s *config.Settings, op config.Operator, log *slog.Logger) *State {
 	k := &State{
 		Self: s.Name, Settings: s, Op: op, Log: log, Types: map[protocol.MachineType]protocol.TypeInfo{},
-		Configured: configuration.NewFollowed(&s.Site, op),
+		Configured: dynamicconfig.NewFollowed(&s.Site, op),
 	}
 	k.Reset()
 	return k
@@ -152,11 +152,11 @@
 func (k *State) Limited(name protocol.Team) bool { return k.limitedIn(k.View, name) }
 
 func (k *State) limitedIn(v bookkeeping.View, name protocol.Team) bool {
-	return configuration.OneOwner(&k.Settings.Site, v.Layout, name)
+	return dynamicconfig.OneOwner(&k.Settings.Site, v.Layout, name)
 }
 
 // Team finds a team as it is in force.
-func (k *State) Team(name protocol.Team) (configuration.Team, bool) {
+func (k *State) Team(name protocol.Team) (dynamicconfig.Team, bool) {
 	return k.Configured.Effective().Team(name)
 }
 
@@ -170,7 +170,7 @@
 
 // LimitLowered is the last revision of the configuration that lowered a team's limit:
 // what was placed by an earlier one is started no more.
-func (k *State) LimitLowered(name protocol.Team) configuration.Revision {
+func (k *State) LimitLowered(name protocol.Team) dynamicconfig.Revision {
 	return k.Configured.Effective().LimitLowered(name)
 }
 
@@ -209,8 +209,8 @@
 func (k *State) InBlocks() bool { return k.View.Layout >= bookkeeping.LayoutBlocks }
 
 // Moment is the time of day.
-func (k *State) Moment() calendar.Moment {
-	return calendar.Moment(k.WallMS + int64(k.Now/clock.Time(time.Millisecond)))
+func (k *State) Moment() reservation.Moment {
+	return reservation.Moment(k.WallMS + int64(k.Now/clock.Time(time.Millisecond)))
 }
 
 // TellTime takes over the time of day; steady clocks drift apart.
--- a/internal/coordination/confighistory.go
+++ b/internal/controller/confighistory.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"context"
 	"slices"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 )
@@ -20,7 +20,7 @@
 		f.n.log.Debug("configuration history", "err", err)
 		return failure(503, "state service can't be asked")
 	}
-	reply := operators.Reply{Code: operators.Done, Config: &operators.ConfigReply{}}
+	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{}}
 	sizes := map[bookkeeping.ConfigurationRevision]int{}
 	for _, it := range items {
 		var change bookkeeping.ConfigurationChange
--- a/internal/coordination/configured.go
+++ b/internal/controller/configured.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
@@ -32,7 +32,7 @@
 }
 
 // ConfigurationInForce is the configuration that this controller acts by.
-func (c *Core) ConfigurationInForce() *configuration.Effective { return c.Configured.Effective() }
+func (c *Core) ConfigurationInForce() *dynamicconfig.Effective { return c.Configured.Effective() }
 
 // configured goes over to the configuration that is in force now, in one step: what
 // was decided by the one before and has not begun is decided anew.
--- a/internal/coordination/core.go
+++ b/internal/controller/core.go
@@ -1,8 +1,8 @@
-// Package coordination decides: who is entitled to act, who owns which job,
+// Package controller decides: who is entitled to act, who owns which job,
 // where tasks go, what workers are told and which machines are rented. The
 // decisions are step functions over plain state (Core); thin actors around
 // them (Node) carry the messages.
-package coordination
+package controller
 
 import (
 	"log/slog"
@@ -11,25 +11,25 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/forecast"
-	"damsonkeel/internal/coordination/keeping"
-	"damsonkeel/internal/coordination/membership"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/ratesharing"
-	"damsonkeel/internal/coordination/registrar"
-	"damsonkeel/internal/coordination/relay"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/forecast"
+	"damsonkeel/internal/controller/membership"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ratelimit"
+	"damsonkeel/internal/controller/replication"
+	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/workerregistry"
 	"damsonkeel/internal/protocol"
 )
 
 // Core is one controller's whole state between messages. It is not safe for
 // concurrent use: one actor owns it.
 type Core struct {
-	stateview.Part
+	clusterstate.Part
 	members   *membership.Members
-	registrar *registrar.Registrar
-	keeping   *keeping.Keeper
+	registrar *workerregistry.Registrar
+	keeping   *dispatcher.Keeper
 	rng       *rand.Rand
 
 	pricePremiums map[kind]float64 // by the prices last read: see reckonPricePremiums
@@ -42,9 +42,9 @@
 	owner ownerState
 	// ownedChanged are the owned jobs, as their state changes: a stream for all
 	// members in one term.
-	ownedChanged relay.Log[protocol.JobID]
+	ownedChanged replication.Log[protocol.JobID]
 	// rates outlives sessions: what was lent in the last one is still lent.
-	rates *ratesharing.Book[protocol.LeaseID]
+	rates *ratelimit.Book[protocol.LeaseID]
 	share message.SetShare // as last set
 	peers map[protocol.NodeName]*peer
 	spots forecast.Spot
@@ -79,8 +79,8 @@
 
 // NewCore makes a controller's state before its first session.
 func NewCore(s *config.Settings, op config.Operator, rng *rand.Rand, log *slog.Logger) *Core {
-	p := stateview.Part{State: stateview.NewState(s, op, log), Output: &stateview.Output{}}
-	c := &Core{Part: p, members: membership.New(p), registrar: registrar.New(p), keeping: keeping.New(p), rng: rng}
+	p := clusterstate.Part{State: clusterstate.NewState(s, op, log), Output: &clusterstate.Output{}}
+	c := &Core{Part: p, members: membership.New(p), registrar: workerregistry.New(p), keeping: dispatcher.New(p), rng: rng}
 	c.reset()
 	return c
 }
@@ -93,7 +93,7 @@
 	c.classes = map[string]*class{}
 	c.machines, c.sorted, c.spotsUp = map[protocol.MachineID]*machineEntry{}, nil, 0
 	c.keeping.Reset()
-	c.ownedChanged = relay.Log[protocol.JobID]{}
+	c.ownedChanged = replication.Log[protocol.JobID]{}
 	c.nextPlaced = 0
 	c.peers = map[protocol.NodeName]*peer{}
 	c.owner = newOwnerState()
@@ -106,7 +106,7 @@
 	c.Now = now
 	c.Actions = nil
 	if c.rates == nil {
-		c.rates = ratesharing.NewBook[protocol.LeaseID](c.equalShare(), now)
+		c.rates = ratelimit.NewBook[protocol.LeaseID](c.equalShare(), now)
 	}
 	switch m := msg.(type) {
 	case message.Snapshot:
@@ -116,7 +116,7 @@
 		for _, it := range m.Items {
 			c.record(it.Key, it.Value, it.Version, true)
 		}
-		if !c.members.IsPresent(c.Self) && c.Op.NodeLease >= ratesharing.LoanMost {
+		if !c.members.IsPresent(c.Self) && c.Op.NodeLease >= ratelimit.LoanMost {
 			// An earlier process of this controller was gone for its whole
 			// lease: what it lent is over.
 			c.rates.NothingLent()
@@ -347,7 +347,7 @@
 		c.members.ViewWritten(m.Outcome)
 	case reservationTag:
 		delete(c.reservations.write, tag.name)
-	case keeping.RegisterTag:
+	case dispatcher.RegisterTag:
 		c.keeping.RegistrationDone(tag, m.Outcome)
 	case finishTag:
 		c.finishDone(tag, m.Outcome)
@@ -355,9 +355,9 @@
 		c.bitsDone(tag, m.Outcome, m.Revision)
 	case heldTag:
 		c.reservations.stale = c.reservations.stale || m.Outcome != message.OutcomeDone
-	case registrar.Tag:
+	case workerregistry.Tag:
 		c.registrar.Written(tag, m.Outcome)
-	case keeping.RemoveTag:
+	case dispatcher.RemoveTag:
 		c.keeping.RemovalDone(tag.Machine)
 	}
 }
@@ -382,7 +382,7 @@
 // nothing has begun for a while, goes first until something does: waiting behind all
 // that is due sooner, which keeps coming where there is more work than room, it would
 // not begin for minutes.
-func (c *Core) dueNow(l *stateview.LiveJob) Time {
+func (c *Core) dueNow(l *clusterstate.LiveJob) Time {
 	if c.Since(l.Since) > beginsWithin && len(c.DueTimes(&l.Job)) == 0 && !c.Awaited(&l.Job) {
 		if g, _ := c.JobProgress(l.ID); g.Running == 0 && g.Done == 0 {
 			return l.Since
@@ -392,9 +392,9 @@
 }
 
 // levelTold is the level of a job, by its owner's word.
-func (c *Core) levelTold(id protocol.JobID) (room.Level, bool) {
+func (c *Core) levelTold(id protocol.JobID) (resource.Level, bool) {
 	g, ok := c.JobProgress(id)
-	return room.Level(g.Level - 1), ok && g.Level > 0
+	return resource.Level(g.Level - 1), ok && g.Level > 0
 }
 
 // report answers a worker, or points it to the controller that keeps it.
--- a/internal/coordination/keeping/clearing.go
+++ b/internal/controller/dispatcher/clearing.go
@@ -1,14 +1,14 @@
-package keeping
+package dispatcher
 
 import (
 	"slices"
 	"time"
 
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 )
 
 // startLater is why something that waits in a machine's queue does not start.
@@ -22,26 +22,26 @@
 
 // mayStartOn decides whether something that fits may start on a machine, for what
 // is promised there.
-func (k *Keeper) mayStartOn(q *queue, e *entry, j *stateview.LiveJob, free room.Amount) (startLater, bool) {
+func (k *Keeper) mayStartOn(q *queue, e *entry, j *clusterstate.LiveJob, free resource.Amount) (startLater, bool) {
 	pr := k.Reservations
 	holds := pr.Holds[q.id]
 	if len(pr.Windows) == 0 && len(holds) == 0 && (pr.Listed || !pr.Any) {
 		return startNow, false
 	}
 	now := k.Moment()
-	t := calendar.Task{Of: k.Of(&j.Job), Need: e.need, Level: e.level, Saves: j.CheckpointS > 0}
+	t := reservation.Task{Of: k.Of(&j.Job), Need: e.need, Level: e.level, Saves: j.CheckpointS > 0}
 	run := k.LikelyS(&j.Job, e.estimate) + q.fetchS(j)
-	t.Ends = calendar.After(now, config.Seconds(run))
-	owns := calendar.OwnUntil(holds, t.Of) != 0
-	if m := k.Records[q.id]; m != nil && k.InWindow(q.id, m.Record.Type, m.Record.Zone, now, stateview.ReservedEnd(holds, &t)) {
+	t.Ends = reservation.After(now, config.Seconds(run))
+	owns := reservation.OwnUntil(holds, t.Of) != 0
+	if m := k.Records[q.id]; m != nil && k.InWindow(q.id, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &t)) {
 		return startElsewhere, owns
 	}
 	switch {
 	case k.Unsettled(&j.Job, t.Ends):
 		return startSoon, owns
-	case calendar.Leaves(holds, &t, free, now):
+	case reservation.Leaves(holds, &t, free, now):
 		return startNow, owns
-	case calendar.Leaves(holds, &t, room.Capacity(q.info), now):
+	case reservation.Leaves(holds, &t, resource.Capacity(q.info), now):
 		return startSoon, owns
 	}
 	return startElsewhere, owns
@@ -50,15 +50,15 @@
 // ownsRoom reports whether room that is held for an attempt's job is free.
 func (k *Keeper) ownsRoom(q *queue, e *entry) bool {
 	j := k.Live[e.task.Job]
-	return j != nil && q.free().Covers(e.need) && calendar.OwnUntil(k.Reservations.Holds[q.id], k.Of(&j.Job)) != 0
+	return j != nil && q.free().Covers(e.need) && reservation.OwnUntil(k.Reservations.Holds[q.id], k.Of(&j.Job)) != 0
 }
 
 // fetchS is how long the machine takes to get a job's image, in seconds.
-func (q *queue) fetchS(j *stateview.LiveJob) float64 {
+func (q *queue) fetchS(j *clusterstate.LiveJob) float64 {
 	if slices.Contains(q.images, j.Image) {
 		return 0
 	}
-	return stateview.FetchS(q.info, &j.Job)
+	return clusterstate.FetchS(q.info, &j.Job)
 }
 
 // clearHeld stops what is in the way of room held on a machine, in the last
@@ -101,18 +101,18 @@
 // saveS is how long an attempt may take to be gone once it is stopped.
 func (k *Keeper) saveS(e *entry) float64 {
 	if j := k.Live[e.task.Job]; j != nil {
-		return stateview.GraceS(&j.Job)
+		return clusterstate.GraceS(&j.Job)
 	}
 	return 1
 }
 
 // stoppable lists what may be stopped on a machine for reserved work of a level:
 // what can save first, then what ran least.
-func (k *Keeper) stoppable(q *queue, l room.Level, n calendar.Name) []*entry {
+func (k *Keeper) stoppable(q *queue, l resource.Level, n reservation.Name) []*entry {
 	var victims []*entry
-	for _, e := range inorder.Tasks(q.entries) {
+	for _, e := range ordered.Tasks(q.entries) {
 		j := k.Live[e.task.Job]
-		if e.present && !e.ended() && !e.kill && j != nil && e.level < l && !calendar.Matches(k.ReservationOf(n), &j.Job) {
+		if e.present && !e.ended() && !e.kill && j != nil && e.level < l && !reservation.Matches(k.ReservationOf(n), &j.Job) {
 			victims = append(victims, e)
 		}
 	}
--- a/internal/coordination/keeping/configured.go
+++ b/internal/controller/dispatcher/configured.go
@@ -1,9 +1,9 @@
-package keeping
+package dispatcher
 
 import (
 	"slices"
 
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
 )
 
 // AdoptConfiguration goes over to a new configuration: what may not be started by it any more
--- a/internal/coordination/keeping/direct.go
+++ b/internal/controller/dispatcher/direct.go
@@ -1,9 +1,9 @@
-package keeping
+package dispatcher
 
 import (
 	"time"
 
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/keeping/inventory.go
+++ b/internal/controller/dispatcher/inventory.go
@@ -1,11 +1,11 @@
-package keeping
+package dispatcher
 
 import (
 	"slices"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -70,7 +70,7 @@
 	q.inventoried, q.known = true, true
 	k.touch(q)
 	byOwner := map[protocol.NodeName][]message.Held{}
-	for _, e := range inorder.Tasks(q.entries) {
+	for _, e := range ordered.Tasks(q.entries) {
 		owner := k.entryOwner(e)
 		if owner == "" {
 			continue
@@ -80,11 +80,11 @@
 			h.State = e.state
 		}
 		if j := k.Live[e.task.Job]; j != nil && k.Limited(j.Team) {
-			h.Team, h.Need = j.Team, room.Need(&j.Job)
+			h.Team, h.Need = j.Team, resource.Need(&j.Job)
 		}
 		byOwner[owner] = append(byOwner[owner], h)
 	}
-	for name := range inorder.Of(k.View.Members) {
+	for name := range ordered.Of(k.View.Members) {
 		k.Send(name, message.PeerMessage{Inventory: &message.Inventory{
 			Term: k.View.Term, Tenure: k.Tenure(q.id, q.zone), Machine: q.id, Epoch: q.epoch, Upto: k.handled[name], Held: byOwner[name],
 		}})
--- a/internal/coordination/keeping/judge.go
+++ b/internal/controller/dispatcher/judge.go
@@ -1,4 +1,4 @@
-package keeping
+package dispatcher
 
 import "damsonkeel/internal/protocol"
 
--- a/internal/coordination/keeping/keeper.go
+++ b/internal/controller/dispatcher/keeper.go
@@ -1,24 +1,24 @@
-// Package keeping keeps the queues of the machines that report to this
+// Package dispatcher keeps the queues of the machines that report to this
 // controller: what waits there, what runs, what its workers are told, and what
 // others are told of it. It reads what is known and says what it asks for; of
 // membership and of owning jobs it knows nothing.
-package keeping
+package dispatcher
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/relay"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/sharing"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/replication"
+	"damsonkeel/internal/controller/resource"
+	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
 )
 
 // Keeper keeps the queues of the machines that report to this controller.
 type Keeper struct {
-	stateview.Part
+	clusterstate.Part
 	queues map[protocol.MachineID]*queue
 	kept   []*queue // the queues in order of their machines' names; nil: to be sorted again
 	// inventoryDue are queues kept without a break whose inventories of this term
@@ -35,16 +35,16 @@
 	sessionFloor map[protocol.MachineID]protocol.Session
 	order        uint64                       // of the last attempt queued
 	handled      map[protocol.NodeName]uint64 // number of the last Place handled, by owner
-	changed      relay.Log[protocol.MachineID]
+	changed      replication.Log[protocol.MachineID]
 	needsTerm    bool // a start can only be settled by a later term
-	shares       map[sharing.ID]*share
-	staged       map[sharing.ID]*staged // handed over, to be taken
-	moved        []Moved                // that ended lately
-	asking       bool                   // there may be a change of the shares to ask for
+	shares       map[sharding.ID]*share
+	staged       map[sharding.ID]*staged // handed over, to be taken
+	moved        []Moved                 // that ended lately
+	asking       bool                    // there may be a change of the shares to ask for
 }
 
 // New keeps nothing yet.
-func New(p stateview.Part) *Keeper {
+func New(p clusterstate.Part) *Keeper {
 	k := &Keeper{Part: p}
 	k.Reset()
 	return k
@@ -55,23 +55,23 @@
 	*k = Keeper{Part: k.Part}
 	k.queues, k.sessionFloor = map[protocol.MachineID]*queue{}, map[protocol.MachineID]protocol.Session{}
 	k.handled = map[protocol.NodeName]uint64{}
-	k.shares, k.staged = map[sharing.ID]*share{}, map[sharing.ID]*staged{}
+	k.shares, k.staged = map[sharding.ID]*share{}, map[sharding.ID]*staged{}
 }
 
 // levelOf tells the level of a job, if its owner has told it.
-type levelOf func(protocol.JobID) (room.Level, bool)
+type levelOf func(protocol.JobID) (resource.Level, bool)
 
 // Drop forgets all queues: this controller is not in the view.
 func (k *Keeper) Drop() {
 	k.queues, k.kept, k.pushing = map[protocol.MachineID]*queue{}, nil, nil
-	k.shares, k.staged = map[sharing.ID]*share{}, map[sharing.ID]*staged{}
+	k.shares, k.staged = map[sharding.ID]*share{}, map[sharding.ID]*staged{}
 }
 
 // ForgetOwners forgets what was counted of owners that have another session in
 // the present view than in an earlier one.
 func (k *Keeper) ForgetOwners(old bookkeeping.View) {
 	for name := range k.handled {
-		if !stateview.SameSession(old, k.View, name) {
+		if !clusterstate.SameSession(old, k.View, name) {
 			delete(k.handled, name)
 		}
 	}
@@ -80,7 +80,7 @@
 // Begin begins a new term's stream of what changes, with all there is as changed,
 // and the inventories of queues kept without a break.
 func (k *Keeper) Begin() {
-	k.changed = relay.Log[protocol.MachineID]{}
+	k.changed = replication.Log[protocol.MachineID]{}
 	k.TouchAll()
 }
 
@@ -123,7 +123,7 @@
 }
 
 // Recorded takes over a machine's record.
-func (k *Keeper) Recorded(m *stateview.Machine) {
+func (k *Keeper) Recorded(m *clusterstate.Machine) {
 	q := k.queues[m.ID]
 	if q != nil && q.session < m.Record.Session {
 		// Registered by the keeper before, whose word of it came too late.
@@ -138,7 +138,7 @@
 }
 
 // RecordGone: a machine's record was deleted, on proof that nothing is left.
-func (k *Keeper) RecordGone(m *stateview.Machine) {
+func (k *Keeper) RecordGone(m *clusterstate.Machine) {
 	k.sessionFloor[m.ID] = max(k.sessionFloor[m.ID], m.Record.Session+1)
 	if q := k.queues[m.ID]; q != nil && q.session <= m.Record.Session {
 		k.dropQueue(m.ID)
@@ -170,7 +170,7 @@
 // overIn releases what of a job that is over was never sent; the rest is killed
 // or reaped now, or by the next answer.
 func (k *Keeper) overIn(q *queue, id protocol.JobID) {
-	for _, e := range inorder.TasksWhere(q.entries, func(t protocol.TaskID, _ *entry) bool { return t.Job == id }) {
+	for _, e := range ordered.TasksWhere(q.entries, func(t protocol.TaskID, _ *entry) bool { return t.Job == id }) {
 		if !e.sent && !e.present {
 			k.dropWaiting(q, e)
 			k.tell(q, e, message.WhatReleased)
@@ -210,7 +210,7 @@
 	if q == nil {
 		return nil
 	}
-	for _, e := range inorder.Tasks(q.entries) {
+	for _, e := range ordered.Tasks(q.entries) {
 		list = append(list, Attempt{
 			TaskRef: message.TaskRef{Task: e.task, Attempt: e.attempt, Machine: id},
 			Sent:    e.sent, Present: e.present, Ended: e.ended(), Kill: e.kill, Reap: e.reap, Direct: e.direct, Again: e.again, InAnswer: e.inAnswer,
--- a/internal/coordination/keeping/machinestate.go
+++ b/internal/controller/dispatcher/machinestate.go
@@ -1,17 +1,17 @@
-package keeping
+package dispatcher
 
 import (
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
 // free is what no attempt takes that may be on the machine.
-func (q *queue) free() room.Amount {
-	f := room.Capacity(q.info)
+func (q *queue) free() resource.Amount {
+	f := resource.Capacity(q.info)
 	for _, e := range q.entries {
 		if e.sent && !e.ended() {
 			f = f.Minus(e.need)
@@ -21,7 +21,7 @@
 }
 
 // freeSoon is what is free once everything is gone that is on its way out already.
-func (q *queue) freeSoon() room.Amount {
+func (q *queue) freeSoon() resource.Amount {
 	f := q.free()
 	for _, e := range q.entries {
 		if e.present && !e.ended() && e.kill {
@@ -32,8 +32,8 @@
 }
 
 // held is what the attempts take that are on the machine or in its queue.
-func (q *queue) held() room.Uses {
-	var u room.Uses
+func (q *queue) held() resource.Uses {
+	var u resource.Uses
 	for _, e := range q.entries {
 		if !e.ended() && !e.kill {
 			u.Add(e.level, e.need)
@@ -44,9 +44,9 @@
 
 // firmRoom is what a task of a level finds once all that may be stopped for it
 // is gone.
-func (q *queue) firmRoom(l room.Level) room.Amount {
+func (q *queue) firmRoom(l resource.Level) resource.Amount {
 	held := q.held()
-	return room.Capacity(q.info).Minus(held.Firm(l))
+	return resource.Capacity(q.info).Minus(held.Firm(l))
 }
 
 // stateOfQueue is what others are told of a machine, reckoned once after each change.
@@ -75,8 +75,8 @@
 		Silence: q.silence, Noticed: q.notice != nil,
 		Closed: q.draining || q.suspect || q.notice != nil || q.silence == message.SilenceLong || k.closed(q),
 	}
-	free, held := room.Capacity(q.info), room.Uses{}
-	least, most := room.Ranks, -1 // ranks of what may be stopped, and of what waits
+	free, held := resource.Capacity(q.info), resource.Uses{}
+	least, most := resource.Ranks, -1 // ranks of what may be stopped, and of what waits
 	borrows, guaranteed := false, false
 	for _, e := range q.entries {
 		if e.ended() {
@@ -107,14 +107,14 @@
 			borrows = borrows || !e.level.Guaranteed()
 		}
 	}
-	free, s.Wait = free.Round(), room.Round(s.Wait)
+	free, s.Wait = free.Round(), resource.Round(s.Wait)
 	for i := range s.Queue {
-		s.Queue[i] = room.Round(s.Queue[i])
+		s.Queue[i] = resource.Round(s.Queue[i])
 	}
 	for i := range held {
 		held[i] = held[i].Round()
 	}
-	s.Ending.CPUs, s.Ending.GPUs, s.Ending.GB = room.Round(s.Ending.CPUs), room.Round(s.Ending.GPUs), room.Round(s.Ending.GB)
+	s.Ending.CPUs, s.Ending.GPUs, s.Ending.GB = resource.Round(s.Ending.CPUs), resource.Round(s.Ending.GPUs), resource.Round(s.Ending.GB)
 	s.FreeCPUs, s.FreeGPUs, s.FreeGB, s.Uses = free.CPUs, free.GPUs, free.GB, message.UsesIn(&held)
 	q.runs = k.runsOf(q)
 	q.said, q.told = s, true
--- a/internal/coordination/keeping/orders.go
+++ b/internal/controller/dispatcher/orders.go
@@ -1,13 +1,13 @@
-package keeping
+package dispatcher
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -28,7 +28,7 @@
 	told := func(_ protocol.TaskID, e *entry) bool {
 		return e.present && (e.ended() || e.kill || k.Live[e.task.Job] == nil) || e.direct != 0
 	}
-	for _, e := range inorder.TasksWhere(q.entries, told) {
+	for _, e := range ordered.TasksWhere(q.entries, told) {
 		live := k.Live[e.task.Job] != nil
 		switch {
 		case !e.present:
@@ -97,7 +97,7 @@
 			k.tell(q, e, message.WhatReleased)
 			continue
 		}
-		e.need = room.Need(&j.Job)
+		e.need = resource.Need(&j.Job)
 		later, reserved := k.mayStartOn(q, e, j, free)
 		if !free.Covers(e.need) || later == startSoon || held && !reserved {
 			if len(k.Reservations.Holds[q.id]) == 0 && later != startSoon {
--- a/internal/coordination/keeping/preempt.go
+++ b/internal/controller/dispatcher/preempt.go
@@ -1,14 +1,14 @@
-package keeping
+package dispatcher
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -19,7 +19,7 @@
 // startBy is the time by which an attempt should start: the first that can
 // still be kept of what its class and its team's guarantee ask for, else when
 // it has to start to be done in time.
-func (k *Keeper) startBy(e *entry, l *stateview.LiveJob) clock.Time {
+func (k *Keeper) startBy(e *entry, l *clusterstate.LiveJob) clock.Time {
 	first := k.DoneBy(l) - clock.Time(1.5*e.estimate*float64(time.Second)) // owners' estimates are often wrong by half
 	for _, o := range k.Objectives() {
 		asked := o.Kind == "wait" && o.Class == l.Class || o.Kind == "guarantee" && e.level.Guaranteed()
@@ -43,10 +43,10 @@
 
 // roomIn is how long it is likely to take until what runs on a machine ends by
 // itself and leaves room for a task.
-func (k *Keeper) roomIn(q *queue, free, n room.Amount) time.Duration {
+func (k *Keeper) roomIn(q *queue, free, n resource.Amount) time.Duration {
 	type ending struct {
 		in   time.Duration
-		need room.Amount
+		need resource.Amount
 	}
 	var ends []ending
 	for _, e := range q.entries {
@@ -86,7 +86,7 @@
 		if j == nil {
 			return
 		}
-		if later, _ := k.mayStartOn(q, head, j, room.Capacity(q.info)); later != startNow {
+		if later, _ := k.mayStartOn(q, head, j, resource.Capacity(q.info)); later != startNow {
 			return // it would not start there
 		}
 		if !head.together && (k.Since(head.since) < preemptAfter || k.After(k.roomIn(q, free, head.need)) <= k.startBy(head, j)) {
@@ -105,13 +105,13 @@
 
 // preemptFor stops what has to be stopped for one attempt, given what is free,
 // and returns what is free then.
-func (k *Keeper) preemptFor(q *queue, head *entry, free room.Amount) (room.Amount, bool) {
+func (k *Keeper) preemptFor(q *queue, head *entry, free resource.Amount) (resource.Amount, bool) {
 	if free.Covers(head.need) {
 		return free, true
 	}
 	j := k.Live[head.task.Job]
 	var victims []*entry
-	for _, e := range inorder.Tasks(q.entries) {
+	for _, e := range ordered.Tasks(q.entries) {
 		other := k.Live[e.task.Job]
 		switch {
 		case !e.present || e.ended() || other == nil || e.kill:
--- a/internal/coordination/keeping/queue.go
+++ b/internal/controller/dispatcher/queue.go
@@ -1,15 +1,15 @@
-package keeping
+package dispatcher
 
 import (
 	"slices"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -34,7 +34,7 @@
 	silence        message.Silence
 	told           bool                 // said is up to date
 	said           message.MachineState // what others are told
-	runs           []calendar.Run
+	runs           []reservation.Run
 	contested      bool       // something here might be stopped for something that waits; as said
 	inventoried    bool       // owners have an inventory of this term
 	known          bool       // what is on the machine was reported since it is kept here
@@ -75,11 +75,11 @@
 	task     protocol.TaskID
 	attempt  protocol.Attempt
 	estimate float64
-	need     room.Amount
+	need     resource.Amount
 	order    uint64
 	since    clock.Time // queued here, or first seen here
 	runs     clock.Time // since when, as far as seen here
-	level    room.Level
+	level    resource.Level
 	guessed  bool              // its level is guessed
 	due      clock.Time        // of its job, when the queue was last sorted
 	together bool              // others of its gang wait for it
@@ -146,12 +146,12 @@
 			return true
 		})
 	}
-	for owner, refs := range inorder.Of(released) {
+	for owner, refs := range ordered.Of(released) {
 		for part := range slices.Chunk(refs, releasedMost) {
 			k.Send(owner, message.PeerMessage{Released: part})
 		}
 	}
-	for id, m := range inorder.Of(k.Records) {
+	for id, m := range ordered.Of(k.Records) {
 		if k.Keeper(id) == k.Self && k.queues[id] == nil {
 			k.keep(id, m.Record.Zone).registered(m)
 		}
@@ -187,14 +187,14 @@
 // comes or goes.
 func (k *Keeper) queuesInOrder() []*queue {
 	if k.kept == nil {
-		for _, q := range inorder.Of(k.queues) {
+		for _, q := range ordered.Of(k.queues) {
 			k.kept = append(k.kept, q)
 		}
 	}
 	return k.kept
 }
 
-func (q *queue) registered(m *stateview.Machine) {
+func (q *queue) registered(m *clusterstate.Machine) {
 	q.epoch, q.info, q.addr, q.zone = m.Epoch, m.Info, m.Record.Address, m.Record.Zone
 	q.session = max(q.session, m.Record.Session)
 }
@@ -279,7 +279,7 @@
 		k.handled[from] = p.Number
 	}
 	for _, t := range p.Tasks {
-		e := &entry{task: t.Task, attempt: t.Attempt, estimate: t.EstimateS, need: t.Need(), level: room.Level(t.Level), together: t.Together, from: from, since: k.Now, configuration: p.Configuration}
+		e := &entry{task: t.Task, attempt: t.Attempt, estimate: t.EstimateS, need: t.Need(), level: resource.Level(t.Level), together: t.Together, from: from, since: k.Now, configuration: p.Configuration}
 		q := k.queues[t.Machine]
 		refuse := func() {
 			if q != nil {
--- a/internal/coordination/keeping/records.go
+++ b/internal/controller/dispatcher/records.go
@@ -1,11 +1,11 @@
-package keeping
+package dispatcher
 
 import (
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/message"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/keeping/report.go
+++ b/internal/controller/dispatcher/report.go
@@ -1,11 +1,11 @@
-package keeping
+package dispatcher
 
 import (
 	"slices"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -118,10 +118,10 @@
 				q.strays(k, t)
 				continue
 			}
-			e = &entry{task: t.Task, attempt: t.Attempt, since: k.Now, level: room.Levels - 1}
+			e = &entry{task: t.Task, attempt: t.Attempt, since: k.Now, level: resource.Levels - 1}
 			if j := k.Live[t.Task.Job]; j != nil {
-				e.estimate, e.need = k.Estimate(&j.Job), room.Need(&j.Job)
-				e.level = room.LevelOf(j.Priority, k.Guarantees(j.Team)) // perhaps: its owner would know
+				e.estimate, e.need = k.Estimate(&j.Job), resource.Need(&j.Job)
+				e.level = resource.LevelOf(j.Priority, k.Guarantees(j.Team)) // perhaps: its owner would know
 				e.guessed = true
 			}
 			q.put(e)
@@ -129,7 +129,7 @@
 		k.takeTask(q, e, t)
 	}
 	missing := func(id protocol.TaskID, e *entry) bool { return !listed[id] && (e.sent || e.present) }
-	for id, e := range inorder.TasksWhere(q.entries, missing) {
+	for id, e := range ordered.TasksWhere(q.entries, missing) {
 		switch {
 		case e.present:
 			// The worker lets go of an attempt only when told to, so this is
@@ -249,7 +249,7 @@
 		k.releaseWaiting(q)
 	}
 	q.notice = r.NoticeS
-	for _, e := range inorder.Tasks(q.entries) {
+	for _, e := range ordered.Tasks(q.entries) {
 		if e.present && !e.ended() && !e.noticed {
 			e.noticed = true
 			k.tell(q, e, message.WhatNotice)
--- a/internal/coordination/keeping/runs.go
+++ b/internal/controller/dispatcher/runs.go
@@ -1,10 +1,10 @@
-package keeping
+package dispatcher
 
 import (
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/forecast"
-	"damsonkeel/internal/coordination/inorder"
+	"damsonkeel/internal/controller/forecast"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/protocol"
 )
 
@@ -26,23 +26,23 @@
 
 // runsOf lists what a machine runs, for the controller that chooses where room
 // is held.
-func (k *Keeper) runsOf(q *queue) []calendar.Run {
+func (k *Keeper) runsOf(q *queue) []reservation.Run {
 	if !k.Reservations.Any {
 		return nil
 	}
 	now := k.Moment()
-	var runs []calendar.Run
-	for _, e := range inorder.Tasks(q.entries) {
+	var runs []reservation.Run
+	for _, e := range ordered.Tasks(q.entries) {
 		j := k.Live[e.task.Job]
 		if !e.sent || e.ended() {
 			continue
 		}
-		r := calendar.Run{Task: e.task, Attempt: e.attempt, Need: e.need, Level: e.level, Sure: e.order != 0}
+		r := reservation.Run{Task: e.task, Attempt: e.attempt, Need: e.need, Level: e.level, Sure: e.order != 0}
 		left := 0.0
 		if j != nil {
 			left = k.LikelyS(&j.Job, e.estimate)
 			for _, o := range k.Reservations.List {
-				if calendar.Matches(k.ReservationOf(o.For), &j.Job) {
+				if reservation.Matches(k.ReservationOf(o.For), &j.Job) {
 					r.For = o.For
 					break
 				}
@@ -56,7 +56,7 @@
 		} else if j != nil {
 			left += q.fetchS(j)
 		}
-		r.Ends = calendar.After(now, config.Seconds(left))
+		r.Ends = reservation.After(now, config.Seconds(left))
 		runs = append(runs, r)
 	}
 	return runs
--- a/internal/coordination/keeping/shares.go
+++ b/internal/controller/dispatcher/shares.go
@@ -1,20 +1,20 @@
-package keeping
+package dispatcher
 
 import (
 	"slices"
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/sharing"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
 )
 
 // share is what is kept of one share of the machines beside their queues.
 type share struct {
-	id     sharing.ID
+	id     sharding.ID
 	tenure protocol.Term
 	// alone is since when all members are known to have followed the record by
 	// which it came here: nobody answers its machines by an earlier one any more.
@@ -59,9 +59,9 @@
 )
 
 // shareOf is the share of a queue's machine.
-func (k *Keeper) shareOf(q *queue) *share { return k.shareAt(sharing.Of(k.Shares, q.id, q.zone)) }
+func (k *Keeper) shareOf(q *queue) *share { return k.shareAt(sharding.Of(k.Shares, q.id, q.zone)) }
 
-func (k *Keeper) shareAt(id sharing.ID) *share {
+func (k *Keeper) shareAt(id sharding.ID) *share {
 	tenure := k.Shares.List[id].Since
 	s := k.shares[id]
 	if s == nil || s.tenure != tenure {
@@ -128,7 +128,7 @@
 	if !k.Sharing() {
 		return false
 	}
-	s := k.shareAt(sharing.Of(k.Shares, r.Machine, r.Zone))
+	s := k.shareAt(sharding.Of(k.Shares, r.Machine, r.Zone))
 	if s.frozen == nil {
 		return false
 	}
@@ -156,22 +156,22 @@
 	if m.Term != k.View.Term || !k.Acting() || m.To == k.Self || k.View.Members[m.To] == 0 {
 		return
 	}
-	byShare := map[sharing.ID][]*queue{}
-	moving := map[sharing.ID]bool{}
+	byShare := map[sharding.ID][]*queue{}
+	moving := map[sharding.ID]bool{}
 	for _, t := range m.Shares {
-		if k.holds(t) && k.shareAt(sharing.ID(t.Share)).frozen == nil {
-			moving[sharing.ID(t.Share)] = true
+		if k.holds(t) && k.shareAt(sharding.ID(t.Share)).frozen == nil {
+			moving[sharding.ID(t.Share)] = true
 		}
 	}
 	if len(moving) == 0 {
 		return
 	}
 	for _, q := range k.queuesInOrder() {
-		if id := sharing.Of(k.Shares, q.id, q.zone); moving[id] {
+		if id := sharding.Of(k.Shares, q.id, q.zone); moving[id] {
 			byShare[id] = append(byShare[id], q)
 		}
 	}
-	for id := range inorder.Of(moving) {
+	for id := range ordered.Of(moving) {
 		s := k.shareAt(id)
 		k.asking = true
 		s.frozen = &frozen{to: m.To, at: k.Now, cause: m.Cause}
@@ -193,7 +193,7 @@
 		Machine: q.id, Epoch: q.epoch, Session: q.session, Seq: q.seq, Seen: q.seen, Known: q.known, Sole: q.sole, Everseen: q.everSeen,
 		NoticeS: q.notice, Draining: q.draining, Suspect: q.suspect, Images: slices.Clone(q.images), Idle: k.Since(q.idleSince),
 	}
-	for job := range inorder.Of(q.failed) {
+	for job := range ordered.Of(q.failed) {
 		h.Failed = append(h.Failed, job)
 	}
 	add := func(e *entry) {
@@ -207,7 +207,7 @@
 			State: e.state, Cause: e.cause, Saved: e.saved, Kill: e.kill, GraceS: e.graceS, Reap: e.reap, Noticed: e.noticed, Configuration: e.configuration,
 		})
 	}
-	for _, e := range inorder.Tasks(q.entries) {
+	for _, e := range ordered.Tasks(q.entries) {
 		if e.sent || e.present {
 			add(e)
 		}
@@ -223,7 +223,7 @@
 // Hand takes a piece of a share that another controller hands over, until the
 // records give it to this one.
 func (k *Keeper) Hand(h *message.Hand) {
-	id := sharing.ID(h.Share)
+	id := sharding.ID(h.Share)
 	if h.Term != k.View.Term || !k.Acting() || h.Pieces < 1 || h.Piece < 0 || h.Piece >= h.Pieces ||
 		!k.Sharing() || h.Share < 0 || h.Share >= len(k.Shares.List) || k.Shares.List[id].Since != h.Tenure || k.Shares.List[id].Epoch != h.Epoch {
 		return
@@ -243,12 +243,12 @@
 // WantedShares lists the changes of the record of shares that this keeper asks for: the
 // shares handed over to it whole, to take, and those whose epoch has to rise: for a
 // start without an answer, or to give up a move.
-func (k *Keeper) WantedShares() (take, raise []sharing.ID) {
+func (k *Keeper) WantedShares() (take, raise []sharding.ID) {
 	if !k.asking || !k.Sharing() || !k.Acting() {
 		return nil, nil
 	}
 	k.asking = false
-	for id, st := range inorder.Of(k.staged) {
+	for id, st := range ordered.Of(k.staged) {
 		switch {
 		case st.epoch != k.Shares.List[id].Epoch || k.Since(st.at) > stageAtMost:
 			delete(k.staged, id)
@@ -258,7 +258,7 @@
 		}
 		k.asking = true // until it is taken, or void
 	}
-	for id, s := range inorder.Of(k.shares) {
+	for id, s := range ordered.Of(k.shares) {
 		now := &k.Shares.List[id]
 		if now.Holder != k.Session || s.tenure != now.Since {
 			continue
@@ -280,7 +280,7 @@
 	if !k.Sharing() {
 		return
 	}
-	for id, s := range inorder.Of(k.shares) {
+	for id, s := range ordered.Of(k.shares) {
 		if k.Shares.List[id].Holder != k.Session || k.Shares.List[id].Since != s.tenure {
 			delete(k.shares, id)
 		} else if s.frozen != nil {
@@ -292,7 +292,7 @@
 
 // Moved is a move of a share that has ended.
 type Moved struct {
-	Share   sharing.ID
+	Share   sharding.ID
 	Pause   time.Duration // for how long nothing was started on it
 	GivenUp bool
 }
@@ -321,9 +321,9 @@
 // dropped, what has come is kept, and what else has changed notices nothing but a
 // later token.
 func (k *Keeper) AdoptShares(old *bookkeeping.Shares) {
-	lost, come := map[sharing.ID]bool{}, map[sharing.ID]bool{}
+	lost, come := map[sharding.ID]bool{}, map[sharding.ID]bool{}
 	for i, now := range k.Shares.List {
-		id := sharing.ID(i)
+		id := sharding.ID(i)
 		was := bookkeeping.ShareState{}
 		if old != nil && i < len(old.List) {
 			was = old.List[i]
@@ -356,13 +356,13 @@
 
 // lose drops what is kept of shares that others keep now, and passes on what was
 // held back for them.
-func (k *Keeper) lose(lost map[sharing.ID]bool) {
+func (k *Keeper) lose(lost map[sharding.ID]bool) {
 	for _, q := range slices.Clone(k.queuesInOrder()) {
-		if lost[sharing.Of(k.Shares, q.id, q.zone)] {
+		if lost[sharding.Of(k.Shares, q.id, q.zone)] {
 			k.dropQueue(q.id)
 		}
 	}
-	for id := range inorder.Of(lost) {
+	for id := range ordered.Of(lost) {
 		s := k.shares[id]
 		if s == nil {
 			continue
@@ -386,14 +386,14 @@
 		k.again(m)
 	}
 	for _, q := range k.queuesInOrder() {
-		if sharing.Of(k.Shares, q.id, q.zone) != s.id {
+		if sharding.Of(k.Shares, q.id, q.zone) != s.id {
 			continue
 		}
 		over := map[protocol.JobID]bool{}
 		for t := range q.entries {
 			over[t.Job] = k.IsOver(t.Job)
 		}
-		for job, is := range inorder.Of(over) {
+		for job, is := range ordered.Of(over) {
 			if is {
 				k.overIn(q, job)
 			}
@@ -417,8 +417,8 @@
 
 // take begins to keep shares: with what was handed over, or knowing of their
 // machines only what the records say.
-func (k *Keeper) take(come map[sharing.ID]bool, old *bookkeeping.Shares) {
-	for id := range inorder.Of(come) {
+func (k *Keeper) take(come map[sharding.ID]bool, old *bookkeeping.Shares) {
+	for id := range ordered.Of(come) {
 		k.shareAt(id)
 		if st := k.staged[id]; st != nil && st.left == 0 && st.epoch == old.List[id].Epoch {
 			for _, h := range st.pieces {
@@ -429,8 +429,8 @@
 		}
 		delete(k.staged, id)
 	}
-	for id, m := range inorder.Of(k.Records) {
-		if !come[sharing.Of(k.Shares, id, m.Record.Zone)] {
+	for id, m := range ordered.Of(k.Records) {
+		if !come[sharding.Of(k.Shares, id, m.Record.Zone)] {
 			continue
 		}
 		q := k.queues[id]
--- a/internal/coordination/configuration/decide.go
+++ b/internal/controller/dynamicconfig/decide.go
@@ -1,4 +1,4 @@
-package configuration
+package dynamicconfig
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 )
 
@@ -55,7 +55,7 @@
 
 // Decide decides a change on what is in force. An error names all that is wrong: then
 // nothing of it is done. Without a change left to make, the plan is empty.
-func (f *Followed) Decide(facts *Facts, changes []operators.ConfigChange) (*Plan, error) {
+func (f *Followed) Decide(facts *Facts, changes []operatorapi.ConfigChange) (*Plan, error) {
 	if len(changes) == 0 {
 		return nil, errors.New("no entry is named")
 	}
@@ -92,7 +92,7 @@
 }
 
 // entryAfter is an entry as a change leaves it.
-func (f *Followed) entryAfter(facts *Facts, c operators.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
+func (f *Followed) entryAfter(facts *Facts, c operatorapi.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
 	none := bookkeeping.ConfigurationEntry{}
 	kind, name := c.Entry.Split()
 	if !validName.MatchString(name) {
@@ -117,7 +117,7 @@
 }
 
 // teamAfter is a team's entry as a change leaves it.
-func (f *Followed) teamAfter(facts *Facts, name protocol.Team, c operators.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
+func (f *Followed) teamAfter(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
 	none := bookkeeping.ConfigurationEntry{}
 	have, known := f.effective.Team(name)
 	if c.Reset || c.Remove {
@@ -187,7 +187,7 @@
 // checkTeamEnds checks that a team can be removed, or a removed or added one be reset.
 // Closed for a while, it can have no job that is not followed here: see the design's
 // page.
-func (f *Followed) checkTeamEnds(facts *Facts, name protocol.Team, c operators.ConfigChange) error {
+func (f *Followed) checkTeamEnds(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) error {
 	have, known := f.effective.Team(name)
 	inFile := slices.ContainsFunc(f.site.Teams, func(t config.Team) bool { return t.Name == name })
 	switch {
@@ -217,7 +217,7 @@
 	return nil
 }
 
-func classAfter(c operators.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
+func classAfter(c operatorapi.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
 	if c.Reset {
 		return bookkeeping.ConfigurationEntry{Reset: true}, nil
 	}
@@ -238,7 +238,7 @@
 	return bookkeeping.ConfigurationEntry{Class: &bookkeeping.ClassEntry{Objectives: objectives}}, nil
 }
 
-func placeAfter(c operators.ConfigChange, known bool) (bookkeeping.ConfigurationEntry, error) {
+func placeAfter(c operatorapi.ConfigChange, known bool) (bookkeeping.ConfigurationEntry, error) {
 	if !known {
 		return bookkeeping.ConfigurationEntry{}, errors.New("there is none of this name")
 	}
@@ -248,7 +248,7 @@
 	return bookkeeping.ConfigurationEntry{Place: &bookkeeping.PlaceEntry{Closed: true}}, nil
 }
 
-func (f *Followed) settingAfter(name string, c operators.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
+func (f *Followed) settingAfter(name string, c operatorapi.ConfigChange) (bookkeeping.ConfigurationEntry, error) {
 	trial := f.operator
 	text := bookkeeping.SettingText("1s")
 	if !c.Reset {
--- a/internal/coordination/configuration/effective.go
+++ b/internal/controller/dynamicconfig/effective.go
@@ -1,7 +1,7 @@
-// Package configuration is the configuration in force: the platform's file with what
+// Package dynamicconfig is the configuration in force: the platform's file with what
 // operators have changed over it. It takes the followed records, applies each revision
 // whole, and decides changes. It is plain state without clocks or messages.
-package configuration
+package dynamicconfig
 
 import (
 	"maps"
--- a/internal/coordination/configuration/main_test.go
+++ b/internal/controller/dynamicconfig/main_test.go
@@ -1,4 +1,4 @@
-package configuration
+package dynamicconfig
 
 import (
 	"os"
--- a/internal/coordination/events.go
+++ b/internal/controller/events.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"time"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
 )
 
@@ -84,13 +84,13 @@
 // time lost for its next attempt.
 func (c *Core) noticed(o *ownedJob, t *placedTask, leftS float64) {
 	if o.Kind == protocol.KindGang {
-		for _, other := range inorder.Tasks(o.placed) {
-			c.askStop(other, true, stateview.GraceS(&o.Job))
+		for _, other := range ordered.Tasks(o.placed) {
+			c.askStop(other, true, clusterstate.GraceS(&o.Job))
 		}
 		return
 	}
 	if o.CheckpointS > 0 || o.Kind == protocol.KindService {
-		c.askStop(t, true, stateview.GraceS(&o.Job))
+		c.askStop(t, true, clusterstate.GraceS(&o.Job))
 		return
 	}
 	ran := 0.0
--- a/internal/coordination/failedsearch.go
+++ b/internal/controller/failedsearch.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -14,8 +14,8 @@
 // machines ten times a second took more than a controller's whole share:
 // docs/incidents/2026-12-01-small-jobs-use-up-a-controller.md.
 type failedSearch struct {
-	need  room.Amount
-	level room.Level
+	need  resource.Amount
+	level resource.Level
 	rank  int
 	class string
 	types []protocol.MachineType
@@ -40,7 +40,7 @@
 		return // where it may go depends on more than what is remembered
 	}
 	c.owner.failedSearches = append(c.owner.failedSearches, failedSearch{
-		need: room.Need(&o.Job), level: o.level, rank: o.Priority.Rank(), class: o.Class, types: o.Types, zone: o.Zone, spot: o.Spot, yields: o.yields,
+		need: resource.Need(&o.Job), level: o.level, rank: o.Priority.Rank(), class: o.Class, types: o.Types, zone: o.Zone, spot: o.Spot, yields: o.yields,
 	})
 	every := placeEvery * time.Duration(max(1, len(c.owner.failedSearches)*len(c.sorted)/searchedAtOnce))
 	c.owner.failedSearches[len(c.owner.failedSearches)-1].until = c.After(every)
@@ -57,7 +57,7 @@
 	if c.reservations.Any {
 		return false
 	}
-	need := room.Need(&o.Job)
+	need := resource.Need(&o.Job)
 	for i := range c.owner.failedSearches {
 		v := &c.owner.failedSearches[i]
 		if need.Covers(v.need) && o.level <= v.level && o.Priority.Rank() <= v.rank && (v.spot || !o.Spot) &&
--- a/internal/coordination/failingjob.go
+++ b/internal/controller/failingjob.go
@@ -1,9 +1,9 @@
-package coordination
+package controller
 
 import (
 	"time"
 
-	"damsonkeel/internal/coordination/inorder"
+	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
 )
 
@@ -47,7 +47,7 @@
 		o.notBefore = c.After(o.backoff)
 		c.ownedChanged.Touch(o.ID)
 		c.Log.Info("job fails wherever it runs: one task is tried now and then", "job", o.ID, "machines", len(o.failedOn))
-		for _, other := range inorder.Tasks(o.placed) {
+		for _, other := range ordered.Tasks(o.placed) {
 			if !other.started && !other.stopping && o.Kind != protocol.KindGang {
 				c.askStop(other, false, 0) // what waits in queues would fail as well
 			}
--- a/internal/coordination/finish.go
+++ b/internal/controller/finish.go
@@ -1,9 +1,9 @@
-package coordination
+package controller
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
 	"damsonkeel/internal/protocol"
 )
 
@@ -41,7 +41,7 @@
 			{Delete: bookkeeping.LiveKey(o.ID)},
 		},
 	}
-	for chunk := range inorder.Of(o.stored) { // a short job has none: what is not there costs a change all the same
+	for chunk := range ordered.Of(o.stored) { // a short job has none: what is not there costs a change all the same
 		txn.Then = append(txn.Then, protocol.Change{Delete: bookkeeping.BitsKey(o.ID, chunk)})
 	}
 	c.Do(message.Commit{Tag: finishTag{o.ID}, Txn: txn})
@@ -61,7 +61,7 @@
 		return
 	}
 	n := 0
-	for _, o := range inorder.Of(c.owner.jobs) {
+	for _, o := range ordered.Of(c.owner.jobs) {
 		if len(o.dirty) == 0 || o.writing || o.finish || !o.loaded || o.reread {
 			continue
 		}
@@ -73,7 +73,7 @@
 			{Key: bookkeeping.ViewKey, Version: c.ViewVersion}, // a former owner writes nothing late
 			{Key: bookkeeping.LiveKey(o.ID), Version: o.Version},
 		}}
-		for chunk := range inorder.Of(o.dirty) {
+		for chunk := range ordered.Of(o.dirty) {
 			tag.chunks = append(tag.chunks, chunk)
 			// On its version: a write without an answer may be carried out after the
 			// next one, and would take back the ends that only that one has.
--- a/internal/coordination/fleet.go
+++ b/internal/controller/fleet.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"cmp"
@@ -7,12 +7,12 @@
 	"time"
 
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/forecast"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/keeping"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/forecast"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/protocol"
 )
 
@@ -57,7 +57,7 @@
 type rentCall struct {
 	req   protocol.RentRequest
 	at    Time
-	of    calendar.Name // the reservation that it is for, if any
+	of    reservation.Name // the reservation that it is for, if any
 	tries int
 	busy  bool
 }
@@ -87,14 +87,14 @@
 // fleetStep rents and returns machines, if that is this controller's role.
 func (c *Core) fleetStep() {
 	f := &c.fleet
-	if !c.Acting() || len(c.Types) == 0 || stateview.Rendezvous(c.View, "fleet") != c.Self {
+	if !c.Acting() || len(c.Types) == 0 || clusterstate.Rendezvous(c.View, "fleet") != c.Self {
 		return
 	}
 	if !f.listing && (!f.haveList || c.Since(f.listedAt) > listEvery) {
 		f.listing = true
 		c.Do(message.ListMachines{})
 	}
-	for name, r := range inorder.Of(f.rents) {
+	for name, r := range ordered.Of(f.rents) {
 		switch {
 		case r.busy || c.Since(r.at) < 2*time.Second:
 		case r.tries > 5:
@@ -235,7 +235,7 @@
 
 // planning reports whether this controller rents and returns machines.
 func (c *Core) planning() bool {
-	return c.Acting() && len(c.Types) > 0 && stateview.Rendezvous(c.View, "fleet") == c.Self && c.fleet.haveList && c.Since(c.fleet.since) >= settleTime
+	return c.Acting() && len(c.Types) > 0 && clusterstate.Rendezvous(c.View, "fleet") == c.Self && c.fleet.haveList && c.Since(c.fleet.since) >= settleTime
 }
 
 // keepIdle is how long a machine is kept idle, in seconds: as long as the boot
@@ -259,14 +259,14 @@
 // likely to need.
 func (c *Core) spareCPUs() float64 {
 	top, spare, any := 0, 0.0, false
-	for _, k := range inorder.Of(c.classes) {
+	for _, k := range ordered.Of(c.classes) {
 		if work := c.comingWork(k); work > 0 {
 			spare -= work / c.upS(&k.job)
 			top, any = max(top, k.job.Priority.Rank()), true
 		}
 	}
 	waits := 0.0
-	for _, p := range inorder.Of(c.peers) {
+	for _, p := range ordered.Of(c.peers) {
 		for _, d := range p.demand {
 			if j := c.Live[d.Job]; j != nil && j.Priority.Rank() <= top { // the rest is held by queues
 				waits += float64(d.Unstarted) * j.CPUs
@@ -324,7 +324,7 @@
 			c.Send(c.Keeper(id), message.PeerMessage{Drain: &id})
 		}
 	}
-	for id, l := range inorder.Of(f.listed) {
+	for id, l := range ordered.Of(f.listed) {
 		if c.machines[id] != nil || f.returned[id] != 0 {
 			delete(f.orphan, id)
 			if c.machines[id] != nil && l.State == "failed" && f.returned[id] == 0 {
@@ -385,7 +385,7 @@
 
 // dropRecord deletes the record of a machine that the cloud says is gone.
 func (c *Core) dropRecord(m *machineEntry) {
-	c.ChangeRecord(keeping.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
+	c.ChangeRecord(dispatcher.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
 }
 
 func (c *Core) listed(m message.Listed) {
--- a/internal/coordination/forecast/arrivals.go
+++ b/internal/controller/forecast/arrivals.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/clock"
+	"damsonkeel/internal/controller/clock"
 )
 
 // arrivalsKept bounds how many arrivals of a class are remembered.
--- a/internal/coordination/frontend.go
+++ b/internal/controller/frontend.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/coordination/intake"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 )
@@ -22,20 +22,20 @@
 // intake's messages, and passes workers' reports on to the core.
 type frontend struct {
 	n       *Node
-	core    *intake.Intake
+	core    *admission.Intake
 	mailbox chan any
 	local   []any // messages of a step to itself
 	lastID  atomic.Uint64
-	replies map[intake.RequestID]transport.Reply
+	replies map[admission.RequestID]transport.Reply
 	slots   chan struct{} // of operators' requests
 	// configured holds the configuration in force that the intake has not taken yet.
-	configured chan *configuration.Effective
+	configured chan *dynamicconfig.Effective
 	peers      map[protocol.NodeName]*transport.Peer // not the outbox's, whose calls may wait
 }
 
 // userRequest is a request with whom to answer.
 type userRequest struct {
-	intake.Asked
+	admission.Asked
 	reply transport.Reply
 }
 
@@ -48,9 +48,9 @@
 
 func newFrontend(n *Node) *frontend {
 	f := &frontend{
-		n: n, core: intake.New(n.settings, n.op, n.log), mailbox: make(chan any, 4*intake.RequestsMost),
-		configured: make(chan *configuration.Effective, 1),
-		replies:    map[intake.RequestID]transport.Reply{}, slots: make(chan struct{}, operatorRequestsMost), peers: map[protocol.NodeName]*transport.Peer{},
+		n: n, core: admission.New(n.settings, n.op, n.log), mailbox: make(chan any, 4*admission.RequestsMost),
+		configured: make(chan *dynamicconfig.Effective, 1),
+		replies:    map[admission.RequestID]transport.Reply{}, slots: make(chan struct{}, operatorRequestsMost), peers: map[protocol.NodeName]*transport.Peer{},
 	}
 	for _, m := range n.settings.Members {
 		f.peers[m.Name] = transport.NewPeer(m.Peer)
@@ -71,17 +71,17 @@
 		}
 	case m.Path == "/work":
 		if allow(m, reply, "POST") {
-			f.ask(intake.Asked{Operation: intake.Submit, Body: m.Body}, reply)
+			f.ask(admission.Asked{Operation: admission.Submit, Body: m.Body}, reply)
 		}
-	case m.Path == operators.Path && f.n.op.OperatorKeys != "":
+	case m.Path == operatorapi.Path && f.n.op.OperatorKeys != "":
 		if allow(m, reply, "POST") {
 			f.operator(reply, m.Body)
 		}
 	case strings.HasPrefix(m.Path, "/work/"):
 		name, abort := strings.CutSuffix(strings.TrimPrefix(m.Path, "/work/"), "/abort")
-		asked, method := intake.Asked{Operation: intake.Poll}, "GET"
+		asked, method := admission.Asked{Operation: admission.Poll}, "GET"
 		if abort {
-			asked, method = intake.Asked{Operation: intake.Cancel}, "POST"
+			asked, method = admission.Asked{Operation: admission.Cancel}, "POST"
 		}
 		if !allow(m, reply, method) {
 			return
@@ -106,12 +106,12 @@
 	return true
 }
 
-func response(a intake.Answer) *transport.Message {
+func response(a admission.Answer) *transport.Message {
 	return &transport.Message{Status: a.Status, Body: a.Body, RetryAfterS: a.RetryAfterS}
 }
 
 func failure(status int, what string) *transport.Message {
-	return response(intake.Failure(status, what))
+	return response(admission.Failure(status, what))
 }
 
 func success(status int, v any) *transport.Message {
@@ -123,8 +123,8 @@
 }
 
 // ask gives the intake a request, or answers at once if too many wait.
-func (f *frontend) ask(a intake.Asked, reply transport.Reply) {
-	a.ID, a.WallMS = intake.RequestID(f.lastID.Add(1)), time.Now().UnixMilli()
+func (f *frontend) ask(a admission.Asked, reply transport.Reply) {
+	a.ID, a.WallMS = admission.RequestID(f.lastID.Add(1)), time.Now().UnixMilli()
 	select {
 	case f.mailbox <- userRequest{a, reply}:
 	default:
@@ -145,9 +145,9 @@
 			}
 			f.step(ctx, m)
 		case effective := <-f.configured:
-			f.step(ctx, intake.Configured{Effective: effective})
+			f.step(ctx, admission.Configured{Effective: effective})
 		case <-t.C:
-			f.step(ctx, intake.Tick{})
+			f.step(ctx, admission.Tick{})
 		case <-ctx.Done():
 			return
 		}
@@ -156,7 +156,7 @@
 
 // configure gives the intake the configuration in force, instead of one that it has
 // not taken yet. Only the core's actor calls it.
-func (f *frontend) configure(effective *configuration.Effective) {
+func (f *frontend) configure(effective *dynamicconfig.Effective) {
 	select {
 	case <-f.configured:
 	default:
@@ -176,60 +176,60 @@
 }
 
 // carryOut executes an action; none of them waits here.
-func (f *frontend) carryOut(ctx context.Context, a intake.Action) {
+func (f *frontend) carryOut(ctx context.Context, a admission.Action) {
 	later := func(do func() any) {
 		go func() { f.mailbox <- do() }()
 	}
 	switch a := a.(type) {
-	case intake.Reply:
+	case admission.Reply:
 		f.replies[a.ID](response(a.Answer))
 		delete(f.replies, a.ID)
-	case intake.Get:
+	case admission.Get:
 		later(func() any { return f.get(ctx, a) })
-	case intake.Write:
+	case admission.Write:
 		later(func() any {
 			_, err := f.n.state.Txn(ctx, a.Txn, bookkeeping.First)
 			if errors.Is(err, bookkeeping.ErrMalformed) {
 				f.n.log.Error("state service refuses a job's record", "err", err)
 			}
-			return intake.Written{ID: a.ID, Outcome: outcome(err)}
+			return admission.Written{ID: a.ID, Outcome: outcome(err)}
 		})
-	case intake.Look:
+	case admission.Look:
 		look := func(c *Core) { f.mailbox <- c.LookFor(a) }
 		if !f.n.offer(envelope{ask: look}) {
-			f.local = append(f.local, intake.Looked{Look: a.Look})
+			f.local = append(f.local, admission.Looked{Look: a.Look})
 		}
-	case intake.Compare:
+	case admission.Compare:
 		later(func() any {
 			differ, err := f.n.state.Compare(ctx, a.Conditions)
-			return intake.Compared{Look: a.Look, Outcome: outcome(err), Differ: differ}
+			return admission.Compared{Look: a.Look, Outcome: outcome(err), Differ: differ}
 		})
-	case intake.PassOn:
+	case admission.PassOn:
 		later(func() any {
-			var r intake.Answer
-			if err := f.peers[a.To].Call("Peer.Submit", Submission{a.Body}, &r, intake.PassOnWait); err != nil {
-				r = intake.Answer{}
+			var r admission.Answer
+			if err := f.peers[a.To].Call("Peer.Submit", Submission{a.Body}, &r, admission.PassOnWait); err != nil {
+				r = admission.Answer{}
 			}
-			return intake.PassedOn{ID: a.ID, Answer: r}
+			return admission.PassedOn{ID: a.ID, Answer: r}
 		})
-	case intake.Announce:
+	case admission.Announce:
 		if a.To == f.n.settings.Name {
-			f.n.offer(envelope{msg: message.JobCancelled{Job: a.Job}, reply: func([]message.Action) { f.mailbox <- intake.Announced{Job: a.Job, By: a.To} }})
+			f.n.offer(envelope{msg: message.JobCancelled{Job: a.Job}, reply: func([]message.Action) { f.mailbox <- admission.Announced{Job: a.Job, By: a.To} }})
 			return
 		}
 		go func() {
-			if f.peers[a.To].Call("Peer.Halt", a.Job, new(bool), intake.AnnounceWait) == nil {
-				f.mailbox <- intake.Announced{Job: a.Job, By: a.To}
+			if f.peers[a.To].Call("Peer.Halt", a.Job, new(bool), admission.AnnounceWait) == nil {
+				f.mailbox <- admission.Announced{Job: a.Job, By: a.To}
 			}
 		}()
-	case intake.Wake:
-		time.AfterFunc(time.Duration(a.At-f.n.now()), func() { f.mailbox <- intake.Tick{} })
+	case admission.Wake:
+		time.AfterFunc(time.Duration(a.At-f.n.now()), func() { f.mailbox <- admission.Tick{} })
 	}
 }
 
-func (f *frontend) get(ctx context.Context, a intake.Get) intake.Read {
+func (f *frontend) get(ctx context.Context, a admission.Get) admission.Read {
 	it, err := f.n.state.Get(ctx, bookkeeping.JobKey(a.Job))
-	r := intake.Read{ID: a.ID, Outcome: outcome(err), Version: it.Version}
+	r := admission.Read{ID: a.ID, Outcome: outcome(err), Version: it.Version}
 	if err == nil {
 		err = protocol.Decode(it.Value, &r.Record)
 	}
@@ -294,27 +294,27 @@
 }
 
 // LookFor answers a question of the intake.
-func (c *Core) LookFor(l intake.Look) intake.Looked {
-	jobs := make(map[protocol.JobID]intake.LiveJob, len(l.Jobs))
+func (c *Core) LookFor(l admission.Look) admission.Looked {
+	jobs := make(map[protocol.JobID]admission.LiveJob, len(l.Jobs))
 	for _, id := range l.Jobs {
 		if j := c.Live[id]; j != nil {
 			p, _ := c.JobProgress(id)
-			jobs[id] = intake.LiveJob{Version: j.Version, Progress: p}
+			jobs[id] = admission.LiveJob{Version: j.Version, Progress: p}
 		}
 	}
 	members := slices.Sorted(maps.Keys(c.View.Members))
-	return intake.Looked{Look: l.Look, Jobs: jobs, Acting: c.members.ActingPeers(), Members: members}
+	return admission.Looked{Look: l.Look, Jobs: jobs, Acting: c.members.ActingPeers(), Members: members}
 }
 
 // Submission is a user's submission, passed on to a peer.
 type Submission struct{ Body []byte }
 
 // Submit answers a submission that a peer could not take.
-func (s *peerService) Submit(m Submission, reply *intake.Answer) error {
+func (s *peerService) Submit(m Submission, reply *admission.Answer) error {
 	done := make(chan *transport.Message, 1)
-	s.node.frontend.ask(intake.Asked{Operation: intake.Submit, Body: m.Body, Passed: true}, func(a *transport.Message) { done <- a })
+	s.node.frontend.ask(admission.Asked{Operation: admission.Submit, Body: m.Body, Passed: true}, func(a *transport.Message) { done <- a })
 	a := <-done
-	*reply = intake.Answer{Status: a.Status, Body: a.Body, RetryAfterS: a.RetryAfterS}
+	*reply = admission.Answer{Status: a.Status, Body: a.Body, RetryAfterS: a.RetryAfterS}
 	return nil
 }
 
--- a/internal/coordination/gang.go
+++ b/internal/controller/gang.go
@@ -1,14 +1,14 @@
-package coordination
+package controller
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -18,7 +18,7 @@
 
 // placeGang places all tasks of a gang with one attempt number, when nothing
 // of its last attempt is left.
-func (c *Core) placeGang(o *ownedJob, usage map[protocol.Team]room.Amount, cl *claims) []message.Placement {
+func (c *Core) placeGang(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
 	n := int(o.Tasks)
 	if len(o.placed) > 0 && o.together() {
 		return c.refill(o, usage, cl)
@@ -94,7 +94,7 @@
 
 // refill places what of a gang was released, under the attempt of the others; or has
 // these stopped, if there is no place for it for a while.
-func (c *Core) refill(o *ownedJob, usage map[protocol.Team]room.Amount, cl *claims) []message.Placement {
+func (c *Core) refill(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
 	n := int(o.pending.Count())
 	if o.unknown || n+len(o.placed) != int(o.Tasks) {
 		return nil
@@ -120,8 +120,8 @@
 		return nil
 	}
 	o.lacksSince = 0
-	for _, t := range inorder.Tasks(o.placed) {
-		c.askStop(t, true, stateview.GraceS(&o.Job))
+	for _, t := range ordered.Tasks(o.placed) {
+		c.askStop(t, true, clusterstate.GraceS(&o.Job))
 	}
 	return nil
 }
@@ -137,7 +137,7 @@
 	var zones []protocol.Zone
 	now, firm := c.zoneRoom(o, cl, c.risky(&o.Job))
 	for range 2 {
-		for z := range inorder.Of(firm) {
+		for z := range ordered.Of(firm) {
 			if firm[z] >= n {
 				zones = append(zones, z)
 			}
@@ -155,7 +155,7 @@
 // is less urgent is stopped. Spot machines may be left out.
 func (c *Core) zoneRoom(o *ownedJob, cl *claims, shun bool) (now, firm map[protocol.Zone]int) {
 	now, firm = map[protocol.Zone]int{}, map[protocol.Zone]int{}
-	size, none := room.Need(&o.Job), map[protocol.Zone]int{}
+	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
 	c.looked += len(c.sorted)
 	mayTake := c.mayTake(o, none)
 	for _, m := range c.machinesInOrder() {
@@ -175,11 +175,11 @@
 // claim claims as many machines as a gang needs, where the most of them have
 // room for it.
 func (c *Core) claim(o *ownedJob, cl *claims) {
-	size, none := room.Need(&o.Job), map[protocol.Zone]int{}
+	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
 	var best protocol.Zone
 	if o.OneZone {
 		_, firm := c.zoneRoom(o, cl, false)
-		for z, n := range inorder.Of(firm) {
+		for z, n := range ordered.Of(firm) {
 			if best == "" || n > firm[best] {
 				best = z
 			}
--- a/internal/coordination/reportqueue/reportqueue.go
+++ b/internal/controller/heartbeat/heartbeat.go
@@ -1,16 +1,16 @@
-// Package reportqueue decides whose reports are answered first, and whose not at all,
+// Package heartbeat decides whose reports are answered first, and whose not at all,
 // when more come than can be answered. A worker that is not answered for its whole
 // lease kills all it runs, so the one that was answered longest ago goes first,
 // and the one answered last is refused first. It decides only: no clock, no
 // socket.
-package reportqueue
+package heartbeat
 
 import (
 	"cmp"
 	"container/heap"
 	"time"
 
-	"damsonkeel/internal/coordination/clock"
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/heldroom.go
+++ b/internal/controller/heldroom.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 )
 
 // bars tells on which machines a job's tasks may not be placed for what is
@@ -15,7 +15,7 @@
 	}
 	now := c.Moment()
 	likely := c.LikelyS(&o.Job, c.estimateOf(o))
-	t := calendar.Task{Of: c.Of(&o.Job), Need: room.Need(&o.Job), Level: o.level, Saves: o.CheckpointS > 0}
+	t := reservation.Task{Of: c.Of(&o.Job), Need: resource.Need(&o.Job), Level: o.level, Saves: o.CheckpointS > 0}
 	return func(m *machineEntry) bool {
 		free, wait := m.free(), m.fetch(&o.Job)
 		if c.holdsFor(o, m) {
@@ -23,19 +23,19 @@
 		}
 		if !free.Covers(t.Need) {
 			// It would wait there: for what has room beside all that is held.
-			free = room.Capacity(m.Info)
+			free = resource.Capacity(m.Info)
 			wait += m.waitBefore(o.level) / max(m.Info.CPUs, 1)
 		}
-		t.Ends = calendar.After(now, config.Seconds(wait+likely))
+		t.Ends = reservation.After(now, config.Seconds(wait+likely))
 		holds := c.reservations.Holds[m.ID]
-		if c.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, stateview.ReservedEnd(holds, &t)) {
+		if c.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &t)) {
 			return true
 		}
-		return len(holds) > 0 && !calendar.Leaves(holds, &t, free, now)
+		return len(holds) > 0 && !reservation.Leaves(holds, &t, free, now)
 	}
 }
 
 // holdsFor reports whether room is held on a machine for a job.
 func (c *Core) holdsFor(o *ownedJob, m *machineEntry) bool {
-	return calendar.OwnUntil(c.reservations.Holds[m.ID], c.Of(&o.Job)) != 0
+	return reservation.OwnUntil(c.reservations.Holds[m.ID], c.Of(&o.Job)) != 0
 }
--- a/internal/coordination/holding.go
+++ b/internal/controller/holding.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/renting"
-	"damsonkeel/internal/coordination/room"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/autoscaler"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -36,29 +36,29 @@
 const sweepEvery = time.Minute
 
 type (
-	reservationTag struct{ name calendar.Name }
+	reservationTag struct{ name reservation.Name }
 	heldTag        struct{}
 )
 
 // jobOf is a job as a reservation describes it, on ordinary machines.
-func jobOf(s *bookkeeping.ReservationSpec) *stateview.LiveJob {
-	return &stateview.LiveJob{Job: protocol.Job{
+func jobOf(s *bookkeeping.ReservationSpec) *clusterstate.LiveJob {
+	return &clusterstate.LiveJob{Job: protocol.Job{
 		Class: s.Class, Team: s.Team, Kind: protocol.KindArray, Priority: s.Priority, Tasks: uint32(s.Tasks),
 		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, EstimateS: s.LengthS,
 	}}
 }
 
 // dues lists the occurrences that room is held for now.
-func (c *Core) dues() []calendar.Due {
+func (c *Core) dues() []reservation.Due {
 	now := c.Moment()
-	var dues []calendar.Due
-	for _, e := range c.reservations.Book.Due(now, calendar.After(now, holdAhead)) {
+	var dues []reservation.Due
+	for _, e := range c.reservations.Book.Due(now, reservation.After(now, holdAhead)) {
 		if !e.Promised() {
 			continue
 		}
 		_, wanted, started := c.jobsOf(e)
 		if left := wanted - started; left > 0 {
-			dues = append(dues, calendar.Due{Reservation: e.Reservation, Left: left, Clear: calendar.After(e.StartMS, -c.Lead(&e.Reservation.Spec))})
+			dues = append(dues, reservation.Due{Reservation: e.Reservation, Left: left, Clear: reservation.After(e.StartMS, -c.Lead(&e.Reservation.Spec))})
 		}
 	}
 	return dues
@@ -69,9 +69,9 @@
 
 // holders lists the machines that room can be held on: those up, and those
 // rented that are still to come.
-func (c *Core) holders() []calendar.Machine {
+func (c *Core) holders() []reservation.Machine {
 	now := c.Moment()
-	var ms []calendar.Machine
+	var ms []reservation.Machine
 	for _, m := range c.machinesInOrder() {
 		if !m.open() {
 			continue
@@ -91,18 +91,18 @@
 				}
 			}
 			if r.Ends < now {
-				r.Ends = calendar.After(now, overrunning)
+				r.Ends = reservation.After(now, overrunning)
 			}
 		}
-		ms = append(ms, calendar.Machine{ID: m.ID, Info: m.Info, Zone: m.Record.Zone, Spot: m.Record.Spot, Runs: runs})
+		ms = append(ms, reservation.Machine{ID: m.ID, Info: m.Info, Zone: m.Record.Zone, Spot: m.Record.Spot, Runs: runs})
 	}
-	for id, m := range inorder.Of(c.fleet.coming) {
+	for id, m := range ordered.Of(c.fleet.coming) {
 		info := c.Types[m.Type]
 		up := config.Seconds(c.reservations.Boots.Likely(info.BootS)) - c.Since(m.at)
 		if up < 0 || c.machines[id] != nil {
 			continue // late, and may never come
 		}
-		ms = append(ms, calendar.Machine{ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, Up: calendar.After(now, up)})
+		ms = append(ms, reservation.Machine{ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, Up: reservation.After(now, up)})
 	}
 	return ms
 }
@@ -114,17 +114,17 @@
 	if !pr.Any && len(pr.List) == 0 || !c.planning() {
 		return
 	}
-	if !pr.Listed && c.Since(c.fleet.since) < stateview.SettleHolds && !c.mostHeard() {
+	if !pr.Listed && c.Since(c.fleet.since) < clusterstate.SettleHolds && !c.mostHeard() {
 		return
 	}
 	pr.Listed = true
 	now := c.Moment()
 	pr.dues = c.dues()
-	usable := func(m *calendar.Machine, d *calendar.Due) bool {
-		latest := max(d.StartMS, calendar.After(now, time.Minute)) // what comes later is better than nothing
-		return m.Up <= latest && !c.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, calendar.After(d.StartMS, calendar.Busy(&d.Spec)))
+	usable := func(m *reservation.Machine, d *reservation.Due) bool {
+		latest := max(d.StartMS, reservation.After(now, time.Minute)) // what comes later is better than nothing
+		return m.Up <= latest && !c.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, reservation.After(d.StartMS, reservation.Busy(&d.Spec)))
 	}
-	plan := calendar.Choose(pr.dues, c.holders(), pr.List, usable, now)
+	plan := reservation.Choose(pr.dues, c.holders(), pr.List, usable, now)
 	pr.short, pr.missing, pr.zones = plan.Short, plan.Missing, plan.Zones
 	if !slices.Equal(plan.Holds, pr.List) || pr.number>>32 != uint64(c.View.Term) {
 		c.setHolds(plan.Holds)
@@ -149,7 +149,7 @@
 
 // heldRecord is what is held, as it is written for who starts anew.
 type heldRecord struct {
-	Holds []calendar.Hold `cbor:"holds"`
+	Holds []reservation.Hold `cbor:"holds"`
 }
 
 const (
@@ -190,10 +190,10 @@
 }
 
 // setHolds takes over what is held.
-func (c *Core) setHolds(list []calendar.Hold) {
+func (c *Core) setHolds(list []reservation.Hold) {
 	pr := &c.reservations
 	pr.List = list
-	pr.Holds = map[protocol.MachineID][]calendar.Hold{}
+	pr.Holds = map[protocol.MachineID][]reservation.Hold{}
 	for _, h := range list {
 		pr.Holds[h.Machine] = append(pr.Holds[h.Machine], h)
 	}
@@ -203,13 +203,13 @@
 
 // rentReserved asks for machines for what no room could be held for, a boot
 // ahead.
-func (c *Core) rentReserved(p *renting.Plan) {
+func (c *Core) rentReserved(p *autoscaler.Plan) {
 	now := c.Moment()
 	for _, d := range c.reservations.dues {
 		short := c.reservations.short[d.Spec.Name]
 		for _, r := range c.fleet.rents {
 			if r.of == d.Spec.Name {
-				short -= r.req.Count * room.Capacity(c.Types[r.req.Type]).Fit(calendar.Size(&d.Spec))
+				short -= r.req.Count * resource.Capacity(c.Types[r.req.Type]).Fit(reservation.Size(&d.Spec))
 			}
 		}
 		if short <= 0 || now < d.Clear {
@@ -219,7 +219,7 @@
 		if z := c.reservations.zones[d.Spec.Name]; z != "" {
 			j.Zone = z
 		}
-		p.Buy(c.work(j, room.LevelOf(d.Spec.Priority, false), d.Spec.LengthS), short, string(d.Spec.Name))
+		p.Buy(c.work(j, resource.LevelOf(d.Spec.Priority, false), d.Spec.LengthS), short, string(d.Spec.Name))
 	}
 }
 
@@ -228,7 +228,7 @@
 func (c *Core) keepReserved(m *machineEntry) bool {
 	now := c.Moment()
 	for _, h := range c.reservations.Holds[m.ID] {
-		if now >= calendar.After(h.Clear, -keepAhead) && now < h.Until {
+		if now >= reservation.After(h.Clear, -keepAhead) && now < h.Until {
 			return true
 		}
 	}
@@ -243,7 +243,7 @@
 	for _, d := range pr.dues {
 		short, missing := pr.short[d.Spec.Name], pr.missing[d.Spec.Name]
 		switch {
-		case short > 0 && c.Since(c.fleet.heardAt) > cloudQuiet && calendar.Between(now, d.Clear) < keepAhead:
+		case short > 0 && c.Since(c.fleet.heardAt) > cloudQuiet && reservation.Between(now, d.Clear) < keepAhead:
 			pr.risk[d.Spec.Name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
 		case missing > 0 && now >= d.Clear:
 			pr.risk[d.Spec.Name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
@@ -265,19 +265,19 @@
 			}
 		}
 	}
-	for _, e := range pr.Book.Due(now, calendar.After(now, holdAhead)) {
+	for _, e := range pr.Book.Due(now, reservation.After(now, holdAhead)) {
 		c.advance(e, now)
 	}
 }
 
 // advance has one reservation go on.
-func (c *Core) advance(e *calendar.Entry, now calendar.Moment) {
+func (c *Core) advance(e *reservation.Entry, now reservation.Moment) {
 	pr, name := &c.reservations, e.Name()
 	if pr.write[name] || e.State == bookkeeping.Cancelled {
 		return
 	}
 	came, wanted, started := c.jobsOf(e)
-	next, changed := calendar.Advance(*e.Reservation, e.When, calendar.Seen{
+	next, changed := reservation.Advance(*e.Reservation, e.When, reservation.Seen{
 		Now: now, ClockError: c.Settings.Site.ClockError(), Lead: c.Lead(&e.Reservation.Spec),
 		Came: came, Wanted: wanted, Started: started, Risk: pr.risk[name],
 	})
@@ -301,12 +301,12 @@
 
 // limitClaimed is what of a team's limit is promised to other jobs by the time
 // that a task of this one is likely to be over.
-func (c *Core) limitClaimed(o *ownedJob) (sum room.Amount) {
+func (c *Core) limitClaimed(o *ownedJob) (sum resource.Amount) {
 	claims := c.reservations.teams[o.Team]
 	if len(claims) == 0 {
 		return sum
 	}
-	ends := calendar.After(c.Moment(), config.Seconds(c.LikelyS(&o.Job, c.estimateOf(o))))
+	ends := reservation.After(c.Moment(), config.Seconds(c.LikelyS(&o.Job, c.estimateOf(o))))
 	of := c.Of(&o.Job)
 	for _, t := range claims {
 		if ends > t.from && !of(t.of) {
--- a/internal/coordination/insight.go
+++ b/internal/controller/insight.go
@@ -1,11 +1,11 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"strings"
 
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/keeping"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/reservation"
 	"damsonkeel/internal/protocol"
 )
 
@@ -14,7 +14,7 @@
 	Term   protocol.Term
 	Queues int // machines kept
 	Heard  int // of these, registered and known to have nothing but what is listed
-	Holds  []calendar.Hold
+	Holds  []reservation.Hold
 	Writes bool // machines' records
 	Shares int  // kept; 0 where there are none
 	// Misplaced are machines kept though their share is not.
@@ -73,4 +73,4 @@
 }
 
 // MovesEnded returns the moves of shares that ended here since it was asked last.
-func (c *Core) MovesEnded() []keeping.Moved { return c.keeping.MovesEnded() }
+func (c *Core) MovesEnded() []dispatcher.Moved { return c.keeping.MovesEnded() }
--- a/internal/coordination/leftover.go
+++ b/internal/controller/leftover.go
@@ -1,14 +1,14 @@
-package coordination
+package controller
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/forecast"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/forecast"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -67,7 +67,7 @@
 // heldFor reports whether room is held for a job by what is promised.
 func (c *Core) heldFor(o *ownedJob) bool {
 	of := c.Of(&o.Job)
-	return slices.ContainsFunc(c.reservations.List, func(h calendar.Hold) bool { return of(h.For) })
+	return slices.ContainsFunc(c.reservations.List, func(h reservation.Hold) bool { return of(h.For) })
 }
 
 // keptForAims is how many processors the classes with objectives are likely to need:
@@ -77,7 +77,7 @@
 // begin then hold for minutes what a fleet that comes up was rented for.
 func (c *Core) keptForAims(up float64) (cpus float64) {
 	squares, least := 0.0, 0.0
-	for _, k := range inorder.Of(c.classes) {
+	for _, k := range ordered.Of(c.classes) {
 		bootS := c.upS(&k.job)
 		if math.IsInf(bootS, 1) {
 			continue
@@ -143,7 +143,7 @@
 	if all += waits; waits == 0 {
 		return 0
 	}
-	held, waits, all = room.Round(held), room.Round(waits), room.Round(all)
+	held, waits, all = resource.Round(held), resource.Round(waits), resource.Round(all)
 	up := 0.0
 	for _, m := range c.machinesInOrder() {
 		if c.usable(m) {
@@ -164,7 +164,7 @@
 		return true
 	}
 	cpus := float64(n) * o.CPUs
-	if cpus > cl.leftOver+room.Slack {
+	if cpus > cl.leftOver+resource.Slack {
 		return false
 	}
 	cl.leftOver -= cpus
--- a/internal/coordination/intake/main_test.go
+++ b/internal/controller/main_test.go
@@ -1,4 +1,4 @@
-package intake
+package controller
 
 import (
 	"os"
--- a/internal/coordination/membership/balance.go
+++ b/internal/controller/membership/balance.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/sharing"
-	"damsonkeel/internal/coordination/stateview"
-	"damsonkeel/internal/operators"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/sharding"
+	"damsonkeel/internal/operatorapi"
 	"damsonkeel/internal/protocol"
 )
 
@@ -33,7 +33,7 @@
 }
 
 // AskMoves has shares moved that an operator names; they go with the next tick.
-func (ms *Members) AskMoves(moves []sharing.Move) { ms.asked = append(ms.asked, moves...) }
+func (ms *Members) AskMoves(moves []sharding.Move) { ms.asked = append(ms.asked, moves...) }
 
 // MoveAsked moves what operators have asked for.
 func (ms *Members) MoveAsked() {
@@ -46,16 +46,16 @@
 // Balance has shares moved, if this controller is the one that decides: each move is
 // asked of the share's keeper.
 func (ms *Members) Balance() {
-	if !ms.Sharing() || !ms.Acting() || stateview.Rendezvous(ms.View, "shares") != ms.Self {
-		ms.balancer = sharing.Balancer{}
+	if !ms.Sharing() || !ms.Acting() || clusterstate.Rendezvous(ms.View, "shares") != ms.Self {
+		ms.balancer = sharding.Balancer{}
 		return
 	}
-	var seen []sharing.Seen
+	var seen []sharding.Seen
 	zones := ms.zones()
-	for name, p := range inorder.Of(ms.peers) {
+	for name, p := range ordered.Of(ms.peers) {
 		deaf := len(ms.View.Deaf) < len(ms.View.Members) && slices.Contains(ms.View.Deaf, name)
-		seen = append(seen, sharing.Seen{
-			Member: sharing.Member{Name: name, Session: p.session, Zone: zones[name]},
+		seen = append(seen, sharding.Seen{
+			Member: sharding.Member{Name: name, Session: p.session, Zone: zones[name]},
 			Late:   time.Duration(p.load.LateMS * float64(time.Millisecond)), Leaving: p.load.Leaving, Away: slices.Contains(ms.Shares.Away, name), Deaf: deaf,
 			Warm: p.term >= ms.View.Term && p.heardFirst != 0 && ms.Since(p.heardFirst) >= warmAfter && ms.Since(p.heardAt) < 3*ms.Op.RelayEvery,
 		})
@@ -65,13 +65,13 @@
 
 // ask asks the keepers of shares to hand them over, those of one keeper for the same
 // target at once.
-func (ms *Members) ask(moves []sharing.Move) {
+func (ms *Members) ask(moves []sharding.Move) {
 	type way struct{ from, to protocol.NodeName }
 	asked := map[way]*message.Move{}
 	var ways []way
 	for _, m := range moves {
 		st := ms.Shares.List[m.ID]
-		w := way{ms.Holder(m.ID), stateview.NameOf(ms.View, m.To)}
+		w := way{ms.Holder(m.ID), clusterstate.NameOf(ms.View, m.To)}
 		if asked[w] == nil {
 			asked[w] = &message.Move{Term: ms.View.Term, To: w.to, Cause: m.Cause}
 			ways = append(ways, w)
@@ -85,10 +85,10 @@
 }
 
 // Controllers lists the members as operators see them.
-func (ms *Members) Controllers() (list []operators.Controller) {
+func (ms *Members) Controllers() (list []operatorapi.Controller) {
 	zones := ms.zones()
-	for name, p := range inorder.Of(ms.peers) {
-		list = append(list, operators.Controller{
+	for name, p := range ordered.Of(ms.peers) {
+		list = append(list, operatorapi.Controller{
 			Name: name, Zone: zones[name], LateMS: p.load.LateMS, Leaving: p.load.Leaving,
 			Deaf: slices.Contains(ms.View.Deaf, name), Away: slices.Contains(ms.Shares.Away, name),
 		})
--- a/internal/coordination/membership/hearing.go
+++ b/internal/controller/membership/hearing.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/clock"
+	"damsonkeel/internal/controller/clock"
 	"damsonkeel/internal/protocol"
 )
 
--- a/internal/coordination/membership/members.go
+++ b/internal/controller/membership/members.go
@@ -8,18 +8,18 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/inorder"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/sharing"
-	"damsonkeel/internal/coordination/stateview"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/clusterstate"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ordered"
+	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
 )
 
 // Members is who takes part: this controller's and the others' presence in the
 // records, the view and when it is to change, and the peers' sessions.
 type Members struct {
-	stateview.Part
+	clusterstate.Part
 	nodes   map[protocol.NodeName]bookkeeping.Node // present in the records
 	writing bool                                   // a view
 	retry   clock.Time                             // nothing is written before
@@ -27,8 +27,8 @@
 	// when: until it is followed nothing else is.
 	wrote    protocol.Version
 	wroteAt  clock.Time
-	balancer sharing.Balancer
-	asked    []sharing.Move // by operators
+	balancer sharding.Balancer
+	asked    []sharding.Move // by operators
 	hearing  hearing
 	peers    map[protocol.NodeName]*link
 }
@@ -49,7 +49,7 @@
 type ViewTag struct{}
 
 // New knows nobody yet.
-func New(p stateview.Part) *Members {
+func New(p clusterstate.Part) *Members {
 	ms := &Members{Part: p}
 	ms.Reset()
 	return ms
@@ -70,7 +70,7 @@
 // they don't know its layout.
 func (ms *Members) Outdated() []protocol.NodeName {
 	var names []protocol.NodeName
-	for name, n := range inorder.Of(ms.nodes) {
+	for name, n := range ordered.Of(ms.nodes) {
 		if max(n.Layout, bookkeeping.LayoutSingle) < ms.View.Layout {
 			names = append(names, name)
 		}
@@ -82,7 +82,7 @@
 // another one: while they are, it does not come into use.
 func (ms *Members) Hindering(layout bookkeeping.Layout) []protocol.NodeName {
 	var names []protocol.NodeName
-	for name, n := range inorder.Of(ms.nodes) {
+	for name, n := range ordered.Of(ms.nodes) {
 		if n.Layout < layout {
 			names = append(names, name)
 		}
@@ -273,7 +273,7 @@
 // themselves; to one that they have left out of the view, in their answers.
 func (ms *Members) ActingPeers() []protocol.NodeName {
 	var names []protocol.NodeName
-	for name, p := range inorder.Of(ms.peers) {
+	for name, p := range ordered.Of(ms.peers) {
 		if name != ms.Self && p.actingAt != 0 && ms.Since(p.actingAt) < 3*ms.Op.RelayEvery {
 			names = append(names, name)
 		}
--- a/internal/coordination/membership/shares.go
+++ b/internal/controller/membership/shares.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/sharing"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/sharding"
 	"damsonkeel/internal/protocol"
 )
 
@@ -27,11 +27,11 @@
 
 // weighed lists the members of a view that may keep shares; weight tells of what
 // each can do.
-func (ms *Members) weighed(v bookkeeping.View, weight func(protocol.NodeName) float64) []sharing.Member {
-	var list []sharing.Member
+func (ms *Members) weighed(v bookkeeping.View, weight func(protocol.NodeName) float64) []sharding.Member {
+	var list []sharding.Member
 	zones := ms.zones()
 	for name, session := range v.Members {
-		list = append(list, sharing.Member{Name: name, Session: session, Zone: zones[name], Weight: weight(name)})
+		list = append(list, sharding.Member{Name: name, Session: session, Zone: zones[name], Weight: weight(name)})
 	}
 	return list
 }
@@ -41,22 +41,22 @@
 func (ms *Members) sharesFor(v bookkeeping.View) *bookkeeping.Shares {
 	s := ms.Shares
 	if s == nil {
-		s = sharing.First(ms.Settings.Site.Zones)
+		s = sharding.First(ms.Settings.Site.Zones)
 	}
-	next := sharing.Copy(s)
-	sharing.Above(next, max(ms.View.Term, ms.Highest)) // tokens of terms, before there were shares
+	next := sharding.Copy(s)
+	sharding.Above(next, max(ms.View.Term, ms.Highest)) // tokens of terms, before there were shares
 	keeps := func(name protocol.NodeName) float64 {
 		if len(v.Deaf) < len(v.Members) && slices.Contains(v.Deaf, name) || ms.leaving(name) || slices.Contains(s.Away, name) {
 			return 0
 		}
 		return 1
 	}
-	to := sharing.Orphans(s, sharing.Loads(s, ms.machinesByZone()), ms.weighed(v, keeps))
+	to := sharding.Orphans(s, sharding.Loads(s, ms.machinesByZone()), ms.weighed(v, keeps))
 	if len(to) == 0 && s == ms.Shares {
 		return nil
 	}
 	for _, m := range to {
-		sharing.Give(next, m.ID, m.To)
+		sharding.Give(next, m.ID, m.To)
 	}
 	return next
 }
@@ -71,24 +71,24 @@
 }
 
 // loads is the load of each share.
-func (ms *Members) loads() []float64 { return sharing.Loads(ms.Shares, ms.machinesByZone()) }
+func (ms *Members) loads() []float64 { return sharding.Loads(ms.Shares, ms.machinesByZone()) }
 
 // ChangeShares writes what a keeper asks for: shares to be taken by this
 // controller, and shares of its own whose epoch is to rise. It holds only on the
 // record and the view as they are known here. A record that has been lost is written
 // again.
-func (ms *Members) ChangeShares(take, raise []sharing.ID) {
+func (ms *Members) ChangeShares(take, raise []sharding.ID) {
 	if len(take)+len(raise) == 0 && ms.SharesVersion != 0 || !ms.Sharing() || !ms.Acting() || ms.writing || ms.Now < ms.retry ||
 		ms.wroteAt != 0 && ms.wrote == ms.SharesVersion && ms.Since(ms.wroteAt) < followWithin {
 		return
 	}
-	next := sharing.Copy(ms.Shares)
-	sharing.Above(next, ms.Highest)
+	next := sharding.Copy(ms.Shares)
+	sharding.Above(next, ms.Highest)
 	for _, id := range take {
-		sharing.Give(next, id, ms.Session)
+		sharding.Give(next, id, ms.Session)
 	}
 	for _, id := range raise {
-		sharing.Raise(next, id)
+		sharding.Raise(next, id)
 	}
 	ms.writing, ms.wrote, ms.wroteAt = true, ms.SharesVersion, ms.Now
 	ms.Do(message.Commit{Tag: SharesTag{}, Txn: protocol.Txn{
--- a/internal/coordination/message/between.go
+++ b/internal/controller/message/between.go
@@ -4,10 +4,10 @@
 
 import (
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/calendar"
-	"damsonkeel/internal/coordination/ratesharing"
-	"damsonkeel/internal/coordination/relay"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/ratelimit"
+	"damsonkeel/internal/controller/replication"
+	"damsonkeel/internal/controller/reservation"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -29,7 +29,9 @@
 }
 
 // Need is what the task takes of its machine.
-func (p Placement) Need() room.Amount { return room.Amount{CPUs: p.CPUs, GPUs: p.GPUs, GB: p.GB} }
+func (p Placement) Need() resource.Amount {
+	return resource.Amount{CPUs: p.CPUs, GPUs: p.GPUs, GB: p.GB}
+}
 
 // Place hands placements to the controller that keeps the machines' queues.
 type Place struct {
@@ -86,7 +88,7 @@
 	// Team and Need are what it counts against, if its team has a limit: to its owner
 	// its job may be over already.
 	Team protocol.Team
-	Need room.Amount
+	Need resource.Amount
 }
 
 // Inventory is everything of the addressee's jobs on a machine and in its
@@ -123,10 +125,10 @@
 }
 
 // UsesIn is the form in which uses are sent.
-func UsesIn(u *room.Uses) []Use {
+func UsesIn(u *resource.Uses) []Use {
 	var us []Use
 	for l, r := range u {
-		if r != (room.Amount{}) {
+		if r != (resource.Amount{}) {
 			us = append(us, Use{l, r.CPUs, r.GPUs, r.GB})
 		}
 	}
@@ -134,9 +136,9 @@
 }
 
 // AddUses takes uses as they were sent.
-func AddUses(u *room.Uses, us []Use) {
+func AddUses(u *resource.Uses, us []Use) {
 	for _, n := range us {
-		u.Add(room.Level(n.Level), room.Amount{CPUs: n.CPUs, GPUs: n.GPUs, GB: n.GB})
+		u.Add(resource.Level(n.Level), resource.Amount{CPUs: n.CPUs, GPUs: n.GPUs, GB: n.GB})
 	}
 }
 
@@ -163,7 +165,7 @@
 	IdleS    float64  // how long it has held nothing, when this was sent
 	Images   []string // fetched lately
 	// Runs is what it runs, while anything is promised for later.
-	Runs []calendar.Run
+	Runs []reservation.Run
 }
 
 // Progress is how far a job is.
@@ -199,13 +201,13 @@
 	// streams of this term.
 	HaveMachines, HaveJobs uint64
 
-	Machines relay.Piece
+	Machines replication.Piece
 	States   []MachineState
 	// Handled is, by owner, the last Place that the states include; nil while
 	// some of the states are still to come.
 	Handled map[protocol.NodeName]uint64
 
-	Jobs     relay.Piece
+	Jobs     replication.Piece
 	Progress []Progress
 
 	Demand []Demand // all of it, each time
@@ -213,8 +215,8 @@
 	Load Load // of the sender
 
 	// Ask and Loan share out the state service's rates by need (package ratesharing).
-	Ask  ratesharing.Ask
-	Loan *ratesharing.Loan
+	Ask  ratelimit.Ask
+	Loan *ratelimit.Loan
 
 	// Holds is what is held for reservations, by the controller that rents, to
 	// those who have not got it yet; HaveHolds numbers what the sender has.
@@ -225,7 +227,7 @@
 // Holds is all that is held for reservations.
 type Holds struct {
 	Number uint64
-	List   []calendar.Hold
+	List   []reservation.Hold
 }
 
 // PeerMessage is one message between controllers; one field is set.
--- a/internal/coordination/message/check.go
+++ b/internal/controller/message/check.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 )
 
 // Bounds of what a peer may say: far beyond what there is. What lies outside is of
@@ -46,7 +46,7 @@
 
 func (c *checker) uses(us []Use) {
 	for _, u := range us {
-		c.counts("level", room.Levels, u.Level)
+		c.counts("level", resource.Levels, u.Level)
 		c.amounts("use", 0, u.CPUs, u.GPUs, u.GB)
 	}
 }
@@ -55,7 +55,7 @@
 	c.amounts("wait", 0, s.Wait, s.IdleS)
 	c.amounts("free", -mostAmount, s.FreeCPUs, s.FreeGPUs, s.FreeGB)
 	c.amounts("queue", 0, s.Queue...)
-	c.counts("levels", room.Levels+1, len(s.Queue))
+	c.counts("levels", resource.Levels+1, len(s.Queue))
 	c.counts("attempts", mostCount, s.Held, s.Queued)
 	c.uses(append([]Use{s.Ending}, s.Uses...))
 }
@@ -66,7 +66,7 @@
 		q := &h.Queues[i]
 		for k := range q.Entries {
 			e := &q.Entries[k]
-			c.counts("level", room.Levels, int(e.Level))
+			c.counts("level", resource.Levels, int(e.Level))
 			c.amounts("attempt", 0, e.EstimateS, e.Need.CPUs, e.Need.GPUs, e.Need.GB, e.GraceS)
 		}
 	}
@@ -78,7 +78,7 @@
 	c := &checker{}
 	if m.Place != nil {
 		for _, t := range m.Place.Tasks {
-			c.counts("level", room.Levels, t.Level)
+			c.counts("level", resource.Levels, t.Level)
 			c.amounts("placement", 0, t.EstimateS, t.CPUs, t.GPUs, t.GB)
 		}
 	}
@@ -94,11 +94,11 @@
 			c.state(&r.States[i])
 		}
 		for _, g := range r.Progress {
-			c.counts("level", room.Levels+1, g.Level)
+			c.counts("level", resource.Levels+1, g.Level)
 		}
 		for i := range r.Demand {
 			d := &r.Demand[i]
-			c.counts("level", room.Levels, d.Level)
+			c.counts("level", resource.Levels, d.Level)
 			c.counts("unstarted", mostCount, d.Unstarted)
 			c.amounts("demand", 0, d.EstimateS, d.OldestS)
 		}
--- a/internal/coordination/message/move.go
+++ b/internal/controller/message/move.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"damsonkeel/internal/bookkeeping"
-	"damsonkeel/internal/coordination/room"
+	"damsonkeel/internal/controller/resource"
 	"damsonkeel/internal/protocol"
 )
 
@@ -59,11 +59,11 @@
 	Task      protocol.TaskID
 	Attempt   protocol.Attempt
 	EstimateS float64
-	Need      room.Amount
+	Need      resource.Amount
 	Found     bool // on the machine, rather than placed by its owner
 	Age       time.Duration
 	Ran       time.Duration // for how long; below 0: not known to have run
-	Level     room.Level
+	Level     resource.Level
 	Guessed   bool
 	Together  bool
 	From      protocol.NodeName
--- a/internal/coordination/message/step.go
+++ b/internal/controller/message/step.go
@@ -1,9 +1,9 @@
 package message
 
 import (
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/configuration"
-	"damsonkeel/internal/coordination/ratesharing"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/dynamicconfig"
+	"damsonkeel/internal/controller/ratelimit"
 	"damsonkeel/internal/protocol"
 )
 
@@ -38,7 +38,7 @@
 	Leave struct{}
 	// StateAsked says what was asked of the state service in the last second,
 	// within this controller's share or not.
-	StateAsked struct{ Amount ratesharing.Amount }
+	StateAsked struct{ Amount ratelimit.Amount }
 	// TxnDone answers a Commit.
 	TxnDone struct {
 		Tag     any
@@ -136,11 +136,11 @@
 	// SetShare sets what may be used of the state service's rates: All until a
 	// time, from then on only Own.
 	SetShare struct {
-		Own, All ratesharing.Amount
+		Own, All ratelimit.Amount
 		Until    clock.Time
 	}
 	// Configured tells that another configuration is in force.
-	Configured struct{ Effective *configuration.Effective }
+	Configured struct{ Effective *dynamicconfig.Effective }
 	// ListMachines reads the cloud's list.
 	ListMachines struct{}
 )
--- a/internal/coordination/node.go
+++ b/internal/controller/node.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 
 	"damsonkeel/internal/bookkeeping"
 	"damsonkeel/internal/config"
-	"damsonkeel/internal/coordination/clock"
-	"damsonkeel/internal/coordination/intake"
-	"damsonkeel/internal/coordination/keeping"
-	"damsonkeel/internal/coordination/message"
-	"damsonkeel/internal/coordination/ratesharing"
-	"damsonkeel/internal/coordination/registrar"
+	"damsonkeel/internal/controller/admission"
+	"damsonkeel/internal/controller/clock"
+	"damsonkeel/internal/controller/dispatcher"
+	"damsonkeel/internal/controller/message"
+	"damsonkeel/internal/controller/ratelimit"
+	"damsonkeel/internal/controller/workerregistry"
 	"damsonkeel/internal/protocol"
 	"damsonkeel/internal/transport"
 )
@@ -191,7 +191,7 @@
 		case <-t.C:
 			n.offer(envelope{msg: message.Tick{WallMS: time.Now().UnixMilli()}})
 			if i%askedTicks == 0 {
-				n.offer(envelope{msg: message.StateAsked{Amount: ratesharing.Amount(n.state.Asked())}})
+				n.offer(envelope{msg: message.StateAsked{Amount: ratelimit.Amount(n.state.Asked())}})
 			}
 		case <-ctx.Done():
 			return
@@ -209,7 +209,7 @@
 			wait = catalogueWait
 		} else {
 			n.typesKnown.Store(true)
-			n.frontend.mailbox <- intake.TypesRead{Types: cat.Types}
+			n.frontend.mailbox <- admission.TypesRead{Types: cat.Types}
 			n.post(message.CatalogueRead{Types: cat.Types})
 		}
 		sleep(ctx, wait)
@@ -273,7 +273,7 @@
 	switch tag.(type) {
 	case bitsTag:
 		return bookkeeping.Spare
-	case keeping.RegisterTag, keeping.RemoveTag, registrar.Tag:
+	case dispatcher.RegisterTag, dispatcher.RemoveTag, workerregistry.Tag:
 		return bookkeeping.Later
 	}
 	return bookkeeping.First
@@ -299,7 +299,7 @@
 		n.log.Error("commands", "err", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, keeping.DirectTimeout)
+	ctx, cancel := context.WithTimeout(ctx, dispatcher.DirectTimeout)
 	defer cancel()
 	m, err := n.workers.get(a.Address).Do(ctx, "POST", "/do", body)
 	if err != nil {
