--- a/internal/controller/dispatcher/shares.go
+++ b/internal/controller/dispatcher/shares.go
@@ -12,96 +12,98 @@
 	"damsonkeel/internal/record"
 )
 
-// share is what is kept of one share of the machines beside their queues.
-type share struct {
-	id     sharding.ID
-	tenure protocol.Term
-	// alone is since when all members are known to have followed the record by
+// shardState is what is kept of one share of the machines beside their queues.
+type shardState struct {
+	id    sharding.ID
+	epoch protocol.Term
+	// soleSince is since when all members are known to have followed the record by
 	// which it came here: nobody answers its machines by an earlier one any more.
 	// 0: not yet.
-	alone clock.Time
-	// raise is the token that a start without an answer was sent with: its worker
+	soleSince clock.Time
+	// raiseAbove is the token that a start without an answer was sent with: its worker
 	// has to see a later one. 0: none.
-	raise  protocol.Term
-	frozen *frozen
+	raiseAbove protocol.Term
+	handover   *outgoingHandover
 }
 
-// frozen is a share that is being handed over: nothing is started, stopped or
+// handover is a share that is being handed over: nothing is started, stopped or
 // concluded on it, its workers' leases are kept, placements are refused, and what
 // else others say waits.
-type frozen struct {
-	to    protocol.NodeName
-	at    clock.Time
-	cause string
-	held  []message.PeerMessage
+type outgoingHandover struct {
+	to       protocol.NodeName
+	at       clock.Time
+	cause    string
+	deferred []message.PeerMessage
 }
 
-// staged is a share that another controller hands over, until the records say
+// incomingHandover is a share that another controller hands over, until the records say
 // that it is kept here.
-type staged struct {
-	epoch  protocol.Term // of the share as it was handed over
-	at     clock.Time
-	pieces []*message.Hand
-	left   int // pieces that have not come
+type incomingHandover struct {
+	epoch   protocol.Term // reservation the share as it was handed over
+	at      clock.Time
+	pieces  []*message.Handover
+	missing int // pieces that have not come
 }
 
 const (
-	// handAtMost is how long a share may be frozen before the move is given up.
-	handAtMost = 2 * time.Second
-	// stageAtMost is how long one handed over waits to be taken.
-	stageAtMost = 10 * time.Second
-	// crossing is how long the first inventory of a share that was taken waits:
+	// handoverTimeout is how long a share may be frozen before the move is given up.
+	handoverTimeout = 2 * time.Second
+	// incomingTimeout is how long one handed over waits to be taken.
+	incomingTimeout = 10 * time.Second
+	// firstInventoryDelay is how long the first inventory of a share that was taken waits:
 	// what the keeper before refuses meanwhile its owners know to have never been
 	// sent, rather than to be missing.
-	crossing = 300 * time.Millisecond
-	// handPiece is how many machines one message hands over.
-	handPiece = 50
+	firstInventoryDelay = 300 * time.Millisecond
+	// machinesPerHandover is how many machines one message hands over.
+	machinesPerHandover = 50
 )
 
-// shareOf is the share of a queue's machine.
-func (k *Keeper) shareOf(q *queue) *share { return k.shareAt(sharding.Of(k.Shares, q.id, q.zone)) }
+// shardOf is the share of a queue's machine.
+func (k *Dispatcher) shardOf(q *queue) *shardState {
+	return k.shardByID(sharding.Of(k.Shards, q.id, q.zone))
+}
 
-func (k *Keeper) shareAt(id sharding.ID) *share {
-	tenure := k.Shares.List[id].Since
-	s := k.shares[id]
-	if s == nil || s.tenure != tenure {
-		s = &share{id: id, tenure: tenure}
-		k.shares[id] = s
+func (k *Dispatcher) shardByID(id sharding.ID) *shardState {
+	tenure := k.Shards.List[id].Since
+	s := k.shards[id]
+	if s == nil || s.epoch != tenure {
+		s = &shardState{id: id, epoch: tenure}
+		k.shards[id] = s
 	}
 	return s
 }
 
-// token is what commands to a queue's machine carry.
-func (k *Keeper) token(q *queue) protocol.Term { return k.Token(q.id, q.zone) }
+// fencingToken is what commands to a queue's machine carry.
+func (k *Dispatcher) fencingToken(q *queue) protocol.Term { return k.FencingToken(q.id, q.zone) }
 
-// ownToken is the lowest token that tells that a worker was commanded by this
+// firstOwnToken is the lowest token that tells that a worker was commanded by this
 // keeper.
-func (k *Keeper) ownToken(q *queue) protocol.Term {
-	if k.Sharing() {
-		return k.Tenure(q.id, q.zone)
+func (k *Dispatcher) firstOwnToken(q *queue) protocol.Term {
+	if k.Sharded() {
+		return k.ShardEpoch(q.id, q.zone)
 	}
 	return k.View.Term
 }
 
-// frozen reports whether a queue is being handed over.
-func (k *Keeper) frozen(q *queue) bool { return k.Sharing() && k.shareOf(q).frozen != nil }
+// handover reports whether a queue is being handed over.
+func (k *Dispatcher) handingOver(q *queue) bool { return k.Sharded() && k.shardOf(q).handover != nil }
 
-// notHere deals with a message about a machine that is not to be commanded here: one
+// divertIfNotHeld deals with a message about a machine that is not to be commanded here: one
 // that is being handed over has it kept back, and one that another keeps has it sent
 // on.
-func (k *Keeper) notHere(id protocol.MachineID, m message.PeerMessage) bool {
+func (k *Dispatcher) divertIfNotHeld(id protocol.MachineID, m message.PeerMessage) bool {
 	if q := k.queues[id]; q != nil {
-		if !k.frozen(q) {
+		if !k.handingOver(q) {
 			return false
 		}
-		f := k.shareOf(q).frozen
-		f.held = append(f.held, m)
+		f := k.shardOf(q).handover
+		f.deferred = append(f.deferred, m)
 		return true
 	}
-	if !k.Sharing() || k.Records[id] == nil {
+	if !k.Sharded() || k.Records[id] == nil {
 		return false
 	}
-	holder := k.Part.Keeper(id)
+	holder := k.Module.DispatcherOf(id)
 	if holder == "" || holder == k.Self {
 		return false
 	}
@@ -109,57 +111,57 @@
 	return true
 }
 
-// noteAlone notes since when nobody acts by an earlier record of each share, given
+// noteSoleDispatcher notes since when nobody acts by an earlier record of each share, given
 // how far all members have followed it.
-func (k *Keeper) noteAlone(floor protocol.Term) {
-	if !k.Sharing() || !k.Acting() {
+func (k *Dispatcher) noteSoleDispatcher(floor protocol.Term) {
+	if !k.Sharded() || !k.HoldsLease() {
 		return
 	}
-	for _, s := range k.shares {
-		if s.alone == 0 && s.tenure <= floor {
-			s.alone = k.Now
+	for _, s := range k.shards {
+		if s.soleSince == 0 && s.epoch <= floor {
+			s.soleSince = k.Now
 		}
 	}
 }
 
-// answerFrozen answers a worker whose share is being handed over: its lease goes
+// answerDuringHandover answers a worker whose share is being handed over: its lease goes
 // on, and nothing else happens but that what is over is killed: the move may last. What it says it says again to who takes it.
-func (k *Keeper) answerFrozen(r *protocol.Report) bool {
-	if !k.Sharing() {
+func (k *Dispatcher) answerDuringHandover(r *protocol.Heartbeat) bool {
+	if !k.Sharded() {
 		return false
 	}
-	s := k.shareAt(sharding.Of(k.Shares, r.Machine, r.Zone))
-	if s.frozen == nil {
+	s := k.shardByID(sharding.Of(k.Shards, r.Machine, r.Zone))
+	if s.handover == nil {
 		return false
 	}
 	q := k.queues[r.Machine]
-	if q == nil || r.Session > q.session {
-		k.Do(message.ReplyReport{Status: 503})
+	if q == nil || r.AgentEpoch > q.agentEpoch {
+		k.Emit(message.ReplyHeartbeat{Status: 503})
 		return true
 	}
-	k.answerOnly(q, r)
+	k.answerOvertaken(q, r)
 	return true
 }
 
-// holds reports whether this controller keeps a share, by the tenure that somebody
+// holdsShard reports whether this controller keeps a share, by the tenure that somebody
 // names.
-func (k *Keeper) holds(t message.Tenured) bool {
-	return k.Sharing() && t.Share >= 0 && t.Share < len(k.Shares.List) && k.Shares.List[t.Share].Since == t.Tenure &&
-		k.Shares.List[t.Share].Holder == k.Session
+func (k *Dispatcher) holdsShard(t message.Tenured) bool {
+	return k.Sharded() && t.Share >= 0 && t.Share < len(k.Shards.List) && k.Shards.List[t.Share].Since == t.Tenure &&
+		k.Shards.List[t.Share].Holder == k.Session
 }
 
-// Move begins to hand shares over: from here on nothing is started on them, and
+// HandOver begins to hand shares over: from here on nothing is started on them, and
 // all that is known of them goes to who is to take them. What is under way is named
 // in it: a start without an answer is settled by the new keeper's token, as it
 // would be by a raise.
-func (k *Keeper) Move(m *message.Move) {
-	if m.Term != k.View.Term || !k.Acting() || m.To == k.Self || k.View.Members[m.To] == 0 {
+func (k *Dispatcher) HandOver(m *message.MoveShards) {
+	if m.Term != k.View.Term || !k.HoldsLease() || m.To == k.Self || k.View.Members[m.To] == 0 {
 		return
 	}
 	byShare := map[sharding.ID][]*queue{}
 	moving := map[sharding.ID]bool{}
 	for _, t := range m.Shares {
-		if k.holds(t) && k.shareAt(sharding.ID(t.Share)).frozen == nil {
+		if k.holdsShard(t) && k.shardByID(sharding.ID(t.Share)).handover == nil {
 			moving[sharding.ID(t.Share)] = true
 		}
 	}
@@ -167,44 +169,44 @@
 		return
 	}
 	for _, q := range k.queuesInOrder() {
-		if id := sharding.Of(k.Shares, q.id, q.zone); moving[id] {
+		if id := sharding.Of(k.Shards, q.id, q.zone); moving[id] {
 			byShare[id] = append(byShare[id], q)
 		}
 	}
 	for id := range ordered.Of(moving) {
-		s := k.shareAt(id)
-		k.asking = true
-		s.frozen = &frozen{to: m.To, at: k.Now, cause: m.Cause}
+		s := k.shardByID(id)
+		k.shardChangeDue = true
+		s.handover = &outgoingHandover{to: m.To, at: k.Now, cause: m.Cause}
 		qs := byShare[id]
-		h := message.Hand{Term: k.View.Term, Tenured: message.Tenured{Share: int(id), Tenure: s.tenure}, Epoch: k.Shares.List[id].Epoch, Pieces: max(1, (len(qs)+handPiece-1)/handPiece)}
+		h := message.Handover{Term: k.View.Term, Tenured: message.Tenured{Share: int(id), Tenure: s.epoch}, Epoch: k.Shards.List[id].Epoch, Pieces: max(1, (len(qs)+machinesPerHandover-1)/machinesPerHandover)}
 		for h.Piece = range h.Pieces {
 			piece := h
-			for _, q := range qs[h.Piece*handPiece : min(len(qs), (h.Piece+1)*handPiece)] {
-				piece.Queues = append(piece.Queues, k.handed(q))
+			for _, q := range qs[h.Piece*machinesPerHandover : min(len(qs), (h.Piece+1)*machinesPerHandover)] {
+				piece.Queues = append(piece.Queues, k.handoverOf(q))
 			}
 			k.Send(m.To, message.PeerMessage{Hand: &piece})
 		}
 	}
 }
 
-// handed is what is known of one machine, for who takes it.
-func (k *Keeper) handed(q *queue) message.HandedQueue {
-	h := message.HandedQueue{
-		Machine: q.id, Epoch: q.epoch, Session: q.session, Seq: q.seq, Seen: q.seen, Known: q.known, Sole: q.sole, Everseen: q.everSeen,
-		NoticeS: q.notice, Draining: q.draining, Suspect: q.suspect, Images: slices.Clone(q.images), Idle: k.Since(q.idleSince),
+// handoverOf is what is known of one machine, for who takes it.
+func (k *Dispatcher) handoverOf(q *queue) message.HandoverQueue {
+	h := message.HandoverQueue{
+		Machine: q.id, Epoch: q.recordVersion, Session: q.agentEpoch, Seq: q.lastSeq, Seen: q.tokenSeen, Known: q.inventoryKnown, Sole: q.exclusive, Everseen: q.everSeen,
+		NoticeS: q.noticeSeconds, Draining: q.draining, Suspect: q.quarantined, Images: slices.Clone(q.images), Idle: k.Since(q.idleSince),
 	}
-	for job := range ordered.Of(q.failed) {
+	for job := range ordered.Of(q.failedJobs) {
 		h.Failed = append(h.Failed, job)
 	}
 	add := func(e *entry) {
 		ran := time.Duration(-1)
-		if e.runs != 0 {
-			ran = k.Since(e.runs)
+		if e.runningSince != 0 {
+			ran = k.Since(e.runningSince)
 		}
-		h.Entries = append(h.Entries, message.HandedEntry{
-			Task: e.task, Attempt: e.attempt, EstimateS: e.estimate, Need: e.need, Found: e.order == 0, Age: k.Since(e.since), Ran: ran,
-			Level: e.level, Guessed: e.guessed, Together: e.together, From: e.from, Sent: e.sent, Direct: e.direct, Present: e.present,
-			State: e.state, Cause: e.cause, Saved: e.saved, Kill: e.kill, GraceS: e.graceS, Reap: e.reap, Noticed: e.noticed, Configuration: e.configuration,
+		h.Entries = append(h.Entries, message.HandoverEntry{
+			Task: e.task, Attempt: e.attempt, EstimateS: e.estimate, Need: e.need, Found: e.arrival == 0, Age: k.Since(e.queuedSince), Ran: ran,
+			Level: e.level, Guessed: e.levelGuessed, Together: e.inGang, From: e.placedBy, Sent: e.sent, Direct: e.directToken, Present: e.present,
+			State: e.state, Cause: e.cause, Saved: e.checkpointed, Kill: e.kill, GraceS: e.graceS, Reap: e.reap, Noticed: e.noticed, Configuration: e.configuration,
 		})
 	}
 	for _, e := range ordered.Tasks(q.entries) {
@@ -213,61 +215,61 @@
 		}
 	}
 	waiting := slices.Clone(q.waiting)
-	slices.SortStableFunc(waiting, func(a, b *entry) int { return int(a.order) - int(b.order) })
+	slices.SortStableFunc(waiting, func(a, b *entry) int { return int(a.arrival) - int(b.arrival) })
 	for _, e := range waiting {
 		add(e)
 	}
 	return h
 }
 
-// Hand takes a piece of a share that another controller hands over, until the
+// ReceiveHandover takes a piece of a share that another controller hands over, until the
 // records give it to this one.
-func (k *Keeper) Hand(h *message.Hand) {
+func (k *Dispatcher) ReceiveHandover(h *message.Handover) {
 	id := sharding.ID(h.Share)
-	if h.Term != k.View.Term || !k.Acting() || h.Pieces < 1 || h.Piece < 0 || h.Piece >= h.Pieces ||
-		!k.Sharing() || h.Share < 0 || h.Share >= len(k.Shares.List) || k.Shares.List[id].Since != h.Tenure || k.Shares.List[id].Epoch != h.Epoch {
+	if h.Term != k.View.Term || !k.HoldsLease() || h.Pieces < 1 || h.Piece < 0 || h.Piece >= h.Pieces ||
+		!k.Sharded() || h.Share < 0 || h.Share >= len(k.Shards.List) || k.Shards.List[id].Since != h.Tenure || k.Shards.List[id].Epoch != h.Epoch {
 		return
 	}
-	st := k.staged[id]
+	st := k.incoming[id]
 	if st == nil || st.epoch != h.Epoch || len(st.pieces) != h.Pieces {
-		st = &staged{epoch: h.Epoch, pieces: make([]*message.Hand, h.Pieces), left: h.Pieces}
-		k.staged[id] = st
+		st = &incomingHandover{epoch: h.Epoch, pieces: make([]*message.Handover, h.Pieces), missing: h.Pieces}
+		k.incoming[id] = st
 	}
 	if st.pieces[h.Piece] == nil {
-		st.left--
+		st.missing--
 	}
 	st.pieces[h.Piece], st.at = h, k.Now
-	k.asking = true
+	k.shardChangeDue = true
 }
 
-// WantedShares lists the changes of the record of shares that this keeper asks for: the
-// shares handed over to it whole, to take, and those whose epoch has to rise: for a
+// ShardChangesWanted lists the changes of the record of shares that this keeper asks for: the
+// shards handed over to it whole, to take, and those whose epoch has to rise: for a
 // start without an answer, or to give up a move.
-func (k *Keeper) WantedShares() (take, raise []sharding.ID) {
-	if !k.asking || !k.Sharing() || !k.Acting() {
+func (k *Dispatcher) ShardChangesWanted() (take, raise []sharding.ID) {
+	if !k.shardChangeDue || !k.Sharded() || !k.HoldsLease() {
 		return nil, nil
 	}
-	k.asking = false
-	for id, st := range ordered.Of(k.staged) {
+	k.shardChangeDue = false
+	for id, st := range ordered.Of(k.incoming) {
 		switch {
-		case st.epoch != k.Shares.List[id].Epoch || k.Since(st.at) > stageAtMost:
-			delete(k.staged, id)
+		case st.epoch != k.Shards.List[id].Epoch || k.Since(st.at) > incomingTimeout:
+			delete(k.incoming, id)
 			continue
-		case st.left == 0:
+		case st.missing == 0:
 			take = append(take, id)
 		}
-		k.asking = true // until it is taken, or void
+		k.shardChangeDue = true // until it is taken, or void
 	}
-	for id, s := range ordered.Of(k.shares) {
-		now := &k.Shares.List[id]
-		if now.Holder != k.Session || s.tenure != now.Since {
+	for id, s := range ordered.Of(k.shards) {
+		now := &k.Shards.List[id]
+		if now.Holder != k.Session || s.epoch != now.Since {
 			continue
 		}
-		settles := s.raise != 0 && s.raise >= now.Epoch
-		if settles || s.frozen != nil && k.Since(s.frozen.at) > handAtMost {
+		settles := s.raiseAbove != 0 && s.raiseAbove >= now.Epoch
+		if settles || s.handover != nil && k.Since(s.handover.at) > handoverTimeout {
 			raise = append(raise, id)
 		}
-		k.asking = k.asking || settles || s.frozen != nil
+		k.shardChangeDue = k.shardChangeDue || settles || s.handover != nil
 	}
 	return take, raise
 }
@@ -275,64 +277,64 @@
 // adoptedView ends all moves: a share is taken in the view it was handed over in,
 // or not at all, so what this controller keeps still in the new one nobody else
 // will take by what was handed over.
-func (k *Keeper) adoptedView() {
-	clear(k.staged)
-	if !k.Sharing() {
+func (k *Dispatcher) adoptedView() {
+	clear(k.incoming)
+	if !k.Sharded() {
 		return
 	}
-	for id, s := range ordered.Of(k.shares) {
-		if k.Shares.List[id].Holder != k.Session || k.Shares.List[id].Since != s.tenure {
-			delete(k.shares, id)
-		} else if s.frozen != nil {
+	for id, s := range ordered.Of(k.shards) {
+		if k.Shards.List[id].Holder != k.Session || k.Shards.List[id].Since != s.epoch {
+			delete(k.shards, id)
+		} else if s.handover != nil {
 			k.noteMove(s, true)
-			k.thaw(s)
+			k.abortHandover(s)
 		}
 	}
 }
 
-// Moved is a move of a share that has ended.
-type Moved struct {
-	Share   sharding.ID
+// CompletedMove is a move of a share that has ended.
+type CompletedMove struct {
+	Shard   sharding.ID
 	Pause   time.Duration // for how long nothing was started on it
 	GivenUp bool
 }
 
-func (k *Keeper) noteMove(s *share, givenUp bool) {
-	m := Moved{Share: s.id, Pause: k.Since(s.frozen.at), GivenUp: givenUp}
-	k.moved = append(k.moved[max(0, len(k.moved)-movedMost):], m)
+func (k *Dispatcher) noteMove(s *shardState, givenUp bool) {
+	m := CompletedMove{Shard: s.id, Pause: k.Since(s.handover.at), GivenUp: givenUp}
+	k.completedMoves = append(k.completedMoves[max(0, len(k.completedMoves)-movedMost):], m)
 	what := "share moved"
 	if givenUp {
 		what = "move given up"
 	}
-	k.Log.Info(what, "share", int(s.id), "to", s.frozen.to, "cause", s.frozen.cause, "pause", m.Pause.Round(time.Millisecond))
+	k.Log.Info(what, "share", int(s.id), "to", s.handover.to, "cause", s.handover.cause, "pause", m.Pause.Round(time.Millisecond))
 }
 
 // movedMost bounds the moves that are remembered for who asks.
 const movedMost = 1000
 
-// MovesEnded returns the moves that have ended since it was asked last.
-func (k *Keeper) MovesEnded() []Moved {
-	ended := k.moved
-	k.moved = nil
+// TakeCompletedMoves returns the moves that have ended since it was asked last.
+func (k *Dispatcher) TakeCompletedMoves() []CompletedMove {
+	ended := k.completedMoves
+	k.completedMoves = nil
 	return ended
 }
 
-// AdoptShares goes over to a new record of the shares: what is kept here no more is
+// AdoptShards goes over to a new record of the shares: what is kept here no more is
 // dropped, what has come is kept, and what else has changed notices nothing but a
 // later token.
-func (k *Keeper) AdoptShares(old *record.Shares) {
+func (k *Dispatcher) AdoptShards(old *record.ShardTable) {
 	lost, come := map[sharding.ID]bool{}, map[sharding.ID]bool{}
-	for i, now := range k.Shares.List {
+	for i, now := range k.Shards.List {
 		id := sharding.ID(i)
-		was := record.ShareState{}
+		was := record.ShardAssignment{}
 		if old != nil && i < len(old.List) {
 			was = old.List[i]
 		}
 		switch mine, had := now.Holder == k.Session, was.Holder == k.Session; {
 		case was.Since == now.Since && mine:
-			if s := k.shareAt(id); s.frozen != nil && now.Epoch != was.Epoch {
+			if s := k.shardByID(id); s.handover != nil && now.Epoch != was.Epoch {
 				k.noteMove(s, true)
-				k.thaw(s)
+				k.abortHandover(s)
 			}
 		case was.Since == now.Since:
 		case had && !mine:
@@ -342,69 +344,69 @@
 		}
 	}
 	if len(lost) > 0 {
-		k.lose(lost)
+		k.loseShards(lost)
 	}
 	if len(come) > 0 {
-		k.take(come, old)
+		k.takeShards(come, old)
 	}
-	for id, st := range k.staged { // what came is taken; what its keeper goes on with is void
-		if st.epoch != k.Shares.List[id].Epoch {
-			delete(k.staged, id)
+	for id, st := range k.incoming { // what came is taken; what its keeper goes on with is void
+		if st.epoch != k.Shards.List[id].Epoch {
+			delete(k.incoming, id)
 		}
 	}
 }
 
-// lose drops what is kept of shares that others keep now, and passes on what was
-// held back for them.
-func (k *Keeper) lose(lost map[sharding.ID]bool) {
+// loseShards drops what is kept of shares that others keep now, and passes on what was
+// deferred back for them.
+func (k *Dispatcher) loseShards(lost map[sharding.ID]bool) {
 	for _, q := range slices.Clone(k.queuesInOrder()) {
-		if lost[sharding.Of(k.Shares, q.id, q.zone)] {
+		if lost[sharding.Of(k.Shards, q.id, q.zone)] {
 			k.dropQueue(q.id)
 		}
 	}
 	for id := range ordered.Of(lost) {
-		s := k.shares[id]
+		s := k.shards[id]
 		if s == nil {
 			continue
 		}
-		delete(k.shares, id)
-		if s.frozen == nil {
+		delete(k.shards, id)
+		if s.handover == nil {
 			continue
 		}
 		k.noteMove(s, false)
-		for _, m := range s.frozen.held {
-			k.again(m)
+		for _, m := range s.handover.deferred {
+			k.redeliver(m)
 		}
 	}
 }
 
-// thaw goes on with a share that is not handed over.
-func (k *Keeper) thaw(s *share) {
-	held := s.frozen.held
-	s.frozen = nil
+// abortHandover goes on with a share that is not handed over.
+func (k *Dispatcher) abortHandover(s *shardState) {
+	held := s.handover.deferred
+	s.handover = nil
 	for _, m := range held {
-		k.again(m)
+		k.redeliver(m)
 	}
 	for _, q := range k.queuesInOrder() {
-		if sharding.Of(k.Shares, q.id, q.zone) != s.id {
+		if sharding.Of(k.Shards, q.id, q.zone) != s.id {
 			continue
 		}
 		over := map[protocol.JobID]bool{}
 		for t := range q.entries {
-			over[t.Job] = k.IsOver(t.Job)
+			over[t.Job] = k.HasEnded(t.Job)
 		}
 		for job, is := range ordered.Of(over) {
 			if is {
-				k.overIn(q, job)
+				k.endJobIn(q, job)
 			}
 		}
-		k.wake(q)
+		k.requestDirect(q)
 		k.giveInventory(q)
 	}
 }
 
-// again handles what was held back, here or by its new keeper.
-func (k *Keeper) again(m message.PeerMessage) {
+// redeliver handles what was held back, here or by its new keeper.
+func (k *Dispatcher) redeliver(m message.PeerMessage) {
 	switch {
 	case m.Stop != nil:
 		k.Stop(*m.Stop)
@@ -415,84 +417,84 @@
 	}
 }
 
-// take begins to keep shares: with what was handed over, or knowing of their
+// takeShards begins to keep shares: with what was handed over, or knowing of their
 // machines only what the records say.
-func (k *Keeper) take(come map[sharding.ID]bool, old *record.Shares) {
+func (k *Dispatcher) takeShards(come map[sharding.ID]bool, old *record.ShardTable) {
 	for id := range ordered.Of(come) {
-		k.shareAt(id)
-		if st := k.staged[id]; st != nil && st.left == 0 && st.epoch == old.List[id].Epoch {
+		k.shardByID(id)
+		if st := k.incoming[id]; st != nil && st.missing == 0 && st.epoch == old.List[id].Epoch {
 			for _, h := range st.pieces {
 				for i := range h.Queues {
-					k.takeHanded(&h.Queues[i])
+					k.takeHandedOver(&h.Queues[i])
 				}
 			}
 		}
-		delete(k.staged, id)
+		delete(k.incoming, id)
 	}
 	for id, m := range ordered.Of(k.Records) {
-		if !come[sharding.Of(k.Shares, id, m.Record.Zone)] {
+		if !come[sharding.Of(k.Shards, id, m.Record.Zone)] {
 			continue
 		}
 		q := k.queues[id]
 		if q == nil {
-			q = k.keep(id, m.Record.Zone)
+			q = k.addQueue(id, m.Record.Zone)
 			q.registered(m)
 		}
-		q.inventoryAfter = k.After(crossing)
-		k.inventoryDue = append(k.inventoryDue, q)
+		q.inventoryAfter = k.After(firstInventoryDelay)
+		k.inventoriesPending = append(k.inventoriesPending, q)
 	}
 }
 
-// takeHanded begins to keep one machine with all that its keeper before knew.
-func (k *Keeper) takeHanded(h *message.HandedQueue) {
+// takeHandedOver begins to keep one machine with all that its keeper before knew.
+func (k *Dispatcher) takeHandedOver(h *message.HandoverQueue) {
 	m := k.Records[h.Machine]
 	if m == nil || m.Epoch != h.Epoch || k.queues[h.Machine] != nil {
 		return // another session has been registered, or it has gone
 	}
-	q := k.keep(h.Machine, m.Record.Zone)
+	q := k.addQueue(h.Machine, m.Record.Zone)
 	q.registered(m)
-	q.session, q.seq, q.seen = max(q.session, h.Session), h.Seq, h.Seen
-	if q.session != h.Session {
+	q.agentEpoch, q.lastSeq, q.tokenSeen = max(q.agentEpoch, h.Session), h.Seq, h.Seen
+	if q.agentEpoch != h.Session {
 		return // nothing of an earlier session is left
 	}
-	q.known, q.sole, q.everSeen = h.Known, h.Sole, h.Everseen
-	q.notice, q.draining, q.suspect, q.images = h.NoticeS, h.Draining, h.Suspect, h.Images
+	q.inventoryKnown, q.exclusive, q.everSeen = h.Known, h.Sole, h.Everseen
+	q.noticeSeconds, q.draining, q.quarantined, q.images = h.NoticeS, h.Draining, h.Suspect, h.Images
 	q.idleSince = k.Now - clock.Time(h.Idle)
 	for _, job := range h.Failed {
-		q.failed[job] = k.Now
+		q.failedJobs[job] = k.Now
 	}
 	for i := range h.Entries {
 		x := &h.Entries[i]
 		e := &entry{
-			task: x.Task, attempt: x.Attempt, estimate: x.EstimateS, need: x.Need, since: k.Now - clock.Time(x.Age),
-			level: x.Level, guessed: x.Guessed, together: x.Together, from: x.From, sent: x.Sent, direct: x.Direct, present: x.Present,
-			state: x.State, cause: x.Cause, saved: x.Saved, kill: x.Kill, graceS: x.GraceS, reap: x.Reap, noticed: x.Noticed, configuration: x.Configuration,
-			again: x.Direct != 0, // perhaps
+			task: x.Task, attempt: x.Attempt, estimate: x.EstimateS, need: x.Need, queuedSince: k.Now - clock.Time(x.Age),
+			level: x.Level, levelGuessed: x.Guessed, inGang: x.Together, placedBy: x.From, sent: x.Sent, directToken: x.Direct, present: x.Present,
+			state: x.State, cause: x.Cause, checkpointed: x.Saved, kill: x.Kill, graceS: x.GraceS, reap: x.Reap, noticed: x.Noticed, configuration: x.Configuration,
+			startResent: x.Direct != 0, // perhaps
 		}
 		if x.Ran >= 0 {
-			e.runs = k.Now - clock.Time(x.Ran)
+			e.runningSince = k.Now - clock.Time(x.Ran)
 		}
 		if !x.Found {
-			k.order++
-			e.order = k.order
+			k.lastArrival++
+			e.arrival = k.lastArrival
 		}
 		if !e.sent && !e.present {
-			if k.IsOver(e.task.Job) {
+			if k.HasEnded(e.task.Job) {
 				continue // the inventory says that it is gone
 			}
 			k.enqueue(q, e)
 		}
-		q.put(e)
+		q.addEntry(e)
 	}
-	k.wake(q)
+	k.requestDirect(q)
 }
 
-// SharesKept is how many shares are kept.
-func (k *Keeper) SharesKept() (n int) {
-	if !k.Sharing() {
+// ShardsHeld is how many shares are kept.
+func (k *Dispatcher) ShardsHeld() (n int) {
+	if !k.Sharded() {
 		return 0
 	}
-	for _, s := range k.Shares.List {
+	for _, s := range k.Shards.List {
 		if s.Holder == k.Session {
 			n++
 		}
--- a/internal/controller/dynamicconfig/decide.go
+++ b/internal/controller/dynamicconfig/decide.go
@@ -302,19 +302,19 @@
 
 // Transaction is what a plan writes: the entries, the history and, on its version, the
 // revision's record.
-func (p *Plan) Transaction() protocol.Txn {
+func (p *Plan) Transaction() protocol.Transaction {
 	head := record.Configuration{Revision: p.Revision, Requests: slices.Clone(p.head.Requests)}
-	txn := protocol.Txn{If: []protocol.Condition{{Key: record.ConfigurationKey, Version: p.version}}}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{{Key: record.ConfigurationKey, Version: p.version}}}
 	for _, c := range p.Changes {
 		head.Entries = append(head.Entries, c.Entry)
-		txn.Then = append(txn.Then, protocol.Change{Put: record.ConfigurationEntryKey(c.Entry), Value: c.To})
+		txn.Changes = append(txn.Changes, protocol.Change{Put: record.ConfigurationEntryKey(c.Entry), Value: c.To})
 	}
 	if p.Request != "" {
 		head.Requests = append(head.Requests, record.ConfigurationRequest{ID: p.Request, Revision: p.Revision})
 		head.Requests = head.Requests[max(0, len(head.Requests)-record.ConfigurationRequests):]
 	}
 	history := record.ConfigurationChange{Revision: p.Revision, By: p.By, AtMS: p.AtMS, Changes: p.Changes}
-	txn.Then = append(txn.Then,
+	txn.Changes = append(txn.Changes,
 		protocol.Change{Put: record.ConfigurationHistoryKey(p.Revision), Value: history},
 		protocol.Change{Put: record.ConfigurationKey, Value: head})
 	return txn
--- a/internal/controller/dynamicconfig/follow.go
+++ b/internal/controller/dynamicconfig/follow.go
@@ -14,10 +14,10 @@
 	operator config.Operator
 
 	head    record.Configuration // in force
-	version protocol.Version     // of its record
+	version protocol.Version     // reservation its record
 	entries map[record.EntryID]record.ConfigurationEntry
 
-	nextHead    *record.Configuration // of a later revision
+	nextHead    *record.Configuration // reservation a later revision
 	nextVersion protocol.Version
 	nextEntries map[record.EntryID]record.ConfigurationEntry
 
@@ -54,7 +54,7 @@
 func (f *Followed) Entries() map[record.EntryID]record.ConfigurationEntry { return f.entries }
 
 // TakeEntry takes the record of an entry, and reports whether anything in force has
-// changed.
+// recordChanged.
 func (f *Followed) TakeEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
 	if have, ok := f.nextEntries[id]; ok && have.Revision >= entry.Revision {
 		return false
@@ -74,7 +74,7 @@
 }
 
 // TakeHead takes the record of a revision, and reports whether anything in force has
-// changed.
+// recordChanged.
 func (f *Followed) TakeHead(head record.Configuration, version protocol.Version) bool {
 	if version <= f.version || f.nextHead != nil && version <= f.nextVersion {
 		return false
--- a/internal/controller/failedsearch.go
+++ b/internal/controller/failedsearch.go
@@ -21,7 +21,7 @@
 	types []protocol.MachineType
 	zone  protocol.Zone
 	spot  bool
-	// yields: it may have only what others leave, and not wait in a queue.
+	// usesHeadroom: it may have only what others leave, and not wait in a queue.
 	yields bool
 	until  Time
 }
@@ -40,9 +40,9 @@
 		return // where it may go depends on more than what is remembered
 	}
 	c.owner.failedSearches = append(c.owner.failedSearches, failedSearch{
-		need: resource.Need(&o.Job), level: o.level, rank: o.Priority.Rank(), class: o.Class, types: o.Types, zone: o.Zone, spot: o.Spot, yields: o.yields,
+		need: resource.Need(&o.Job), level: o.level, rank: o.Priority.Rank(), class: o.Class, types: o.Types, zone: o.Zone, spot: o.Spot, yields: o.usesHeadroom,
 	})
-	every := placeEvery * time.Duration(max(1, len(c.owner.failedSearches)*len(c.sorted)/searchedAtOnce))
+	every := placeEvery * time.Duration(max(1, len(c.owner.failedSearches)*len(c.sortedMachines)/searchedAtOnce))
 	c.owner.failedSearches[len(c.owner.failedSearches)-1].until = c.After(every)
 }
 
@@ -62,7 +62,7 @@
 		v := &c.owner.failedSearches[i]
 		if need.Covers(v.need) && o.level <= v.level && o.Priority.Rank() <= v.rank && (v.spot || !o.Spot) &&
 			(v.zone == "" || v.zone == o.Zone) && (len(v.types) == 0 || slices.Equal(v.types, o.Types)) &&
-			(v.class == o.Class || !c.Awaited(&o.Job)) && (o.yields || !v.yields) {
+			(v.class == o.Class || !c.HasStartObjective(&o.Job)) && (o.usesHeadroom || !v.yields) {
 			return true
 		}
 	}
--- a/internal/controller/failingjob.go
+++ b/internal/controller/failingjob.go
@@ -9,7 +9,7 @@
 
 // A failing job was submitted with an error in itself, and fails on every machine
 // until its user cancels it; a faulty machine fails every job. What tells them apart is the rest:
-// of a good job's tasks most run while a few faulty machines fail some, on a good
+// reservation a good job's tasks most run while a few faulty machines fail some, on a good
 // machine other jobs' tasks are done. The job's owner judges the job, and says so
 // to all; the machine's keeper judges the machine, and leaves out the failures of
 // failing jobs (package keeping).
@@ -25,58 +25,58 @@
 	trialFactor, trialSlack = 3, 5 * time.Second
 )
 
-// failed notes that a task of a job ended in an error, and judges the job: it is
-// tried with one task at a time, ever later, once at least as many of its tasks have
-// failed as run.
-func (c *Core) failed(o *ownedJob, t *placedTask) {
+// attemptFailed notes that a task of a job ended in an error, and judges the job: it is
+// searchedAt with one task at a time, ever later, once at least as many of its tasks have
+// attemptFailed as run.
+func (c *Core) attemptFailed(o *ownedJob, t *attempt) {
 	o.failedOn[t.machine] = true
 	o.failures++
 	if t.running {
-		o.failedAfter = max(o.failedAfter, c.Since(t.runs))
+		o.failedAfter = max(o.failedAfter, c.Since(t.runningSince))
 	}
 	switch {
 	case o.failing && t.trial && o.notBefore <= c.Now: // the first of a trial's tasks
 		o.backoff = min(2*o.backoff, retryMost)
 		o.notBefore = c.After(o.backoff)
-	case o.failing || !c.failsEverywhere(o):
+	case o.failing || !c.hasFailedEverywhere(o):
 	default:
 		o.failing, o.backoff = true, retryFirst
-		if o.together() { // a trial takes the room of all its tasks
+		if o.isGang() { // a trial takes the room of all its tasks
 			o.backoff = min(retryFirst*time.Duration(o.Tasks), retryMost)
 		}
 		o.notBefore = c.After(o.backoff)
-		c.ownedChanged.Touch(o.ID)
+		c.ownedChanges.Touch(o.ID)
 		c.Log.Info("job fails wherever it runs: one task is tried now and then", "job", o.ID, "machines", len(o.failedOn))
 		for _, other := range ordered.Tasks(o.placed) {
 			if !other.started && !other.stopping && o.Kind != protocol.KindGang {
-				c.askStop(other, false, 0) // what waits in queues would fail as well
+				c.sendStop(other, false, 0) // what waits in queues would fail as well
 			}
 		}
 	}
 }
 
-// sound takes back what was held against a job.
-func (c *Core) sound(o *ownedJob) {
+// clearFailures takes back what was held against a job.
+func (c *Core) clearFailures(o *ownedJob) {
 	o.failures = 0
 	if !o.failing {
 		return
 	}
 	o.failing, o.backoff, o.notBefore = false, 0, 0
 	clear(o.failedOn)
-	c.ownedChanged.Touch(o.ID)
-	c.owner.dirty = true
+	c.ownedChanges.Touch(o.ID)
+	c.owner.placementDue = true
 	c.Log.Info("job no longer fails", "job", o.ID)
 }
 
-// watchTrials looks whether the trial of a job that failed goes on for much longer
+// expireTrials looks whether the trial of a job that failed goes on for much longer
 // than its tasks took to fail.
-func (c *Core) watchTrials(o *ownedJob) {
+func (c *Core) expireTrials(o *ownedJob) {
 	if !o.failing {
 		return
 	}
 	for _, t := range o.placed {
-		if t.trial && t.running && c.Since(t.runs) > trialFactor*o.failedAfter+trialSlack {
-			c.sound(o)
+		if t.trial && t.running && c.Since(t.runningSince) > trialFactor*o.failedAfter+trialSlack {
+			c.clearFailures(o)
 			return
 		}
 	}
@@ -93,8 +93,8 @@
 	return min(n, 1)
 }
 
-// jobFails reports whether a live job fails wherever it runs, by its owner's word.
-func (c *Core) jobFails(id protocol.JobID) bool {
+// isFailing reports whether a live job fails wherever it runs, by its owner's word.
+func (c *Core) isFailing(id protocol.JobID) bool {
 	g, ok := c.JobProgress(id)
 	return ok && g.Failing
 }
--- a/internal/controller/finish.go
+++ b/internal/controller/finish.go
@@ -7,99 +7,99 @@
 	"damsonkeel/internal/record"
 )
 
-func (c *Core) markDone(o *ownedJob, i uint32) {
+func (c *Core) markTaskDone(o *ownedJob, i uint32) {
 	o.pending.Clear(uint(i))
 	if o.done.Test(uint(i)) {
 		return
 	}
 	o.done.Set(uint(i))
 	o.nDone++
-	c.ownedChanged.Touch(o.ID)
-	o.dirty[int(i)/record.ChunkTasks] = true
-	c.sound(o)
+	c.ownedChanges.Touch(o.ID)
+	o.dirtyChunks[int(i)/record.ChunkTasks] = true
+	c.clearFailures(o)
 }
 
-// checkDone has a job's end written once all its tasks are done. It is told
+// finishIfDone has a job's end written once all its tasks are done. It is told
 // to nobody before that is durable.
-func (c *Core) checkDone(o *ownedJob) {
-	if !o.loaded || o.nDone < o.Tasks || o.finish {
+func (c *Core) finishIfDone(o *ownedJob) {
+	if !o.loaded || o.nDone < o.Tasks || o.finishDue {
 		return
 	}
-	o.finish = true
+	o.finishDue = true
 	c.writeFinish(o)
 }
 
 func (c *Core) writeFinish(o *ownedJob) {
-	if o.ending || !c.Acting() {
+	if o.finishInFlight || !c.HoldsLease() {
 		return
 	}
-	o.ending = true
-	txn := protocol.Txn{
-		If: []protocol.Condition{{Key: record.LiveKey(o.ID), Version: o.Version}, {Key: record.JobKey(o.ID), Version: o.Version}},
-		Then: []protocol.Change{
+	o.finishInFlight = true
+	txn := protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: record.LiveKey(o.ID), Version: o.Version}, {Key: record.JobKey(o.ID), Version: o.Version}},
+		Changes: []protocol.Change{
 			{Put: record.JobKey(o.ID), Value: record.JobRecord{State: record.RecordDone, Tasks: o.Tasks}},
 			{Delete: record.LiveKey(o.ID)},
 		},
 	}
-	for chunk := range ordered.Of(o.stored) { // a short job has none: what is not there costs a change all the same
-		txn.Then = append(txn.Then, protocol.Change{Delete: record.BitsKey(o.ID, chunk)})
+	for chunk := range ordered.Of(o.storedChunks) { // a short job has none: what is not there costs a change all the same
+		txn.Changes = append(txn.Changes, protocol.Change{Delete: record.BitmapChunkKey(o.ID, chunk)})
 	}
-	c.Do(message.Commit{Tag: finishTag{o.ID}, Txn: txn})
+	c.Emit(message.Commit{Tag: finishTag{o.ID}, Txn: txn})
 }
 
-func (c *Core) finishDone(tag finishTag, out message.Outcome) {
+func (c *Core) finishWritten(tag finishTag, out message.Outcome) {
 	o := c.owner.jobs[tag.job]
 	if o == nil {
 		return
 	}
-	o.ending = out == message.OutcomeDone // otherwise again at a later tick; a conflict shows in the records
+	o.finishInFlight = out == message.OutcomeDone // otherwise again at a later tick; a conflict shows in the records
 }
 
-// flushBits writes the bitmaps that changed, a few at a time.
-func (c *Core) flushBits() {
-	if !c.Acting() {
+// writeBitmaps writes the bitmaps that changed, a few at a time.
+func (c *Core) writeBitmaps() {
+	if !c.HoldsLease() {
 		return
 	}
 	n := 0
 	for _, o := range ordered.Of(c.owner.jobs) {
-		if len(o.dirty) == 0 || o.writing || o.finish || !o.loaded || o.reread {
+		if len(o.dirtyChunks) == 0 || o.writing || o.finishDue || !o.loaded || o.rereadNeeded {
 			continue
 		}
 		if n++; n > c.Settings.Site.State.TxnOps {
 			return
 		}
-		tag := bitsTag{job: o.ID}
-		txn := protocol.Txn{If: []protocol.Condition{
+		tag := bitmapTag{job: o.ID}
+		txn := protocol.Transaction{Conditions: []protocol.Condition{
 			{Key: record.ViewKey, Version: c.ViewVersion}, // a former owner writes nothing late
 			{Key: record.LiveKey(o.ID), Version: o.Version},
 		}}
-		for chunk := range ordered.Of(o.dirty) {
+		for chunk := range ordered.Of(o.dirtyChunks) {
 			tag.chunks = append(tag.chunks, chunk)
 			// On its version: a write without an answer may be carried out after the
 			// next one, and would take back the ends that only that one has.
-			key, have := record.BitsKey(o.ID, chunk), o.stored[chunk]
-			txn.If = append(txn.If, protocol.Condition{Key: key, Version: have})
-			o.stored[chunk] = have // perhaps in the records from now on
-			txn.Then = append(txn.Then, protocol.Change{Put: key, Value: record.EncodeChunk(o.done, chunk)})
+			key, have := record.BitmapChunkKey(o.ID, chunk), o.storedChunks[chunk]
+			txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: have})
+			o.storedChunks[chunk] = have // perhaps in the records from now on
+			txn.Changes = append(txn.Changes, protocol.Change{Put: key, Value: record.EncodeChunk(o.done, chunk)})
 		}
-		clear(o.dirty)
-		o.writing, o.underWay = true, tag.chunks
-		c.Do(message.Commit{Tag: tag, Txn: txn})
+		clear(o.dirtyChunks)
+		o.writing, o.chunksInFlight = true, tag.chunks
+		c.Emit(message.Commit{Tag: tag, Txn: txn})
 	}
 }
 
-func (c *Core) bitsDone(tag bitsTag, out message.Outcome, at protocol.Revision) {
+func (c *Core) bitmapWritten(tag bitmapTag, out message.Outcome, at protocol.Revision) {
 	o := c.owner.jobs[tag.job]
 	if o == nil {
 		return
 	}
-	o.writing, o.underWay = false, nil
+	o.writing, o.chunksInFlight = false, nil
 	for _, chunk := range tag.chunks {
 		if out == message.OutcomeDone {
-			o.stored[chunk] = protocol.Version(at)
+			o.storedChunks[chunk] = protocol.Version(at)
 		} else {
-			o.dirty[chunk] = true
+			o.dirtyChunks[chunk] = true
 		}
 	}
-	o.reread = out == message.OutcomeUnknown || out == message.OutcomeFailed
+	o.rereadNeeded = out == message.OutcomeUnknown || out == message.OutcomeFailed
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -16,24 +16,24 @@
 	"damsonkeel/internal/protocol"
 )
 
-// fleetState is what the controller that rents machines keeps of them.
-type fleetState struct {
-	since    Time // when this view was adopted
-	listed   map[protocol.MachineID]protocol.ListedMachine
-	listedAt Time
-	heardAt  Time // when a list last came
-	listing  bool
-	haveList bool
-	orphan   map[protocol.MachineID]Time // listed, not registered: since when
-	coming   map[protocol.MachineID]coming
-	rents    map[string]*rentCall
-	requests uint64
-	refused  map[kind]refusal
-	boots    map[kind]*booting
-	deleting map[protocol.MachineID]Time
-	returned map[protocol.MachineID]Time // lists may still show them
-	lastPlan Time
-	seen     map[protocol.MachineID]bool // listed as running at some time
+// autoscalerState is what the controller that rents machines keeps of them.
+type autoscalerState struct {
+	since           Time // when this view was adopted
+	listed          map[protocol.MachineID]protocol.ListedMachine
+	listedAt        Time
+	heardAt         Time // when a list last came
+	listing         bool
+	haveList        bool
+	orphan          map[protocol.MachineID]Time // machinesListed, not registered: since when
+	bootingMachines map[protocol.MachineID]bootingMachine
+	provisionCalls  map[string]*provisionCall
+	requests        uint64
+	refusals        map[kind]refusal
+	bootHistory     map[kind]*bootRecord
+	deleting        map[protocol.MachineID]Time
+	terminated      map[protocol.MachineID]Time // lists may still show them
+	lastPlan        Time
+	seen            map[protocol.MachineID]bool // machinesListed as running at some time
 }
 
 // kind is the kind of a machine that is up.
@@ -41,8 +41,8 @@
 	return kind{Type: m.Record.Type, Zone: m.Record.Zone, Spot: m.Record.Spot}
 }
 
-// coming is a machine rented that has not reported yet.
-type coming struct {
+// bootingMachine is a machine rented that has not reported yet.
+type bootingMachine struct {
 	kind
 	at Time
 }
@@ -54,26 +54,28 @@
 	pause time.Duration
 }
 
-type rentCall struct {
-	req   protocol.RentRequest
-	at    Time
-	of    reservation.Name // the reservation that it is for, if any
-	tries int
-	busy  bool
+type provisionCall struct {
+	req         protocol.ProvisionRequest
+	at          Time
+	reservation reservation.Name // the reservation that it is for, if any
+	tries       int
+	inFlight    bool
 }
 
 // kind is what was asked for.
-func (r *rentCall) kind() kind { return kind{Type: r.req.Type, Zone: r.req.Zone, Spot: r.req.Spot} }
+func (r *provisionCall) kind() kind {
+	return kind{Type: r.req.Type, Zone: r.req.Zone, Spot: r.req.Spot}
+}
 
-func newFleetState() fleetState {
-	return fleetState{
+func newAutoscalerState() autoscalerState {
+	return autoscalerState{
 		listed: map[protocol.MachineID]protocol.ListedMachine{}, orphan: map[protocol.MachineID]Time{},
-		coming: map[protocol.MachineID]coming{}, rents: map[string]*rentCall{}, refused: map[kind]refusal{}, boots: map[kind]*booting{},
-		deleting: map[protocol.MachineID]Time{}, returned: map[protocol.MachineID]Time{}, seen: map[protocol.MachineID]bool{},
+		bootingMachines: map[protocol.MachineID]bootingMachine{}, provisionCalls: map[string]*provisionCall{}, refusals: map[kind]refusal{}, bootHistory: map[kind]*bootRecord{},
+		deleting: map[protocol.MachineID]Time{}, terminated: map[protocol.MachineID]Time{}, seen: map[protocol.MachineID]bool{},
 	}
 }
 
-func (f *fleetState) adopted(now Time) { f.since = now }
+func (f *autoscalerState) adopted(now Time) { f.since = now }
 
 // Timings of the fleet. They follow from how machines boot and the list lags.
 const (
@@ -84,167 +86,167 @@
 	settleTime    = 4 * time.Second
 )
 
-// fleetStep rents and returns machines, if that is this controller's role.
-func (c *Core) fleetStep() {
-	f := &c.fleet
-	if !c.Acting() || len(c.Types) == 0 || clusterstate.Rendezvous(c.View, "fleet") != c.Self {
+// scaleStep rents and returns machines, if that is this controller's role.
+func (c *Core) scaleStep() {
+	f := &c.autoscaler
+	if !c.HoldsLease() || len(c.Types) == 0 || clusterstate.Rendezvous(c.View, "fleet") != c.Self {
 		return
 	}
 	if !f.listing && (!f.haveList || c.Since(f.listedAt) > listEvery) {
 		f.listing = true
-		c.Do(message.ListMachines{})
+		c.Emit(message.ListMachines{})
 	}
-	for name, r := range ordered.Of(f.rents) {
+	for name, r := range ordered.Of(f.provisionCalls) {
 		switch {
-		case r.busy || c.Since(r.at) < 2*time.Second:
+		case r.inFlight || c.Since(r.at) < 2*time.Second:
 		case r.tries > 5:
-			delete(f.rents, name)
+			delete(f.provisionCalls, name)
 		default:
 			// No answer came: the machines may be rented. Only the same name
 			// asks without renting twice.
-			c.rent(r)
+			c.provision(r)
 		}
 	}
-	if !c.planning() || c.Since(f.lastPlan) < planEvery {
+	if !c.isAutoscaler() || c.Since(f.lastPlan) < planEvery {
 		return
 	}
 	f.lastPlan = c.Now
-	c.noteComing()
+	c.updateBooting()
 	c.chooseReserved()
-	c.plan()
-	c.returnMachines()
+	c.planScaleOut()
+	c.scaleIn()
 }
 
-// noteComing drops from the machines awaited those that came or never will.
-func (c *Core) noteComing() {
-	f := &c.fleet
+// updateBooting drops from the machines awaited those that came or never will.
+func (c *Core) updateBooting() {
+	f := &c.autoscaler
 	for id, l := range f.listed {
-		if _, ok := f.coming[id]; !ok && c.machines[id] == nil && l.State == "booting" && f.returned[id] == 0 {
-			f.coming[id] = coming{kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}, c.Now - Time(l.AgeS*float64(time.Second))}
+		if _, ok := f.bootingMachines[id]; !ok && c.machines[id] == nil && l.State == "booting" && f.terminated[id] == 0 {
+			f.bootingMachines[id] = bootingMachine{kind{Type: l.Type, Zone: l.Zone, Spot: l.Spot}, c.Now - Time(l.AgeS*float64(time.Second))}
 		}
 	}
 	overdue := map[kind]int{}
-	for id, m := range f.coming {
+	for id, m := range f.bootingMachines {
 		up := c.machines[id] != nil
 		if up {
-			*f.booting(m.kind) = booting{lastUp: c.Now}
-		} else if c.Since(m.at) > c.bootOverdue(m.Type) {
+			*f.historyOf(m.kind) = bootRecord{lastUp: c.Now}
+		} else if c.Since(m.at) > c.bootTimeout(m.Type) {
 			overdue[m.kind]++
 		}
-		if up || c.Now-m.at > Time(c.bootLimit(m.Type)) || f.returned[id] != 0 {
-			delete(f.coming, id)
+		if up || c.Now-m.at > Time(c.bootDeadline(m.Type)) || f.terminated[id] != 0 {
+			delete(f.bootingMachines, id)
 		}
 	}
 	for k, n := range overdue {
-		if b := f.booting(k); !b.trial && n >= overdueMost && c.Since(b.lastUp) > c.bootOverdue(k.Type) {
+		if b := f.historyOf(k); !b.trial && n >= maxOverdueBoots && c.Since(b.lastUp) > c.bootTimeout(k.Type) {
 			b.trial = true
 			c.Log.Info("machines of a kind do not come up: one at a time is tried", "type", k.Type, "zone", k.Zone, "spot", k.Spot, "overdue", n)
 		}
 	}
 }
 
-// booting is how machines of a kind come up.
-type booting struct {
+// historyOf is how machines of a kind come up.
+type bootRecord struct {
 	lastUp Time // when one last did
 	// trial: so many are overdue and none has come up for so long that no more than
 	// one is asked for at a time, and none is counted on, until one comes up.
 	trial bool
 }
 
-// overdueMost is how many machines of a kind may be overdue while none comes up: a
+// maxOverdueBoots is how many machines of a kind may be overdue while none comes up: a
 // few never do.
-const overdueMost = 3
+const maxOverdueBoots = 3
 
-// booting is how machines of a kind come up.
-func (f *fleetState) booting(k kind) *booting {
-	b := f.boots[k]
+// historyOf is how machines of a kind come up.
+func (f *autoscalerState) historyOf(k kind) *bootRecord {
+	b := f.bootHistory[k]
 	if b == nil {
-		b = &booting{}
-		f.boots[k] = b
+		b = &bootRecord{}
+		f.bootHistory[k] = b
 	}
 	return b
 }
 
-// onTrial reports whether machines of a kind do not come up at present, and whether
+// canary reports whether machines of a kind do not come up at present, and whether
 // one is under way to find out.
-func (f *fleetState) onTrial(k kind) (trial, underWay bool) {
-	if b := f.boots[k]; b == nil || !b.trial {
+func (f *autoscalerState) canary(k kind) (trial, underWay bool) {
+	if b := f.bootHistory[k]; b == nil || !b.trial {
 		return false, false
 	}
-	for _, m := range f.coming {
+	for _, m := range f.bootingMachines {
 		underWay = underWay || m.kind == k
 	}
-	for _, r := range f.rents {
+	for _, r := range f.provisionCalls {
 		underWay = underWay || r.kind() == k
 	}
 	return true, underWay
 }
 
-// bootOverdue is how long after it was rented a machine should be up.
-func (c *Core) bootOverdue(t protocol.MachineType) time.Duration {
+// bootTimeout is how long after it was rented a machine should be up.
+func (c *Core) bootTimeout(t protocol.MachineType) time.Duration {
 	return config.Seconds(2*c.Types[t].BootS) + 10*time.Second
 }
 
-// bootLimit is how long a machine may take to come up before it is given up.
-func (c *Core) bootLimit(t protocol.MachineType) time.Duration {
+// bootDeadline is how long a machine may take to come up before it is given up.
+func (c *Core) bootDeadline(t protocol.MachineType) time.Duration {
 	return time.Duration(4*c.Types[t].BootS*float64(time.Second)) + 30*time.Second
 }
 
-func (c *Core) rent(r *rentCall) {
-	r.busy, r.at = true, c.Now
+func (c *Core) provision(r *provisionCall) {
+	r.inFlight, r.at = true, c.Now
 	r.tries++
 	c.Log.Debug("renting", "type", r.req.Type, "zone", r.req.Zone, "spot", r.req.Spot, "count", r.req.Count, "request", r.req.Name)
-	c.Do(message.Rent{Request: r.req})
+	c.Emit(message.Provision{Request: r.req})
 }
 
-func (c *Core) rented(m message.Rented) {
-	f := &c.fleet
-	r := f.rents[m.Request.Name]
+func (c *Core) provisioned(m message.ProvisionDone) {
+	f := &c.autoscaler
+	r := f.provisionCalls[m.Request.Name]
 	if r == nil {
 		return
 	}
-	r.busy = false
+	r.inFlight = false
 	k := r.kind()
 	switch m.Outcome {
 	case message.OutcomeDone:
-		delete(f.rents, m.Request.Name)
+		delete(f.provisionCalls, m.Request.Name)
 		for _, id := range m.Machines {
-			f.coming[id] = coming{k, c.Now}
+			f.bootingMachines[id] = bootingMachine{k, c.Now}
 		}
 		c.chooseReserved() // before anybody else uses them
 		c.Log.Info("rented", "machines", m.Machines, "request", m.Request.Name)
-		delete(f.refused, k)
+		delete(f.refusals, k)
 		if len(m.Machines) == m.Request.Count {
-			if c.planning() {
-				c.plan() // there may be more of it
+			if c.isAutoscaler() {
+				c.planScaleOut() // there may be more of it
 			}
 			return
 		}
 	case message.OutcomeFailed, message.OutcomeRefused:
-		delete(f.rents, m.Request.Name)
+		delete(f.provisionCalls, m.Request.Name)
 		c.Log.Debug("not rented", "type", k.Type, "zone", k.Zone, "spot", k.Spot)
 	default:
 		return // asked again by the same name
 	}
-	pause := min(max(2*f.refused[k].pause, refusedPause), refusedAtMost)
-	f.refused[k] = refusal{c.After(pause), pause}
-	if c.planning() {
-		c.plan() // the next best kind, at once
+	pause := min(max(2*f.refusals[k].pause, refusedPause), refusedAtMost)
+	f.refusals[k] = refusal{c.After(pause), pause}
+	if c.isAutoscaler() {
+		c.planScaleOut() // the next best kind, at once
 	}
 }
 
-// planning reports whether this controller rents and returns machines.
-func (c *Core) planning() bool {
-	return c.Acting() && len(c.Types) > 0 && clusterstate.Rendezvous(c.View, "fleet") == c.Self && c.fleet.haveList && c.Since(c.fleet.since) >= settleTime
+// isAutoscaler reports whether this controller rents and returns machines.
+func (c *Core) isAutoscaler() bool {
+	return c.HoldsLease() && len(c.Types) > 0 && clusterstate.Rendezvous(c.View, "fleet") == c.Self && c.autoscaler.haveList && c.Since(c.autoscaler.since) >= settleTime
 }
 
-// keepIdle is how long a machine is kept idle, in seconds: as long as the boot
-// of another would cost. Where it is known what is likely to come meanwhile,
+// idleTimeout is how long a machine is kept idle, in seconds: as long as the boot
+// reservation another would cost. Where it is known what is likely to come meanwhile,
 // and there is room for that without the machine, it is not waited for. A
 // controller that has just begun knows that of no class.
-func (c *Core) keepIdle(t protocol.TypeInfo, spare float64) float64 {
+func (c *Core) idleTimeout(t protocol.TypeInfo, spare float64) float64 {
 	keep := math.Min(t.BootS, c.Op.IdleReturn.Seconds())
-	if !math.IsInf(spare, 1) && c.Since(c.Begun).Seconds() > forecast.KnownBoots*t.BootS {
+	if !math.IsInf(spare, 1) && c.Since(c.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
 		keep = math.Min(keep, idleKnown.Seconds())
 	}
 	return keep
@@ -254,10 +256,10 @@
 // between two tasks.
 const idleKnown = 2 * planEvery
 
-// spareCPUs is how many processors there are beyond what is held by more
+// spareProcessors is how many processors there are beyond what is held by more
 // urgent work, what waits, and what the classes that need not start at once are
 // likely to need.
-func (c *Core) spareCPUs() float64 {
+func (c *Core) spareProcessors() float64 {
 	top, spare, any := 0, 0.0, false
 	for _, k := range ordered.Of(c.classes) {
 		if work := c.comingWork(k); work > 0 {
@@ -279,25 +281,25 @@
 	spare -= waits
 	for _, m := range c.machinesInOrder() {
 		if c.usable(m) {
-			spare += m.roomBelow(top).CPUs
+			spare += m.freeBelow(top).CPUs
 		}
 	}
 	return spare
 }
 
-// returnMachines gives back what is idle, failed, faulty or never came up. A
+// scaleIn gives back what is idle, failed, faulty or never came up. A
 // machine that may hold tasks is emptied first, or its lease is over.
-func (c *Core) returnMachines() {
-	f := &c.fleet
+func (c *Core) scaleIn() {
+	f := &c.autoscaler
 	var gone []protocol.MachineID
-	cl, spare := c.claims(), c.spareCPUs()
+	cl, spare := c.claims(), c.spareProcessors()
 	machines := slices.Clone(c.machinesInOrder())
 	slices.SortStableFunc(machines, func(a, b *machineEntry) int { // the dearest first
 		return cmp.Compare(c.price(b.kind()), c.price(a.kind()))
 	})
 	for _, m := range machines {
 		id := m.ID
-		if f.returned[id] != 0 {
+		if f.terminated[id] != 0 {
 			// The cloud's word is there, only its record could not be written
 			// then: owners would wait out the lease of what is long gone.
 			c.dropRecord(m)
@@ -308,8 +310,8 @@
 		}
 		l, listed := f.listed[id]
 		f.seen[id] = f.seen[id] || listed && l.State == "running"
-		silent, idleS := m.reported.Silence == message.SilenceLong, m.reported.IdleS+c.Since(m.at).Seconds()
-		switch empty := m.reported.Heard && m.reported.Held == 0 && m.extra == 0; {
+		silent, idleS := m.reported.Silence == message.SilenceLong, m.reported.IdleS+c.Since(m.reportedAt).Seconds()
+		switch empty := m.reported.Heard && m.reported.Held == 0 && m.pendingSum == 0; {
 		case silent && (m.reported.Noticed || f.seen[id] && !listed):
 			// Taken, by all signs. The cloud's answer to its deletion proves
 			// it, long before the worker's lease would.
@@ -317,17 +319,17 @@
 			gone = append(gone, id)
 		case empty && (m.reported.Draining || m.reported.Suspect):
 			gone = append(gone, id)
-		case c.keepReserved(m):
-		case empty && !m.reported.Draining && idleS > c.keepIdle(m.Info, spare) && spare >= m.Info.CPUs && cl.give(m):
+		case c.keepForReservation(m):
+		case empty && !m.reported.Draining && idleS > c.idleTimeout(m.Info, spare) && spare >= m.Info.CPUs && cl.release(m):
 			spare -= m.Info.CPUs
 			c.Log.Info("returning an idle machine", "machine", id, "idle_s", int(idleS))
-			c.Send(c.Keeper(id), message.PeerMessage{Drain: &id})
+			c.Send(c.DispatcherOf(id), message.PeerMessage{Drain: &id})
 		}
 	}
 	for id, l := range ordered.Of(f.listed) {
-		if c.machines[id] != nil || f.returned[id] != 0 {
+		if c.machines[id] != nil || f.terminated[id] != 0 {
 			delete(f.orphan, id)
-			if c.machines[id] != nil && l.State == "failed" && f.returned[id] == 0 {
+			if c.machines[id] != nil && l.State == "failed" && f.terminated[id] == 0 {
 				gone = append(gone, id) // stopped by itself: nothing runs on it
 			}
 			continue
@@ -338,8 +340,8 @@
 		age := time.Duration(l.AgeS * float64(time.Second))
 		switch {
 		case l.State == "failed",
-			l.State == "booting" && age > c.bootLimit(l.Type),
-			c.Since(f.orphan[id]) > c.LeaseOver()+config.Seconds(c.Types[l.Type].BootS):
+			l.State == "booting" && age > c.bootDeadline(l.Type),
+			c.Since(f.orphan[id]) > c.WorkerLeaseBound()+config.Seconds(c.Types[l.Type].BootS):
 			// Another takes as long to boot, and where a whole zone is cut
 			// off it could not report either.
 			c.Log.Info("returning a machine that does not report", "machine", id, "state", l.State)
@@ -361,21 +363,21 @@
 		for _, id := range gone {
 			f.deleting[id] = c.Now
 		}
-		c.Do(message.Delete{Machines: gone})
+		c.Emit(message.Terminate{Machines: gone})
 	}
 }
 
-// deleted: the cloud's word that machines are gone, and all on them. Their
+// terminated: the cloud's word that machines are gone, and all on them. Their
 // records go, which tells every owner.
-func (c *Core) deleted(m message.Deleted) {
-	f := &c.fleet
+func (c *Core) terminated(m message.TerminateDone) {
+	f := &c.autoscaler
 	for _, id := range m.Machines {
 		delete(f.deleting, id)
 		if !m.OK {
 			continue
 		}
-		f.returned[id] = c.Now
-		delete(f.coming, id)
+		f.terminated[id] = c.Now
+		delete(f.bootingMachines, id)
 		c.Log.Info("machine returned", "machine", id)
 		if have := c.machines[id]; have != nil {
 			c.dropRecord(have)
@@ -388,8 +390,8 @@
 	c.ChangeRecord(dispatcher.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
 }
 
-func (c *Core) listed(m message.Listed) {
-	f := &c.fleet
+func (c *Core) machinesListed(m message.MachinesListed) {
+	f := &c.autoscaler
 	f.listing = false
 	f.listedAt = c.Now
 	if !m.OK {
@@ -400,9 +402,9 @@
 	for _, l := range m.Machines {
 		f.listed[l.ID] = l
 	}
-	for id, at := range f.returned {
+	for id, at := range f.terminated {
 		if _, ok := f.listed[id]; !ok && c.Since(at) > 5*time.Minute {
-			delete(f.returned, id)
+			delete(f.terminated, id)
 			delete(f.seen, id)
 		}
 	}
--- a/internal/controller/forecast/arrivals.go
+++ b/internal/controller/forecast/arrivals.go
@@ -14,7 +14,7 @@
 // arrivalsKept bounds how many arrivals of a class are remembered.
 const arrivalsKept = 512
 
-// together is how soon after another a job has to come to count as one arrival
+// isGang is how soon after another a job has to come to count as one arrival
 // with it: no room kept meets what comes at once.
 const together = 250 * time.Millisecond
 
@@ -22,7 +22,7 @@
 type Arrival struct {
 	At    clock.Time
 	Tasks float64
-	Work  float64 // of all its tasks, in processor seconds
+	Work  float64 // reservation all its tasks, in processor seconds
 }
 
 // Arrivals are the latest of one class of jobs, in order.
@@ -52,7 +52,7 @@
 	rate    float64 // a second
 	mean    float64 // size
 	square  float64 // mean of squared sizes
-	share   float64 // of all that come, that is to be met
+	share   float64 // reservation all that come, that is to be met
 	largest float64 // size that so many do not exceed
 }
 
--- a/internal/controller/forecast/runtimes.go
+++ b/internal/controller/forecast/runtimes.go
@@ -10,7 +10,7 @@
 type RunTimes struct {
 	sample []float64
 	seen   int
-	median float64 // of the sample, as last reckoned; 0: to be reckoned again
+	median float64 // reservation the sample, as last reckoned; 0: to be reckoned again
 }
 
 const (
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -26,12 +26,12 @@
 // intake's messages, and passes workers' reports on to the core.
 type frontend struct {
 	n       *Node
-	core    *admission.Intake
+	core    *admission.Admission
 	mailbox chan any
 	local   []any // messages of a step to itself
 	lastID  atomic.Uint64
 	replies map[admission.RequestID]transport.Reply
-	slots   chan struct{} // of operators' requests
+	slots   chan struct{} // reservation operators' requests
 	// configured holds the configuration in force that the intake has not taken yet.
 	configured chan *dynamicconfig.Effective
 	peers      map[protocol.NodeName]*transport.Peer // not the outbox's, whose calls may wait
@@ -39,7 +39,7 @@
 
 // userRequest is a request with whom to answer.
 type userRequest struct {
-	admission.Asked
+	admission.Request
 	reply transport.Reply
 }
 
@@ -67,15 +67,15 @@
 	switch {
 	case m.Path == "/v1/report":
 		if allow(m, reply, "POST") {
-			f.report(m, reply)
+			f.heartbeat(m, reply)
 		}
 	case m.Path == "/up":
 		if allow(m, reply, "GET") {
-			f.up(reply)
+			f.health(reply)
 		}
 	case m.Path == "/work":
 		if allow(m, reply, "POST") {
-			f.ask(admission.Asked{Operation: admission.Submit, Body: m.Body}, reply)
+			f.ask(admission.Request{Operation: admission.Submit, Body: m.Body}, reply)
 		}
 	case m.Path == operatorapi.Path && f.n.op.OperatorKeys != "":
 		if allow(m, reply, "POST") {
@@ -83,9 +83,9 @@
 		}
 	case strings.HasPrefix(m.Path, "/work/"):
 		name, abort := strings.CutSuffix(strings.TrimPrefix(m.Path, "/work/"), "/abort")
-		asked, method := admission.Asked{Operation: admission.Poll}, "GET"
+		asked, method := admission.Request{Operation: admission.Poll}, "GET"
 		if abort {
-			asked, method = admission.Asked{Operation: admission.Cancel}, "POST"
+			asked, method = admission.Request{Operation: admission.Cancel}, "POST"
 		}
 		if !allow(m, reply, method) {
 			return
@@ -127,7 +127,7 @@
 }
 
 // ask gives the intake a request, or answers at once if too many wait.
-func (f *frontend) ask(a admission.Asked, reply transport.Reply) {
+func (f *frontend) ask(a admission.Request, reply transport.Reply) {
 	a.ID, a.WallMS = admission.RequestID(f.lastID.Add(1)), time.Now().UnixMilli()
 	select {
 	case f.mailbox <- userRequest{a, reply}:
@@ -145,7 +145,7 @@
 		case m := <-f.mailbox:
 			if u, ok := m.(userRequest); ok {
 				f.replies[u.ID] = u.reply
-				m = u.Asked
+				m = u.Request
 			}
 			f.step(ctx, m)
 		case effective := <-f.configured:
@@ -198,10 +198,10 @@
 			}
 			return admission.Written{ID: a.ID, Outcome: outcome(err)}
 		})
-	case admission.Look:
-		look := func(c *Core) { f.mailbox <- c.LookFor(a) }
+	case admission.QueryOwners:
+		look := func(c *Core) { f.mailbox <- c.AnswerOwnerQuery(a) }
 		if !f.n.offer(envelope{ask: look}) {
-			f.local = append(f.local, admission.Looked{Look: a.Look})
+			f.local = append(f.local, admission.OwnersAnswered{Query: a.Look})
 		}
 	case admission.Compare:
 		later(func() any {
@@ -211,7 +211,7 @@
 	case admission.PassOn:
 		later(func() any {
 			var r admission.Answer
-			if err := f.peers[a.To].Call("Peer.Submit", Submission{a.Body}, &r, admission.PassOnWait); err != nil {
+			if err := f.peers[a.To].Call("Peer.Submit", ForwardedSubmission{a.Body}, &r, admission.PassOnWait); err != nil {
 				r = admission.Answer{}
 			}
 			return admission.PassedOn{ID: a.ID, Answer: r}
@@ -246,35 +246,35 @@
 	return r
 }
 
-// up answers health checks: 200 while this controller is a member, knows the
+// health answers health checks: 200 while this controller is a member, knows the
 // machine types, and may act. While the state service is out for all it stays
 // 200: requests get their 503 and when to come back at once, and the load
 // balancer need not find every controller healthy anew when it is over.
-func (f *frontend) up(reply transport.Reply) {
+func (f *frontend) health(reply transport.Reply) {
 	n := f.n
-	if n.leaving.Load() || !n.acting() && !n.waitsOut.Load() || !n.typesKnown.Load() {
+	if n.leaving.Load() || !n.holdsLease() && !n.shouldWaitOut.Load() || !n.typesKnown.Load() {
 		reply(failure(503, "not ready"))
 		return
 	}
 	reply(&transport.Message{Status: 200})
 }
 
-func (f *frontend) report(m *transport.Message, reply transport.Reply) {
-	r, err := protocol.ParseReport(m.Body)
+func (f *frontend) heartbeat(m *transport.Message, reply transport.Reply) {
+	r, err := protocol.ParseHeartbeat(m.Body)
 	if err != nil {
 		f.n.log.Info("report refused", "err", err)
 		reply(failure(400, err.Error()))
 		return
 	}
-	f.n.reports.add(f.n.now(), pendingReport{r, reply})
+	f.n.heartbeats.add(f.n.now(), pendingHeartbeat{r, reply})
 }
 
-func reportAnswer(rr message.ReplyReport) *transport.Message {
+func reportAnswer(rr message.ReplyHeartbeat) *transport.Message {
 	switch rr.Status {
 	case 200:
 		return success(200, rr.Reply)
 	case 421:
-		return success(421, protocol.Redirect{ReportTo: rr.ReportTo})
+		return success(421, protocol.Redirect{Leader: rr.Leader})
 	}
 	return failure(rr.Status, "not entitled")
 }
@@ -297,8 +297,8 @@
 	}()
 }
 
-// LookFor answers a question of the intake.
-func (c *Core) LookFor(l admission.Look) admission.Looked {
+// AnswerOwnerQuery answers a question of the intake.
+func (c *Core) AnswerOwnerQuery(l admission.QueryOwners) admission.OwnersAnswered {
 	jobs := make(map[protocol.JobID]admission.LiveJob, len(l.Jobs))
 	for _, id := range l.Jobs {
 		if j := c.Live[id]; j != nil {
@@ -307,16 +307,16 @@
 		}
 	}
 	members := slices.Sorted(maps.Keys(c.View.Members))
-	return admission.Looked{Look: l.Look, Jobs: jobs, Acting: c.members.ActingPeers(), Members: members}
+	return admission.OwnersAnswered{Query: l.Look, Jobs: jobs, Leading: c.members.LeadingPeers(), Members: members}
 }
 
-// Submission is a user's submission, passed on to a peer.
-type Submission struct{ Body []byte }
+// ForwardedSubmission is a user's submission, passed on to a peer.
+type ForwardedSubmission struct{ Body []byte }
 
 // Submit answers a submission that a peer could not take.
-func (s *peerService) Submit(m Submission, reply *admission.Answer) error {
+func (s *peerService) Submit(m ForwardedSubmission, reply *admission.Answer) error {
 	done := make(chan *transport.Message, 1)
-	s.node.frontend.ask(admission.Asked{Operation: admission.Submit, Body: m.Body, Passed: true}, func(a *transport.Message) { done <- a })
+	s.node.frontend.ask(admission.Request{Operation: admission.Submit, Body: m.Body, Passed: true}, func(a *transport.Message) { done <- a })
 	a := <-done
 	*reply = admission.Answer{Status: a.Status, Body: a.Body, RetryAfterS: a.RetryAfterS}
 	return nil
--- a/internal/controller/gang.go
+++ b/internal/controller/gang.go
@@ -12,28 +12,28 @@
 	"damsonkeel/internal/protocol"
 )
 
-// together reports whether a task is of use only with others that run at the
+// isGang reports whether a task is of use only with others that run at the
 // same time.
-func (o *ownedJob) together() bool { return o.Kind == protocol.KindGang && o.Tasks > 1 }
+func (o *ownedJob) isGang() bool { return o.Kind == protocol.KindGang && o.Tasks > 1 }
 
 // placeGang places all tasks of a gang with one attempt number, when nothing
-// of its last attempt is left.
+// reservation its last attempt is left.
 func (c *Core) placeGang(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
 	n := int(o.Tasks)
-	if len(o.placed) > 0 && o.together() {
+	if len(o.placed) > 0 && o.isGang() {
 		return c.refill(o, usage, cl)
 	}
-	if len(o.placed) > 0 || o.unknown || !c.withinLimit(o, usage, n) || !cl.takeLeftOver(o, n) {
+	if len(o.placed) > 0 || o.unverified || !c.withinLimit(o, usage, n) || !cl.takeHeadroom(o, n) {
 		return nil
 	}
 	var out []message.Placement
 	for _, zone := range c.gangZones(o, cl) {
 		if out = c.placeGangIn(o, zone, cl); out != nil {
-			c.use(o, usage, n)
+			c.addUse(o, usage, n)
 			return out
 		}
 	}
-	if o.together() && c.Since(o.since) < c.claimFor(o) {
+	if o.isGang() && c.Since(o.since) < c.claimFor(o) {
 		c.claim(o, cl)
 	}
 	return nil
@@ -47,11 +47,11 @@
 // placeTogether places all pending tasks of a gang under one attempt, or none, given
 // the zones of the others.
 func (c *Core) placeTogether(o *ownedJob, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, cl *claims) []message.Placement {
-	undo := cl.tried()
+	undo := cl.tentative()
 	from := c.candidatesFor(o, zones, cl)
 	if zone != "" || len(cl.gangs) > 0 {
-		from.only(func(m *machineEntry) bool {
-			return (zone == "" || m.Record.Zone == zone) && !cl.against(o, m)
+		from.restrict(func(m *machineEntry) bool {
+			return (zone == "" || m.Record.Zone == zone) && !cl.blocks(o, m)
 		})
 	}
 	var out []message.Placement
@@ -60,14 +60,14 @@
 		if m == nil {
 			for _, p := range out { // all or none
 				t := o.placed[p.Task]
-				c.machines[t.machine].takeBack(1)
-				c.unplace(o, t)
+				c.machines[t.machine].dropPendingWaits(1)
+				c.removeAttempt(o, t)
 				o.pending.Set(uint(p.Task.Index))
 			}
 			undo()
 			return nil
 		}
-		out = append(out, c.putOn(from, uint32(i), m, attempt, zones))
+		out = append(out, c.placeFrom(from, uint32(i), m, attempt, zones))
 	}
 	return out
 }
@@ -75,12 +75,12 @@
 // refillable reports whether a task of a gang that its keeper has released, never
 // sent, can be placed again under the same attempt: while nothing of the gang is
 // being stopped, as the others only wait for it.
-func (c *Core) refillable(o *ownedJob, t *placedTask) bool {
-	if !o.together() || o.unknown || t.started || t.moving || len(o.placed) < 2 {
+func (c *Core) refillable(o *ownedJob, t *attempt) bool {
+	if !o.isGang() || o.unverified || t.started || t.releaseAsked || len(o.placed) < 2 {
 		return false
 	}
 	for _, other := range o.placed {
-		if other.stopping || other.attempt != t.attempt {
+		if other.stopping || other.number != t.number {
 			return false
 		}
 	}
@@ -89,14 +89,14 @@
 
 // refillWithin is how long the others of a gang wait for a place for what was
 // released: longer than the move of a share takes. Stopped at once, gangs were begun
-// again while all their shares moved.
+// retry while all their shares moved.
 const refillWithin = 3 * time.Second
 
 // refill places what of a gang was released, under the attempt of the others; or has
 // these stopped, if there is no place for it for a while.
 func (c *Core) refill(o *ownedJob, usage map[protocol.Team]resource.Amount, cl *claims) []message.Placement {
 	n := int(o.pending.Count())
-	if o.unknown || n+len(o.placed) != int(o.Tasks) {
+	if o.unverified || n+len(o.placed) != int(o.Tasks) {
 		return nil
 	}
 	var attempt protocol.Attempt
@@ -104,12 +104,12 @@
 		if t.stopping {
 			return nil
 		}
-		attempt = t.attempt
+		attempt = t.number
 	}
 	if c.withinLimit(o, usage, n) {
 		if out := c.placeTogether(o, attempt, o.zones(), "", cl); out != nil {
 			o.lacksSince = 0
-			c.use(o, usage, n)
+			c.addUse(o, usage, n)
 			return out
 		}
 	}
@@ -121,7 +121,7 @@
 	}
 	o.lacksSince = 0
 	for _, t := range ordered.Tasks(o.placed) {
-		c.askStop(t, true, clusterstate.GraceS(&o.Job))
+		c.sendStop(t, true, clusterstate.GraceS(&o.Job))
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 // be in the same one. Then those that can hold it come in the order of what
 // they have room for now.
 func (c *Core) gangZones(o *ownedJob, cl *claims) []protocol.Zone {
-	if !o.OneZone || !o.together() {
+	if !o.OneZone || !o.isGang() {
 		return []protocol.Zone{""}
 	}
 	n := int(o.Tasks)
@@ -156,17 +156,17 @@
 func (c *Core) zoneRoom(o *ownedJob, cl *claims, shun bool) (now, firm map[protocol.Zone]int) {
 	now, firm = map[protocol.Zone]int{}, map[protocol.Zone]int{}
 	size, none := resource.Need(&o.Job), map[protocol.Zone]int{}
-	c.looked += len(c.sorted)
-	mayTake := c.mayTake(o, none)
+	c.candidatesExamined += len(c.sortedMachines)
+	mayTake := c.feasible(o, none)
 	for _, m := range c.machinesInOrder() {
-		if mayTake(m) && !cl.against(o, m) && !(shun && m.Record.Spot) {
-			free, most := m.free(), m.firmRoom(o.level)
+		if mayTake(m) && !cl.blocks(o, m) && !(shun && m.Record.Spot) {
+			free, most := m.free(), m.nonPreemptibleFree(o.level)
 			if c.holdsFor(o, m) {
 				free = m.idle() // it does not wait behind the rest
 				most = free
 			}
-			now[m.Record.Zone] += free.Fit(size)
-			firm[m.Record.Zone] += most.Fit(size)
+			now[m.Record.Zone] += free.CountFitting(size)
+			firm[m.Record.Zone] += most.CountFitting(size)
 		}
 	}
 	return now, firm
@@ -186,28 +186,28 @@
 		}
 	}
 	left := int(o.Tasks)
-	c.looked += len(c.sorted)
-	mayTake := c.mayTake(o, none)
+	c.candidatesExamined += len(c.sortedMachines)
+	mayTake := c.feasible(o, none)
 	for _, m := range c.machinesInOrder() {
 		if left <= 0 {
 			return
 		}
-		if best != "" && m.Record.Zone != best || cl.against(o, m) || !mayTake(m) {
+		if best != "" && m.Record.Zone != best || cl.blocks(o, m) || !mayTake(m) {
 			continue
 		}
-		if n := m.firmRoom(o.level).Fit(size); n > 0 {
+		if n := m.nonPreemptibleFree(o.level).CountFitting(size); n > 0 {
 			cl.gangs[m] = o.level
-			o.claimed = append(o.claimed, m)
+			o.claimedMachines = append(o.claimedMachines, m)
 			left -= n
 		}
 	}
 }
 
 // claimAgain claims what a gang claimed when it was last tried, until it is
-// tried again.
+// searchedAt again.
 func (c *Core) claimAgain(o *ownedJob, cl *claims) {
-	for _, m := range o.claimed {
-		if c.machines[m.ID] == m && !cl.against(o, m) {
+	for _, m := range o.claimedMachines {
+		if c.machines[m.ID] == m && !cl.blocks(o, m) {
 			cl.gangs[m] = o.level
 		}
 	}
--- a/internal/controller/heartbeat/heartbeat.go
+++ b/internal/controller/heartbeat/heartbeat.go
@@ -16,11 +16,11 @@
 
 // Waiting is a report that waits to be answered.
 type Waiting[T any] struct {
-	Machine  protocol.MachineID
-	Report   T
-	came     clock.Time
-	answered clock.Time // when its machine was last answered here; 0: never
-	number   uint64
+	Machine   protocol.MachineID
+	Heartbeat T
+	came      clock.Time
+	answered  clock.Time // when its machine was last answered here; 0: never
+	number    uint64
 }
 
 // line is a heap of reports that wait, in the order of service: who was answered
@@ -65,10 +65,10 @@
 func (d *Queue[T]) Len() int { return len(d.waiting) }
 
 // Add takes a report. If there are too many then, one is returned to be refused
-// at once: perhaps the one that came.
+// reportedAt once: perhaps the one that came.
 func (d *Queue[T]) Add(now clock.Time, m protocol.MachineID, report T) (refused T, any bool) {
 	d.number++
-	heap.Push(&d.waiting, Waiting[T]{Machine: m, Report: report, came: now, answered: d.answered[m], number: d.number})
+	heap.Push(&d.waiting, Waiting[T]{Machine: m, Heartbeat: report, came: now, answered: d.answered[m], number: d.number})
 	if len(d.waiting) <= d.most {
 		return refused, false
 	}
@@ -78,18 +78,18 @@
 			last = i
 		}
 	}
-	return heap.Remove(&d.waiting, last).(Waiting[T]).Report, true
+	return heap.Remove(&d.waiting, last).(Waiting[T]).Heartbeat, true
 }
 
 // Next takes the report to be answered next. Those returned as late are to be
-// refused: nobody waits for their answers.
+// refusals: nobody waits for their answers.
 func (d *Queue[T]) Next(now clock.Time) (next Waiting[T], ok bool, late []T) {
 	for len(d.waiting) > 0 {
 		w := heap.Pop(&d.waiting).(Waiting[T])
 		if time.Duration(now-w.came) <= d.patience {
 			return w, true, late
 		}
-		late = append(late, w.Report)
+		late = append(late, w.Heartbeat)
 	}
 	return next, false, late
 }
--- a/internal/controller/heldroom.go
+++ b/internal/controller/heldroom.go
@@ -7,15 +7,15 @@
 	"damsonkeel/internal/controller/resource"
 )
 
-// bars tells on which machines a job's tasks may not be placed for what is
+// excludedByHolds tells on which machines a job's tasks may not be placed for what is
 // promised there; nil: nothing is.
-func (c *Core) bars(o *ownedJob) func(m *machineEntry) bool {
+func (c *Core) excludedByHolds(o *ownedJob) func(m *machineEntry) bool {
 	if len(c.reservations.Windows) == 0 && len(c.reservations.List) == 0 {
 		return nil
 	}
-	now := c.Moment()
-	likely := c.LikelyS(&o.Job, c.estimateOf(o))
-	t := reservation.Task{Of: c.Of(&o.Job), Need: resource.Need(&o.Job), Level: o.level, Saves: o.CheckpointS > 0}
+	now := c.WallTime()
+	likely := c.ExpectedRunSeconds(&o.Job, c.estimateOf(o))
+	t := reservation.Task{Of: c.ReservationFilter(&o.Job), Need: resource.Need(&o.Job), Level: o.level, Saves: o.CheckpointS > 0}
 	return func(m *machineEntry) bool {
 		free, wait := m.free(), m.fetch(&o.Job)
 		if c.holdsFor(o, m) {
@@ -31,11 +31,11 @@
 		if c.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &t)) {
 			return true
 		}
-		return len(holds) > 0 && !reservation.Leaves(holds, &t, free, now)
+		return len(holds) > 0 && !reservation.LeavesRoom(holds, &t, free, now)
 	}
 }
 
 // holdsFor reports whether room is held on a machine for a job.
 func (c *Core) holdsFor(o *ownedJob, m *machineEntry) bool {
-	return reservation.OwnUntil(c.reservations.Holds[m.ID], c.Of(&o.Job)) != 0
+	return reservation.OwnUntil(c.reservations.Holds[m.ID], c.ReservationFilter(&o.Job)) != 0
 }
--- a/internal/controller/holding.go
+++ b/internal/controller/holding.go
@@ -17,7 +17,7 @@
 )
 
 // Holding is the work of the controller that rents machines: it chooses on which
-// of them room is held for what is due, rents what is missing a boot ahead, and
+// reservation them room is held for what is due, rents what is missing a boot ahead, and
 // writes what becomes of reservations. What it chooses is told to all, who place
 // and start by it. It is chosen anew every two seconds, so it outlives nothing.
 
@@ -26,7 +26,7 @@
 	// what does not end until then starts elsewhere.
 	holdAhead = 2 * time.Hour
 	// keepAhead is how much longer than a boot a machine with held room is not
-	// returned: the cloud may have none when it is needed.
+	// terminated: the cloud may have none when it is needed.
 	keepAhead = 10 * time.Minute
 	// cloudQuiet is for how long the cloud may give no list before that is a risk.
 	cloudQuiet = 30 * time.Second
@@ -37,28 +37,28 @@
 
 type (
 	reservationTag struct{ name reservation.Name }
-	heldTag        struct{}
+	holdsTag       struct{}
 )
 
 // jobOf is a job as a reservation describes it, on ordinary machines.
 func jobOf(s *record.ReservationSpec) *clusterstate.LiveJob {
 	return &clusterstate.LiveJob{Job: protocol.Job{
-		Class: s.Class, Team: s.Team, Kind: protocol.KindArray, Priority: s.Priority, Tasks: uint32(s.Tasks),
+		Class: s.Class, Team: s.Team, Kind: protocol.KindJobArray, Priority: s.Priority, Tasks: uint32(s.Tasks),
 		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, EstimateS: s.LengthS,
 	}}
 }
 
-// dues lists the occurrences that room is held for now.
-func (c *Core) dues() []reservation.Due {
-	now := c.Moment()
-	var dues []reservation.Due
-	for _, e := range c.reservations.Book.Due(now, reservation.After(now, holdAhead)) {
-		if !e.Promised() {
+// reservationDemands lists the occurrences that room is held for now.
+func (c *Core) reservationDemands() []reservation.Demand {
+	now := c.WallTime()
+	var dues []reservation.Demand
+	for _, e := range c.reservations.Calendar.Due(now, reservation.After(now, holdAhead)) {
+		if !e.Active() {
 			continue
 		}
 		_, wanted, started := c.jobsOf(e)
 		if left := wanted - started; left > 0 {
-			dues = append(dues, reservation.Due{Reservation: e.Reservation, Left: left, Clear: reservation.After(e.StartMS, -c.Lead(&e.Reservation.Spec))})
+			dues = append(dues, reservation.Demand{Reservation: e.Reservation, Left: left, Clear: reservation.After(e.StartMS, -c.NoticeBefore(&e.Reservation.Spec))})
 		}
 	}
 	return dues
@@ -67,10 +67,10 @@
 // overrunning is how much longer work is reckoned to run that should be over.
 const overrunning = time.Minute
 
-// holders lists the machines that room can be held on: those up, and those
-// rented that are still to come.
-func (c *Core) holders() []reservation.Machine {
-	now := c.Moment()
+// reservableMachines lists the machines that room can be held on: those up, and those
+// provisioned that are still to come.
+func (c *Core) reservableMachines() []reservation.Machine {
+	now := c.WallTime()
 	var ms []reservation.Machine
 	for _, m := range c.machinesInOrder() {
 		if !m.open() {
@@ -96,11 +96,11 @@
 		}
 		ms = append(ms, reservation.Machine{ID: m.ID, Info: m.Info, Zone: m.Record.Zone, Spot: m.Record.Spot, Runs: runs})
 	}
-	for id, m := range ordered.Of(c.fleet.coming) {
+	for id, m := range ordered.Of(c.autoscaler.bootingMachines) {
 		info := c.Types[m.Type]
 		up := config.Seconds(c.reservations.Boots.Likely(info.BootS)) - c.Since(m.at)
 		if up < 0 || c.machines[id] != nil {
-			continue // late, and may never come
+			continue // lateRuns, and may never come
 		}
 		ms = append(ms, reservation.Machine{ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, Up: reservation.After(now, up)})
 	}
@@ -111,33 +111,33 @@
 // promised.
 func (c *Core) chooseReserved() {
 	pr := &c.reservations
-	if !pr.Any && len(pr.List) == 0 || !c.planning() {
+	if !pr.Any && len(pr.List) == 0 || !c.isAutoscaler() {
 		return
 	}
-	if !pr.Listed && c.Since(c.fleet.since) < clusterstate.SettleHolds && !c.mostHeard() {
+	if !pr.Listed && c.Since(c.autoscaler.since) < clusterstate.SettleHolds && !c.mostMachinesInventoried() {
 		return
 	}
 	pr.Listed = true
-	now := c.Moment()
-	pr.dues = c.dues()
-	usable := func(m *reservation.Machine, d *reservation.Due) bool {
+	now := c.WallTime()
+	pr.demands = c.reservationDemands()
+	usable := func(m *reservation.Machine, d *reservation.Demand) bool {
 		latest := max(d.StartMS, reservation.After(now, time.Minute)) // what comes later is better than nothing
 		return m.Up <= latest && !c.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, reservation.After(d.StartMS, reservation.Busy(&d.Spec)))
 	}
-	plan := reservation.Choose(pr.dues, c.holders(), pr.List, usable, now)
+	plan := reservation.ChooseHolds(pr.demands, c.reservableMachines(), pr.List, usable, now)
 	pr.short, pr.missing, pr.zones = plan.Short, plan.Missing, plan.Zones
 	if !slices.Equal(plan.Holds, pr.List) || pr.number>>32 != uint64(c.View.Term) {
 		c.setHolds(plan.Holds)
 		pr.stale = true
 		pr.number = max(pr.number+1, uint64(c.View.Term)<<32|1)
 	}
-	c.writeHeld()
+	c.writeHolds()
 	c.noteRisks()
 	c.advanceReserved()
 }
 
-// mostHeard reports whether nearly all machines are told of.
-func (c *Core) mostHeard() bool {
+// mostMachinesInventoried reports whether nearly all machines are told of.
+func (c *Core) mostMachinesInventoried() bool {
 	heard := 0
 	for _, m := range c.machines {
 		if c.recent(m, 3*c.Op.RelayEvery) && m.reported.Heard {
@@ -147,8 +147,8 @@
 	return 10*heard >= 9*len(c.machines)
 }
 
-// heldRecord is what is held, as it is written for who starts anew.
-type heldRecord struct {
+// holdsRecord is what is held, as it is written for who starts anew.
+type holdsRecord struct {
 	Holds []reservation.Hold `cbor:"holds"`
 }
 
@@ -159,28 +159,28 @@
 	heldBytes = 350
 )
 
-// writeHeld writes what is held, what is due first if not all of it fits into a
+// writeHolds writes what is held, what is due first if not all of it fits into a
 // record. Nothing depends on it but how soon the same is held again after all
 // controllers have ended: without it their machines are filled before any of
 // them knows what was held.
-func (c *Core) writeHeld() {
+func (c *Core) writeHolds() {
 	pr := &c.reservations
 	if !pr.stale || c.Since(pr.written) < writeHeldEvery {
 		return
 	}
 	pr.stale, pr.written = false, c.Now
 	list := pr.List[:min(len(pr.List), int(1024*c.Settings.Site.State.ValueKB/heldBytes))]
-	c.Do(message.Commit{Tag: heldTag{}, Txn: protocol.Txn{
-		If:   []protocol.Condition{c.InThisView(), {Key: record.HeldKey, Version: pr.heldVersion}},
-		Then: []protocol.Change{{Put: record.HeldKey, Value: heldRecord{list}}},
+	c.Emit(message.Commit{Tag: holdsTag{}, Txn: protocol.Transaction{
+		Conditions: []protocol.Condition{c.ViewUnchanged(), {Key: record.ReservationHoldsKey, Version: pr.heldVersion}},
+		Changes:    []protocol.Change{{Put: record.ReservationHoldsKey, Value: holdsRecord{list}}},
 	}})
 }
 
-// heldBefore takes over what was written, unless a list was heard already, which
+// holdsRecord takes over what was written, unless a list was heard already, which
 // is newer.
-func (c *Core) heldBefore(value protocol.RawValue, version protocol.Version) error {
+func (c *Core) holdsRecord(value protocol.RawValue, version protocol.Version) error {
 	c.reservations.heldVersion = version
-	var r heldRecord
+	var r holdsRecord
 	if err := protocol.Decode(value, &r); err != nil || c.reservations.Listed {
 		return err
 	}
@@ -197,19 +197,19 @@
 	for _, h := range list {
 		pr.Holds[h.Machine] = append(pr.Holds[h.Machine], h)
 	}
-	c.reckonReserved()
-	c.owner.dirty = true
+	c.computeReserved()
+	c.owner.placementDue = true
 }
 
-// rentReserved asks for machines for what no room could be held for, a boot
+// provisionReserved asks for machines for what no room could be held for, a boot
 // ahead.
-func (c *Core) rentReserved(p *autoscaler.Plan) {
-	now := c.Moment()
-	for _, d := range c.reservations.dues {
+func (c *Core) provisionReserved(p *autoscaler.Plan) {
+	now := c.WallTime()
+	for _, d := range c.reservations.demands {
 		short := c.reservations.short[d.Spec.Name]
-		for _, r := range c.fleet.rents {
-			if r.of == d.Spec.Name {
-				short -= r.req.Count * resource.Capacity(c.Types[r.req.Type]).Fit(reservation.Size(&d.Spec))
+		for _, r := range c.autoscaler.provisionCalls {
+			if r.reservation == d.Spec.Name {
+				short -= r.req.Count * resource.Capacity(c.Types[r.req.Type]).CountFitting(reservation.Size(&d.Spec))
 			}
 		}
 		if short <= 0 || now < d.Clear {
@@ -219,14 +219,14 @@
 		if z := c.reservations.zones[d.Spec.Name]; z != "" {
 			j.Zone = z
 		}
-		p.Buy(c.work(j, resource.LevelOf(d.Spec.Priority, false), d.Spec.LengthS), short, string(d.Spec.Name))
+		p.Provision(c.work(j, resource.LevelOf(d.Spec.Priority, false), d.Spec.LengthS), short, string(d.Spec.Name))
 	}
 }
 
-// keepReserved reports whether a machine is kept for what is held on it, though
+// keepForReservation reports whether a machine is kept for what is held on it, though
 // it is idle.
-func (c *Core) keepReserved(m *machineEntry) bool {
-	now := c.Moment()
+func (c *Core) keepForReservation(m *machineEntry) bool {
+	now := c.WallTime()
 	for _, h := range c.reservations.Holds[m.ID] {
 		if now >= reservation.After(h.Clear, -keepAhead) && now < h.Until {
 			return true
@@ -238,12 +238,12 @@
 // noteRisks tells why what is due may not be kept.
 func (c *Core) noteRisks() {
 	pr := &c.reservations
-	now := c.Moment()
+	now := c.WallTime()
 	clear(pr.risk)
-	for _, d := range pr.dues {
+	for _, d := range pr.demands {
 		short, missing := pr.short[d.Spec.Name], pr.missing[d.Spec.Name]
 		switch {
-		case short > 0 && c.Since(c.fleet.heardAt) > cloudQuiet && reservation.Between(now, d.Clear) < keepAhead:
+		case short > 0 && c.Since(c.autoscaler.heardAt) > cloudQuiet && reservation.Between(now, d.Clear) < keepAhead:
 			pr.risk[d.Spec.Name] = fmt.Sprintf("no sure room for %d of %d tasks, and the cloud does not answer", short, d.Left)
 		case missing > 0 && now >= d.Clear:
 			pr.risk[d.Spec.Name] = fmt.Sprintf("no room for %d of %d tasks", missing, d.Left)
@@ -255,17 +255,17 @@
 // transaction on its record.
 func (c *Core) advanceReserved() {
 	pr := &c.reservations
-	now := c.Moment()
+	now := c.WallTime()
 	if c.Since(pr.swept) > sweepEvery {
 		// What was due while nobody could act is long over.
 		pr.swept = c.Now
-		for _, e := range pr.Book.Reservations() {
+		for _, e := range pr.Calendar.Reservations() {
 			if e.StartMS < now {
 				c.advance(e, now)
 			}
 		}
 	}
-	for _, e := range pr.Book.Due(now, reservation.After(now, holdAhead)) {
+	for _, e := range pr.Calendar.Due(now, reservation.After(now, holdAhead)) {
 		c.advance(e, now)
 	}
 }
@@ -277,8 +277,8 @@
 		return
 	}
 	came, wanted, started := c.jobsOf(e)
-	next, changed := reservation.Advance(*e.Reservation, e.When, reservation.Seen{
-		Now: now, ClockError: c.Settings.Site.ClockError(), Lead: c.Lead(&e.Reservation.Spec),
+	next, changed := reservation.Advance(*e.Reservation, e.When, reservation.Observation{
+		Now: now, ClockError: c.Settings.Site.ClockError(), Lead: c.NoticeBefore(&e.Reservation.Spec),
 		Came: came, Wanted: wanted, Started: started, Risk: pr.risk[name],
 	})
 	if !changed {
@@ -286,15 +286,15 @@
 	}
 	pr.write[name] = true
 	c.Log.Info("reservation", "name", name, "state", next.State, "start", next.StartMS, "risk", next.Risk)
-	c.Do(message.Commit{Tag: reservationTag{name}, Txn: protocol.Txn{
-		If:   []protocol.Condition{{Key: record.ReservationKey(name), Version: e.Version}, c.InThisView()},
-		Then: []protocol.Change{{Put: record.ReservationKey(name), Value: next}},
+	c.Emit(message.Commit{Tag: reservationTag{name}, Txn: protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: record.ReservationKey(name), Version: e.Version}, c.ViewUnchanged()},
+		Changes:    []protocol.Change{{Put: record.ReservationKey(name), Value: next}},
 	}})
 }
 
-// noteBoot learns how long a machine took to come up.
-func (c *Core) noteBoot(id protocol.MachineID, rec record.Machine) {
-	if m, awaited := c.fleet.coming[id]; awaited && rec.Session == 1 {
+// recordBoot learns how long a machine took to come up.
+func (c *Core) recordBoot(id protocol.MachineID, rec record.Machine) {
+	if m, awaited := c.autoscaler.bootingMachines[id]; awaited && rec.Session == 1 {
 		c.reservations.Boots.Note(c.Since(m.at), c.Types[m.Type].BootS)
 	}
 }
@@ -306,8 +306,8 @@
 	if len(claims) == 0 {
 		return sum
 	}
-	ends := reservation.After(c.Moment(), config.Seconds(c.LikelyS(&o.Job, c.estimateOf(o))))
-	of := c.Of(&o.Job)
+	ends := reservation.After(c.WallTime(), config.Seconds(c.ExpectedRunSeconds(&o.Job, c.estimateOf(o))))
+	of := c.ReservationFilter(&o.Job)
 	for _, t := range claims {
 		if ends > t.from && !of(t.of) {
 			sum = sum.Plus(t.need)
--- a/internal/controller/insight.go
+++ b/internal/controller/insight.go
@@ -9,14 +9,14 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Insight is what can be seen of a core from outside.
-type Insight struct {
+// Status is what can be seen of a core from outside.
+type Status struct {
 	Term   protocol.Term
 	Queues int // machines kept
-	Heard  int // of these, registered and known to have nothing but what is listed
+	Heard  int // reservation these, registered and known to have nothing but what is listed
 	Holds  []reservation.Hold
 	Writes bool // machines' records
-	Shares int  // kept; 0 where there are none
+	Shares int  // classReserve; 0 where there are none
 	// Misplaced are machines kept though their share is not.
 	Misplaced []protocol.MachineID
 	// SetAside are machines kept that fail what they start.
@@ -26,45 +26,45 @@
 	Waits []protocol.MachineID
 }
 
-// Look tells what can be seen of it.
-func (c *Core) Look() Insight {
-	in := Insight{Term: c.View.Term, Queues: len(c.keeping.Machines()), Heard: c.keeping.Heard(), Writes: c.Acting() && c.Registrar() == c.Self, Shares: c.keeping.SharesKept(), Holds: c.reservations.List}
-	if c.Sharing() && c.Member() {
-		for _, id := range c.keeping.Machines() {
-			if m := c.Records[id]; m != nil && c.Keeper(id) != c.Self {
+// Status tells what can be seen of it.
+func (c *Core) Status() Status {
+	in := Status{Term: c.View.Term, Queues: len(c.dispatcher.Machines()), Heard: c.dispatcher.InventoriedMachines(), Writes: c.HoldsLease() && c.Registrar() == c.Self, Shares: c.dispatcher.ShardsHeld(), Holds: c.reservations.List}
+	if c.Sharded() && c.Member() {
+		for _, id := range c.dispatcher.Machines() {
+			if m := c.Records[id]; m != nil && c.DispatcherOf(id) != c.Self {
 				in.Misplaced = append(in.Misplaced, id)
 			}
 		}
 	}
-	for _, id := range c.keeping.Machines() {
-		if st, kept := c.keeping.StateOf(id); kept && st.Suspect {
+	for _, id := range c.dispatcher.Machines() {
+		if st, kept := c.dispatcher.StateOf(id); kept && st.Suspect {
 			in.SetAside = append(in.SetAside, id)
 		}
 	}
 	for _, m := range c.machinesInOrder() {
-		if len(m.coming) > 0 || m.wait() != 0 {
+		if len(m.pendingWaits) > 0 || m.wait() != 0 {
 			in.Waits = append(in.Waits, m.ID)
 		}
 	}
 	return in
 }
 
-// Whereabouts tells what it knows of a job that does not end.
-func (c *Core) Whereabouts(id protocol.JobID) string {
+// DescribeJob tells what it knows of a job that does not end.
+func (c *Core) DescribeJob(id protocol.JobID) string {
 	var b strings.Builder
 	if o := c.owner.jobs[id]; o != nil {
 		fmt.Fprintf(&b, "owner %s: unknown %v, pending %d, not before %v, its team uses %+v, awaited %d, leaving %v, failed on %v\n",
-			c.Self, o.unknown, o.pending.Count(), c.Since(o.notBefore), c.teamUsage()[o.Team], len(c.owner.pending), c.owner.leaving, o.failedOn)
+			c.Self, o.unverified, o.pending.Count(), c.Since(o.notBefore), c.teamUsage()[o.Team], len(c.owner.awaitedInventories), c.owner.endedAttempts, o.failedOn)
 		for _, t := range o.placed {
 			fmt.Fprintf(&b, "  placed %+v\n", *t)
 		}
 		for _, m := range c.machinesInOrder() {
-			fmt.Fprintf(&b, "  %s in %s, spot %v, kept by %s: usable %v, room %+v, told %+v\n", m.ID, m.Record.Zone, m.Record.Spot, c.Keeper(m.ID), c.usable(m), m.free(), m.reported)
+			fmt.Fprintf(&b, "  %s in %s, spot %v, kept by %s: usable %v, room %+v, told %+v\n", m.ID, m.Record.Zone, m.Record.Spot, c.DispatcherOf(m.ID), c.usable(m), m.free(), m.reported)
 		}
 	}
-	for _, m := range c.keeping.Machines() {
-		for _, a := range c.keeping.Attempts(m) {
-			if st, _ := c.keeping.StateOf(m); a.Task.Job == id || st.Draining {
+	for _, m := range c.dispatcher.Machines() {
+		for _, a := range c.dispatcher.Attempts(m) {
+			if st, _ := c.dispatcher.StateOf(m); a.Task.Job == id || st.Draining {
 				fmt.Fprintf(&b, "  %s has %+v\n", c.Self, a)
 			}
 		}
@@ -72,5 +72,5 @@
 	return b.String()
 }
 
-// MovesEnded returns the moves of shares that ended here since it was asked last.
-func (c *Core) MovesEnded() []dispatcher.Moved { return c.keeping.MovesEnded() }
+// TakeCompletedMoves returns the moves of shares that ended here since it was asked last.
+func (c *Core) CompletedMoves() []dispatcher.CompletedMove { return c.dispatcher.TakeCompletedMoves() }
--- a/internal/controller/leave.go
+++ b/internal/controller/leave.go
@@ -25,7 +25,7 @@
 		return
 	}
 	n.log.Info("told to end: handing over")
-	n.post(message.Leave{})
+	n.post(message.Shutdown{})
 	begun := time.Now()
 	for time.Since(begun) < handOverWithin {
 		if over, ok := ask(n, (*Core).HandedOver); ok && over {
@@ -33,13 +33,13 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	n.release()
+	n.leaveCluster()
 	n.log.Info("ended", "after", time.Since(begun).Round(time.Millisecond))
 	close(n.left)
 }
 
-// release ends this controller's lease, if it has one.
-func (n *Node) release() {
+// leaveCluster ends this controller's lease, if it has one.
+func (n *Node) leaveCluster() {
 	session, ok := ask(n, func(c *Core) protocol.LeaseID { return c.Session })
 	if !ok || session == 0 {
 		return
--- a/internal/controller/leftover.go
+++ b/internal/controller/leftover.go
@@ -12,9 +12,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// aimedAt is the largest share of a class's jobs that an objective of the settings
+// objectiveShare is the largest share of a class's jobs that an objective of the settings
 // names, 0 if none does, and whether they should start within a time.
-func (c *Core) aimedAt(class string) (share float64, awaited bool) {
+func (c *Core) objectiveShare(class string) (share float64, awaited bool) {
 	for _, o := range c.Objectives() {
 		switch {
 		case o.Class != class:
@@ -26,15 +26,15 @@
 	return share, awaited
 }
 
-// unaimed reports whether nobody says when a job should be done, its team is
+// withoutObjective reports whether nobody says when a job should be done, its team is
 // guaranteed nothing, and its tasks run longer than another machine takes to be
-// up. Such jobs take only room that classes with objectives are not likely to
+// health. Such jobs take only room that classes with objectives are not likely to
 // need: what has the same priority can't be stopped for others, so guests' long
 // tasks, once they fill a fleet, would hold all of it until they end. More urgent than
 // all of these classes they yield to none: that they may wait is said by nobody.
-func (c *Core) unaimed(j *protocol.Job) bool {
-	share, _ := c.aimedAt(j.Class)
-	return share == 0 && !c.Guarantees(j.Team) && c.Estimate(j) > c.upS(j) && c.someAsUrgent(j)
+func (c *Core) withoutObjective(j *protocol.Job) bool {
+	share, _ := c.objectiveShare(j.Class)
+	return share == 0 && !c.HasGuarantee(j.Team) && c.Estimate(j) > c.upS(j) && c.someAsUrgent(j)
 }
 
 // someAsUrgent reports whether a class with an objective is as urgent as a job.
@@ -64,32 +64,32 @@
 	return len(o.placed) == 0 && o.nDone == 0 && c.Since(o.since) > d
 }
 
-// heldFor reports whether room is held for a job by what is promised.
-func (c *Core) heldFor(o *ownedJob) bool {
-	of := c.Of(&o.Job)
+// isReserved reports whether room is held for a job by what is promised.
+func (c *Core) isReserved(o *ownedJob) bool {
+	of := c.ReservationFilter(&o.Job)
 	return slices.ContainsFunc(c.reservations.List, func(h reservation.Hold) bool { return of(h.For) })
 }
 
-// keptForAims is how many processors the classes with objectives are likely to need:
+// reservedForObjectives is how many processors the classes with objectives are likely to need:
 // what they use on average, and what it takes to work off in time what comes
 // beyond that, the deviations of the classes taken as independent. Until arrivals
 // have been watched for a while that is all that is up, but for leastLeft: tasks that
 // begin then hold for minutes what a fleet that comes up was rented for.
-func (c *Core) keptForAims(up float64) (cpus float64) {
+func (c *Core) reservedForObjectives(up float64) (cpus float64) {
 	squares, least := 0.0, 0.0
 	for _, k := range ordered.Of(c.classes) {
 		bootS := c.upS(&k.job)
 		if math.IsInf(bootS, 1) {
 			continue
 		}
-		if c.Since(c.Begun).Seconds() < forecast.KnownBoots*bootS {
+		if c.Since(c.SessionStart).Seconds() < forecast.KnownBoots*bootS {
 			least = up
 		}
 		work := c.coming(k, func(a forecast.Arrival) float64 { return a.Work })
 		cpus += work.Mean()
 		beyond := float64(c.reserve(k)) * k.job.CPUs
 		if !k.awaited {
-			slack := c.slackS(&k.job, bootS)
+			slack := c.slackSeconds(&k.job, bootS)
 			beyond = math.Max(0, work.Within(slack)/slack-work.Mean())
 		}
 		squares += beyond * beyond
@@ -97,11 +97,11 @@
 	return math.Max(cpus+math.Sqrt(squares), least)
 }
 
-// slackS is how long tasks of a job that comes may wait and be done in time, in
+// slackSeconds is how long tasks of a job that comes may wait and be done in time, in
 // seconds; no less than a machine takes to be up.
-func (c *Core) slackS(j *protocol.Job, upS float64) float64 {
+func (c *Core) slackSeconds(j *protocol.Job, upS float64) float64 {
 	slack := math.Inf(1)
-	for _, by := range c.DueTimes(j) {
+	for _, by := range c.ObjectiveTimes(j) {
 		slack = math.Min(slack, by-c.Estimate(j))
 	}
 	if math.IsInf(slack, 1) {
@@ -114,16 +114,16 @@
 // however much is expected: they would starve where that is always too much.
 const leastLeft = 0.1
 
-// leftOver is how many processors this owner's jobs without an objective may take
+// headroom is how many processors this owner's jobs without an objective may take
 // now: its part, by what waits, of what the others leave of the machines that are
-// up. Where no class with an objective has been seen it has no bound.
-func (c *Core) leftOver() float64 {
+// health. Where no class with an objective has been seen it has no bound.
+func (c *Core) headroom() float64 {
 	if len(c.classes) == 0 {
 		return math.Inf(1)
 	}
 	held, waits, all, one := 0.0, 0.0, 0.0, 0.0
 	for id, l := range c.Live { // sums of processors, rounded below
-		if !c.unaimed(&l.Job) {
+		if !c.withoutObjective(&l.Job) {
 			continue
 		}
 		if o := c.owner.jobs[id]; o != nil {
@@ -150,17 +150,17 @@
 			up += m.Info.CPUs
 		}
 	}
-	left := math.Max(up-c.keptForAims(up), leastLeft*up)
+	left := math.Max(up-c.reservedForObjectives(up), leastLeft*up)
 	if held == 0 {
 		left = math.Max(left, all/waits*one) // one task or gang at least, however small the fleet
 	}
 	return math.Max(0, left-held) * waits / all
 }
 
-// takeLeftOver reports whether n tasks of a job may take room in this step, as far
+// takeHeadroom reports whether n tasks of a job may take room in this step, as far
 // as it may have only what others leave, and takes it.
-func (cl *claims) takeLeftOver(o *ownedJob, n int) bool {
-	if !o.yields {
+func (cl *claims) takeHeadroom(o *ownedJob, n int) bool {
+	if !o.usesHeadroom {
 		return true
 	}
 	cpus := float64(n) * o.CPUs
--- a/internal/controller/levels.go
+++ b/internal/controller/levels.go
@@ -16,7 +16,7 @@
 	slices.SortStableFunc(jobs, func(a, b *ownedJob) int { return cmp.Compare(a.SubmittedMS, b.SubmittedMS) })
 	for _, o := range jobs {
 		t, ok := c.Team(o.Team)
-		if !ok || !c.Guarantees(o.Team) {
+		if !ok || !c.HasGuarantee(o.Team) {
 			c.setLevel(o, resource.LevelOf(o.Priority, false))
 			continue
 		}
@@ -30,7 +30,7 @@
 // setLevel sets a job's level, and has it told if anybody reckons with it.
 func (c *Core) setLevel(o *ownedJob, l resource.Level) {
 	if o.level != l && c.reservations.Any {
-		c.ownedChanged.Touch(o.ID)
+		c.ownedChanges.Touch(o.ID)
 	}
 	o.level = l
 }
--- a/internal/controller/membership/hearing.go
+++ b/internal/controller/membership/hearing.go
@@ -9,77 +9,79 @@
 	"damsonkeel/internal/record"
 )
 
-// hearing notices members that workers can't reach, though they keep their
+// reachability notices members that workers can't reach, though they keep their
 // lease. Their machines come astray to other controllers again and again, and
 // would lose their leases if nobody else kept them.
-type hearing struct {
-	astray map[protocol.MachineID]stray
-	deaf   bool       // this controller, by the view
-	since  clock.Time // when it became so
-	pause  time.Duration
+type reachability struct {
+	redirected    map[protocol.MachineID]redirectedWorker
+	excluded      bool       // this controller, by the view
+	excludedSince clock.Time // when it became so
+	retryPause    time.Duration
 }
 
-type stray struct {
-	last  clock.Time
-	times int
-	zone  protocol.Zone
-	// tenure is that of who keeps it: workers are sent to another when it changes.
-	tenure protocol.Term
+type redirectedWorker struct {
+	last     clock.Time
+	attempts int
+	zone     protocol.Zone
+	// shardEpoch is that of who keeps it: workers are sent to another when it changes.
+	shardEpoch protocol.Term
 }
 
 const (
-	// straySpan is how long a stray report counts: workers wait 4 s for an
+	// redirectWindow is how long a stray report counts: workers wait 4 s for an
 	// answer and go from one controller to the next.
-	straySpan = 15 * time.Second
-	// deafPause is how long a deaf controller waits before it tries again to
+	redirectWindow = 15 * time.Second
+	// firstRetryPause is how long a deaf controller waits before it tries again to
 	// keep machines, doubled each time.
-	deafPause      = 30 * time.Second
-	deafPauseLimit = 8 * time.Minute
+	firstRetryPause = 30 * time.Second
+	maxRetryPause   = 8 * time.Minute
 )
 
-func newHearing() hearing { return hearing{astray: map[protocol.MachineID]stray{}} }
+func newReachability() reachability {
+	return reachability{redirected: map[protocol.MachineID]redirectedWorker{}}
+}
 
 // adopted starts counting anew: a new view sends workers to others.
-func (h *hearing) adopted(v record.View, self protocol.NodeName, now clock.Time) {
-	clear(h.astray)
+func (h *reachability) adopted(v record.View, self protocol.NodeName, now clock.Time) {
+	clear(h.redirected)
 	deaf := slices.Contains(v.Deaf, self)
-	if deaf && !h.deaf {
-		h.since = now
-		h.pause = min(max(2*h.pause, deafPause), deafPauseLimit)
+	if deaf && !h.excluded {
+		h.excludedSince = now
+		h.retryPause = min(max(2*h.retryPause, firstRetryPause), maxRetryPause)
 	}
-	h.deaf = deaf
+	h.excluded = deaf
 }
 
-// Stray counts a report that belongs to another controller.
-func (ms *Members) Stray(m protocol.MachineID, z protocol.Zone) {
-	s, tenure := ms.hearing.astray[m], ms.Tenure(m, z)
-	if s.times > 0 && (ms.Since(s.last) > straySpan || s.tenure != tenure) {
-		s.times = 0
+// NoteRedirected counts a report that belongs to another controller.
+func (ms *Members) NoteRedirected(m protocol.MachineID, z protocol.Zone) {
+	s, tenure := ms.reachability.redirected[m], ms.ShardEpoch(m, z)
+	if s.attempts > 0 && (ms.Since(s.last) > redirectWindow || s.shardEpoch != tenure) {
+		s.attempts = 0
 	}
-	if s.times > 0 && ms.Since(s.last) < time.Second {
+	if s.attempts > 0 && ms.Since(s.last) < time.Second {
 		return // the same try
 	}
-	ms.hearing.astray[m] = stray{ms.Now, s.times + 1, z, tenure}
+	ms.reachability.redirected[m] = redirectedWorker{ms.Now, s.attempts + 1, z, tenure}
 }
 
-// deafNodes is what the next view should say of who can't be reached.
-func (ms *Members) deafNodes(members map[protocol.NodeName]protocol.LeaseID) []protocol.NodeName {
+// unreachableNodes is what the next view should say of who can't be reached.
+func (ms *Members) unreachableNodes(members map[protocol.NodeName]protocol.LeaseID) []protocol.NodeName {
 	var deaf []protocol.NodeName
 	for _, n := range ms.View.Deaf {
-		ended := n == ms.Self && ms.Since(ms.hearing.since) > ms.hearing.pause
+		ended := n == ms.Self && ms.Since(ms.reachability.excludedSince) > ms.reachability.retryPause
 		if members[n] != 0 && members[n] == ms.View.Members[n] && !ended {
 			deaf = append(deaf, n)
 		}
 	}
 	astray, kept := map[protocol.NodeName]int{}, map[protocol.NodeName]int{}
-	for m, s := range ms.hearing.astray {
-		if s.times >= 2 && ms.Since(s.last) <= straySpan && s.tenure == ms.Tenure(m, s.zone) {
-			astray[ms.KeeperIn(m, s.zone)]++
+	for m, s := range ms.reachability.redirected {
+		if s.attempts >= 2 && ms.Since(s.last) <= redirectWindow && s.shardEpoch == ms.ShardEpoch(m, s.zone) {
+			astray[ms.DispatcherInZone(m, s.zone)]++
 		}
 	}
 	if len(astray) > 0 {
 		for m := range ms.Records {
-			kept[ms.Keeper(m)]++
+			kept[ms.DispatcherOf(m)]++
 		}
 	}
 	for n, k := range astray {
--- a/internal/controller/membership/members.go
+++ b/internal/controller/membership/members.go
@@ -1,6 +1,6 @@
 // Package membership decides who takes part: which controllers are present, when
 // the view changes, which of them workers can't reach, and what of a peer's
-// session is new.
+// runSession is new.
 package membership
 
 import (
@@ -19,28 +19,28 @@
 // Members is who takes part: this controller's and the others' presence in the
 // records, the view and when it is to change, and the peers' sessions.
 type Members struct {
-	clusterstate.Part
+	clusterstate.Module
 	nodes   map[protocol.NodeName]record.Node // present in the records
 	writing bool                              // a view
 	retry   clock.Time                        // nothing is written before
 	// wrote is the version of the record of shares that a change was written on, and
 	// when: until it is followed nothing else is.
-	wrote    protocol.Version
-	wroteAt  clock.Time
-	balancer sharding.Balancer
-	asked    []sharding.Move // by operators
-	hearing  hearing
-	peers    map[protocol.NodeName]*link
+	wrote          protocol.Version
+	wroteAt        clock.Time
+	balancer       sharding.Balancer
+	requestedMoves []sharding.Move // reportedBy operators
+	reachability   reachability
+	peers          map[protocol.NodeName]*peerLink
 }
 
-// link is what is known of another controller's present session.
-type link struct {
-	session  protocol.LeaseID
-	term     protocol.Term // highest it is known to have adopted
-	shares   protocol.Term // epoch of the record of shares that it is known to have followed
-	next     uint64        // number of the next message expected
-	actingAt clock.Time    // when it last said that it may act
-	load     message.Load  // what it says of itself
+// peerLink is what is known of another controller's present session.
+type peerLink struct {
+	session     protocol.LeaseID
+	term        protocol.Term // highest it is known to have adopted
+	shardsEpoch protocol.Term // epoch of the record of shares that it is known to have followed
+	next        uint64        // placeNumber of the next message expected
+	leaseHeldAt clock.Time    // when it last said that it may act
+	load        message.Load  // what it says of itself
 	// heardFirst and heardAt are when it first and last did.
 	heardFirst, heardAt clock.Time
 }
@@ -49,15 +49,15 @@
 type ViewTag struct{}
 
 // New knows nobody yet.
-func New(p clusterstate.Part) *Members {
-	ms := &Members{Part: p}
+func New(p clusterstate.Module) *Members {
+	ms := &Members{Module: p}
 	ms.Reset()
 	return ms
 }
 
 // Reset forgets everything a session knew.
 func (ms *Members) Reset() {
-	*ms = Members{Part: ms.Part, nodes: map[protocol.NodeName]record.Node{}, hearing: newHearing(), peers: map[protocol.NodeName]*link{}}
+	*ms = Members{Module: ms.Module, nodes: map[protocol.NodeName]record.Node{}, reachability: newReachability(), peers: map[protocol.NodeName]*peerLink{}}
 }
 
 // Present takes over that a controller is in the records.
@@ -78,9 +78,9 @@
 	return names
 }
 
-// Hindering lists the controllers that are present and know no layout as late as
+// BlockingLayout lists the controllers that are present and know no layout as late as
 // another one: while they are, it does not come into use.
-func (ms *Members) Hindering(layout record.Layout) []protocol.NodeName {
+func (ms *Members) BlockingLayout(layout record.Layout) []protocol.NodeName {
 	var names []protocol.NodeName
 	for name, n := range ordered.Of(ms.nodes) {
 		if n.Layout < layout {
@@ -104,17 +104,17 @@
 	}
 }
 
-// Acts notes that a peer says it may act.
-func (ms *Members) Acts(name protocol.NodeName) {
+// NoteLeading notes that a peer says it may act.
+func (ms *Members) NoteLeading(name protocol.NodeName) {
 	if p := ms.peers[name]; p != nil {
-		p.actingAt = ms.Now
+		p.leaseHeldAt = ms.Now
 	}
 }
 
 // Adopt takes over a new view.
 func (ms *Members) Adopt(v record.View, version protocol.Version) {
 	ms.View, ms.ViewVersion = v, version
-	clear(ms.Keepers)
+	clear(ms.DispatcherCache)
 	ms.retry = 0
 	for name, p := range ms.peers {
 		if v.Members[name] != p.session {
@@ -123,54 +123,54 @@
 	}
 	for name, session := range v.Members {
 		if ms.peers[name] == nil {
-			ms.peers[name] = &link{session: session}
+			ms.peers[name] = &peerLink{session: session}
 		}
 	}
 	if p := ms.peers[ms.Self]; p != nil {
 		p.term = v.Term
 	}
-	ms.hearing.adopted(v, ms.Self, ms.Now)
+	ms.reachability.adopted(v, ms.Self, ms.Now)
 }
 
-// AdoptShares takes over a record of the shares.
-func (ms *Members) AdoptShares(s *record.Shares, version protocol.Version) {
-	ms.Shares, ms.SharesVersion = s, version
+// AdoptShards takes over a record of the shares.
+func (ms *Members) AdoptShards(s *record.ShardTable, version protocol.Version) {
+	ms.Shards, ms.ShardsVersion = s, version
 }
 
 // Check raises the term when the view does not name exactly the
 // controllers that are present in the records, or when it is asked for. A
 // controller whose connection is refused stays; only a lapsed lease removes it.
 func (ms *Members) Check(raise bool) {
-	if ms.Session == 0 || ms.Now >= ms.Until || ms.writing || ms.Now < ms.retry {
+	if ms.Session == 0 || ms.Now >= ms.LeaseDeadline || ms.writing || ms.Now < ms.retry {
 		return
 	}
-	want, layout := ms.wantMembers()
+	want, layout := ms.desiredMembers()
 	if want[ms.Self] != ms.Session {
 		return // not present itself: it has no say
 	}
-	deaf := ms.deafNodes(want)
-	if sameMembers(want, ms.View.Members) && layout == ms.View.Layout && slices.Equal(deaf, ms.View.Deaf) && !raise && (layout < record.LayoutShares || ms.Shares != nil) {
+	deaf := ms.unreachableNodes(want)
+	if sameMembers(want, ms.View.Members) && layout == ms.View.Layout && slices.Equal(deaf, ms.View.Deaf) && !raise && (layout < record.LayoutShards || ms.Shards != nil) {
 		return
 	}
 	ms.writing = true
 	next := record.View{Term: ms.View.Term + 1, Members: want, Deaf: deaf, Layout: layout}
-	txn := protocol.Txn{If: []protocol.Condition{{Key: record.ViewKey, Version: ms.ViewVersion}}}
-	if layout >= record.LayoutShares {
+	txn := protocol.Transaction{Conditions: []protocol.Condition{{Key: record.ViewKey, Version: ms.ViewVersion}}}
+	if layout >= record.LayoutShards {
 		// In one transaction, so that nobody's share is nobody's. The shares come
 		// first: who follows them knows who keeps what when the view arrives.
-		txn.If = append(txn.If, protocol.Condition{Key: record.SharesKey, Version: ms.SharesVersion})
-		if shares := ms.sharesFor(next); shares != nil {
-			txn.Then = append(txn.Then, protocol.Change{Put: record.SharesKey, Value: *shares})
+		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: record.ShardTableKey, Version: ms.ShardsVersion})
+		if shares := ms.shardsFor(next); shares != nil {
+			txn.Changes = append(txn.Changes, protocol.Change{Put: record.ShardTableKey, Value: *shares})
 		}
 	}
-	txn.Then = append(txn.Then, protocol.Change{Put: record.ViewKey, Value: next})
-	ms.Do(message.Commit{Tag: ViewTag{}, Txn: txn})
+	txn.Changes = append(txn.Changes, protocol.Change{Put: record.ViewKey, Value: next})
+	ms.Emit(message.Commit{Tag: ViewTag{}, Txn: txn})
 }
 
-// wantMembers is who should be in the view, and how machines are recorded then:
+// desiredMembers is who should be in the view, and how machines are recorded then:
 // in the latest way that all of them know. Once it is in use, who does not know
 // it stays out: it would miss machines that may hold tasks.
-func (ms *Members) wantMembers() (map[protocol.NodeName]protocol.LeaseID, record.Layout) {
+func (ms *Members) desiredMembers() (map[protocol.NodeName]protocol.LeaseID, record.Layout) {
 	want := map[protocol.NodeName]protocol.LeaseID{}
 	least := record.LatestLayout
 	for name, n := range ms.nodes {
@@ -197,12 +197,12 @@
 }
 
 // Received takes a peer's batch, and returns what is new in it. Batches of ended
-// sessions are dropped: the network may hold them back for minutes.
+// runSessions are dropped: the network may hold them back for minutes.
 func (ms *Members) Received(b message.Batch) (fresh []message.PeerMessage) {
-	reply := ms.standing(&b)
-	if reply == message.BatchTaken {
+	reply := ms.classify(&b)
+	if reply == message.BatchAccepted {
 		p := ms.peers[b.From]
-		p.term, p.shares = max(p.term, b.Term), max(p.shares, b.Shares)
+		p.term, p.shardsEpoch = max(p.term, b.Term), max(p.shardsEpoch, b.Shares)
 		if b.First > p.next {
 			reply = message.BatchStale // a gap: this can't be the same stream
 		} else if have := p.next - b.First; have < uint64(len(b.Messages)) {
@@ -210,20 +210,20 @@
 			p.next += uint64(len(fresh))
 		}
 	}
-	ms.Do(message.ReplyBatch{Reply: reply})
+	ms.Emit(message.ReplyBatch{Reply: reply})
 	return fresh
 }
 
-// standing is what becomes of a batch by its sessions and its term.
-func (ms *Members) standing(b *message.Batch) message.BatchReply {
+// classify is what becomes of a batch by its sessions and its term.
+func (ms *Members) classify(b *message.Batch) message.BatchReply {
 	ours := b.ToSession == ms.Session
 	switch between := ours && ms.Member() && ms.View.Members[b.From] == b.FromSession; {
-	case ours && (b.Term > ms.View.Term || b.Shares > ms.SharesEpoch()):
+	case ours && (b.Term > ms.View.Term || b.Shares > ms.ShardTableEpoch()):
 		return message.BatchBehind
 	case between:
-		return message.BatchTaken
-	case ours && ms.Acting():
-		return message.BatchPassed
+		return message.BatchAccepted
+	case ours && ms.HoldsLease():
+		return message.BatchExcluded
 	}
 	return message.BatchStale
 }
@@ -239,22 +239,22 @@
 	return true
 }
 
-// OthersAct reports whether another controller is known to act now. One that may
+// OthersLead reports whether another controller is known to act now. One that may
 // not act itself is then refused by the state service alone; otherwise the
 // service is out for all, or nobody can be heard.
-func (ms *Members) OthersAct() bool { return len(ms.ActingPeers()) > 0 }
+func (ms *Members) OthersLead() bool { return len(ms.LeadingPeers()) > 0 }
 
-// cutOffAfter is how long a controller that may not act and hears no other goes on
+// isolatedAfter is how long a controller that may not act and hears no other goes on
 // taking users' connections.
-const cutOffAfter = 10 * time.Second
+const isolatedAfter = 10 * time.Second
 
-// WaitsOut reports whether a controller, while it may not act, does best to keep its
+// ShouldWaitOut reports whether a controller, while it may not act, does best to keep its
 // users and wait: nobody else is known to act, and it hears others who would say so.
 // One that is cut off from the records and from all others can't tell. Users that
 // stay with it would have no answer for as long as that lasts, so it waits for a
 // moment only.
-func (ms *Members) WaitsOut() bool {
-	if ms.OthersAct() {
+func (ms *Members) ShouldWaitOut() bool {
+	if ms.OthersLead() {
 		return false
 	}
 	alone := true
@@ -266,15 +266,15 @@
 			return true
 		}
 	}
-	return alone || ms.Since(ms.Until) < cutOffAfter
+	return alone || ms.Since(ms.LeaseDeadline) < isolatedAfter
 }
 
-// ActingPeers lists the other controllers known to act now. They say so
+// LeadingPeers lists the other controllers known to act now. They say so
 // themselves; to one that they have left out of the view, in their answers.
-func (ms *Members) ActingPeers() []protocol.NodeName {
+func (ms *Members) LeadingPeers() []protocol.NodeName {
 	var names []protocol.NodeName
 	for name, p := range ordered.Of(ms.peers) {
-		if name != ms.Self && p.actingAt != 0 && ms.Since(p.actingAt) < 3*ms.Op.RelayEvery {
+		if name != ms.Self && p.leaseHeldAt != 0 && ms.Since(p.leaseHeldAt) < 3*ms.Op.RelayEvery {
 			names = append(names, name)
 		}
 	}
--- a/internal/controller/membership/shares.go
+++ b/internal/controller/membership/shares.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/record"
 )
 
-// SharesTag marks a transaction that changes who keeps which shares.
-type SharesTag struct{}
+// ShardsTag marks a transaction that changes who keeps which shares.
+type ShardsTag struct{}
 
 // followWithin is how long a change that was written takes to be followed.
 const followWithin = 2 * time.Second
@@ -25,9 +25,9 @@
 	return zones
 }
 
-// weighed lists the members of a view that may keep shares; weight tells of what
+// weightedMembers lists the members of a view that may keep shares; weight tells of what
 // each can do.
-func (ms *Members) weighed(v record.View, weight func(protocol.NodeName) float64) []sharding.Member {
+func (ms *Members) weightedMembers(v record.View, weight func(protocol.NodeName) float64) []sharding.Member {
 	var list []sharding.Member
 	zones := ms.zones()
 	for name, session := range v.Members {
@@ -36,27 +36,27 @@
 	return list
 }
 
-// sharesFor is the record of the shares that goes with a new view: what is kept by
+// shardsFor is the record of the shares that goes with a new view: what is kept by
 // nobody in it goes to its members, all else stays; nil if nothing changes.
-func (ms *Members) sharesFor(v record.View) *record.Shares {
-	s := ms.Shares
+func (ms *Members) shardsFor(v record.View) *record.ShardTable {
+	s := ms.Shards
 	if s == nil {
-		s = sharding.First(ms.Settings.Site.Zones)
+		s = sharding.InitialTable(ms.Settings.Site.Zones)
 	}
 	next := sharding.Copy(s)
-	sharding.Above(next, max(ms.View.Term, ms.Highest)) // tokens of terms, before there were shares
+	sharding.RaiseEpochAbove(next, max(ms.View.Term, ms.HighestToken)) // tokens of terms, before there were shares
 	keeps := func(name protocol.NodeName) float64 {
 		if len(v.Deaf) < len(v.Members) && slices.Contains(v.Deaf, name) || ms.leaving(name) || slices.Contains(s.Away, name) {
 			return 0
 		}
 		return 1
 	}
-	to := sharding.Orphans(s, sharding.Loads(s, ms.machinesByZone()), ms.weighed(v, keeps))
-	if len(to) == 0 && s == ms.Shares {
+	to := sharding.Orphans(s, sharding.Loads(s, ms.machinesByZone()), ms.weightedMembers(v, keeps))
+	if len(to) == 0 && s == ms.Shards {
 		return nil
 	}
 	for _, m := range to {
-		sharding.Give(next, m.ID, m.To)
+		sharding.Assign(next, m.ID, m.To)
 	}
 	return next
 }
@@ -71,51 +71,51 @@
 }
 
 // loads is the load of each share.
-func (ms *Members) loads() []float64 { return sharding.Loads(ms.Shares, ms.machinesByZone()) }
+func (ms *Members) loads() []float64 { return sharding.Loads(ms.Shards, ms.machinesByZone()) }
 
-// ChangeShares writes what a keeper asks for: shares to be taken by this
+// ChangeShards writes what a keeper asks for: shares to be taken by this
 // controller, and shares of its own whose epoch is to rise. It holds only on the
 // record and the view as they are known here. A record that has been lost is written
-// again.
-func (ms *Members) ChangeShares(take, raise []sharding.ID) {
-	if len(take)+len(raise) == 0 && ms.SharesVersion != 0 || !ms.Sharing() || !ms.Acting() || ms.writing || ms.Now < ms.retry ||
-		ms.wroteAt != 0 && ms.wrote == ms.SharesVersion && ms.Since(ms.wroteAt) < followWithin {
+// retry.
+func (ms *Members) ChangeShards(take, raise []sharding.ID) {
+	if len(take)+len(raise) == 0 && ms.ShardsVersion != 0 || !ms.Sharded() || !ms.HoldsLease() || ms.writing || ms.Now < ms.retry ||
+		ms.wroteAt != 0 && ms.wrote == ms.ShardsVersion && ms.Since(ms.wroteAt) < followWithin {
 		return
 	}
-	next := sharding.Copy(ms.Shares)
-	sharding.Above(next, ms.Highest)
+	next := sharding.Copy(ms.Shards)
+	sharding.RaiseEpochAbove(next, ms.HighestToken)
 	for _, id := range take {
-		sharding.Give(next, id, ms.Session)
+		sharding.Assign(next, id, ms.Session)
 	}
 	for _, id := range raise {
-		sharding.Raise(next, id)
+		sharding.RaiseToken(next, id)
 	}
-	ms.writing, ms.wrote, ms.wroteAt = true, ms.SharesVersion, ms.Now
-	ms.Do(message.Commit{Tag: SharesTag{}, Txn: protocol.Txn{
-		If: []protocol.Condition{
+	ms.writing, ms.wrote, ms.wroteAt = true, ms.ShardsVersion, ms.Now
+	ms.Emit(message.Commit{Tag: ShardsTag{}, Txn: protocol.Transaction{
+		Conditions: []protocol.Condition{
 			{Key: record.ViewKey, Version: ms.ViewVersion},
-			{Key: record.SharesKey, Version: ms.SharesVersion},
+			{Key: record.ShardTableKey, Version: ms.ShardsVersion},
 		},
-		Then: []protocol.Change{{Put: record.SharesKey, Value: *next}},
+		Changes: []protocol.Change{{Put: record.ShardTableKey, Value: *next}},
 	}})
 }
 
-// SharesWritten takes the outcome of a change of the shares: what is in the records
+// ShardsWritten takes the outcome of a change of the shares: what is in the records
 // counts.
-func (ms *Members) SharesWritten(out message.Outcome) {
+func (ms *Members) ShardsWritten(out message.Outcome) {
 	ms.writing = false
 	if out != message.OutcomeDone {
 		ms.retry, ms.wroteAt = ms.After(100*time.Millisecond), 0
 	}
 }
 
-// SharesFloor is how far all other members are known to have followed the record of
+// ShardsFloor is how far all other members are known to have followed the record of
 // the shares.
-func (ms *Members) SharesFloor() protocol.Term {
-	floor := ms.SharesEpoch()
+func (ms *Members) ShardsFloor() protocol.Term {
+	floor := ms.ShardTableEpoch()
 	for name, p := range ms.peers {
 		if name != ms.Self {
-			floor = min(floor, p.shares)
+			floor = min(floor, p.shardsEpoch)
 		}
 	}
 	return floor
--- a/internal/controller/message/between.go
+++ b/internal/controller/message/between.go
@@ -16,7 +16,7 @@
 	Task      protocol.TaskID
 	Attempt   protocol.Attempt
 	Machine   protocol.MachineID
-	Epoch     protocol.Version // of the machine's record, as the owner knows it
+	Epoch     protocol.Version // reservation the machine's record, as the owner knows it
 	EstimateS float64
 	CPUs      float64
 	GPUs      float64
@@ -25,7 +25,7 @@
 	Tenure protocol.Term
 	// Together: others of its gang wait for it.
 	Together bool
-	Level    int // of its job: see level
+	Level    int // reservation its job: see level
 }
 
 // Need is what the task takes of its machine.
@@ -57,29 +57,29 @@
 	GraceS float64
 }
 
-// What an event says of an attempt.
-type What uint8
+// EventKind an event says of an attempt.
+type EventKind uint8
 
 // The events of attempts.
 const (
-	WhatPresent  What = iota + 1 // the worker has it
-	WhatRunning                  // it runs
-	WhatEnded                    // it ended
-	WhatReleased                 // it was never sent, and never will be
-	WhatNotice                   // its machine is about to be taken
+	EventPresent  EventKind = iota + 1 // the worker has it
+	EventRunning                       // it runs
+	EventEnded                         // it ended
+	EventReleased                      // it was never sent, and never will be
+	EventNotice                        // its machine is about to be taken
 )
 
 // TaskEvent tells an owner what became of an attempt.
 type TaskEvent struct {
 	TaskRef
-	What  What
+	What  EventKind
 	Cause protocol.EndCause
 	Saved bool
-	LeftS float64 // of a notice: until the machine is taken
+	LeftS float64 // reservation a notice: until the machine is taken
 }
 
-// Held is one attempt in an inventory.
-type Held struct {
+// HeldAttempt is one attempt in an inventory.
+type HeldAttempt struct {
 	Task    protocol.TaskID
 	Attempt protocol.Attempt
 	State   protocol.TaskState // empty: queued, never sent
@@ -95,48 +95,48 @@
 // queue, proven by a report of a worker that has seen the term.
 type Inventory struct {
 	Term    protocol.Term
-	Tenure  protocol.Term // of the keeper that gives it
+	Tenure  protocol.Term // reservation the keeper that gives it
 	Machine protocol.MachineID
 	Epoch   protocol.Version
 	Upto    uint64 // last Place of the addressee that is taken into account
-	Held    []Held
+	Held    []HeldAttempt
 }
 
-// Wait is a change of a machine's expected wait, in processor seconds.
-type Wait struct {
+// WaitChange is a change of a machine's expected wait, in processor seconds.
+type WaitChange struct {
 	Machine protocol.MachineID
 	Add     float64
-	Taken   []Use
+	Taken   []LevelUse
 }
 
-// Added tells all peers what placing tasks has added to machines. Numbers are,
-// by keeper, those of the Place messages that carry these placements: a table
+// WaitsAdded tells all peers what placing tasks has added to machines. Numbers are,
+// reportedBy keeper, those of the Place messages that carry these placements: a table
 // that includes a keeper's word on them already does not count them again.
-type Added struct {
+type WaitsAdded struct {
 	Term    protocol.Term
 	Numbers map[protocol.NodeName]uint64
-	Waits   []Wait
+	Waits   []WaitChange
 }
 
-// Use is what attempts of one level take of a machine.
-type Use struct {
+// LevelUse is what attempts of one level take of a machine.
+type LevelUse struct {
 	Level          int
 	CPUs, GPUs, GB float64
 }
 
-// UsesIn is the form in which uses are sent.
-func UsesIn(u *resource.Uses) []Use {
-	var us []Use
+// LevelUses is the form in which uses are sent.
+func LevelUses(u *resource.Uses) []LevelUse {
+	var us []LevelUse
 	for l, r := range u {
 		if r != (resource.Amount{}) {
-			us = append(us, Use{l, r.CPUs, r.GPUs, r.GB})
+			us = append(us, LevelUse{l, r.CPUs, r.GPUs, r.GB})
 		}
 	}
 	return us
 }
 
-// AddUses takes uses as they were sent.
-func AddUses(u *resource.Uses, us []Use) {
+// AddLevelUses takes uses as they were sent.
+func AddLevelUses(u *resource.Uses, us []LevelUse) {
 	for _, n := range us {
 		u.Add(resource.Level(n.Level), resource.Amount{CPUs: n.CPUs, GPUs: n.GPUs, GB: n.GB})
 	}
@@ -148,15 +148,15 @@
 	Machine  protocol.MachineID
 	Epoch    protocol.Version // 0: its present session is not registered yet, nothing can be said
 	Wait     float64          // processor seconds
-	Queue    []float64        // of these, of what was never sent, by level
+	Queue    []float64        // reservation these, of what was never sent, by level
 	FreeCPUs float64
 	FreeGPUs float64
 	FreeGB   float64
-	Uses     []Use // what is on it or in its queue, by level
-	Ending   Use   // what comes free each second, by estimate, as its tasks end
-	Heard    bool  // what is on it is known: else it may hold more
-	Held     int   // attempts on it or in its queue
-	Queued   int   // of these, never sent
+	Uses     []LevelUse // what is on it or in its queue, by level
+	Ending   LevelUse   // what comes free each second, by estimate, as its tasks end
+	Heard    bool       // what is on it is known: else it may hold more
+	Held     int        // attempts on it or in its queue
+	Queued   int        // reservation these, never sent
 	Closed   bool
 	Suspect  bool
 	Draining bool
@@ -189,10 +189,10 @@
 	Zone      protocol.Zone // the only one left to it, as the rest of it is there
 }
 
-// Relay is a controller's regular message to each peer: what changed of the
+// StateUpdate is a controller's regular message to each peer: what changed of the
 // machines it keeps and of the jobs it owns, in streams that begin anew with
 // each term (package relay).
-type Relay struct {
+type StateUpdate struct {
 	Term   protocol.Term
 	Acting bool // the sender's lease is valid by its own clock
 	// Configuration is the revision that the sender acts by.
@@ -201,31 +201,31 @@
 	// streams of this term.
 	HaveMachines, HaveJobs uint64
 
-	Machines replication.Piece
+	Machines replication.Range
 	States   []MachineState
 	// Handled is, by owner, the last Place that the states include; nil while
 	// some of the states are still to come.
 	Handled map[protocol.NodeName]uint64
 
-	Jobs     replication.Piece
+	Jobs     replication.Range
 	Progress []Progress
 
 	Demand []Demand // all of it, each time
 
-	Load Load // of the sender
+	Load Load // reservation the sender
 
 	// Ask and Loan share out the state service's rates by need (package ratesharing).
-	Ask  ratelimit.Ask
-	Loan *ratelimit.Loan
+	Ask  ratelimit.Request
+	Loan *ratelimit.Grant
 
-	// Holds is what is held for reservations, by the controller that rents, to
+	// ReservationHolds is what is held for reservations, by the controller that rents, to
 	// those who have not got it yet; HaveHolds numbers what the sender has.
-	Holds     *Holds
+	Holds     *ReservationHolds
 	HaveHolds uint64
 }
 
-// Holds is all that is held for reservations.
-type Holds struct {
+// ReservationHolds is all that is held for reservations.
+type ReservationHolds struct {
 	Number uint64
 	List   []reservation.Hold
 }
@@ -238,23 +238,23 @@
 	Released  []TaskRef // events of this kind, many at once
 	Forget    *TaskRef
 	Inventory *Inventory
-	Added     *Added
-	Relay     *Relay
+	Added     *WaitsAdded
+	Relay     *StateUpdate
 	Drain     *protocol.MachineID
 	Record    *RecordChange
 	AskTable  bool
-	Done      *DoneTasks
-	Move      *Move
-	Hand      *Hand
-	Table     []Wait
+	Done      *CompletedTasks
+	Move      *MoveShards
+	Hand      *Handover
+	Table     []WaitChange
 }
 
-// DoneTasks tells the next owner of a job which of its tasks are done, as far as
+// CompletedTasks tells the next owner of a job which of its tasks are done, as far as
 // the owner before could not write it any more. What is done stays done, whoever
 // says so.
-type DoneTasks struct {
+type CompletedTasks struct {
 	Job    protocol.JobID
-	Chunks map[int]record.Bits
+	Chunks map[int]record.BitmapChunk
 }
 
 // Batch carries messages in order between two sessions. A repeated batch is
@@ -274,10 +274,10 @@
 
 // The replies to batches.
 const (
-	BatchTaken  BatchReply = iota + 1
-	BatchBehind            // the receiver has not read the sender's term yet: send again
-	BatchStale             // one of the sessions is over: drop it
-	BatchPassed            // the same, and who answers acts by a view without the sender
+	BatchAccepted BatchReply = iota + 1
+	BatchBehind              // the receiver has not read the sender's term yet: send again
+	BatchStale               // one of the sessions is over: drop it
+	BatchExcluded            // the same, and who answers acts by a view without the sender
 )
 
 // RecordChange asks the registrar to write a machine's record, or to delete it.
@@ -296,7 +296,7 @@
 type Silence uint8
 
 const (
-	SilenceNone Silence = iota // no longer than a healthy worker's
+	SilenceNone Silence = iota // refuse longer than a healthy worker's
 	SilenceSome                // longer
-	SilenceLong                // at least twice as long: nothing is placed there
+	SilenceLong                // reportedAt least twice as long: nothing is placed there
 )
--- a/internal/controller/message/check.go
+++ b/internal/controller/message/check.go
@@ -37,14 +37,14 @@
 	}
 }
 
-func (c *checker) waits(ws []Wait) {
+func (c *checker) waits(ws []WaitChange) {
 	for i := range ws {
 		c.amounts("wait", 0, ws[i].Add)
 		c.uses(ws[i].Taken)
 	}
 }
 
-func (c *checker) uses(us []Use) {
+func (c *checker) uses(us []LevelUse) {
 	for _, u := range us {
 		c.counts("level", resource.Levels, u.Level)
 		c.amounts("use", 0, u.CPUs, u.GPUs, u.GB)
@@ -57,10 +57,10 @@
 	c.amounts("queue", 0, s.Queue...)
 	c.counts("levels", resource.Levels+1, len(s.Queue))
 	c.counts("attempts", mostCount, s.Held, s.Queued)
-	c.uses(append([]Use{s.Ending}, s.Uses...))
+	c.uses(append([]LevelUse{s.Ending}, s.Uses...))
 }
 
-func (c *checker) hand(h *Hand) {
+func (c *checker) hand(h *Handover) {
 	c.counts("pieces", mostPieces, h.Pieces, h.Piece)
 	for i := range h.Queues {
 		q := &h.Queues[i]
--- a/internal/controller/message/move.go
+++ b/internal/controller/message/move.go
@@ -14,35 +14,35 @@
 	Tenure protocol.Term
 }
 
-// Move asks the keeper of shares to hand them over.
-type Move struct {
+// MoveShards asks the keeper of shares to hand them over.
+type MoveShards struct {
 	Term   protocol.Term
 	Shares []Tenured
 	To     protocol.NodeName
 	Cause  string
 }
 
-// Hand is part of a share handed over, as one value: what its keeper knows of some
-// of its machines.
-type Hand struct {
+// Handover is part of a share handed over, as one value: what its keeper knows of some
+// reservation its machines.
+type Handover struct {
 	Term protocol.Term
 	Tenured
 	// Epoch is the share's as it was handed over. Its keeper goes on only with a
 	// later one: what was handed over is good for nothing then.
 	Epoch         protocol.Term
 	Piece, Pieces int
-	Queues        []HandedQueue
+	Queues        []HandoverQueue
 }
 
-// HandedQueue is what a keeper knows of one machine. Times are ages: clocks are
+// HandoverQueue is what a keeper knows of one machine. Times are ages: clocks are
 // not alike.
-type HandedQueue struct {
+type HandoverQueue struct {
 	Machine  protocol.MachineID
-	Epoch    protocol.Version // of its record
-	Session  protocol.Session
+	Epoch    protocol.Version // reservation its record
+	Session  protocol.AgentEpoch
 	Seq      protocol.Seq
-	Seen     protocol.Term // the highest token that its worker has said to have seen
-	Entries  []HandedEntry // those that wait in order of arrival
+	Seen     protocol.Term   // the highest token that its worker has said to have seen
+	Entries  []HandoverEntry // those that wait in order of arrival
 	Known    bool
 	Sole     bool
 	Everseen bool
@@ -54,8 +54,8 @@
 	Idle     time.Duration
 }
 
-// HandedEntry is one attempt of it.
-type HandedEntry struct {
+// HandoverEntry is one attempt of it.
+type HandoverEntry struct {
 	Task      protocol.TaskID
 	Attempt   protocol.Attempt
 	EstimateS float64
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -26,13 +26,13 @@
 )
 
 const (
-	mailboxSize   = 2048
-	tickEvery     = 100 * time.Millisecond
-	askedTicks    = int(time.Second / tickEvery)
-	catalogueWait = time.Second
-	catalogueKeep = time.Minute
+	mailboxSize      = 2048
+	tickEvery        = 100 * time.Millisecond
+	askedTicks       = int(time.Second / tickEvery)
+	catalogueWait    = time.Second
+	catalogueRefresh = time.Minute
 	// followHold is how long one watch stays open. Its return proves what was
-	// followed when it was opened: see ActsUntil.
+	// followed when it was opened: see LeaseDeadline.
 	followHold = 3 * time.Second
 )
 
@@ -48,25 +48,25 @@
 	log      *slog.Logger
 	start    time.Time
 
-	mailbox  chan envelope
-	reports  *reports
-	core     *Core
-	outbox   map[protocol.NodeName]*Outbox
-	workers  *workerClients
-	commands chan struct{} // holds one for each direct command under way
+	mailbox    chan envelope
+	heartbeats *heartbeatQueue
+	core       *Core
+	outbox     map[protocol.NodeName]*Outbox
+	workers    *workerClients
+	commands   chan struct{} // holds one for each direct command under way
 
-	actingUntil atomic.Int64
-	waitsOut    atomic.Bool // a member that may not act does best to wait: see Members.WaitsOut
-	leaving     atomic.Bool // told to end
-	left        chan struct{}
-	typesKnown  atomic.Bool
-	frontend    *frontend
+	leaseDeadline atomic.Int64
+	shouldWaitOut atomic.Bool // a member that may not act does best to wait: see Members.ShouldWaitOut
+	leaving       atomic.Bool // told to end
+	left          chan struct{}
+	typesKnown    atomic.Bool
+	frontend      *frontend
 }
 
 // envelope is a message to the core, or a question about it.
 type envelope struct {
 	msg   any
-	reply func([]message.Action) // gets the step's ReplyReport or ReplyBatch
+	reply func([]message.Action) // gets the step's ReplyHeartbeat or ReplyBatch
 	ask   func(*Core)
 }
 
@@ -74,17 +74,17 @@
 func NewNode(s *config.Settings, op config.Operator, log *slog.Logger) *Node {
 	n := &Node{
 		settings: s, op: op, log: log, start: time.Now(),
-		state:   kvstore.NewClient(s.Services.State, s.Site.State.RPS, s.Site.State.WriteRPS, s.Site.Count),
-		cloud:   cloud.NewClient(s.Services.Cloud, s.Site.Cloud.RPS),
-		mailbox: make(chan envelope, mailboxSize),
-		outbox:  map[protocol.NodeName]*Outbox{},
-		reports: newReports(),
-		left:    make(chan struct{}),
+		state:      kvstore.NewClient(s.Services.State, s.Site.State.RPS, s.Site.State.WriteRPS, s.Site.Count),
+		cloud:      cloud.NewClient(s.Services.Cloud, s.Site.Cloud.RPS),
+		mailbox:    make(chan envelope, mailboxSize),
+		outbox:     map[protocol.NodeName]*Outbox{},
+		heartbeats: newHeartbeatQueue(),
+		left:       make(chan struct{}),
 	}
 	n.core = NewCore(s, op, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), log)
 	for _, m := range s.Members {
 		o := NewOutbox(s.Name, transport.NewPeer(m.Peer), log)
-		o.passed = func() { n.post(message.PeerActs{Peer: m.Name}) }
+		o.passed = func() { n.post(message.PeerLeads{Peer: m.Name}) }
 		n.outbox[m.Name] = o
 	}
 	_, commands := sockets(s.Site.Limits.MaxConns)
@@ -105,10 +105,10 @@
 	for _, o := range n.outbox {
 		go o.run(ctx)
 	}
-	go n.steps(ctx)
-	go n.ticks(ctx)
+	go n.runCore(ctx)
+	go n.runTicker(ctx)
 	go n.readCatalogue(ctx)
-	go n.sessions(ctx)
+	go n.runSessions(ctx)
 	go n.frontend.run(ctx)
 	go n.serve(ctx)
 	select {
@@ -130,15 +130,15 @@
 	}
 }
 
-// steps is the core's actor.
-func (n *Node) steps(ctx context.Context) {
+// runCore is the core's actor.
+func (n *Node) runCore(ctx context.Context) {
 	for {
 		var e envelope
 		select {
 		case e = <-n.mailbox:
-		case <-n.reports.ready:
+		case <-n.heartbeats.ready:
 			var any bool
-			if e, any = n.reports.next(n.now); !any {
+			if e, any = n.heartbeats.next(n.now); !any {
 				continue
 			}
 		case <-ctx.Done():
@@ -151,10 +151,10 @@
 		actions := n.core.Step(n.now(), e.msg)
 		until := Time(0)
 		if n.core.Member() {
-			until = n.core.Until
+			until = n.core.LeaseDeadline
 		}
-		n.actingUntil.Store(int64(until))
-		n.waitsOut.Store(until != 0 && n.core.members.WaitsOut())
+		n.leaseDeadline.Store(int64(until))
+		n.shouldWaitOut.Store(until != 0 && n.core.members.ShouldWaitOut())
 		n.carryOut(ctx, actions)
 		if e.reply != nil {
 			e.reply(actions)
@@ -185,10 +185,10 @@
 	return <-answers, true
 }
 
-// acting reports whether this controller may act now.
-func (n *Node) acting() bool { return int64(n.now()) < n.actingUntil.Load() }
+// holdsLease reports whether this controller may act now.
+func (n *Node) holdsLease() bool { return int64(n.now()) < n.leaseDeadline.Load() }
 
-func (n *Node) ticks(ctx context.Context) {
+func (n *Node) runTicker(ctx context.Context) {
 	t := time.NewTicker(tickEvery)
 	defer t.Stop()
 	for i := 1; ; i++ {
@@ -196,7 +196,7 @@
 		case <-t.C:
 			n.offer(envelope{msg: message.Tick{WallMS: time.Now().UnixMilli()}})
 			if i%askedTicks == 0 {
-				n.offer(envelope{msg: message.StateAsked{Amount: ratelimit.Amount(n.state.DemandedRate())}})
+				n.offer(envelope{msg: message.StoreRateUsed{Amount: ratelimit.Amount(n.state.DemandedRate())}})
 			}
 		case <-ctx.Done():
 			return
@@ -208,7 +208,7 @@
 func (n *Node) readCatalogue(ctx context.Context) {
 	for ctx.Err() == nil {
 		cat, err := n.cloud.Catalogue(ctx)
-		wait := catalogueKeep
+		wait := catalogueRefresh
 		if err != nil || len(cat.Types) == 0 {
 			n.log.Info("catalogue can't be read", "err", err)
 			wait = catalogueWait
@@ -242,24 +242,24 @@
 			go n.commit(ctx, a)
 		case message.Command:
 			go n.command(ctx, a)
-		case message.LoadBits:
+		case message.LoadBitmap:
 			go n.loadBits(ctx, a.Job)
-		case message.Rent:
+		case message.Provision:
 			go func() {
 				got, err := n.cloud.Rent(ctx, a.Request)
-				n.post(message.Rented{Request: a.Request, Machines: got, Outcome: outcome(err)})
+				n.post(message.ProvisionDone{Request: a.Request, Machines: got, Outcome: outcome(err)})
 			}()
-		case message.Delete:
+		case message.Terminate:
 			go func() {
 				err := n.cloud.Delete(ctx, a.Machines)
 				if err != nil {
 					n.log.Info("machines not returned", "machines", a.Machines, "err", err)
 				}
-				n.post(message.Deleted{Machines: a.Machines, OK: err == nil})
+				n.post(message.TerminateDone{Machines: a.Machines, OK: err == nil})
 			}()
-		case message.Configured:
+		case message.ConfigurationChanged:
 			n.frontend.configure(a.Effective)
-		case message.SetShare:
+		case message.SetRateAllotment:
 			n.state.SetAllotment(kvstore.RateAllotment(a.Own), kvstore.RateAllotment(a.All), n.start.Add(time.Duration(a.Until)))
 		case message.ListMachines:
 			go func() {
@@ -267,7 +267,7 @@
 				if err != nil {
 					n.log.Info("machines can't be listed", "err", err)
 				}
-				n.post(message.Listed{Machines: list, OK: err == nil})
+				n.post(message.MachinesListed{Machines: list, OK: err == nil})
 			}()
 		}
 	}
@@ -276,7 +276,7 @@
 // precedence is how a transaction of the core yields to others.
 func precedence(tag any) kvstore.Precedence {
 	switch tag.(type) {
-	case bitsTag:
+	case bitmapTag:
 		return kvstore.Spare
 	case dispatcher.RegisterTag, dispatcher.RemoveTag, workerregistry.Tag:
 		return kvstore.Later
@@ -289,13 +289,13 @@
 	if err != nil && !errors.Is(err, serviceclient.ErrConflict) {
 		n.log.Debug("transaction", "what", a.Tag, "err", err)
 	}
-	n.post(message.TxnDone{Tag: a.Tag, Outcome: outcome(err), Revision: rev})
+	n.post(message.CommitDone{Tag: a.Tag, Outcome: outcome(err), Revision: rev})
 }
 
 // command sends commands to a worker. Its kept connections go when it has not
 // been commanded for a while.
 func (n *Node) command(ctx context.Context, a message.Command) {
-	done := message.Commanded{Machine: a.Machine, Term: a.Commands.Term, Session: a.Commands.Session, Orders: a.Commands.Orders}
+	done := message.CommandDone{Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: a.Commands.AgentEpoch, Orders: a.Commands.Orders}
 	defer func() { n.post(done) }()
 	n.commands <- struct{}{}
 	defer func() { <-n.commands }()
@@ -315,12 +315,12 @@
 		n.log.Info("command refused", "machine", a.Machine, "status", m.Status)
 		return
 	}
-	r, err := protocol.ParseReport(m.Body)
+	r, err := protocol.ParseHeartbeat(m.Body)
 	if err != nil {
 		n.log.Info("command: bad report", "machine", a.Machine, "err", err)
 		return
 	}
-	done.Answered, done.Executed, done.Report = true, m.Status == 200, r
+	done.Answered, done.Executed, done.Heartbeat = true, m.Status == 200, r
 }
 
 func outcome(err error) message.Outcome {
@@ -338,9 +338,9 @@
 func (n *Node) loadBits(ctx context.Context, id protocol.JobID) {
 	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
-	items, _, err := n.state.List(ctx, record.BitsPrefix(id))
+	items, _, err := n.state.List(ctx, record.BitmapPrefix(id))
 	if err != nil {
 		n.log.Debug("bitmap", "job", id, "err", err)
 	}
-	n.post(message.JobLoaded{Job: id, Chunks: items, OK: err == nil})
+	n.post(message.BitmapLoaded{Job: id, Chunks: items, OK: err == nil})
 }
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -22,11 +22,11 @@
 // decision is what the core answers to an operator's request: the answer, and
 // the transaction that has to hold first, if any.
 type decision struct {
-	reply operatorapi.Reply
-	txn   *protocol.Txn
+	reply       operatorapi.Reply
+	transaction *protocol.Transaction
 }
 
-func no(code operatorapi.Code, reason string) decision {
+func refuse(code operatorapi.Code, reason string) decision {
 	return decision{reply: operatorapi.Reply{Code: code, Reason: reason}}
 }
 
@@ -48,16 +48,16 @@
 	}
 }
 
-// Operate decides an operator's request by what this controller has followed:
+// Decide decides an operator's request by what this controller has followed:
 // the answer, and the transaction that has to hold before it is given, if any.
-func (c *Core) Operate(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Txn) {
-	d := c.decide(by, r)
-	return d.reply, d.txn
+func (c *Core) Decide(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
+	d := c.decideRequest(by, r)
+	return d.reply, d.transaction
 }
 
-func (c *Core) decide(by string, r *operatorapi.Request) decision {
+func (c *Core) decideRequest(by string, r *operatorapi.Request) decision {
 	if c.Session == 0 || len(c.Types) == 0 || c.WallMS == 0 {
-		return no(operatorapi.Later, "not ready")
+		return refuse(operatorapi.Later, "not ready")
 	}
 	if r.Config == nil {
 		r.Config = &operatorapi.ConfigRequest{}
@@ -70,11 +70,11 @@
 	case r.Op == operatorapi.OpConfigStatus:
 		return c.configurationStatus()
 	case r.Op == operatorapi.OpShares:
-		return c.listShares()
+		return c.listShards()
 	case r.Op == operatorapi.OpMove:
-		return c.moveShares(r)
+		return c.moveShards(r)
 	case r.Op == operatorapi.OpAway:
-		return c.putAway(r)
+		return c.moveAllAway(r)
 	case r.Op == operatorapi.OpList || r.Op == operatorapi.OpShow:
 		return c.showReserved(r)
 	case r.Op == operatorapi.OpCancel:
@@ -84,36 +84,36 @@
 	case r.Op == operatorapi.OpAdd && r.Window && r.Spec != nil:
 		return c.addWindow(by, r)
 	}
-	return no(operatorapi.Refused, "no such operation")
+	return refuse(operatorapi.Refused, "no such operation")
 }
 
 func (c *Core) addReservation(by string, r *operatorapi.Request) decision {
 	pr, s := &c.reservations, *r.Reservation
 	if err := reservation.CheckReservation(&s); err != nil {
-		return no(operatorapi.Refused, err.Error())
+		return refuse(operatorapi.Refused, err.Error())
 	}
-	have := pr.Book.Reservation(s.Name)
+	have := pr.Calendar.Reservation(s.Name)
 	if have != nil && r.ID != "" && have.Reservation.Request == r.ID {
 		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Reservations: []operatorapi.Reservation{c.reservationView(have)}}}
 	}
 	if have != nil && !r.Replace && have.State != record.Cancelled && have.State != record.Used && have.State != record.Expired {
-		return no(operatorapi.Refused, "there is a reservation of this name")
+		return refuse(operatorapi.Refused, "there is a reservation of this name")
 	}
-	if !pr.Book.Complete() {
-		return no(operatorapi.Later, "the calendar is still being read, or is full")
+	if !pr.Calendar.Complete() {
+		return refuse(operatorapi.Later, "the calendar is still being read, or is full")
 	}
-	a := pr.Book.Reserve(&s, c.facts(), c.Moment())
+	a := pr.Calendar.DecideReservation(&s, c.facts(), c.WallTime())
 	d := answered(a)
 	if !a.OK {
 		return d
 	}
 	rec := record.Reservation{
-		Spec: s, Request: r.ID, By: by, MadeMS: c.Moment(), Order: pr.Changes + 1, State: record.Accepted, StartMS: a.First[0],
+		Spec: s, Request: r.ID, By: by, MadeMS: c.WallTime(), Order: pr.Changes + 1, State: record.Accepted, StartMS: a.First[0],
 	}
 	if r.DryRun {
 		rec.State = record.Proposed
 	} else {
-		d.txn = c.changeCalendar(record.ReservationKey(s.Name), versionOf(have), rec)
+		d.transaction = c.changeCalendar(record.ReservationKey(s.Name), versionOf(have), rec)
 	}
 	d.reply.Reservations = []operatorapi.Reservation{{Reservation: rec}}
 	return d
@@ -122,26 +122,26 @@
 func (c *Core) addWindow(by string, r *operatorapi.Request) decision {
 	pr, s := &c.reservations, *r.Spec
 	if err := reservation.CheckWindow(&s); err != nil {
-		return no(operatorapi.Refused, err.Error())
+		return refuse(operatorapi.Refused, err.Error())
 	}
-	have := pr.Book.Window(s.Name)
+	have := pr.Calendar.Window(s.Name)
 	if have != nil && r.ID != "" && have.Window.Request == r.ID {
 		return decision{reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "was accepted already", Windows: []operatorapi.Window{c.windowView(have)}}}
 	}
 	if have != nil && !r.Replace && !have.Cancelled {
-		return no(operatorapi.Refused, "there is a window of this name")
+		return refuse(operatorapi.Refused, "there is a window of this name")
 	}
-	if !pr.Book.Complete() {
-		return no(operatorapi.Later, "the calendar is still being read, or is full")
+	if !pr.Calendar.Complete() {
+		return refuse(operatorapi.Later, "the calendar is still being read, or is full")
 	}
-	a := pr.Book.Close(&s, c.facts(), c.Moment())
+	a := pr.Calendar.DecideWindow(&s, c.facts(), c.WallTime())
 	d := answered(a)
 	if !a.OK {
 		return d
 	}
-	rec := record.Window{Spec: s, Request: r.ID, By: by, MadeMS: c.Moment()}
+	rec := record.Window{Spec: s, Request: r.ID, By: by, MadeMS: c.WallTime()}
 	if !r.DryRun {
-		d.txn = c.changeCalendar(record.WindowKey(s.Name), versionOf(have), rec)
+		d.transaction = c.changeCalendar(record.WindowKey(s.Name), versionOf(have), rec)
 	}
 	d.reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.First[0], Overruns: c.overruns(&s, a.First[0])}}
 	return d
@@ -164,10 +164,10 @@
 
 // changeCalendar puts a record, if neither it nor any other promise has changed
 // since this was decided.
-func (c *Core) changeCalendar(key string, version protocol.Version, value any) *protocol.Txn {
-	return &protocol.Txn{
-		If: []protocol.Condition{{Key: record.CalendarKey, Version: c.reservations.Version}, {Key: key, Version: version}},
-		Then: []protocol.Change{
+func (c *Core) changeCalendar(key string, version protocol.Version, value any) *protocol.Transaction {
+	return &protocol.Transaction{
+		Conditions: []protocol.Condition{{Key: record.CalendarKey, Version: c.reservations.Version}, {Key: key, Version: version}},
+		Changes: []protocol.Change{
 			{Put: key, Value: value},
 			{Put: record.CalendarKey, Value: record.Calendar{Changes: c.reservations.Changes + 1}},
 		},
@@ -177,15 +177,15 @@
 func (c *Core) cancelReserved(r *operatorapi.Request) decision {
 	pr := &c.reservations
 	done := operatorapi.Reply{Code: operatorapi.Done, Reason: "cancelled"}
-	e, what := pr.Book.Reservation(r.Name), "reservation"
+	e, what := pr.Calendar.Reservation(r.Name), "reservation"
 	if r.Window {
-		e, what = pr.Book.Window(r.Name), "window"
+		e, what = pr.Calendar.Window(r.Name), "window"
 	}
 	switch {
 	case e == nil:
-		return no(operatorapi.NotFound, "no "+what+" of this name")
+		return refuse(operatorapi.NotFound, "no "+what+" of this name")
 	case r.Made != 0 && e.Made() != r.Made:
-		return no(operatorapi.Refused, "it was made anew since")
+		return refuse(operatorapi.Refused, "it was made anew since")
 	case !e.Valid():
 		return decision{reply: done}
 	case r.Window:
@@ -198,20 +198,20 @@
 	return decision{done, c.changeCalendar(record.ReservationKey(r.Name), e.Version, rec)}
 }
 
-// listed at once: an answer is at most as large as a request.
+// machinesListed at once: an answer is at most as large as a request.
 const listedMost = 40
 
 func (c *Core) showReserved(r *operatorapi.Request) decision {
 	pr := &c.reservations
 	reply := operatorapi.Reply{Code: operatorapi.Done}
 	if r.Op == operatorapi.OpShow {
-		e := pr.Book.Reservation(r.Name)
+		e := pr.Calendar.Reservation(r.Name)
 		if r.Window {
-			e = pr.Book.Window(r.Name)
+			e = pr.Calendar.Window(r.Name)
 		}
 		switch {
 		case e == nil:
-			return no(operatorapi.NotFound, "nothing of this name")
+			return refuse(operatorapi.NotFound, "nothing of this name")
 		case r.Window:
 			reply.Windows = []operatorapi.Window{c.windowView(e)}
 		default:
@@ -219,13 +219,13 @@
 		}
 		return decision{reply: reply}
 	}
-	es := pr.Book.Reservations()
+	es := pr.Calendar.Reservations()
 	if r.Window {
-		es = pr.Book.Windows()
+		es = pr.Calendar.Windows()
 	}
 	for _, e := range es {
 		if e.Name() <= r.Name {
-			continue // listed before
+			continue // machinesListed before
 		}
 		if len(reply.Reservations)+len(reply.Windows) >= listedMost {
 			reply.More = true
@@ -260,7 +260,7 @@
 }
 
 func (c *Core) windowView(e *reservation.Entry) operatorapi.Window {
-	now := c.Moment()
+	now := c.WallTime()
 	v := operatorapi.Window{Window: *e.Window}
 	if e.Cancelled {
 		return v
@@ -311,14 +311,14 @@
 		return f.configurationHistory(ctx)
 	}
 	for ctx.Err() == nil {
-		d, ok := ask(f.n, func(c *Core) decision { return c.decide(by, &r) })
+		d, ok := ask(f.n, func(c *Core) decision { return c.decideRequest(by, &r) })
 		if !ok {
 			break
 		}
-		if d.txn == nil {
+		if d.transaction == nil {
 			return operatorAnswer(d.reply)
 		}
-		_, err := f.n.state.CompareAndSwap(ctx, *d.txn, kvstore.First)
+		_, err := f.n.state.CompareAndSwap(ctx, *d.transaction, kvstore.First)
 		switch {
 		case err == nil:
 			f.n.log.Info("operator's change", "by", by, "op", r.Op, "window", r.Window, "name", r.Name, "controller", r.Controller, "id", r.ID)
--- a/internal/controller/operateconfig.go
+++ b/internal/controller/operateconfig.go
@@ -17,25 +17,25 @@
 
 // configure decides an operator's change of the configuration.
 func (c *Core) configure(by string, r *operatorapi.Request) decision {
-	followed := c.Configured
+	followed := c.Configuration
 	if revision, done := followed.DoneBefore(r.ID); done {
 		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: c.configuredWithinS()}}
 		return decision{reply: reply}
 	}
 	present := followed.Effective().Revision
 	switch {
-	case !c.Acting():
-		return no(operatorapi.Later, "may not act now")
+	case !c.HoldsLease():
+		return refuse(operatorapi.Later, "may not act now")
 	case c.View.Layout < record.LayoutConfiguration:
-		return no(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", c.members.Hindering(record.LayoutConfiguration)))
+		return refuse(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", c.members.BlockingLayout(record.LayoutConfiguration)))
 	case r.Config.Revision != nil && *r.Config.Revision != present:
-		return no(operatorapi.Refused, fmt.Sprintf("revision %d is in force, not %d", present, *r.Config.Revision))
+		return refuse(operatorapi.Refused, fmt.Sprintf("revision %d is in force, not %d", present, *r.Config.Revision))
 	}
 	plan, err := followed.Decide(c.configurationFacts(), r.Config.Changes)
 	if err != nil {
-		return no(operatorapi.Refused, err.Error())
+		return refuse(operatorapi.Refused, err.Error())
 	}
-	plan.Request, plan.By, plan.AtMS = r.ID, by, c.Moment()
+	plan.Request, plan.By, plan.AtMS = r.ID, by, c.WallTime()
 	d := decision{reply: operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: c.configuredWithinS()}}}
 	switch {
 	case len(plan.Changes) == 0:
@@ -44,7 +44,7 @@
 		d.reply.Reason = "nothing was changed: a dry run"
 	default:
 		txn := plan.Transaction()
-		d.txn = &txn
+		d.transaction = &txn
 	}
 	return d
 }
@@ -75,7 +75,7 @@
 
 // showConfiguration lists entries as they are in force.
 func (c *Core) showConfiguration(r *operatorapi.Request) decision {
-	effective := c.Configured.Effective()
+	effective := c.Configuration.Effective()
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: effective.Revision}}
 	for _, id := range c.configurationIDs() {
 		if id <= r.Config.After || !r.Config.Wants(id) {
@@ -88,7 +88,7 @@
 		reply.Config.Entries = append(reply.Config.Entries, c.configurationView(id))
 	}
 	if len(reply.Config.Entries) == 0 && r.Config.Entry != "" {
-		return no(operatorapi.NotFound, "there is no such entry")
+		return refuse(operatorapi.NotFound, "there is no such entry")
 	}
 	return decision{reply: reply}
 }
@@ -97,7 +97,7 @@
 // were changed.
 func (c *Core) configurationIDs() []record.EntryID {
 	ids := map[record.EntryID]bool{}
-	for _, team := range c.Configured.Effective().Teams() {
+	for _, team := range c.Configuration.Effective().Teams() {
 		ids[record.NewEntryID(record.EntryTeam, string(team))] = true
 	}
 	for _, o := range c.Objectives() {
@@ -114,7 +114,7 @@
 	for _, name := range dynamicconfig.Settings() {
 		ids[record.NewEntryID(record.EntrySetting, name)] = true
 	}
-	for id := range c.Configured.Entries() {
+	for id := range c.Configuration.Entries() {
 		ids[id] = true
 	}
 	return slices.Sorted(maps.Keys(ids))
@@ -122,8 +122,8 @@
 
 // configurationView is an entry as it is in force.
 func (c *Core) configurationView(id record.EntryID) operatorapi.ConfigEntry {
-	effective := c.Configured.Effective()
-	v := operatorapi.ConfigEntry{Entry: id, Revision: c.Configured.Entry(id).Revision}
+	effective := c.Configuration.Effective()
+	v := operatorapi.ConfigEntry{Entry: id, Revision: c.Configuration.Entry(id).Revision}
 	switch kind, name := id.Split(); kind {
 	case record.EntryTeam:
 		t, known := effective.Team(protocol.Team(name))
@@ -146,7 +146,7 @@
 
 // configurationStatus tells who acts by which revision.
 func (c *Core) configurationStatus() decision {
-	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: c.Configured.Effective().Revision, WithinS: c.configuredWithinS()}}
+	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: c.Configuration.Effective().Revision, WithinS: c.configuredWithinS()}}
 	outdated := c.members.Outdated()
 	names := append(slices.Collect(maps.Keys(c.View.Members)), outdated...)
 	names = append(names, c.Self)
@@ -158,7 +158,7 @@
 		revision, ago := c.revisionOf(name)
 		reply.Config.Controllers = append(reply.Config.Controllers, operatorapi.ConfigController{
 			Name: name, Revision: revision, Member: c.View.Members[name] != 0, Older: slices.Contains(outdated, name), HeardS: ago.Seconds(),
-			Acting: name == c.Self && c.Acting(),
+			Acting: name == c.Self && c.HoldsLease(),
 		})
 	}
 	return decision{reply: reply}
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -28,7 +28,7 @@
 
 	mu       sync.Mutex
 	from, to protocol.LeaseID
-	next     uint64 // number of queue[0]
+	next     uint64 // placeNumber of queue[0]
 	inFlight int
 	queue    []message.Send
 }
@@ -46,7 +46,7 @@
 	if s.Message.Relay != nil {
 		for i := len(o.queue) - 1; i >= o.inFlight; i-- {
 			if before := o.queue[i].Message.Relay; before != nil {
-				s.Message.Relay = mergeRelays(before, s.Message.Relay)
+				s.Message.Relay = mergeUpdates(before, s.Message.Relay)
 				o.queue = append(o.queue[:i], o.queue[i+1:]...)
 				break
 			}
@@ -72,13 +72,13 @@
 	b := message.Batch{From: o.self, FromSession: o.from, ToSession: o.to, First: o.next}
 	for _, s := range o.queue[:n] {
 		b.Messages = append(b.Messages, s.Message)
-		b.Term, b.Shares = max(b.Term, s.Term), max(b.Shares, s.Shares)
+		b.Term, b.Shares = max(b.Term, s.Term), max(b.Shares, s.ShardsEpoch)
 	}
 	return b, true
 }
 
-// Settle removes what was taken, or all of a session that is over.
-func (o *Outbox) Settle(b message.Batch, r message.BatchReply) {
+// HandleReply removes what was taken, or all of a session that is over.
+func (o *Outbox) HandleReply(b message.Batch, r message.BatchReply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	// An answer that comes late, to a batch sent before, changes nothing: what
@@ -88,10 +88,10 @@
 	}
 	o.inFlight = 0
 	switch r {
-	case message.BatchTaken:
+	case message.BatchAccepted:
 		o.queue = o.queue[len(b.Messages):]
 		o.next += uint64(len(b.Messages))
-	case message.BatchStale, message.BatchPassed:
+	case message.BatchStale, message.BatchExcluded:
 		o.queue = nil
 	}
 }
@@ -113,11 +113,11 @@
 			sleep(ctx, 300*time.Millisecond)
 			continue
 		}
-		o.Settle(b, reply)
+		o.HandleReply(b, reply)
 		switch reply {
 		case message.BatchBehind:
 			sleep(ctx, 30*time.Millisecond)
-		case message.BatchPassed:
+		case message.BatchExcluded:
 			o.passed()
 		}
 	}
@@ -129,7 +129,7 @@
 // Deliver takes a batch of messages.
 func (s *peerService) Deliver(b message.Batch, reply *message.BatchReply) error {
 	done := make(chan message.BatchReply, 1)
-	s.node.mailbox <- envelope{msg: message.Received{Batch: b}, reply: func(actions []message.Action) {
+	s.node.mailbox <- envelope{msg: message.BatchReceived{Batch: b}, reply: func(actions []message.Action) {
 		r := message.BatchStale
 		for _, a := range actions {
 			if rb, ok := a.(message.ReplyBatch); ok {
