--- a/internal/scale/address.go
+++ b/internal/scale/address.go
@@ -7,27 +7,29 @@
 	"net"
 )
 
-// Ports of processes that are started again have to be free then: they are outside
-// the range from which Linux gives ports to those who name none.
+// The ports of processes that are restarted must be free then: they are outside the range
+// from which Linux assigns ephemeral ports.
 const (
-	firstPort   = 12_000
-	portCount   = 20_000
-	portTries   = 1000
-	loopbackAny = "127.0.0.1:%d"
+	firstPort       = 12_000
+	portCount       = 20_000
+	maxPortAttempts = 1000
 )
 
 // errNoPort says that no free port was found.
 var errNoPort = errors.New("no free port on loopback")
 
-// freeAddress is an address on loopback that nobody listens at.
+// freeAddress returns a loopback address at which nobody listens.
 func freeAddress() (string, error) {
-	for range portTries {
-		addr := fmt.Sprintf(loopbackAny, firstPort+rand.IntN(portCount))
-		l, err := net.Listen("tcp", addr)
+	for range maxPortAttempts {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
+		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
 		}
-		return addr, l.Close()
+		if err := listener.Close(); err != nil {
+			return "", fmt.Errorf("close listener at %s: %w", addr, err)
+		}
+		return addr, nil
 	}
 	return "", errNoPort
 }
--- /dev/null
+++ b/internal/scale/deploy.go
@@ -0,0 +1,54 @@
+package scale
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// errNoProgram says that the deploy file names no program.
+var errNoProgram = errors.New("deploy file: run is empty")
+
+// deployFile says how the service is built and started.
+type deployFile struct {
+	Build string `toml:"build"`
+	Run   string `toml:"run"`
+}
+
+// buildService builds the service as its deploy file says, and returns the program with
+// its arguments.
+func buildService(root string) ([]string, error) {
+	b, err := os.ReadFile(filepath.Join(root, "deploy", "service.toml"))
+	if err != nil {
+		return nil, err //nolint:wrapcheck // the error names the file
+	}
+	var deploy deployFile
+	if err := toml.Unmarshal(b, &deploy); err != nil {
+		return nil, fmt.Errorf("deploy file: %w", err)
+	}
+	cmd := exec.Command("sh", "-c", deploy.Build)
+	cmd.Dir = root
+	if out, err := cmd.CombinedOutput(); err != nil {
+		return nil, fmt.Errorf("build: %w\n%s", err, out)
+	}
+	program := strings.Fields(deploy.Run)
+	if len(program) == 0 {
+		return nil, errNoProgram
+	}
+	program[0] = filepath.Join(root, program[0])
+	return program, nil
+}
+
+// commit returns the commit of a checkout, marked if files have changed since.
+func commit(root string) string {
+	out, err := exec.Command("git", "-C", root, "describe", "--always", "--dirty", "--exclude", "*").Output()
+	if err != nil {
+		return "unknown"
+	}
+	return strings.TrimSpace(string(out))
+}
--- a/internal/scale/table.go
+++ b/internal/scale/results/table.go
@@ -1,4 +1,4 @@
-package scale
+package results
 
 import (
 	"cmp"
@@ -6,28 +6,34 @@
 	"io"
 	"maps"
 	"slices"
+	"strings"
+
+	"damsonkeel/internal/scale/analysis"
+	"damsonkeel/internal/scale/metrics"
+	"damsonkeel/internal/scale/process"
 
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// Print writes results as tables for people.
+// Print prints results as tables.
 func Print(out io.Writer, results []*Result) {
 	printRuns(out, results)
 	printRoles(out, results)
 	printTraffic(out, results)
-	printTroubles(out, results)
+	printFaults(out, results)
 	printStages(out, results)
 	printConfig(out, results)
 	for _, r := range results {
 		if r.Saturated {
-			fmt.Fprintf(out, "scale %v is SATURATED: timers were up to %.0f ms late in 99 of 100 cases (%.0f at most); its times don't count as the service's.\n", r.Factor, r.Lateness.P99MS, saturatedMS*1.0)
+			_, _ = fmt.Fprintf(out, "scale %v is SATURATED: timers were up to %.0f ms late in 99 of 100 cases (%.0f at most); its times don't count as the service's.\n", r.Factor, r.Lateness.P99MS, float64(saturatedMS))
 		}
 		for _, rule := range r.Rules {
-			fmt.Fprintf(out, "scale %v: rule broken: %s\n", r.Factor, rule)
+			_, _ = fmt.Fprintf(out, "scale %v: rule broken: %s\n", r.Factor, rule)
 		}
 	}
 }
 
+// newTable returns an empty table.
 func newTable(out io.Writer, header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
@@ -36,17 +42,21 @@
 	return t
 }
 
+// printRuns prints a line for each run.
 func printRuns(out io.Writer, results []*Result) {
 	t := newTable(out, "scale", "workers", "rules broken", "timers late p99 ms", "starts", "peak /s", "running", "urgent jobs", "p50 s", "p99 s", "worst s", "all p50 s", "all p99 s", "accepted p99 s", "polls p99 s", "controllers died")
 	for _, r := range results {
-		all := r.Waits[allClasses]
-		t.AppendRow(table.Row{r.Factor, r.Workers, len(r.Rules), fixed1(r.Lateness.P99MS), r.Starts, r.StartsPeakS, r.RunningPeak,
+		all := r.Waits[analysis.AllClasses]
+		t.AppendRow(table.Row{
+			r.Factor, r.Workers, len(r.Rules), fixed1(r.Lateness.P99MS), r.Starts, r.StartsPeakS, r.RunningPeak,
 			r.Urgent.Jobs, fixed2(r.Urgent.P50S), fixed2(r.Urgent.P99S), fixed2(r.Urgent.WorstS), fixed2(all.P50S), fixed2(all.P99S),
-			fixed2(r.Users.Submissions.P99S), fixed2(r.Users.Polls.P99S), r.ControllersDied})
+			fixed2(r.Users.Submissions.P99S), fixed2(r.Users.Polls.P99S), r.ControllersDied,
+		})
 	}
 	t.Render()
 }
 
+// printRoles prints the resource usage of each role.
 func printRoles(out io.Writer, results []*Result) {
 	t := newTable(out, "scale", "role", "processes", "cores, mean", "most", "peak", "memory MB", "files", "threads", "goroutines")
 	for _, r := range results {
@@ -58,13 +68,14 @@
 	t.Render()
 }
 
+// printTraffic prints the traffic of each role.
 func printTraffic(out io.Writer, results []*Result) {
 	t := newTable(out, "scale", "role", "kind", "messages /s", "bytes in /s", "bytes out /s", "busiest second")
 	for _, r := range results {
 		for _, f := range r.Roles {
 			for _, kind := range slices.Sorted(maps.Keys(f.Traffic)) {
 				rate, peak := f.Traffic[kind], ""
-				if n, ok := r.State.PeakS[cutPrefix(kind, "state ")]; ok && f.Role == RoleServices {
+				if n, ok := r.State.PeakS[stateKind(kind)]; ok && f.Role == process.RoleServices {
 					peak = fmt.Sprint(n)
 				}
 				t.AppendRow(table.Row{r.Factor, f.Role, kind, rate.MessagesS, rate.BytesInS, rate.BytesOutS, peak})
@@ -75,12 +86,13 @@
 	t.Render()
 }
 
-func printTroubles(out io.Writer, results []*Result) {
+// printFaults prints the effect of each fault, and urgent jobs outside of it.
+func printFaults(out io.Writer, results []*Result) {
 	t := newTable(out, "scale", "trouble", "at s", "for s", "all workers heard after s", "starts back after s", "urgent jobs", "in 2.4 s", "p99 s", "worst s")
 	for _, r := range results {
-		slices.SortStableFunc(r.Troubles, func(a, b TroubleFigures) int { return cmp.Compare(a.AtS, b.AtS) })
-		for _, f := range r.Troubles {
-			t.AppendRow(table.Row{r.Factor, f.Kind, f.AtS, f.ForS, f.HeardS, f.StartsBackS, f.Urgent.Jobs, fixed2(f.Urgent.InTime), fixed2(f.Urgent.P99S), fixed2(f.Urgent.WorstS)})
+		slices.SortStableFunc(r.Faults, func(a, b analysis.FaultMetrics) int { return cmp.Compare(a.AtS, b.AtS) })
+		for _, f := range r.Faults {
+			t.AppendRow(table.Row{r.Factor, f.Kind, f.AtS, f.ForS, f.HeartbeatsRecoveredS, f.StartsRecoveredS, f.Urgent.Jobs, fixed2(f.Urgent.InTime), fixed2(f.Urgent.P99S), fixed2(f.Urgent.WorstS)})
 		}
 		t.AppendRow(table.Row{r.Factor, "none", "", "", "", "", r.Urgent.Calm.Jobs, fixed2(r.Urgent.Calm.InTime), fixed2(r.Urgent.Calm.P99S), fixed2(r.Urgent.Calm.WorstS)})
 		limit := r.Urgent.CalmAtLimit
@@ -89,12 +101,13 @@
 	t.Render()
 }
 
+// printStages prints the stages of urgent tasks' waits.
 func printStages(out io.Writer, results []*Result) {
 	t := newTable(out, "scale", "urgent tasks", "p50 s", "p99 s", "worst s")
 	for _, r := range results {
 		for _, stage := range []struct {
 			name  string
-			waits Waits
+			waits metrics.Waits
 		}{{"until accepted", r.Urgent.Stages.Accepted}, {"until ordered at the worker", r.Urgent.Stages.Ordered}, {"until the image is there", r.Urgent.Stages.Image}} {
 			t.AppendRow(table.Row{r.Factor, stage.name, fixed2(stage.waits.P50S), fixed2(stage.waits.P99S), fixed2(stage.waits.WorstS)})
 		}
@@ -102,24 +115,28 @@
 	t.Render()
 }
 
+// printConfig prints how changes of the configuration came into force.
 func printConfig(out io.Writer, results []*Result) {
 	t := newTable(out, "scale", "changes of the configuration", "failed", "durable p99 s", "in force p99 s", "worst s", "by the bound", "of those heard p99 s", "worst s", "oldest acted by s")
 	for _, r := range results {
 		if c := r.Config; c != nil {
-			t.AppendRow(table.Row{r.Factor, c.Changes, c.Failed, fixed2(c.AnsweredP99S), fixed2(c.InForceP99S), fixed2(c.InForceWorstS), c.ByBound, fixed2(c.HeardP99S), fixed2(c.HeardWorstS), fixed2(c.OldestS)})
+			t.AppendRow(table.Row{r.Factor, c.Changes, c.Failed, fixed2(c.AnsweredP99S), fixed2(c.InForceP99S), fixed2(c.InForceWorstS), c.ByBound, fixed2(c.AnsweringP99S), fixed2(c.AnsweringWorstS), fixed2(c.OldestS)})
 		}
 	}
 	t.Render()
 }
 
-// cutPrefix is a text without a prefix; empty if it has not got it.
-func cutPrefix(text, prefix string) string {
-	if len(text) <= len(prefix) || text[:len(prefix)] != prefix {
+// stateKind returns the kind of request to the state service that a kind of traffic is;
+// empty: none.
+func stateKind(traffic string) string {
+	kind, found := strings.CutPrefix(traffic, "state ")
+	if !found {
 		return ""
 	}
-	return text[len(prefix):]
+	return kind
 }
 
+// fixed1, fixed2 and fixed4 format a number with so many decimals.
 func fixed1(v float64) string { return fmt.Sprintf("%.1f", v) }
 func fixed2(v float64) string { return fmt.Sprintf("%.2f", v) }
 func fixed4(v float64) string { return fmt.Sprintf("%.4f", v) }
--- a/internal/scale/rules/checker.go
+++ b/internal/scale/rules/checker.go
@@ -78,17 +78,17 @@
 		case UserDescribes:
 			c.jobs[e.Job] = e.Description
 		case UserCancels:
-			keepEarliest(c.cancelRequested, e.Job, e.RequestedAt)
+			updateEarliest(c.cancelRequested, e.Job, e.RequestedAt)
 		}
 		if e.Status == http.StatusOK && e.State == protocol.JobCancelled {
-			keepEarliest(c.cancelConfirmed, e.Job, e.AnsweredAt)
+			updateEarliest(c.cancelConfirmed, e.Job, e.AnsweredAt)
 		}
 	}
 	return c
 }
 
-// keepEarliest stores a job's time unless an earlier one is stored.
-func keepEarliest(times map[protocol.JobID]time.Duration, job protocol.JobID, at time.Duration) {
+// updateEarliest stores a job's time unless an earlier one is stored.
+func updateEarliest(times map[protocol.JobID]time.Duration, job protocol.JobID, at time.Duration) {
 	if previous, ok := times[job]; !ok || at < previous {
 		times[job] = at
 	}
--- /dev/null
+++ b/internal/scale/siteconfig/fault.go
@@ -0,0 +1,34 @@
+package siteconfig
+
+// FaultKind is the kind of a fault.
+type FaultKind string
+
+// The kinds of faults.
+const (
+	// FaultKillController kills Count controllers at once.
+	FaultKillController FaultKind = "kill_controller"
+	// FaultKillAllControllers kills all controllers, one every EveryS.
+	FaultKillAllControllers FaultKind = "kill_all"
+	// FaultPauseController pauses Count controllers for ForS.
+	FaultPauseController FaultKind = "stop_controller"
+	// FaultPauseZone pauses the shared worker process of a zone for ForS.
+	FaultPauseZone FaultKind = "stop_zone"
+	// FaultPartitionRegion partitions a region from all others and from the
+	// services for ForS.
+	FaultPartitionRegion FaultKind = "cut_region"
+	// FaultKillMachines kills Count machines with all that runs on them.
+	FaultKillMachines FaultKind = "machines_die"
+	// FaultRestartWorkers restarts one worker every EveryS for ForS.
+	FaultRestartWorkers FaultKind = "restart_workers"
+)
+
+// Fault is a fault that is injected into a run.
+type Fault struct {
+	AtS    float64   `toml:"at_s"`
+	Kind   FaultKind `toml:"kind"`
+	ForS   float64   `toml:"for_s"`
+	EveryS float64   `toml:"every_s"`
+	Count  int       `toml:"count"`
+	Zone   int       `toml:"zone"`   // counted from 0
+	Region int       `toml:"region"` // counted from 0
+}
--- /dev/null
+++ b/internal/scale/siteconfig/load.go
@@ -0,0 +1,29 @@
+package siteconfig
+
+import (
+	"fmt"
+	"os"
+
+	"damsonkeel/internal/config"
+)
+
+// LoadSite reads and validates a site file.
+func LoadSite(path string) (*Site, error) {
+	b, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("site: %w", err)
+	}
+	return ParseSite(b)
+}
+
+// ParseSite reads and validates a site. Its errors name unknown fields and invalid values.
+func ParseSite(b []byte) (*Site, error) {
+	s := &Site{}
+	if err := config.DecodeStrict(b, s); err != nil {
+		return nil, fmt.Errorf("site: %w", err)
+	}
+	if err := s.validate(); err != nil {
+		return nil, fmt.Errorf("site: %w", err)
+	}
+	return s, nil
+}
--- /dev/null
+++ b/internal/scale/users/users.go
@@ -0,0 +1,208 @@
+package users
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"time"
+
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/scale/clock"
+	"damsonkeel/internal/scale/metrics"
+	"damsonkeel/internal/scale/monitor"
+	"damsonkeel/internal/scale/process"
+	"damsonkeel/internal/scale/rules"
+	"damsonkeel/internal/scale/siteconfig"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	submitTimeout = 5 * time.Second
+	// submitPeriod is how long a submission or cancellation is retried.
+	submitPeriod = 60 * time.Second
+	retryDelay   = time.Second
+	pollInterval = 5 * time.Second
+	pollTimeout  = 2 * time.Second
+	// cancelDelay is the mean time from a submission to its cancellation.
+	cancelDelay = 3 * time.Second
+	// estimateError is the largest relative error of users' estimates.
+	estimateError = 0.3
+	// exchangeInterval is the time between two exchanges with the monitor.
+	exchangeInterval = 100 * time.Millisecond
+)
+
+// Users plays the users of all teams.
+type Users struct {
+	begin    time.Duration
+	client   *monitor.Client
+	balancer *balancer
+	log      *slog.Logger
+
+	mu          sync.Mutex
+	events      []rules.UserEvent // not sent to the monitor yet
+	submissions *hdrhistogram.Histogram
+	polls       *hdrhistogram.Histogram
+	unanswered  int
+	notAccepted int
+}
+
+// request is a request of a user about a job.
+type request struct {
+	kind           rules.UserEventKind
+	job            protocol.JobID
+	method, target string
+	body           []byte
+	timeout        time.Duration
+}
+
+// Start starts to submit the jobs of a site until the context ends.
+func Start(ctx context.Context, cfg process.Config, log *slog.Logger) *Users {
+	rng := rand.New(rand.NewPCG(cfg.Seed, siteconfig.StreamUsers))
+	u := &Users{
+		begin: cfg.Begin, client: monitor.NewClient(cfg.Name, cfg.Monitor), log: log,
+		submissions: metrics.NewHistogram(), polls: metrics.NewHistogram(),
+		balancer: newBalancer(ctx, cfg.Controllers, rand.New(rand.NewPCG(cfg.Seed, siteconfig.StreamBalancer))),
+	}
+	go u.submitAll(ctx, arrivals(&cfg.Site, rng))
+	go u.exchangeUntilDone(ctx)
+	return u
+}
+
+// submitAll submits each job at its time.
+func (u *Users) submitAll(ctx context.Context, jobs []arrival) {
+	for _, a := range jobs {
+		time.Sleep(u.begin + a.at - clock.Now())
+		if ctx.Err() != nil {
+			return
+		}
+		go u.runJob(ctx, a)
+	}
+}
+
+// runJob submits a job, cancels it if its user does so, and polls it until it ends.
+func (u *Users) runJob(ctx context.Context, a arrival) {
+	if err := u.client.Upload(a.job); err != nil {
+		u.log.Error("upload failed", "job", a.job.ID, "err", err)
+		return
+	}
+	if !u.submit(ctx, a.job) {
+		return
+	}
+	path := "/work/" + string(a.job.ID)
+	if a.cancel > 0 {
+		time.Sleep(a.cancel)
+		u.retry(ctx, request{kind: rules.UserCancels, job: a.job.ID, method: http.MethodPost, target: path + "/abort", timeout: submitTimeout})
+	}
+	poll := request{kind: rules.UserPolls, job: a.job.ID, method: http.MethodGet, target: path, timeout: pollTimeout}
+	for ctx.Err() == nil {
+		time.Sleep(pollInterval)
+		e := u.send(ctx, poll)
+		u.recordPoll(e)
+		if e.Status == http.StatusOK && (e.State == protocol.JobDone || e.State == protocol.JobCancelled) {
+			return
+		}
+	}
+}
+
+// submit submits a job until it is accepted, and reports whether it was.
+func (u *Users) submit(ctx context.Context, job protocol.Job) bool {
+	body, err := protocol.EncodeSubmission(job)
+	if err != nil {
+		u.log.Error("encoding of submission failed", "job", job.ID, "err", err)
+		return false
+	}
+	begin := clock.Now()
+	accepted := u.retry(ctx, request{kind: rules.UserSubmits, job: job.ID, method: http.MethodPost, target: "/work", body: body, timeout: submitTimeout})
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if !accepted {
+		u.notAccepted++
+		return false
+	}
+	metrics.Observe(u.submissions, clock.Now()-begin)
+	return true
+}
+
+// retry repeats a request until it succeeds or is rejected, or submitPeriod has passed.
+func (u *Users) retry(ctx context.Context, r request) bool {
+	for until := clock.Now() + submitPeriod; clock.Now() < until && ctx.Err() == nil; time.Sleep(retryDelay) {
+		switch u.send(ctx, r).Status {
+		case http.StatusOK, http.StatusCreated:
+			return true
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
+			return false
+		}
+	}
+	return false
+}
+
+// send sends one request, and stores and returns its outcome.
+func (u *Users) send(ctx context.Context, r request) rules.UserEvent {
+	e := rules.UserEvent{RequestedAt: clock.Now(), Kind: r.kind, Job: r.job}
+	ctx, cancel := context.WithTimeout(ctx, r.timeout)
+	defer cancel()
+	reply, err := u.balancer.do(ctx, r.method, r.target, r.body)
+	e.AnsweredAt = clock.Now()
+	if err == nil {
+		e.Status = reply.Status
+		var status protocol.JobStatus
+		if isSuccess(reply.Status) && protocol.Decode(reply.Body, &status) == nil {
+			e.State = status.State
+		}
+	}
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.events = append(u.events, e)
+	return e
+}
+
+// isSuccess reports whether an HTTP status is one of success.
+func isSuccess(status int) bool { return status/100 == 2 }
+
+// recordPoll counts the outcome of a poll.
+func (u *Users) recordPoll(e rules.UserEvent) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if e.Status != http.StatusOK {
+		u.unanswered++
+		return
+	}
+	metrics.Observe(u.polls, e.AnsweredAt-e.RequestedAt)
+}
+
+// exchangeUntilDone sends what users observe to the monitor until the context ends.
+func (u *Users) exchangeUntilDone(ctx context.Context) {
+	for ctx.Err() == nil {
+		time.Sleep(exchangeInterval)
+		u.exchange()
+	}
+}
+
+// exchange sends what users observed since the last exchange.
+func (u *Users) exchange() {
+	if _, err := u.client.Exchange(u.collect); err != nil {
+		u.log.Error("exchange failed", "err", err)
+	}
+}
+
+// collect takes the events that were not sent yet.
+func (u *Users) collect() monitor.Exchange {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	events := u.events
+	u.events = nil
+	return monitor.Exchange{Users: events}
+}
+
+// Report sends the last events to the monitor and returns the users' metrics.
+func (u *Users) Report() process.Report {
+	u.exchange()
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return process.Report{Users: &metrics.UserMetrics{
+		Submissions: metrics.WaitsOf(u.submissions), Polls: metrics.WaitsOf(u.polls), Unanswered: u.unanswered, NotAccepted: u.notAccepted,
+	}}
+}
