--- a/internal/controller/dispatcher/configuration.go
+++ b/internal/controller/dispatcher/configuration.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// closed reports whether the configuration has nothing new started on the machine.
+// closed reports whether the configuration closes the machine to new starts.
 func (q *queue) closed() bool { return q.PlaceClosed(q.machineType.Name, q.zone) }
 
-// releaseOutdated gives back to its owners what waits on the machine and may not be
-// started by the configuration in force.
+// releaseOutdated releases the waiting attempts that the configuration in force does not
+// allow to start.
 func (q *queue) releaseOutdated() {
 	if q.closed() {
 		q.releaseWaiting()
 		return
 	}
-	if slices.ContainsFunc(q.waiting, q.outdated) {
-		q.releaseWhere(q.outdated)
+	if slices.ContainsFunc(q.waiting, q.isOutdated) {
+		q.releaseWhere(q.isOutdated)
 	}
 }
--- a/internal/controller/dispatcher/directcommands.go
+++ b/internal/controller/dispatcher/directcommands.go
@@ -8,22 +8,22 @@
 )
 
 // DirectTimeout is how long a direct command may stay unanswered. If its worker sends a
-// heartbeat after that, the fencing token is raised, which settles it.
+// heartbeat after that, the fencing token is raised, which settles the command.
 const DirectTimeout = 4 * time.Second
 
-// directSchedule lists the queues whose commands are to be sent at the end of the step.
+// directSchedule lists the queues whose commands are sent at the end of the step.
 type directSchedule struct {
 	due []*queue
 }
 
-// take empties the list and returns it.
-func (s *directSchedule) take() []*queue {
+// takeAll empties the list and returns it.
+func (s *directSchedule) takeAll() []*queue {
 	due := s.due
 	s.due = nil
 	return due
 }
 
-// requestDirect has the queue's commands sent at the end of the step.
+// requestDirect schedules the queue's commands to be sent at the end of the step.
 func (q *queue) requestDirect() {
 	if !q.directRequested {
 		q.directRequested = true
@@ -31,17 +31,18 @@
 	}
 }
 
-// SendDirectCommands sends commands straight to workers whose queue or resources have
-// changed, instead of waiting for their next heartbeat, one message at a time. A new term
-// does not interrupt that: what is on the machine is known here as long as its queue is,
-// and the commands themselves bring the term.
+// SendDirectCommands sends commands directly to workers whose queue or resources have
+// changed, without waiting for their next heartbeat. Each worker has at most one such
+// message in flight. A new term does not interrupt this: the dispatcher tracks what is on
+// the machine for as long as it holds the queue, and the commands themselves carry the new
+// term.
 func (d *Dispatcher) SendDirectCommands() {
 	if !d.HoldsLease() {
 		return
 	}
-	for _, q := range d.direct.take() {
+	for _, q := range d.direct.takeAll() {
 		if !q.directRequested || q.directInFlight || d.queues.get(q.id) != q || q.handingOver() {
-			continue // the answer to commands in flight requests it again
+			continue // the answer to the commands in flight reschedules the queue
 		}
 		q.directRequested = false
 		if q.reachable() {
@@ -50,12 +51,12 @@
 	}
 }
 
-// reachable reports whether the worker can be sent commands.
+// reachable reports whether commands can be sent to the worker.
 func (q *queue) reachable() bool {
 	return q.inventoryKnown && q.recordVersion != 0 && q.address != "" && q.everSeen
 }
 
-// sendCommands sends the worker the commands that are due, if there are any.
+// sendCommands sends the worker its pending commands, if there are any.
 func (q *queue) sendCommands() {
 	orders := q.buildOrders(0, true)
 	if len(orders) == 0 {
@@ -67,82 +68,83 @@
 	}})
 }
 
-// CommandDone takes the answer to direct commands, or that there was none.
-func (d *Dispatcher) CommandDone(m message.CommandDone) {
-	q := d.queues.get(m.Machine)
+// CommandDone handles the answer to direct commands, or the lack of one.
+func (d *Dispatcher) CommandDone(result message.CommandDone) {
+	q := d.queues.get(result.Machine)
 	if q == nil {
 		return
 	}
 	q.directInFlight = false
 	if q.handingOver() {
-		return // the next heartbeat settles it
+		return // the next heartbeat settles the commands
 	}
 	if q.directRequested {
 		q.directRequested = false
 		q.requestDirect()
 	}
-	if q.agentEpoch != m.AgentEpoch || !m.Answered {
-		return // nothing is known of these starts: see settleDirectStart
+	if q.agentEpoch != result.AgentEpoch || !result.Answered {
+		return // the outcome of these starts is unknown: see settleDirectStart
 	}
-	q.settleAnswered(&m)
-	if q.isNewAnswer(&m.Heartbeat) {
-		q.lastSeq = m.Heartbeat.Seq
-		q.applyHeartbeat(&m.Heartbeat, false)
+	q.settleAnswered(&result)
+	if q.isNewAnswer(&result.Heartbeat) {
+		q.lastSeq = result.Heartbeat.Seq
+		q.applyHeartbeat(&result.Heartbeat, false)
 	}
-	if !m.Executed {
-		q.requeueRefused(m.Orders)
+	if !result.Executed {
+		q.requeueRefused(result.Orders)
 	}
 }
 
-// isNewAnswer reports whether the status in an answer to direct commands is of this
-// machine and agent epoch, and newer than what is known.
-func (q *queue) isNewAnswer(r *protocol.Heartbeat) bool {
-	return q.HoldsLease() && r.Machine == q.id && r.AgentEpoch == q.agentEpoch && r.Seq > q.lastSeq && r.Term <= q.fencingToken()
+// isNewAnswer reports whether the status in an answer to direct commands belongs to this
+// machine and agent epoch and is newer than the last status applied.
+func (q *queue) isNewAnswer(heartbeat *protocol.Heartbeat) bool {
+	return q.HoldsLease() && heartbeat.Machine == q.id && heartbeat.AgentEpoch == q.agentEpoch && heartbeat.Seq > q.lastSeq && heartbeat.Term <= q.fencingToken()
 }
 
-// startedBy returns the entry of an order to start an attempt; nil for another order, or
-// if the attempt is not known any more.
-func (q *queue) startedBy(o protocol.Order) *entry {
+// entryToStart returns the entry of the attempt that an order starts; nil if the order is
+// not a start, or if the attempt is no longer in the queue.
+func (q *queue) entryToStart(o protocol.Order) *entry {
 	e := q.entries[o.Task]
 	if o.Op != protocol.OpStart || e == nil || e.attempt != o.Attempt {
-		return nil // a kill that is answered says nothing of a start sent before
+		return nil // an answered kill does not settle a start that was sent before it
 	}
 	return e
 }
 
-// settleAnswered notes that answered starts were executed or refused: they are not under
-// way any more.
-func (q *queue) settleAnswered(m *message.CommandDone) {
-	for _, o := range m.Orders {
-		if e := q.startedBy(o); e != nil && e.directFencingToken == m.Term {
+// settleAnswered marks answered starts as settled: they were either executed or refused, so
+// they can no longer be delivered.
+func (q *queue) settleAnswered(result *message.CommandDone) {
+	for _, o := range result.Orders {
+		if e := q.entryToStart(o); e != nil && e.directFencingToken == result.Term {
 			e.directFencingToken = 0
 		}
 	}
 }
 
-// requeueRefused queues refused starts again, but for those that are on the machine, or
-// may be: a reply to a heartbeat that has overtaken these commands brought them, or still
-// will.
+// requeueRefused queues refused starts again, except those of attempts that are or may be
+// on the machine: a heartbeat reply that overtook these commands has started the attempt,
+// or still will.
 func (q *queue) requeueRefused(orders []protocol.Order) {
 	for _, o := range orders {
-		if e := q.startedBy(o); e != nil && e.sent && !e.present && e.directFencingToken == 0 && !e.startInLastReply {
+		if e := q.entryToStart(o); e != nil && e.sent && !e.present && e.directFencingToken == 0 && !e.startInLastReply {
 			q.requeue(e)
 		}
 	}
 }
 
-// settleDirectStart has the fencing token raised, of its shard or, where there are none,
-// by a new term, for a direct start that had no answer and is not listed in its worker's
-// heartbeat: a token that the worker has seen makes sure that the start is not executed
-// from then on. While the worker is silent no token settles anything, and most that stay
-// silent are lost.
+// settleDirectStart requests a higher fencing token for a direct start that was not
+// answered and that its worker's heartbeat does not settle. The token of the shard is
+// raised or, without shards, a new term is begun. Once the worker has seen the higher
+// token, the start can no longer be executed. It is called only when the worker sends a
+// heartbeat: no token settles anything while the worker is silent, and most workers that
+// stay silent are lost.
 func (q *queue) settleDirectStart(e *entry) {
 	if q.directInFlight || e.directFencingToken != q.fencingToken() {
 		return
 	}
-	q.Log.Info("a direct start had no answer: raising its token", "machine", q.id, "task", e.task, "token", e.directFencingToken)
+	q.Log.Info("direct start was not answered: raising the fencing token", "machine", q.id, "task", e.task, "token", e.directFencingToken)
 	if q.Sharded() {
-		q.shards.requestRaise(q.shard(), e.directFencingToken)
+		q.shards.requestTokenRaise(q.shard(), e.directFencingToken)
 	} else {
 		q.newTermNeeded = true
 	}
--- a/internal/controller/dispatcher/dispatcher.go
+++ b/internal/controller/dispatcher/dispatcher.go
@@ -11,35 +11,36 @@
 	"damsonkeel/internal/record"
 )
 
-// Dispatcher holds the queues of the machines that send their heartbeats to this
+// Dispatcher manages the queues of the machines whose workers send their heartbeats to this
 // controller.
 type Dispatcher struct {
 	*environment
 	queues      queueSet
 	inventories inventorySchedule
-	// allAdoptedSince is since when this controller has held its lease and known that
-	// all members have adopted this term; 0: not now. See ExpireSilent.
+	// allAdoptedSince is the time since which this controller has continuously held its
+	// lease and all members have adopted the current term; 0 if that does not hold now. See
+	// ExpireSilent.
 	allAdoptedSince clock.Time
-	// leaseHeldSince is since when this controller has held its lease without a break;
-	// 0: it does not.
+	// leaseHeldSince is the time since which this controller has continuously held its
+	// lease; 0 if it does not hold it.
 	leaseHeldSince clock.Time
-	// agentEpochFloor is the first agent epoch of a machine that may be alive: a
-	// heartbeat of an earlier one was delayed by the network.
+	// agentEpochFloor is the lowest agent epoch of a machine that may still be alive. A
+	// heartbeat of an earlier epoch was delayed by the network.
 	agentEpochFloor map[protocol.MachineID]protocol.AgentEpoch
-	// lastArrival is the arrival number of the attempt that was queued last.
+	// lastArrival is the arrival number of the most recently queued attempt.
 	lastArrival uint64
-	// handledPlaces is the number of the last Place handled, by owner.
+	// handledPlaces holds the number of the last Place message handled, by owner.
 	handledPlaces map[protocol.NodeName]uint64
 }
 
-// New returns a dispatcher that holds no machine yet.
+// New returns a dispatcher that holds no machines yet.
 func New(module clusterstate.Module) *Dispatcher {
 	d := &Dispatcher{environment: newEnvironment(module)}
 	d.Reset()
 	return d
 }
 
-// Reset drops all state of this controller's session.
+// Reset drops all state that belongs to this controller's session.
 func (d *Dispatcher) Reset() {
 	*d = Dispatcher{
 		environment:     newEnvironment(d.Module),
@@ -49,15 +50,16 @@
 	}
 }
 
-// DropAll drops all queues and handovers: this controller is not in the view.
+// DropAll drops all queues and handovers. It is called when this controller is not a member
+// of the view.
 func (d *Dispatcher) DropAll() {
 	d.queues = newQueueSet()
 	d.direct.due = nil
 	d.shards.clear()
 }
 
-// ForgetOwners drops the counts of placements from owners that have another session in
-// the present view than in an earlier one.
+// ForgetOwners drops the placement counts of owners whose session in the present view
+// differs from their session in the old one.
 func (d *Dispatcher) ForgetOwners(old record.View) {
 	for name := range d.handledPlaces {
 		if !clusterstate.SameMemberSession(old, d.View, name) {
@@ -66,75 +68,75 @@
 	}
 }
 
-// BeginTerm begins the new term's log of changes, with every machine as changed.
+// BeginTerm starts a new change log for the new term and marks every machine as changed.
 func (d *Dispatcher) BeginTerm() {
 	d.changes = replication.ChangeLog[protocol.MachineID]{}
 	d.TouchAll()
 }
 
-// TermAdopted notes that a new term was adopted, which settles unanswered starts once
-// workers have seen it.
+// TermAdopted clears the request for a new term: one was adopted, which settles unanswered
+// starts once the workers have seen it.
 func (d *Dispatcher) TermAdopted() { d.newTermNeeded = false }
 
 // TouchAll marks the published state of every machine as changed.
 func (d *Dispatcher) TouchAll() {
 	for _, q := range d.queues.inOrder() {
-		q.touch()
+		q.markChanged()
 	}
 }
 
-// InvalidateOrder has all queues sorted again: deadlines of jobs have changed.
+// InvalidateOrder marks all queues as unsorted because job deadlines have changed.
 func (d *Dispatcher) InvalidateOrder() {
 	for _, q := range d.queues.byMachine {
 		q.sorted = false
 	}
 }
 
-// levelLookup returns the level of a job, if its owner has announced it.
+// levelLookup returns the level of a job, and whether the job's owner has announced it.
 type levelLookup func(protocol.JobID) (resource.Level, bool)
 
-// Maintain does the work that is due once a relay period: it quarantines failing
-// machines and preempts attempts for what waits and for what is reserved.
-func (d *Dispatcher) Maintain(level levelLookup, fails failingLookup) {
+// Maintain does the work that is due once per relay period: it quarantines failing
+// machines, and preempts attempts in favor of waiting attempts and reservations.
+func (d *Dispatcher) Maintain(level levelLookup, isFailing failingLookup) {
 	for _, q := range d.queues.inOrder() {
 		if q.handingOver() {
 			continue
 		}
-		q.quarantineIfFailing(fails)
+		q.updateQuarantine(isFailing)
 		q.preempt()
-		q.learnLevels(level)
-		q.clearReserved()
+		q.adoptAnnouncedLevels(level)
+		q.preemptForReservations()
 		q.releaseOutdated()
 	}
 }
 
-// AdoptConfiguration goes over to a new configuration: what may no longer be started by
-// it is released to its owners.
+// AdoptConfiguration applies a new configuration: it releases waiting attempts that may no
+// longer be started to their owners.
 func (d *Dispatcher) AdoptConfiguration() {
 	for _, q := range d.queues.inOrder() {
-		q.touch() // whether it is closed may have changed
+		q.markChanged() // the machine may have been closed or opened
 		if !q.handingOver() {
 			q.releaseOutdated()
 		}
 	}
 }
 
-// JobEnded releases or ends all attempts of a job that is over. If the job failed wherever
-// it ran, its failures no longer count against any machine.
+// JobEnded releases or ends all attempts of a job that has ended. If the job failed on
+// every machine, its failures no longer count against any machine.
 func (d *Dispatcher) JobEnded(id protocol.JobID, failing bool) {
 	for _, q := range d.queues.inOrder() {
 		if failing {
 			q.quarantine.forgetJob(id)
 		}
 		if q.attemptsOfJob[id] == 0 || q.handingOver() {
-			continue // during a handover: once it is aborted, or by the new dispatcher
+			continue // during a handover, this is done once it aborts, or by the new dispatcher
 		}
 		q.endJob(id)
 	}
 }
 
-// endJob releases those attempts of a job that is over that were never sent. The rest is
-// killed or forgotten by the worker with the next direct commands or heartbeat reply.
+// endJob releases the attempts of an ended job that were never sent. The worker kills or
+// forgets the other ones with the next direct commands or heartbeat reply.
 func (q *queue) endJob(id protocol.JobID) {
 	ofJob := func(task protocol.TaskID, _ *entry) bool { return task.Job == id }
 	for _, e := range ordered.TasksWhere(q.entries, ofJob) {
@@ -146,9 +148,9 @@
 	}
 }
 
-// notifyOwner sends an event to the present owner of an attempt's job.
+// notifyOwner sends an event to the current owner of an attempt's job.
 func (q *queue) notifyOwner(e *entry, kind message.EventKind) {
-	q.touch()
+	q.markChanged()
 	owner := q.ownerOf(e)
 	if owner == "" {
 		return
@@ -165,10 +167,10 @@
 	q.Send(owner, message.PeerMessage{Event: event})
 }
 
-// notifyPresent notifies an owner that an attempt is on its machine, once a heartbeat is
-// known to be of this term: until then it may be one that the network delayed for
-// minutes, of attempts lost long ago, which their owners would have killed. The inventory
-// lists all of them.
+// notifyPresent notifies an owner that an attempt is on its machine, but only after a
+// heartbeat is known to belong to this term. Before that, the heartbeat may have been
+// delayed by the network for minutes and list attempts that were lost long ago, which their
+// owners would then kill. The inventory lists all attempts that are present.
 func (q *queue) notifyPresent(e *entry, kind message.EventKind) {
 	if q.inventoryKnown {
 		q.notifyOwner(e, kind)
--- a/internal/controller/dispatcher/entry.go
+++ b/internal/controller/dispatcher/entry.go
@@ -11,75 +11,81 @@
 	"damsonkeel/internal/record"
 )
 
-// entry is one attempt in a queue or on its machine.
+// entry is one attempt that waits in a machine's queue or is on the machine.
 type entry struct {
 	task     protocol.TaskID
 	attempt  protocol.Attempt
-	estimate float64 // of its run time, in seconds
+	estimate float64 // estimated run time in seconds
 	need     resource.Amount
-	// arrival numbers the attempts in the order they were queued; 0: found on the machine.
+	// arrival numbers the attempts in the order in which they were queued; 0 if the attempt
+	// was found on the machine.
 	arrival      uint64
-	queuedSince  clock.Time // queued here, or first seen here
-	runningSince clock.Time // as far as seen here; 0: not seen to run
+	queuedSince  clock.Time // when it was queued or first seen here
+	runningSince clock.Time // when it was first seen running here; 0 if it was not
 	level        resource.Level
 	levelGuessed bool
-	deadline     clock.Time        // of its job, when the queue was last sorted
-	inGang       bool              // others of its gang wait for it
-	placedBy     protocol.NodeName // the controller that placed it here, if any
-	// configuration is the revision that its owner placed it by.
+	deadline     clock.Time        // deadline of its job when the queue was last sorted
+	inGang       bool              // the other tasks of its gang wait for it
+	placedBy     protocol.NodeName // controller that placed it here, or its job's latest owner; empty if neither is known
+	// configuration is the configuration revision that the owner used when it placed the
+	// attempt.
 	configuration record.ConfigurationRevision
 
+	// sent is set once a start has been sent to the worker: the attempt may be on the
+	// machine.
 	sent bool
-	// directFencingToken is the fencing token of a direct start that has no answer: the start
-	// may be executed until the worker sees a later token. 0: none.
+	// directFencingToken is the fencing token of a direct start that has not been answered.
+	// The start may be executed until the worker sees a later token. 0 if there is no such
+	// start.
 	directFencingToken protocol.Term
-	// startResent is set once its start has been sent a second way too: that the attempt
-	// is there does not tell which of them arrived.
+	// startResent is set once the start has been sent a second time by another path. The
+	// presence of the attempt then does not prove which of the two starts arrived.
 	startResent bool
-	// startInLastReply is set while its start is in the reply to the latest heartbeat:
-	// the worker's next heartbeat settles it.
+	// startInLastReply is set while the reply to the latest heartbeat contains the start.
+	// The worker's next heartbeat settles it.
 	startInLastReply bool
 
-	present      bool // the worker has listed it
+	present      bool // the worker has listed the attempt
 	state        protocol.TaskState
 	cause        protocol.EndCause
 	checkpointed bool
 	kill         bool
 	graceSeconds float64
-	forget       bool // its owner has dealt with its end: the worker may forget it
-	// forgetSince is since when forgetting it waits for a start that may be under way.
+	forget       bool // the owner has processed its end: the worker may forget it
+	// forgetSince is the time since which a start that may still be delivered has delayed
+	// the order to forget the attempt; 0 if it is not delayed.
 	forgetSince clock.Time
-	noticed     bool // its owner knows of the machine's termination notice
+	noticeSent  bool // the owner was notified of the machine's termination notice
 }
 
 func (e *entry) ended() bool { return e.state == protocol.TaskEnded }
 
-// waitingEntry returns the entry of an attempt that an owner asks to be queued.
-func waitingEntry(from protocol.NodeName, p *message.Place, t *message.Placement, now clock.Time) *entry {
+// newWaitingEntry returns the entry of an attempt that an owner has placed on a machine.
+func newWaitingEntry(from protocol.NodeName, place *message.Place, placement *message.Placement, now clock.Time) *entry {
 	return &entry{
-		task:          t.Task,
-		attempt:       t.Attempt,
-		estimate:      t.EstimateS,
-		need:          t.Need(),
-		level:         resource.Level(t.Level),
-		inGang:        t.Together,
+		task:          placement.Task,
+		attempt:       placement.Attempt,
+		estimate:      placement.EstimateS,
+		need:          placement.Need(),
+		level:         resource.Level(placement.Level),
+		inGang:        placement.Together,
 		placedBy:      from,
 		queuedSince:   now,
-		configuration: p.Configuration,
+		configuration: place.Configuration,
 	}
 }
 
 // entrySet holds the attempts in a queue or on its machine, one for each task.
 type entrySet struct {
-	entries       map[protocol.TaskID]*entry // changed by addEntry and removeEntry alone
-	attemptsOfJob map[protocol.JobID]int     // how many of these
+	entries       map[protocol.TaskID]*entry // changed only by addEntry and removeEntry
+	attemptsOfJob map[protocol.JobID]int     // number of entries by job
 }
 
 func newEntrySet() entrySet {
 	return entrySet{entries: map[protocol.TaskID]*entry{}, attemptsOfJob: map[protocol.JobID]int{}}
 }
 
-// addEntry adds an attempt, in place of another of its task if there is one.
+// addEntry adds an attempt and replaces any other attempt of the same task.
 func (s *entrySet) addEntry(e *entry) {
 	if s.entries[e.task] == nil {
 		s.attemptsOfJob[e.task.Job]++
@@ -87,7 +93,7 @@
 	s.entries[e.task] = e
 }
 
-// removeEntry forgets a task's attempt.
+// removeEntry removes the attempt of a task.
 func (s *entrySet) removeEntry(id protocol.TaskID) {
 	if s.entries[id] == nil {
 		return
@@ -99,18 +105,18 @@
 }
 
 const (
-	// estimateMargin is how much longer than estimated a task is assumed to run: owners'
-	// estimates are often wrong by half.
+	// estimateMargin is the factor by which a task is assumed to exceed its estimated run
+	// time: owners' estimates are often wrong by half.
 	estimateMargin = 1.5
-	// overrunDivisor is the part of its estimate that a task is assumed to run on for at
-	// least.
+	// overrunDivisor gives the minimum remaining run time of a task, as a fraction of its
+	// estimate: estimate / overrunDivisor.
 	overrunDivisor = 4
 )
 
-// ownerOf is the owner of an attempt's job: by its record, or, before that has arrived
-// here, the controller that placed it. Without the latter, a dispatcher whose watch lags
-// would leave queued attempts out of an inventory, and their owner would take them for
-// lost.
+// ownerOf returns the owner of an attempt's job: the owner named by the job's record or,
+// before the record has arrived here, the controller that placed the attempt. Without that
+// fallback, a dispatcher whose watch lags would omit queued attempts from an inventory, and
+// their owner would consider them lost.
 func (env *environment) ownerOf(e *entry) protocol.NodeName {
 	if job := env.Live[e.task.Job]; job != nil {
 		e.placedBy = env.OwnerOf(job)
@@ -118,33 +124,34 @@
 	return e.placedBy
 }
 
-// outdated reports whether an attempt was placed before its team's limit was lowered.
-// Its owner did not check it against the limit in force, so it may not be started: the
-// limit is checked here at the start, and by the owner when it places it anew.
-func (env *environment) outdated(e *entry) bool {
+// isOutdated reports whether an attempt was placed before the limit of its team was
+// lowered. Its owner did not check it against the limit in force, so it must not be
+// started: the dispatcher checks the limit at the start, and the owner checks it when it
+// places the attempt again.
+func (env *environment) isOutdated(e *entry) bool {
 	if e.configuration >= env.Configuration.Effective().Revision {
-		return false // placed by the revision in force, or there is none
+		return false // placed under the revision in force, or no revision is in force
 	}
 	job := env.Live[e.task.Job]
 	return job != nil && e.configuration < env.LimitLowered(job.Team)
 }
 
-// startBy is the time by which an attempt should start: the first objective that can
-// still be met of its class and its team's guarantee, else when it has to start to be
-// done by its deadline.
-func (env *environment) startBy(e *entry, job *clusterstate.LiveJob) clock.Time {
-	first := env.FinishBy(job) - clock.Time(estimateMargin*e.estimate*float64(time.Second))
+// startDeadline returns the time by which an attempt should start: the earliest objective
+// that can still be met of its class or of its team's guarantee, and at the latest the
+// time that still lets the attempt finish by its deadline.
+func (env *environment) startDeadline(e *entry, job *clusterstate.LiveJob) clock.Time {
+	earliest := env.FinishBy(job) - clock.Time(estimateMargin*e.estimate*float64(time.Second))
 	for _, o := range env.Objectives() {
 		applies := o.Kind == "wait" && o.Class == job.Class || o.Kind == "guarantee" && e.level.Guaranteed()
-		if by := job.Since + clock.Time(o.WithinS*float64(time.Second)); applies && by >= env.Now {
-			first = min(first, by)
+		if objectiveTime := job.Since + clock.Time(o.WithinS*float64(time.Second)); applies && objectiveTime >= env.Now {
+			earliest = min(earliest, objectiveTime)
 		}
 	}
-	return first
+	return earliest
 }
 
-// remainingTime is how long a running attempt is likely to go on. That it overruns its
-// estimate says that the estimate is too low, not that it ends now.
+// remainingTime returns the expected remaining run time of an attempt. An attempt that
+// overruns its estimate shows that the estimate is too low, not that the attempt ends now.
 func (env *environment) remainingTime(e *entry) time.Duration {
 	estimate := time.Duration(e.estimate * float64(time.Second))
 	remaining := estimate
@@ -154,7 +161,7 @@
 	return max(remaining, estimate/overrunDivisor)
 }
 
-// stopSeconds is how long an attempt may take to end once it is stopped.
+// stopSeconds returns how long an attempt may take to end after it is stopped.
 func (env *environment) stopSeconds(e *entry) float64 {
 	if job := env.Live[e.task.Job]; job != nil {
 		return clusterstate.GraceS(&job.Job)
--- a/internal/controller/dispatcher/estimates.go
+++ b/internal/controller/dispatcher/estimates.go
@@ -9,26 +9,27 @@
 	"damsonkeel/internal/protocol"
 )
 
-// serviceSeconds is how long a service is taken to run.
+// serviceSeconds is the run time assumed for a service, which has no end of its own.
 const serviceSeconds = 1e8
 
-// noteEstimateError learns how far estimates are off from a task that was started here
-// and ran to its end. One that was found on its machine may have run for long: counted
-// from then, estimates would seem good, and resources be expected to be free that are not.
-func (q *queue) noteEstimateError(e *entry) {
+// recordEstimateError records the estimate error of a task that was started here and ran to
+// completion. A task that was found on its machine is not counted because it may have run
+// for long before: measured from the time it was found, estimates would seem accurate, and
+// resources would be expected to be free while they are in use.
+func (q *queue) recordEstimateError(e *entry) {
 	job := q.Live[e.task.Job]
 	if !q.Reservations.Any || job == nil || e.arrival == 0 || e.runningSince == 0 || e.cause != protocol.EndDone {
 		return
 	}
-	errors := q.Reservations.Errors[job.Class]
-	if errors == nil {
-		errors = &forecast.Errors{}
-		q.Reservations.Errors[job.Class] = errors
+	classErrors := q.Reservations.Errors[job.Class]
+	if classErrors == nil {
+		classErrors = &forecast.Errors{}
+		q.Reservations.Errors[job.Class] = classErrors
 	}
-	errors.Note(q.Since(e.runningSince), e.estimate)
+	classErrors.Note(q.Since(e.runningSince), e.estimate)
 }
 
-// reservationRuns lists what the machine runs, for the controller that chooses where
+// reservationRuns lists the attempts on the machine, for the controller that chooses where
 // resources are reserved.
 func (q *queue) reservationRuns() []reservation.Run {
 	if !q.Reservations.Any {
@@ -51,7 +52,8 @@
 	return runs
 }
 
-// reservationFor is the first reservation that is for a job; none if there is none.
+// reservationFor returns the name of the first reservation that matches a job; empty if
+// there is none.
 func (env *environment) reservationFor(job *protocol.Job) (name reservation.Name) {
 	for _, hold := range env.Reservations.List {
 		if reservation.Matches(env.ReservationOf(hold.For), job) {
@@ -61,8 +63,8 @@
 	return name
 }
 
-// remainingSeconds is how long an attempt is expected to go on, by what has been learned
-// of estimates; job is nil if it is not known.
+// remainingSeconds returns the expected remaining run time of an attempt, based on the
+// recorded estimate errors. The job is nil if its record is missing.
 func (q *queue) remainingSeconds(e *entry, job *clusterstate.LiveJob) float64 {
 	remaining := 0.0
 	if job != nil {
@@ -79,9 +81,10 @@
 	return remaining
 }
 
-// learnLevels takes over, for attempts found on the machine, the levels that their owners
-// announce. A guessed one may be too high: the attempt would never be preempted.
-func (q *queue) learnLevels(levelOf levelLookup) {
+// adoptAnnouncedLevels replaces the guessed levels of attempts found on the machine by
+// the levels that their owners announce. A guessed level may be too high, and the attempt
+// would then never be preempted.
+func (q *queue) adoptAnnouncedLevels(levelOf levelLookup) {
 	if !q.Reservations.Any {
 		return
 	}
@@ -96,7 +99,7 @@
 		e.levelGuessed = false
 		if level != e.level {
 			e.level = level
-			q.touch()
+			q.markChanged()
 		}
 	}
 }
--- a/internal/controller/dispatcher/estimates_test.go
+++ b/internal/controller/dispatcher/estimates_test.go
@@ -10,39 +10,40 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestFoundTasksDoNotChangeEstimates: a task that was found on its machine may
-// have run for long before. Counted from then, estimates seemed good that were half of
-// the truth, and reserved resources were in use at their time.
+// TestFoundTasksDoNotChangeEstimates checks that a task found on its machine, which may
+// have run for long before, does not count for the estimate errors. Measured from the
+// time it was found, estimates of half the actual run time seemed accurate, and reserved
+// resources were still in use when the reservation began.
 func TestFoundTasksDoNotChangeEstimates(t *testing.T) {
-	b := newBench(t)
-	b.dispatcher.Reservations.Any = true
-	b.dispatcher.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Class: "array"}}
-	q := newQueue(b.dispatcher.environment, "vm-1", "a")
-	end := func(order uint64, n int) {
+	f := newFixture(t)
+	f.dispatcher.Reservations.Any = true
+	f.dispatcher.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Class: "array"}}
+	q := newQueue(f.dispatcher.environment, "vm-1", "a")
+	recordEnds := func(arrival uint64, n int) {
 		for range n {
-			q.noteEstimateError(&entry{task: protocol.TaskID{Job: "job-1"}, arrival: order, runningSince: b.dispatcher.Now - clock.Time(10*time.Second), estimate: 10, cause: protocol.EndDone})
+			q.recordEstimateError(&entry{task: protocol.TaskID{Job: "job-1"}, arrival: arrival, runningSince: f.dispatcher.Now - clock.Time(10*time.Second), estimate: 10, cause: protocol.EndDone})
 		}
 	}
-	usual := b.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10)
-	if end(0, 100); b.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) != usual {
-		t.Error("learned from tasks that were found")
+	usual := f.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10)
+	if recordEnds(0, 100); f.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) != usual {
+		t.Error("tasks that were found on the machine changed the expected run time")
 	}
-	if end(7, 100); b.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) >= usual {
-		t.Error("not learned from tasks that were started here")
+	if recordEnds(7, 100); f.dispatcher.ExpectedRunSeconds(&protocol.Job{Class: "array"}, 10) >= usual {
+		t.Error("tasks that were started here did not change the expected run time")
 	}
 }
 
-// TestGuessedLevelIsReplaced: the owner announces the level of an attempt that was found
-// on a machine.
+// TestGuessedLevelIsReplaced checks that the guessed level of an attempt found on a machine
+// is replaced by the level that the owner announces.
 func TestGuessedLevelIsReplaced(t *testing.T) {
-	b := newBench(t)
-	b.dispatcher.Reservations.Any = true
-	b.ready()
+	f := newFixture(t)
+	f.dispatcher.Reservations.Any = true
+	f.registerAndSendHeartbeat()
 	e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 3, level: resource.LevelOf("best_effort", true), levelGuessed: true, present: true, sent: true}
-	q := b.queue()
+	q := f.queue()
 	q.addEntry(e)
-	q.learnLevels(func(protocol.JobID) (resource.Level, bool) { return 0, true })
+	q.adoptAnnouncedLevels(func(protocol.JobID) (resource.Level, bool) { return 0, true })
 	if e.level != 0 || e.levelGuessed {
-		t.Errorf("at level %d", e.level)
+		t.Errorf("level is %d, want the announced level 0", e.level)
 	}
 }
--- a/internal/controller/dispatcher/handoverin.go
+++ b/internal/controller/dispatcher/handoverin.go
@@ -12,63 +12,65 @@
 )
 
 const (
-	// incomingTimeout is how long a shard that was handed over waits to be taken.
+	// incomingTimeout is how long a complete incoming handover is kept until the records
+	// assign its shard to this controller.
 	incomingTimeout = 10 * time.Second
-	// firstInventoryDelay is how long the first inventory of a shard that was taken waits:
-	// what the previous dispatcher refuses meanwhile its owners know to have never been
-	// sent, rather than to be missing.
+	// firstInventoryDelay delays the first inventory of an acquired shard. Placements that
+	// the previous dispatcher refuses in the meantime are then known to their owners as
+	// never sent, rather than as missing.
 	firstInventoryDelay = 300 * time.Millisecond
 )
 
-// incomingHandover is a shard that another controller hands over, until the records say
-// that it is held here.
+// incomingHandover collects the pieces of a shard that another controller hands over, until
+// the records assign the shard to this controller.
 type incomingHandover struct {
-	epoch      protocol.Term // of the shard as it was handed over
-	receivedAt clock.Time    // the latest piece
-	pieces     []*message.Handover
-	missing    int // pieces that have not come
+	epoch         protocol.Term // epoch of the shard when it was handed over
+	receivedAt    clock.Time    // when the latest piece arrived
+	pieces        []*message.Handover
+	missingPieces int // number of pieces that have not arrived
 }
 
-// ReceiveHandover takes a piece of a shard that another controller hands over, until the
-// records assign it to this one.
-func (d *Dispatcher) ReceiveHandover(h *message.Handover) { d.shards.receive(h) }
+// ReceiveHandover stores one piece of a shard that another controller hands over, until the
+// records assign the shard to this controller.
+func (d *Dispatcher) ReceiveHandover(h *message.Handover) { d.shards.receivePiece(h) }
 
-func (s *shardSet) receive(h *message.Handover) {
-	if h.Term != s.View.Term || !s.HoldsLease() || !s.isCurrentHandover(h) {
+func (s *shardSet) receivePiece(piece *message.Handover) {
+	if piece.Term != s.View.Term || !s.HoldsLease() || !s.isCurrentHandover(piece) {
 		return
 	}
-	id := sharding.ID(h.Share)
+	id := sharding.ID(piece.Share)
 	incoming := s.incoming[id]
-	if incoming == nil || incoming.epoch != h.Epoch || len(incoming.pieces) != h.Pieces {
-		incoming = &incomingHandover{epoch: h.Epoch, pieces: make([]*message.Handover, h.Pieces), missing: h.Pieces}
+	if incoming == nil || incoming.epoch != piece.Epoch || len(incoming.pieces) != piece.Pieces {
+		incoming = &incomingHandover{epoch: piece.Epoch, pieces: make([]*message.Handover, piece.Pieces), missingPieces: piece.Pieces}
 		s.incoming[id] = incoming
 	}
-	if incoming.pieces[h.Piece] == nil {
-		incoming.missing--
+	if incoming.pieces[piece.Piece] == nil {
+		incoming.missingPieces--
 	}
-	incoming.pieces[h.Piece], incoming.receivedAt = h, s.Now
+	incoming.pieces[piece.Piece], incoming.receivedAt = piece, s.Now
 	s.changeDue = true
 }
 
-// isCurrentHandover reports whether a piece is one of a shard in its present epoch.
-func (s *shardSet) isCurrentHandover(h *message.Handover) bool {
-	if h.Pieces < 1 || h.Piece < 0 || h.Piece >= h.Pieces {
+// isCurrentHandover reports whether a piece is valid and belongs to the current epoch of
+// its shard.
+func (s *shardSet) isCurrentHandover(piece *message.Handover) bool {
+	if piece.Pieces < 1 || piece.Piece < 0 || piece.Piece >= piece.Pieces {
 		return false
 	}
-	if !s.Sharded() || h.Share < 0 || h.Share >= len(s.Shards.List) {
+	if !s.Sharded() || piece.Share < 0 || piece.Share >= len(s.Shards.List) {
 		return false
 	}
-	assignment := &s.Shards.List[h.Share]
-	return assignment.Since == h.Tenure && assignment.Epoch == h.Epoch
+	assignment := &s.Shards.List[piece.Share]
+	return assignment.Since == piece.Tenure && assignment.Epoch == piece.Epoch
 }
 
-// takeShards begins to hold shards: with what was handed over, or knowing of their
-// machines only what the records say.
-func (d *Dispatcher) takeShards(gained map[sharding.ID]bool, old *record.ShardTable) {
+// acquireShards begins to hold shards: with the state that was handed over or, without a
+// complete handover, with only the records of their machines.
+func (d *Dispatcher) acquireShards(gained map[sharding.ID]bool, old *record.ShardTable) {
 	for id := range ordered.Of(gained) {
 		d.shards.byID(id)
-		if h := d.shards.incoming[id]; h != nil && h.missing == 0 && h.epoch == old.List[id].Epoch {
-			d.takeHandover(h)
+		if h := d.shards.incoming[id]; h != nil && h.missingPieces == 0 && h.epoch == old.List[id].Epoch {
+			d.acquireHandedOverMachines(h)
 		}
 		delete(d.shards.incoming, id)
 	}
@@ -86,83 +88,85 @@
 	}
 }
 
-// takeHandover begins to hold the machines of a complete handover.
-func (d *Dispatcher) takeHandover(h *incomingHandover) {
+// acquireHandedOverMachines begins to hold the machines of a complete handover.
+func (d *Dispatcher) acquireHandedOverMachines(h *incomingHandover) {
 	for _, piece := range h.pieces {
 		for i := range piece.Queues {
-			d.takeQueue(&piece.Queues[i])
+			d.addHandedOverQueue(&piece.Queues[i])
 		}
 	}
 }
 
-// takeQueue begins to hold one machine with all that its previous dispatcher knew.
-func (d *Dispatcher) takeQueue(h *message.HandoverQueue) {
-	m := d.Records[h.Machine]
-	if m == nil || m.Epoch != h.Epoch || d.queues.get(h.Machine) != nil {
-		return // another agent epoch has been registered, or the machine was removed
-	}
-	q := d.addQueue(h.Machine, m.Record.Zone)
+// addHandedOverQueue begins to hold one machine, with all the state that its previous
+// dispatcher had.
+func (d *Dispatcher) addHandedOverQueue(handedOver *message.HandoverQueue) {
+	m := d.Records[handedOver.Machine]
+	if m == nil || m.Epoch != handedOver.Epoch || d.queues.get(handedOver.Machine) != nil {
+		return // another agent epoch was registered, or the machine was removed
+	}
+	q := d.addQueue(handedOver.Machine, m.Record.Zone)
 	q.applyRecord(m)
-	q.agentEpoch, q.lastSeq, q.fencingTokenSeen = max(q.agentEpoch, h.Session), h.Seq, h.Seen
-	if q.agentEpoch != h.Session {
-		return // nothing of an earlier agent epoch runs any more
-	}
-	q.inventoryKnown, q.exclusive, q.everSeen = h.Known, h.Sole, h.Everseen
-	q.noticeSeconds, q.draining, q.images = h.NoticeS, h.Draining, h.Images
-	q.quarantine.active = h.Suspect
-	q.idleSince = d.Now - clock.Time(h.Idle)
-	for _, job := range h.Failed {
+	q.agentEpoch, q.lastSeq, q.fencingTokenSeen = max(q.agentEpoch, handedOver.Session), handedOver.Seq, handedOver.Seen
+	if q.agentEpoch != handedOver.Session {
+		return // attempts of an earlier agent epoch no longer run
+	}
+	q.inventoryKnown, q.exclusive, q.everSeen = handedOver.Known, handedOver.Sole, handedOver.Everseen
+	q.noticeSeconds, q.draining, q.images = handedOver.NoticeS, handedOver.Draining, handedOver.Images
+	q.quarantine.active = handedOver.Suspect
+	q.idleSince = d.Now - clock.Time(handedOver.Idle)
+	for _, job := range handedOver.Failed {
 		q.quarantine.failedJobs[job] = d.Now
 	}
-	for i := range h.Entries {
-		d.takeEntry(q, &h.Entries[i])
+	for i := range handedOver.Entries {
+		d.addHandedOverEntry(q, &handedOver.Entries[i])
 	}
 	q.requestDirect()
 }
 
-// takeEntry adds one attempt with all that its machine's previous dispatcher knew.
-func (d *Dispatcher) takeEntry(q *queue, h *message.HandoverEntry) {
-	e := entryOfHandover(h, d.Now)
-	if !h.Found {
+// addHandedOverEntry adds one attempt, with all the state that its machine's previous
+// dispatcher had.
+func (d *Dispatcher) addHandedOverEntry(q *queue, handedOver *message.HandoverEntry) {
+	e := entryFromHandover(handedOver, d.Now)
+	if !handedOver.Found {
 		d.lastArrival++
 		e.arrival = d.lastArrival
 	}
 	if !e.sent && !e.present {
 		if d.HasEnded(e.task.Job) {
-			return // the inventory will not list it
+			return // the inventory will not list the attempt
 		}
 		q.enqueue(e)
 	}
 	q.addEntry(e)
 }
 
-// entryOfHandover returns the entry of an attempt that was handed over.
-func entryOfHandover(h *message.HandoverEntry, now clock.Time) *entry {
+// entryFromHandover returns the entry of an attempt that was handed over.
+func entryFromHandover(handedOver *message.HandoverEntry, now clock.Time) *entry {
 	e := &entry{
-		task:               h.Task,
-		attempt:            h.Attempt,
-		estimate:           h.EstimateS,
-		need:               h.Need,
-		queuedSince:        now - clock.Time(h.Age),
-		level:              h.Level,
-		levelGuessed:       h.Guessed,
-		inGang:             h.Together,
-		placedBy:           h.From,
-		configuration:      h.Configuration,
-		sent:               h.Sent,
-		directFencingToken: h.Direct,
-		startResent:        h.Direct != 0, // perhaps
-		present:            h.Present,
-		state:              h.State,
-		cause:              h.Cause,
-		checkpointed:       h.Saved,
-		kill:               h.Kill,
-		graceSeconds:       h.GraceS,
-		forget:             h.Reap,
-		noticed:            h.Noticed,
-	}
-	if h.Ran >= 0 {
-		e.runningSince = now - clock.Time(h.Ran)
+		task:               handedOver.Task,
+		attempt:            handedOver.Attempt,
+		estimate:           handedOver.EstimateS,
+		need:               handedOver.Need,
+		queuedSince:        now - clock.Time(handedOver.Age),
+		level:              handedOver.Level,
+		levelGuessed:       handedOver.Guessed,
+		inGang:             handedOver.Together,
+		placedBy:           handedOver.From,
+		configuration:      handedOver.Configuration,
+		sent:               handedOver.Sent,
+		directFencingToken: handedOver.Direct,
+		startResent:        handedOver.Direct != 0, // not handed over: assume that it was resent
+		present:            handedOver.Present,
+		state:              handedOver.State,
+		cause:              handedOver.Cause,
+		checkpointed:       handedOver.Saved,
+		kill:               handedOver.Kill,
+		graceSeconds:       handedOver.GraceS,
+		forget:             handedOver.Reap,
+		noticeSent:         handedOver.Noticed,
+	}
+	if handedOver.Ran >= 0 {
+		e.runningSince = now - clock.Time(handedOver.Ran)
 	}
 	return e
 }
--- a/internal/controller/dispatcher/handoverout.go
+++ b/internal/controller/dispatcher/handoverout.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// handoverTimeout is how long a shard may be frozen before its move is given up.
+	// handoverTimeout is how long a shard may be frozen before its handover is aborted.
 	handoverTimeout = 2 * time.Second
-	// machinesPerHandover is how many machines one message hands over.
+	// machinesPerHandover is the maximum number of machines in one handover message.
 	machinesPerHandover = 50
 )
 
-// outgoingHandover is a shard that is being handed over: nothing is started, stopped or
-// concluded on it, its workers' leases are renewed, placements are refused, and what else
-// peers send of it is deferred.
+// outgoingHandover is the state of a shard that this controller hands over. During the
+// handover no attempt is started or stopped and no conclusion is drawn about its
+// machines. The leases of its workers are renewed, placements are refused, and all other
+// peer messages about it are deferred.
 type outgoingHandover struct {
 	to       protocol.NodeName
 	beganAt  clock.Time
@@ -28,15 +29,15 @@
 	deferred []message.PeerMessage
 }
 
-// HandOver begins to hand shards over: from here on nothing is started on them, and all
-// that is known of them goes to the controller that is to take them. What is under way is
-// named in it: an unanswered start is settled by the new dispatcher's token, as it would
-// be by a raise.
-func (d *Dispatcher) HandOver(m *message.MoveShards) {
-	if m.Term != d.View.Term || !d.HoldsLease() || m.To == d.Self || d.View.Members[m.To] == 0 {
+// HandOver begins to hand shards over. From this point nothing is started on them, and
+// their complete state is sent to the controller that will hold them. The state includes
+// unanswered starts: the new dispatcher's fencing token settles them, as a raised token
+// would.
+func (d *Dispatcher) HandOver(move *message.MoveShards) {
+	if move.Term != d.View.Term || !d.HoldsLease() || move.To == d.Self || d.View.Members[move.To] == 0 {
 		return
 	}
-	moving := d.shards.movable(m.Shares)
+	moving := d.shards.movableShards(move.Shares)
 	if len(moving) == 0 {
 		return
 	}
@@ -47,27 +48,28 @@
 		}
 	}
 	for id := range ordered.Of(moving) {
-		d.beginHandover(id, queues[id], m)
+		d.beginHandover(id, queues[id], move)
 	}
 }
 
-// movable picks those shards that are held here and not being handed over.
-func (s *shardSet) movable(shards []message.Tenured) map[sharding.ID]bool {
+// movableShards returns those of the given shards that are held here and are not being
+// handed over already.
+func (s *shardSet) movableShards(shards []message.Tenured) map[sharding.ID]bool {
 	moving := map[sharding.ID]bool{}
-	for _, t := range shards {
-		id := sharding.ID(t.Share)
-		if s.isHeld(t) && s.byID(id).handover == nil {
+	for _, tenured := range shards {
+		id := sharding.ID(tenured.Share)
+		if s.isHeld(tenured) && s.byID(id).handover == nil {
 			moving[id] = true
 		}
 	}
 	return moving
 }
 
-// beginHandover freezes a shard and sends its queues, in pieces.
-func (d *Dispatcher) beginHandover(id sharding.ID, queues []*queue, m *message.MoveShards) {
+// beginHandover freezes a shard and sends its queues in pieces.
+func (d *Dispatcher) beginHandover(id sharding.ID, queues []*queue, move *message.MoveShards) {
 	shard := d.shards.byID(id)
 	d.shards.changeDue = true
-	shard.handover = &outgoingHandover{to: m.To, beganAt: d.Now, cause: m.Cause}
+	shard.handover = &outgoingHandover{to: move.To, beganAt: d.Now, cause: move.Cause}
 	pieces := max(1, (len(queues)+machinesPerHandover-1)/machinesPerHandover)
 	for piece := range pieces {
 		first := piece * machinesPerHandover
@@ -80,14 +82,14 @@
 			Pieces:  pieces,
 		}
 		for _, q := range queues[first:last] {
-			handover.Queues = append(handover.Queues, q.handover())
+			handover.Queues = append(handover.Queues, q.buildHandover())
 		}
-		d.Send(m.To, message.PeerMessage{Hand: handover})
+		d.Send(move.To, message.PeerMessage{Hand: handover})
 	}
 }
 
-// handover is all that is known of the machine, for the new dispatcher.
-func (q *queue) handover() message.HandoverQueue {
+// buildHandover returns the complete state of the machine, for the new dispatcher.
+func (q *queue) buildHandover() message.HandoverQueue {
 	h := message.HandoverQueue{
 		Machine:  q.id,
 		Epoch:    q.recordVersion,
@@ -108,23 +110,24 @@
 	}
 	for _, e := range ordered.Tasks(q.entries) {
 		if e.sent || e.present {
-			h.Entries = append(h.Entries, q.handoverEntry(e))
+			h.Entries = append(h.Entries, q.buildHandoverEntry(e))
 		}
 	}
 	waiting := slices.Clone(q.waiting)
 	slices.SortStableFunc(waiting, func(a, b *entry) int { return int(a.arrival) - int(b.arrival) })
 	for _, e := range waiting {
-		h.Entries = append(h.Entries, q.handoverEntry(e))
+		h.Entries = append(h.Entries, q.buildHandoverEntry(e))
 	}
 	return h
 }
 
-// handoverEntry is all that is known of one attempt. Times are sent as ages, since clocks
-// differ; a run time below 0 says that it was not seen to run.
-func (q *queue) handoverEntry(e *entry) message.HandoverEntry {
-	ran := time.Duration(-1)
+// buildHandoverEntry returns the complete state of one attempt, for the new dispatcher.
+// Times are sent as ages because the clocks of controllers differ. A negative run time
+// means that the attempt was not seen running.
+func (q *queue) buildHandoverEntry(e *entry) message.HandoverEntry {
+	runTime := time.Duration(-1)
 	if e.runningSince != 0 {
-		ran = q.Since(e.runningSince)
+		runTime = q.Since(e.runningSince)
 	}
 	return message.HandoverEntry{
 		Task:          e.task,
@@ -133,7 +136,7 @@
 		Need:          e.need,
 		Found:         e.arrival == 0,
 		Age:           q.Since(e.queuedSince),
-		Ran:           ran,
+		Ran:           runTime,
 		Level:         e.level,
 		Guessed:       e.levelGuessed,
 		Together:      e.inGang,
@@ -148,13 +151,13 @@
 		Kill:          e.kill,
 		GraceS:        e.graceSeconds,
 		Reap:          e.forget,
-		Noticed:       e.noticed,
+		Noticed:       e.noticeSent,
 	}
 }
 
-// divertIfNotHeld handles a message about a machine that is not to be commanded here: that
-// of one that is being handed over is deferred, and that of one that another controller
-// holds is forwarded.
+// divertIfNotHeld handles a message about a machine that this controller must not command:
+// the message is deferred while the machine's shard is being handed over, and forwarded if
+// another controller holds the machine. It reports whether the message was handled.
 func (d *Dispatcher) divertIfNotHeld(id protocol.MachineID, m message.PeerMessage) bool {
 	if q := d.queues.get(id); q != nil {
 		if !q.handingOver() {
@@ -175,7 +178,8 @@
 	return true
 }
 
-// handleDeferred handles a message that was deferred, here or by the new dispatcher.
+// handleDeferred handles a deferred message. If another controller holds the machine now,
+// the message is forwarded to it.
 func (d *Dispatcher) handleDeferred(m message.PeerMessage) {
 	switch {
 	case m.Stop != nil:
@@ -187,9 +191,9 @@
 	}
 }
 
-// abortHandover goes on with a shard that is not handed over after all.
+// abortHandover resumes normal operation of a shard whose handover was aborted.
 func (d *Dispatcher) abortHandover(shard *shardState) {
-	d.shards.noteMove(shard, true)
+	d.shards.recordMove(shard, true)
 	deferred := shard.handover.deferred
 	shard.handover = nil
 	for _, m := range deferred {
@@ -199,22 +203,21 @@
 		if q.shardID() != shard.id {
 			continue
 		}
-		q.endJobsThatAreOver()
+		q.endFinishedJobs()
 		q.requestDirect()
 		d.sendInventoryIfDue(q)
 	}
 }
 
-// endJobsThatAreOver releases or ends the attempts of all jobs that ended during a
-// handover.
-func (q *queue) endJobsThatAreOver() {
-	over := map[protocol.JobID]bool{}
+// endFinishedJobs releases or ends the attempts of all jobs that ended during a handover.
+func (q *queue) endFinishedJobs() {
+	finished := map[protocol.JobID]bool{}
 	for task := range q.entries {
 		if q.HasEnded(task.Job) {
-			over[task.Job] = true
+			finished[task.Job] = true
 		}
 	}
-	for job := range ordered.Of(over) {
+	for job := range ordered.Of(finished) {
 		q.endJob(job)
 	}
 }
--- a/internal/controller/dispatcher/heartbeat.go
+++ b/internal/controller/dispatcher/heartbeat.go
@@ -9,122 +9,127 @@
 )
 
 // Heartbeat handles a worker's heartbeat and replies to it.
-func (d *Dispatcher) Heartbeat(r protocol.Heartbeat) {
-	machineType, known := d.Types[r.Type]
+func (d *Dispatcher) Heartbeat(heartbeat protocol.Heartbeat) {
+	machineType, known := d.Types[heartbeat.Type]
 	if !known {
 		d.rejectHeartbeat()
 		return
 	}
-	if d.answerDuringHandover(&r) {
+	if d.answerDuringHandover(&heartbeat) {
 		return
 	}
-	q := d.queues.get(r.Machine)
+	q := d.queues.get(heartbeat.Machine)
 	if q == nil {
-		q = d.addQueue(r.Machine, r.Zone)
-		if m := d.Records[r.Machine]; m != nil {
+		q = d.addQueue(heartbeat.Machine, heartbeat.Zone)
+		if m := d.Records[heartbeat.Machine]; m != nil {
 			q.applyRecord(m)
 		}
 	}
-	if r.AgentEpoch < q.agentEpoch || r.AgentEpoch == q.agentEpoch && r.Seq <= q.lastSeq {
-		q.answerOvertaken(&r)
+	if heartbeat.AgentEpoch < q.agentEpoch || heartbeat.AgentEpoch == q.agentEpoch && heartbeat.Seq <= q.lastSeq {
+		q.answerOvertaken(&heartbeat)
 		return
 	}
 	reply := protocol.HeartbeatReply{Term: q.fencingToken()}
-	q.noteContact(&r, machineType)
-	if m := d.Records[q.id]; m == nil || m.Record.Session != r.AgentEpoch {
-		q.register(&r)
+	q.recordContact(&heartbeat, machineType)
+	if m := d.Records[q.id]; m == nil || m.Record.Session != heartbeat.AgentEpoch {
+		q.register(&heartbeat)
 	}
-	q.applyHeartbeat(&r, true)
-	q.exclusive = q.exclusive || r.Term >= q.firstOwnFencingToken()
-	q.fencingTokenSeen = max(q.fencingTokenSeen, r.Term)
+	q.applyHeartbeat(&heartbeat, true)
+	q.exclusive = q.exclusive || heartbeat.Term >= q.firstOwnFencingToken()
+	q.fencingTokenSeen = max(q.fencingTokenSeen, heartbeat.Term)
 	d.sendInventoryIfDue(q)
 	q.directRequested = false
-	reply.Orders = q.buildOrders(r.Term, false)
+	reply.Orders = q.buildOrders(heartbeat.Term, false)
 	q.computeState() // while the queue's entries are in the processor's cache
 	d.Emit(message.ReplyHeartbeat{Status: http.StatusOK, Reply: reply})
 }
 
-// answerDuringHandover answers a worker whose shard is being handed over: its lease goes
-// on, since the handover may last, and nothing else happens but that what is over is
-// killed. What the worker says it says again to the new dispatcher.
-func (d *Dispatcher) answerDuringHandover(r *protocol.Heartbeat) bool {
-	if !d.shards.handingOver(r.Machine, r.Zone) {
+// answerDuringHandover answers the heartbeat of a worker whose shard is being handed over,
+// and reports whether there is such a handover. It renews the worker's lease, since the
+// handover may take long, and has the worker kill the attempts of ended jobs. Everything
+// else in the heartbeat is ignored: the worker reports it again to the new dispatcher.
+func (d *Dispatcher) answerDuringHandover(heartbeat *protocol.Heartbeat) bool {
+	if !d.shards.handingOver(heartbeat.Machine, heartbeat.Zone) {
 		return false
 	}
-	q := d.queues.get(r.Machine)
-	if q == nil || r.AgentEpoch > q.agentEpoch {
+	q := d.queues.get(heartbeat.Machine)
+	if q == nil || heartbeat.AgentEpoch > q.agentEpoch {
 		d.rejectHeartbeat()
 		return true
 	}
-	q.answerOvertaken(r)
+	q.answerOvertaken(heartbeat)
 	return true
 }
 
-// rejectHeartbeat replies that this controller does not renew a worker's lease.
+// rejectHeartbeat replies that this controller does not renew the worker's lease.
 func (env *environment) rejectHeartbeat() {
 	env.Emit(message.ReplyHeartbeat{Status: http.StatusServiceUnavailable})
 }
 
-// noteContact notes who the worker is, and that it is in contact and answered now.
-func (q *queue) noteContact(r *protocol.Heartbeat, machineType protocol.TypeInfo) {
-	q.machineType, q.address, q.zone = machineType, r.Address, r.Zone
-	if r.AgentEpoch > q.agentEpoch {
-		q.beginAgentEpoch(r.AgentEpoch)
+// recordContact records the worker's address, machine type and agent epoch, and that its
+// heartbeat is answered now.
+func (q *queue) recordContact(heartbeat *protocol.Heartbeat, machineType protocol.TypeInfo) {
+	q.machineType, q.address, q.zone = machineType, heartbeat.Address, heartbeat.Zone
+	if heartbeat.AgentEpoch > q.agentEpoch {
+		q.beginAgentEpoch(heartbeat.AgentEpoch)
 	}
-	q.lastSeq, q.heartbeatSeq = r.Seq, r.Seq
+	q.lastSeq, q.heartbeatSeq = heartbeat.Seq, heartbeat.Seq
 	q.lastAnswer, q.everSeen = q.Now, true
 	if q.silence != message.SilenceNone {
 		q.silence = message.SilenceNone
-		q.touch()
+		q.markChanged()
 	}
 }
 
-// answerOvertaken answers a heartbeat and takes nothing from it. One that an answer to
-// direct commands has overtaken is its worker's latest: it is answered, so its lease goes
-// on from now, and silence has to be counted from this answer, too. Without that, a
-// machine would be taken for lost up to a heartbeat interval before its lease expired.
-// Any other was delayed by the network, and its worker has given it up: an answer would
-// renew nothing that is known here.
-func (q *queue) answerOvertaken(r *protocol.Heartbeat) {
-	if r.AgentEpoch < q.agentEpoch || r.Seq <= q.heartbeatSeq {
-		q.Log.Debug("rejected a delayed heartbeat", "machine", q.id, "agent_epoch", r.AgentEpoch, "seq", r.Seq)
+// answerOvertaken answers a heartbeat without applying its content. A heartbeat that was
+// overtaken by an answer to direct commands is the latest of its worker: it is answered,
+// the worker's lease is renewed from now, and the time of silence has to be counted from
+// this answer, too. Without that, a machine would be considered lost up to a heartbeat
+// interval before its lease expired. Any other heartbeat was delayed by the network, and
+// its worker no longer waits for the reply: an answer would renew no lease that is
+// tracked here, so it is rejected.
+func (q *queue) answerOvertaken(heartbeat *protocol.Heartbeat) {
+	if heartbeat.AgentEpoch < q.agentEpoch || heartbeat.Seq <= q.heartbeatSeq {
+		q.Log.Debug("rejected a delayed heartbeat", "machine", q.id, "agent_epoch", heartbeat.AgentEpoch, "seq", heartbeat.Seq)
 		q.rejectHeartbeat()
 		return
 	}
-	q.answerWithKillsOnly(r)
+	q.answerWithKillsOnly(heartbeat)
 }
 
-// answerWithKillsOnly renews a worker's lease, and has it kill what is over, but nothing
-// else: what keeps a worker alive has to kill what is cancelled there.
-func (q *queue) answerWithKillsOnly(r *protocol.Heartbeat) {
-	q.lastSeq, q.heartbeatSeq, q.lastAnswer = max(q.lastSeq, r.Seq), r.Seq, q.Now
+// answerWithKillsOnly renews a worker's lease and orders it to kill the attempts of ended
+// jobs, but nothing else. A reply that keeps a worker alive must also kill what was
+// cancelled on it.
+func (q *queue) answerWithKillsOnly(heartbeat *protocol.Heartbeat) {
+	q.lastSeq, q.heartbeatSeq, q.lastAnswer = max(q.lastSeq, heartbeat.Seq), heartbeat.Seq, q.Now
 	reply := protocol.HeartbeatReply{Term: q.fencingToken(), Orders: []protocol.Order{}}
-	for _, t := range r.Tasks {
-		if t.State != protocol.TaskEnded && q.Live[t.Task.Job] == nil {
-			reply.Orders = append(reply.Orders, protocol.Order{Op: protocol.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: new(float64)})
+	for _, status := range heartbeat.Tasks {
+		if status.State != protocol.TaskEnded && q.Live[status.Task.Job] == nil {
+			reply.Orders = append(reply.Orders, protocol.Order{Op: protocol.OpStop, Task: status.Task, Attempt: status.Attempt, GraceS: new(float64)})
 		}
 	}
 	q.Emit(message.ReplyHeartbeat{Status: http.StatusOK, Reply: reply})
 }
 
-// applyTerminationNotice moves the machine's work when the cloud is about to terminate it.
-func (q *queue) applyTerminationNotice(r *protocol.Heartbeat) {
-	if r.NoticeS == nil {
+// applyTerminationNotice releases the waiting attempts and notifies the owners of the
+// present ones when the cloud is about to terminate the machine.
+func (q *queue) applyTerminationNotice(heartbeat *protocol.Heartbeat) {
+	if heartbeat.NoticeS == nil {
 		if q.noticeSeconds != nil {
 			q.noticeSeconds = nil
-			q.touch()
+			q.markChanged()
 		}
 		return
 	}
 	if q.noticeSeconds == nil {
-		q.touch()
-		q.Log.Info("received termination notice", "machine", q.id, "notice_s", *r.NoticeS)
+		q.markChanged()
+		q.Log.Info("received termination notice", "machine", q.id, "notice_s", *heartbeat.NoticeS)
 		q.releaseWaiting()
 	}
-	q.noticeSeconds = r.NoticeS
+	q.noticeSeconds = heartbeat.NoticeS
 	for _, e := range ordered.Tasks(q.entries) {
-		if e.present && !e.ended() && !e.noticed {
-			e.noticed = true
+		if e.present && !e.ended() && !e.noticeSent {
+			e.noticeSent = true
 			q.notifyOwner(e, message.EventNotice)
 		}
 	}
--- a/internal/controller/dispatcher/inspect.go
+++ b/internal/controller/dispatcher/inspect.go
@@ -9,17 +9,18 @@
 // Attempt is the state of one attempt on a machine, for inspection.
 type Attempt struct {
 	message.TaskRef
-	Sent               bool // it may be on the machine
-	Present            bool // the worker has listed it
+	Sent               bool // a start was sent: the attempt may be on the machine
+	Present            bool // the worker has listed the attempt
 	Ended              bool
 	Kill               bool
 	Forget             bool
-	DirectFencingToken protocol.Term // fencing token of a direct start that may be under way
+	DirectFencingToken protocol.Term // fencing token of an unanswered direct start; 0 if there is none
 	StartResent        bool
 	StartInLastReply   bool
 }
 
-// Attempts lists the attempts that wait for a machine or are on it.
+// Attempts lists the attempts that wait for a machine or are on it, in order of their
+// tasks.
 func (d *Dispatcher) Attempts(id protocol.MachineID) (list []Attempt) {
 	q := d.queues.get(id)
 	if q == nil {
@@ -41,7 +42,7 @@
 	return list
 }
 
-// Machines lists the machines held here, in order.
+// Machines lists the machines held here, ordered by name.
 func (d *Dispatcher) Machines() (ids []protocol.MachineID) {
 	for _, q := range d.queues.inOrder() {
 		ids = append(ids, q.id)
@@ -58,8 +59,8 @@
 	return q.publishedState(), true
 }
 
-// InventoriedMachines counts the machines held here that are registered and whose worker
-// has listed its attempts.
+// InventoriedMachines returns the number of registered machines held here whose workers
+// have listed their attempts.
 func (d *Dispatcher) InventoriedMachines() (n int) {
 	for _, q := range d.queues.byMachine {
 		if q.inventoryKnown && q.recordVersion != 0 {
@@ -69,20 +70,20 @@
 	return n
 }
 
-// HandledPlaces returns the number of the last Place handled of an owner.
+// HandledPlaces returns the number of the last Place message handled of an owner.
 func (d *Dispatcher) HandledPlaces(owner protocol.NodeName) uint64 { return d.handledPlaces[owner] }
 
-// ChangedSince lists the machines whose published state has changed since a version of
-// this term's log, at most so many, and the version up to which that holds.
-func (d *Dispatcher) ChangedSince(from uint64, most int) ([]protocol.MachineID, uint64) {
-	return d.changes.Since(from, most)
+// ChangedSince lists the machines whose published state has changed since a version of this
+// term's change log, up to a maximum number, and returns the version that the list covers.
+func (d *Dispatcher) ChangedSince(from uint64, limit int) ([]protocol.MachineID, uint64) {
+	return d.changes.Since(from, limit)
 }
 
-// Changes returns the version of this term's log of changes.
+// Changes returns the current version of this term's change log.
 func (d *Dispatcher) Changes() uint64 { return d.changes.Version() }
 
-// NeedsNewTerm reports whether a start can only be settled by a later term.
+// NeedsNewTerm reports whether an unanswered start can only be settled by a later term.
 func (d *Dispatcher) NeedsNewTerm() bool { return d.newTermNeeded }
 
-// ShardsHeld counts the shards that this controller holds.
-func (d *Dispatcher) ShardsHeld() int { return d.shards.held() }
+// ShardsHeld returns the number of shards that this controller holds.
+func (d *Dispatcher) ShardsHeld() int { return d.shards.countHeld() }
--- a/internal/controller/dispatcher/inventory.go
+++ b/internal/controller/dispatcher/inventory.go
@@ -9,29 +9,31 @@
 	"damsonkeel/internal/protocol"
 )
 
-// MaxInventoriesPerStep bounds the inventories sent in one step.
+// MaxInventoriesPerStep is the maximum number of inventories sent in one step.
 const MaxInventoriesPerStep = 500
 
 // inventorySchedule lists the queues whose inventories of this term may be sent without
-// waiting for a heartbeat: they have been held without a break, or were handed over.
+// waiting for a heartbeat, because the machines have been held without a break or were
+// handed over.
 type inventorySchedule struct {
 	pending []*queue
 }
 
-// add has the inventory of a queue sent with one of the next ticks.
+// add schedules the inventory of a queue to be sent on one of the next ticks.
 func (s *inventorySchedule) add(q *queue) { s.pending = append(s.pending, q) }
 
-// take takes the next queues from the list, as many as one step may send.
-func (s *inventorySchedule) take() []*queue {
+// takeBatch removes the next queues from the list, as many as one step may send, and
+// returns them.
+func (s *inventorySchedule) takeBatch() []*queue {
 	n := min(len(s.pending), MaxInventoriesPerStep)
 	due := s.pending[:n]
 	s.pending = s.pending[n:]
 	return due
 }
 
-// BeginInventories sends the inventories of queues held without a break through a new
-// view: at once if there are few, else with the next ticks, since that step is long
-// enough.
+// BeginInventories sends the inventories of queues that were held without a break through
+// a new view. They are sent at once if there are few, and otherwise on the next ticks,
+// because the step that adopts a view takes long enough already.
 func (d *Dispatcher) BeginInventories() {
 	d.inventories.pending = slices.Clone(d.queues.inOrder())
 	if len(d.inventories.pending) <= MaxInventoriesPerStep {
@@ -39,9 +41,9 @@
 	}
 }
 
-// SendInventories goes on with the inventories that may be sent without a heartbeat.
+// SendInventories sends the next scheduled inventories.
 func (d *Dispatcher) SendInventories() {
-	for _, q := range d.inventories.take() {
+	for _, q := range d.inventories.takeBatch() {
 		switch {
 		case d.queues.get(q.id) != q:
 		case d.Now < q.inventoryAfter:
@@ -55,19 +57,20 @@
 	}
 }
 
-// sendInventoryIfDue sends an inventory once in each term: when the worker has seen it, or
-// at once if this controller has held the machine without a break since the worker saw an
-// earlier one. Else each restart of one controller would have the owners wait for all
-// machines, and one that is partitioned would delay all.
+// sendInventoryIfDue sends the inventory of a machine once per term: when the worker has
+// seen the term or, if this controller has held the machine without a break since the
+// worker saw an earlier term, at once. Otherwise each restart of one controller would
+// make the owners wait for all machines, and one partitioned machine would delay all of
+// them.
 func (d *Dispatcher) sendInventoryIfDue(q *queue) {
 	if !q.handingOver() && d.Now >= q.inventoryAfter && q.recordVersion != 0 && q.exclusive && !q.inventorySent && !q.mayRunEndedJobs() {
 		d.sendInventory(q)
 	}
 }
 
-// mayRunEndedJobs reports whether attempts of jobs that are over may still run here. The
-// inventory waits for their end: it proves to the owners of teams with a limit that nothing
-// but what it lists counts against the limit.
+// mayRunEndedJobs reports whether attempts of ended jobs may still run on the machine. The
+// inventory is delayed until they have ended: it proves to the owners of teams with a limit
+// that only the attempts it lists count against the limit.
 func (q *queue) mayRunEndedJobs() bool {
 	for id, e := range q.entries {
 		if e.sent && !e.ended() && q.Live[id.Job] == nil {
@@ -77,13 +80,14 @@
 	return false
 }
 
-// sendInventory sends every owner the list of its jobs' attempts here.
+// sendInventory sends every member the list of the attempts on this machine that belong to
+// its jobs.
 func (d *Dispatcher) sendInventory(q *queue) {
 	if !q.inventoryKnown {
 		q.idleSince = d.Now
 	}
 	q.inventorySent, q.inventoryKnown = true, true
-	q.touch()
+	q.markChanged()
 	attempts := q.attemptsByOwner()
 	for name := range ordered.Of(d.View.Members) {
 		d.Send(name, message.PeerMessage{Inventory: &message.Inventory{
@@ -97,7 +101,7 @@
 	}
 }
 
-// attemptsByOwner lists the attempts here by the owners of their jobs.
+// attemptsByOwner groups the attempts in the queue by the owners of their jobs.
 func (q *queue) attemptsByOwner() map[protocol.NodeName][]message.HeldAttempt {
 	byOwner := map[protocol.NodeName][]message.HeldAttempt{}
 	for _, e := range ordered.Tasks(q.entries) {
--- a/internal/controller/dispatcher/inventory_test.go
+++ b/internal/controller/dispatcher/inventory_test.go
@@ -7,20 +7,21 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestInventoryListsAttemptsBeforeJobRecord: an inventory lists a queued attempt
-// whose job's record has not arrived here yet, to the controller that placed it.
+// TestInventoryListsAttemptsBeforeJobRecord checks that the inventory sent to the
+// controller that placed an attempt lists the queued attempt before its job's record
+// arrives.
 func TestInventoryListsAttemptsBeforeJobRecord(t *testing.T) {
-	b := newBench(t)
-	b.ready()
-	b.dispatcher.Place("node-0", &message.Place{Number: 5, Term: 1, Tasks: []message.Placement{{
-		Task: protocol.TaskID{Job: "job-7"}, Attempt: 1, Machine: "vm-1", Epoch: b.dispatcher.Records["vm-1"].Epoch,
+	f := newFixture(t)
+	f.registerAndSendHeartbeat()
+	f.dispatcher.Place("node-0", &message.Place{Number: 5, Term: 1, Tasks: []message.Placement{{
+		Task: protocol.TaskID{Job: "job-7"}, Attempt: 1, Machine: "vm-1", Epoch: f.dispatcher.Records["vm-1"].Epoch,
 	}}})
-	b.dispatcher.Local = nil
-	b.dispatcher.sendInventory(b.queue())
-	for _, m := range b.dispatcher.Local {
+	f.dispatcher.Local = nil
+	f.dispatcher.sendInventory(f.queue())
+	for _, m := range f.dispatcher.Local {
 		if m.Inventory != nil && len(m.Inventory.Held) == 1 && m.Inventory.Held[0].Attempt == 1 {
 			return
 		}
 	}
-	t.Fatalf("not listed: %+v", b.dispatcher.Local)
+	t.Fatalf("no inventory lists the attempt: %+v", f.dispatcher.Local)
 }
--- a/internal/controller/dispatcher/orders.go
+++ b/internal/controller/dispatcher/orders.go
@@ -10,25 +10,27 @@
 	"damsonkeel/internal/protocol"
 )
 
-// forgetTimeout is how long an attempt that has ended, and of which a direct start may be
-// under way, waits for its shard's token to rise for another reason.
+// forgetTimeout is how long the order to forget an ended attempt waits, while a direct
+// start of the attempt may still be delivered, for the shard's token to rise for another
+// reason.
 const forgetTimeout = 15 * time.Second
 
-// orderBuilder collects the orders of one reply to a heartbeat, or of one message of
-// direct commands.
+// orderBuilder collects the orders of one heartbeat reply or of one message of direct
+// commands.
 type orderBuilder struct {
 	*queue
-	// fencingTokenSeen is the token that the worker's heartbeat says to have seen; 0 for direct
-	// commands.
+	// fencingTokenSeen is the latest token that the worker has seen according to its
+	// heartbeat; 0 for direct commands.
 	fencingTokenSeen protocol.Term
-	direct           bool
-	orders           []protocol.Order
+	// direct is set for direct commands and not set for a heartbeat reply.
+	direct bool
+	orders []protocol.Order
 }
 
-// buildOrders fills a reply to a heartbeat, or direct commands: first the attempts to
-// forget, so that resources and task ids are free, then those to stop, then starts in
-// order of service while they fit. Each start is noted by the way it goes, since each way
-// is settled by other evidence.
+// buildOrders builds the orders of a heartbeat reply or of direct commands: first the
+// orders to forget attempts, which free resources and task ids, then the orders to stop
+// attempts, then starts in order of service while they fit. Each start is marked with the
+// path by which it is sent, because each path is settled by different evidence.
 func (q *queue) buildOrders(fencingTokenSeen protocol.Term, direct bool) []protocol.Order {
 	b := orderBuilder{queue: q, fencingTokenSeen: fencingTokenSeen, direct: direct, orders: []protocol.Order{}}
 	for _, e := range ordered.TasksWhere(q.entries, b.needsOrder) {
@@ -39,51 +41,52 @@
 	})
 	for _, e := range q.takeStartable() {
 		e.sent = true
-		b.start(e)
+		b.addStart(e)
 		q.Log.Debug("start", "machine", q.id, "task", e.task, "attempt", e.attempt)
 	}
 	return b.orders
 }
 
-// needsOrder picks the attempts that may need an order, of those that have been sent.
+// needsOrder reports whether an attempt that was sent may need an order.
 func (b *orderBuilder) needsOrder(_ protocol.TaskID, e *entry) bool {
 	return e.present && (e.ended() || e.kill || b.Live[e.task.Job] == nil) || e.directFencingToken != 0
 }
 
 func (b *orderBuilder) addOrder(e *entry) {
-	live := b.Live[e.task.Job] != nil
+	jobLive := b.Live[e.task.Job] != nil
 	switch {
 	case !e.present:
 		if b.mayResend(e) {
-			b.start(e)
+			b.addStart(e)
 		}
-	case e.ended() && (e.forget || !live):
-		b.forget(e)
-	case !e.ended() && (e.kill || !live):
+	case e.ended() && (e.forget || !jobLive):
+		b.addForget(e)
+	case !e.ended() && (e.kill || !jobLive):
 		grace := e.graceSeconds
-		if !live {
+		if !jobLive {
 			grace = 0
 		}
 		b.orders = append(b.orders, protocol.Order{Op: protocol.OpStop, Task: e.task, Attempt: e.attempt, GraceS: &grace})
 	}
 }
 
-// mayResend reports whether an unanswered direct start may be sent a second time:
-// directly only with a later token. With the same one, the answer to the second would
-// settle it while the first may be executed still; noted with the first one's, it would
-// be taken for settled by a worker that has seen the second's from elsewhere.
+// mayResend reports whether an unanswered direct start may be sent a second time. It may
+// be sent directly again only with a later token. With the same token, the answer to the
+// second start would settle the entry while the first one may still be executed. If the
+// second start were recorded with the token of the first, it would be considered settled
+// once the worker has seen the second token by another path.
 func (b *orderBuilder) mayResend(e *entry) bool {
 	if !e.sent || e.directFencingToken == 0 || e.kill {
 		return false
 	}
-	if !b.MayStart(e.task.Job) || b.outdated(e) {
+	if !b.MayStart(e.task.Job) || b.isOutdated(e) {
 		return false
 	}
 	return !b.direct || b.fencingToken() > e.directFencingToken
 }
 
-// start adds the start of an attempt.
-func (b *orderBuilder) start(e *entry) {
+// addStart adds an order to start an attempt.
+func (b *orderBuilder) addStart(e *entry) {
 	e.startResent = e.directFencingToken != 0
 	if b.direct {
 		e.directFencingToken = b.fencingToken()
@@ -93,26 +96,26 @@
 	b.orders = append(b.orders, protocol.Order{Op: protocol.OpStart, Task: e.task, Attempt: e.attempt})
 }
 
-// forget has the worker forget an attempt that has ended. After that the worker no longer
-// knows the attempt: a start that is still under way, directly or in a reply, would run
-// it again.
-func (b *orderBuilder) forget(e *entry) {
-	underWay := e.directFencingToken != 0 && b.fencingTokenSeen <= e.directFencingToken
+// addForget adds an order to forget an ended attempt. Afterwards the worker has no record
+// of the attempt, so a start that can still be delivered, directly or in a reply, would
+// run it again. The order is therefore delayed until no such start remains.
+func (b *orderBuilder) addForget(e *entry) {
+	unsettledDirectStart := e.directFencingToken != 0 && b.fencingTokenSeen <= e.directFencingToken
 	switch {
-	case !underWay && !e.startInLastReply:
+	case !unsettledDirectStart && !e.startInLastReply:
 		b.orders = append(b.orders, protocol.Order{Op: protocol.OpForget, Task: e.task, Attempt: e.attempt})
-	case !underWay || b.direct:
+	case !unsettledDirectStart || b.direct:
 	case e.forgetSince == 0:
 		e.forgetSince = b.Now
 	case b.Since(e.forgetSince) > forgetTimeout:
-		// No token rose for another reason. Retained, the attempt would keep its machine
-		// from being terminated, drained or not, for as long as none does.
+		// No token rose for another reason. Until one does, the retained attempt would keep
+		// its machine from being terminated, whether the machine is drained or not.
 		e.forgetSince = b.Now
 		b.settleDirectStart(e)
 	}
 }
 
-// orderRank puts the attempts to forget before all other orders.
+// orderRank sorts the orders to forget attempts before all other orders.
 func orderRank(op protocol.Op) int {
 	if op == protocol.OpForget {
 		return 0
@@ -120,17 +123,18 @@
 	return 1
 }
 
-// startDecision is what happens to an attempt that waits when its machine may start some.
+// startDecision says what happens to a waiting attempt when its machine may start attempts.
 type startDecision uint8
 
 const (
 	decisionStart   startDecision = iota
-	decisionSkip                  // it waits on; what is behind it may start
-	decisionRelease               // it goes back to its owner
-	decisionEnd                   // it waits on, and all behind it
+	decisionSkip                  // keep it waiting; attempts behind it may start
+	decisionRelease               // release it to its owner
+	decisionEnd                   // keep it and all attempts behind it waiting
 )
 
-// takeStartable takes those attempts from the queue that fit the free resources.
+// takeStartable removes the attempts to start from the queue and returns them: those that
+// fit the free resources, in order of service.
 func (q *queue) takeStartable() []*entry {
 	if q.recordVersion == 0 || q.refusesStarts() || len(q.waiting) == 0 || q.closed() {
 		return nil
@@ -138,7 +142,7 @@
 	var starts []*entry
 	free := q.free()
 	q.sortWaiting()
-	skipped := false // one that does not fit has been passed over
+	skipped := false // an attempt that can't start now has been skipped
 	for i := 0; i < len(q.waiting); {
 		e := q.waiting[i]
 		switch q.decideStart(e, free, skipped) {
@@ -158,13 +162,14 @@
 	return starts
 }
 
-// decideStart decides on one attempt that waits, given what is free. Once one has been
-// passed over, only jobs for which resources are reserved here start.
+// decideStart decides whether one waiting attempt starts, given the free resources. Once
+// an attempt has been skipped, only jobs for which resources are reserved on the machine
+// start.
 func (q *queue) decideStart(e *entry, free resource.Amount, skipped bool) startDecision {
 	if !q.MayStart(e.task.Job) {
-		return decisionEnd // its record has not arrived yet, or that of its end
+		return decisionEnd // the record of the job or of its end has not arrived yet
 	}
-	if q.outdated(e) {
+	if q.isOutdated(e) {
 		return decisionRelease
 	}
 	job := q.Live[e.task.Job]
@@ -172,7 +177,7 @@
 	verdict, reserved := q.checkReservations(e, job, free)
 	if !free.Covers(e.need) || verdict == startAfterOthers || skipped && !reserved {
 		if len(q.Reservations.Holds[q.id]) == 0 && verdict != startAfterOthers {
-			return decisionEnd // first come, first served: what is behind waits too
+			return decisionEnd // first come, first served: the attempts behind it wait too
 		}
 		return decisionSkip
 	}
@@ -182,13 +187,13 @@
 	return decisionStart
 }
 
-// removeWaiting takes the attempt at an index out of those that wait, to be started.
+// removeWaiting removes the waiting attempt at an index, which is about to be started.
 func (q *queue) removeWaiting(i int) {
 	if i == 0 {
-		q.waiting = q.waiting[1:] // as a rule; the queue may be long
+		q.waiting = q.waiting[1:] // the common case: avoids moving the elements of a long queue
 	} else {
 		q.waiting = slices.Delete(q.waiting, i, i+1)
 	}
 	q.idleSince = q.Now
-	q.touch()
+	q.markChanged()
 }
--- a/internal/controller/dispatcher/placement.go
+++ b/internal/controller/dispatcher/placement.go
@@ -5,31 +5,32 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Place queues placements. One that can't be queued is released at once.
-func (d *Dispatcher) Place(from protocol.NodeName, p *message.Place) {
+// Place queues the placements of a message. A placement that can't be queued is released at
+// once.
+func (d *Dispatcher) Place(from protocol.NodeName, place *message.Place) {
 	if _, member := d.View.Members[from]; member {
-		d.handledPlaces[from] = p.Number
+		d.handledPlaces[from] = place.Number
 	}
-	for i := range p.Tasks {
-		d.placeTask(from, p, &p.Tasks[i])
+	for i := range place.Tasks {
+		d.placeTask(from, place, &place.Tasks[i])
 	}
 }
 
-// placeTask queues one placement, or refuses it.
-func (d *Dispatcher) placeTask(from protocol.NodeName, p *message.Place, t *message.Placement) {
-	q := d.queues.get(t.Machine)
+// placeTask queues or refuses one placement.
+func (d *Dispatcher) placeTask(from protocol.NodeName, place *message.Place, placement *message.Placement) {
+	q := d.queues.get(placement.Machine)
 	if q == nil {
-		d.refusePlacement(from, t)
+		d.refusePlacement(from, placement)
 		return
 	}
-	e := waitingEntry(from, p, t, d.Now)
-	if !q.acceptsPlacement(p, t, e) {
-		q.touch() // the owner waits for the machine's next state
-		d.refusePlacement(from, t)
+	e := newWaitingEntry(from, place, placement, d.Now)
+	if !q.acceptsPlacement(place, placement, e) {
+		q.markChanged() // the owner waits for the next published state of the machine
+		d.refusePlacement(from, placement)
 		return
 	}
-	if q.entries[t.Task] != nil {
-		return // queued already
+	if q.entries[placement.Task] != nil {
+		return // already queued
 	}
 	d.lastArrival++
 	e.arrival = d.lastArrival
@@ -41,74 +42,77 @@
 	}
 }
 
-// acceptsPlacement reports whether a placement may be queued, or is queued already.
-func (q *queue) acceptsPlacement(p *message.Place, t *message.Placement, e *entry) bool {
-	if q.HasEnded(t.Task.Job) || !q.isCurrentPlacement(p, t) {
+// acceptsPlacement reports whether a placement may be queued or is already queued.
+func (q *queue) acceptsPlacement(place *message.Place, placement *message.Placement, e *entry) bool {
+	if q.HasEnded(placement.Task.Job) || !q.isCurrentPlacement(place, placement) {
 		return false
 	}
-	if q.refusesStarts() || q.handingOver() || q.closed() || q.outdated(e) {
+	if q.refusesStarts() || q.handingOver() || q.closed() || q.isOutdated(e) {
 		return false
 	}
-	if queued := q.entries[t.Task]; queued != nil {
-		return queued.attempt == t.Attempt
+	if queued := q.entries[placement.Task]; queued != nil {
+		return queued.attempt == placement.Attempt
 	}
-	// If something is in the way that can't be stopped, the owner of a gang did not know
-	// of it yet. Waiting here would keep the machines of the whole gang idle.
+	// If resources are in use by attempts that can't be stopped, the owner of the gang
+	// placed the task before it received that state. Queued here, the task would keep the
+	// machines of the whole gang idle.
 	return !e.inGang || q.nonPreemptibleFree(e.level).Covers(e.need) || q.hasReservation(e)
 }
 
-// isCurrentPlacement reports whether the term, the shard epoch and the machine's record
-// are those the owner placed by: a placement delayed by the network while the machine or
-// the job went elsewhere and came back must not start anything.
-func (q *queue) isCurrentPlacement(p *message.Place, t *message.Placement) bool {
-	return p.Term == q.View.Term && t.Tenure == q.ShardEpoch(q.id, q.zone) && q.recordVersion != 0 && q.recordVersion == t.Epoch
+// isCurrentPlacement reports whether the owner placed the task by the current term, shard
+// epoch and machine record. A placement that was delayed by the network, while the machine
+// or the job moved to another controller and back, must not start anything.
+func (q *queue) isCurrentPlacement(place *message.Place, placement *message.Placement) bool {
+	return place.Term == q.View.Term && placement.Tenure == q.ShardEpoch(q.id, q.zone) && q.recordVersion != 0 && q.recordVersion == placement.Epoch
 }
 
-// refusePlacement releases a placement that was not queued.
-func (d *Dispatcher) refusePlacement(from protocol.NodeName, t *message.Placement) {
+// refusePlacement notifies the owner that a placement was released without having been
+// queued.
+func (d *Dispatcher) refusePlacement(from protocol.NodeName, placement *message.Placement) {
 	d.Send(from, message.PeerMessage{Event: &message.TaskEvent{
-		TaskRef: message.TaskRef{Task: t.Task, Attempt: t.Attempt, Machine: t.Machine},
+		TaskRef: message.TaskRef{Task: placement.Task, Attempt: placement.Attempt, Machine: placement.Machine},
 		What:    message.EventReleased,
 	}})
 }
 
-// Stop releases an attempt never sent, or has it killed.
-func (d *Dispatcher) Stop(s message.Stop) {
-	if d.divertIfNotHeld(s.Machine, message.PeerMessage{Stop: &s}) {
+// Stop releases an attempt that was never sent. An attempt that was sent is killed if the
+// message asks for that.
+func (d *Dispatcher) Stop(stop message.Stop) {
+	if d.divertIfNotHeld(stop.Machine, message.PeerMessage{Stop: &stop}) {
 		return
 	}
-	q := d.queues.get(s.Machine)
+	q := d.queues.get(stop.Machine)
 	if q == nil {
 		return
 	}
-	e := q.entries[s.Task]
-	if e == nil || e.attempt != s.Attempt {
+	e := q.entries[stop.Task]
+	if e == nil || e.attempt != stop.Attempt {
 		return
 	}
 	if !e.sent && !e.present {
 		q.release(e)
 		return
 	}
-	if s.Kill && !e.ended() {
-		e.kill, e.graceSeconds = true, s.GraceS
-		q.touch()
+	if stop.Kill && !e.ended() {
+		e.kill, e.graceSeconds = true, stop.GraceS
+		q.markChanged()
 		q.requestDirect()
 	}
 }
 
-// Forget has the worker forget an ended attempt that its owner has dealt with.
-func (d *Dispatcher) Forget(r message.TaskRef) {
-	if d.divertIfNotHeld(r.Machine, message.PeerMessage{Forget: &r}) {
+// Forget allows the worker to forget an ended attempt whose end the owner has processed.
+func (d *Dispatcher) Forget(ref message.TaskRef) {
+	if d.divertIfNotHeld(ref.Machine, message.PeerMessage{Forget: &ref}) {
 		return
 	}
-	if q := d.queues.get(r.Machine); q != nil {
-		if e := q.entries[r.Task]; e != nil && e.attempt == r.Attempt && e.ended() {
+	if q := d.queues.get(ref.Machine); q != nil {
+		if e := q.entries[ref.Task]; e != nil && e.attempt == ref.Attempt && e.ended() {
 			e.forget = true
 		}
 	}
 }
 
-// Drain has nothing more started on a machine, and gives what waits there back to its
+// Drain stops further starts on a machine and releases its waiting attempts to their
 // owners.
 func (d *Dispatcher) Drain(id protocol.MachineID) {
 	if d.divertIfNotHeld(id, message.PeerMessage{Drain: &id}) {
@@ -116,7 +120,7 @@
 	}
 	if q := d.queues.get(id); q != nil && !q.draining {
 		q.draining = true
-		q.touch()
+		q.markChanged()
 		q.releaseWaiting()
 	}
 }
--- a/internal/controller/dispatcher/preempt.go
+++ b/internal/controller/dispatcher/preempt.go
@@ -10,24 +10,26 @@
 	"damsonkeel/internal/controller/resource"
 )
 
-// preemptAfter is how long an attempt waits at the head of its queue before others are
-// stopped for it: until then it may be moved to free resources elsewhere.
+// preemptAfter is how long an attempt waits at the head of its queue before other attempts
+// are preempted for it. Until then its owner may move it to free resources elsewhere.
 const preemptAfter = 3 * time.Second
 
-// preemption is one pass over a queue in which attempts are stopped for those that wait.
+// preemption is one pass over a queue that stops attempts in favor of waiting ones.
 type preemption struct {
 	*queue
-	// free is what is free once everything has ended that is being stopped.
+	// free is the amount of resources that are free once all attempts that are being
+	// stopped have ended.
 	free resource.Amount
 }
 
-// preempt stops attempts for those at the head of the queue that have waited: of lower
-// priority, or beyond their team's guarantee if the one that waits is within its own.
-// Those that can save a checkpoint, then those that ran least, go first; nothing is
-// stopped unless the one that waits then fits. Nor is anything stopped where resources
-// become free by themselves in time: what is stopped has to be run again, and where many
-// wait that makes all of them later. A task of a gang does not wait: all others of it
-// would.
+// preempt stops attempts in favor of those at the head of the queue that have waited long
+// enough. It stops attempts of lower priority, and attempts beyond their team's guarantee
+// if the waiting one is within its own. Attempts that can save a checkpoint are stopped
+// first, then those that have run least. Nothing is stopped unless the waiting attempt
+// then fits. Nor is anything stopped where enough resources become free in time by
+// themselves: a stopped attempt has to run again, and where many attempts wait that
+// delays all of them. Neither the waiting time nor that check applies to a task of a
+// gang, since all other tasks of the gang would wait with it.
 func (q *queue) preempt() {
 	if len(q.waiting) == 0 || q.recordVersion == 0 || q.refusesStarts() {
 		return
@@ -43,26 +45,26 @@
 			return
 		}
 		if verdict, _ := q.checkReservations(head, job, resource.Capacity(q.machineType)); verdict != startNow {
-			return // it would not start there
+			return // the attempt would not start on this machine
 		}
 		if !head.inGang && !p.isDue(head, job) {
 			return
 		}
-		if fits := p.makeFit(head, job); !fits || !head.inGang {
+		if freed := p.freeResourcesFor(head, job); !freed || !head.inGang {
 			return
 		}
 		p.free = p.free.Minus(head.need)
 	}
 }
 
-// isDue reports whether an attempt has waited long enough, and would start too late if
-// nothing were stopped for it.
+// isDue reports whether an attempt has waited long enough and would start too late without
+// preemption.
 func (p *preemption) isDue(e *entry, job *clusterstate.LiveJob) bool {
-	return p.Since(e.queuedSince) >= preemptAfter && p.After(p.timeUntilFits(e.need)) > p.startBy(e, job)
+	return p.Since(e.queuedSince) >= preemptAfter && p.After(p.timeUntilFits(e.need)) > p.startDeadline(e, job)
 }
 
-// timeUntilFits is how long it is likely to take until what runs on the machine ends by
-// itself and leaves enough resources for a task.
+// timeUntilFits returns the expected time until enough attempts on the machine end by
+// themselves to free the resources that a task needs.
 func (p *preemption) timeUntilFits(need resource.Amount) time.Duration {
 	type ending struct {
 		in   time.Duration
@@ -76,43 +78,44 @@
 		}
 	}
 	slices.SortFunc(endings, func(a, b ending) int { return cmp.Compare(a.in, b.in) })
-	free, in := p.free, time.Duration(0)
+	free, wait := p.free, time.Duration(0)
 	for _, e := range endings {
 		if free.Covers(need) {
 			break
 		}
-		free, in = free.Plus(e.need), e.in
+		free, wait = free.Plus(e.need), e.in
 	}
-	return in
+	return wait
 }
 
-// makeFit stops what has to be stopped for an attempt of a job, and reports whether the
-// attempt fits then. If it would not, nothing is stopped.
-func (p *preemption) makeFit(head *entry, job *clusterstate.LiveJob) bool {
+// freeResourcesFor stops as many attempts as are needed to fit an attempt of a job, and
+// reports whether the attempt fits then. If it would not fit, nothing is stopped.
+func (p *preemption) freeResourcesFor(head *entry, job *clusterstate.LiveJob) bool {
 	if p.free.Covers(head.need) {
 		return true
 	}
 	free := p.free
-	var chosen []*entry
+	var toStop []*entry
 	for _, e := range p.victims(head, job) {
 		if free.Covers(head.need) {
 			break
 		}
 		free = free.Plus(e.need)
-		chosen = append(chosen, e)
+		toStop = append(toStop, e)
 	}
 	if !free.Covers(head.need) {
 		return false
 	}
 	p.free = free
-	for _, e := range chosen {
-		p.stopForOthers(e)
+	for _, e := range toStop {
+		p.preemptAttempt(e)
 		p.Log.Debug("preempted for a more urgent task", "machine", p.id, "task", e.task, "for", head.task)
 	}
 	return true
 }
 
-// victims lists what may be stopped for an attempt of a job, in the order to stop it.
+// victims lists the attempts that may be stopped for an attempt of a job, in the order in
+// which to stop them.
 func (p *preemption) victims(head *entry, job *clusterstate.LiveJob) []*entry {
 	var victims []*entry
 	for _, e := range ordered.Tasks(p.entries) {
@@ -128,7 +131,8 @@
 	return victims
 }
 
-// sortVictims puts those that can save a checkpoint first, then those that ran least.
+// sortVictims sorts attempts that can save a checkpoint first, then those that have run
+// least.
 func (q *queue) sortVictims(victims []*entry) {
 	checkpointRank := func(e *entry) int {
 		if q.Live[e.task.Job].CheckpointS > 0 {
@@ -141,9 +145,10 @@
 	})
 }
 
-// stopForOthers has an attempt stopped for others, with time to save a checkpoint.
-func (q *queue) stopForOthers(e *entry) {
+// preemptAttempt orders an attempt to be stopped, with enough grace time to save a
+// checkpoint.
+func (q *queue) preemptAttempt(e *entry) {
 	e.kill, e.graceSeconds = true, q.stopSeconds(e)
-	q.touch()
+	q.markChanged()
 	q.requestDirect()
 }
--- a/internal/controller/dispatcher/published.go
+++ b/internal/controller/dispatcher/published.go
@@ -8,7 +8,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// free is what no attempt takes that may be on the machine.
+// free returns the resources of the machine that are not used by attempts that are or may
+// be on it.
 func (q *queue) free() resource.Amount {
 	free := resource.Capacity(q.machineType)
 	for _, e := range q.entries {
@@ -19,7 +20,8 @@
 	return free
 }
 
-// freeAfterStops is what is free once everything has ended that is being stopped.
+// freeAfterStops returns the resources that are free once all attempts that are being
+// stopped have ended.
 func (q *queue) freeAfterStops() resource.Amount {
 	free := q.free()
 	for _, e := range q.entries {
@@ -30,8 +32,8 @@
 	return free
 }
 
-// nonPreemptibleFree is what a task of a level finds once all has ended that may be
-// stopped for it.
+// nonPreemptibleFree returns the resources that are free for a task of a level once all
+// attempts that may be stopped for it have ended.
 func (q *queue) nonPreemptibleFree(level resource.Level) resource.Amount {
 	var uses resource.Uses
 	for _, e := range q.entries {
@@ -42,15 +44,15 @@
 	return resource.Capacity(q.machineType).Minus(uses.NonPreemptible(level))
 }
 
-// touch marks the machine's published state as changed. Whatever makes a dispatcher
-// notify an owner of an attempt does so, too: the owner may have counted something
-// against the machine until the next state it receives.
-func (q *queue) touch() {
+// markChanged marks the machine's published state as changed. Every event that makes a
+// dispatcher notify the owner of an attempt must mark it, too: the owner may count an
+// amount against the machine until it receives the next state.
+func (q *queue) markChanged() {
 	q.publishedValid = false
 	q.changes.Touch(q.id)
 }
 
-// publishedState is what peers are sent of the machine.
+// publishedState returns the state of the machine that is sent to peers.
 func (q *queue) publishedState() message.MachineState {
 	if m := q.Records[q.id]; m == nil || q.recordVersion != m.Epoch {
 		return message.MachineState{Machine: q.id}
@@ -64,8 +66,8 @@
 	return state
 }
 
-// computeState goes through the queue once after each change, for its published state and
-// for whether anything there might be stopped for something else.
+// computeState computes, once after each change, the published state and whether any
+// attempt in the queue might be preempted for a waiting one.
 func (q *queue) computeState() {
 	if q.publishedValid {
 		return
@@ -82,16 +84,16 @@
 	q.preemptible = summary.preemptible()
 }
 
-// stateSummary adds up the attempts of a queue for the machine's published state.
+// stateSummary sums up the attempts of a queue for the machine's published state.
 type stateSummary struct {
 	state message.MachineState
 	free  resource.Amount
 	uses  resource.Uses
-	// lowestPresent is the lowest rank of what is on the machine, highestWaiting the
-	// highest of what waits for it.
-	lowestPresent, highestWaiting int
-	borrows                       bool // something present is beyond its team's guarantee
-	guaranteedWaits               bool // something that waits is within its team's guarantee
+	// lowestPresentRank is the lowest rank of the attempts on the machine,
+	// highestWaitingRank the highest rank of the attempts that wait for it.
+	lowestPresentRank, highestWaitingRank int
+	exceedsGuarantee                      bool // an attempt on the machine is beyond its team's guarantee
+	guaranteedWaiting                     bool // a waiting attempt is within its team's guarantee
 }
 
 func newStateSummary(q *queue) stateSummary {
@@ -109,13 +111,13 @@
 			Noticed:  q.noticeSeconds != nil,
 			Closed:   q.refusesStarts() || q.silence == message.SilenceLong || q.closed(),
 		},
-		free:           resource.Capacity(q.machineType),
-		lowestPresent:  resource.Ranks,
-		highestWaiting: -1,
+		free:               resource.Capacity(q.machineType),
+		lowestPresentRank:  resource.Ranks,
+		highestWaitingRank: -1,
 	}
 }
 
-// add counts an attempt that has not ended.
+// add adds an attempt that has not ended to the sums.
 func (s *stateSummary) add(e *entry) {
 	s.state.Wait += e.estimate * e.need.CPUs
 	if e.sent {
@@ -133,21 +135,22 @@
 	}
 	s.uses.Add(e.level, e.need)
 	if e.present {
-		s.lowestPresent = min(s.lowestPresent, e.level.Rank())
-		s.borrows = s.borrows || !e.level.Guaranteed()
+		s.lowestPresentRank = min(s.lowestPresentRank, e.level.Rank())
+		s.exceedsGuarantee = s.exceedsGuarantee || !e.level.Guaranteed()
 	}
 }
 
 func (s *stateSummary) addWaiting(e *entry) {
-	s.highestWaiting = max(s.highestWaiting, e.level.Rank())
-	s.guaranteedWaits = s.guaranteedWaits || e.level.Guaranteed()
+	s.highestWaitingRank = max(s.highestWaitingRank, e.level.Rank())
+	s.guaranteedWaiting = s.guaranteedWaiting || e.level.Guaranteed()
 	for len(s.state.Queue) <= int(e.level) {
 		s.state.Queue = append(s.state.Queue, 0)
 	}
 	s.state.Queue[e.level] += e.estimate * e.need.CPUs
 }
 
-// finish rounds the sums, which were added up in no order, and completes the state.
+// finish rounds the sums and completes the state. Rounding makes the sums independent of
+// the order of the additions, which is not fixed.
 func (s *stateSummary) finish() {
 	state := &s.state
 	free := s.free.Round()
@@ -165,7 +168,7 @@
 	state.Uses = message.LevelUses(&s.uses)
 }
 
-// preemptible reports whether something present might be stopped for something that waits.
+// preemptible reports whether an attempt on the machine might be stopped for a waiting one.
 func (s *stateSummary) preemptible() bool {
-	return s.lowestPresent < s.highestWaiting || s.guaranteedWaits && s.borrows
+	return s.lowestPresentRank < s.highestWaitingRank || s.guaranteedWaiting && s.exceedsGuarantee
 }
--- a/internal/controller/dispatcher/quarantine.go
+++ b/internal/controller/dispatcher/quarantine.go
@@ -5,17 +5,19 @@
 	"damsonkeel/internal/protocol"
 )
 
-// failingLookup reports whether a job fails wherever it runs, as its owner announces.
+// failingLookup reports whether a job fails on every machine, as announced by its owner.
 type failingLookup func(protocol.JobID) bool
 
-// failedJobsToQuarantine is how many jobs have to fail on a machine in a row, none of
-// them failing elsewhere as well, until the machine is quarantined.
+// failedJobsToQuarantine is the number of jobs that must fail on a machine, without a
+// success of any task in between and without failing elsewhere as well, for the machine to
+// be quarantined.
 const failedJobsToQuarantine = 2
 
-// quarantine is whether a machine is quarantined, and what counts against it.
+// quarantine holds whether a machine is quarantined and the failures counted against it.
 type quarantine struct {
 	active bool
-	// failedJobs are the jobs that failed here since a task last succeeded, and since when.
+	// failedJobs maps each job that has failed here since a task last succeeded to the time
+	// of its first failure.
 	failedJobs map[protocol.JobID]clock.Time
 }
 
@@ -23,28 +25,29 @@
 	return quarantine{failedJobs: map[protocol.JobID]clock.Time{}}
 }
 
-// forgetJob no longer counts a job's failures against the machine.
+// forgetJob stops counting a job's failures against the machine.
 func (s *quarantine) forgetJob(id protocol.JobID) { delete(s.failedJobs, id) }
 
-// failed counts a job's failure against the machine, from the first on.
-func (s *quarantine) failed(id protocol.JobID, now clock.Time) {
-	if _, noted := s.failedJobs[id]; !noted {
+// recordFailure records a job's failure against the machine. Only the time of the first
+// failure is kept.
+func (s *quarantine) recordFailure(id protocol.JobID, now clock.Time) {
+	if _, recorded := s.failedJobs[id]; !recorded {
 		s.failedJobs[id] = now
 	}
 }
 
-// quarantineIfFailing quarantines a machine that fails what it starts, and takes it back
-// where its failures turn out to be those of jobs that fail everywhere. It waits until
-// the owners have had the time to announce such jobs: of two arrays with a mistake nearly
-// every machine fails a task of each, and the whole fleet would be quarantined.
-func (q *queue) quarantineIfFailing(fails failingLookup) {
+// updateQuarantine quarantines a machine on which too many jobs failed, and ends the
+// quarantine if the jobs turn out to fail on every machine. A failure counts only after the
+// owners have had time to announce such jobs: if two arrays are faulty, nearly every
+// machine fails a task of each, and all machines would be quarantined.
+func (q *queue) updateQuarantine(isFailing failingLookup) {
 	if len(q.quarantine.failedJobs) == 0 {
 		return
 	}
 	count := 0
 	for id, since := range q.quarantine.failedJobs {
 		switch {
-		case fails(id):
+		case isFailing(id):
 			q.quarantine.forgetJob(id)
 		case q.Since(since) >= 2*q.Op.ReplicationInterval:
 			count++
@@ -59,24 +62,25 @@
 		return
 	}
 	q.quarantine.active = active
-	q.touch()
+	q.markChanged()
 	if !active {
-		q.Log.Info("machine works again", "machine", q.id)
+		q.Log.Info("machine released from quarantine", "machine", q.id)
 		return
 	}
-	q.Log.Info("machine set aside: it fails its tasks", "machine", q.id, "jobs", len(q.quarantine.failedJobs))
+	q.Log.Info("machine quarantined: tasks of several jobs failed on it", "machine", q.id, "jobs", len(q.quarantine.failedJobs))
 	q.releaseWaiting()
 }
 
-// recordResult notes the end of an attempt for or against the machine. What else waits
-// here of a job that failed goes back to its owner, which places it elsewhere.
+// recordResult records the result of an ended attempt for the quarantine of the machine.
+// The other waiting attempts of a job that failed are released to the owner, which places
+// them elsewhere.
 func (q *queue) recordResult(e *entry) {
 	switch e.cause {
 	case protocol.EndDone:
 		clear(q.quarantine.failedJobs)
 		q.setQuarantined(false)
 	case protocol.EndError:
-		q.quarantine.failed(e.task.Job, q.Now)
+		q.quarantine.recordFailure(e.task.Job, q.Now)
 		q.releaseWhere(func(other *entry) bool { return other.task.Job == e.task.Job })
 	}
 }
--- a/internal/controller/dispatcher/queue.go
+++ b/internal/controller/dispatcher/queue.go
@@ -12,7 +12,7 @@
 )
 
 // queue is the state of one machine that is held here: its worker, the attempts that wait
-// for it or are on it, and what peers know of it.
+// for it or are on it, and its published state.
 type queue struct {
 	*environment
 	id          protocol.MachineID
@@ -20,39 +20,40 @@
 	machineType protocol.TypeInfo
 	address     string
 
-	agentEpoch       protocol.AgentEpoch // the newest seen
-	lastSeq          protocol.Seq        // of the newest heartbeat or answer to direct commands
-	heartbeatSeq     protocol.Seq        // of the newest heartbeat
-	fencingTokenSeen protocol.Term       // the highest fencing token that the worker has said to have seen
-	lastAnswer       clock.Time
-	everSeen         bool
+	agentEpoch       protocol.AgentEpoch // the latest agent epoch seen
+	lastSeq          protocol.Seq        // sequence number of the latest heartbeat or answer to direct commands
+	heartbeatSeq     protocol.Seq        // sequence number of the latest heartbeat
+	fencingTokenSeen protocol.Term       // the highest fencing token that the worker has reported as seen
+	lastAnswer       clock.Time          // when a heartbeat of the worker was last answered
+	everSeen         bool                // the worker has sent a heartbeat here or to a dispatcher that handed it over
 	silence          message.Silence
 
-	recordVersion protocol.Version // of the machine's record; 0: not registered
+	recordVersion protocol.Version // version of the machine's record; 0 if it is not registered
 	requests      recordRequests
 
 	entrySet
 	waiting []*entry // never sent, in order of service once sorted
 	sorted  bool
 
-	published      message.MachineState // what peers are sent
+	published      message.MachineState // the state that is sent to peers
 	publishedValid bool                 // published and preemptible are up to date
 	runs           []reservation.Run
-	preemptible    bool // something here might be stopped for something that waits
+	preemptible    bool // an attempt on the machine might be stopped for a waiting one
 
-	inventorySent  bool       // owners have an inventory of this term
-	inventoryKnown bool       // the worker has listed its attempts since the machine is held here
-	inventoryAfter clock.Time // no inventory is sent before
+	inventorySent  bool       // the inventory of this term was sent to the owners
+	inventoryKnown bool       // the worker has listed its attempts since the machine has been held here
+	inventoryAfter clock.Time // no inventory is sent before this time
 	// exclusive is set while the machine has been held here without a break since its
-	// worker saw a token of that: no other controller can have started anything.
+	// worker saw a fencing token of this dispatcher: no other controller can have started
+	// anything on it.
 	exclusive bool
 
-	directInFlight  bool // direct commands have no answer yet
-	directRequested bool // there may be something to command at once
+	directInFlight  bool // direct commands have been sent and not answered yet
+	directRequested bool // there may be commands to send at the end of the step
 
-	noticeSeconds *float64 // until the cloud terminates the machine, by its notice
+	noticeSeconds *float64 // time until the cloud terminates the machine; nil without a termination notice
 	draining      bool
-	idleSince     clock.Time
+	idleSince     clock.Time // when the machine last had an attempt, or began to be held here
 	quarantine    quarantine
 	images        imageCache
 }
@@ -69,84 +70,84 @@
 	}
 }
 
-// applyRecord takes over what the machine's record says.
-func (q *queue) applyRecord(m *clusterstate.Machine) {
-	q.recordVersion = m.Epoch
-	q.machineType = m.Info
-	q.address = m.Record.Address
-	q.zone = m.Record.Zone
-	q.agentEpoch = max(q.agentEpoch, m.Record.Session)
+// applyRecord copies the fields of the machine's record into the queue.
+func (q *queue) applyRecord(machine *clusterstate.Machine) {
+	q.recordVersion = machine.Epoch
+	q.machineType = machine.Info
+	q.address = machine.Record.Address
+	q.zone = machine.Record.Zone
+	q.agentEpoch = max(q.agentEpoch, machine.Record.Session)
 }
 
-// beginAgentEpoch drops what the worker's earlier epoch ran: its lease expired, and with
-// it all attempts.
+// beginAgentEpoch drops the attempts of the worker's earlier agent epoch: its lease
+// expired, and all its attempts ended with it.
 func (q *queue) beginAgentEpoch(epoch protocol.AgentEpoch) {
 	if q.agentEpoch != 0 {
 		q.Log.Info("worker began a new agent epoch", "machine", q.id, "agent_epoch", epoch)
 	}
-	// The old record stands until the new one is written; owners learn from the record
-	// that everything of the old epoch is lost.
+	// The old record remains until the new one is written. The new record shows the owners
+	// that all attempts of the old epoch are lost.
 	q.agentEpoch, q.lastSeq, q.heartbeatSeq = epoch, 0, 0
 	q.recordVersion, q.exclusive = 0, false
-	q.touch()
+	q.markChanged()
 	q.entrySet = newEntrySet()
 	q.waiting = nil
 	q.noticeSeconds = nil
 	q.images = nil
 }
 
-// refusesStarts reports whether nothing more is to be started on the machine.
+// refusesStarts reports whether the machine accepts no further starts.
 func (q *queue) refusesStarts() bool {
 	return q.draining || q.quarantine.active || q.noticeSeconds != nil
 }
 
-// enqueue adds an attempt to those that wait.
+// enqueue adds an attempt to the waiting ones.
 func (q *queue) enqueue(e *entry) {
 	q.waiting, q.sorted = append(q.waiting, e), false
-	q.touch()
+	q.markChanged()
 }
 
-// dequeue takes an attempt out of those that wait.
+// dequeue removes an attempt from the waiting ones.
 func (q *queue) dequeue(e *entry) {
 	if i := slices.Index(q.waiting, e); i >= 0 {
 		q.waiting = slices.Delete(q.waiting, i, i+1)
 	}
-	q.touch()
+	q.markChanged()
 }
 
-// requeue queues an attempt again whose start was not executed. Where nothing is started
-// any more it is released instead: it would wait there for ever, and keep the machine
-// from being empty and terminated.
+// requeue queues an attempt again whose start was not executed. If the machine accepts no
+// further starts, the attempt is released instead: it would wait there forever and keep the
+// machine from becoming empty and being terminated.
 func (q *queue) requeue(e *entry) {
 	e.sent = false
 	q.enqueue(e)
-	if q.refusesStarts() || q.closed() || q.outdated(e) {
+	if q.refusesStarts() || q.closed() || q.isOutdated(e) {
 		q.release(e)
 	}
 }
 
-// release gives a waiting attempt back to its owner, which places it elsewhere.
+// release releases a waiting attempt to its owner, which places it elsewhere.
 func (q *queue) release(e *entry) {
 	q.dequeue(e)
 	q.removeEntry(e.task)
 	q.notifyOwner(e, message.EventReleased)
 }
 
-// releaseWaiting gives all that waits back to its owners.
+// releaseWaiting releases all waiting attempts to their owners.
 func (q *queue) releaseWaiting() {
 	q.releaseWhere(func(*entry) bool { return true })
 }
 
-// releaseWhere gives those waiting attempts back to their owners that a condition picks.
-func (q *queue) releaseWhere(pick func(*entry) bool) {
+// releaseWhere releases the waiting attempts that match a condition to their owners.
+func (q *queue) releaseWhere(matches func(*entry) bool) {
 	for _, e := range slices.Clone(q.waiting) {
-		if pick(e) {
+		if matches(e) {
 			q.release(e)
 		}
 	}
 }
 
-// sortWaiting puts the higher level first, then the earlier deadline, then the earlier
+// sortWaiting sorts the waiting attempts by level, highest first, then by deadline, then by
 // arrival.
 func (q *queue) sortWaiting() {
 	if q.sorted {
@@ -157,7 +158,7 @@
 		if job := q.Live[e.task.Job]; job != nil {
 			e.deadline = job.Deadline
 		} else {
-			q.sorted = false // its record has not arrived yet
+			q.sorted = false // the job's record has not arrived yet
 		}
 	}
 	slices.SortStableFunc(q.waiting, func(a, b *entry) int {
@@ -165,15 +166,16 @@
 	})
 }
 
-// maxRememberedImages is how many images of a machine are remembered. Which ones its
-// cache still holds only the worker knows: the latest are the likeliest.
+// maxRememberedImages is the maximum number of images recorded for a machine. Only the
+// worker has the actual content of its cache; the latest images are the likeliest to be in
+// it.
 const maxRememberedImages = 12
 
 // imageCache lists the images that a machine has fetched in this agent epoch, the latest
 // last.
 type imageCache []string
 
-// add notes that the machine has an image.
+// add records that the machine has an image.
 func (c *imageCache) add(image string) {
 	images := *c
 	if i := slices.Index(images, image); i >= 0 {
@@ -184,7 +186,8 @@
 	*c = append(images, image)
 }
 
-// fetchSeconds is how long the machine takes to get a job's image.
+// fetchSeconds returns how long the machine takes to fetch a job's image; 0 if it has the
+// image.
 func (q *queue) fetchSeconds(job *clusterstate.LiveJob) float64 {
 	if slices.Contains(q.images, job.Image) {
 		return 0
--- a/internal/controller/dispatcher/queue_test.go
+++ b/internal/controller/dispatcher/queue_test.go
@@ -9,29 +9,29 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestQueueIsOrderedByDeadline: in a queue, what can still be done by its deadline goes
-// before what is late.
+// TestQueueIsOrderedByDeadline checks that an attempt that can still finish by its deadline
+// is sorted before one that is late.
 func TestQueueIsOrderedByDeadline(t *testing.T) {
-	b := newBench(t)
+	f := newFixture(t)
 	job := func(id protocol.JobID, deadline float64) *entry {
-		l := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, Since: b.dispatcher.Now}
-		l.Deadline = b.dispatcher.Deadline(l)
-		b.dispatcher.Live[id] = l
+		live := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, Since: f.dispatcher.Now}
+		live.Deadline = f.dispatcher.Deadline(live)
+		f.dispatcher.Live[id] = live
 		return &entry{task: protocol.TaskID{Job: id}, level: 1}
 	}
-	q := b.dispatcher.addQueue("vm-1", "a")
-	late, soon := job("job-1", 20), job("job-2", 60)
-	q.enqueue(soon)
-	q.enqueue(late)
-	if q.sortWaiting(); q.waiting[0] != late {
-		t.Fatal("what is due first does not go first")
+	q := f.dispatcher.addQueue("vm-1", "a")
+	earlier, later := job("job-1", 20), job("job-2", 60)
+	q.enqueue(later)
+	q.enqueue(earlier)
+	if q.sortWaiting(); q.waiting[0] != earlier {
+		t.Fatal("the attempt with the earliest deadline is not first")
 	}
-	b.dispatcher.Now += clock.Time(35 * time.Second)
-	for _, l := range b.dispatcher.Live {
-		l.Deadline = b.dispatcher.Deadline(l)
+	f.dispatcher.Now += clock.Time(35 * time.Second)
+	for _, live := range f.dispatcher.Live {
+		live.Deadline = f.dispatcher.Deadline(live)
 	}
-	b.dispatcher.InvalidateOrder()
-	if q.sortWaiting(); q.waiting[0] != soon {
-		t.Error("what is late anyway goes before what is not")
+	f.dispatcher.InvalidateOrder()
+	if q.sortWaiting(); q.waiting[0] != later {
+		t.Error("a late attempt is sorted before one that can still meet its deadline")
 	}
 }
--- a/internal/controller/dispatcher/queueset.go
+++ b/internal/controller/dispatcher/queueset.go
@@ -10,18 +10,18 @@
 // queueSet holds the queues of a dispatcher's machines.
 type queueSet struct {
 	byMachine map[protocol.MachineID]*queue
-	sorted    []*queue // by machine; nil: to be sorted again
+	sorted    []*queue // by machine; nil if it has to be rebuilt
 }
 
 func newQueueSet() queueSet {
 	return queueSet{byMachine: map[protocol.MachineID]*queue{}}
 }
 
-// get returns the queue of a machine; nil if it is not held here.
+// get returns the queue of a machine; nil if the machine is not held here.
 func (s *queueSet) get(id protocol.MachineID) *queue { return s.byMachine[id] }
 
-// inOrder lists the queues by their machines' names. The list stays valid for a caller
-// that adds or drops queues while it goes through it.
+// inOrder lists the queues ordered by machine name. The returned list stays valid while the
+// caller adds or drops queues during the iteration.
 func (s *queueSet) inOrder() []*queue {
 	if s.sorted == nil {
 		for _, q := range ordered.Of(s.byMachine) {
@@ -41,24 +41,24 @@
 	s.sorted = nil
 }
 
-// addQueue begins to hold a machine of a zone. The zone is set from the first: a queue
-// taken for one of another shard would not be dropped with its shard, and its machine
-// would be taken for silent.
+// addQueue begins to hold a machine of a zone. The zone is set from the start because it
+// determines the shard: with a wrong shard, the queue would not be dropped when its shard
+// moves, and its machine would be considered silent.
 func (d *Dispatcher) addQueue(id protocol.MachineID, zone protocol.Zone) *queue {
 	q := newQueue(d.environment, id, zone)
 	q.agentEpoch = d.agentEpochFloor[id]
 	d.queues.add(q)
-	q.touch()
+	q.markChanged()
 	return q
 }
 
-// dropQueue ends holding a machine.
+// dropQueue stops holding a machine.
 func (d *Dispatcher) dropQueue(id protocol.MachineID) {
 	d.queues.remove(id)
 	d.changes.Drop(id)
 }
 
-// environment is what a dispatcher and the queues of its machines share.
+// environment is the state shared by a dispatcher and the queues of its machines.
 type environment struct {
 	clusterstate.Module
 	// changes lists the machines whose published state has changed in this term.
--- a/internal/controller/dispatcher/reconcile.go
+++ b/internal/controller/dispatcher/reconcile.go
@@ -7,53 +7,54 @@
 	"damsonkeel/internal/protocol"
 )
 
-// applyHeartbeat reconciles the entries with what the worker lists, and notifies owners.
-// Whether it came as a heartbeat of the worker's own, or as the answer to direct commands,
-// decides what it settles: the worker sends its next heartbeat only after the reply to
-// the one before has come or was given up, so that heartbeat settles the starts in that
-// reply. An answer to direct commands may cross it.
-func (q *queue) applyHeartbeat(r *protocol.Heartbeat, own bool) {
-	if own {
+// applyHeartbeat reconciles the entries with the attempts that the worker lists, and
+// notifies the owners. The parameter viaHeartbeat says whether the status came as a
+// heartbeat or as the answer to direct commands, which decides what it settles. The
+// worker sends its next heartbeat only after the reply to the previous one has arrived or
+// timed out, so a heartbeat settles the starts in the previous reply. An answer to direct
+// commands may cross that reply and does not settle them.
+func (q *queue) applyHeartbeat(heartbeat *protocol.Heartbeat, viaHeartbeat bool) {
+	if viaHeartbeat {
 		for _, e := range q.entries {
 			e.startInLastReply = false
 		}
 	}
-	listed := make(map[protocol.TaskID]bool, len(r.Tasks))
-	for i := range r.Tasks {
-		listed[r.Tasks[i].Task] = true
-		q.applyListedTask(&r.Tasks[i])
+	listed := make(map[protocol.TaskID]bool, len(heartbeat.Tasks))
+	for i := range heartbeat.Tasks {
+		listed[heartbeat.Tasks[i].Task] = true
+		q.applyListedTask(&heartbeat.Tasks[i])
 	}
 	missing := func(id protocol.TaskID, e *entry) bool { return !listed[id] && (e.sent || e.present) }
 	for id, e := range ordered.TasksWhere(q.entries, missing) {
-		q.applyMissingTask(id, e, r.Term, own)
+		q.applyMissingTask(id, e, heartbeat.Term, viaHeartbeat)
 	}
-	q.applyTerminationNotice(r)
+	q.applyTerminationNotice(heartbeat)
 	if len(q.entries) > 0 {
 		q.idleSince = q.Now
 	}
 }
 
-// applyListedTask takes over the status of an attempt that the worker lists.
-func (q *queue) applyListedTask(t *protocol.TaskStatus) {
-	e := q.entries[t.Task]
-	if e == nil || e.attempt != t.Attempt {
+// applyListedTask applies the status of an attempt that the worker lists.
+func (q *queue) applyListedTask(status *protocol.TaskStatus) {
+	e := q.entries[status.Task]
+	if e == nil || e.attempt != status.Attempt {
 		if e != nil && !e.sent && !e.present {
-			// The machine still lists another attempt of a task that is queued here
-			// again: that one goes first.
-			q.replaceWithUnexpected(e, t)
+			// The machine still lists another attempt of a task that is queued here again:
+			// the listed attempt has to end first.
+			q.replaceWithUnexpected(e, status)
 			return
 		}
-		e = q.foundEntry(t)
+		e = q.newFoundEntry(status)
 		q.addEntry(e)
 	}
-	q.applyTaskStatus(e, t)
+	q.applyTaskStatus(e, status)
 }
 
-// foundEntry returns the entry of an attempt that was found on the machine. Its level is
-// a guess: its owner would know.
-func (q *queue) foundEntry(t *protocol.TaskStatus) *entry {
-	e := &entry{task: t.Task, attempt: t.Attempt, queuedSince: q.Now, level: resource.Levels - 1}
-	if job := q.Live[t.Task.Job]; job != nil {
+// newFoundEntry returns the entry of an attempt that was found on the machine. Its level
+// is a guess, because only its owner has the actual level.
+func (q *queue) newFoundEntry(status *protocol.TaskStatus) *entry {
+	e := &entry{task: status.Task, attempt: status.Attempt, queuedSince: q.Now, level: resource.Levels - 1}
+	if job := q.Live[status.Task.Job]; job != nil {
 		e.estimate, e.need = q.Estimate(&job.Job), resource.Need(&job.Job)
 		e.level = resource.LevelOf(job.Priority, q.HasGuarantee(job.Team))
 		e.levelGuessed = true
@@ -62,79 +63,81 @@
 }
 
 // replaceWithUnexpected releases a waiting attempt of a task of which the worker lists
-// another one, and has that one end.
-func (q *queue) replaceWithUnexpected(e *entry, t *protocol.TaskStatus) {
-	q.Log.Error("machine listed another attempt of a queued task", "machine", q.id, "task", t.Task, "attempt", t.Attempt)
+// another attempt, and orders the listed attempt to be killed and forgotten.
+func (q *queue) replaceWithUnexpected(e *entry, status *protocol.TaskStatus) {
+	q.Log.Error("machine listed another attempt of a queued task", "machine", q.id, "task", status.Task, "attempt", status.Attempt)
 	q.release(e)
 	q.addEntry(&entry{
-		task:    t.Task,
-		attempt: t.Attempt,
+		task:    status.Task,
+		attempt: status.Attempt,
 		present: true,
-		state:   t.State,
-		cause:   t.Cause,
-		kill:    t.State != protocol.TaskEnded,
+		state:   status.State,
+		cause:   status.Cause,
+		kill:    status.State != protocol.TaskEnded,
 		forget:  true,
 	})
 }
 
-// applyTaskStatus takes over the status of an attempt, and notifies its owner of a change.
-func (q *queue) applyTaskStatus(e *entry, t *protocol.TaskStatus) {
-	first := !e.present
-	before := e.state
+// applyTaskStatus applies the status of an attempt, and notifies its owner of a change.
+func (q *queue) applyTaskStatus(e *entry, status *protocol.TaskStatus) {
+	firstListed := !e.present
+	previousState := e.state
 	if !e.sent {
-		// It was taken for not executed, and is there: left in the queue, it would be
-		// released and placed elsewhere while it runs here.
+		// The start was assumed not to have been executed, but the attempt is on the
+		// machine. Left in the queue, it would be released and placed elsewhere while it
+		// runs here.
 		q.dequeue(e)
 	}
-	if first && !e.startResent {
-		e.directFencingToken = 0 // that start has arrived: nothing is under way
+	if firstListed && !e.startResent {
+		e.directFencingToken = 0 // the only start sent has arrived
 	}
 	e.sent, e.present = true, true
-	e.state, e.cause, e.checkpointed = t.State, t.Cause, t.Checkpointed
-	if first || before != e.state {
-		q.touch()
+	e.state, e.cause, e.checkpointed = status.State, status.Cause, status.Checkpointed
+	if firstListed || previousState != e.state {
+		q.markChanged()
 	}
-	if job := q.Live[e.task.Job]; job != nil && before != e.state && (e.state == protocol.TaskRunning || e.state == protocol.TaskWaiting) {
+	if job := q.Live[e.task.Job]; job != nil && previousState != e.state && (e.state == protocol.TaskRunning || e.state == protocol.TaskWaiting) {
 		q.images.add(job.Image)
 	}
 	switch {
-	case e.ended() && before != protocol.TaskEnded:
+	case e.ended() && previousState != protocol.TaskEnded:
 		q.recordResult(e)
-		q.noteEstimateError(e)
+		q.recordEstimateError(e)
 		q.notifyOwner(e, message.EventEnded)
-	case e.state == protocol.TaskRunning && before != protocol.TaskRunning:
+	case e.state == protocol.TaskRunning && previousState != protocol.TaskRunning:
 		e.runningSince = q.Now
 		q.notifyPresent(e, message.EventRunning)
-	case first:
+	case firstListed:
 		q.notifyPresent(e, message.EventPresent)
 	}
 }
 
-// applyMissingTask settles an attempt that was sent, or was present, and is not listed by
-// a worker that has seen a token.
-func (q *queue) applyMissingTask(id protocol.TaskID, e *entry, fencingTokenSeen protocol.Term, own bool) {
+// applyMissingTask settles an attempt that was sent or present and that its worker, which
+// has seen the given fencing token, does not list.
+func (q *queue) applyMissingTask(id protocol.TaskID, e *entry, fencingTokenSeen protocol.Term, viaHeartbeat bool) {
 	switch {
 	case e.present:
-		// The worker forgets an attempt only when commanded to, so this one was to be
-		// forgotten, or the worker lost it: it has ended either way.
+		// The worker forgets an attempt only when ordered to. Either it was ordered to
+		// forget this one, or it lost it: the attempt has ended in both cases.
 		q.removeEntry(id)
-		q.touch()
+		q.markChanged()
 		if !e.ended() {
 			e.state, e.cause = protocol.TaskEnded, protocol.EndError
 			q.notifyOwner(e, message.EventEnded)
 		}
-	case !own:
+	case !viaHeartbeat:
 	case e.directFencingToken != 0 && fencingTokenSeen <= e.directFencingToken:
-		// Sent directly, no answer: it may be executed minutes late, so not being listed
-		// proves nothing until the worker has seen a later token.
+		// The start was sent directly and not answered. It may be executed minutes late, so
+		// its absence from the list proves nothing until the worker has seen a later token.
 		q.settleDirectStart(e)
 	case e.kill || q.HasEnded(id.Job):
-		// Settled as below, and to be ended anyway.
+		// The start was not executed, as in the default case, and the attempt was to be
+		// ended anyway.
 		q.removeEntry(id)
 		q.notifyOwner(e, message.EventReleased)
 	default:
-		// The reply with the start was lost or dropped: settled by this heartbeat. The
-		// same attempt goes back to be sent again.
+		// The reply with the start was lost or dropped, as this heartbeat proves. The same
+		// attempt is queued to be sent again.
 		e.directFencingToken = 0
 		q.requeue(e)
 	}
--- a/internal/controller/dispatcher/registration.go
+++ b/internal/controller/dispatcher/registration.go
@@ -10,65 +10,65 @@
 	"damsonkeel/internal/record"
 )
 
-// registrarRetryAfter is after how long without a change of the record the registrar is
-// asked once more.
+// registrarRetryAfter is how long after a request the registrar is asked again if the
+// record has not changed.
 const registrarRetryAfter = 2 * time.Second
 
-// RegisterTag marks the registration of a machine's agent epoch.
+// RegisterTag identifies the registration of a machine's agent epoch.
 type RegisterTag struct {
 	machine    protocol.MachineID
 	agentEpoch protocol.AgentEpoch
 }
 
-// RemoveTag marks the removal of a machine's record.
+// RemoveTag identifies the removal of a machine's record.
 type RemoveTag struct{ Machine protocol.MachineID }
 
-// recordRequests are the changes of a machine's record that have been asked for.
+// recordRequests tracks the requested changes of a machine's record.
 type recordRequests struct {
 	registering, removing bool
-	askedAt               clock.Time // when either was last asked for
+	requestedAt           clock.Time // when a change was last requested
 }
 
-// pending reports whether what was asked for is still to be waited for. A transaction of
-// this controller's own is answered; what the registrar was asked for shows in the
-// records, or is asked for again.
-func (q *queue) pending(asked bool) bool {
-	return asked && (!q.UsesBlocks() || q.Since(q.requests.askedAt) <= registrarRetryAfter)
+// awaitsOutcome reports whether the outcome of a requested change is still awaited. The
+// state service answers each transaction of this controller. A change requested from the
+// registrar appears in the records, and is requested again if it does not.
+func (q *queue) awaitsOutcome(requested bool) bool {
+	return requested && (!q.UsesBlocks() || q.Since(q.requests.requestedAt) <= registrarRetryAfter)
 }
 
-// register asks for the record that the machine's agent epoch may run tasks. Nothing is
-// started on it before that is durable, so that a controller that takes work over knows
-// every machine that has to be asked. It holds only in the present view: who reads the
-// records after a new view misses none.
-func (q *queue) register(r *protocol.Heartbeat) {
-	if q.pending(q.requests.registering) {
+// register requests the record that allows the machine's agent epoch to run tasks. Nothing
+// is started on the machine before the record is durable, so that a controller that takes
+// over work can find every machine that it has to ask. The request is valid only in the
+// present view: a controller that reads the records after a new view misses none.
+func (q *queue) register(heartbeat *protocol.Heartbeat) {
+	if q.awaitsOutcome(q.requests.registering) {
 		return
 	}
-	q.requests.registering, q.requests.askedAt = true, q.Now
-	var have protocol.Version
+	q.requests.registering, q.requests.requestedAt = true, q.Now
+	var knownVersion protocol.Version
 	if m := q.Records[q.id]; m != nil {
-		have = m.Epoch
+		knownVersion = m.Epoch
 	}
-	machine := record.Machine{Session: r.AgentEpoch, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-	q.ChangeRecord(RegisterTag{q.id, r.AgentEpoch}, message.RecordChange{Machine: q.id, Have: have, To: &machine}, q.ViewUnchanged())
+	machine := record.Machine{Session: heartbeat.AgentEpoch, Address: heartbeat.Address, Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
+	q.ChangeRecord(RegisterTag{q.id, heartbeat.AgentEpoch}, message.RecordChange{Machine: q.id, Have: knownVersion, To: &machine}, q.ViewUnchanged())
 }
 
-// removeRecord asks for the removal of the machine's record of a version.
+// removeRecord requests the removal of the machine's record of a version.
 func (q *queue) removeRecord(version protocol.Version) {
-	q.requests.removing, q.requests.askedAt = true, q.Now
+	q.requests.removing, q.requests.requestedAt = true, q.Now
 	change := message.RecordChange{Machine: q.id, Have: version, Tenure: q.ShardEpoch(q.id, q.zone)}
 	q.ChangeRecord(RemoveTag{q.id}, change, q.ViewUnchanged())
 }
 
-// RegistrationDone takes the outcome of a registration; the watched record says whether
-// it is there.
+// RegistrationDone handles the outcome of a registration request. The watched record shows
+// whether the machine is registered.
 func (d *Dispatcher) RegistrationDone(tag RegisterTag, _ message.Outcome) {
 	if q := d.queues.get(tag.machine); q != nil {
 		q.requests.registering = false
 	}
 }
 
-// RemovalDone takes the outcome of a record's removal; the watched record says whether it
+// RemovalDone handles the outcome of a removal request. The watched record shows whether it
 // was removed.
 func (d *Dispatcher) RemovalDone(id protocol.MachineID) {
 	if q := d.queues.get(id); q != nil {
@@ -76,26 +76,27 @@
 	}
 }
 
-// RecordUpdated takes over a machine's record.
-func (d *Dispatcher) RecordUpdated(m *clusterstate.Machine) {
-	q := d.queues.get(m.ID)
-	if q != nil && q.agentEpoch < m.Record.Session {
-		// Registered by the previous dispatcher, whose notice of it came too late.
-		q.beginAgentEpoch(m.Record.Session)
+// RecordUpdated applies a new or changed machine record.
+func (d *Dispatcher) RecordUpdated(machine *clusterstate.Machine) {
+	q := d.queues.get(machine.ID)
+	if q != nil && q.agentEpoch < machine.Record.Session {
+		// The previous dispatcher registered this agent epoch, and its notice arrived too
+		// late.
+		q.beginAgentEpoch(machine.Record.Session)
 	}
-	if q != nil && q.agentEpoch == m.Record.Session {
-		q.recordVersion, q.requests.registering = m.Epoch, false
-		q.touch()
-	} else if q == nil && d.Member() && d.DispatcherOf(m.ID) == d.Self {
-		d.addQueue(m.ID, m.Record.Zone).applyRecord(m)
+	if q != nil && q.agentEpoch == machine.Record.Session {
+		q.recordVersion, q.requests.registering = machine.Epoch, false
+		q.markChanged()
+	} else if q == nil && d.Member() && d.DispatcherOf(machine.ID) == d.Self {
+		d.addQueue(machine.ID, machine.Record.Zone).applyRecord(machine)
 	}
 }
 
-// RecordDeleted drops a machine whose record was deleted, on proof that nothing runs there
-// any more.
-func (d *Dispatcher) RecordDeleted(m *clusterstate.Machine) {
-	d.agentEpochFloor[m.ID] = max(d.agentEpochFloor[m.ID], m.Record.Session+1)
-	if q := d.queues.get(m.ID); q != nil && q.agentEpoch <= m.Record.Session {
-		d.dropQueue(m.ID)
+// RecordDeleted drops a machine whose record was deleted because nothing can run on it any
+// more.
+func (d *Dispatcher) RecordDeleted(machine *clusterstate.Machine) {
+	d.agentEpochFloor[machine.ID] = max(d.agentEpochFloor[machine.ID], machine.Record.Session+1)
+	if q := d.queues.get(machine.ID); q != nil && q.agentEpoch <= machine.Record.Session {
+		d.dropQueue(machine.ID)
 	}
 }
--- a/internal/controller/dispatcher/reservations.go
+++ b/internal/controller/dispatcher/reservations.go
@@ -10,21 +10,22 @@
 	"damsonkeel/internal/controller/resource"
 )
 
-// reservationVerdict is when an attempt may start on a machine, as far as reservations
-// and maintenance windows allow.
+// reservationVerdict says when an attempt may start on a machine under its reservations and
+// maintenance windows.
 type reservationVerdict uint8
 
 const (
 	startNow         reservationVerdict = iota
-	startAfterOthers                    // once others there have ended
+	startAfterOthers                    // once other attempts on the machine have ended
 	startElsewhere
 )
 
-// maxStopTime is longer than a task takes to save a checkpoint and end.
+// maxStopTime is an upper bound of the time that a task takes to save a checkpoint and end.
 const maxStopTime = 10 * time.Minute
 
-// checkReservations decides whether an attempt that fits may start on the machine beside
-// what is reserved there, and reports whether resources are reserved there for its job.
+// checkReservations decides whether an attempt that fits may start on the machine in
+// addition to the reservations there, and reports whether resources are reserved there for
+// its job.
 func (q *queue) checkReservations(e *entry, job *clusterstate.LiveJob, free resource.Amount) (reservationVerdict, bool) {
 	reservations := q.Reservations
 	holds := reservations.Holds[q.id]
@@ -50,30 +51,33 @@
 	return startElsewhere, reserved
 }
 
-// hasReservation reports whether resources that are reserved for an attempt's job are free.
+// hasReservation reports whether the machine has free resources for an attempt and a
+// reservation for its job.
 func (q *queue) hasReservation(e *entry) bool {
 	job := q.Live[e.task.Job]
 	return job != nil && q.free().Covers(e.need) && reservation.ReservedUntil(q.Reservations.Holds[q.id], q.ReservationFilter(&job.Job)) != 0
 }
 
-// clearReserved stops what is in the way of a reservation on the machine, at the last
-// moment that leaves time to save a checkpoint: only what is less urgent than the
-// reserved work and beyond its team's guarantee.
-func (q *queue) clearReserved() {
+// preemptForReservations stops attempts that use the resources of a reservation on the
+// machine, at the last moment that leaves time to save a checkpoint. It stops only
+// attempts below the level of the reserved work: those that are less urgent and beyond
+// their team's guarantee.
+func (q *queue) preemptForReservations() {
 	holds := q.Reservations.Holds[q.id]
 	if len(holds) == 0 {
 		return
 	}
 	now := q.WallTime()
 	for i := range holds {
-		if holds[i].ShouldStop(maxStopTime, now) { // else long before it
-			q.clearHold(&holds[i], now)
+		if holds[i].ShouldStop(maxStopTime, now) { // otherwise it is far too early
+			q.preemptForHold(&holds[i], now)
 		}
 	}
 }
 
-// clearHold stops what is in the way of one reservation, if it is time for that.
-func (q *queue) clearHold(hold *reservation.Hold, now reservation.Moment) {
+// preemptForHold stops the attempts that use the resources of one reservation, if it is
+// time for that.
+func (q *queue) preemptForHold(hold *reservation.Hold, now reservation.Moment) {
 	victims := q.reservationVictims(hold.Level, hold.For)
 	seconds := 0.0
 	for _, e := range victims {
@@ -88,13 +92,14 @@
 			break
 		}
 		free = free.Plus(e.need)
-		q.stopForOthers(e)
-		q.Log.Info("stopped for a reservation", "machine", q.id, "task", e.task, "reservation", hold.For)
+		q.preemptAttempt(e)
+		q.Log.Info("stopped task for a reservation", "machine", q.id, "task", e.task, "reservation", hold.For)
 	}
 }
 
-// reservationVictims lists what may be stopped on the machine for reserved work of a
-// level: what can save a checkpoint first, then what ran least.
+// reservationVictims lists the attempts that may be stopped on the machine for reserved
+// work of a level: those that can save a checkpoint first, then those that have run
+// least.
 func (q *queue) reservationVictims(level resource.Level, name reservation.Name) []*entry {
 	var victims []*entry
 	for _, e := range ordered.Tasks(q.entries) {
--- a/internal/controller/dispatcher/shards.go
+++ b/internal/controller/dispatcher/shards.go
@@ -13,37 +13,39 @@
 	"damsonkeel/internal/record"
 )
 
-// maxCompletedMoves bounds the ended moves that are remembered until they are taken.
+// maxCompletedMoves is the maximum number of completed moves kept until TakeCompletedMoves
+// is called.
 const maxCompletedMoves = 1000
 
-// shardSet holds the state of the shards of the machines, beside their queues.
+// shardSet holds the state of the shards that is separate from the queues of their
+// machines.
 type shardSet struct {
 	clusterstate.Module
 	states    map[sharding.ID]*shardState
 	incoming  map[sharding.ID]*incomingHandover
 	completed []CompletedMove
-	// changeDue is set while there may be a change of the shards' record to ask for.
+	// changeDue is set while a change of the shard record may have to be requested.
 	changeDue bool
 }
 
-// shardState is what a dispatcher knows of one shard in one shard epoch.
+// shardState is a dispatcher's state of one shard in one shard epoch.
 type shardState struct {
 	id    sharding.ID
 	epoch protocol.Term
-	// exclusiveSince is since when all members are known to have followed the record by
-	// which the shard came here: no controller answers its machines by an earlier one any
-	// more. 0: not yet.
+	// exclusiveSince is the time since which all members are known to have applied the
+	// record that assigned the shard to this controller. From then on no controller answers
+	// its machines by an earlier record. 0 if that does not hold yet.
 	exclusiveSince clock.Time
-	// raiseAbove is the fencing token that an unanswered start was sent with: its worker
-	// has to see a later one. 0: none.
-	raiseAbove protocol.Term
-	handover   *outgoingHandover // nil: it is not being handed over
+	// raiseTokenAbove is the fencing token of an unanswered start: its worker has to see
+	// a later one. 0 if there is none.
+	raiseTokenAbove protocol.Term
+	handover        *outgoingHandover // nil if the shard is not being handed over
 }
 
-// CompletedMove is a move of a shard that has ended.
+// CompletedMove describes the handover of a shard that has ended.
 type CompletedMove struct {
 	Shard   sharding.ID
-	Pause   time.Duration // for how long nothing was started on it
+	Pause   time.Duration // how long no attempts were started on the shard
 	Aborted bool
 }
 
@@ -59,7 +61,7 @@
 	s.incoming = map[sharding.ID]*incomingHandover{}
 }
 
-// byID returns the state of a shard in its present epoch.
+// byID returns the state of a shard in its current epoch, and creates it if necessary.
 func (s *shardSet) byID(id sharding.ID) *shardState {
 	epoch := s.Shards.List[id].Since
 	shard := s.states[id]
@@ -70,19 +72,21 @@
 	return shard
 }
 
-// handingOver reports whether the shard of a machine is being handed over.
+// handingOver reports whether the shard of a machine is being handed over by this
+// controller.
 func (s *shardSet) handingOver(machine protocol.MachineID, zone protocol.Zone) bool {
 	return s.Sharded() && s.byID(sharding.ShardOf(s.Shards, machine, zone)).handover != nil
 }
 
-// isHeld reports whether this controller holds a shard in the epoch that a peer names.
-func (s *shardSet) isHeld(t message.Tenured) bool {
-	return s.Sharded() && t.Share >= 0 && t.Share < len(s.Shards.List) && s.Shards.List[t.Share].Since == t.Tenure &&
-		s.Shards.List[t.Share].Holder == s.Session
+// isHeld reports whether this controller holds a shard in the epoch that a peer's message
+// names.
+func (s *shardSet) isHeld(tenured message.Tenured) bool {
+	return s.Sharded() && tenured.Share >= 0 && tenured.Share < len(s.Shards.List) && s.Shards.List[tenured.Share].Since == tenured.Tenure &&
+		s.Shards.List[tenured.Share].Holder == s.Session
 }
 
-// held counts the shards that this controller holds.
-func (s *shardSet) held() (n int) {
+// countHeld returns the number of shards that this controller holds.
+func (s *shardSet) countHeld() (n int) {
 	if !s.Sharded() {
 		return 0
 	}
@@ -94,25 +98,26 @@
 	return n
 }
 
-// noteExclusive notes since when no controller acts by an earlier record of each shard,
-// given up to which epoch all members have followed the records.
-func (s *shardSet) noteExclusive(floor protocol.Term) {
+// recordExclusive sets the exclusiveSince time of each shard whose record all members have
+// applied. The floor is the shard epoch up to which all members have applied the records.
+func (s *shardSet) recordExclusive(adoptedEpoch protocol.Term) {
 	if !s.Sharded() || !s.HoldsLease() {
 		return
 	}
 	for _, shard := range s.states {
-		if shard.exclusiveSince == 0 && shard.epoch <= floor {
+		if shard.exclusiveSince == 0 && shard.epoch <= adoptedEpoch {
 			shard.exclusiveSince = s.Now
 		}
 	}
 }
 
-// requestRaise asks for a fencing token of a shard above the one of an unanswered start.
-func (s *shardSet) requestRaise(shard *shardState, above protocol.Term) {
-	shard.raiseAbove, s.changeDue = above, true
+// requestTokenRaise requests a fencing token of a shard above the token of an unanswered
+// start.
+func (s *shardSet) requestTokenRaise(shard *shardState, above protocol.Term) {
+	shard.raiseTokenAbove, s.changeDue = above, true
 }
 
-// requestedChanges lists the shards to take, and those whose epoch has to rise.
+// requestedChanges lists the shards to take and the shards whose epoch has to be raised.
 func (s *shardSet) requestedChanges() (take, raise []sharding.ID) {
 	if !s.changeDue || !s.Sharded() || !s.HoldsLease() {
 		return nil, nil
@@ -121,31 +126,31 @@
 	return s.completeIncoming(), s.epochsToRaise()
 }
 
-// completeIncoming lists the shards that were handed over completely, and drops handovers
-// that are void.
+// completeIncoming lists the shards whose incoming handovers are complete, and drops
+// handovers that are no longer valid.
 func (s *shardSet) completeIncoming() (complete []sharding.ID) {
 	for id, handover := range ordered.Of(s.incoming) {
 		if handover.epoch != s.Shards.List[id].Epoch || s.Since(handover.receivedAt) > incomingTimeout {
 			delete(s.incoming, id)
 			continue
 		}
-		if handover.missing == 0 {
+		if handover.missingPieces == 0 {
 			complete = append(complete, id)
 		}
-		s.changeDue = true // until it is taken, or void
+		s.changeDue = true // until the shard is taken or the handover is dropped
 	}
 	return complete
 }
 
-// epochsToRaise lists the shards whose epoch has to rise, for an unanswered start or to
-// give up a move.
+// epochsToRaise lists the shards whose epoch has to be raised to settle an unanswered start
+// or to abort an overdue handover.
 func (s *shardSet) epochsToRaise() (raise []sharding.ID) {
 	for id, shard := range ordered.Of(s.states) {
 		assignment := &s.Shards.List[id]
 		if assignment.Holder != s.Session || shard.epoch != assignment.Since {
 			continue
 		}
-		unsettled := shard.raiseAbove != 0 && shard.raiseAbove >= assignment.Epoch
+		unsettled := shard.raiseTokenAbove != 0 && shard.raiseTokenAbove >= assignment.Epoch
 		overdue := shard.handover != nil && s.Since(shard.handover.beganAt) > handoverTimeout
 		if unsettled || overdue {
 			raise = append(raise, id)
@@ -155,45 +160,45 @@
 	return raise
 }
 
-// noteMove remembers that the handover of a shard has ended.
-func (s *shardSet) noteMove(shard *shardState, givenUp bool) {
-	move := CompletedMove{Shard: shard.id, Pause: s.Since(shard.handover.beganAt), Aborted: givenUp}
+// recordMove records that the handover of a shard has ended.
+func (s *shardSet) recordMove(shard *shardState, aborted bool) {
+	move := CompletedMove{Shard: shard.id, Pause: s.Since(shard.handover.beganAt), Aborted: aborted}
 	s.completed = append(s.completed[max(0, len(s.completed)-maxCompletedMoves):], move)
-	what := "share moved"
-	if givenUp {
-		what = "move given up"
+	text := "shard moved"
+	if aborted {
+		text = "shard handover aborted"
 	}
-	s.Log.Info(what, "share", int(shard.id), "to", shard.handover.to, "cause", shard.handover.cause, "pause", move.Pause.Round(time.Millisecond))
+	s.Log.Info(text, "share", int(shard.id), "to", shard.handover.to, "cause", shard.handover.cause, "pause", move.Pause.Round(time.Millisecond))
 }
 
-// RequestedShardChanges lists the changes of the shards' record that this controller asks
-// for: the shards handed over to it completely, to take, and those whose epoch has to
-// rise, for an unanswered start or to give up a move.
+// RequestedShardChanges lists the changes of the shard record that this controller
+// requests: the shards to take, which were completely handed over to it, and the shards
+// whose epoch has to be raised to settle an unanswered start or to abort a handover.
 func (d *Dispatcher) RequestedShardChanges() (take, raise []sharding.ID) {
 	return d.shards.requestedChanges()
 }
 
-// TakeCompletedMoves returns the moves that have ended since it was called last.
+// TakeCompletedMoves returns the moves that have ended since the previous call.
 func (d *Dispatcher) TakeCompletedMoves() []CompletedMove {
 	completed := d.shards.completed
 	d.shards.completed = nil
 	return completed
 }
 
-// shardID is the shard of the queue's machine.
+// shardID returns the id of the shard of the queue's machine.
 func (q *queue) shardID() sharding.ID { return sharding.ShardOf(q.Shards, q.id, q.zone) }
 
-// shard is the state of the shard of the queue's machine.
+// shard returns the state of the shard of the queue's machine.
 func (q *queue) shard() *shardState { return q.shards.byID(q.shardID()) }
 
-// handingOver reports whether the queue is being handed over.
+// handingOver reports whether the shard of the queue's machine is being handed over.
 func (q *queue) handingOver() bool { return q.shards.handingOver(q.id, q.zone) }
 
-// fencingToken is what commands to the machine carry.
+// fencingToken returns the token that commands to the machine carry.
 func (q *queue) fencingToken() protocol.Term { return q.FencingToken(q.id, q.zone) }
 
-// firstOwnFencingToken is the lowest token that proves that a worker was commanded by this
-// dispatcher.
+// firstOwnFencingToken returns the lowest token that proves that a worker was commanded by
+// this dispatcher.
 func (q *queue) firstOwnFencingToken() protocol.Term {
 	if q.Sharded() {
 		return q.ShardEpoch(q.id, q.zone)
@@ -201,41 +206,41 @@
 	return q.View.Term
 }
 
-// AdoptShards goes over to a new record of the shards: those no longer held here are
-// dropped, those assigned to this controller are taken, and what else has changed raises
-// nothing but fencing tokens.
+// AdoptShards applies a new record of the shards. The shards that are no longer held here
+// are dropped and the shards newly assigned to this controller are taken. An epoch raised
+// by any other change only raises the fencing tokens, and aborts a handover in progress.
 func (d *Dispatcher) AdoptShards(old *record.ShardTable) {
 	lost, gained := map[sharding.ID]bool{}, map[sharding.ID]bool{}
-	for i, now := range d.Shards.List {
+	for i, current := range d.Shards.List {
 		id := sharding.ID(i)
-		was := record.ShardAssignment{}
+		previous := record.ShardAssignment{}
 		if old != nil && i < len(old.List) {
-			was = old.List[i]
+			previous = old.List[i]
 		}
-		holds, held := now.Holder == d.Session, was.Holder == d.Session
+		holdsNow, heldBefore := current.Holder == d.Session, previous.Holder == d.Session
 		switch {
-		case was.Since == now.Since && holds:
-			if shard := d.shards.byID(id); shard.handover != nil && now.Epoch != was.Epoch {
+		case previous.Since == current.Since && holdsNow:
+			if shard := d.shards.byID(id); shard.handover != nil && current.Epoch != previous.Epoch {
 				d.abortHandover(shard)
 			}
-		case was.Since == now.Since:
-		case held && !holds:
+		case previous.Since == current.Since:
+		case heldBefore && !holdsNow:
 			lost[id] = true
-		case holds:
+		case holdsNow:
 			gained[id] = true
 		}
 	}
 	if len(lost) > 0 {
-		d.loseShards(lost)
+		d.dropLostShards(lost)
 	}
 	if len(gained) > 0 {
-		d.takeShards(gained, old)
+		d.acquireShards(gained, old)
 	}
 	d.shards.dropVoidIncoming()
 }
 
-// dropVoidIncoming drops the incoming handovers of shards with which another controller
-// goes on.
+// dropVoidIncoming drops the incoming handovers of shards whose epoch has changed: another
+// controller continues with the shard.
 func (s *shardSet) dropVoidIncoming() {
 	for id, handover := range s.incoming {
 		if handover.epoch != s.Shards.List[id].Epoch {
@@ -244,9 +249,9 @@
 	}
 }
 
-// loseShards drops the machines of shards that other controllers hold now, and forwards
-// what was deferred for them.
-func (d *Dispatcher) loseShards(lost map[sharding.ID]bool) {
+// dropLostShards drops the machines of shards that other controllers now hold, and
+// forwards the messages that were deferred during their handovers.
+func (d *Dispatcher) dropLostShards(lost map[sharding.ID]bool) {
 	for _, q := range slices.Clone(d.queues.inOrder()) {
 		if lost[q.shardID()] {
 			d.dropQueue(q.id)
@@ -261,16 +266,16 @@
 		if shard.handover == nil {
 			continue
 		}
-		d.shards.noteMove(shard, false)
+		d.shards.recordMove(shard, false)
 		for _, m := range shard.handover.deferred {
 			d.handleDeferred(m)
 		}
 	}
 }
 
-// endHandovers ends all handovers at a new view: a shard is taken in the view it was
-// handed over in, or not at all, so what this controller holds still in the new one no
-// other controller will take by what was handed over.
+// endHandovers ends all handovers at a new view. A shard is taken in the view in which it
+// was handed over or not at all, so no other controller will take a shard that this
+// controller still holds in the new view from the state it handed over.
 func (d *Dispatcher) endHandovers() {
 	clear(d.shards.incoming)
 	if !d.Sharded() {
--- a/internal/controller/dispatcher/silence.go
+++ b/internal/controller/dispatcher/silence.go
@@ -8,45 +8,47 @@
 	"damsonkeel/internal/protocol"
 )
 
-// intervalMargin is by how much a healthy worker's heartbeat interval may be exceeded.
+// intervalMargin is the factor by which a healthy worker may exceed its heartbeat interval.
 const intervalMargin = 1.25
 
-// ExpireSilent notices which machines fall silent, and removes the records of those whose
-// lease has surely expired: no controller that may answer them has done so for longer
-// than it lasts. That includes a worker that came back with a new agent epoch and fell
-// silent before it could be registered: its old record would be waited for without end.
-func (d *Dispatcher) ExpireSilent(allAdopted bool, shardsFloor protocol.Term) {
+// ExpireSilent detects silent machines and requests the removal of the records of those
+// whose lease has certainly expired: no controller that may answer them has done so for
+// longer than the lease lasts. This includes a worker that restarted with a new agent
+// epoch and became silent before it was registered: otherwise other controllers would
+// wait for its old record forever.
+func (d *Dispatcher) ExpireSilent(allAdopted bool, adoptedShardEpoch protocol.Term) {
 	holdsLease := d.HoldsLease()
 	d.allAdoptedSince = continuousSince(d.allAdoptedSince, d.Now, holdsLease && allAdopted)
 	d.leaseHeldSince = continuousSince(d.leaseHeldSince, d.Now, holdsLease)
-	d.shards.noteExclusive(shardsFloor)
+	d.shards.recordExclusive(adoptedShardEpoch)
 	lease := d.WorkerLeaseBound()
 	for _, q := range d.queues.inOrder() {
-		quiet := d.Since(d.lastPossibleAnswer(q))
-		d.updateSilence(q, quiet)
-		if !d.mayExpire(q) || quiet <= lease || q.pending(q.requests.removing) {
+		silentFor := d.Since(d.lastPossibleAnswer(q))
+		d.updateSilence(q, silentFor)
+		if !d.mayExpire(q) || silentFor <= lease || q.awaitsOutcome(q.requests.removing) {
 			continue
 		}
 		m := d.Records[q.id]
 		if m == nil {
 			continue
 		}
-		d.Log.Info("machine silent for longer than its lease: its tasks are gone", "machine", q.id, "silent", quiet.Round(time.Second))
+		d.Log.Info("machine silent for longer than its lease: its tasks are lost", "machine", q.id, "silent", silentFor.Round(time.Second))
 		q.removeRecord(m.Epoch)
 	}
 }
 
-// updateSilence publishes how long a machine has been quiet. A controller that could not
-// answer can't tell who is silent: after an outage of the state service all machines
-// would seem to be, and their reservations be given up.
-func (d *Dispatcher) updateSilence(q *queue, quiet time.Duration) {
+// updateSilence publishes how long a machine has been silent. Only the time during which
+// this controller has continuously held its lease counts: a controller that could not
+// answer can't determine which machines are silent. After an outage of the state service
+// all machines would seem silent, and their reservations would be released.
+func (d *Dispatcher) updateSilence(q *queue, silentFor time.Duration) {
 	if d.leaseHeldSince == 0 {
 		return
 	}
-	silence := silenceAfter(min(quiet, d.Since(d.leaseHeldSince)), d.Settings.Site.Workers.ReportS)
+	silence := classifySilence(min(silentFor, d.Since(d.leaseHeldSince)), d.Settings.Site.Workers.ReportS)
 	if silence != q.silence {
 		q.silence = silence
-		q.touch()
+		q.markChanged()
 	}
 }
 
@@ -58,19 +60,21 @@
 	return d.allAdoptedSince != 0
 }
 
-// lastPossibleAnswer is the last time at which any controller can have answered a machine:
-// when it was answered here, or, before its inventory of this term, since when all members
-// have adopted this term. Until then an earlier dispatcher may answer it.
+// lastPossibleAnswer returns the latest time at which any controller can have answered a
+// machine. Once the machine's inventory of this term was sent, that is the last answer of
+// this controller. Before that, an earlier dispatcher may have answered the machine until
+// all members had adopted this term or, with shards, the record that assigned the shard
+// here.
 func (d *Dispatcher) lastPossibleAnswer(q *queue) clock.Time {
-	exclusiveSince, proven := d.allAdoptedSince, q.inventorySent
+	exclusiveSince, answersExclusive := d.allAdoptedSince, q.inventorySent
 	if d.Sharded() {
-		// A worker that has seen a token of this shard epoch takes no answer of an
-		// earlier dispatcher.
+		// A worker that has seen a token of this shard epoch rejects answers of earlier
+		// dispatchers.
 		shard := q.shard()
-		exclusiveSince, proven = shard.exclusiveSince, q.fencingTokenSeen >= shard.epoch
+		exclusiveSince, answersExclusive = shard.exclusiveSince, q.fencingTokenSeen >= shard.epoch
 	}
 	switch {
-	case proven:
+	case answersExclusive:
 		return q.lastAnswer
 	case exclusiveSince == 0:
 		return d.Now
@@ -78,8 +82,8 @@
 	return max(q.lastAnswer, exclusiveSince)
 }
 
-// continuousSince is since when something holds without a break, given since when it did
-// before; 0: it does not.
+// continuousSince returns the time since which a condition has held without a break, given
+// the previous such time; 0 if the condition does not hold.
 func continuousSince(before, now clock.Time, holds bool) clock.Time {
 	switch {
 	case !holds:
@@ -90,17 +94,17 @@
 	return before
 }
 
-// maxHealthyQuiet is the longest that a healthy worker stays quiet.
-func maxHealthyQuiet(intervalSeconds float64) time.Duration {
-	return time.Duration(intervalMargin*intervalSeconds*float64(time.Second)) + time.Second
+// maxHealthySilence returns the longest time between two heartbeats of a healthy worker.
+func maxHealthySilence(heartbeatSeconds float64) time.Duration {
+	return time.Duration(intervalMargin*heartbeatSeconds*float64(time.Second)) + time.Second
 }
 
-// silenceAfter is how long a quiet time is, against the interval of heartbeats.
-func silenceAfter(quiet time.Duration, intervalSeconds float64) message.Silence {
-	switch healthy := maxHealthyQuiet(intervalSeconds); {
-	case quiet > 2*healthy:
+// classifySilence classifies a time without heartbeats relative to the heartbeat interval.
+func classifySilence(silentFor time.Duration, heartbeatSeconds float64) message.Silence {
+	switch maxHealthy := maxHealthySilence(heartbeatSeconds); {
+	case silentFor > 2*maxHealthy:
 		return message.SilenceLong
-	case quiet > healthy:
+	case silentFor > maxHealthy:
 		return message.SilenceSome
 	}
 	return message.SilenceNone
--- a/internal/controller/dispatcher/silence_test.go
+++ b/internal/controller/dispatcher/silence_test.go
@@ -8,25 +8,25 @@
 	"damsonkeel/internal/controller/message"
 )
 
-// TestNobodyIsSilentDuringAnOutage: a controller that may not answer workers does not
-// take them for silent afterwards.
-func TestNobodyIsSilentDuringAnOutage(t *testing.T) {
-	b := newBench(t)
-	b.ready()
-	b.dispatcher.LeaseDeadline = b.dispatcher.Now
+// TestNoMachineIsSilentAfterOutage checks that a controller that was not allowed to answer
+// workers does not consider them silent as soon as it is allowed again.
+func TestNoMachineIsSilentAfterOutage(t *testing.T) {
+	f := newFixture(t)
+	f.registerAndSendHeartbeat()
+	f.dispatcher.LeaseDeadline = f.dispatcher.Now
 	for range 40 {
-		b.dispatcher.Now += clock.Time(time.Second)
-		b.dispatcher.ExpireSilent(true, 0)
+		f.dispatcher.Now += clock.Time(time.Second)
+		f.dispatcher.ExpireSilent(true, 0)
 	}
-	b.dispatcher.LeaseDeadline = b.dispatcher.Now + clock.Time(time.Minute)
-	if b.dispatcher.ExpireSilent(true, 0); b.queue().silence != message.SilenceNone {
-		t.Error("taken for silent")
+	f.dispatcher.LeaseDeadline = f.dispatcher.Now + clock.Time(time.Minute)
+	if f.dispatcher.ExpireSilent(true, 0); f.queue().silence != message.SilenceNone {
+		t.Error("machine published as silent right after the outage")
 	}
 	for range 30 {
-		b.dispatcher.Now += clock.Time(time.Second)
-		b.dispatcher.ExpireSilent(true, 0)
+		f.dispatcher.Now += clock.Time(time.Second)
+		f.dispatcher.ExpireSilent(true, 0)
 	}
-	if b.queue().silence != message.SilenceLong {
-		t.Error("not taken for silent when it is")
+	if f.queue().silence != message.SilenceLong {
+		t.Error("silent machine not published as silent")
 	}
 }
--- a/internal/controller/dispatcher/view.go
+++ b/internal/controller/dispatcher/view.go
@@ -9,13 +9,13 @@
 	"damsonkeel/internal/record"
 )
 
-// maxReleasedPerMessage bounds the attempts that one message says were released.
+// maxReleasedPerMessage is the maximum number of released attempts in one message.
 const maxReleasedPerMessage = 500
 
-// Adopt goes over to a new view. If this controller was a member without a break, queues
-// that stay here retain what they know; the rest is dropped, and the inventory of its new
-// dispatcher will list it.
-func (d *Dispatcher) Adopt(_ record.View, unbroken bool) {
+// Adopt applies a new view. If this controller was a member without a break, the queues
+// that stay here keep their state. The other state is dropped; the inventory of the
+// machine's new dispatcher will list it.
+func (d *Dispatcher) Adopt(_ record.View, continuous bool) {
 	released := map[protocol.NodeName][]message.TaskRef{}
 	for _, q := range d.queues.inOrder() {
 		if d.DispatcherInZone(q.id, q.zone) != d.Self {
@@ -24,12 +24,13 @@
 		}
 		q.lastAnswer = d.lastPossibleAnswer(q)
 		q.inventorySent, q.requests.registering, q.requests.removing = false, false, false
-		if !unbroken {
+		if !continuous {
 			q.inventoryKnown, q.exclusive = false, false
 		}
-		for _, e := range q.dropLostWaiting(unbroken) {
-			if owner := q.ownerOf(e); owner != "" && (unbroken || owner != d.Self) {
-				// To itself only if it retained its jobs: else it knows no attempt.
+		for _, e := range q.dropLostWaiting(continuous) {
+			if owner := q.ownerOf(e); owner != "" && (continuous || owner != d.Self) {
+				// A message to this controller itself is sent only if it kept its jobs:
+				// otherwise it has no record of any attempt.
 				released[owner] = append(released[owner], message.TaskRef{Task: e.task, Attempt: e.attempt, Machine: q.id})
 			}
 		}
@@ -49,15 +50,15 @@
 }
 
 // dropLostWaiting drops the waiting attempts that do not outlast a new view, and returns
-// them. What waits here for a job that has another owner now waits on: the inventory lists
-// it. Releasing it had the new owner place it anew once all machines had sent heartbeats, and
-// began gangs again of which the rest had started.
-func (q *queue) dropLostWaiting(unbroken bool) (dropped []*entry) {
-	lost := func(e *entry) bool { return !unbroken || q.Live[e.task.Job] == nil }
+// them. An attempt whose job has another owner now stays in the queue: the inventory lists
+// it. Releasing it made the new owner place it again only after all machines had sent
+// heartbeats, and restarted gangs whose other tasks had already started.
+func (q *queue) dropLostWaiting(continuous bool) (dropped []*entry) {
+	lost := func(e *entry) bool { return !continuous || q.Live[e.task.Job] == nil }
 	if !slices.ContainsFunc(q.waiting, lost) {
 		return nil
 	}
-	q.touch()
+	q.markChanged()
 	q.waiting = slices.DeleteFunc(q.waiting, func(e *entry) bool {
 		if !lost(e) {
 			return false
