--- a/internal/controller/jobs/attempt.go
+++ b/internal/controller/jobs/attempt.go
@@ -6,8 +6,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Attempt is an attempt of a task that may exist: it is queued or started, or not proven
-// to have ended or been lost.
+// Attempt is an attempt of a task that may exist: it is queued or started, and it is not
+// proven to have ended or to be lost.
 type Attempt struct {
 	Task    protocol.TaskID
 	Number  protocol.Attempt
@@ -23,29 +23,30 @@
 
 	// Started is set once the dispatcher has sent the attempt to its worker.
 	Started bool
-	// running is set once the worker has reported that it runs, and runningSince is when
-	// that was learned.
+	// running is set once the worker has reported that the attempt runs. runningSince is
+	// when this owner received the report.
 	running      bool
 	runningSince clock.Time
-	// startUnseen is set if the attempt may have run for a while before it was first
-	// reported to run.
+	// startUnseen is set if the attempt may have run for some time before this owner
+	// received the first report of it running.
 	startUnseen bool
 
 	// Unverified is set until the inventory of its machine decides whether it exists.
 	Unverified bool
-	// Stopping is set once the attempt has been asked to be killed.
+	// Stopping is set once the dispatcher has been asked to kill the attempt.
 	Stopping bool
-	// ReleaseAsked is set once its dispatcher has been asked to release it if it has not
-	// been sent to the worker.
+	// ReleaseAsked is set once the dispatcher has been asked to release the attempt if it
+	// has not been sent to the worker.
 	ReleaseAsked bool
 }
 
-// IsMovable reports whether the attempt may still be released by its dispatcher to be
-// placed on another machine.
+// IsMovable reports whether the dispatcher may still release the attempt, so that the task
+// can be placed on another machine.
 func (a *Attempt) IsMovable() bool {
 	return !a.Started && !a.Stopping && !a.ReleaseAsked && !a.Unverified
 }
 
+// ref returns the reference by which messages identify the attempt.
 func (a *Attempt) ref() message.TaskRef {
 	return message.TaskRef{Task: a.Task, Attempt: a.Number, Machine: a.Machine}
 }
--- a/internal/controller/jobs/attemptindex.go
+++ b/internal/controller/jobs/attemptindex.go
@@ -6,10 +6,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// AttemptIndex has attempts by the machines on which they may exist.
+// AttemptIndex maps each machine to the attempts that may exist on it, by task.
 type AttemptIndex map[protocol.MachineID]map[protocol.TaskID]*Attempt
 
-// add adds an attempt to those on its machine.
+// add adds an attempt to the entry of its machine.
 func (x AttemptIndex) add(attempt *Attempt) {
 	onMachine := x[attempt.Machine]
 	if onMachine == nil {
@@ -19,38 +19,39 @@
 	onMachine[attempt.Task] = attempt
 }
 
-// remove removes an attempt from those on its machine, unless another one of its task has
-// taken its place.
+// remove removes an attempt from the entry of its machine, unless another attempt of the
+// same task has replaced it there.
 func (x AttemptIndex) remove(attempt *Attempt) {
 	if x[attempt.Machine][attempt.Task] == attempt {
 		delete(x[attempt.Machine], attempt.Task)
 	}
 }
 
-// unverify marks the attempts on a machine as unverified.
-func (x AttemptIndex) unverify(id protocol.MachineID) {
+// markUnverified marks the attempts on a machine as unverified.
+func (x AttemptIndex) markUnverified(id protocol.MachineID) {
 	for _, attempt := range x[id] {
 		attempt.Unverified = true
 	}
 }
 
-// EndedAttempts are attempts of jobs that are over. They count against their teams' limits
-// for as long as they may be on their machines.
-type EndedAttempts map[message.TaskRef]endedAttempt
+// EndedAttempts are attempts of jobs that have ended. They count against their teams'
+// limits for as long as they may still exist on their machines.
+type EndedAttempts map[message.TaskRef]endedJobAttempt
 
-type endedAttempt struct {
+// endedJobAttempt is what an attempt of an ended job counts against the limit of its team.
+type endedJobAttempt struct {
 	team protocol.Team
 	need resource.Amount
-	// placeNumber is the number of the Place message that carried the attempt; 0: any
-	// inventory of its machine decides whether it exists.
+	// placeNumber is the number of the Place message that carried the attempt. If it is 0,
+	// any inventory of the machine decides whether the attempt exists.
 	placeNumber uint64
 }
 
-// dropUpto drops the attempts on a machine that were placed by Place messages up to a
-// number, and reports whether there were any.
-func (e EndedAttempts) dropUpto(id protocol.MachineID, upto uint64) (dropped bool) {
+// dropUpto drops the attempts on a machine that were placed by Place messages with numbers
+// up to maxPlaceNumber, and reports whether there were any.
+func (e EndedAttempts) dropUpto(id protocol.MachineID, maxPlaceNumber uint64) (dropped bool) {
 	for ref, ended := range e {
-		if ref.Machine == id && ended.placeNumber <= upto {
+		if ref.Machine == id && ended.placeNumber <= maxPlaceNumber {
 			delete(e, ref)
 			dropped = true
 		}
@@ -58,11 +59,12 @@
 	return dropped
 }
 
-// unverifyOn has any inventory of the machines that meet a condition decide on their
-// attempts: the numbers of Place messages were counted by an earlier dispatcher.
-func (e EndedAttempts) unverifyOn(meets func(protocol.MachineID) bool) {
+// resetPlaceNumbers sets the Place numbers of the attempts on all matching machines to 0, so
+// that any inventory of these machines decides whether the attempts exist. The old numbers
+// were counted by an earlier dispatcher.
+func (e EndedAttempts) resetPlaceNumbers(matches func(protocol.MachineID) bool) {
 	for ref, ended := range e {
-		if meets(ref.Machine) {
+		if matches(ref.Machine) {
 			ended.placeNumber = 0
 			e[ref] = ended
 		}
--- a/internal/controller/jobs/attempts.go
+++ b/internal/controller/jobs/attempts.go
@@ -10,14 +10,14 @@
 	"damsonkeel/internal/protocol"
 )
 
-// NextAttempt returns a new attempt number. Numbers grow, and those of a later term are
-// larger than all of an earlier one.
+// NextAttempt returns a new attempt number. Numbers increase, and each number of a later
+// term is larger than all numbers of earlier terms.
 func (o *Owned) NextAttempt() protocol.Attempt {
 	o.attemptCounter++
 	return protocol.Attempt(uint64(o.View.Term)<<32 | o.attemptCounter)
 }
 
-// AddAttempt adds an attempt of a job that may exist from now on.
+// AddAttempt adds an attempt to a job. From now on the attempt may exist.
 func (o *Owned) AddAttempt(job *Job, attempt *Attempt) {
 	job.Placed[attempt.Task] = attempt
 	job.Pending.Clear(uint(attempt.Task.Index))
@@ -35,35 +35,38 @@
 		}
 	}
 	if attempt.running {
-		job.running--
+		job.runningCount--
 		attempt.running = false
 	}
 	o.changes.Touch(job.ID)
 	o.AttemptsOn.remove(attempt)
 }
 
-// attemptLost makes a task pending again whose attempt is proven not to exist any more.
-func (o *Owned) attemptLost(job *Job, attempt *Attempt) {
+// handleLostAttempt removes an attempt that is proven not to exist any more, and makes its
+// task pending again. If the job is a gang, its other attempts are stopped.
+func (o *Owned) handleLostAttempt(job *Job, attempt *Attempt) {
 	index := uint(attempt.Task.Index)
 	if attempt.Started {
 		job.interrupted.Set(index)
 	}
 	o.RemoveAttempt(job, attempt)
-	// Of a job just taken over, a lost attempt proves nothing about others: a
-	// later one may run on a machine whose inventory has not been received. What is
-	// missing once all have been becomes pending then.
+	// After a takeover the loss of one attempt does not prove that the task has no other: a
+	// later attempt may run on a machine whose inventory has not been received. Tasks that
+	// are unlisted once all inventories have been received become pending then.
 	if !job.Unverified && !job.Done.Test(index) {
 		job.Pending.Set(index)
 	}
 	o.table.PlacementDue = true
 	if job.Kind == protocol.KindGang {
-		// The others can't go on: the next attempt starts when none of this one exists.
+		// The other tasks can't continue without this one. The next attempt of the gang
+		// starts once no task of the present attempt exists.
 		o.StopAll(job)
 	}
 }
 
-// SendStop asks the dispatcher of an attempt's machine to end it: to kill it with a grace
-// period in seconds, or else only to release it if it has not been sent to the worker.
+// SendStop asks the dispatcher of an attempt's machine to end the attempt. If kill is set,
+// the attempt is killed with a grace period in seconds; otherwise it is only released, and
+// only if it has not been sent to the worker.
 func (o *Owned) SendStop(attempt *Attempt, kill bool, graceSeconds float64) {
 	if attempt.Stopping && kill && graceSeconds > 0 {
 		return
@@ -74,21 +77,21 @@
 	}})
 }
 
-// StopAll has all attempts of a job stopped, with its grace period.
+// StopAll asks the dispatchers to kill all attempts of a job, with the job's grace period.
 func (o *Owned) StopAll(job *Job) {
 	for _, attempt := range ordered.Tasks(job.Placed) {
 		o.SendStop(attempt, true, clusterstate.GraceS(&job.Job))
 	}
 }
 
-// MachineLost drops everything that was placed on a machine by its present record, which
-// has been removed.
+// MachineLost drops all attempts on a machine whose record has been removed: they were
+// placed under that record.
 func (o *Owned) MachineLost(m *waittable.Machine) {
 	delete(o.AwaitedInventories, m.ID)
-	o.dropEndedAttempts(m.ID, math.MaxUint64)
+	o.dropEndedJobAttempts(m.ID, math.MaxUint64)
 	for _, attempt := range ordered.Tasks(o.AttemptsOn[m.ID]) {
 		if job := o.ByID[attempt.Task.Job]; job != nil && job.Placed[attempt.Task] == attempt {
-			o.attemptLost(job, attempt)
+			o.handleLostAttempt(job, attempt)
 		}
 	}
 	delete(o.AttemptsOn, m.ID)
@@ -96,10 +99,10 @@
 	o.resolveUnverified()
 }
 
-// dropEndedAttempts drops the ended attempts on a machine that were placed by Place messages
-// up to a number: the machine has none of them any more.
-func (o *Owned) dropEndedAttempts(id protocol.MachineID, upto uint64) {
-	if o.EndedAttempts.dropUpto(id, upto) {
+// dropEndedJobAttempts drops the attempts of ended jobs on a machine that were placed by Place
+// messages with numbers up to maxPlaceNumber: none of them exists any more.
+func (o *Owned) dropEndedJobAttempts(id protocol.MachineID, maxPlaceNumber uint64) {
+	if o.EndedAttempts.dropUpto(id, maxPlaceNumber) {
 		o.table.PlacementDue = true
 	}
 }
--- a/internal/controller/jobs/bitmap.go
+++ b/internal/controller/jobs/bitmap.go
@@ -7,13 +7,14 @@
 	"damsonkeel/internal/record"
 )
 
-// BitmapTag identifies a write of chunks of a job's bitmap.
+// BitmapTag identifies a write of chunks of a job's bitmap of finished tasks.
 type BitmapTag struct {
 	Job    protocol.JobID
 	chunks []int
 }
 
-// WriteBitmaps writes the chunks that have changed, of a limited number of jobs at a time.
+// WriteBitmaps writes the changed bitmap chunks of the owned jobs. Each call writes those of
+// a limited number of jobs.
 func (o *Owned) WriteBitmaps() {
 	if !o.HoldsLease() {
 		return
@@ -30,20 +31,21 @@
 	}
 }
 
-// writeBitmap writes the chunks of a job that have changed.
+// writeBitmap writes the changed chunks of a job's bitmap in one transaction.
 func (o *Owned) writeBitmap(job *Job) {
 	tag := BitmapTag{Job: job.ID}
 	txn := protocol.Transaction{Conditions: []protocol.Condition{
-		{Key: record.ViewKey, Version: o.ViewVersion}, // fences off the late writes of a former owner
+		{Key: record.ViewKey, Version: o.ViewVersion}, // rejects late writes of a former owner
 		{Key: record.LiveKey(job.ID), Version: job.Version},
 	}}
 	for chunk := range ordered.Of(job.bitmap.dirty) {
 		tag.chunks = append(tag.chunks, chunk)
-		// Conditional on the chunk's version: a write without an answer may be carried
-		// out after the next one, and would undo the ends that only that one has.
+		// The write is conditional on the chunk's version: an unanswered write may be
+		// carried out after the next one, and would then clear the finished tasks that only
+		// the next one contains.
 		key, version := record.BitmapChunkKey(job.ID, chunk), job.bitmap.stored[chunk]
 		txn.Conditions = append(txn.Conditions, protocol.Condition{Key: key, Version: version})
-		job.bitmap.stored[chunk] = version // it may be in the records from now on
+		job.bitmap.stored[chunk] = version // the chunk may exist in the records from now on
 		txn.Changes = append(txn.Changes, protocol.Change{Put: key, Value: record.EncodeChunk(job.Done, chunk)})
 	}
 	clear(job.bitmap.dirty)
@@ -51,7 +53,9 @@
 	o.Emit(message.Commit{Tag: tag, Transaction: txn})
 }
 
-// HandleBitmapWritten handles the outcome of a write of a job's bitmap.
+// HandleBitmapWritten handles the outcome of a write of a job's bitmap. After a failed write
+// the chunks are dirty again; if the stored versions are uncertain, the bitmap is read
+// again first.
 func (o *Owned) HandleBitmapWritten(tag BitmapTag, outcome message.Outcome, at protocol.Revision) {
 	job := o.ByID[tag.Job]
 	if job == nil {
@@ -68,13 +72,14 @@
 	job.bitmap.rereadNeeded = outcome == message.OutcomeUnknown || outcome == message.OutcomeFailed
 }
 
-// requestBitmap asks for a job's bitmap to be read.
+// requestBitmap requests a read of a job's bitmap.
 func (o *Owned) requestBitmap(job *Job) {
 	job.bitmap.loading = true
 	o.Emit(message.LoadBitmap{Job: job.ID})
 }
 
-// HandleBitmapLoaded merges a job's bitmap that was read from the records.
+// HandleBitmapLoaded merges the stored bitmap of a job, as read from the records, into its
+// state.
 func (o *Owned) HandleBitmapLoaded(loaded message.BitmapLoaded) {
 	job := o.ByID[loaded.Job]
 	if job == nil || job.Loaded && !job.bitmap.rereadNeeded {
@@ -82,7 +87,7 @@
 	}
 	job.bitmap.loading = false
 	if !loaded.OK {
-		return // Retry asks for it again
+		return // Retry requests it again
 	}
 	job.bitmap.rereadNeeded = false
 	o.mergeChunks(job, loaded.Chunks)
@@ -98,8 +103,8 @@
 	o.resolveUnverified()
 }
 
-// mergeChunks adds the tasks that are done by the stored chunks of a job's bitmap, and
-// takes over the chunks' versions.
+// mergeChunks marks the tasks as done that are done in the stored chunks of a job's bitmap,
+// and replaces the known chunk versions by those of the stored chunks.
 func (o *Owned) mergeChunks(job *Job, items []protocol.Item) {
 	clear(job.bitmap.stored)
 	for _, item := range items {
--- a/internal/controller/jobs/completed.go
+++ b/internal/controller/jobs/completed.go
@@ -9,9 +9,9 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// sendCompletedTasks sends a job's next owner the tasks that were done here and are not in
-// the records yet. Their workers have been asked to forget them: without this they would
-// run again.
+// sendCompletedTasks sends a job's next owner the tasks that finished under this owner and
+// are not in the records yet. Their workers have been asked to forget them, so without this
+// message the tasks would run again.
 func (o *Owned) sendCompletedTasks(job *Job) {
 	completed := message.CompletedTasks{Job: job.ID, Chunks: map[int]record.BitmapChunk{}}
 	for chunk := range job.bitmap.dirty {
@@ -25,7 +25,8 @@
 	}
 }
 
-// MergeCompletedTasks handles the tasks that the job's previous owner knows to be done.
+// MergeCompletedTasks marks the tasks as done that a job's previous owner has reported as
+// done, and kills their present attempts.
 func (o *Owned) MergeCompletedTasks(completed *message.CompletedTasks) {
 	job := o.ByID[completed.Job]
 	if job == nil {
--- a/internal/controller/jobs/doc.go
+++ b/internal/controller/jobs/doc.go
@@ -1,17 +1,17 @@
 // Package jobs keeps the state of the live jobs that this controller owns: which of their
 // tasks are done, which are pending, and which attempts may exist.
 //
-// It owns the attempts. Between two records of a job it is the only source of truth for
-// what has been placed: the key-value store holds the job itself and the bitmap of its
-// finished tasks, but no attempts. After a failover the new owner rebuilds them from the
-// inventories of the machines; until every machine has sent one, tasks that no inventory
-// lists are unverified and must not be placed. An attempt is dropped only on proof that it
-// no longer exists: its dispatcher's word, an inventory without it, or the loss of its
-// machine.
+// It owns the attempts. Between two writes of a job's records it is the only source of
+// truth for what has been placed: the key-value store holds the job itself and the bitmap
+// of its finished tasks, but no attempts. After a failover the new owner rebuilds them from
+// the inventories of the machines. Until every machine has sent its inventory, tasks that
+// no inventory lists are unverified and must not be placed. An attempt is dropped only on
+// proof that it no longer exists: a report of its dispatcher, an inventory that does not
+// list it, or the loss of its machine.
 //
-// The package also writes the bitmaps and the ends of jobs, learns run times, detects slow
-// machines by tasks that run far longer than the others of their job, and detects jobs
-// that fail wherever they run.
+// The package also writes the bitmaps and the final records of jobs, learns run times,
+// detects slow machines by tasks that run far longer than the other tasks of their job, and
+// detects jobs that fail on every machine.
 //
 // It reads the cluster state and the waittable, and acts on other modules by messages and
 // commits only. It must not choose machines (package placement does), start or stop
--- a/internal/controller/jobs/failingjob.go
+++ b/internal/controller/jobs/failingjob.go
@@ -7,59 +7,61 @@
 	"damsonkeel/internal/protocol"
 )
 
-// A failing job was submitted with an error of its own and fails on every machine until
-// its user cancels it; a faulty machine fails every job. The other attempts tell them
-// apart: of a good job's tasks most run while a few faulty machines fail some of them, and
-// on a good machine tasks of other jobs are done. The job's owner judges the job and
-// replicates that to all members; the machine's dispatcher judges the machine and leaves
-// out the failures of failing jobs (package dispatcher).
+// A failing job contains an error of its own and fails on every machine until its user
+// cancels it. A faulty machine fails the tasks of every job. The other attempts distinguish
+// the two: most tasks of a good job run while a few faulty machines fail some of them, and
+// on a good machine tasks of other jobs succeed. The job's owner decides whether the job is
+// failing and replicates the result to all members. The machine's dispatcher decides whether
+// the machine is faulty, and ignores the failures of failing jobs (package dispatcher).
 const (
-	// failedMachines is the number of machines on which a job must fail before it can be
-	// taken for failing.
-	failedMachines = 3
-	// minBackoff is the first backoff of a failing job, for each task that a trial takes,
-	// and maxBackoff the longest.
-	minBackoff, maxBackoff = 5 * time.Second, 5 * time.Minute
-	// trialFactor and trialSlack: a trial that runs so many times as long as others took
-	// to fail, and that much longer, shows that the job no longer fails.
+	// minFailedMachines is the number of machines on which a job must fail before it can be
+	// classified as failing.
+	minFailedMachines = 3
+	// minTrialBackoff is the first backoff of a failing job, multiplied by the number of
+	// tasks that a trial starts. maxTrialBackoff is the longest backoff.
+	minTrialBackoff, maxTrialBackoff = 5 * time.Second, 5 * time.Minute
+	// A trial that runs longer than trialFactor times the longest run of a failed attempt
+	// plus trialSlack shows that the job no longer fails.
 	trialFactor, trialSlack = 3, 5 * time.Second
 )
 
-// attemptFailed records that an attempt ended in an error and judges the job. Once at
-// least as many of its tasks have failed as run, the job is failing: one task at a time is
-// tried, with growing backoff.
-func (o *Owned) attemptFailed(job *Job, attempt *Attempt) {
+// handleFailedAttempt records that an attempt ended in an error and decides whether its job
+// is failing (see hasFailedEverywhere). Of a failing job one task at a time is tried, with a
+// backoff that doubles after each failed trial.
+func (o *Owned) handleFailedAttempt(job *Job, attempt *Attempt) {
 	job.FailedOn[attempt.Machine] = true
 	job.failure.count++
 	if attempt.running {
 		job.failure.longestRun = max(job.failure.longestRun, o.Since(attempt.runningSince))
 	}
 	switch {
-	case job.Failing && attempt.Trial && job.NotBefore <= o.Now: // the first of a trial's tasks
-		job.failure.backoff = min(2*job.failure.backoff, maxBackoff)
+	case job.Failing && attempt.Trial && job.NotBefore <= o.Now: // the first failed task of a trial
+		job.failure.backoff = min(2*job.failure.backoff, maxTrialBackoff)
 		job.NotBefore = o.After(job.failure.backoff)
 	case !job.Failing && o.hasFailedEverywhere(job):
 		o.markFailing(job)
 	}
 }
 
-// markFailing begins the trials of a job that fails wherever it runs.
+// markFailing marks a job as failing, sets the backoff of its first trial and releases its
+// queued attempts.
 func (o *Owned) markFailing(job *Job) {
-	job.Failing, job.failure.backoff = true, minBackoff
+	job.Failing, job.failure.backoff = true, minTrialBackoff
 	if job.IsGang() { // a trial uses the resources of all its tasks
-		job.failure.backoff = min(minBackoff*time.Duration(job.Tasks), maxBackoff)
+		job.failure.backoff = min(minTrialBackoff*time.Duration(job.Tasks), maxTrialBackoff)
 	}
 	job.NotBefore = o.After(job.failure.backoff)
 	o.changes.Touch(job.ID)
-	o.Log.Info("job fails wherever it runs: one task is tried now and then", "job", job.ID, "machines", len(job.FailedOn))
+	o.Log.Info("job fails on every machine: retrying one task at a time with backoff", "job", job.ID, "machines", len(job.FailedOn))
 	for _, other := range ordered.Tasks(job.Placed) {
 		if !other.Started && !other.Stopping && job.Kind != protocol.KindGang {
-			o.SendStop(other, false, 0) // what is queued would fail as well
+			o.SendStop(other, false, 0) // queued attempts would fail as well
 		}
 	}
 }
 
-// clearFailures ends the trials of a job that no longer fails.
+// clearFailures resets the failure count of a job after a success, and ends the trials if the
+// job was failing.
 func (o *Owned) clearFailures(job *Job) {
 	job.failure.count = 0
 	if !job.Failing {
@@ -72,9 +74,9 @@
 	o.Log.Info("job no longer fails", "job", job.ID)
 }
 
-// expireTrials ends the trials of a failing job once one of them has run for much longer
-// than its tasks took to fail.
-func (o *Owned) expireTrials(job *Job) {
+// endTrialsAfterLongRun ends the trials of a failing job once a trial has run for much longer
+// than the job's tasks ran before they failed.
+func (o *Owned) endTrialsAfterLongRun(job *Job) {
 	if !job.Failing {
 		return
 	}
@@ -87,16 +89,16 @@
 	}
 }
 
-// IsFailing reports whether a live job fails wherever it runs, according to its owner.
+// IsFailing reports whether the owner of a live job has classified it as failing.
 func (o *Owned) IsFailing(id protocol.JobID) bool {
 	progress, ok := o.JobProgress(id)
 	return ok && progress.Failing
 }
 
-// FailedOnAllMachines reports whether a job has failed on all usable machines that suit
-// it. It may then be placed again where it has failed: otherwise, if the only machine of a
-// zone had failed it once, it would never be tried again, as no other machine is
-// provisioned while that one has free resources.
+// FailedOnAllMachines reports whether a job has failed on all usable machines that suit it.
+// The job may then be placed again on machines where it has failed. Otherwise a job that
+// failed once on the only machine of a zone would never be retried: no other machine is
+// provisioned while that machine has free resources.
 func (o *Owned) FailedOnAllMachines(job *Job) bool {
 	if len(job.FailedOn) == 0 {
 		return false
@@ -109,10 +111,10 @@
 	return true
 }
 
-// hasFailedEverywhere reports whether a job has failed on several machines, no less often
-// than its tasks run, or on all machines that suit it. The tasks of a gang fail together:
-// how many run then tells nothing.
+// hasFailedEverywhere reports whether a job has failed on several machines, with at least as
+// many failures as running tasks, or on all machines that suit it. The number of running
+// tasks is ignored for a gang, since its tasks fail together.
 func (o *Owned) hasFailedEverywhere(job *Job) bool {
-	onSeveral := len(job.FailedOn) >= failedMachines && (job.IsGang() || job.failure.count >= int(job.running))
-	return onSeveral || o.FailedOnAllMachines(job)
+	failedOnSeveral := len(job.FailedOn) >= minFailedMachines && (job.IsGang() || job.failure.count >= int(job.runningCount))
+	return failedOnSeveral || o.FailedOnAllMachines(job)
 }
--- a/internal/controller/jobs/finish.go
+++ b/internal/controller/jobs/finish.go
@@ -7,11 +7,10 @@
 	"damsonkeel/internal/record"
 )
 
-// FinishTag identifies the write of a job's end.
+// FinishTag identifies the write of a job's final record.
 type FinishTag struct{ Job protocol.JobID }
 
-// markTaskDone records that a task is done, and that its chunk of the bitmap is to be
-// written.
+// markTaskDone records that a task is done, and marks its chunk of the bitmap as dirty.
 func (o *Owned) markTaskDone(job *Job, index uint32) {
 	job.Pending.Clear(uint(index))
 	if job.Done.Test(uint(index)) {
@@ -24,8 +23,8 @@
 	o.clearFailures(job)
 }
 
-// finishIfDone has a job's end written once all its tasks are done. Nobody is notified of
-// it before that is durable.
+// finishIfDone starts the write of a job's final record once all its tasks are done. The end
+// of the job is not announced before the write is durable.
 func (o *Owned) finishIfDone(job *Job) {
 	if !job.Loaded || job.DoneCount < job.Tasks || job.FinishDue {
 		return
@@ -34,7 +33,7 @@
 	o.writeFinish(job)
 }
 
-// writeFinish writes a job's end, and deletes its live record and its bitmap.
+// writeFinish writes a job's final record, and deletes its live record and its bitmap.
 func (o *Owned) writeFinish(job *Job) {
 	if job.finishInFlight || !o.HoldsLease() {
 		return
@@ -43,7 +42,7 @@
 	o.Emit(message.Commit{Tag: FinishTag{job.ID}, Transaction: job.finishTransaction()})
 }
 
-// finishTransaction returns the write of the job's end.
+// finishTransaction returns the transaction that records the job as done.
 func (j *Job) finishTransaction() protocol.Transaction {
 	txn := protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.LiveKey(j.ID), Version: j.Version}, {Key: record.JobKey(j.ID), Version: j.Version}},
@@ -52,15 +51,17 @@
 			{Delete: record.LiveKey(j.ID)},
 		},
 	}
-	// Only chunks that may be stored, a short job has none: each deletion costs a change.
+	// Only chunks that may be stored are deleted, since each deletion uses one change of the
+	// transaction. A short job has no stored chunks.
 	for chunk := range ordered.Of(j.bitmap.stored) {
 		txn.Changes = append(txn.Changes, protocol.Change{Delete: record.BitmapChunkKey(j.ID, chunk)})
 	}
 	return txn
 }
 
-// HandleFinishWritten handles the outcome of the write of a job's end. If it failed, Retry writes
-// it again; a conflict shows in the records.
+// HandleFinishWritten handles the outcome of the write of a job's final record. If the write
+// failed, Retry repeats it. After a conflict, the change of the records that caused it is
+// handled when it is read.
 func (o *Owned) HandleFinishWritten(tag FinishTag, outcome message.Outcome) {
 	if job := o.ByID[tag.Job]; job != nil {
 		job.finishInFlight = outcome == message.OutcomeDone
--- a/internal/controller/jobs/fixture_test.go
+++ b/internal/controller/jobs/fixture_test.go
@@ -18,7 +18,8 @@
 	"damsonkeel/internal/record"
 )
 
-// newOwned returns the owned jobs of node-0, which holds its lease in a view with node-1.
+// newOwned returns the state of the jobs of node-0, which owns no jobs yet. node-0 holds its
+// lease, and the view also contains node-1.
 func newOwned(t testing.TB) *Owned {
 	t.Helper()
 	settings := fake.Settings()
@@ -38,7 +39,7 @@
 	return owned
 }
 
-// addMachines registers idle machines with four processors.
+// addMachines registers n idle machines with four processors each.
 func addMachines(table *waittable.Table, n int) {
 	for i := range n {
 		id := protocol.MachineID(fmt.Sprintf("vm-%02d", i))
@@ -51,13 +52,13 @@
 	}
 }
 
-// taskRef refers to the first attempt of a task of job-1.
+// taskRef returns a reference to the first attempt of a task of job-1.
 func taskRef(index uint32, machine protocol.MachineID) message.TaskRef {
 	return message.TaskRef{Task: protocol.TaskID{Job: "job-1", Index: index}, Attempt: 1, Machine: machine}
 }
 
-// start adds an attempt to a job and reports that it runs.
-func start(owned *Owned, job *Job, ref message.TaskRef) *Attempt {
+// startAttempt adds an attempt to a job and delivers a report that it runs.
+func startAttempt(owned *Owned, job *Job, ref message.TaskRef) *Attempt {
 	attempt := &Attempt{Task: ref.Task, Number: ref.Attempt, Machine: ref.Machine, Estimate: owned.EstimateOf(job)}
 	if m := owned.table.Machines[ref.Machine]; m != nil {
 		attempt.Epoch, attempt.Zone = m.Epoch, m.Record.Zone
@@ -67,7 +68,7 @@
 	return attempt
 }
 
-// end reports the end of an attempt.
-func end(owned *Owned, ref message.TaskRef, cause protocol.EndCause) {
+// endAttempt delivers a report that an attempt has ended.
+func endAttempt(owned *Owned, ref message.TaskRef, cause protocol.EndCause) {
 	owned.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventEnded, Cause: cause})
 }
--- a/internal/controller/jobs/inventory.go
+++ b/internal/controller/jobs/inventory.go
@@ -7,10 +7,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// HandleInventory handles a dispatcher's proof of all attempts that are on a machine.
+// HandleInventory handles a dispatcher's inventory of a machine, which lists all attempts of
+// this owner's jobs there. Attempts that the inventory should list and does not are lost.
 func (o *Owned) HandleInventory(from protocol.NodeName, inventory *message.Inventory) {
 	m := o.table.Machines[inventory.Machine]
-	if m == nil || !o.inventoryCurrent(from, inventory, m) {
+	if m == nil || !o.isCurrentInventory(from, inventory, m) {
 		return
 	}
 	listed := map[protocol.TaskID]bool{}
@@ -27,36 +28,37 @@
 		if job == nil || listed[attempt.Task] || (!attempt.Unverified && attempt.PlaceNumber > inventory.Upto) {
 			continue
 		}
-		o.attemptLost(job, attempt)
+		o.handleLostAttempt(job, attempt)
 	}
-	o.dropEndedAttempts(inventory.Machine, inventory.Upto)
-	o.recordEndedAttempts(inventory)
+	o.dropEndedJobAttempts(inventory.Machine, inventory.Upto)
+	o.recordEndedJobAttempts(inventory)
 	delete(o.AwaitedInventories, inventory.Machine)
 	o.resolveUnverified()
 }
 
-// inventoryCurrent reports whether an inventory is of the present term, machine record,
+// isCurrentInventory reports whether an inventory matches the present term, machine record,
 // dispatcher and shard epoch.
-func (o *Owned) inventoryCurrent(from protocol.NodeName, inventory *message.Inventory, m *waittable.Machine) bool {
+func (o *Owned) isCurrentInventory(from protocol.NodeName, inventory *message.Inventory, m *waittable.Machine) bool {
 	return inventory.Term == o.View.Term && m.Epoch == inventory.Epoch &&
 		o.DispatcherOf(inventory.Machine) == from && inventory.Tenure == o.ShardEpoch(inventory.Machine, m.Record.Zone)
 }
 
-// recordEndedAttempts counts the attempts on a machine of jobs that are over here, but not
-// yet by the records that its dispatcher has followed: it has not killed them, and may even
-// start them until it follows. They count against their team's limit until the dispatcher
-// reports that they have ended. When they were taken to be lost, their resources were given
-// to others of the team, beyond the limit.
-func (o *Owned) recordEndedAttempts(inventory *message.Inventory) {
+// recordEndedJobAttempts counts the listed attempts of jobs that this owner has seen end while
+// the dispatcher has not read that record yet: the dispatcher has not killed them, and may
+// even start them until it reads the record. They count against their team's limit until the
+// dispatcher reports that they have ended. If they were treated as lost, their resources
+// would be assigned to other tasks of the team, and the team would exceed its limit.
+func (o *Owned) recordEndedJobAttempts(inventory *message.Inventory) {
 	for _, held := range inventory.Held {
 		if o.Live[held.Task.Job] == nil && held.State != protocol.TaskEnded && o.Limited(held.Team) {
 			ref := message.TaskRef{Task: held.Task, Attempt: held.Attempt, Machine: inventory.Machine}
-			o.EndedAttempts[ref] = endedAttempt{held.Team, held.Need, 0}
+			o.EndedAttempts[ref] = endedJobAttempt{held.Team, held.Need, 0}
 		}
 	}
 }
 
-// adoptAttempt handles one attempt of an inventory.
+// adoptAttempt handles one attempt of an inventory: it restores the attempt after a takeover,
+// verifies it, and applies its reported state.
 func (o *Owned) adoptAttempt(job *Job, m *waittable.Machine, held message.HeldAttempt) {
 	ref := message.TaskRef{Task: held.Task, Attempt: held.Attempt, Machine: m.ID}
 	attempt := job.Placed[held.Task]
@@ -66,7 +68,7 @@
 	if attempt != nil && attempt.ref() == ref {
 		attempt.startUnseen = attempt.startUnseen || attempt.Unverified && !attempt.running
 		if attempt.Unverified {
-			attempt.PlaceNumber, attempt.Unverified = 0, false // counted by an earlier session
+			attempt.PlaceNumber, attempt.Unverified = 0, false // the number was counted by an earlier session
 		}
 	}
 	switch held.State {
@@ -80,7 +82,7 @@
 	}
 }
 
-// restoreAttempt adds an attempt of a job just taken over that an inventory lists.
+// restoreAttempt adds an attempt that an inventory lists to a job after a takeover.
 func (o *Owned) restoreAttempt(job *Job, m *waittable.Machine, held message.HeldAttempt) *Attempt {
 	attempt := &Attempt{
 		Task: held.Task, Number: held.Attempt, Machine: m.ID, Epoch: m.Epoch, Zone: m.Record.Zone,
@@ -94,7 +96,7 @@
 }
 
 // resolveUnverified makes the unlisted tasks of jobs taken over pending, once every machine
-// that might have an attempt has sent its inventory or been lost.
+// that might have an attempt has either sent its inventory or been lost.
 func (o *Owned) resolveUnverified() {
 	if len(o.AwaitedInventories) > 0 {
 		return
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -19,82 +19,83 @@
 
 	// Loaded is set once the bitmap of finished tasks has been read.
 	Loaded bool
-	// Unverified is set after a takeover: tasks without a known attempt may have one on
-	// any machine until all inventories have been received.
+	// Unverified is set after a takeover until all inventories have been received: until
+	// then tasks without a known attempt may have one on any machine.
 	Unverified bool
 
-	// Done has the tasks that are finished, and DoneCount their number.
+	// Done is the set of finished tasks, and DoneCount is their number.
 	Done      *bitset.BitSet
 	DoneCount uint32
-	// Pending has the tasks that are to be placed.
+	// Pending is the set of tasks that are to be placed.
 	Pending *bitset.BitSet
-	// Placed are the attempts that may exist, and Waiting is how many of them have not
-	// started.
+	// Placed holds the attempts that may exist, and Unstarted is the number of them that
+	// have not started.
 	Placed    map[protocol.TaskID]*Attempt
 	Unstarted int
-	// running is how many attempts are known to run.
-	running uint32
-	// interrupted has the tasks of which an earlier attempt had started.
+	// runningCount is the number of attempts that were reported to run.
+	runningCount uint32
+	// interrupted is the set of tasks that lost an attempt after it had started.
 	interrupted *bitset.BitSet
 	runTimes    forecast.RunTimes
 
-	// FinishDue is set once all tasks are done: the end of the job is to be written.
+	// FinishDue is set once all tasks are done and the job's final record has to be written.
 	FinishDue bool
-	// finishInFlight is set while that write is on its way.
+	// finishInFlight is set while that write is in flight, and stays set once it succeeded.
 	finishInFlight bool
 	bitmap         bitmapState
 
-	// SearchFailed is set for a gang if machines were examined when it was last tried, at
-	// SearchedAt, and it found no place. ClaimedMachines were claimed for it then.
+	// SearchFailed is set for a gang if the last placement search, at SearchedAt, examined
+	// machines and found no place for it. ClaimedMachines were claimed for it in that search.
 	SearchFailed    bool
 	SearchedAt      clock.Time
 	ClaimedMachines []*waittable.Machine
-	// IncompleteSince is when a gang first found no place for tasks that were released;
-	// 0: it lacks none.
+	// IncompleteSince is when placement first found no place for released tasks of a gang;
+	// 0 if no task is missing.
 	IncompleteSince clock.Time
 
-	// Level is the job's level at the last placement.
+	// Level is the job's resource level at the last placement.
 	Level resource.Level
-	// UsesHeadroom is set if at the last placement the job was confined to the headroom:
-	// what jobs with an objective are not expected to need.
+	// UsesHeadroom is set if the job was confined to the headroom at the last placement. The
+	// headroom is the capacity that jobs with an objective are not expected to need.
 	UsesHeadroom bool
-	// NotBefore is the earliest time at which tasks may be placed; 0: at once.
+	// NotBefore is the earliest time at which tasks may be placed; 0 means at once.
 	NotBefore clock.Time
-	// WaitingSince is when the job was submitted, by this controller's clock.
+	// WaitingSince is when the job was submitted, in the time of this controller's clock.
 	WaitingSince clock.Time
 
 	// FailedOn are the machines on which an attempt ended in an error.
 	FailedOn map[protocol.MachineID]bool
-	// Failing is set while the job is taken to fail wherever it runs.
+	// Failing is set while the job is classified as failing on every machine.
 	Failing bool
 	failure failureState
 }
 
-// bitmapState is what is known of a job's bitmap in the records, by chunks.
+// bitmapState is the state of a job's stored bitmap, by chunk, and of its reads and writes.
 type bitmapState struct {
-	loading bool // a read is on its way
-	writing bool // a write is on its way
-	// dirty are the chunks that are to be written, inFlight those being written.
+	loading bool // a read is in flight
+	writing bool // a write is in flight
+	// dirty are the chunks that have to be written; inFlight are the chunks being written.
 	dirty    map[int]bool
 	inFlight []int
 	// stored are the chunks that may be in the records, with their versions as last read
 	// or written.
 	stored map[int]protocol.Version
-	// rereadNeeded is set after a write whose outcome is not known: the stored chunks and
-	// versions may be others.
+	// rereadNeeded is set after a write whose outcome is uncertain: the chunks and versions
+	// in the records may differ from stored.
 	rereadNeeded bool
 }
 
-// failureState is what is known of the failures of a job.
+// failureState holds the observed failures of a job and the backoff of its trials.
 type failureState struct {
-	// count is how many attempts have ended in an error since a task was last done.
+	// count is the number of attempts that ended in an error since a task was last done.
 	count int
 	// longestRun is the longest time that an attempt ran before it failed.
 	longestRun time.Duration
-	// backoff is the present time between two trials of a failing job.
+	// backoff is the current time between two trials of a failing job.
 	backoff time.Duration
 }
 
+// newJob returns the state of a newly owned job, without attempts and with no task pending.
 func newJob(live *clusterstate.LiveJob) *Job {
 	tasks := uint(live.Tasks)
 	return &Job{
@@ -109,21 +110,21 @@
 	}
 }
 
-// IsGang reports whether a task of the job is of use only with others that run at the
-// same time.
+// IsGang reports whether the job has several tasks that all have to run at the same time.
 func (j *Job) IsGang() bool { return j.Kind == protocol.KindGang && j.Tasks > 1 }
 
-// BoundZone returns the zone to which the job's attempts bind it; empty: none.
+// BoundZone returns the zone of the attempts of a job that must run in one zone. It is empty
+// if there are no attempts, or if the job may use several zones.
 func (j *Job) BoundZone() protocol.Zone {
 	if j.OneZone {
 		for _, attempt := range j.Placed {
-			return attempt.Zone // of all of them
+			return attempt.Zone // all attempts are in the same zone
 		}
 	}
 	return ""
 }
 
-// ZoneCounts counts the job's attempts that may exist by zone.
+// ZoneCounts returns the number of the job's attempts that may exist in each zone.
 func (j *Job) ZoneCounts() map[protocol.Zone]int {
 	counts := map[protocol.Zone]int{}
 	for _, attempt := range j.Placed {
@@ -132,14 +133,14 @@
 	return counts
 }
 
-// Allows reports whether the job may have a task on a machine by the machine's type, zone,
-// kind and size, and by the zones of its other attempts that may exist.
+// Allows reports whether a task of the job may run on a machine, considering the machine's
+// type, zone, kind and size, and the number of the job's attempts in each zone.
 func (j *Job) Allows(m *waittable.Machine, zones map[protocol.Zone]int) bool {
 	return j.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) && j.AllowsZone(m, zones)
 }
 
-// AllowsZone reports whether the zones of the job's other attempts allow one in the zone
-// of a machine.
+// AllowsZone reports whether another attempt may be placed in the zone of a machine, given
+// the number of the job's attempts in each zone.
 func (j *Job) AllowsZone(m *waittable.Machine, zones map[protocol.Zone]int) bool {
 	if j.OneZone {
 		for zone, n := range zones {
@@ -151,23 +152,28 @@
 	return !j.Spread || zones[m.Record.Zone] < int(j.Tasks+1)/2
 }
 
-// MedianRunSeconds returns the median run time of the job's tasks, once that is known.
-func (j *Job) MedianRunSeconds() (seconds float64, ok bool) { return j.runTimes.Usual(int(j.running)) }
+// MedianRunSeconds returns the median run time of the job's tasks, once enough tasks are done
+// to estimate it.
+func (j *Job) MedianRunSeconds() (seconds float64, ok bool) {
+	return j.runTimes.Usual(int(j.runningCount))
+}
 
-// MaxPlaceable returns how many of n tasks of the job may be placed now.
+// MaxPlaceable returns how many of n tasks of the job may be placed now: at most one while
+// the job is failing.
 func (j *Job) MaxPlaceable(n int) int {
 	switch {
 	case !j.Failing:
 		return n
 	case len(j.Placed) > 0:
-		return 0 // until every known attempt has ended
+		return 0 // no trial starts until every known attempt has ended
 	}
 	return min(n, 1)
 }
 
-// refillable reports whether a task of a gang whose attempt was released by its dispatcher,
-// without having been sent to the worker, can be placed again under the same attempt
-// number: as long as nothing of the gang is being stopped, the others only wait for it.
+// refillable reports whether a task of a gang can be placed again under the same attempt
+// number, after its dispatcher released the attempt without having sent it to the worker.
+// This is possible as long as no task of the gang is being stopped: until then the other
+// tasks only wait for the missing one.
 func (j *Job) refillable(attempt *Attempt) bool {
 	if !j.IsGang() || j.Unverified || attempt.Started || attempt.ReleaseAsked || len(j.Placed) < 2 {
 		return false
@@ -180,7 +186,7 @@
 	return true
 }
 
-// unwritten reports whether something that is known of the job is not in its records yet.
-func (j *Job) unwritten() bool {
+// hasUnwrittenState reports whether a part of the job's state is not in its records yet.
+func (j *Job) hasUnwrittenState() bool {
 	return len(j.bitmap.dirty) > 0 || j.bitmap.writing || j.finishInFlight
 }
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -18,10 +18,9 @@
 
 const (
 	// StartsWithin is how long a job without an objective is confined to the headroom
-	// before it begins like any other of its level.
+	// before it is started like any other job of its level.
 	StartsWithin = time.Minute
-	// retryInterval is the time between two retries of reads and writes that were not
-	// carried out.
+	// retryInterval is the time between two retries of failed reads and writes.
 	retryInterval = time.Second
 )
 
@@ -32,62 +31,63 @@
 	workload *workload.Workload
 	rng      *rand.Rand
 
-	// ByID has the owned jobs.
+	// ByID holds the owned jobs by their IDs.
 	ByID map[protocol.JobID]*Job
-	// AttemptsOn are the attempts placed on each machine by its present record.
+	// AttemptsOn holds the attempts on each machine that were placed under the machine's
+	// present record.
 	AttemptsOn AttemptIndex
-	// AwaitedInventories are the machines whose inventory of this term has not been
+	// AwaitedInventories is the set of machines whose inventory of this term has not been
 	// received.
 	AwaitedInventories map[protocol.MachineID]bool
-	// EndedAttempts are the attempts of limited teams' jobs that are over, as long as they
-	// are not proven to have ended.
+	// EndedAttempts holds the attempts of ended jobs of limited teams, until each attempt is
+	// proven to have ended.
 	EndedAttempts EndedAttempts
-	// UnverifiedTeams are the limited teams just taken over whose usage is not known yet.
+	// UnverifiedTeams is the set of limited teams that were just taken over and whose usage
+	// is incomplete until all inventories have been received.
 	UnverifiedTeams map[protocol.Team]bool
 
-	sorted         []*Job // the jobs in order of placement; nil: to be sorted again
-	attemptCounter uint64 // of this term's attempt numbers
+	sorted         []*Job // the jobs in order of placement; nil if they have to be sorted again
+	attemptCounter uint64 // the last attempt number of this term, without the term
 	retryAt        clock.Time
-	runWatch       runDeadlines
-	// changes is the log by which all members follow the progress of the owned jobs, one
-	// stream per term.
+	runDeadlines   runDeadlines
+	// changes is the change log from which the progress of the owned jobs is replicated to
+	// all members, with one stream per term.
 	changes replication.ChangeLog[protocol.JobID]
 }
 
-// New returns the state of a controller that owns no jobs. Reset must be called before it
-// is used.
+// New returns the state of a controller that owns no jobs. Reset must be called before use.
 func New(module clusterstate.Module, table *waittable.Table, work *workload.Workload, rng *rand.Rand) *Owned {
 	return &Owned{Module: module, table: table, workload: work, rng: rng}
 }
 
-// Reset drops everything that was known in an earlier session.
+// Reset drops all state of an earlier session.
 func (o *Owned) Reset() {
 	o.Drop()
 	o.AttemptsOn = AttemptIndex{}
 	o.changes = replication.ChangeLog[protocol.JobID]{}
 }
 
-// Drop drops all owned jobs: this controller is not in the view.
+// Drop drops all owned jobs. It is called when this controller is not in the view.
 func (o *Owned) Drop() {
 	o.ByID, o.sorted = map[protocol.JobID]*Job{}, nil
 	o.AwaitedInventories = map[protocol.MachineID]bool{}
 	o.EndedAttempts = EndedAttempts{}
 	o.UnverifiedTeams = map[protocol.Team]bool{}
-	o.attemptCounter, o.retryAt, o.runWatch = 0, 0, nil
+	o.attemptCounter, o.retryAt, o.runDeadlines = 0, 0, nil
 }
 
-// AllWritten reports whether all that is known of the owned jobs is in their records.
+// AllWritten reports whether the complete state of all owned jobs is in their records.
 func (o *Owned) AllWritten() bool {
 	for _, job := range o.ByID {
-		if job.unwritten() {
+		if job.hasUnwrittenState() {
 			return false
 		}
 	}
 	return true
 }
 
-// AddAccepted adds a job whose live record was read: by a change of the records, or in a
-// snapshot of all of them.
+// AddAccepted adds a job whose live record was read, either as a change of the records or in
+// a snapshot of all records. A new job that this controller owns becomes pending at once.
 func (o *Owned) AddAccepted(accepted protocol.Job, version protocol.Version, snapshot bool) {
 	if o.Live[accepted.ID] != nil {
 		return
@@ -99,14 +99,14 @@
 	if snapshot || !o.Member() || o.OwnerOf(live) != o.Self {
 		return
 	}
-	// Its record is new, so no attempt of it can exist and no bitmap either.
+	// The record is new, so neither an attempt nor a bitmap of the job can exist.
 	job := o.Adopt(live)
 	job.Loaded = true
 	job.Pending.FlipRange(0, uint(accepted.Tasks))
 	o.Log.Debug("job accepted", "job", accepted.ID, "class", accepted.Class, "team", accepted.Team, "tasks", accepted.Tasks)
 }
 
-// Adopt makes a live job an owned one, of which nothing is known yet.
+// Adopt adds a live job to the owned jobs, without any attempts or finished tasks.
 func (o *Owned) Adopt(live *clusterstate.LiveJob) *Job {
 	job := newJob(live)
 	o.ByID[live.ID] = job
@@ -116,7 +116,8 @@
 	return job
 }
 
-// RemoveEnded drops an owned job whose record says that it is over, and has its attempts killed.
+// RemoveEnded drops an owned job whose record says that it has ended, and asks the
+// dispatchers to kill its attempts.
 func (o *Owned) RemoveEnded(id protocol.JobID) {
 	job := o.ByID[id]
 	if job == nil {
@@ -124,7 +125,7 @@
 	}
 	for _, attempt := range ordered.Tasks(job.Placed) {
 		if o.Limited(job.Team) {
-			ended := endedAttempt{job.Team, resource.Need(&job.Job), attempt.PlaceNumber}
+			ended := endedJobAttempt{job.Team, resource.Need(&job.Job), attempt.PlaceNumber}
 			if attempt.Unverified {
 				ended.placeNumber = 0
 			}
@@ -139,8 +140,8 @@
 	o.table.PlacementDue = true
 }
 
-// Retry repeats the reads and writes that the key-value store did not carry out, and has
-// jobs placed whose backoff is over.
+// Retry repeats the reads and writes that the key-value store did not carry out, triggers the
+// placement of jobs whose backoff has ended, and ends trials that have run for long enough.
 func (o *Owned) Retry() {
 	if o.Now < o.retryAt || !o.HoldsLease() {
 		return
@@ -157,11 +158,11 @@
 			job.NotBefore = 0
 			o.table.PlacementDue = true
 		}
-		o.expireTrials(job)
+		o.endTrialsAfterLongRun(job)
 	}
 }
 
-// AnyPlaceable reports whether a task of any job waits to be placed.
+// AnyPlaceable reports whether any job has a pending task and is not in backoff.
 func (o *Owned) AnyPlaceable() bool {
 	for _, job := range o.ByID {
 		if job.NotBefore <= o.Now && job.Pending.Any() {
@@ -171,7 +172,7 @@
 	return false
 }
 
-// InvalidateOrder has the jobs sorted again before they are listed next.
+// InvalidateOrder makes the next call of InOrder sort the jobs again.
 func (o *Owned) InvalidateOrder() { o.sorted = nil }
 
 // InOrder returns the owned jobs in the order in which they are placed: by priority, then
@@ -192,10 +193,10 @@
 	return o.sorted
 }
 
-// CurrentDeadline returns when a job should be done. A job without an objective of which
-// nothing has started for StartsWithin goes first until something does: behind all jobs
-// with earlier deadlines, which keep coming where there is more work than resources, it
-// would not start for minutes.
+// CurrentDeadline returns the time by which a job should be done. A job without an objective
+// that has not started any task within StartsWithin is ordered by its submission time until
+// a task starts, which puts it first. Otherwise it would not start for minutes where there is
+// more work than resources, since jobs with earlier deadlines keep arriving.
 func (o *Owned) CurrentDeadline(live *clusterstate.LiveJob) clock.Time {
 	if o.Since(live.Since) > StartsWithin && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
 		if progress, _ := o.JobProgress(live.ID); progress.Running == 0 && progress.Done == 0 {
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -7,19 +7,20 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Touch has a job's progress replicated to the other members again.
+// Touch marks a job's progress as changed, so that it is replicated to the other members.
 func (o *Owned) Touch(job *Job) { o.changes.Touch(job.ID) }
 
 // progressOf returns the progress of an owned job.
 func (o *Owned) progressOf(job *Job) message.Progress {
-	progress := message.Progress{Job: job.ID, Done: job.DoneCount, Running: job.running, Failing: job.Failing}
+	progress := message.Progress{Job: job.ID, Done: job.DoneCount, Running: job.runningCount, Failing: job.Failing}
 	if o.Reservations.Any {
 		progress.Level = int(job.Level) + 1
 	}
 	return progress
 }
 
-// JobProgress returns the progress of a live job, as far as this controller knows it.
+// JobProgress returns the progress of a live job: its present progress if this controller
+// owns it, otherwise the progress last received from its owner, if any.
 func (o *Owned) JobProgress(id protocol.JobID) (message.Progress, bool) {
 	if job := o.ByID[id]; job != nil {
 		return o.progressOf(job), true
@@ -33,12 +34,12 @@
 	return message.Progress{}, false
 }
 
-// FillUpdate adds to an update for a peer the progress of jobs that changed since the last
-// one, at most so many, and advances the peer's cursor.
-func (o *Owned) FillUpdate(update *message.StateUpdate, to *replication.Cursor, most int) {
-	ids, upto := o.changes.Since(to.Next(), most)
-	update.Jobs = replication.Range{Stream: uint64(o.View.Term), From: to.Next(), Upto: upto}
-	to.Sent(upto)
+// FillUpdate adds the progress of changed jobs to a state update for a peer, and advances the
+// peer's cursor. It adds those that changed since the last update, up to limit jobs.
+func (o *Owned) FillUpdate(update *message.StateUpdate, cursor *replication.Cursor, limit int) {
+	ids, upto := o.changes.Since(cursor.Next(), limit)
+	update.Jobs = replication.Range{Stream: uint64(o.View.Term), From: cursor.Next(), Upto: upto}
+	cursor.Sent(upto)
 	for _, id := range ids {
 		if job := o.ByID[id]; job != nil {
 			update.Progress = append(update.Progress, o.progressOf(job))
@@ -46,7 +47,7 @@
 	}
 }
 
-// BeginStream begins the stream of changes of a new term, with all owned jobs as changed.
+// BeginStream begins the change stream of a new term, with all owned jobs marked as changed.
 func (o *Owned) BeginStream() {
 	o.changes = replication.ChangeLog[protocol.JobID]{}
 	for id := range ordered.Of(o.ByID) {
--- a/internal/controller/jobs/runtimes.go
+++ b/internal/controller/jobs/runtimes.go
@@ -1,9 +1,10 @@
 package jobs
 
-// recordRunTime learns from a task that is done how long the job's tasks run. A task with
-// an earlier attempt may have resumed from a checkpoint, and one that was taken over may
-// have run unseen for long: they tell nothing. When the latter were counted as short, all
-// others seemed late after each takeover, and their machines slow.
+// recordRunTime adds the run time of a finished task to the run times of its job. Two kinds
+// of tasks are left out, since their full run time is unknown: a task with an earlier attempt
+// may have resumed from a checkpoint, and a task that was taken over may have run for long
+// before this owner observed it. When the latter were counted with their short observed
+// times, all other tasks seemed late after each takeover, and their machines slow.
 func (o *Owned) recordRunTime(job *Job, attempt *Attempt) {
 	if !attempt.running || attempt.startUnseen || job.interrupted.Test(uint(attempt.Task.Index)) {
 		return
@@ -11,8 +12,8 @@
 	job.runTimes.Note(o.Since(attempt.runningSince).Seconds(), o.rng)
 }
 
-// EstimateOf returns the expected run time of a job's task in seconds: what its other
-// tasks took, once enough of them are done, and before that the submitted estimate.
+// EstimateOf returns the expected run time of a job's tasks in seconds: the median run time
+// of its finished tasks once enough of them are done, and the submitted estimate before that.
 func (o *Owned) EstimateOf(job *Job) float64 {
 	if seconds, ok := job.MedianRunSeconds(); ok {
 		return seconds
--- a/internal/controller/jobs/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -8,30 +8,31 @@
 	"damsonkeel/internal/record"
 )
 
-// AdoptView applies a new view: jobs owned without a break are retained, with their
-// attempts unverified where the dispatcher has changed; others are taken over or released.
-// keeps is whether this controller has followed the records without a break since the old
-// view: if not, nothing it knew of its jobs counts.
-func (o *Owned) AdoptView(old record.View, keeps bool) {
-	before := o.ByID
+// AdoptView applies a new view. Jobs that stay with this owner are retained, and their
+// attempts become unverified where the dispatcher has changed; other jobs are taken over or
+// released. continuous is set if this controller has followed the records without a gap
+// since the old view. If it is not set, all earlier state of the jobs is discarded.
+func (o *Owned) AdoptView(oldView record.View, continuous bool) {
+	previousJobs := o.ByID
 	o.ByID = map[protocol.JobID]*Job{}
 	o.sorted = nil
 	o.table.PlacementDue = true
 	o.AwaitedInventories = map[protocol.MachineID]bool{}
-	if !keeps {
+	if !continuous {
 		clear(o.EndedAttempts)
 	}
-	// A new session of a dispatcher counts Place messages from the start: compared with its
-	// count, an attempt that ended long ago would use up its team's limit for ever.
-	o.EndedAttempts.unverifyOn(func(id protocol.MachineID) bool { return o.dispatcherChanged(old, id) })
-	o.unverifyTeams(old, keeps)
-	o.awaitInventories(old, keeps)
+	// A new session of a dispatcher counts Place messages from the beginning. Compared with
+	// the new count, an attempt that ended long ago would never be dropped and would count
+	// against its team's limit forever.
+	o.EndedAttempts.resetPlaceNumbers(func(id protocol.MachineID) bool { return o.dispatcherChanged(oldView, id) })
+	o.unverifyTeams(oldView, continuous)
+	o.awaitInventories(oldView, continuous)
 	for id, live := range ordered.Of(o.Live) {
-		job := before[id]
+		job := previousJobs[id]
 		switch {
 		case o.OwnerOf(live) != o.Self:
 			o.releaseJob(job)
-		case job == nil || !keeps:
+		case job == nil || !continuous:
 			job = o.Adopt(live)
 			job.Unverified = true
 			o.requestBitmap(job)
@@ -43,30 +44,30 @@
 }
 
 // unverifyTeams marks the limited teams whose jobs this controller has just taken over.
-func (o *Owned) unverifyTeams(old record.View, keeps bool) {
+func (o *Owned) unverifyTeams(oldView record.View, continuous bool) {
 	for _, team := range o.Configuration.Effective().TeamsEver() {
 		job := &protocol.Job{Team: team}
-		if o.Limited(team) && o.JobOwner(o.View, job) == o.Self && (!keeps || o.JobOwner(old, job) != o.Self) {
+		if o.Limited(team) && o.JobOwner(o.View, job) == o.Self && (!continuous || o.JobOwner(oldView, job) != o.Self) {
 			o.UnverifiedTeams[team] = true
 		}
 	}
 }
 
-// awaitInventories has an inventory of every machine awaited, and marks the attempts that
-// it has to verify.
-func (o *Owned) awaitInventories(old record.View, keeps bool) {
+// awaitInventories marks the inventory of every machine as awaited, and marks the attempts
+// that the inventories have to verify.
+func (o *Owned) awaitInventories(oldView record.View, continuous bool) {
 	for id := range o.table.Machines {
 		o.AwaitedInventories[id] = true
-		if !keeps {
+		if !continuous {
 			clear(o.AttemptsOn[id])
-		} else if len(o.AttemptsOn[id]) > 0 && o.dispatcherChanged(old, id) {
-			o.AttemptsOn.unverify(id)
+		} else if len(o.AttemptsOn[id]) > 0 && o.dispatcherChanged(oldView, id) {
+			o.AttemptsOn.markUnverified(id)
 		}
 	}
 }
 
-// releaseJob drops the attempts of a job that has another owner now, and sends that one
-// what is not in the records yet.
+// releaseJob drops the attempts of a job that now has another owner, and sends the new owner
+// the finished tasks that are not in the records yet.
 func (o *Owned) releaseJob(job *Job) {
 	if job == nil {
 		return
@@ -77,26 +78,26 @@
 	}
 }
 
-// dispatcherChanged reports whether a machine has another dispatcher than by an earlier
-// view, or another session of the same.
-func (o *Owned) dispatcherChanged(old record.View, id protocol.MachineID) bool {
-	if old.Layout >= record.LayoutShards && o.Sharded() {
-		return false // the record of the shards decides: see ShardsMoved
+// dispatcherChanged reports whether a machine's dispatcher, or the session of its dispatcher,
+// differs from that of an earlier view.
+func (o *Owned) dispatcherChanged(oldView record.View, id protocol.MachineID) bool {
+	if oldView.Layout >= record.LayoutShards && o.Sharded() {
+		return false // the shard table decides: see ShardsMoved
 	}
 	dispatcher := o.DispatcherOf(id)
-	return clusterstate.RendezvousDispatcher(old, id) != dispatcher || !clusterstate.SameMemberSession(old, o.View, dispatcher)
+	return clusterstate.RendezvousDispatcher(oldView, id) != dispatcher || !clusterstate.SameMemberSession(oldView, o.View, dispatcher)
 }
 
-// ShardsMoved marks what was placed on the machines of shards that have moved as
-// unverified until the inventories of their new dispatchers.
+// ShardsMoved marks the attempts on the machines of moved shards as unverified until the
+// inventories of the new dispatchers have been received.
 func (o *Owned) ShardsMoved(moved map[sharding.ID]bool) {
-	o.EndedAttempts.unverifyOn(func(id protocol.MachineID) bool {
+	o.EndedAttempts.resetPlaceNumbers(func(id protocol.MachineID) bool {
 		m := o.table.Machines[id]
 		return m != nil && moved[sharding.ShardOf(o.Shards, id, m.Record.Zone)]
 	})
 	for id, m := range o.table.Machines {
 		if moved[sharding.ShardOf(o.Shards, id, m.Record.Zone)] {
-			o.AttemptsOn.unverify(id)
+			o.AttemptsOn.markUnverified(id)
 		}
 	}
 }
--- a/internal/controller/jobs/notice_test.go
+++ b/internal/controller/jobs/terminationnotice_test.go
@@ -10,10 +10,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestTerminationNoticeStopsWhatCannotFinish: of the tasks on a machine about to be
-// terminated, those that can save a checkpoint are stopped, and of the rest those that can't
-// finish by then; a task that may finish goes on.
-func TestTerminationNoticeStopsWhatCannotFinish(t *testing.T) {
+// TestTerminationNoticeStopsTasksThatCannotFinish checks which tasks are stopped on a machine
+// that is about to be terminated: tasks that can save a checkpoint, and other tasks that
+// can't finish before the termination. A task that may finish in time keeps running.
+func TestTerminationNoticeStopsTasksThatCannotFinish(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		checkpointS float64
@@ -29,7 +29,7 @@
 			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, CheckpointS: tc.checkpointS,
 		}})
 		ref := taskRef(0, "vm-1")
-		attempt := start(owned, job, ref)
+		attempt := startAttempt(owned, job, ref)
 		if attempt.Estimate != 10 {
 			t.Fatalf("%s: estimate %v s, want 10", tc.name, attempt.Estimate)
 		}
--- a/internal/controller/jobs/usage.go
+++ b/internal/controller/jobs/usage.go
@@ -8,10 +8,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TeamUsage sums what the attempts of limited teams may use that are not proven to
-// have ended. Of a team just taken over, unlisted attempts, of jobs that are over too, can only
-// be on machines whose inventory has not been received: they use no more than the capacity
-// of these.
+// TeamUsage returns the resources that each limited team may be using: the sum over its
+// attempts that are not proven to have ended. A team that was just taken over may also have
+// unlisted attempts, including those of ended jobs. These can only be on machines whose
+// inventory has not been received, so the capacity of all such machines is added.
 func (o *Owned) TeamUsage() map[protocol.Team]resource.Amount {
 	usage := map[protocol.Team]resource.Amount{}
 	for _, job := range o.ByID {
@@ -36,15 +36,16 @@
 	return usage
 }
 
-// maxUseOn returns the most that attempts on a machine may use.
+// maxUseOn returns the most resources that attempts on a machine may use: the capacity of the
+// machine, or infinite resources if its type is unknown.
 func maxUseOn(m *waittable.Machine) resource.Amount {
-	if m.Info.Name == "" { // of a type that the cloud does not list
+	if m.Info.Name == "" { // the cloud does not list the machine's type
 		return resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)}
 	}
 	return resource.Capacity(m.Info)
 }
 
-// AddUsage adds what n tasks of a job use to its team's usage.
+// AddUsage adds the resources of n tasks of a job to the usage of its team.
 func (o *Owned) AddUsage(job *Job, usage map[protocol.Team]resource.Amount, n int) {
 	used := usage[job.Team]
 	used.CPUs += job.CPUs * float64(n)
