--- a/internal/controller/workload/classes.go
+++ b/internal/controller/workload/classes.go
@@ -9,15 +9,15 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Class is what this controller has observed of a class of jobs with an objective.
+// Class holds this controller's observations of a job class with an objective.
 type Class struct {
-	Job               protocol.Job // the last job of the class
-	ObjectiveShare    float64      // the share of its jobs that should meet the objective
-	HasStartObjective bool         // its jobs should start within a time
+	Job               protocol.Job // the last job of the class that arrived
+	ObjectiveShare    float64      // the share of the class's jobs that should meet the objective
+	HasStartObjective bool         // an objective limits the time until a task starts
 	Arrivals          forecast.Arrivals
 }
 
-// RecordArrival records a job that has arrived, if its class has an objective.
+// RecordArrival records the arrival of a job if its class has an objective.
 func (w *Workload) RecordArrival(j *protocol.Job) {
 	share, hasStart := w.objectiveShare(j.Class)
 	if share == 0 {
@@ -33,52 +33,56 @@
 	class.Arrivals.Note(forecast.Arrival{At: w.Now, Tasks: float64(j.Tasks), Work: work})
 }
 
-// BootSeconds is how long the fastest machine type that a job may use takes to boot and to
-// fetch the job's image, in seconds; infinite if there is no such type.
+// BootSeconds returns the time in seconds that the fastest machine type that a job may use
+// takes to boot and to fetch the job's image. It is infinite if there is no such type.
 func (w *Workload) BootSeconds(j *protocol.Job) float64 {
 	fastest := math.Inf(1)
-	for _, t := range w.Types {
-		l := clusterstate.LiveJob{Job: *j}
-		l.Zone = ""
-		if l.AllowsKind(t, "", false) {
-			fastest = math.Min(fastest, t.BootS+clusterstate.FetchS(t, j))
+	for _, machineType := range w.Types {
+		live := clusterstate.LiveJob{Job: *j}
+		live.Zone = ""
+		if live.AllowsKind(machineType, "", false) {
+			fastest = math.Min(fastest, machineType.BootS+clusterstate.FetchS(machineType, j))
 		}
 	}
 	return fastest
 }
 
-// workOf and tasksOf are the sizes by which arrivals are forecast.
-func workOf(a forecast.Arrival) float64  { return a.Work }
-func tasksOf(a forecast.Arrival) float64 { return a.Tasks }
+// arrivalWork and arrivalTasks return the size of an arrival for a forecast: its work in
+// processor seconds, and its number of tasks.
+func arrivalWork(a forecast.Arrival) float64  { return a.Work }
+func arrivalTasks(a forecast.Arrival) float64 { return a.Tasks }
 
-// forecastOf forecasts the arrivals of a class from those observed.
-func (w *Workload) forecastOf(class *Class, size func(forecast.Arrival) float64) forecast.Arriving {
+// forecastArrivals forecasts the arrivals of a class, measured by size, from the observed
+// arrivals.
+func (w *Workload) forecastArrivals(class *Class, size func(forecast.Arrival) float64) forecast.Arriving {
 	return class.Arrivals.Coming(w.Now, w.BootSeconds(&class.Job), class.ObjectiveShare, size)
 }
 
-// ExpectedWork is the work, in processor seconds, that a class without a start objective is
-// likely to bring while a machine boots; 0 for a class with one.
+// ExpectedWork returns the work in processor seconds that is likely to arrive in a class
+// while a machine boots. It is 0 for a class with a start objective.
 func (w *Workload) ExpectedWork(class *Class) float64 {
 	if class.HasStartObjective {
 		return 0
 	}
-	return w.forecastOf(class, workOf).Within(w.BootSeconds(&class.Job))
+	return w.forecastArrivals(class, arrivalWork).Within(w.BootSeconds(&class.Job))
 }
 
-// Reserve is the number of tasks of a class with a start objective for which resources are
-// reserved: as many as are likely to arrive while a machine boots, beyond those that fit
-// the resources which become free meanwhile. It is 0 for a class without one.
+// Reserve returns the number of tasks of a class with a start objective for which resources
+// are reserved: the tasks that are likely to arrive while a machine boots, less those that
+// fit into the resources that become free in that time. It is 0 for a class without a start
+// objective.
 func (w *Workload) Reserve(class *Class) int {
 	if !class.HasStartObjective {
 		return 0
 	}
-	tasks := w.forecastOf(class, tasksOf).Beyond(w.BootSeconds(&class.Job), w.turnover(&class.Job))
+	tasks := w.forecastArrivals(class, arrivalTasks).Beyond(w.BootSeconds(&class.Job), w.freedTasksPerSecond(&class.Job))
 	return int(math.Ceil(tasks))
 }
 
-// turnover is the number of a job's tasks for which resources become free each second as
-// other tasks end. A gang can't use them: there are never enough at the same time.
-func (w *Workload) turnover(j *protocol.Job) float64 {
+// freedTasksPerSecond returns the number of a job's tasks for which resources become free
+// each second as other tasks end. It is 0 for a gang, which can't use these resources: there
+// are never enough of them at the same time.
+func (w *Workload) freedTasksPerSecond(j *protocol.Job) float64 {
 	if j.Kind != protocol.KindJobArray {
 		return 0
 	}
--- a/internal/controller/workload/classes_test.go
+++ b/internal/controller/workload/classes_test.go
@@ -17,10 +17,10 @@
 	"damsonkeel/internal/record"
 )
 
-// smallType is the type of the machines of these tests.
+// smallType is the machine type that these tests use.
 var smallType = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8}
 
-// newWorkload returns the workload of a controller with two idle machines, vm-1 and vm-2.
+// newWorkload returns the workload of a controller that has two idle machines, vm-1 and vm-2.
 func newWorkload(t *testing.T) *Workload {
 	t.Helper()
 	module := clusterstate.NewModule(fake.Settings(), config.DefaultOperator(), slog.New(slog.DiscardHandler))
@@ -38,9 +38,10 @@
 	return w
 }
 
-// TestEndingTasksReduceReserve: resources that become free while a machine boots are not
-// reserved in addition; for tasks that arrive at the same time resources are reserved all
-// the same. A gang can't use resources that become free piece by piece.
+// TestEndingTasksReduceReserve checks that resources which become free while a machine boots
+// reduce the reserve, but that resources are still reserved for tasks that arrive at the same
+// time. The reserve of a gang is not reduced, since it can't use resources that become free a
+// few at a time.
 func TestEndingTasksReduceReserve(t *testing.T) {
 	w := newWorkload(t)
 	class := &Class{Job: protocol.Job{Class: "cert", Kind: protocol.KindJobArray, CPUs: 1, MemoryGB: 1}, ObjectiveShare: 0.8, HasStartObjective: true}
@@ -48,20 +49,20 @@
 		age := time.Duration(9-i) * 4 * time.Second
 		class.Arrivals = append(class.Arrivals, forecast.Arrival{At: w.Now - clock.Time(age), Tasks: float64(10 + i)})
 	}
-	ending := func(id protocol.MachineID, cpus, gb float64) {
+	setEnding := func(id protocol.MachineID, cpus, gb float64) {
 		w.table.Machines[id].State.Ending = message.LevelUse{CPUs: cpus, GB: gb}
 	}
-	none := w.Reserve(class)
-	ending("vm-1", 2, 8)
-	ending("vm-2", 2, 8)
-	some := w.Reserve(class)
-	ending("vm-2", 20, 80)
-	many := w.Reserve(class)
-	if some >= none || many > some || many < 15 {
-		t.Errorf("reserve of %d tasks while none end, %d while some end, %d while many end", none, some, many)
+	noneEnding := w.Reserve(class)
+	setEnding("vm-1", 2, 8)
+	setEnding("vm-2", 2, 8)
+	someEnding := w.Reserve(class)
+	setEnding("vm-2", 20, 80)
+	manyEnding := w.Reserve(class)
+	if someEnding >= noneEnding || manyEnding > someEnding || manyEnding < 15 {
+		t.Errorf("reserve of %d tasks while none end, %d while some end, %d while many end", noneEnding, someEnding, manyEnding)
 	}
 	class.Job.Kind = protocol.KindGang
-	if n := w.Reserve(class); n != none {
-		t.Errorf("reserve of %d tasks of a gang, want %d", n, none)
+	if n := w.Reserve(class); n != noneEnding {
+		t.Errorf("reserve of %d tasks of a gang, want %d", n, noneEnding)
 	}
 }
--- a/internal/controller/workload/spot.go
+++ b/internal/controller/workload/spot.go
@@ -8,26 +8,28 @@
 	"damsonkeel/internal/protocol"
 )
 
-// maxSpotStretch is the part by which spot machines may lengthen a gang before they are
-// avoided for it.
-const maxSpotStretch = 0.1
+// maxSpotSlowdown is the largest fraction of its run time by which spot machines may slow
+// down a gang; above it the gang avoids spot machines.
+const maxSpotSlowdown = 0.1
 
-// RecordSpotLoss counts a machine whose record was deleted, if it seems to be a spot
-// machine that was preempted.
+// RecordSpotLoss counts a preemption for a machine whose record was deleted, if the machine
+// seems to be a spot machine that was preempted.
 func (w *Workload) RecordSpotLoss(m *waittable.Machine) {
 	if m.Record.Spot && !m.State.Draining && (m.State.Noticed || m.State.Silence == message.SilenceLong) {
 		w.Spots.NoteReclaimed()
 	}
 }
 
-// WatchSpots counts the spot machines, once a relay period.
+// WatchSpots adds the uptime of the present spot machines to the estimate of the preemption
+// rate. It must be called once in each replication interval.
 func (w *Workload) WatchSpots() {
 	w.Spots.NoteUptime(w.table.SpotMachines, w.Op.ReplicationInterval)
 }
 
-// SpotStretch is the part by which one spot machine lengthens a gang that runs on it: each
-// time it is preempted, all tasks go back to their last checkpoint and wait for another
-// machine. It is 0 for job arrays, which lose one task only.
+// SpotStretch returns the fraction by which one spot machine is expected to lengthen the run
+// time of a gang that uses it: each time it is preempted, all tasks of the gang return to
+// their last checkpoint and wait for another machine. It is 0 for job arrays, which lose only
+// one task.
 func (w *Workload) SpotStretch(j *protocol.Job) float64 {
 	if j.Kind != protocol.KindGang || j.Tasks < 2 {
 		return 0
@@ -42,7 +44,8 @@
 	return w.Spots.Rate() * lostS
 }
 
-// AvoidsSpot reports whether spot machines are to be avoided for a job.
+// AvoidsSpot reports whether a job should not run on spot machines, since they would slow it
+// down too much.
 func (w *Workload) AvoidsSpot(j *protocol.Job) bool {
-	return w.SpotStretch(j)*float64(j.Tasks) > maxSpotStretch
+	return w.SpotStretch(j)*float64(j.Tasks) > maxSpotSlowdown
 }
--- a/internal/controller/workload/workload.go
+++ b/internal/controller/workload/workload.go
@@ -6,18 +6,19 @@
 	"damsonkeel/internal/controller/waittable"
 )
 
-// Workload is what this controller has observed of the arriving work: the classes of jobs
-// with an objective, and how often spot machines are preempted.
+// Workload holds this controller's observations of the arriving jobs, by class, for classes
+// with an objective, and of how often spot machines are preempted.
 type Workload struct {
 	clusterstate.Module
 	table *waittable.Table
-	// Classes are the classes with an objective of which jobs have arrived, by name.
+	// Classes holds the classes with an objective of which jobs have arrived, by name.
 	Classes map[string]*Class
-	// Spots is the rate of losses of spot machines. It outlives sessions.
+	// Spots estimates the rate at which spot machines are preempted. It is kept when a new
+	// session begins.
 	Spots forecast.Spot
 }
 
-// New returns a workload without observations. Reset has to be called on it before use.
+// New returns a workload without observations. Reset must be called before use.
 func New(module clusterstate.Module, table *waittable.Table) *Workload {
 	return &Workload{Module: module, table: table}
 }
