--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -119,7 +119,7 @@
 		n.log.Error("commands not encoded", "machine", a.Machine, "err", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, dispatcher.DirectTimeout)
+	ctx, cancel := context.WithTimeout(ctx, dispatcher.DirectCommandTimeout)
 	defer cancel()
 	response, err := n.workers.get(a.Address).Do(ctx, http.MethodPost, "/do", body)
 	if err != nil {
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -42,6 +42,6 @@
 	c.waitTable.PlacementDue = true
 	c.refreshDeadlines()
 	c.dispatcher.AdoptConfiguration()
-	c.dispatcher.InvalidateOrder()
+	c.dispatcher.InvalidateQueueOrder()
 	c.Emit(message.ConfigurationChanged{Effective: effective})
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -55,7 +55,7 @@
 	work := workload.New(module, table)
 	queues := dispatcher.New(module)
 	owned := jobs.New(module, table, work, rng)
-	reservations := holds.New(module, table, owned.JobProgress, queues.TouchAll)
+	reservations := holds.New(module, table, owned.JobProgress, queues.MarkAllChanged)
 	placer := placement.New(module, table, work, reservations, owned, rng)
 	scaler, planner := autoscaler.New(module, table, work, reservations, placer)
 	members := membership.New(module)
@@ -137,7 +137,7 @@
 	case message.BitmapLoaded:
 		c.jobs.HandleBitmapLoaded(m)
 	case message.CommandDone:
-		c.dispatcher.CommandDone(m)
+		c.dispatcher.HandleCommandDone(m)
 	case message.PeerLeads:
 		c.members.NoteLeading(m.Peer)
 	case message.ProvisionDone:
@@ -207,7 +207,7 @@
 		c.Emit(message.ReplyHeartbeat{Status: http.StatusMisdirectedRequest, Leader: leader})
 		return
 	}
-	c.dispatcher.Heartbeat(heartbeat)
+	c.dispatcher.HandleHeartbeat(heartbeat)
 }
 
 // HandedOver reports whether a controller that is shutting down may end: it holds no
--- a/internal/controller/dispatcher/configuration_test.go
+++ b/internal/controller/dispatcher/configuration_test.go
@@ -20,7 +20,7 @@
 func (f *fixture) placeWithRevision(id protocol.JobID, revision record.ConfigurationRevision) {
 	f.addJob(id)
 	f.dispatcher.Live[id].Team = "bound"
-	f.dispatcher.Place("node-0", &message.Place{Term: 1, Configuration: revision, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
+	f.dispatcher.QueuePlacements("node-0", &message.Place{Term: 1, Configuration: revision, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
 }
 
 // TestOutdatedAttemptIsNotStarted checks that an attempt placed before the limit of its
--- a/internal/controller/dispatcher/directcommands.go
+++ b/internal/controller/dispatcher/directcommands.go
@@ -7,9 +7,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// DirectTimeout is how long a direct command may stay unanswered. If its worker sends a
+// DirectCommandTimeout is how long a direct command may stay unanswered. If its worker sends a
 // heartbeat after that, the fencing token is raised, which settles the command.
-const DirectTimeout = 4 * time.Second
+const DirectCommandTimeout = 4 * time.Second
 
 // directSchedule lists the queues whose commands are sent at the end of the step.
 type directSchedule struct {
@@ -68,8 +68,8 @@
 	}})
 }
 
-// CommandDone handles the answer to direct commands, or the lack of one.
-func (d *Dispatcher) CommandDone(result message.CommandDone) {
+// HandleCommandDone handles the answer to direct commands, or the lack of one.
+func (d *Dispatcher) HandleCommandDone(result message.CommandDone) {
 	q := d.queues.get(result.Machine)
 	if q == nil {
 		return
--- a/internal/controller/dispatcher/directcommands_test.go
+++ b/internal/controller/dispatcher/directcommands_test.go
@@ -21,7 +21,7 @@
 		t.Fatalf("the reply to the heartbeat does not start the attempt: %+v", r)
 	}
 	f.seq++
-	f.dispatcher.CommandDone(message.CommandDone{
+	f.dispatcher.HandleCommandDone(message.CommandDone{
 		Machine: "vm-1", Term: 1, AgentEpoch: 1, Answered: true, Executed: true,
 		Heartbeat: protocol.Heartbeat{Machine: "vm-1", Type: "small", Zone: "a", AgentEpoch: 1, Seq: f.seq, Term: 1},
 	})
@@ -52,7 +52,7 @@
 			f.answerCommand(cmd, false)
 		}
 		f.dispatcher.Local = nil
-		f.dispatcher.Drain("vm-1")
+		f.dispatcher.DrainMachine("vm-1")
 		if f.wasReleased(task) {
 			t.Errorf("listed %v: released while it runs or may be started", listed)
 		}
@@ -73,7 +73,7 @@
 	q.quarantine.active = true // prevents starts
 	f.heartbeat(1, 1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
 	f.dispatcher.Local = nil
-	f.dispatcher.Drain("vm-1")
+	f.dispatcher.DrainMachine("vm-1")
 	if len(q.waiting) != 0 || f.wasReleased(task) {
 		t.Errorf("attempt waits or was released while it runs: %+v", q.waiting)
 	}
@@ -90,7 +90,7 @@
 	f.heartbeat(1, 1) // crosses the direct start; the reply contains the start, too
 	full := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndFull}
 	f.answerCommand(cmd, true, full)
-	f.dispatcher.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
+	f.dispatcher.ForgetAttempt(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
 	f.queue().requestDirect()
 	if c := f.sendDirectCommands(); hasOrder(c.Commands.Orders, protocol.OpForget) {
 		t.Error("forgotten directly while a reply with its start may still be delivered")
@@ -110,10 +110,10 @@
 	cmd := f.startDirectly()
 	task := protocol.TaskID{Job: "job-1"}
 	f.heartbeat(1, 1) // the reply contains the start again
-	f.dispatcher.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
+	f.dispatcher.HandleCommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
 	done := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndDone}
 	f.heartbeat(1, 1, done)
-	f.dispatcher.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
+	f.dispatcher.ForgetAttempt(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
 	if r := f.heartbeat(1, 1, done); hasOrder(r.Reply.Orders, protocol.OpForget) || f.dispatcher.NeedsNewTerm() {
 		t.Error("forgotten, or a later token requested, before the timeout")
 	}
@@ -138,21 +138,21 @@
 	f.registerAndSendHeartbeat()
 	cmd := f.startDirectly()
 	q, task := f.queue(), protocol.TaskID{Job: "job-1"}
-	f.dispatcher.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
+	f.dispatcher.HandleCommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
 	q.requestDirect()
 	if c := f.sendDirectCommands(); countStarts(c.Commands.Orders) != 0 {
 		t.Error("start was sent again with the same token")
 	}
 	f.heartbeat(1, 1) // the reply contains the start, too
 	f.heartbeat(1, 1, protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskRunning})
-	f.dispatcher.Stop(message.Stop{TaskRef: message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"}, Kill: true})
+	f.dispatcher.StopAttempt(message.Stop{TaskRef: message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"}, Kill: true})
 	kill := f.sendDirectCommands()
 	if !hasOrder(kill.Commands.Orders, protocol.OpStop) {
 		t.Fatalf("no order to kill the attempt: %+v", kill)
 	}
 	stopped := protocol.TaskStatus{Task: task, Attempt: 1, State: protocol.TaskEnded, Cause: protocol.EndStopped}
 	f.answerCommand(kill, true, stopped)
-	f.dispatcher.Forget(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
+	f.dispatcher.ForgetAttempt(message.TaskRef{Task: task, Attempt: 1, Machine: "vm-1"})
 	if r := f.heartbeat(1, 1, stopped); hasOrder(r.Reply.Orders, protocol.OpForget) {
 		t.Error("forgotten although the first direct start may still be executed")
 	}
@@ -165,7 +165,7 @@
 	again := newFixture(t)
 	again.registerAndSendHeartbeat()
 	cmd = again.startDirectly()
-	again.dispatcher.CommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
+	again.dispatcher.HandleCommandDone(message.CommandDone{Machine: "vm-1", Term: 1, AgentEpoch: 1, Orders: cmd.Commands.Orders})
 	again.dispatcher.View.Term = 2
 	again.queue().requestDirect()
 	if c := again.sendDirectCommands(); countStarts(c.Commands.Orders) != 1 || c.Commands.Term != 2 {
--- a/internal/controller/dispatcher/dispatcher.go
+++ b/internal/controller/dispatcher/dispatcher.go
@@ -19,7 +19,7 @@
 	inventories inventorySchedule
 	// allAdoptedSince is the time since which this controller has continuously held its
 	// lease and all members have adopted the current term; 0 if that does not hold now. See
-	// ExpireSilent.
+	// ExpireSilentMachines.
 	allAdoptedSince clock.Time
 	// leaseHeldSince is the time since which this controller has continuously held its
 	// lease; 0 if it does not hold it.
@@ -50,17 +50,17 @@
 	}
 }
 
-// DropAll drops all queues and handovers. It is called when this controller is not a member
+// DropAllQueues drops all queues and handovers. It is called when this controller is not a member
 // of the view.
-func (d *Dispatcher) DropAll() {
+func (d *Dispatcher) DropAllQueues() {
 	d.queues = newQueueSet()
 	d.direct.due = nil
 	d.shards.clear()
 }
 
-// ForgetOwners drops the placement counts of owners whose session in the present view
+// ForgetEndedOwnerSessions drops the placement counts of owners whose session in the present view
 // differs from their session in the old one.
-func (d *Dispatcher) ForgetOwners(old record.View) {
+func (d *Dispatcher) ForgetEndedOwnerSessions(old record.View) {
 	for name := range d.handledPlaces {
 		if !clusterstate.SameMemberSession(old, d.View, name) {
 			delete(d.handledPlaces, name)
@@ -71,22 +71,22 @@
 // BeginTerm starts a new change log for the new term and marks every machine as changed.
 func (d *Dispatcher) BeginTerm() {
 	d.changes = replication.ChangeLog[protocol.MachineID]{}
-	d.TouchAll()
+	d.MarkAllChanged()
 }
 
 // TermAdopted clears the request for a new term: one was adopted, which settles unanswered
 // starts once the workers have seen it.
 func (d *Dispatcher) TermAdopted() { d.newTermNeeded = false }
 
-// TouchAll marks the published state of every machine as changed.
-func (d *Dispatcher) TouchAll() {
+// MarkAllChanged marks the published state of every machine as changed.
+func (d *Dispatcher) MarkAllChanged() {
 	for _, q := range d.queues.inOrder() {
 		q.markChanged()
 	}
 }
 
-// InvalidateOrder marks all queues as unsorted because job deadlines have changed.
-func (d *Dispatcher) InvalidateOrder() {
+// InvalidateQueueOrder marks all queues as unsorted because job deadlines have changed.
+func (d *Dispatcher) InvalidateQueueOrder() {
 	for _, q := range d.queues.byMachine {
 		q.sorted = false
 	}
@@ -95,9 +95,9 @@
 // levelLookup returns the level of a job, and whether the job's owner has announced it.
 type levelLookup func(protocol.JobID) (resource.Level, bool)
 
-// Maintain does the work that is due once per relay period: it quarantines failing
+// MaintainQueues does the work that is due once per relay period: it quarantines failing
 // machines, and preempts attempts in favor of waiting attempts and reservations.
-func (d *Dispatcher) Maintain(level levelLookup, isFailing failingLookup) {
+func (d *Dispatcher) MaintainQueues(level levelLookup, isFailing failingLookup) {
 	for _, q := range d.queues.inOrder() {
 		if q.handingOver() {
 			continue
--- a/internal/controller/dispatcher/fixture_test.go
+++ b/internal/controller/dispatcher/fixture_test.go
@@ -60,14 +60,14 @@
 
 // placeTask queues the only task of a job on the machine under test.
 func (f *fixture) placeTask(id protocol.JobID) {
-	f.dispatcher.Place("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
+	f.dispatcher.QueuePlacements("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: id}, Attempt: 1, Machine: "vm-1", Epoch: 7, CPUs: 1, GB: 1}}})
 }
 
 // heartbeat delivers a heartbeat of the worker under test and returns the reply.
 func (f *fixture) heartbeat(agentEpoch protocol.AgentEpoch, term protocol.Term, tasks ...protocol.TaskStatus) message.ReplyHeartbeat {
 	f.seq++
 	f.dispatcher.Actions = nil
-	f.dispatcher.Heartbeat(protocol.Heartbeat{Machine: testMachine, Address: "x", Type: "small", Zone: "a", AgentEpoch: agentEpoch, Seq: f.seq, Term: term, Tasks: tasks})
+	f.dispatcher.HandleHeartbeat(protocol.Heartbeat{Machine: testMachine, Address: "x", Type: "small", Zone: "a", AgentEpoch: agentEpoch, Seq: f.seq, Term: term, Tasks: tasks})
 	for _, a := range f.dispatcher.Actions {
 		if r, ok := a.(message.ReplyHeartbeat); ok {
 			return r
@@ -139,7 +139,7 @@
 // answerCommand delivers the answer to a direct command.
 func (f *fixture) answerCommand(c message.Command, executed bool, tasks ...protocol.TaskStatus) {
 	f.seq++
-	f.dispatcher.CommandDone(message.CommandDone{
+	f.dispatcher.HandleCommandDone(message.CommandDone{
 		Machine: c.Machine, Term: c.Commands.Term, AgentEpoch: c.Commands.AgentEpoch, Orders: c.Commands.Orders, Answered: true, Executed: executed,
 		Heartbeat: protocol.Heartbeat{Machine: c.Machine, Type: "small", Zone: "a", AgentEpoch: 1, Seq: f.seq, Term: f.dispatcher.View.Term, Tasks: tasks},
 	})
--- a/internal/controller/dispatcher/handover_test.go
+++ b/internal/controller/dispatcher/handover_test.go
@@ -25,7 +25,7 @@
 	f.addJob("job-1")
 	running := protocol.TaskStatus{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, State: protocol.TaskRunning}
 	f.heartbeat(1, s.List[id].Epoch, running)
-	f.dispatcher.HandOver(&message.MoveShards{Term: 1, Shares: []message.Tenured{{Share: int(id), Tenure: s.List[id].Since}}, To: "node-1"})
+	f.dispatcher.HandOverShards(&message.MoveShards{Term: 1, Shares: []message.Tenured{{Share: int(id), Tenure: s.List[id].Since}}, To: "node-1"})
 	if !f.queue().handingOver() {
 		t.Fatal("the shard is not being handed over")
 	}
--- a/internal/controller/dispatcher/handoverout.go
+++ b/internal/controller/dispatcher/handoverout.go
@@ -29,11 +29,11 @@
 	deferred []message.PeerMessage
 }
 
-// HandOver begins to hand shards over. From this point nothing is started on them, and
+// HandOverShards begins to hand shards over. From this point nothing is started on them, and
 // their complete state is sent to the controller that will hold them. The state includes
 // unanswered starts: the new dispatcher's fencing token settles them, as a raised token
 // would.
-func (d *Dispatcher) HandOver(move *message.MoveShards) {
+func (d *Dispatcher) HandOverShards(move *message.MoveShards) {
 	if move.Term != d.View.Term || !d.HoldsLease() || move.To == d.Self || d.View.Members[move.To] == 0 {
 		return
 	}
@@ -183,11 +183,11 @@
 func (d *Dispatcher) handleDeferred(m message.PeerMessage) {
 	switch {
 	case m.Stop != nil:
-		d.Stop(*m.Stop)
+		d.StopAttempt(*m.Stop)
 	case m.Forget != nil:
-		d.Forget(*m.Forget)
+		d.ForgetAttempt(*m.Forget)
 	case m.Drain != nil:
-		d.Drain(*m.Drain)
+		d.DrainMachine(*m.Drain)
 	}
 }
 
--- a/internal/controller/dispatcher/heartbeat.go
+++ b/internal/controller/dispatcher/heartbeat.go
@@ -8,8 +8,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Heartbeat handles a worker's heartbeat and replies to it.
-func (d *Dispatcher) Heartbeat(heartbeat protocol.Heartbeat) {
+// HandleHeartbeat handles a worker's heartbeat and replies to it.
+func (d *Dispatcher) HandleHeartbeat(heartbeat protocol.Heartbeat) {
 	machineType, known := d.Types[heartbeat.Type]
 	if !known {
 		d.rejectHeartbeat()
--- a/internal/controller/dispatcher/inspect.go
+++ b/internal/controller/dispatcher/inspect.go
@@ -50,8 +50,8 @@
 	return ids
 }
 
-// StateOf returns the published state of a machine, if it is held here.
-func (d *Dispatcher) StateOf(id protocol.MachineID) (message.MachineState, bool) {
+// PublishedState returns the published state of a machine, if it is held here.
+func (d *Dispatcher) PublishedState(id protocol.MachineID) (message.MachineState, bool) {
 	q := d.queues.get(id)
 	if q == nil {
 		return message.MachineState{}, false
@@ -70,17 +70,17 @@
 	return n
 }
 
-// HandledPlaces returns the number of the last Place message handled of an owner.
-func (d *Dispatcher) HandledPlaces(owner protocol.NodeName) uint64 { return d.handledPlaces[owner] }
+// LastHandledPlace returns the number of the last Place message handled of an owner.
+func (d *Dispatcher) LastHandledPlace(owner protocol.NodeName) uint64 { return d.handledPlaces[owner] }
 
-// ChangedSince lists the machines whose published state has changed since a version of this
+// MachinesChangedSince lists the machines whose published state has changed since a version of this
 // term's change log, up to a maximum number, and returns the version that the list covers.
-func (d *Dispatcher) ChangedSince(from uint64, limit int) ([]protocol.MachineID, uint64) {
+func (d *Dispatcher) MachinesChangedSince(from uint64, limit int) ([]protocol.MachineID, uint64) {
 	return d.changes.Since(from, limit)
 }
 
-// Changes returns the current version of this term's change log.
-func (d *Dispatcher) Changes() uint64 { return d.changes.Version() }
+// ChangeLogVersion returns the current version of this term's change log.
+func (d *Dispatcher) ChangeLogVersion() uint64 { return d.changes.Version() }
 
 // NeedsNewTerm reports whether an unanswered start can only be settled by a later term.
 func (d *Dispatcher) NeedsNewTerm() bool { return d.newTermNeeded }
--- a/internal/controller/dispatcher/inventory_test.go
+++ b/internal/controller/dispatcher/inventory_test.go
@@ -13,7 +13,7 @@
 func TestInventoryListsAttemptsBeforeJobRecord(t *testing.T) {
 	f := newFixture(t)
 	f.registerAndSendHeartbeat()
-	f.dispatcher.Place("node-0", &message.Place{Number: 5, Term: 1, Tasks: []message.Placement{{
+	f.dispatcher.QueuePlacements("node-0", &message.Place{Number: 5, Term: 1, Tasks: []message.Placement{{
 		Task: protocol.TaskID{Job: "job-7"}, Attempt: 1, Machine: "vm-1", Epoch: f.dispatcher.Records["vm-1"].Epoch,
 	}}})
 	f.dispatcher.Local = nil
--- a/internal/controller/dispatcher/placement.go
+++ b/internal/controller/dispatcher/placement.go
@@ -5,9 +5,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Place queues the placements of a message. A placement that can't be queued is released at
+// QueuePlacements queues the placements of a message. A placement that can't be queued is released at
 // once.
-func (d *Dispatcher) Place(from protocol.NodeName, place *message.Place) {
+func (d *Dispatcher) QueuePlacements(from protocol.NodeName, place *message.Place) {
 	if _, member := d.View.Members[from]; member {
 		d.handledPlaces[from] = place.Number
 	}
@@ -75,9 +75,9 @@
 	}})
 }
 
-// Stop releases an attempt that was never sent. An attempt that was sent is killed if the
+// StopAttempt releases an attempt that was never sent. An attempt that was sent is killed if the
 // message asks for that.
-func (d *Dispatcher) Stop(stop message.Stop) {
+func (d *Dispatcher) StopAttempt(stop message.Stop) {
 	if d.divertIfNotHeld(stop.Machine, message.PeerMessage{Stop: &stop}) {
 		return
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// Forget allows the worker to forget an ended attempt whose end the owner has processed.
-func (d *Dispatcher) Forget(ref message.TaskRef) {
+// ForgetAttempt allows the worker to forget an ended attempt whose end the owner has processed.
+func (d *Dispatcher) ForgetAttempt(ref message.TaskRef) {
 	if d.divertIfNotHeld(ref.Machine, message.PeerMessage{Forget: &ref}) {
 		return
 	}
@@ -112,9 +112,9 @@
 	}
 }
 
-// Drain stops further starts on a machine and releases its waiting attempts to their
+// DrainMachine stops further starts on a machine and releases its waiting attempts to their
 // owners.
-func (d *Dispatcher) Drain(id protocol.MachineID) {
+func (d *Dispatcher) DrainMachine(id protocol.MachineID) {
 	if d.divertIfNotHeld(id, message.PeerMessage{Drain: &id}) {
 		return
 	}
--- a/internal/controller/dispatcher/placement_test.go
+++ b/internal/controller/dispatcher/placement_test.go
@@ -16,7 +16,7 @@
 	f.registerAndSendHeartbeat()
 	epoch := f.dispatcher.Records["vm-1"].Epoch
 	place := func(term protocol.Term, epoch protocol.Version) {
-		f.dispatcher.Place("node-0", &message.Place{Term: term, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-9"}, Attempt: 1, Machine: "vm-1", Epoch: epoch}}})
+		f.dispatcher.QueuePlacements("node-0", &message.Place{Term: term, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-9"}, Attempt: 1, Machine: "vm-1", Epoch: epoch}}})
 	}
 	place(0, epoch)
 	place(1, epoch-1)
@@ -37,7 +37,7 @@
 	delete(f.dispatcher.Live, "job-1")
 	f.dispatcher.MarkEnded("job-1")
 	f.dispatcher.JobEnded("job-1", false)
-	f.dispatcher.Place("node-0", &message.Place{Number: 6, Term: 1, Tasks: []message.Placement{{
+	f.dispatcher.QueuePlacements("node-0", &message.Place{Number: 6, Term: 1, Tasks: []message.Placement{{
 		Task: protocol.TaskID{Job: "job-1"}, Attempt: 9, Machine: "vm-1", Epoch: f.dispatcher.Records["vm-1"].Epoch,
 	}}})
 	if n := len(f.queue().waiting); n != 0 {
@@ -63,7 +63,7 @@
 			sent: true, present: true, state: protocol.TaskRunning,
 		}
 		q.addEntry(running)
-		f.dispatcher.Place("node-0", &message.Place{Number: 1, Term: f.dispatcher.View.Term, Tasks: []message.Placement{{
+		f.dispatcher.QueuePlacements("node-0", &message.Place{Number: 1, Term: f.dispatcher.View.Term, Tasks: []message.Placement{{
 			Task: protocol.TaskID{Job: "job-2"}, Attempt: 1, Machine: "vm-1", Epoch: q.recordVersion, CPUs: 4, Level: int(resource.LevelOf("high", false)), Together: true,
 		}}})
 		if refused := len(q.waiting) == 0; refused != tc.refused || running.kill == tc.refused {
@@ -83,7 +83,7 @@
 		q.addEntry(e)
 		f.dispatcher.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Priority: "standard"}}
 		if drained {
-			f.dispatcher.Drain("vm-1")
+			f.dispatcher.DrainMachine("vm-1")
 		}
 		f.heartbeat(1, f.dispatcher.View.Term) // settles that the start was not executed
 		if stillQueued := q.entries[e.task] != nil; stillQueued == drained {
--- a/internal/controller/dispatcher/queue_test.go
+++ b/internal/controller/dispatcher/queue_test.go
@@ -30,7 +30,7 @@
 	for _, live := range f.dispatcher.Live {
 		live.Deadline = f.dispatcher.Deadline(live)
 	}
-	f.dispatcher.InvalidateOrder()
+	f.dispatcher.InvalidateQueueOrder()
 	if q.sortWaiting(); q.waiting[0] != later {
 		t.Error("a late attempt is sorted before one that can still meet its deadline")
 	}
--- a/internal/controller/dispatcher/registration_test.go
+++ b/internal/controller/dispatcher/registration_test.go
@@ -43,7 +43,7 @@
 		f.dispatcher.RecordUpdated(&m)
 		f.heartbeat(2, 1)
 		f.addJob("job-1")
-		f.dispatcher.Place("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: "vm-1", Epoch: 8, CPUs: 1, GB: 1}}})
+		f.dispatcher.QueuePlacements("node-0", &message.Place{Term: 1, Tasks: []message.Placement{{Task: protocol.TaskID{Job: "job-1"}, Attempt: 1, Machine: "vm-1", Epoch: 8, CPUs: 1, GB: 1}}})
 		if r := f.heartbeat(2, 1); countStarts(r.Reply.Orders) != 1 {
 			t.Errorf("heartbeat first %v: attempt not started", heartbeatFirst)
 		}
--- a/internal/controller/dispatcher/silence.go
+++ b/internal/controller/dispatcher/silence.go
@@ -11,12 +11,12 @@
 // intervalMargin is the factor by which a healthy worker may exceed its heartbeat interval.
 const intervalMargin = 1.25
 
-// ExpireSilent detects silent machines and requests the removal of the records of those
+// ExpireSilentMachines detects silent machines and requests the removal of the records of those
 // whose lease has certainly expired: no controller that may answer them has done so for
 // longer than the lease lasts. This includes a worker that restarted with a new agent
 // epoch and became silent before it was registered: otherwise other controllers would
 // wait for its old record forever.
-func (d *Dispatcher) ExpireSilent(allAdopted bool, adoptedShardEpoch protocol.Term) {
+func (d *Dispatcher) ExpireSilentMachines(allAdopted bool, adoptedShardEpoch protocol.Term) {
 	holdsLease := d.HoldsLease()
 	d.allAdoptedSince = continuousSince(d.allAdoptedSince, d.Now, holdsLease && allAdopted)
 	d.leaseHeldSince = continuousSince(d.leaseHeldSince, d.Now, holdsLease)
--- a/internal/controller/dispatcher/silence_test.go
+++ b/internal/controller/dispatcher/silence_test.go
@@ -16,15 +16,15 @@
 	f.dispatcher.LeaseDeadline = f.dispatcher.Now
 	for range 40 {
 		f.dispatcher.Now += clock.Time(time.Second)
-		f.dispatcher.ExpireSilent(true, 0)
+		f.dispatcher.ExpireSilentMachines(true, 0)
 	}
 	f.dispatcher.LeaseDeadline = f.dispatcher.Now + clock.Time(time.Minute)
-	if f.dispatcher.ExpireSilent(true, 0); f.queue().silence != message.SilenceNone {
+	if f.dispatcher.ExpireSilentMachines(true, 0); f.queue().silence != message.SilenceNone {
 		t.Error("machine published as silent right after the outage")
 	}
 	for range 30 {
 		f.dispatcher.Now += clock.Time(time.Second)
-		f.dispatcher.ExpireSilent(true, 0)
+		f.dispatcher.ExpireSilentMachines(true, 0)
 	}
 	if f.queue().silence != message.SilenceLong {
 		t.Error("silent machine not published as silent")
--- a/internal/controller/dispatcher/view.go
+++ b/internal/controller/dispatcher/view.go
@@ -12,10 +12,10 @@
 // maxReleasedPerMessage is the maximum number of released attempts in one message.
 const maxReleasedPerMessage = 500
 
-// Adopt applies a new view. If this controller was a member without a break, the queues
+// AdoptView applies a new view. If this controller was a member without a break, the queues
 // that stay here keep their state. The other state is dropped; the inventory of the
 // machine's new dispatcher will list it.
-func (d *Dispatcher) Adopt(_ record.View, continuous bool) {
+func (d *Dispatcher) AdoptView(_ record.View, continuous bool) {
 	released := map[protocol.NodeName][]message.TaskRef{}
 	for _, q := range d.queues.inOrder() {
 		if d.DispatcherInZone(q.id, q.zone) != d.Self {
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -35,9 +35,9 @@
 func (c *Core) handlePeerMessage(from protocol.NodeName, m message.PeerMessage) { //nolint:gocyclo // a plain dispatching switch
 	switch {
 	case m.Place != nil:
-		c.dispatcher.Place(from, m.Place)
+		c.dispatcher.QueuePlacements(from, m.Place)
 	case m.Stop != nil:
-		c.dispatcher.Stop(*m.Stop)
+		c.dispatcher.StopAttempt(*m.Stop)
 	case m.Event != nil:
 		c.jobs.HandleTaskEvent(*m.Event)
 	case m.Released != nil:
@@ -45,7 +45,7 @@
 			c.jobs.HandleTaskEvent(message.TaskEvent{TaskRef: ref, What: message.EventReleased})
 		}
 	case m.Forget != nil:
-		c.dispatcher.Forget(*m.Forget)
+		c.dispatcher.ForgetAttempt(*m.Forget)
 	case m.Inventory != nil:
 		c.jobs.HandleInventory(from, m.Inventory)
 	case m.Added != nil:
@@ -53,13 +53,13 @@
 	case m.Relay != nil:
 		c.stateUpdated(from, m.Relay)
 	case m.Drain != nil:
-		c.dispatcher.Drain(*m.Drain)
+		c.dispatcher.DrainMachine(*m.Drain)
 	case m.Record != nil:
 		c.registrar.RequestChange(from, *m.Record)
 	case m.Done != nil:
 		c.jobs.MergeCompletedTasks(m.Done)
 	case m.Move != nil:
-		c.dispatcher.HandOver(m.Move)
+		c.dispatcher.HandOverShards(m.Move)
 	case m.Hand != nil:
 		c.dispatcher.ReceiveHandover(m.Hand)
 	case m.AskTable:
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, id := range b.c.dispatcher.Machines() {
-		if st, _ := b.c.dispatcher.StateOf(id); st.Draining {
+		if st, _ := b.c.dispatcher.PublishedState(id); st.Draining {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -85,21 +85,21 @@
 		to.Sent(update.Machines.Upto)
 		return
 	}
-	ids, upto := c.dispatcher.ChangedSince(to.Next(), statesMost)
+	ids, upto := c.dispatcher.MachinesChangedSince(to.Next(), statesMost)
 	update.Machines = replication.Range{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
 	to.Sent(upto)
 	update.States = make([]message.MachineState, 0, len(ids))
 	for _, id := range ids {
-		if state, queued := c.dispatcher.StateOf(id); queued {
+		if state, queued := c.dispatcher.PublishedState(id); queued {
 			update.States = append(update.States, state)
 		}
 	}
-	if upto != c.dispatcher.Changes() {
+	if upto != c.dispatcher.ChangeLogVersion() {
 		return // the rest goes with the next update
 	}
 	update.Handled = map[protocol.NodeName]uint64{}
 	for name := range c.waitTable.Peers {
-		update.Handled[name] = c.dispatcher.HandledPlaces(name)
+		update.Handled[name] = c.dispatcher.LastHandledPlace(name)
 	}
 }
 
--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -52,11 +52,11 @@
 	if a, b := sentAfter(30); a != 30 || b != 30 {
 		t.Errorf("states of %d and %d machines sent, 30 changed", a, b)
 	}
-	have := f.c.dispatcher.Changes()
+	have := f.c.dispatcher.ChangeLogVersion()
 	sentAfter(20)
 	for range 4 { // the first lost the last message, the second has everything
 		f.c.stateUpdated("node-1", &message.StateUpdate{Term: 2, HaveMachines: have})
-		f.c.stateUpdated("node-2", &message.StateUpdate{Term: 2, HaveMachines: f.c.dispatcher.Changes()})
+		f.c.stateUpdated("node-2", &message.StateUpdate{Term: 2, HaveMachines: f.c.dispatcher.ChangeLogVersion()})
 	}
 	if a, b := sent(); a != 20 || b != 0 {
 		t.Errorf("states of %d and %d machines sent, want 20 and 0", a, b)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -44,7 +44,7 @@
 		status.Misplaced = c.misplacedMachines()
 	}
 	for _, id := range c.dispatcher.Machines() {
-		if state, queued := c.dispatcher.StateOf(id); queued && state.Suspect {
+		if state, queued := c.dispatcher.PublishedState(id); queued && state.Suspect {
 			status.Cordoned = append(status.Cordoned, id)
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 	for _, machine := range c.dispatcher.Machines() {
 		for _, attempt := range c.dispatcher.Attempts(machine) {
-			if state, _ := c.dispatcher.StateOf(machine); attempt.Task.Job == id || state.Draining {
+			if state, _ := c.dispatcher.PublishedState(machine); attempt.Task.Job == id || state.Draining {
 				fmt.Fprintf(&b, "  %s has %+v\n", c.Self, attempt)
 			}
 		}
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -39,9 +39,9 @@
 	c.reservations.Refresh()
 	c.workload.WatchSpots()
 	c.jobs.WatchSlow()
-	c.dispatcher.ExpireSilent(c.members.AllAdopted(), c.members.ObservedShardEpoch())
+	c.dispatcher.ExpireSilentMachines(c.members.AllAdopted(), c.members.ObservedShardEpoch())
 	c.placer.Rebalance("")
-	c.dispatcher.Maintain(c.announcedLevel, c.jobs.IsFailing)
+	c.dispatcher.MaintainQueues(c.announcedLevel, c.jobs.IsFailing)
 	c.jobs.WriteBitmaps()
 	c.sendUpdates(true)
 	c.members.Balance()
@@ -71,7 +71,7 @@
 		return
 	}
 	c.jobs.InvalidateOrder()
-	c.dispatcher.InvalidateOrder()
+	c.dispatcher.InvalidateQueueOrder()
 }
 
 // announcedLevel is the level of a job as its owner last announced it, if it has.
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -21,7 +21,7 @@
 	c.registrar.Adopted()
 	c.dispatcher.TermAdopted()
 	c.waitTable.AdoptPeers(view)
-	c.dispatcher.ForgetOwners(old)
+	c.dispatcher.ForgetEndedOwnerSessions(old)
 	if !c.Member() {
 		c.dropWork()
 		c.Log.Info("not in the view", "term", view.Term)
@@ -29,7 +29,7 @@
 	}
 	c.Log.Info("new term", "term", view.Term, "members", len(view.Members))
 	continuous := consecutive && wasMember
-	c.dispatcher.Adopt(old, continuous)
+	c.dispatcher.AdoptView(old, continuous)
 	c.jobs.AdoptView(old, continuous)
 	c.beginUpdates()
 	c.dispatcher.BeginInventories()
@@ -45,7 +45,7 @@
 	c.jobs.Drop()
 	c.placer.ForgetSearches()
 	c.waitTable.PlacementDue = false
-	c.dispatcher.DropAll()
+	c.dispatcher.DropAllQueues()
 }
 
 // adoptShards adopts a new shard table. Only attempts that were placed through the former
--- a/internal/simulator/actions.go
+++ b/internal/simulator/actions.go
@@ -130,7 +130,7 @@
 		x.worker = &worker{world: w, Worker: &fake.Worker{Dead: true}}
 	}
 	n.sendToZone(x.worker.Zone, x.execute)
-	w.after(dispatcher.DirectTimeout, func() {
+	w.after(dispatcher.DirectCommandTimeout, func() {
 		x.done.Answered = false
 		x.finish()
 	})
