--- a/internal/controller/autoscaler/offers.go
+++ b/internal/controller/autoscaler/offers.go
@@ -44,7 +44,7 @@
 // offers lists the kinds that may be provisioned for a job, the cheapest per task first.
 func (a *Autoscaler) offers(j *clusterstate.LiveJob) []binpack.Kind {
 	var offers []offer
-	stretch, avoidsSpot := a.workload.SpotStretch(&j.Job)*float64(j.Tasks), a.workload.AvoidsSpot(&j.Job)
+	stretch, avoidsSpot := a.workload.SpotSlowdown(&j.Job)*float64(j.Tasks), a.workload.AvoidsSpot(&j.Job)
 	for _, t := range a.Types {
 		tasksPerMachine := resource.Capacity(t).CountFitting(resource.Need(&j.Job))
 		if tasksPerMachine == 0 {
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -107,7 +107,7 @@
 	for _, class := range ordered.Of(a.workload.Classes) {
 		j := &clusterstate.LiveJob{Job: class.Job}
 		j.OneZone = false // the resources are reserved for several jobs
-		if n := a.workload.Reserve(class); n > 0 {
+		if n := a.workload.TasksToReserve(class); n > 0 {
 			plan.Reserve(a.work(j, resource.LevelOf(j.Priority, false), 0), n)
 		}
 	}
--- a/internal/controller/classes_test.go
+++ b/internal/controller/classes_test.go
@@ -30,7 +30,7 @@
 		b.now += Time(8 * time.Second)
 		gang("job-1")
 	}
-	if b.c.workload.Reserve(b.c.workload.Classes["gang"]) == 0 {
+	if b.c.workload.TasksToReserve(b.c.workload.Classes["gang"]) == 0 {
 		t.Fatal("nothing is reserved")
 	}
 	b.ready("vm-1")
@@ -45,7 +45,7 @@
 		t.Error("the class itself may not use them")
 	}
 	b.c.Now += Time(10 * time.Minute)
-	if n := b.c.workload.Reserve(b.c.workload.Classes["gang"]); n != 0 {
+	if n := b.c.workload.TasksToReserve(b.c.workload.Classes["gang"]); n != 0 {
 		t.Errorf("resources for %d tasks are reserved long after the last arrival", n)
 	}
 }
--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -59,12 +59,12 @@
 	for id, deadline := range map[protocol.JobID]float64{"job-1": 20, "job-2": 60} {
 		b.c.jobs.AddAccepted(protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, 1, false)
 	}
-	if b.c.jobs.InOrder()[0].ID != "job-1" {
+	if b.c.jobs.InPlacementOrder()[0].ID != "job-1" {
 		t.Fatal("the earliest deadline does not go first")
 	}
 	b.c.Now += Time(35 * time.Second)
 	b.c.refreshDeadlines()
-	if b.c.jobs.InOrder()[0].ID != "job-2" {
+	if b.c.jobs.InPlacementOrder()[0].ID != "job-2" {
 		t.Error("a late job goes before one that can be in time")
 	}
 }
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -47,7 +47,7 @@
 		b.c.waitTable.PlacementDue = true
 		b.step(message.Tick{})
 	}
-	if len(b.c.jobs.AttemptsOn[m.ID]) == 0 || b.c.jobs.ByID[first].Placed[protocol.TaskID{Job: first}] == nil {
-		t.Errorf("%s is not placed on the machine with free resources: %v", first, b.c.jobs.AttemptsOn[m.ID])
+	if len(b.c.jobs.AttemptsByMachine[m.ID]) == 0 || b.c.jobs.ByID[first].Placed[protocol.TaskID{Job: first}] == nil {
+		t.Errorf("%s is not placed on the machine with free resources: %v", first, b.c.jobs.AttemptsByMachine[m.ID])
 	}
 }
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -34,7 +34,7 @@
 }
 
 func (b *bench) gang(id protocol.JobID, tasks uint32) *jobs.Job {
-	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
+	o := b.c.jobs.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: tasks, CPUs: 4, MemoryGB: 1,
 		EstimateS: 100, CheckpointS: 10, OneZone: true, Spot: true,
 	}, Since: b.c.Now})
@@ -123,8 +123,8 @@
 		m.State = message.MachineState{Draining: true, Noticed: true}
 		b.c.workload.RecordSpotLoss(m) // terminated by the autoscaler
 	}
-	if b.c.workload.Spots.Reclaimed() != 40 {
-		t.Errorf("%v losses counted, want 40", b.c.workload.Spots.Reclaimed())
+	if b.c.workload.SpotPreemptions.Reclaimed() != 40 {
+		t.Errorf("%v losses counted, want 40", b.c.workload.SpotPreemptions.Reclaimed())
 	}
 	if !b.c.workload.AvoidsSpot(&o.Job) {
 		t.Fatal("not avoided though they are lost all the time")
@@ -140,7 +140,7 @@
 			t.Error("placed on a spot machine rather than where something may be preempted")
 		}
 	}
-	b.c.workload.Spots.NoteUptime(0, 10*forecast.SpotMemory)
+	b.c.workload.SpotPreemptions.NoteUptime(0, 10*forecast.SpotMemory)
 	if b.c.workload.AvoidsSpot(&o.Job) {
 		t.Error("avoided long after the last was lost")
 	}
--- a/internal/controller/jobs/attempt.go
+++ b/internal/controller/jobs/attempt.go
@@ -35,15 +35,15 @@
 	Unverified bool
 	// Stopping is set once the dispatcher has been asked to kill the attempt.
 	Stopping bool
-	// ReleaseAsked is set once the dispatcher has been asked to release the attempt if it
+	// ReleaseRequested is set once the dispatcher has been asked to release the attempt if it
 	// has not been sent to the worker.
-	ReleaseAsked bool
+	ReleaseRequested bool
 }
 
 // IsMovable reports whether the dispatcher may still release the attempt, so that the task
 // can be placed on another machine.
 func (a *Attempt) IsMovable() bool {
-	return !a.Started && !a.Stopping && !a.ReleaseAsked && !a.Unverified
+	return !a.Started && !a.Stopping && !a.ReleaseRequested && !a.Unverified
 }
 
 // ref returns the reference by which messages identify the attempt.
--- a/internal/controller/jobs/attemptindex.go
+++ b/internal/controller/jobs/attemptindex.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// EndedAttempts are attempts of jobs that have ended. They count against their teams'
+// EndedJobAttempts are attempts of jobs that have ended. They count against their teams'
 // limits for as long as they may still exist on their machines.
-type EndedAttempts map[message.TaskRef]endedJobAttempt
+type EndedJobAttempts map[message.TaskRef]endedJobAttempt
 
 // endedJobAttempt is what an attempt of an ended job counts against the limit of its team.
 type endedJobAttempt struct {
@@ -49,7 +49,7 @@
 
 // dropUpto drops the attempts on a machine that were placed by Place messages with numbers
 // up to maxPlaceNumber, and reports whether there were any.
-func (e EndedAttempts) dropUpto(id protocol.MachineID, maxPlaceNumber uint64) (dropped bool) {
+func (e EndedJobAttempts) dropUpto(id protocol.MachineID, maxPlaceNumber uint64) (dropped bool) {
 	for ref, ended := range e {
 		if ref.Machine == id && ended.placeNumber <= maxPlaceNumber {
 			delete(e, ref)
@@ -62,7 +62,7 @@
 // resetPlaceNumbers sets the Place numbers of the attempts on all matching machines to 0, so
 // that any inventory of these machines decides whether the attempts exist. The old numbers
 // were counted by an earlier dispatcher.
-func (e EndedAttempts) resetPlaceNumbers(matches func(protocol.MachineID) bool) {
+func (e EndedJobAttempts) resetPlaceNumbers(matches func(protocol.MachineID) bool) {
 	for ref, ended := range e {
 		if matches(ref.Machine) {
 			ended.placeNumber = 0
--- a/internal/controller/jobs/attempts.go
+++ b/internal/controller/jobs/attempts.go
@@ -22,7 +22,7 @@
 	job.Placed[attempt.Task] = attempt
 	job.Pending.Clear(uint(attempt.Task.Index))
 	job.Unstarted++
-	o.AttemptsOn.add(attempt)
+	o.AttemptsByMachine.add(attempt)
 }
 
 // RemoveAttempt drops an attempt that is proven not to exist, or that no longer belongs to
@@ -39,7 +39,7 @@
 		attempt.running = false
 	}
 	o.changes.Touch(job.ID)
-	o.AttemptsOn.remove(attempt)
+	o.AttemptsByMachine.remove(attempt)
 }
 
 // handleLostAttempt removes an attempt that is proven not to exist any more, and makes its
@@ -60,7 +60,7 @@
 	if job.Kind == protocol.KindGang {
 		// The other tasks can't continue without this one. The next attempt of the gang
 		// starts once no task of the present attempt exists.
-		o.StopAll(job)
+		o.StopAttempts(job)
 	}
 }
 
@@ -71,30 +71,30 @@
 	if attempt.Stopping && kill && graceSeconds > 0 {
 		return
 	}
-	attempt.Stopping, attempt.ReleaseAsked = attempt.Stopping || kill, !kill
+	attempt.Stopping, attempt.ReleaseRequested = attempt.Stopping || kill, !kill
 	o.Send(o.DispatcherOf(attempt.Machine), message.PeerMessage{Stop: &message.Stop{
 		TaskRef: attempt.ref(), Kill: kill, GraceS: graceSeconds,
 	}})
 }
 
-// StopAll asks the dispatchers to kill all attempts of a job, with the job's grace period.
-func (o *Owned) StopAll(job *Job) {
+// StopAttempts asks the dispatchers to kill all attempts of a job, with the job's grace period.
+func (o *Owned) StopAttempts(job *Job) {
 	for _, attempt := range ordered.Tasks(job.Placed) {
 		o.SendStop(attempt, true, clusterstate.GraceS(&job.Job))
 	}
 }
 
-// MachineLost drops all attempts on a machine whose record has been removed: they were
+// HandleMachineLost drops all attempts on a machine whose record has been removed: they were
 // placed under that record.
-func (o *Owned) MachineLost(m *waittable.Machine) {
+func (o *Owned) HandleMachineLost(m *waittable.Machine) {
 	delete(o.AwaitedInventories, m.ID)
 	o.dropEndedJobAttempts(m.ID, math.MaxUint64)
-	for _, attempt := range ordered.Tasks(o.AttemptsOn[m.ID]) {
+	for _, attempt := range ordered.Tasks(o.AttemptsByMachine[m.ID]) {
 		if job := o.ByID[attempt.Task.Job]; job != nil && job.Placed[attempt.Task] == attempt {
 			o.handleLostAttempt(job, attempt)
 		}
 	}
-	delete(o.AttemptsOn, m.ID)
+	delete(o.AttemptsByMachine, m.ID)
 	o.table.PlacementDue = true
 	o.resolveUnverified()
 }
@@ -102,7 +102,7 @@
 // dropEndedJobAttempts drops the attempts of ended jobs on a machine that were placed by Place
 // messages with numbers up to maxPlaceNumber: none of them exists any more.
 func (o *Owned) dropEndedJobAttempts(id protocol.MachineID, maxPlaceNumber uint64) {
-	if o.EndedAttempts.dropUpto(id, maxPlaceNumber) {
+	if o.EndedJobAttempts.dropUpto(id, maxPlaceNumber) {
 		o.table.PlacementDue = true
 	}
 }
--- a/internal/controller/jobs/events.go
+++ b/internal/controller/jobs/events.go
@@ -16,7 +16,7 @@
 	job := o.ByID[event.Task.Job]
 	if job == nil {
 		if event.What == message.EventEnded || event.What == message.EventReleased {
-			delete(o.EndedAttempts, event.TaskRef)
+			delete(o.EndedJobAttempts, event.TaskRef)
 			o.table.PlacementDue = true
 		}
 		return
@@ -64,7 +64,7 @@
 // handleReleasedAttempt handles an attempt that its dispatcher has released without having
 // sent it to the worker.
 func (o *Owned) handleReleasedAttempt(job *Job, attempt *Attempt) {
-	if !attempt.Stopping && !attempt.ReleaseAsked {
+	if !attempt.Stopping && !attempt.ReleaseRequested {
 		// The dispatcher refused the attempt because of a state of the machine that the
 		// waittable does not show yet: nothing more is placed there before the
 		// dispatcher's next update.
@@ -99,7 +99,7 @@
 	if !attempt.Started {
 		job.Unstarted--
 	}
-	attempt.Started, attempt.ReleaseAsked = true, false
+	attempt.Started, attempt.ReleaseRequested = true, false
 	if running && !attempt.running {
 		attempt.running, attempt.runningSince = true, o.Now
 		job.runningCount++
@@ -113,7 +113,7 @@
 // in time: if it can't, running until the reclaim would only delay its next attempt.
 func (o *Owned) handleTerminationNotice(job *Job, attempt *Attempt, secondsLeft float64) {
 	if job.Kind == protocol.KindGang {
-		o.StopAll(job)
+		o.StopAttempts(job)
 		return
 	}
 	if job.CheckpointS > 0 || job.Kind == protocol.KindService {
--- a/internal/controller/jobs/fixture_test.go
+++ b/internal/controller/jobs/fixture_test.go
@@ -59,7 +59,7 @@
 
 // startAttempt adds an attempt to a job and delivers a report that it runs.
 func startAttempt(owned *Owned, job *Job, ref message.TaskRef) *Attempt {
-	attempt := &Attempt{Task: ref.Task, Number: ref.Attempt, Machine: ref.Machine, Estimate: owned.EstimateOf(job)}
+	attempt := &Attempt{Task: ref.Task, Number: ref.Attempt, Machine: ref.Machine, Estimate: owned.EstimateRunSeconds(job)}
 	if m := owned.table.Machines[ref.Machine]; m != nil {
 		attempt.Epoch, attempt.Zone = m.Epoch, m.Record.Zone
 	}
--- a/internal/controller/jobs/inventory.go
+++ b/internal/controller/jobs/inventory.go
@@ -23,7 +23,7 @@
 		listed[held.Task] = true
 		o.adoptAttempt(job, m, held)
 	}
-	for _, attempt := range ordered.Tasks(o.AttemptsOn[m.ID]) {
+	for _, attempt := range ordered.Tasks(o.AttemptsByMachine[m.ID]) {
 		job := o.ByID[attempt.Task.Job]
 		if job == nil || listed[attempt.Task] || (!attempt.Unverified && attempt.PlaceNumber > inventory.Upto) {
 			continue
@@ -52,7 +52,7 @@
 	for _, held := range inventory.Held {
 		if o.Live[held.Task.Job] == nil && held.State != protocol.TaskEnded && o.Limited(held.Team) {
 			ref := message.TaskRef{Task: held.Task, Attempt: held.Attempt, Machine: inventory.Machine}
-			o.EndedAttempts[ref] = endedJobAttempt{held.Team, held.Need, 0}
+			o.EndedJobAttempts[ref] = endedJobAttempt{held.Team, held.Need, 0}
 		}
 	}
 }
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -55,9 +55,9 @@
 
 	// Level is the job's resource level at the last placement.
 	Level resource.Level
-	// UsesHeadroom is set if the job was confined to the headroom at the last placement. The
+	// ConfinedToHeadroom is set if the job was confined to the headroom at the last placement. The
 	// headroom is the capacity that jobs with an objective are not expected to need.
-	UsesHeadroom bool
+	ConfinedToHeadroom bool
 	// NotBefore is the earliest time at which tasks may be placed; 0 means at once.
 	NotBefore clock.Time
 	// WaitingSince is when the job was submitted, in the time of this controller's clock.
@@ -175,7 +175,7 @@
 // This is possible as long as no task of the gang is being stopped: until then the other
 // tasks only wait for the missing one.
 func (j *Job) refillable(attempt *Attempt) bool {
-	if !j.IsGang() || j.Unverified || attempt.Started || attempt.ReleaseAsked || len(j.Placed) < 2 {
+	if !j.IsGang() || j.Unverified || attempt.Started || attempt.ReleaseRequested || len(j.Placed) < 2 {
 		return false
 	}
 	for _, other := range j.Placed {
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// StartsWithin is how long a job without an objective is confined to the headroom
+	// HeadroomOnlyDuration is how long a job without an objective is confined to the headroom
 	// before it is started like any other job of its level.
-	StartsWithin = time.Minute
+	HeadroomOnlyDuration = time.Minute
 	// retryInterval is the time between two retries of failed reads and writes.
 	retryInterval = time.Second
 )
@@ -33,15 +33,15 @@
 
 	// ByID holds the owned jobs by their IDs.
 	ByID map[protocol.JobID]*Job
-	// AttemptsOn holds the attempts on each machine that were placed under the machine's
+	// AttemptsByMachine holds the attempts on each machine that were placed under the machine's
 	// present record.
-	AttemptsOn AttemptIndex
+	AttemptsByMachine AttemptIndex
 	// AwaitedInventories is the set of machines whose inventory of this term has not been
 	// received.
 	AwaitedInventories map[protocol.MachineID]bool
-	// EndedAttempts holds the attempts of ended jobs of limited teams, until each attempt is
+	// EndedJobAttempts holds the attempts of ended jobs of limited teams, until each attempt is
 	// proven to have ended.
-	EndedAttempts EndedAttempts
+	EndedJobAttempts EndedJobAttempts
 	// UnverifiedTeams is the set of limited teams that were just taken over and whose usage
 	// is incomplete until all inventories have been received.
 	UnverifiedTeams map[protocol.Team]bool
@@ -62,16 +62,16 @@
 
 // Reset drops all state of an earlier session.
 func (o *Owned) Reset() {
-	o.Drop()
-	o.AttemptsOn = AttemptIndex{}
+	o.DropAll()
+	o.AttemptsByMachine = AttemptIndex{}
 	o.changes = replication.ChangeLog[protocol.JobID]{}
 }
 
-// Drop drops all owned jobs. It is called when this controller is not in the view.
-func (o *Owned) Drop() {
+// DropAll drops all owned jobs. It is called when this controller is not in the view.
+func (o *Owned) DropAll() {
 	o.ByID, o.sorted = map[protocol.JobID]*Job{}, nil
 	o.AwaitedInventories = map[protocol.MachineID]bool{}
-	o.EndedAttempts = EndedAttempts{}
+	o.EndedJobAttempts = EndedJobAttempts{}
 	o.UnverifiedTeams = map[protocol.Team]bool{}
 	o.attemptCounter, o.retryAt, o.runDeadlines = 0, 0, nil
 }
@@ -100,14 +100,14 @@
 		return
 	}
 	// The record is new, so neither an attempt nor a bitmap of the job can exist.
-	job := o.Adopt(live)
+	job := o.AdoptJob(live)
 	job.Loaded = true
 	job.Pending.FlipRange(0, uint(accepted.Tasks))
 	o.Log.Debug("job accepted", "job", accepted.ID, "class", accepted.Class, "team", accepted.Team, "tasks", accepted.Tasks)
 }
 
-// Adopt adds a live job to the owned jobs, without any attempts or finished tasks.
-func (o *Owned) Adopt(live *clusterstate.LiveJob) *Job {
+// AdoptJob adds a live job to the owned jobs, without any attempts or finished tasks.
+func (o *Owned) AdoptJob(live *clusterstate.LiveJob) *Job {
 	job := newJob(live)
 	o.ByID[live.ID] = job
 	o.changes.Touch(live.ID)
@@ -129,7 +129,7 @@
 			if attempt.Unverified {
 				ended.placeNumber = 0
 			}
-			o.EndedAttempts[attempt.ref()] = ended
+			o.EndedJobAttempts[attempt.ref()] = ended
 		}
 		o.SendStop(attempt, true, 0)
 		o.RemoveAttempt(job, attempt)
@@ -162,8 +162,8 @@
 	}
 }
 
-// AnyPlaceable reports whether any job has a pending task and is not in backoff.
-func (o *Owned) AnyPlaceable() bool {
+// HasPlaceableTask reports whether any job has a pending task and is not in backoff.
+func (o *Owned) HasPlaceableTask() bool {
 	for _, job := range o.ByID {
 		if job.NotBefore <= o.Now && job.Pending.Any() {
 			return true
@@ -175,9 +175,9 @@
 // InvalidateOrder makes the next call of InOrder sort the jobs again.
 func (o *Owned) InvalidateOrder() { o.sorted = nil }
 
-// InOrder returns the owned jobs in the order in which they are placed: by priority, then
+// InPlacementOrder returns the owned jobs in the order in which they are placed: by priority, then
 // by deadline, then by submission.
-func (o *Owned) InOrder() []*Job {
+func (o *Owned) InPlacementOrder() []*Job {
 	if o.sorted == nil {
 		for _, job := range o.ByID {
 			o.sorted = append(o.sorted, job)
@@ -194,11 +194,11 @@
 }
 
 // CurrentDeadline returns the time by which a job should be done. A job without an objective
-// that has not started any task within StartsWithin is ordered by its submission time until
+// that has not started any task within HeadroomOnlyDuration is ordered by its submission time until
 // a task starts, which puts it first. Otherwise it would not start for minutes where there is
 // more work than resources, since jobs with earlier deadlines keep arriving.
 func (o *Owned) CurrentDeadline(live *clusterstate.LiveJob) clock.Time {
-	if o.Since(live.Since) > StartsWithin && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
+	if o.Since(live.Since) > HeadroomOnlyDuration && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
 		if progress, _ := o.JobProgress(live.ID); progress.Running == 0 && progress.Done == 0 {
 			return live.Since
 		}
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -7,8 +7,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Touch marks a job's progress as changed, so that it is replicated to the other members.
-func (o *Owned) Touch(job *Job) { o.changes.Touch(job.ID) }
+// MarkProgressChanged marks a job's progress as changed, so that it is replicated to the other members.
+func (o *Owned) MarkProgressChanged(job *Job) { o.changes.Touch(job.ID) }
 
 // progressOf returns the progress of an owned job.
 func (o *Owned) progressOf(job *Job) message.Progress {
@@ -47,8 +47,8 @@
 	}
 }
 
-// BeginStream begins the change stream of a new term, with all owned jobs marked as changed.
-func (o *Owned) BeginStream() {
+// BeginProgressStream begins the change stream of a new term, with all owned jobs marked as changed.
+func (o *Owned) BeginProgressStream() {
 	o.changes = replication.ChangeLog[protocol.JobID]{}
 	for id := range ordered.Of(o.ByID) {
 		o.changes.Touch(id)
--- a/internal/controller/jobs/runtimes_test.go
+++ b/internal/controller/jobs/runtimes_test.go
@@ -14,7 +14,7 @@
 // tasks that resumed from a checkpoint are not used.
 func TestEstimateLearnsFromCompletedTasks(t *testing.T) {
 	owned := newOwned(t)
-	job := owned.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
+	job := owned.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 100,
 	}})
 	for i := range uint32(20) {
@@ -22,7 +22,7 @@
 	}
 	for i := range uint32(20) {
 		owned.Now += clock.Time(time.Second)
-		if i == 9 && owned.EstimateOf(job) != 100 {
+		if i == 9 && owned.EstimateRunSeconds(job) != 100 {
 			t.Fatal("the estimate changed after only the shortest tasks were done")
 		}
 		ref := taskRef(i, "vm-1")
@@ -32,7 +32,7 @@
 		}
 		endAttempt(owned, ref, protocol.EndDone)
 	}
-	if seconds := owned.EstimateOf(job); seconds < 12 || seconds > 14 {
+	if seconds := owned.EstimateRunSeconds(job); seconds < 12 || seconds > 14 {
 		t.Errorf("estimate %v s, tasks took 5 to 20 s", seconds)
 	}
 }
--- a/internal/controller/jobs/slowmachines.go
+++ b/internal/controller/jobs/slowmachines.go
@@ -30,7 +30,7 @@
 	// drainingMachineDivisor limits the machines that are drained at the same time to
 	// one in this number. If more machines seem slow, the machines are not the cause.
 	drainingMachineDivisor = 10
-	// maxRunChecks bounds the tasks checked in one call of WatchSlow.
+	// maxRunChecks bounds the tasks checked in one call of DetectSlowMachines.
 	maxRunChecks = 500
 	// runRecheckDelay is the time until a task is checked again if its machine could not be
 	// assessed.
@@ -79,13 +79,13 @@
 // late if its estimate is right. Only tasks of job arrays are checked.
 func (o *Owned) scheduleRunCheck(job *Job, attempt *Attempt) {
 	if job.Kind == protocol.KindJobArray {
-		heap.Push(&o.runDeadlines, runDeadline{attempt.runningSince + lateThreshold(o.EstimateOf(job)), attempt})
+		heap.Push(&o.runDeadlines, runDeadline{attempt.runningSince + lateThreshold(o.EstimateRunSeconds(job)), attempt})
 	}
 }
 
-// WatchSlow checks the tasks that run longer than the other tasks of their job, and drains the
+// DetectSlowMachines checks the tasks that run longer than the other tasks of their job, and drains the
 // machines on which several tasks do.
-func (o *Owned) WatchSlow() {
+func (o *Owned) DetectSlowMachines() {
 	deadlines := &o.runDeadlines
 	for range maxRunChecks {
 		if len(*deadlines) == 0 || (*deadlines)[0].at > o.Now {
@@ -139,7 +139,7 @@
 	m.State.Draining = true // set before the dispatcher publishes it
 	o.Log.Info("machine runs its tasks slowly: draining it", "machine", m.ID)
 	o.Send(o.DispatcherOf(m.ID), message.PeerMessage{Drain: &m.ID})
-	for _, attempt := range ordered.Tasks(o.AttemptsOn[m.ID]) {
+	for _, attempt := range ordered.Tasks(o.AttemptsByMachine[m.ID]) {
 		if job := o.ByID[attempt.Task.Job]; job != nil && job.Kind == protocol.KindJobArray && job.CheckpointS > 0 {
 			o.SendStop(attempt, true, clusterstate.GraceS(&job.Job)) // the task resumes on another machine from its checkpoint
 		}
--- a/internal/controller/jobs/slowmachines_test.go
+++ b/internal/controller/jobs/slowmachines_test.go
@@ -33,7 +33,7 @@
 	} {
 		owned := newOwned(t)
 		addMachines(owned.table, 20)
-		job := owned.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
+		job := owned.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 10, CheckpointS: 5, CheckpointDurationS: 1,
 		}})
 		job.Loaded = true
@@ -61,7 +61,7 @@
 				}
 				m.State.Draining = i > 0 && i <= tc.otherDraining
 			}
-			owned.WatchSlow()
+			owned.DetectSlowMachines()
 		}
 		if drained := sentDrain(owned); drained != tc.drained {
 			t.Errorf("%s: drained %v, want %v", tc.name, drained, tc.drained)
--- a/internal/controller/jobs/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -19,12 +19,12 @@
 	o.table.PlacementDue = true
 	o.AwaitedInventories = map[protocol.MachineID]bool{}
 	if !continuous {
-		clear(o.EndedAttempts)
+		clear(o.EndedJobAttempts)
 	}
 	// A new session of a dispatcher counts Place messages from the beginning. Compared with
 	// the new count, an attempt that ended long ago would never be dropped and would count
 	// against its team's limit forever.
-	o.EndedAttempts.resetPlaceNumbers(func(id protocol.MachineID) bool { return o.dispatcherChanged(oldView, id) })
+	o.EndedJobAttempts.resetPlaceNumbers(func(id protocol.MachineID) bool { return o.dispatcherChanged(oldView, id) })
 	o.unverifyTeams(oldView, continuous)
 	o.awaitInventories(oldView, continuous)
 	for id, live := range ordered.Of(o.Live) {
@@ -33,7 +33,7 @@
 		case o.OwnerOf(live) != o.Self:
 			o.releaseJob(job)
 		case job == nil || !continuous:
-			job = o.Adopt(live)
+			job = o.AdoptJob(live)
 			job.Unverified = true
 			o.requestBitmap(job)
 		default:
@@ -59,9 +59,9 @@
 	for id := range o.table.Machines {
 		o.AwaitedInventories[id] = true
 		if !continuous {
-			clear(o.AttemptsOn[id])
-		} else if len(o.AttemptsOn[id]) > 0 && o.dispatcherChanged(oldView, id) {
-			o.AttemptsOn.markUnverified(id)
+			clear(o.AttemptsByMachine[id])
+		} else if len(o.AttemptsByMachine[id]) > 0 && o.dispatcherChanged(oldView, id) {
+			o.AttemptsByMachine.markUnverified(id)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	}
 	o.sendCompletedTasks(job)
 	for _, attempt := range job.Placed {
-		o.AttemptsOn.remove(attempt)
+		o.AttemptsByMachine.remove(attempt)
 	}
 }
 
@@ -88,16 +88,16 @@
 	return clusterstate.RendezvousDispatcher(oldView, id) != dispatcher || !clusterstate.SameMemberSession(oldView, o.View, dispatcher)
 }
 
-// ShardsMoved marks the attempts on the machines of moved shards as unverified until the
+// HandleShardsMoved marks the attempts on the machines of moved shards as unverified until the
 // inventories of the new dispatchers have been received.
-func (o *Owned) ShardsMoved(moved map[sharding.ID]bool) {
-	o.EndedAttempts.resetPlaceNumbers(func(id protocol.MachineID) bool {
+func (o *Owned) HandleShardsMoved(moved map[sharding.ID]bool) {
+	o.EndedJobAttempts.resetPlaceNumbers(func(id protocol.MachineID) bool {
 		m := o.table.Machines[id]
 		return m != nil && moved[sharding.ShardOf(o.Shards, id, m.Record.Zone)]
 	})
 	for id, m := range o.table.Machines {
 		if moved[sharding.ShardOf(o.Shards, id, m.Record.Zone)] {
-			o.AttemptsOn.markUnverified(id)
+			o.AttemptsByMachine.markUnverified(id)
 		}
 	}
 }
--- a/internal/controller/jobs/terminationnotice_test.go
+++ b/internal/controller/jobs/terminationnotice_test.go
@@ -25,7 +25,7 @@
 		{"nearly done", 0, 9 * time.Second, false},
 	} {
 		owned := newOwned(t)
-		job := owned.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
+		job := owned.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 			ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, CheckpointS: tc.checkpointS,
 		}})
 		ref := taskRef(0, "vm-1")
--- a/internal/controller/jobs/usage.go
+++ b/internal/controller/jobs/usage.go
@@ -19,7 +19,7 @@
 			o.AddUsage(job, usage, len(job.Placed))
 		}
 	}
-	for _, ended := range o.EndedAttempts {
+	for _, ended := range o.EndedJobAttempts {
 		usage[ended.team] = usage[ended.team].Plus(ended.need)
 	}
 	if len(o.UnverifiedTeams) > 0 {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if machine != nil {
-		c.jobs.MachineLost(machine)
+		c.jobs.HandleMachineLost(machine)
 	}
 	c.planner.RecordBootTime(id, registration)
 	machine = &waittable.Machine{Machine: &clusterstate.Machine{ID: id, Record: registration, Epoch: version, Info: c.Types[registration.Type]}}
@@ -35,6 +35,6 @@
 	}
 	c.workload.RecordSpotLoss(machine)
 	c.waitTable.Remove(id)
-	c.jobs.MachineLost(machine)
+	c.jobs.HandleMachineLost(machine)
 	c.dispatcher.RecordDeleted(machine.Machine)
 }
--- a/internal/controller/placement/array.go
+++ b/internal/controller/placement/array.go
@@ -59,7 +59,7 @@
 func (p *Placer) PlaceAttempt(job *jobs.Job, index uint32, m *waittable.Machine, number protocol.Attempt) message.Placement {
 	attempt := &jobs.Attempt{
 		Task: protocol.TaskID{Job: job.ID, Index: index}, Number: number, Machine: m.ID, Epoch: m.Epoch,
-		Zone: m.Record.Zone, Estimate: p.jobs.EstimateOf(job), Trial: job.Failing,
+		Zone: m.Record.Zone, Estimate: p.jobs.EstimateRunSeconds(job), Trial: job.Failing,
 	}
 	p.jobs.AddAttempt(job, attempt)
 	if peer := p.table.Peers[p.DispatcherOf(m.ID)]; peer != nil {
--- a/internal/controller/placement/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -94,7 +94,7 @@
 		job:             job,
 		need:            resource.Need(&job.Job),
 		claims:          claims,
-		spotRiskSeconds: p.workload.SpotStretch(&job.Job) * p.Estimate(&job.Job),
+		spotRiskSeconds: p.workload.SpotSlowdown(&job.Job) * p.Estimate(&job.Job),
 		avoidsSpot:      p.workload.AvoidsSpot(&job.Job),
 		excluded:        p.excludedByReservations(job),
 		pricePremiums:   p.pricePremiums,
@@ -184,7 +184,7 @@
 	if k.rank != rankQueue {
 		return false
 	}
-	return c.job.UsesHeadroom ||
+	return c.job.ConfinedToHeadroom ||
 		k.wait > MaxQueueWait.Microseconds() && !k.machine.NonPreemptibleFree(c.job.Level).Covers(c.need)
 }
 
--- a/internal/controller/placement/candidates_test.go
+++ b/internal/controller/placement/candidates_test.go
@@ -86,7 +86,7 @@
 		p := newPlacer(t, "node-1")
 		machines := rapid.IntRange(1, 30).Draw(rt, "machines")
 		drawMachines(rt, p.table, machines)
-		job := p.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
+		job := p.jobs.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 			ID: "job-1", Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(rapid.IntRange(1, 60).Draw(rt, "tasks")),
 			CPUs: float64(rapid.IntRange(1, 4).Draw(rt, "cpus")), MemoryGB: 1, ImageGB: 2, EstimateS: 7, Spot: rapid.Bool().Draw(rt, "mayspot"),
 			OneZone: rapid.Bool().Draw(rt, "onezone"), Spread: rapid.Bool().Draw(rt, "spread"),
--- a/internal/controller/placement/claims.go
+++ b/internal/controller/placement/claims.go
@@ -100,7 +100,7 @@
 func (p *Placer) NewClaims() *Claims {
 	claims := &Claims{Gangs: map[*waittable.Machine]resource.Level{}}
 	for _, class := range ordered.Of(p.workload.Classes) {
-		tasks := p.workload.Reserve(class)
+		tasks := p.workload.TasksToReserve(class)
 		if tasks == 0 {
 			continue
 		}
--- a/internal/controller/placement/demand.go
+++ b/internal/controller/placement/demand.go
@@ -11,7 +11,7 @@
 func (p *Placer) Demand() []message.Demand {
 	usage := p.jobs.TeamUsage()
 	var demands []message.Demand
-	for _, job := range p.jobs.InOrder() {
+	for _, job := range p.jobs.InPlacementOrder() {
 		if !job.Loaded || job.Unverified || job.NotBefore > p.Now {
 			continue
 		}
@@ -24,7 +24,7 @@
 				Zone:      job.BoundZone(),
 				Unstarted: tasks,
 				Level:     int(job.Level),
-				EstimateS: p.jobs.EstimateOf(job),
+				EstimateS: p.jobs.EstimateRunSeconds(job),
 				OldestS:   p.Since(job.WaitingSince).Seconds(),
 			})
 		}
--- a/internal/controller/placement/failedsearch.go
+++ b/internal/controller/placement/failedsearch.go
@@ -48,7 +48,7 @@
 		types:        job.Types,
 		zone:         job.Zone,
 		spot:         job.Spot,
-		usesHeadroom: job.UsesHeadroom,
+		usesHeadroom: job.ConfinedToHeadroom,
 	}
 	stepsToSkip := max(1, (len(p.failedSearches)+1)*len(p.table.InOrder())/MaxExaminedForArrays)
 	search.until = p.After(Interval * time.Duration(stepsToSkip))
@@ -82,7 +82,7 @@
 		(s.spot || !job.Spot) &&
 		(s.zone == "" || s.zone == job.Zone) &&
 		(len(s.types) == 0 || slices.Equal(s.types, job.Types)) &&
-		(job.UsesHeadroom || !s.usesHeadroom)
+		(job.ConfinedToHeadroom || !s.usesHeadroom)
 }
 
 // mayUseNoOtherReserve reports whether no class reserve is open to a job that was closed to
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -101,7 +101,7 @@
 		return nil
 	}
 	job.IncompleteSince = 0
-	p.jobs.StopAll(job)
+	p.jobs.StopAttempts(job)
 	return nil
 }
 
--- a/internal/controller/placement/headroom.go
+++ b/internal/controller/placement/headroom.go
@@ -84,7 +84,7 @@
 // takeHeadroom reports whether n tasks of a job may be placed in this step as far as it is
 // confined to the headroom, and deducts them.
 func (c *Claims) takeHeadroom(job *jobs.Job, n int) bool {
-	if !job.UsesHeadroom {
+	if !job.ConfinedToHeadroom {
 		return true
 	}
 	cpus := float64(n) * job.CPUs
@@ -95,12 +95,12 @@
 	return true
 }
 
-// startOverdue reports whether nothing of a job has been placed for jobs.StartsWithin. Its
+// startOverdue reports whether nothing of a job has been placed for jobs.HeadroomOnlyDuration. Its
 // first task, or the whole gang, is then placed like that of any other job and may be
 // queued; the rest stays confined to the headroom. Otherwise such jobs would never start
 // where all usable machines are likely to be needed for others.
 func (p *Placer) startOverdue(job *jobs.Job) bool {
-	return p.nothingPlacedFor(job, jobs.StartsWithin)
+	return p.nothingPlacedFor(job, jobs.HeadroomOnlyDuration)
 }
 
 // nothingPlacedFor reports whether a job has waited for longer than a time, with no task
--- a/internal/controller/placement/levels.go
+++ b/internal/controller/placement/levels.go
@@ -13,7 +13,7 @@
 // fits into it together with the team's earlier unfinished jobs.
 func (p *Placer) SetLevels() {
 	used := map[protocol.Team]resource.Amount{}
-	bySubmission := slices.Clone(p.jobs.InOrder())
+	bySubmission := slices.Clone(p.jobs.InPlacementOrder())
 	slices.SortStableFunc(bySubmission, func(a, b *jobs.Job) int { return cmp.Compare(a.SubmittedMS, b.SubmittedMS) })
 	for _, job := range bySubmission {
 		team, ok := p.Team(job.Team)
@@ -33,7 +33,7 @@
 // is then replicated to them.
 func (p *Placer) setLevel(job *jobs.Job, level resource.Level) {
 	if job.Level != level && p.reservations.Any {
-		p.jobs.Touch(job)
+		p.jobs.MarkProgressChanged(job)
 	}
 	job.Level = level
 }
--- a/internal/controller/placement/limits.go
+++ b/internal/controller/placement/limits.go
@@ -32,7 +32,7 @@
 	if !p.reservations.ClaimsLimitOf(job.Team) {
 		return resource.Amount{}
 	}
-	return p.reservations.LimitClaimed(&job.Job, p.jobs.EstimateOf(job))
+	return p.reservations.LimitClaimed(&job.Job, p.jobs.EstimateRunSeconds(job))
 }
 
 // queuesWithinLimit reports whether one more task of a job may be queued on a machine
@@ -88,5 +88,5 @@
 	if !p.reservations.Active() {
 		return nil
 	}
-	return p.reservations.Exclusion(&job.Job, job.Level, p.jobs.EstimateOf(job))
+	return p.reservations.Exclusion(&job.Job, job.Level, p.jobs.EstimateRunSeconds(job))
 }
--- a/internal/controller/placement/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -114,7 +114,7 @@
 			break
 		}
 		wait := waitPerCPU(m)
-		for _, attempt := range p.jobs.AttemptsOn[m.ID] {
+		for _, attempt := range p.jobs.AttemptsByMachine[m.ID] {
 			job := p.jobs.ByID[attempt.Task.Job]
 			if job == nil || !attempt.IsMovable() || job.IsGang() {
 				continue
@@ -142,7 +142,7 @@
 func (p *Placer) machinesWithQueues() []*waittable.Machine {
 	var queued []*waittable.Machine
 	for _, m := range p.table.InOrder() {
-		if m.State.Queued > 0 && len(p.jobs.AttemptsOn[m.ID]) > 0 {
+		if m.State.Queued > 0 && len(p.jobs.AttemptsByMachine[m.ID]) > 0 {
 			queued = append(queued, m)
 		}
 	}
--- a/internal/controller/placement/round.go
+++ b/internal/controller/placement/round.go
@@ -40,7 +40,7 @@
 	p.SetLevels()
 	p.expireFailedSearches()
 	r.stuckGangs = p.countStuckGangs()
-	for _, job := range p.jobs.InOrder() {
+	for _, job := range p.jobs.InPlacementOrder() {
 		if !job.Loaded || job.FinishDue || job.NotBefore > p.Now || job.Pending.None() {
 			continue
 		}
@@ -57,7 +57,7 @@
 // countStuckGangs counts the pending gangs that found no place when they were last tried.
 func (p *Placer) countStuckGangs() int {
 	stuck := 0
-	for _, job := range p.jobs.InOrder() {
+	for _, job := range p.jobs.InPlacementOrder() {
 		if job.SearchFailed && !job.Pending.None() {
 			stuck++
 		}
@@ -73,10 +73,10 @@
 
 // placeJob places what is pending of one job.
 func (p *Placer) placeJob(job *jobs.Job, r *round) []message.Placement {
-	job.UsesHeadroom = !math.IsInf(r.claims.headroomCPUs, 1) && p.workload.WithoutObjective(&job.Job) && !p.reservations.IsReserved(&job.Job)
+	job.ConfinedToHeadroom = !math.IsInf(r.claims.headroomCPUs, 1) && p.workload.WithoutObjective(&job.Job) && !p.reservations.IsReserved(&job.Job)
 	most := r.remaining
-	if job.UsesHeadroom && p.startOverdue(job) {
-		job.UsesHeadroom, most = false, min(r.remaining, 1)
+	if job.ConfinedToHeadroom && p.startOverdue(job) {
+		job.ConfinedToHeadroom, most = false, min(r.remaining, 1)
 	}
 	if job.SearchFailed && p.Since(job.SearchedAt) < p.retryInterval(r.stuckGangs) {
 		p.renewClaims(job, r.claims)
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -75,7 +75,7 @@
 // machines of a partitioned zone were once terminated with all that they ran.
 func TestMachineWithoutHeartbeatIsNotIdle(t *testing.T) {
 	b := newAutoscalerBench(t)
-	b.c.workload.Spots = forecast.Spot{}
+	b.c.workload.SpotPreemptions = forecast.Spot{}
 	b.machine("vm-1", 1) // dispatched to from here, its worker is silent so far
 	for range 5 {
 		if ids := b.scaledIn(b.nextPlan()); len(ids) > 0 {
--- a/internal/controller/scaleout_test.go
+++ b/internal/controller/scaleout_test.go
@@ -146,7 +146,7 @@
 	b.c.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}, Price: 1, SpotPrice: 1}
 	b.zoned("a", 20, false, resource.Uses{})
 	b.zoned("b", 1, false, resource.Uses{})
-	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{
+	o := b.c.jobs.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 60, OneZone: true,
 	}, Since: b.c.Now})
 	o.Loaded = true
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -18,7 +18,7 @@
 // machine or the job since.
 func (c *Core) beginUpdates() {
 	c.dispatcher.BeginTerm()
-	c.jobs.BeginStream()
+	c.jobs.BeginProgressStream()
 	c.waitTable.BeginStreams()
 }
 
@@ -124,7 +124,7 @@
 	if update.Term == c.View.Term {
 		c.applyStreams(from, peer, update)
 	}
-	if c.jobs.AnyPlaceable() {
+	if c.jobs.HasPlaceableTask() {
 		c.waitTable.PlacementDue = true
 	}
 }
--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -362,7 +362,7 @@
 	b := newBench(t, "node-1")
 	b.zoned("a", 300, false, resource.Uses{})
 	b.zoned("b", 300, false, resource.Uses{})
-	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
+	o := b.c.jobs.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
 	o.Loaded = true
 	i := uint32(0)
 	for _, m := range b.c.waitTable.InOrder() {
@@ -399,7 +399,7 @@
 func releasesAsked(o *jobs.Job) int {
 	n := 0
 	for _, t := range o.Placed {
-		if t.ReleaseAsked {
+		if t.ReleaseRequested {
 			n++
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -74,7 +74,7 @@
 	var b strings.Builder
 	if job := c.jobs.ByID[id]; job != nil {
 		fmt.Fprintf(&b, "owner %s: unverified %v, pending %d, not before %v, usage of its team %+v, awaited inventories %d, ended attempts %v, failed on %v\n",
-			c.Self, job.Unverified, job.Pending.Count(), c.Since(job.NotBefore), c.jobs.TeamUsage()[job.Team], len(c.jobs.AwaitedInventories), c.jobs.EndedAttempts, job.FailedOn)
+			c.Self, job.Unverified, job.Pending.Count(), c.Since(job.NotBefore), c.jobs.TeamUsage()[job.Team], len(c.jobs.AwaitedInventories), c.jobs.EndedJobAttempts, job.FailedOn)
 		for _, attempt := range job.Placed {
 			fmt.Fprintf(&b, "  placed %+v\n", *attempt)
 		}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -198,7 +198,7 @@
 			b.job(job, team, 4)
 			if i == 0 {
 				b.step(message.RecordChanged{Event: protocol.Event{Delete: record.LiveKey(job), Version: 90}})
-				clear(b.c.jobs.EndedAttempts)
+				clear(b.c.jobs.EndedJobAttempts)
 				b.step(message.Tick{})
 			}
 		}
@@ -213,11 +213,11 @@
 		if over == "after it" {
 			end()
 		}
-		if len(b.c.jobs.EndedAttempts) != 4 {
-			t.Fatalf("over %s: %d attempts count", over, len(b.c.jobs.EndedAttempts))
+		if len(b.c.jobs.EndedJobAttempts) != 4 {
+			t.Fatalf("over %s: %d attempts count", over, len(b.c.jobs.EndedJobAttempts))
 		}
 		b.c.jobs.HandleInventory("node-1", &message.Inventory{Term: 2, Machine: id, Epoch: b.c.waitTable.Machines[id].Epoch})
-		if n := len(b.c.jobs.EndedAttempts); n > 0 {
+		if n := len(b.c.jobs.EndedJobAttempts); n > 0 {
 			t.Errorf("over %s: %d attempts count for ever", over, n)
 		}
 	}
@@ -248,7 +248,7 @@
 			b.job("job-1", team, 4)
 			b.step(message.RecordChanged{Event: protocol.Event{Delete: record.LiveKey("job-1"), Version: 90}})
 			if takenOver {
-				clear(b.c.jobs.EndedAttempts)
+				clear(b.c.jobs.EndedJobAttempts)
 				b.c.jobs.UnverifiedTeams[team], b.c.jobs.AwaitedInventories[id] = true, true
 			}
 			var held []message.HeldAttempt
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -37,8 +37,8 @@
 func (c *Core) regularWork() {
 	c.refreshDeadlines()
 	c.reservations.Refresh()
-	c.workload.WatchSpots()
-	c.jobs.WatchSlow()
+	c.workload.RecordSpotUptime()
+	c.jobs.DetectSlowMachines()
 	c.dispatcher.ExpireSilentMachines(c.members.AllAdopted(), c.members.ObservedShardEpoch())
 	c.placer.Rebalance("")
 	c.dispatcher.MaintainQueues(c.announcedLevel, c.jobs.IsFailing)
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -42,7 +42,7 @@
 // dropWork drops the jobs and queues of a controller that is no member any more: the
 // members take them over.
 func (c *Core) dropWork() {
-	c.jobs.Drop()
+	c.jobs.DropAll()
 	c.placer.ForgetSearches()
 	c.waitTable.PlacementDue = false
 	c.dispatcher.DropAllQueues()
@@ -64,7 +64,7 @@
 		}
 	}
 	if len(moved) > 0 {
-		c.jobs.ShardsMoved(moved)
+		c.jobs.HandleShardsMoved(moved)
 		c.waitTable.ShardsMoved(moved)
 	}
 	c.dispatcher.AdoptShards(old)
--- a/internal/controller/workload/classes_test.go
+++ b/internal/controller/workload/classes_test.go
@@ -52,17 +52,17 @@
 	setEnding := func(id protocol.MachineID, cpus, gb float64) {
 		w.table.Machines[id].State.Ending = message.LevelUse{CPUs: cpus, GB: gb}
 	}
-	noneEnding := w.Reserve(class)
+	noneEnding := w.TasksToReserve(class)
 	setEnding("vm-1", 2, 8)
 	setEnding("vm-2", 2, 8)
-	someEnding := w.Reserve(class)
+	someEnding := w.TasksToReserve(class)
 	setEnding("vm-2", 20, 80)
-	manyEnding := w.Reserve(class)
+	manyEnding := w.TasksToReserve(class)
 	if someEnding >= noneEnding || manyEnding > someEnding || manyEnding < 15 {
 		t.Errorf("reserve of %d tasks while none end, %d while some end, %d while many end", noneEnding, someEnding, manyEnding)
 	}
 	class.Job.Kind = protocol.KindGang
-	if n := w.Reserve(class); n != noneEnding {
+	if n := w.TasksToReserve(class); n != noneEnding {
 		t.Errorf("reserve of %d tasks of a gang, want %d", n, noneEnding)
 	}
 }
--- a/internal/controller/workload/objectives.go
+++ b/internal/controller/workload/objectives.go
@@ -71,7 +71,7 @@
 		}
 		work := w.forecastArrivals(class, arrivalWork)
 		cpus += work.Mean()
-		excess := float64(w.Reserve(class)) * class.Job.CPUs
+		excess := float64(w.TasksToReserve(class)) * class.Job.CPUs
 		if !class.HasStartObjective {
 			slack := w.slackSeconds(&class.Job, bootS)
 			excess = math.Max(0, work.Within(slack)/slack-work.Mean())
--- a/internal/controller/workload/spot.go
+++ b/internal/controller/workload/spot.go
@@ -16,21 +16,21 @@
 // seems to be a spot machine that was preempted.
 func (w *Workload) RecordSpotLoss(m *waittable.Machine) {
 	if m.Record.Spot && !m.State.Draining && (m.State.Noticed || m.State.Silence == message.SilenceLong) {
-		w.Spots.NoteReclaimed()
+		w.SpotPreemptions.NoteReclaimed()
 	}
 }
 
-// WatchSpots adds the uptime of the present spot machines to the estimate of the preemption
+// RecordSpotUptime adds the uptime of the present spot machines to the estimate of the preemption
 // rate. It must be called once in each replication interval.
-func (w *Workload) WatchSpots() {
-	w.Spots.NoteUptime(w.table.SpotMachines, w.Op.ReplicationInterval)
+func (w *Workload) RecordSpotUptime() {
+	w.SpotPreemptions.NoteUptime(w.table.SpotMachines, w.Op.ReplicationInterval)
 }
 
-// SpotStretch returns the fraction by which one spot machine is expected to lengthen the run
+// SpotSlowdown returns the fraction by which one spot machine is expected to lengthen the run
 // time of a gang that uses it: each time it is preempted, all tasks of the gang return to
 // their last checkpoint and wait for another machine. It is 0 for job arrays, which lose only
 // one task.
-func (w *Workload) SpotStretch(j *protocol.Job) float64 {
+func (w *Workload) SpotSlowdown(j *protocol.Job) float64 {
 	if j.Kind != protocol.KindGang || j.Tasks < 2 {
 		return 0
 	}
@@ -41,11 +41,11 @@
 	if bootS := w.BootSeconds(j); !math.IsInf(bootS, 1) {
 		lostS += bootS
 	}
-	return w.Spots.Rate() * lostS
+	return w.SpotPreemptions.Rate() * lostS
 }
 
 // AvoidsSpot reports whether a job should not run on spot machines, since they would slow it
 // down too much.
 func (w *Workload) AvoidsSpot(j *protocol.Job) bool {
-	return w.SpotStretch(j)*float64(j.Tasks) > maxSpotSlowdown
+	return w.SpotSlowdown(j)*float64(j.Tasks) > maxSpotSlowdown
 }
--- a/internal/controller/workload/workload.go
+++ b/internal/controller/workload/workload.go
@@ -13,9 +13,9 @@
 	table *waittable.Table
 	// Classes holds the classes with an objective of which jobs have arrived, by name.
 	Classes map[string]*Class
-	// Spots estimates the rate at which spot machines are preempted. It is kept when a new
+	// SpotPreemptions estimates the rate at which spot machines are preempted. It is kept when a new
 	// session begins.
-	Spots forecast.Spot
+	SpotPreemptions forecast.Spot
 }
 
 // New returns a workload without observations. Reset must be called before use.
