--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -52,11 +52,11 @@
 	if a, b := sentAfter(30); a != 30 || b != 30 {
 		t.Errorf("states of %d and %d machines sent, 30 changed", a, b)
 	}
-	have := f.c.dispatcher.Changes()
+	have := f.c.dispatcher.ChangeLogVersion()
 	sentAfter(20)
 	for range 4 { // the first lost the last message, the second has everything
 		f.c.stateUpdated("node-1", &message.StateUpdate{Term: 2, HaveMachines: have})
-		f.c.stateUpdated("node-2", &message.StateUpdate{Term: 2, HaveMachines: f.c.dispatcher.Changes()})
+		f.c.stateUpdated("node-2", &message.StateUpdate{Term: 2, HaveMachines: f.c.dispatcher.ChangeLogVersion()})
 	}
 	if a, b := sent(); a != 20 || b != 0 {
 		t.Errorf("states of %d and %d machines sent, want 20 and 0", a, b)
@@ -362,7 +362,7 @@
 	b := newBench(t, "node-1")
 	b.zoned("a", 300, false, resource.Uses{})
 	b.zoned("b", 300, false, resource.Uses{})
-	o := b.c.jobs.Adopt(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
+	o := b.c.jobs.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 4000, CPUs: 1, EstimateS: 10}})
 	o.Loaded = true
 	i := uint32(0)
 	for _, m := range b.c.waitTable.InOrder() {
@@ -399,7 +399,7 @@
 func releasesAsked(o *jobs.Job) int {
 	n := 0
 	for _, t := range o.Placed {
-		if t.ReleaseAsked {
+		if t.ReleaseRequested {
 			n++
 		}
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -44,7 +44,7 @@
 		status.Misplaced = c.misplacedMachines()
 	}
 	for _, id := range c.dispatcher.Machines() {
-		if state, queued := c.dispatcher.StateOf(id); queued && state.Suspect {
+		if state, queued := c.dispatcher.PublishedState(id); queued && state.Suspect {
 			status.Cordoned = append(status.Cordoned, id)
 		}
 	}
@@ -74,7 +74,7 @@
 	var b strings.Builder
 	if job := c.jobs.ByID[id]; job != nil {
 		fmt.Fprintf(&b, "owner %s: unverified %v, pending %d, not before %v, usage of its team %+v, awaited inventories %d, ended attempts %v, failed on %v\n",
-			c.Self, job.Unverified, job.Pending.Count(), c.Since(job.NotBefore), c.jobs.TeamUsage()[job.Team], len(c.jobs.AwaitedInventories), c.jobs.EndedAttempts, job.FailedOn)
+			c.Self, job.Unverified, job.Pending.Count(), c.Since(job.NotBefore), c.jobs.TeamUsage()[job.Team], len(c.jobs.AwaitedInventories), c.jobs.EndedJobAttempts, job.FailedOn)
 		for _, attempt := range job.Placed {
 			fmt.Fprintf(&b, "  placed %+v\n", *attempt)
 		}
@@ -84,7 +84,7 @@
 	}
 	for _, machine := range c.dispatcher.Machines() {
 		for _, attempt := range c.dispatcher.Attempts(machine) {
-			if state, _ := c.dispatcher.StateOf(machine); attempt.Task.Job == id || state.Draining {
+			if state, _ := c.dispatcher.PublishedState(machine); attempt.Task.Job == id || state.Draining {
 				fmt.Fprintf(&b, "  %s has %+v\n", c.Self, attempt)
 			}
 		}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -21,7 +21,7 @@
 	c.registrar.Adopted()
 	c.dispatcher.TermAdopted()
 	c.waitTable.AdoptPeers(view)
-	c.dispatcher.ForgetOwners(old)
+	c.dispatcher.ForgetEndedOwnerSessions(old)
 	if !c.Member() {
 		c.dropWork()
 		c.Log.Info("not in the view", "term", view.Term)
@@ -29,7 +29,7 @@
 	}
 	c.Log.Info("new term", "term", view.Term, "members", len(view.Members))
 	continuous := consecutive && wasMember
-	c.dispatcher.Adopt(old, continuous)
+	c.dispatcher.AdoptView(old, continuous)
 	c.jobs.AdoptView(old, continuous)
 	c.beginUpdates()
 	c.dispatcher.BeginInventories()
@@ -42,10 +42,10 @@
 // dropWork drops the jobs and queues of a controller that is no member any more: the
 // members take them over.
 func (c *Core) dropWork() {
-	c.jobs.Drop()
+	c.jobs.DropAll()
 	c.placer.ForgetSearches()
 	c.waitTable.PlacementDue = false
-	c.dispatcher.DropAll()
+	c.dispatcher.DropAllQueues()
 }
 
 // adoptShards adopts a new shard table. Only attempts that were placed through the former
@@ -64,7 +64,7 @@
 		}
 	}
 	if len(moved) > 0 {
-		c.jobs.ShardsMoved(moved)
+		c.jobs.HandleShardsMoved(moved)
 		c.waitTable.ShardsMoved(moved)
 	}
 	c.dispatcher.AdoptShards(old)
