--- a/internal/controller/placement/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -15,54 +15,54 @@
 )
 
 // MaxQueueWait is the longest expected wait for which a task is queued on a machine. A
-// task that would wait longer stays pending with its job's owner: otherwise a job of
-// 100,000 tasks on a small fleet would fill the memory of every controller and delay
-// everything that is queued after it.
+// task that would wait longer stays pending with its job's owner. Without this bound, a job
+// of 100,000 tasks on a small fleet would fill the memory of every controller and delay all
+// tasks that are queued after it.
 const MaxQueueWait = 2 * time.Minute
 
 // microsecondsPerSecond converts expected waits to whole microseconds.
 const microsecondsPerSecond = 1e6
 
-// candidates are the machines that may run a job's tasks, as a heap with the smallest
-// expected wait on top. The tasks of a job are alike, so all machines are examined once
-// for all tasks that are placed together, and after each task only the machine that took
-// it is examined again.
+// candidates is a heap of the machines that may run a job's tasks, with the smallest
+// expected wait on top. All tasks of a job have the same needs. Therefore all machines are
+// examined once for all tasks that are placed together, and after each placement only the
+// machine that received the task is examined again.
 type candidates struct {
 	job    *jobs.Job
 	need   resource.Amount
 	claims *Claims
 	// spotRiskSeconds is added to the expected wait on a spot machine.
 	spotRiskSeconds float64
-	// avoidsSpot has spot machines used only where nothing else fits.
+	// avoidsSpot restricts the use of spot machines to tasks that fit on no other machine.
 	avoidsSpot bool
-	// excluded reports machines that reservations keep from the job; nil: none are. See
-	// Placer.excludedByReservations.
+	// excluded reports whether reservations exclude the job from a machine; nil if they
+	// exclude it from none. See Placer.excludedByReservations.
 	excluded func(*waittable.Machine) bool
-	// reserved reports machines with resources reserved for the job; nil: none have.
+	// reserved reports whether a machine has resources reserved for the job; nil if none has.
 	reserved      func(*waittable.Machine) bool
 	pricePremiums map[binpack.Kind]float64
 	heap          []candidate
 }
 
-// candidate is a machine as the job's next task would find it.
+// candidate is a machine with its rank and expected wait for the job's next task.
 type candidate struct {
 	machine *waittable.Machine
 	rank    rank
 	// wait is the expected wait per processor in whole microseconds: sums of decimal
 	// fractions are not exact, and equal waits must compare as equal.
-	wait int64
-	tie  uint32 // random, breaks ties
+	wait       int64
+	tieBreaker uint32 // random, breaks ties
 }
 
-// rank orders candidates before their waits do: machines on which the task could start
-// now come before those on which it would queue.
+// rank is the first criterion in the order of candidates; the expected wait is the second.
+// Machines on which the task could start now come before those on which it would queue.
 type rank uint8
 
 const (
-	rankReserved rank = iota // fits now, in resources reserved for the job
-	rankFree                 // fits now
-	rankClaimed              // fits now, but a class with a capacity reserve could use the machine
-	rankQueue                // does not fit now
+	rankReserved rank = iota // the task fits now, in resources reserved for the job
+	rankFree                 // the task fits now
+	rankClaimed              // the task fits now, but a class with a capacity reserve could use the machine
+	rankQueue                // the task does not fit now, or the job avoids this spot machine
 )
 
 // Len is part of heap.Interface.
@@ -71,13 +71,13 @@
 // Less is part of heap.Interface.
 func (c *candidates) Less(i, j int) bool {
 	a, b := &c.heap[i], &c.heap[j]
-	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.wait, b.wait), cmp.Compare(a.tie, b.tie)) < 0
+	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.wait, b.wait), cmp.Compare(a.tieBreaker, b.tieBreaker)) < 0
 }
 
 // Swap is part of heap.Interface.
 func (c *candidates) Swap(i, j int) { c.heap[i], c.heap[j] = c.heap[j], c.heap[i] }
 
-// Push is part of heap.Interface; nothing is added after the start.
+// Push is part of heap.Interface. It is not called: the heap is filled before heap.Init.
 func (c *candidates) Push(x any) { c.heap = append(c.heap, x.(candidate)) }
 
 // Pop is part of heap.Interface.
@@ -115,9 +115,9 @@
 	return c
 }
 
-// Feasible returns a predicate for the machines on which a job may have a task at
-// present, given the zones of its other tasks. A machine on which the job has failed is
-// feasible only if it has failed on all others.
+// Feasible returns a predicate for the machines on which a job may have a task at present,
+// given the zones of its other tasks. A machine on which the job has failed is feasible only
+// if the job has failed on all other machines as well.
 func (p *Placer) Feasible(job *jobs.Job, zones map[protocol.Zone]int) func(*waittable.Machine) bool {
 	failedOnAll := p.jobs.FailedOnAllMachines(job)
 	return func(m *waittable.Machine) bool {
@@ -125,11 +125,11 @@
 	}
 }
 
-// evaluate returns a machine as a candidate for the job's next task, and whether it is
-// one. A task of a gang goes only where it can start once work of lower levels is
-// preempted: queued behind other work it would keep the machines of the whole gang idle
-// until that work ends.
-func (c *candidates) evaluate(m *waittable.Machine, tie uint32) (candidate, bool) {
+// evaluate returns a machine as a candidate for the job's next task, and whether it is a
+// candidate at all. A task of a gang is placed only on a machine on which it can start once
+// tasks of lower levels are preempted: if it were queued behind other tasks, the machines of
+// the whole gang would be idle until those tasks end.
+func (c *candidates) evaluate(m *waittable.Machine, tieBreaker uint32) (candidate, bool) {
 	if c.excluded != nil && c.excluded(m) {
 		return candidate{}, false
 	}
@@ -151,12 +151,12 @@
 	if fitsNow {
 		wait += c.pricePremiums[m.Kind()]
 	}
-	found := candidate{machine: m, rank: c.rankOf(m, fitsNow, reserved), wait: int64(math.Round(wait * microsecondsPerSecond)), tie: tie}
+	found := candidate{machine: m, rank: c.rankOf(m, fitsNow, reserved), wait: int64(math.Round(wait * microsecondsPerSecond)), tieBreaker: tieBreaker}
 	return found, true
 }
 
-// rankOf returns the rank of a machine for the job's next task. A spot machine that the
-// job avoids ranks like one without free resources.
+// rankOf returns the rank of a machine for the job's next task. A spot machine that the job
+// avoids has the same rank as a machine without free resources.
 func (c *candidates) rankOf(m *waittable.Machine, fitsNow, reserved bool) rank {
 	switch {
 	case !fitsNow:
@@ -171,30 +171,31 @@
 	return rankFree
 }
 
-// restrict drops the machines that do not meet a condition.
+// restrict drops the candidates whose machines do not meet a condition.
 func (c *candidates) restrict(meets func(*waittable.Machine) bool) {
-	c.heap = slices.DeleteFunc(c.heap, func(k candidate) bool { return !meets(k.machine) })
+	c.heap = slices.DeleteFunc(c.heap, func(entry candidate) bool { return !meets(entry.machine) })
 	heap.Init(c)
 }
 
-// queueTooLong reports whether a machine's queue accepts no more tasks of the job. A
-// machine on which tasks can be preempted for the job always accepts them; a job
-// confined to the headroom is never queued.
-func (c *candidates) queueTooLong(k *candidate) bool {
-	if k.rank != rankQueue {
+// queueTooLong reports whether the job's tasks must not be queued on a candidate because of
+// its expected wait. Tasks may always be queued on a machine on which other tasks can be
+// preempted for them. A job that is confined to the headroom is never queued.
+func (c *candidates) queueTooLong(entry *candidate) bool {
+	if entry.rank != rankQueue {
 		return false
 	}
 	return c.job.UsesHeadroom ||
-		k.wait > MaxQueueWait.Microseconds() && !k.machine.NonPreemptibleFree(c.job.Level).Covers(c.need)
+		entry.wait > MaxQueueWait.Microseconds() && !entry.machine.NonPreemptibleFree(c.job.Level).Covers(c.need)
 }
 
-// smallest returns the machine with the smallest expected wait per processor, ties broken
-// at random, or nil. Candidates that no longer suit are dropped for good: while a job is
-// placed zones and queues only fill, and the capacity that may be spared only shrinks.
-func (c *candidates) smallest(zones map[protocol.Zone]int) *waittable.Machine {
+// best returns the machine with the best rank and, within it, the smallest expected wait
+// per processor, with ties broken at random; nil if no candidate is left. Candidates that
+// are no longer suitable are dropped permanently: while a job is placed, the zones and
+// queues only fill, and the spare capacity of the class reserves only shrinks.
+func (c *candidates) best(zones map[protocol.Zone]int) *waittable.Machine {
 	for len(c.heap) > 0 {
 		top := &c.heap[0]
-		if !c.job.AllowsZone(top.machine, zones) || c.queueTooLong(top) || c.takesClaimed(top) {
+		if !c.job.AllowsZone(top.machine, zones) || c.queueTooLong(top) || c.usesClassReserve(top) {
 			heap.Pop(c)
 			continue
 		}
@@ -203,13 +204,14 @@
 	return nil
 }
 
-// takesClaimed reports whether the next task would use capacity reserved for other
-// classes. A queued task uses none yet, and resources reserved for the job are its own.
-func (c *candidates) takesClaimed(k *candidate) bool {
-	return k.rank != rankQueue && k.rank != rankReserved && !c.claims.LeavesClaimed(c.job, k.machine, c.need)
+// usesClassReserve reports whether the next task would use capacity reserved for other
+// classes. A queued task uses no capacity yet, and resources that a reservation holds for
+// the job are not part of a class reserve.
+func (c *candidates) usesClassReserve(entry *candidate) bool {
+	return entry.rank != rankQueue && entry.rank != rankReserved && !c.claims.LeavesClaimed(c.job, entry.machine, c.need)
 }
 
-// reevaluateTop evaluates the first candidate again after it took a task.
+// reevaluateTop evaluates the first candidate again after a task was placed on its machine.
 func (p *Placer) reevaluateTop(c *candidates) {
 	p.Examined++
 	found, ok := c.evaluate(c.heap[0].machine, p.rng.Uint32())
--- a/internal/controller/placement/candidates_test.go
+++ b/internal/controller/placement/candidates_test.go
@@ -16,10 +16,10 @@
 	"pgregory.net/rapid"
 )
 
-// searchExhaustively examines every machine for one task and returns all that tie for the
-// smallest wait.
+// searchExhaustively examines every machine for one task and returns all machines that tie
+// for the smallest wait.
 func searchExhaustively(p *Placer, job *jobs.Job, zones map[protocol.Zone]int, claims *Claims) map[*waittable.Machine]bool {
-	// bonus puts machines on which the task fits now before all others.
+	// bonus is larger than any wait: it orders machines on which the task fits now first.
 	const bonus = 1e9
 	need := resource.Need(&job.Job)
 	best := math.Inf(1)
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestPlacementMatchesExhaustiveSearch: placing a job from a heap of candidates decides, task
-// by task, as examining all machines for each task would, and examines each machine once and
-// one more for each task.
+// TestPlacementMatchesExhaustiveSearch: placement from the heap of candidates chooses, for
+// each task, a machine that an examination of all machines for that task would choose as
+// well. It examines each machine once, and one machine more for each task.
 func TestPlacementMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		p := newPlacer(t, "node-1")
@@ -94,18 +94,18 @@
 		reserved := &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 8, Spot: true}}
 		claims := &Claims{Classes: []ClassReserve{{Job: reserved, Need: resource.Need(&reserved.Job), Spare: rapid.IntRange(-2, 5).Draw(rt, "spare")}}}
 		zones := map[protocol.Zone]int{}
-		from := p.candidatesFor(job, zones, claims)
+		suitable := p.candidatesFor(job, zones, claims)
 		placed := 0
 		for i := range job.Tasks {
 			want := searchExhaustively(p, job, zones, claims)
-			m := from.smallest(zones)
+			m := suitable.best(zones)
 			if m == nil && len(want) > 0 || m != nil && !want[m] {
 				rt.Fatalf("task %d goes to %+v, not to one of %d", i, m, len(want))
 			}
 			if m == nil {
 				break
 			}
-			p.placeFrom(from, i, m, p.jobs.NextAttempt(), zones)
+			p.placeOnBest(suitable, i, m, p.jobs.NextAttempt(), zones)
 			placed++
 		}
 		if p.Examined > machines+placed {
--- a/internal/controller/placement/claims.go
+++ b/internal/controller/placement/claims.go
@@ -10,93 +10,95 @@
 	"damsonkeel/internal/controller/waittable"
 )
 
-// Claims is the unused capacity that is not free for every job. Claims are valid for one
-// step and computed anew in the next, so that none outlives its purpose or its owner.
+// Claims is the unused capacity that is not available to every job. Claims are valid for one
+// step and are recomputed in the next, so that no claim remains after its purpose or its
+// owner is gone.
 type Claims struct {
-	// Classes are the capacity reserves of classes, on whichever machines.
+	// Classes are the capacity reserves of classes; they are not bound to certain machines.
 	Classes []ClassReserve
-	// Gangs are the machines for which gangs wait that could not be placed yet, with the
-	// levels of these gangs. A gang that is placed later in the same step and could not
-	// be preempted for the waiting one must go elsewhere: otherwise a steady stream of
-	// small gangs would starve a large one.
+	// Gangs are the machines that are claimed by gangs which could not be placed yet, with
+	// the levels of these gangs. A gang that is placed later in the same step, and that the
+	// claiming gang could not preempt, must use other machines: otherwise a steady stream
+	// of small gangs would starve a large one.
 	Gangs map[*waittable.Machine]resource.Level
-	// headroomCPUs is how many processors jobs confined to the headroom may still take:
-	// see Placer.headroom.
+	// headroomCPUs is how many processors jobs confined to the headroom may still use in
+	// this step. See Placer.headroom.
 	headroomCPUs float64
 }
 
-// Blocks reports whether a machine is claimed by a gang that a job may not overtake.
+// Blocks reports whether a machine is claimed by a gang that could not preempt a job: one of
+// the job's level or a lower one.
 func (c *Claims) Blocks(job *jobs.Job, m *waittable.Machine) bool {
 	claimed, ok := c.Gangs[m]
 	return ok && job.Level >= claimed
 }
 
-// LeavesClaimed reports whether a job's task may use a machine's resources without
-// touching the reserves of other classes.
+// LeavesClaimed reports whether a task of a job can use a machine's resources without using
+// the reserves of other classes.
 func (c *Claims) LeavesClaimed(job *jobs.Job, m *waittable.Machine, need resource.Amount) bool {
 	for i := range c.Classes {
 		reserve := &c.Classes[i]
-		if !reserve.appliesTo(job) || !reserve.canUse(m) {
+		if !reserve.restricts(job) || !reserve.canUse(m) {
 			continue
 		}
-		if cost := reserve.placesLost(m, need); cost > 0 && reserve.Spare < cost {
+		if cost := reserve.lostTaskSlots(m, need); cost > 0 && reserve.Spare < cost {
 			return false
 		}
 	}
 	return true
 }
 
-// IsClaimed reports whether a class whose reserve is kept from the job could use the
+// IsClaimed reports whether a class whose reserve the job may not use could use the
 // machine.
 func (c *Claims) IsClaimed(job *jobs.Job, m *waittable.Machine) bool {
 	for i := range c.Classes {
-		if reserve := &c.Classes[i]; reserve.appliesTo(job) && reserve.canUse(m) {
+		if reserve := &c.Classes[i]; reserve.restricts(job) && reserve.canUse(m) {
 			return true
 		}
 	}
 	return false
 }
 
-// spend deducts the resources that a task is about to use from what can be spared.
-func (c *Claims) spend(m *waittable.Machine, need resource.Amount) {
+// deduct deducts the resources of a task that is about to be placed from the spare capacity.
+func (c *Claims) deduct(m *waittable.Machine, need resource.Amount) {
 	for i := range c.Classes {
 		if reserve := &c.Classes[i]; reserve.canUse(m) {
-			reserve.Spare -= reserve.placesLost(m, need)
+			reserve.Spare -= reserve.lostTaskSlots(m, need)
 		}
 	}
 }
 
-// ReleaseMachine deducts a whole machine from what can be spared, and reports whether it can be.
-// If not, nothing is deducted.
+// ReleaseMachine deducts a whole machine from the spare capacity and reports whether the
+// reserves allow that. If they don't, it deducts nothing.
 func (c *Claims) ReleaseMachine(m *waittable.Machine) bool {
 	capacity := resource.Capacity(m.Info)
 	for i := range c.Classes {
-		if reserve := &c.Classes[i]; reserve.canUse(m) && reserve.Spare < reserve.placesLost(m, capacity) {
+		if reserve := &c.Classes[i]; reserve.canUse(m) && reserve.Spare < reserve.lostTaskSlots(m, capacity) {
 			return false
 		}
 	}
-	c.spend(m, capacity)
+	c.deduct(m, capacity)
 	return true
 }
 
-// savepoint records what can be spared now. The returned function restores it, for a gang
-// of which not all tasks could be placed.
+// savepoint records the present spare capacity of the class reserves. The returned function
+// restores it, for a gang whose tasks could not all be placed.
 func (c *Claims) savepoint() (undo func()) {
 	before := slices.Clone(c.Classes)
 	return func() { copy(c.Classes, before) }
 }
 
-// ClassReserve is capacity that is reserved for the tasks of one class, on whichever
-// machines.
+// ClassReserve is capacity that is reserved for the tasks of one class. It is not bound to
+// certain machines.
 type ClassReserve struct {
 	Job        *clusterstate.LiveJob // a job of the class
-	avoidsSpot bool                  // spot machines do not count as capacity for it
-	Need       resource.Amount       // of one task
-	Spare      int                   // how many more tasks fit than are reserved
+	avoidsSpot bool                  // spot machines do not count as capacity for the class
+	Need       resource.Amount       // resources that one task needs
+	Spare      int                   // tasks that fit beyond the reserved number; negative if too few fit
 }
 
-// NewClaims returns the claims at the beginning of a step: the reserves of classes, and
-// how much more capacity there is. Gangs add theirs as they are tried.
+// NewClaims returns the claims at the beginning of a step: the reserves of the classes and
+// their spare capacity. Claims of gangs are added while the gangs are tried.
 func (p *Placer) NewClaims() *Claims {
 	claims := &Claims{Gangs: map[*waittable.Machine]resource.Level{}}
 	for _, class := range ordered.Of(p.workload.Classes) {
@@ -116,14 +118,14 @@
 	return claims
 }
 
-// placesLost returns how many tasks of the class would no longer fit on a machine if it
-// took a task of the given size.
-func (r *ClassReserve) placesLost(m *waittable.Machine, need resource.Amount) int {
+// lostTaskSlots returns how many tasks of the class would no longer fit on a machine if a
+// task with the given need were placed on it.
+func (r *ClassReserve) lostTaskSlots(m *waittable.Machine, need resource.Amount) int {
 	free := m.Unreserved()
 	return free.CountFitting(r.Need) - free.Minus(need).CountFitting(r.Need)
 }
 
-// canUse reports whether a machine could ever take a task of the class.
+// canUse reports whether a task of the class could ever run on a machine.
 func (r *ClassReserve) canUse(m *waittable.Machine) bool {
 	if r.avoidsSpot && m.Record.Spot {
 		return false
@@ -131,8 +133,8 @@
 	return r.Job.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot)
 }
 
-// appliesTo reports whether the reserve is kept from a job: one of another class that is
-// not more urgent.
-func (r *ClassReserve) appliesTo(job *jobs.Job) bool {
+// restricts reports whether a job may not use the reserve: this holds for a job of another
+// class whose priority is not higher.
+func (r *ClassReserve) restricts(job *jobs.Job) bool {
 	return r.Job.Class != job.Class && r.Job.Priority.Rank() >= job.Priority.Rank()
 }
--- a/internal/controller/placement/demand.go
+++ b/internal/controller/placement/demand.go
@@ -2,12 +2,12 @@
 
 import "damsonkeel/internal/controller/message"
 
-// maxDemandPerJob bounds the tasks that one job counts for: far more than are provisioned
-// for at once.
+// maxDemandPerJob bounds the tasks of one job that count as demand. The autoscaler provisions
+// for far fewer tasks at once.
 const maxDemandPerJob = 1000
 
-// Demand lists the work of owned jobs that has not started and may start now, for the
-// autoscaler. Tasks that their team's limit prevents from starting are left out.
+// Demand lists, for the autoscaler, the tasks of owned jobs that have not started and may
+// start now. It omits tasks that the limit of their team prevents from starting.
 func (p *Placer) Demand() []message.Demand {
 	usage := p.jobs.TeamUsage()
 	var demands []message.Demand
--- a/internal/controller/placement/doc.go
+++ b/internal/controller/placement/doc.go
@@ -2,17 +2,18 @@
 // controller owns.
 //
 // Arrays are placed task by task, each on the candidate with the smallest expected wait
-// per processor; gangs are placed as a whole or not at all. Team limits, capacity that is
-// reserved for other classes, machines claimed by gangs, reservations, and the headroom
-// for jobs without an objective bound what a job may take. Rebalancing recalls queued
-// tasks from the longest queues when a machine elsewhere has free resources.
+// per processor; gangs are placed as a whole or not at all. The resources that a job may
+// use are bounded by the team's limit, the capacity reserves of other classes, machines
+// claimed by gangs, reservations, and the headroom for jobs without an objective.
+// Rebalancing recalls queued tasks from the longest queues when another machine has free
+// resources.
 //
 // Between two steps the Placer owns only its price premiums, the searches that failed
-// recently, and the position at which the last rebalance stopped. Claims live for one
-// step.
+// recently, the time of the next placing round, and the position at which the last
+// rebalance stopped. Claims are valid for one step.
 //
-// The attempts themselves belong to package jobs: a placement changes them only by that
-// package's methods and its own PlaceAttempt, and adds the expected wait to the waittable.
-// Starting an attempt is the dispatcher's task. This package writes no records and must not
-// change the cluster state, the reservations, or the workload statistics.
+// The attempts belong to package jobs: this package changes them only through that
+// package's methods and its own PlaceAttempt, which also adds the expected wait to the
+// wait table. The dispatcher starts the attempts. This package writes no records and must
+// not change the cluster state, the reservations, or the workload statistics.
 package placement
--- a/internal/controller/placement/failedsearch.go
+++ b/internal/controller/placement/failedsearch.go
@@ -10,35 +10,35 @@
 	"damsonkeel/internal/protocol"
 )
 
-// failedSearch is a search that found no machine for a task. Until it expires, a job that
-// needs as much or more and may use no other machines is not searched for. Without this,
-// hundreds of small jobs that wait for a full fleet each examine all machines ten times a
-// second, which takes more than a controller's whole processor time:
+// failedSearch is a search that found no machine for a task. Until it expires, no search is
+// made for a job that needs as much or more and may use no other machines. Without this,
+// hundreds of small jobs that are pending while the fleet is full each examine all machines
+// ten times a second, which exceeds a controller's whole processor time:
 // docs/incidents/2026-12-01-small-jobs-use-up-a-controller.md.
 type failedSearch struct {
 	need         resource.Amount
 	level        resource.Level
-	rank         int // of the priority
+	rank         int // rank of the job's priority
 	class        string
 	types        []protocol.MachineType
 	zone         protocol.Zone
 	spot         bool
-	usesHeadroom bool // the job was confined to the headroom, and could not be queued
-	until        clock.Time
+	usesHeadroom bool // the job was confined to the headroom and could not be queued
+	expiresAt    clock.Time
 }
 
 const (
-	// MaxExaminedForArrays is how many machines may be examined in a step for arrays that are
-	// unlikely to find a place.
+	// MaxExaminedForArrays is how many machines may be examined per step for arrays that are
+	// unlikely to be placeable.
 	MaxExaminedForArrays = 3000
-	// maxFailedSearches bounds the searches that are remembered.
+	// maxFailedSearches bounds the failed searches that are recorded.
 	maxFailedSearches = 64
 )
 
-// recordFailedSearch remembers that the search for a job's next task found no machine.
+// recordFailedSearch records that the search for a job's next task found no machine.
 func (p *Placer) recordFailedSearch(job *jobs.Job) {
 	if job.OneZone || job.Spread || len(job.FailedOn) > 0 || p.reservations.Any || len(p.failedSearches) >= maxFailedSearches {
-		return // its feasible machines depend on more than is remembered
+		return // the job's feasible machines depend on more than a failedSearch records
 	}
 	search := failedSearch{
 		need:         resource.Need(&job.Job),
@@ -51,33 +51,34 @@
 		usesHeadroom: job.UsesHeadroom,
 	}
 	stepsToSkip := max(1, (len(p.failedSearches)+1)*len(p.table.InOrder())/MaxExaminedForArrays)
-	search.until = p.After(Interval * time.Duration(stepsToSkip))
+	search.expiresAt = p.After(Interval * time.Duration(stepsToSkip))
 	p.failedSearches = append(p.failedSearches, search)
 }
 
-// expireFailedSearches drops the failed searches that no longer tell anything.
+// expireFailedSearches drops the failed searches that have expired.
 func (p *Placer) expireFailedSearches() {
-	p.failedSearches = slices.DeleteFunc(p.failedSearches, func(s failedSearch) bool { return s.until <= p.Now })
+	p.failedSearches = slices.DeleteFunc(p.failedSearches, func(s failedSearch) bool { return s.expiresAt <= p.Now })
 }
 
-// wouldFindNone reports whether the search for a job's next task would fail because one
-// that could use at least the same machines has failed.
-func (p *Placer) wouldFindNone(job *jobs.Job) bool {
+// searchWouldFail reports whether the search for a job's next task would fail because a
+// recorded search that could use at least the same machines has failed.
+func (p *Placer) searchWouldFail(job *jobs.Job) bool {
 	if p.reservations.Any {
 		return false
 	}
 	need := resource.Need(&job.Job)
 	for i := range p.failedSearches {
-		if p.failedSearches[i].implies(job, need) && p.mayUseNoOtherReserve(job, &p.failedSearches[i]) {
+		if p.failedSearches[i].impliesFailureFor(job, need) && p.mayUseNoOtherReserve(job, &p.failedSearches[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// implies reports whether a job asks for as much or more than the failed search, on no
-// other machines and with no higher level, apart from the reserves of classes.
-func (s *failedSearch) implies(job *jobs.Job, need resource.Amount) bool {
+// impliesFailureFor reports whether a job needs as much as the failed search or more, may
+// use no other machines and has no higher level. It does not consider the reserves of
+// classes.
+func (s *failedSearch) impliesFailureFor(job *jobs.Job, need resource.Amount) bool {
 	return need.Covers(s.need) && job.Level <= s.level && job.Priority.Rank() <= s.rank &&
 		(s.spot || !job.Spot) &&
 		(s.zone == "" || s.zone == job.Zone) &&
@@ -85,8 +86,8 @@
 		(job.UsesHeadroom || !s.usesHeadroom)
 }
 
-// mayUseNoOtherReserve reports whether no class reserve is open to a job that was closed to
-// the failed search: a class's reserve may be used by its own jobs.
+// mayUseNoOtherReserve reports whether a job may use no class reserve that the failed search
+// could not use: the reserve of a class may be used by the jobs of that class.
 func (p *Placer) mayUseNoOtherReserve(job *jobs.Job, s *failedSearch) bool {
 	return s.class == job.Class || !p.HasStartObjective(&job.Job)
 }
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -12,24 +12,24 @@
 	"damsonkeel/internal/protocol"
 )
 
-// refillWithin is how long the other tasks of a gang wait for a new place for tasks that
-// were released: longer than the move of a shard takes. When they were stopped at once,
-// gangs started over while all their shards moved.
-const refillWithin = 3 * time.Second
+// refillTimeout is how long the remaining tasks of a gang are kept while released tasks of
+// the gang cannot be placed again. It is longer than a shard takes to move. If the
+// remaining tasks were stopped at once, gangs would start over while all their shards moved.
+const refillTimeout = 3 * time.Second
 
-// PlaceGang places all tasks of a gang under one attempt number, once nothing of its last
-// attempt is left.
+// PlaceGang places all tasks of a gang under one attempt number, once no attempt with the
+// last number is left. If only some tasks of the gang were released, it places these again.
 func (p *Placer) PlaceGang(job *jobs.Job, usage map[protocol.Team]resource.Amount, claims *Claims) []message.Placement {
 	tasks := int(job.Tasks)
 	if len(job.Placed) > 0 && job.IsGang() {
-		return p.refill(job, usage, claims)
+		return p.refillGang(job, usage, claims)
 	}
-	if len(job.Placed) > 0 || job.Unverified || !p.withinLimit(job, usage, tasks) || !claims.takeHeadroom(job, tasks) {
+	if len(job.Placed) > 0 || job.Unverified || !p.withinLimit(job, usage, tasks) || !claims.consumeHeadroom(job, tasks) {
 		return nil
 	}
-	for _, zone := range p.gangZones(job, claims) {
+	for _, zone := range p.zonesToTry(job, claims) {
 		attempt := p.jobs.NextAttempt()
-		if placed := p.placeTogether(job, attempt, map[protocol.Zone]int{}, zone, claims); placed != nil {
+		if placed := p.placeAllOrNone(job, attempt, map[protocol.Zone]int{}, zone, claims); placed != nil {
 			p.jobs.AddUsage(job, usage, tasks)
 			return placed
 		}
@@ -40,31 +40,31 @@
 	return nil
 }
 
-// placeTogether places all pending tasks of a gang under one attempt, or none, given the
-// zones of its other tasks. An empty zone allows all.
-func (p *Placer) placeTogether(job *jobs.Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, claims *Claims) []message.Placement {
+// placeAllOrNone places all pending tasks of a gang under one attempt number, or none, given
+// the zones of its other tasks. An empty zone allows machines of all zones.
+func (p *Placer) placeAllOrNone(job *jobs.Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, claims *Claims) []message.Placement {
 	undo := claims.savepoint()
-	from := p.candidatesFor(job, zones, claims)
+	suitable := p.candidatesFor(job, zones, claims)
 	if zone != "" || len(claims.Gangs) > 0 {
-		from.restrict(func(m *waittable.Machine) bool {
+		suitable.restrict(func(m *waittable.Machine) bool {
 			return (zone == "" || m.Record.Zone == zone) && !claims.Blocks(job, m)
 		})
 	}
 	var placed []message.Placement
 	for i, ok := job.Pending.NextSet(0); ok; i, ok = job.Pending.NextSet(i + 1) {
-		m := from.smallest(zones)
+		m := suitable.best(zones)
 		if m == nil {
-			p.unplace(job, placed)
+			p.undoPlacements(job, placed)
 			undo()
 			return nil
 		}
-		placed = append(placed, p.placeFrom(from, uint32(i), m, attempt, zones))
+		placed = append(placed, p.placeOnBest(suitable, uint32(i), m, attempt, zones))
 	}
 	return placed
 }
 
-// unplace takes back placements of this step that were not sent.
-func (p *Placer) unplace(job *jobs.Job, placed []message.Placement) {
+// undoPlacements undoes placements of this step that have not been sent.
+func (p *Placer) undoPlacements(job *jobs.Job, placed []message.Placement) {
 	for _, placement := range placed {
 		attempt := job.Placed[placement.Task]
 		p.table.Machines[attempt.Machine].DropPendingWaits(1)
@@ -73,9 +73,9 @@
 	}
 }
 
-// refill places the tasks of a gang that were released under the attempt of the others.
-// If there has been no place for them for refillWithin, it stops the others.
-func (p *Placer) refill(job *jobs.Job, usage map[protocol.Team]resource.Amount, claims *Claims) []message.Placement {
+// refillGang places the released tasks of a gang under the attempt number of its remaining
+// tasks. If that has been impossible for refillTimeout, it stops the remaining tasks.
+func (p *Placer) refillGang(job *jobs.Job, usage map[protocol.Team]resource.Amount, claims *Claims) []message.Placement {
 	missing := int(job.Pending.Count())
 	if job.Unverified || missing+len(job.Placed) != int(job.Tasks) {
 		return nil
@@ -88,7 +88,7 @@
 		number = attempt.Number
 	}
 	if p.withinLimit(job, usage, missing) {
-		if placed := p.placeTogether(job, number, job.ZoneCounts(), "", claims); placed != nil {
+		if placed := p.placeAllOrNone(job, number, job.ZoneCounts(), "", claims); placed != nil {
 			job.IncompleteSince = 0
 			p.jobs.AddUsage(job, usage, missing)
 			return placed
@@ -97,7 +97,7 @@
 	if job.IncompleteSince == 0 {
 		job.IncompleteSince = p.Now
 	}
-	if p.Since(job.IncompleteSince) < refillWithin {
+	if p.Since(job.IncompleteSince) < refillTimeout {
 		return nil
 	}
 	job.IncompleteSince = 0
@@ -105,27 +105,27 @@
 	return nil
 }
 
-// gangZones lists the zones to try for a gang: the empty zone, which allows all, unless
-// its tasks must be in the same zone. Then it lists the zones that could hold the whole
-// gang, those first in which most of it would fit now.
-func (p *Placer) gangZones(job *jobs.Job, claims *Claims) []protocol.Zone {
+// zonesToTry lists the zones to try for a gang. If its tasks may be in different zones, that
+// is the empty zone, which allows all zones. Otherwise it lists the zones with capacity for
+// the whole gang; zones in which more of its tasks fit now come first.
+func (p *Placer) zonesToTry(job *jobs.Job, claims *Claims) []protocol.Zone {
 	if !job.OneZone || !job.IsGang() {
 		return []protocol.Zone{""}
 	}
 	tasks := int(job.Tasks)
 	avoidsSpot := p.workload.AvoidsSpot(&job.Job)
 	fitNow, fitPreempting := p.countFittingByZone(job, claims, avoidsSpot)
-	zones := zonesFitting(fitPreempting, tasks)
-	if len(zones) == 0 && avoidsSpot { // rather on spot machines than not at all
+	zones := zonesWithCapacity(fitPreempting, tasks)
+	if len(zones) == 0 && avoidsSpot { // an avoided spot machine is better than none
 		fitNow, fitPreempting = p.countFittingByZone(job, claims, false)
-		zones = zonesFitting(fitPreempting, tasks)
+		zones = zonesWithCapacity(fitPreempting, tasks)
 	}
 	slices.SortStableFunc(zones, func(a, b protocol.Zone) int { return min(fitNow[b], tasks) - min(fitNow[a], tasks) })
 	return zones
 }
 
-// zonesFitting lists the zones in which so many tasks fit.
-func zonesFitting(fitting map[protocol.Zone]int, tasks int) []protocol.Zone {
+// zonesWithCapacity lists the zones in which at least the given number of tasks fit.
+func zonesWithCapacity(fitting map[protocol.Zone]int, tasks int) []protocol.Zone {
 	var zones []protocol.Zone
 	for zone := range ordered.Of(fitting) {
 		if fitting[zone] >= tasks {
@@ -135,20 +135,20 @@
 	return zones
 }
 
-// countFittingByZone returns how many of a gang's tasks fit by zone: now, and once work of
-// lower levels is preempted. Spot machines may be left out.
+// countFittingByZone returns, by zone, how many tasks of a gang fit now, and how many would
+// fit once tasks of lower levels are preempted. It can leave out spot machines.
 func (p *Placer) countFittingByZone(job *jobs.Job, claims *Claims, withoutSpot bool) (now, preempting map[protocol.Zone]int) {
 	now, preempting = map[protocol.Zone]int{}, map[protocol.Zone]int{}
-	need, none := resource.Need(&job.Job), map[protocol.Zone]int{}
+	need, noZones := resource.Need(&job.Job), map[protocol.Zone]int{}
 	p.Examined += len(p.table.InOrder())
-	feasible := p.Feasible(job, none)
+	feasible := p.Feasible(job, noZones)
 	for _, m := range p.table.InOrder() {
 		if !feasible(m) || claims.Blocks(job, m) || withoutSpot && m.Record.Spot {
 			continue
 		}
 		free, obtainable := m.Free(), m.NonPreemptibleFree(job.Level)
 		if p.reservations.HeldFor(&job.Job, m) {
-			free = m.Idle() // its reservation lets it overtake what is queued
+			free = m.Idle() // the gang's reservation lets it overtake queued tasks
 			obtainable = free
 		}
 		now[m.Record.Zone] += free.CountFitting(need)
@@ -157,10 +157,10 @@
 	return now, preempting
 }
 
-// claimMachines claims as many machines as a gang needs. A gang that must be in one zone
-// claims them where most of its tasks would fit.
+// claimMachines claims as many machines as a gang needs. A gang that must run in one zone
+// claims machines in the zone in which most of its tasks would fit.
 func (p *Placer) claimMachines(job *jobs.Job, claims *Claims) {
-	need, none := resource.Need(&job.Job), map[protocol.Zone]int{}
+	need, noZones := resource.Need(&job.Job), map[protocol.Zone]int{}
 	var best protocol.Zone
 	if job.OneZone {
 		_, fitting := p.countFittingByZone(job, claims, false)
@@ -172,7 +172,7 @@
 	}
 	remaining := int(job.Tasks)
 	p.Examined += len(p.table.InOrder())
-	feasible := p.Feasible(job, none)
+	feasible := p.Feasible(job, noZones)
 	for _, m := range p.table.InOrder() {
 		if remaining <= 0 {
 			return
@@ -188,8 +188,8 @@
 	}
 }
 
-// renewClaims claims again what a gang claimed when it was last tried, until it is tried
-// again.
+// renewClaims repeats, in a step in which a gang is not tried, the claims that the gang made
+// when it was last tried.
 func (p *Placer) renewClaims(job *jobs.Job, claims *Claims) {
 	for _, m := range job.ClaimedMachines {
 		if p.table.Machines[m.ID] == m && !claims.Blocks(job, m) {
@@ -198,11 +198,12 @@
 	}
 }
 
-// claimBoots is how many boots of the slowest suitable machine type a gang's claims last.
-const claimBoots = 4
+// claimDurationBoots is the time for which a gang claims machines, in boot times of the
+// slowest suitable machine type.
+const claimDurationBoots = 4
 
-// claimDuration bounds how long a gang claims machines: those that have not come within
-// the time that several boots take may never come.
+// claimDuration bounds how long a gang claims machines: machines that have not been
+// provisioned within several boot times may never be.
 func (p *Placer) claimDuration(job *jobs.Job) time.Duration {
 	bootSeconds := 0.0
 	for _, machineType := range p.Types {
@@ -210,5 +211,5 @@
 			bootSeconds = max(bootSeconds, machineType.BootS)
 		}
 	}
-	return time.Duration(claimBoots * bootSeconds * float64(time.Second))
+	return time.Duration(claimDurationBoots * bootSeconds * float64(time.Second))
 }
--- a/internal/controller/placement/headroom.go
+++ b/internal/controller/placement/headroom.go
@@ -10,14 +10,14 @@
 )
 
 // minHeadroomFraction is the fraction of all usable processors that jobs without an
-// objective may take however much demand from the others is expected: where that always
-// is all there is, they would starve.
+// objective may use, however much demand is expected from the other jobs. Without it, they
+// would starve where the expected demand always equals the whole capacity.
 const minHeadroomFraction = 0.1
 
-// headroom returns how many processors this owner's jobs without an objective may take
-// now: its part, in proportion to the pending work, of what jobs with an objective are not
-// expected to need of the usable machines. As long as no class with an objective has been
-// seen, the headroom is unlimited.
+// headroom returns how many processors the jobs without an objective that are owned here
+// may use now. It is this owner's share of the usable processors that jobs with an
+// objective are not expected to need, in proportion to the pending work. The headroom is
+// unlimited until a class with an objective has been seen.
 func (p *Placer) headroom() float64 {
 	if len(p.workload.Classes) == 0 {
 		return math.Inf(1)
@@ -29,22 +29,22 @@
 	usable := p.usableCPUs()
 	free := math.Max(usable-p.workload.ReservedForObjectives(usable), minHeadroomFraction*usable)
 	if work.placed == 0 {
-		// One task or gang at least, however small the fleet.
+		// Allow at least one task or gang, however small the fleet is.
 		free = math.Max(free, work.pending/work.pendingHere*work.largestUnit)
 	}
 	return math.Max(0, free-work.placed) * work.pendingHere / work.pending
 }
 
-// workSums are the processors of the work without an objective.
+// workSums are sums of the processors that the jobs without an objective use or need.
 type workSums struct {
-	placed      float64 // placed here, or running by what peers say
-	pending     float64 // pending anywhere
-	pendingHere float64 // pending in jobs owned here
+	placed      float64 // of tasks placed by this owner, or reported as running by peers
+	pending     float64 // of the pending tasks of all owners
+	pendingHere float64 // of the pending tasks of jobs owned here
 	largestUnit float64 // of the largest task or gang of a job owned here
 }
 
-// workWithoutObjective sums the processors of the work without an objective, rounded: the
-// order of summation then does not matter.
+// workWithoutObjective sums the processors of the jobs without an objective. The sums are
+// rounded, so that they do not depend on the order of summation.
 func (p *Placer) workWithoutObjective() workSums {
 	var sums workSums
 	for id, live := range p.Live {
@@ -81,9 +81,10 @@
 	return cpus
 }
 
-// takeHeadroom reports whether n tasks of a job may be placed in this step as far as it is
-// confined to the headroom, and deducts them.
-func (c *Claims) takeHeadroom(job *jobs.Job, n int) bool {
+// consumeHeadroom reports whether the headroom allows n more tasks of a job in this step,
+// and if so deducts their processors. It allows all tasks of a job that is not confined to
+// the headroom.
+func (c *Claims) consumeHeadroom(job *jobs.Job, n int) bool {
 	if !job.UsesHeadroom {
 		return true
 	}
@@ -95,16 +96,16 @@
 	return true
 }
 
-// startOverdue reports whether nothing of a job has been placed for jobs.StartsWithin. Its
+// startOverdue reports whether no task of a job has been placed for jobs.StartsWithin. The
 // first task, or the whole gang, is then placed like that of any other job and may be
-// queued; the rest stays confined to the headroom. Otherwise such jobs would never start
-// where all usable machines are likely to be needed for others.
+// queued; the remaining tasks stay confined to the headroom. Otherwise such jobs would never
+// start while all usable machines are likely to be needed for other jobs.
 func (p *Placer) startOverdue(job *jobs.Job) bool {
-	return p.nothingPlacedFor(job, jobs.StartsWithin)
+	return p.hasWaitedUnplaced(job, jobs.StartsWithin)
 }
 
-// nothingPlacedFor reports whether a job has waited for longer than a time, with no task
-// placed or done.
-func (p *Placer) nothingPlacedFor(job *jobs.Job, wait time.Duration) bool {
+// hasWaitedUnplaced reports whether a job has waited for longer than the given time and has
+// no task that is placed or done.
+func (p *Placer) hasWaitedUnplaced(job *jobs.Job, wait time.Duration) bool {
 	return len(job.Placed) == 0 && job.DoneCount == 0 && p.Since(job.WaitingSince) > wait
 }
--- a/internal/controller/placement/levels.go
+++ b/internal/controller/placement/levels.go
@@ -9,8 +9,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// SetLevels sets the levels of the owned jobs. A job is within its team's guarantee if it
-// fits into it together with the team's earlier unfinished jobs.
+// SetLevels sets the levels of the owned jobs. A job is within its team's guarantee if the
+// guarantee covers it together with the team's earlier unfinished jobs.
 func (p *Placer) SetLevels() {
 	used := map[protocol.Team]resource.Amount{}
 	bySubmission := slices.Clone(p.jobs.InOrder())
@@ -29,8 +29,8 @@
 	}
 }
 
-// setLevel sets a job's level. Peers need it only while there are reservations; a change
-// is then replicated to them.
+// setLevel sets a job's level. Peers need the level only while there are reservations; only
+// then is a change replicated to them.
 func (p *Placer) setLevel(job *jobs.Job, level resource.Level) {
 	if job.Level != level && p.reservations.Any {
 		p.jobs.Touch(job)
--- a/internal/controller/placement/levels_test.go
+++ b/internal/controller/placement/levels_test.go
@@ -7,15 +7,16 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestGuaranteeCoversEarlierJobsFirst: a job is within its team's guarantee only together
-// with the team's earlier unfinished jobs.
+// TestGuaranteeCoversEarlierJobsFirst: a job is within its team's guarantee only if the
+// guarantee covers it together with the team's earlier unfinished jobs.
 func TestGuaranteeCoversEarlierJobsFirst(t *testing.T) {
 	placer := newPlacer(t)
+	// The team is guaranteed 8 processors: the first two jobs use all of them.
 	for i, tasks := range []uint32{5, 3, 1} {
 		id := protocol.JobID("job-" + string(rune('1'+i)))
 		placer.jobs.AddAccepted(protocol.Job{
 			ID: id, Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: 10,
-			SubmittedMS: int64(i), // the team is guaranteed 8 processors
+			SubmittedMS: int64(i),
 		}, protocol.Version(i+1), false)
 	}
 	placer.SetLevels()
--- a/internal/controller/placement/limits.go
+++ b/internal/controller/placement/limits.go
@@ -11,8 +11,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// LimitSharedAfter is how long a job waits before other jobs of its team leave it a part of
-// the team's limit.
+// LimitSharedAfter is how long a job waits before a part of its team's limit is left to it by
+// other jobs of the team.
 const LimitSharedAfter = 30 * time.Second
 
 // withinLimit reports whether n more tasks keep the team within its limit.
@@ -21,43 +21,45 @@
 	if !ok {
 		return false
 	}
-	used := usage[job.Team].Plus(p.limitClaimed(job))
+	used := usage[job.Team].Plus(p.limitReservedForOthers(job))
 	return (team.MaxCPUs == 0 || used.CPUs+job.CPUs*float64(n) <= team.MaxCPUs+resource.Slack) &&
 		(team.MaxGPUs == 0 || used.GPUs+job.GPUs*float64(n) <= team.MaxGPUs+resource.Slack)
 }
 
-// limitClaimed returns the part of a team's limit that is reserved for other jobs by the
-// time at which a task of this one is likely to end.
-func (p *Placer) limitClaimed(job *jobs.Job) resource.Amount {
+// limitReservedForOthers returns the part of the team's limit that reservations claim for
+// other jobs by the time at which a task of the given job is likely to end.
+func (p *Placer) limitReservedForOthers(job *jobs.Job) resource.Amount {
 	if !p.reservations.ClaimsLimitOf(job.Team) {
 		return resource.Amount{}
 	}
 	return p.reservations.LimitClaimed(&job.Job, p.jobs.EstimateOf(job))
 }
 
-// queuesWithinLimit reports whether one more task of a job may be queued on a machine
-// within its team's limit. Queued tasks count against the limit, and one task's part of it
-// is left to the longest-waiting other job of the team, unless the job itself has waited
-// longer. Otherwise that job would wait beside machines with free resources, for a limit
-// used up by tasks that do not run. If a part were left to each waiting job, nothing would
-// be queued where many wait, and jobs with large tasks would take whatever becomes free.
-func (p *Placer) queuesWithinLimit(job, longestWaiting *jobs.Job, usage map[protocol.Team]resource.Amount) bool {
+// mayQueueWithinLimit reports whether one more task of a job may be queued on a machine
+// within its team's limit. Queued tasks count against the limit, and the part of it that one
+// task needs is left to the longest-waiting other job of the team, unless the job itself has
+// waited longer. Otherwise that other job would be pending while machines have free
+// resources, because tasks that do not run have used up the limit. If a part were left to
+// each waiting job, no task would be queued when many jobs wait, and jobs with large tasks
+// would get all resources that become free.
+func (p *Placer) mayQueueWithinLimit(job, longestWaiting *jobs.Job, usage map[protocol.Team]resource.Amount) bool {
 	total := map[protocol.Team]resource.Amount{job.Team: usage[job.Team]}
-	waitsLongest := longestWaiting == nil || p.waitsForLimit(job) && compareWaiting(job, longestWaiting) < 0
+	waitsLongest := longestWaiting == nil || p.isDueLimitShare(job) && compareWaiting(job, longestWaiting) < 0
 	if !waitsLongest {
 		p.jobs.AddUsage(longestWaiting, total, 1)
 	}
 	return p.withinLimit(job, total, 1)
 }
 
-// longestWaiting returns the job that has waited longest of the other jobs of a job's
-// team, if the team has a limit and that job has waited for longer than LimitSharedAfter.
+// longestWaiting returns, of the other jobs of a job's team that have waited for longer than
+// LimitSharedAfter, the one that has waited longest. It returns nil if there is none or the
+// team has no limit.
 func (p *Placer) longestWaiting(job *jobs.Job) (longest *jobs.Job) {
 	if !p.Limited(job.Team) {
 		return nil
 	}
 	for _, other := range p.jobs.ByID {
-		if other == job || other.Team != job.Team || !p.waitsForLimit(other) {
+		if other == job || other.Team != job.Team || !p.isDueLimitShare(other) {
 			continue
 		}
 		if longest == nil || compareWaiting(other, longest) < 0 {
@@ -67,9 +69,9 @@
 	return longest
 }
 
-// waitsForLimit reports whether nothing of an array has been placed for LimitSharedAfter.
-func (p *Placer) waitsForLimit(job *jobs.Job) bool {
-	return job.Kind != protocol.KindGang && p.nothingPlacedFor(job, LimitSharedAfter)
+// isDueLimitShare reports whether a job is an array with no task placed for LimitSharedAfter.
+func (p *Placer) isDueLimitShare(job *jobs.Job) bool {
+	return job.Kind != protocol.KindGang && p.hasWaitedUnplaced(job, LimitSharedAfter)
 }
 
 // compareWaiting orders jobs by how long they have waited, longest first.
@@ -83,7 +85,7 @@
 }
 
 // excludedByReservations returns a predicate for the machines on which a job's tasks may
-// not be placed because of reservations; nil if there are none.
+// not be placed because of reservations or maintenance windows; nil if none are active.
 func (p *Placer) excludedByReservations(job *jobs.Job) func(m *waittable.Machine) bool {
 	if !p.reservations.Active() {
 		return nil
--- a/internal/controller/placement/placer.go
+++ b/internal/controller/placement/placer.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// Interval is the shortest time between two placing rounds: what becomes pending
-	// meanwhile is placed together.
+	// Interval is the shortest time between two placing rounds. Tasks that become pending
+	// within it are placed in one round.
 	Interval = 100 * time.Millisecond
-	// MaxPerStep bounds the placements of one step, so that a huge job does not delay
-	// everything else; the rest follows in the next step.
+	// MaxPerStep bounds the placements of one step, so that a huge job does not delay the
+	// other work of the controller. The remaining tasks are placed in the next steps.
 	MaxPerStep = 2000
-	// MaxExaminedForGangs is how many machines may be examined in a step for gangs that
-	// found no place when they were last tried. See failedSearch for arrays.
+	// MaxExaminedForGangs is how many machines may be examined per step for gangs whose
+	// last placement attempt failed. See failedSearch for arrays.
 	MaxExaminedForGangs = 30_000
 )
 
@@ -37,10 +37,11 @@
 
 	pricePremiums  map[binpack.Kind]float64 // see computePricePremiums
 	failedSearches []failedSearch
-	nextRoundAt    clock.Time // no placing round starts before
+	nextRoundAt    clock.Time // earliest start of the next placing round
 
-	// RebalancePosition is the machine at which the last rebalance left the rest to the next
-	// tick; empty if nothing is left.
+	// RebalancePosition is the last machine that the last rebalance moved tasks to before it
+	// reached MaxMovesPerStep; the next tick continues after it. It is empty if the last
+	// rebalance covered all machines.
 	RebalancePosition protocol.MachineID
 	// Examined counts the machines examined for placements since the start.
 	Examined int
@@ -51,17 +52,17 @@
 	return &Placer{Module: module, table: table, workload: work, reservations: reservations, jobs: owned, rng: rng}
 }
 
-// Reset drops what was learned in an earlier session.
+// Reset drops the failed searches and the time of the next round of an earlier session.
 func (p *Placer) Reset() {
 	p.ForgetSearches()
 	p.nextRoundAt = 0
 }
 
-// ForgetSearches drops the memory of searches that found no machine.
+// ForgetSearches drops the recorded searches that found no machine.
 func (p *Placer) ForgetSearches() { p.failedSearches = nil }
 
-// PlaceIfDue places what became pending, at most once per Interval. It reports whether it
-// did.
+// PlaceIfDue places pending tasks if a placing round is due, at most once per Interval. It
+// reports whether it ran a round.
 func (p *Placer) PlaceIfDue() bool {
 	if !p.table.PlacementDue || !p.HoldsLease() || p.Now < p.nextRoundAt {
 		return false
--- a/internal/controller/placement/prices.go
+++ b/internal/controller/placement/prices.go
@@ -9,9 +9,9 @@
 // RefreshPrices recomputes the price premiums from the machine types last read.
 func (p *Placer) RefreshPrices() { p.pricePremiums = p.computePricePremiums() }
 
-// computePricePremiums returns, for each kind of machine, the part of its price per
+// computePricePremiums returns, for each kind of machine, the fraction of its price per
 // processor that the cheapest kind would save. Among machines with free resources the
-// premium counts like the fraction of a machine that is free: cheap and nearly full
+// premium has the same weight as the free fraction of a machine: cheap and nearly full
 // machines are filled first, so that expensive ones become idle and can be terminated.
 func (p *Placer) computePricePremiums() map[binpack.Kind]float64 {
 	premiums := map[binpack.Kind]float64{}
--- a/internal/controller/placement/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// MaxMovesPerStep bounds the tasks moved in one step. When thousands of machines come back
-	// at once, the rest follows with the next ticks.
+	// MaxMovesPerStep bounds the tasks moved in one step. When thousands of machines become
+	// available again at once, the remaining tasks are moved in the next ticks.
 	MaxMovesPerStep = 500
-	// maxMovable bounds the queued tasks examined in one step: those of the longest
-	// queues.
+	// maxMovable bounds the queued tasks examined in one step; those of the longest queues
+	// are examined.
 	maxMovable = 20000
 )
 
-// movableTasks are the queued tasks of one job, those of the longest queues first and
-// within a queue the last one first.
+// movableTasks are the queued tasks of one job: those of the longest queues first, and
+// within a queue the last placed first.
 type movableTasks struct {
 	job      *jobs.Job
 	need     resource.Amount
@@ -29,16 +29,17 @@
 	tasks    []movableTask
 }
 
-// movableTask is an attempt that is queued.
+// movableTask is a queued attempt.
 type movableTask struct {
 	*jobs.Attempt
-	wait float64 // expected, per processor, on the machine where it is queued
+	wait float64 // expected wait per processor on the machine where it is queued
 }
 
-// Rebalance lets machines with free resources take queued tasks from the longest queues:
-// their dispatchers are asked to release them, and then they are placed again. It
-// continues after the machine at which the step before stopped: the tasks for the machines
-// up to that one are on their way, which the waittable does not show yet.
+// Rebalance moves queued tasks from the longest queues to machines with free resources: it
+// requests the tasks' dispatchers to release them, and released tasks are placed again. It
+// considers only the machines after the given one, at which the previous step stopped: the
+// tasks for the machines up to that one are being moved, and the wait table does not include
+// them yet.
 func (p *Placer) Rebalance(after protocol.MachineID) {
 	p.RebalancePosition = ""
 	if !p.HoldsLease() {
@@ -52,10 +53,10 @@
 	if len(movable) == 0 {
 		return
 	}
-	least := smallestNeed(movable)
+	minNeed := smallestNeed(movable)
 	claims, remaining := p.NewClaims(), MaxMovesPerStep
 	for _, m := range receivers {
-		if m.Idle().Covers(least) {
+		if m.Idle().Covers(minNeed) {
 			remaining -= p.moveTasksTo(m, movable, claims, remaining)
 		}
 		if remaining <= 0 {
@@ -65,15 +66,16 @@
 	}
 }
 
-// ContinueRebalance does what the last rebalance left.
+// ContinueRebalance continues a rebalance that stopped at MaxMovesPerStep, if one did.
 func (p *Placer) ContinueRebalance() {
 	if p.RebalancePosition != "" {
 		p.Rebalance(p.RebalancePosition)
 	}
 }
 
-// machinesWithFreeResources lists the machines after the given one that may take queued
-// tasks: those without a queue, and those with reserved resources that are idle.
+// machinesWithFreeResources lists the machines after the given one to which queued tasks may
+// be moved: those with free resources and no queue, and those with reservations and idle
+// resources.
 func (p *Placer) machinesWithFreeResources(after protocol.MachineID) []*waittable.Machine {
 	var free []*waittable.Machine
 	for _, m := range p.table.InOrder() {
@@ -90,15 +92,15 @@
 
 // smallestNeed returns the least of each resource that any of the tasks needs.
 func smallestNeed(movable []*movableTasks) resource.Amount {
-	least := resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)}
+	minNeed := resource.Amount{CPUs: math.Inf(1), GPUs: math.Inf(1), GB: math.Inf(1)}
 	for _, tasks := range movable {
-		least = resource.Amount{
-			CPUs: min(least.CPUs, tasks.need.CPUs),
-			GPUs: min(least.GPUs, tasks.need.GPUs),
-			GB:   min(least.GB, tasks.need.GB),
+		minNeed = resource.Amount{
+			CPUs: min(minNeed.CPUs, tasks.need.CPUs),
+			GPUs: min(minNeed.GPUs, tasks.need.GPUs),
+			GB:   min(minNeed.GB, tasks.need.GB),
 		}
 	}
-	return least
+	return minNeed
 }
 
 // waitPerCPU returns the expected wait on a machine per processor.
@@ -150,15 +152,15 @@
 	return queued
 }
 
-// moveTasksTo has queued tasks released for a machine until its idle resources are used,
-// at most so many: the most urgent first, then those of the longest queues. It returns
-// how many.
-func (p *Placer) moveTasksTo(m *waittable.Machine, movable []*movableTasks, claims *Claims, most int) (moved int) {
+// moveTasksTo requests the release of queued tasks, at most maxMoves, until they would use
+// all idle resources of a machine. Tasks of the highest priority come first, then those of
+// the longest queues. It returns the number of tasks.
+func (p *Placer) moveTasksTo(m *waittable.Machine, movable []*movableTasks, claims *Claims, maxMoves int) (moved int) {
 	free := m.Idle()
-	for ; moved < most; moved++ {
+	for ; moved < maxMoves; moved++ {
 		var best *movableTasks
 		for _, tasks := range movable {
-			if len(tasks.tasks) == 0 || !free.Covers(tasks.need) || best != nil && !tasks.before(best) {
+			if len(tasks.tasks) == 0 || !free.Covers(tasks.need) || best != nil && !tasks.movesBefore(best) {
 				continue
 			}
 			mayOvertake := m.State.Queued == 0 || p.reservations.HeldFor(&tasks.job.Job, m)
@@ -178,15 +180,15 @@
 	return moved
 }
 
-// before reports whether the first task of a job is to be moved before that of another.
-func (t *movableTasks) before(other *movableTasks) bool {
+// movesBefore reports whether the first task of a job is moved before that of another job.
+func (t *movableTasks) movesBefore(other *movableTasks) bool {
 	a, b := t.tasks[0], other.tasks[0]
 	return cmp.Or(
 		cmp.Compare(other.job.Priority.Rank(), t.job.Priority.Rank()),
 		cmp.Compare(b.wait, a.wait), cmp.Compare(b.Number, a.Number)) < 0
 }
 
-// mayMove reports whether a machine may take the next of a job's movable tasks.
+// mayMove reports whether the next of a job's movable tasks may be moved to a machine.
 func (p *Placer) mayMove(tasks *movableTasks, m *waittable.Machine, claims *Claims) bool {
 	job, next := tasks.job, tasks.tasks[0]
 	if next.Machine == m.ID || job.FailedOn[m.ID] {
--- a/internal/controller/placement/round.go
+++ b/internal/controller/placement/round.go
@@ -14,16 +14,16 @@
 
 // round is one pass over the jobs with pending tasks.
 type round struct {
-	usage      map[protocol.Team]resource.Amount
-	claims     *Claims
-	batches    map[protocol.NodeName][]message.Placement // by dispatcher
-	waits      map[protocol.MachineID]*waittable.OwnWaits
-	remaining  int // placements that the step may still make
-	stuckGangs int // gangs that found no place when they were last tried
+	usage         map[protocol.Team]resource.Amount
+	claims        *Claims
+	batches       map[protocol.NodeName][]message.Placement  // by dispatcher
+	waits         map[protocol.MachineID]*waittable.OwnWaits // to be announced to the peers
+	remaining     int                                        // placements that the step may still make
+	unplacedGangs int                                        // pending gangs whose last placement attempt failed
 }
 
-// PlacePending places what is pending: each task once, on the machine with the smallest
-// expected wait per processor among those that can run it.
+// PlacePending places the pending tasks of the owned jobs, each once and on the machine with
+// the smallest expected wait per processor among those that can run it.
 func (p *Placer) PlacePending() {
 	p.table.PlacementDue = false
 	if len(p.Types) == 0 {
@@ -36,10 +36,10 @@
 		waits:     map[protocol.MachineID]*waittable.OwnWaits{},
 		remaining: MaxPerStep,
 	}
-	r.claims.headroomCPUs = p.headroom() // only placing uses it
+	r.claims.headroomCPUs = p.headroom() // NewClaims leaves it at 0: only placing rounds use the headroom
 	p.SetLevels()
 	p.expireFailedSearches()
-	r.stuckGangs = p.countStuckGangs()
+	r.unplacedGangs = p.countUnplacedGangs()
 	for _, job := range p.jobs.InOrder() {
 		if !job.Loaded || job.FinishDue || job.NotBefore > p.Now || job.Pending.None() {
 			continue
@@ -54,36 +54,37 @@
 	p.table.SendWaits(r.waits)
 }
 
-// countStuckGangs counts the pending gangs that found no place when they were last tried.
-func (p *Placer) countStuckGangs() int {
-	stuck := 0
+// countUnplacedGangs counts the pending gangs whose last placement attempt failed.
+func (p *Placer) countUnplacedGangs() int {
+	unplaced := 0
 	for _, job := range p.jobs.InOrder() {
 		if job.SearchFailed && !job.Pending.None() {
-			stuck++
+			unplaced++
 		}
 	}
-	return stuck
+	return unplaced
 }
 
-// retryInterval returns how often gangs that found no place are tried again when there are
-// so many: at each step where that is cheap, less often where many wait on a large fleet.
-func (p *Placer) retryInterval(stuckGangs int) time.Duration {
-	return Interval * time.Duration(stuckGangs*len(p.table.InOrder())/MaxExaminedForGangs)
+// retryInterval returns how long a gang that could not be placed is not tried again, given
+// the number of such gangs. It is 0, so that each step retries them, as long as that is
+// cheap, and grows with the number of gangs and the size of the fleet.
+func (p *Placer) retryInterval(unplacedGangs int) time.Duration {
+	return Interval * time.Duration(unplacedGangs*len(p.table.InOrder())/MaxExaminedForGangs)
 }
 
-// placeJob places what is pending of one job.
+// placeJob places the pending tasks of one job.
 func (p *Placer) placeJob(job *jobs.Job, r *round) []message.Placement {
 	job.UsesHeadroom = !math.IsInf(r.claims.headroomCPUs, 1) && p.workload.WithoutObjective(&job.Job) && !p.reservations.IsReserved(&job.Job)
-	most := r.remaining
+	maxTasks := r.remaining
 	if job.UsesHeadroom && p.startOverdue(job) {
-		job.UsesHeadroom, most = false, min(r.remaining, 1)
+		job.UsesHeadroom, maxTasks = false, min(r.remaining, 1)
 	}
-	if job.SearchFailed && p.Since(job.SearchedAt) < p.retryInterval(r.stuckGangs) {
+	if job.SearchFailed && p.Since(job.SearchedAt) < p.retryInterval(r.unplacedGangs) {
 		p.renewClaims(job, r.claims)
 		return nil
 	}
 	gang := job.Kind == protocol.KindGang
-	if !gang && p.wouldFindNone(job) {
+	if !gang && p.searchWouldFail(job) {
 		return nil
 	}
 	var placed []message.Placement
@@ -92,7 +93,7 @@
 	if gang {
 		placed = p.PlaceGang(job, r.usage, r.claims)
 	} else {
-		placed = p.placeArray(job, r.usage, most, r.claims)
+		placed = p.placeArray(job, r.usage, maxTasks, r.claims)
 	}
 	job.SearchFailed, job.SearchedAt = gang && len(placed) == 0 && p.Examined > examinedBefore, p.Now
 	return placed
