--- a/internal/controller/waittable/pending.go
+++ b/internal/controller/waittable/pending.go
@@ -9,45 +9,44 @@
 	"damsonkeel/internal/protocol"
 )
 
-// PendingWait is a placement, or several placements on one machine at once, that an
-// owner has announced and that the machine's dispatcher has not yet included in the
-// state it publishes.
+// PendingWait is one placement, or several at once on one machine, that an owner has
+// announced and that the state published by the machine's dispatcher does not include yet.
 type PendingWait struct {
-	Owner  protocol.NodeName // controller that placed it
-	Number uint64            // of the owner's Place message to the dispatcher that carries it
-	Add    float64           // wait that it adds, in processor seconds
-	Level  resource.Level
-	Taken  resource.Amount
+	Owner  protocol.NodeName // controller that made the placement
+	Number uint64            // number of the owner's Place message to the dispatcher with the placement
+	Add    float64           // wait that the placement adds, in processor seconds
+	Level  resource.Level    // level of the placed tasks
+	Taken  resource.Amount   // resources that the placed tasks need
 }
 
-// AddPending counts an announced placement until the state that the machine's
-// dispatcher publishes includes it.
+// AddPending adds a placement to the machine's pending placements, where it is counted until
+// the state published by the machine's dispatcher includes it.
 func (t *Table) AddPending(m *Machine, w PendingWait) {
-	p := t.Peers[t.DispatcherOf(m.ID)]
-	if p == nil {
+	peer := t.Peers[t.DispatcherOf(m.ID)]
+	if peer == nil {
 		return
 	}
 	m.PendingWaits = append(m.PendingWaits, w)
 	m.PendingSum += w.Add
 	m.PendingUses.Add(w.Level, w.Taken)
-	p.Updates.waits[m] = true
+	peer.Updates.pendingMachines[m] = true
 }
 
-// WaitsAdded adds the placements that another controller announced, except those that
-// a published state of their dispatcher already includes: the messages of two peers may
-// arrive in either order.
-func (t *Table) WaitsAdded(from protocol.NodeName, a *message.WaitsAdded) {
-	if a.Term != t.View.Term {
-		return // the dispatcher refuses them, or has included them in its state of this term
+// WaitsAdded adds the placements that another controller announced, except those that a
+// published state of their dispatcher already includes: the messages of the other controller
+// and of the dispatcher may arrive in either order.
+func (t *Table) WaitsAdded(from protocol.NodeName, announcement *message.WaitsAdded) {
+	if announcement.Term != t.View.Term {
+		return // the dispatcher refuses the placements, or its state of this term includes them
 	}
-	for _, w := range a.Waits {
+	for _, w := range announcement.Waits {
 		m := t.Machines[w.Machine]
 		if m == nil {
 			continue
 		}
 		dispatcher := t.DispatcherOf(m.ID)
-		number := a.Numbers[dispatcher]
-		if p := t.Peers[dispatcher]; p == nil || number <= p.Updates.handled[from] {
+		number := announcement.Numbers[dispatcher]
+		if peer := t.Peers[dispatcher]; peer == nil || number <= peer.Updates.handledPlaces[from] {
 			continue
 		}
 		for i, use := range w.Taken {
@@ -63,58 +62,58 @@
 	}
 }
 
-// OwnWaits is the sum of the placements that this controller has added to a machine
-// and not announced yet.
+// OwnWaits is the sum of the placements that this controller has made on a machine and not
+// announced yet.
 type OwnWaits struct {
-	Add   float64       // wait, in processor seconds
-	Taken resource.Uses // resources
+	Add   float64       // wait that the placements add, in processor seconds
+	Taken resource.Uses // resources that the placements use
 }
 
-// SendWaits announces to every peer, in one message, the placements of a job.
+// SendWaits announces the placements of one placing round to every peer, in one message.
 func (t *Table) SendWaits(added map[protocol.MachineID]*OwnWaits) {
 	if len(added) == 0 {
 		return
 	}
-	a := &message.WaitsAdded{Term: t.View.Term, Numbers: map[protocol.NodeName]uint64{}}
+	announcement := &message.WaitsAdded{Term: t.View.Term, Numbers: map[protocol.NodeName]uint64{}}
 	for id, w := range ordered.Of(added) {
-		a.Waits = append(a.Waits, message.WaitChange{Machine: id, Add: w.Add, Taken: message.LevelUses(&w.Taken)})
+		announcement.Waits = append(announcement.Waits, message.WaitChange{Machine: id, Add: w.Add, Taken: message.LevelUses(&w.Taken)})
 		dispatcher := t.DispatcherOf(id)
-		if p := t.Peers[dispatcher]; p != nil {
-			a.Numbers[dispatcher] = p.Placed
+		if peer := t.Peers[dispatcher]; peer != nil {
+			announcement.Numbers[dispatcher] = peer.Placed
 		}
 	}
 	for name := range ordered.Of(t.Peers) {
 		if name != t.Self {
-			t.Send(name, message.PeerMessage{Added: a})
+			t.Send(name, message.PeerMessage{Added: announcement})
 		}
 	}
 }
 
-// dropPendingWaits drops pending placements when the view changes: those on machines
-// that this peer no longer dispatches to, or dispatches to in another session, and
-// those of owners that have another session now. No published state will ever include
-// them.
-func (t *Table) dropPendingWaits(name protocol.NodeName, p *Peer, replaced map[protocol.NodeName]bool) {
-	for m := range p.Updates.waits {
-		if replaced[name] || t.DispatcherOf(m.ID) != name {
+// dropPendingWaits drops pending placements on the machines of a peer when the view changes:
+// those on machines to which the peer no longer dispatches, or dispatches in a new session,
+// and those of owners whose session was replaced. No published state will ever include these
+// placements.
+func (t *Table) dropPendingWaits(dispatcher protocol.NodeName, peer *Peer, replaced map[protocol.NodeName]bool) {
+	for m := range peer.Updates.pendingMachines {
+		if replaced[dispatcher] || t.DispatcherOf(m.ID) != dispatcher {
 			m.PendingWaits = nil
 		} else {
 			m.PendingWaits = removeWaits(m.PendingWaits, func(w PendingWait) bool { return replaced[w.Owner] })
 		}
 		m.recomputeWait()
 		if len(m.PendingWaits) == 0 {
-			delete(p.Updates.waits, m)
+			delete(peer.Updates.pendingMachines, m)
 		}
 	}
 	for owner, isReplaced := range replaced {
 		if isReplaced {
-			delete(p.Updates.handled, owner)
+			delete(peer.Updates.handledPlaces, owner)
 		}
 	}
 }
 
-// removeWaits returns the placements without those to drop, in a slice of its own: the
-// old array can be collected.
+// removeWaits returns the placements without those to drop, in a new slice, so that the old
+// array can be garbage-collected.
 func removeWaits(waits []PendingWait, drop func(PendingWait) bool) []PendingWait {
 	var remaining []PendingWait
 	for _, w := range waits {
@@ -125,20 +124,21 @@
 	return remaining
 }
 
-// DropCounted drops the pending placements that a dispatcher's published state includes
-// now: handled is, by owner, the number of the last Place message that it has handled.
-func (t *Table) DropCounted(p *Peer, handled map[protocol.NodeName]uint64) {
+// DropCounted drops the pending placements that the published state of a dispatcher now
+// includes. handled is, by owner, the number of the last Place message that the dispatcher
+// has handled.
+func (t *Table) DropCounted(peer *Peer, handled map[protocol.NodeName]uint64) {
 	for owner, number := range handled {
-		p.Updates.handled[owner] = max(p.Updates.handled[owner], number)
+		peer.Updates.handledPlaces[owner] = max(peer.Updates.handledPlaces[owner], number)
 	}
-	for m := range p.Updates.waits {
-		included := func(w PendingWait) bool { return w.Number <= p.Updates.handled[w.Owner] }
+	for m := range peer.Updates.pendingMachines {
+		included := func(w PendingWait) bool { return w.Number <= peer.Updates.handledPlaces[w.Owner] }
 		if slices.ContainsFunc(m.PendingWaits, included) {
 			m.PendingWaits = removeWaits(m.PendingWaits, included)
 			m.recomputeWait()
 		}
 		if len(m.PendingWaits) == 0 {
-			delete(p.Updates.waits, m)
+			delete(peer.Updates.pendingMachines, m)
 		}
 	}
 }
--- a/internal/controller/waittable/table.go
+++ b/internal/controller/waittable/table.go
@@ -14,35 +14,35 @@
 	"damsonkeel/internal/record"
 )
 
-// Table is this controller's table of expected waits: for each machine the state that
-// its dispatcher last published, and the announced placements which that state does not
-// include yet.
+// Table is this controller's table of expected waits: for each machine the state that its
+// dispatcher last published, and the announced placements that this state does not include
+// yet.
 type Table struct {
 	clusterstate.Module
 	rng            *rand.Rand
 	Machines       map[protocol.MachineID]*Machine
-	sortedMachines []*Machine // by ID
-	SpotMachines   int        // how many of them are spot machines
+	sortedMachines []*Machine // sorted by ID
+	SpotMachines   int        // number of registered spot machines
 	Peers          map[protocol.NodeName]*Peer
-	copied         tableCopy
-	PlacementDue   bool // a task may have become placeable
+	copySearch     copySearch
+	PlacementDue   bool // a task may have become placeable since the last placing round
 }
 
-// Peer is the state known of the present session of a controller, this one included.
+// Peer is the state of the present session of a controller, including this one.
 type Peer struct {
 	Session  protocol.LeaseID
-	Placed   uint64           // number of the last Place message sent to it
-	Updates  PeerUpdates      // replicated streams between it and this controller
-	Demand   []message.Demand // unstarted work of the jobs that it owns
-	Progress map[protocol.JobID]message.Progress
-	// Configuration is the revision that it last reported as in force there, and
-	// ConfiguredAt when it did; 0: never.
+	Placed   uint64                              // number of the last Place message sent to it
+	Updates  PeerUpdates                         // replicated streams between it and this controller
+	Demand   []message.Demand                    // unstarted work of the jobs that the controller owns
+	Progress map[protocol.JobID]message.Progress // progress of the jobs that the controller owns
+	// Configuration is the effective configuration revision that the controller last
+	// reported, and ConfiguredAt the time of that report; 0 if it has reported none.
 	Configuration record.ConfigurationRevision
 	ConfiguredAt  clock.Time
 }
 
-// New returns a table that Reset has to be called on before use. The random numbers
-// choose the peers that are asked for a copy.
+// New returns a table; Reset must be called before its first use. The random numbers choose
+// the peers from which a copy is requested.
 func New(module clusterstate.Module, rng *rand.Rand) *Table {
 	return &Table{Module: module, rng: rng}
 }
@@ -65,7 +65,7 @@
 // InOrder lists the machines by ID. The slice belongs to the table.
 func (t *Table) InOrder() []*Machine { return t.sortedMachines }
 
-// Add registers a machine, in place of the one with the same ID if there is one.
+// Add registers a machine and replaces one with the same ID, if there is one.
 func (t *Table) Add(m *Machine) {
 	t.Remove(m.ID)
 	t.Machines[m.ID], t.Records[m.ID] = m, m.Machine
@@ -92,31 +92,32 @@
 	}
 }
 
-// findMachine returns the machine's position in the sorted list, or where it would be.
+// findMachine returns the machine's position in the sorted list, or the position at which it
+// would be inserted, and whether it is in the list.
 func (t *Table) findMachine(id protocol.MachineID) (int, bool) {
 	compare := func(m *Machine, id protocol.MachineID) int { return cmp.Compare(m.ID, id) }
 	return slices.BinarySearchFunc(t.sortedMachines, id, compare)
 }
 
-// Usable reports whether tasks may be placed on a machine at all.
+// Usable reports whether tasks may be placed on a machine.
 func (t *Table) Usable(m *Machine) bool {
 	return m.Open() && !m.Refused && !t.PlaceClosed(m.Record.Type, m.Record.Zone)
 }
 
-// AdoptPeers replaces the peers whose sessions the view has changed or ended, and adds
-// its new ones.
-func (t *Table) AdoptPeers(v record.View) {
+// AdoptPeers adopts the members of a view: it drops the peers whose sessions have ended or
+// been replaced, with their pending placements, and adds the new sessions.
+func (t *Table) AdoptPeers(view record.View) {
 	replaced := map[protocol.NodeName]bool{}
-	for name, p := range t.Peers {
-		replaced[name] = v.Members[name] != p.Session
+	for name, peer := range t.Peers {
+		replaced[name] = view.Members[name] != peer.Session
 	}
-	for name, p := range t.Peers {
-		t.dropPendingWaits(name, p, replaced)
+	for name, peer := range t.Peers {
+		t.dropPendingWaits(name, peer, replaced)
 		if replaced[name] {
 			delete(t.Peers, name)
 		}
 	}
-	for name, session := range v.Members {
+	for name, session := range view.Members {
 		if t.Peers[name] == nil {
 			t.Peers[name] = newPeer(session)
 		}
@@ -127,16 +128,16 @@
 	return &Peer{Session: session, Progress: map[protocol.JobID]message.Progress{}, Updates: newPeerUpdates()}
 }
 
-// ForgetProgress drops the progress that peers reported of a job that has ended.
+// ForgetProgress drops the progress that peers reported for a job that has ended.
 func (t *Table) ForgetProgress(id protocol.JobID) {
 	for _, p := range t.Peers {
 		delete(p.Progress, id)
 	}
 }
 
-// ShardsMoved notes that other controllers hold the given shards now: the states of
-// their machines are no longer their dispatchers', and their pending placements are
-// dropped.
+// ShardsMoved handles a change of the holders of the given shards: the states of the shards'
+// machines no longer count as published by their present dispatchers, and the pending
+// placements on these machines are dropped.
 func (t *Table) ShardsMoved(moved map[sharding.ID]bool) {
 	for id, m := range t.Machines {
 		if !moved[sharding.ShardOf(t.Shards, id, m.Record.Zone)] {
@@ -147,14 +148,14 @@
 			m.PendingWaits = nil
 			m.recomputeWait()
 			for _, p := range t.Peers {
-				delete(p.Updates.waits, m)
+				delete(p.Updates.pendingMachines, m)
 			}
 		}
 	}
 }
 
-// Recent reports whether a machine's state was published by its present dispatcher in
-// this term, and was up to date no longer ago than maxAge.
+// Recent reports whether a machine's state was published by its present dispatcher in this
+// term, and was up to date at most maxAge ago.
 func (t *Table) Recent(m *Machine, maxAge time.Duration) bool {
 	return m.StateFrom != nil && m.StateFrom == t.Peers[t.DispatcherOf(m.ID)] && t.Since(m.StateFrom.Updates.At) <= maxAge
 }
--- a/internal/controller/waittable/tablecopy.go
+++ b/internal/controller/waittable/tablecopy.go
@@ -7,46 +7,46 @@
 	"damsonkeel/internal/protocol"
 )
 
-// peersPerRequest is how many peers are asked for their table at a time.
+// peersPerRequest is the number of peers that are sent a request for their table at a time.
 const peersPerRequest = 2
 
-// tableCopy is the state of a restarted controller's search for a first table.
-type tableCopy struct {
-	toAsk    []protocol.NodeName // peers not asked yet, in the order to ask
-	askedAt  clock.Time          // when peers were last asked; 0: never
-	received bool
+// copySearch is the state of a restarted controller's requests for a copy of a peer's table.
+type copySearch struct {
+	unaskedPeers []protocol.NodeName // peers without a request yet, in the order of the requests
+	requestedAt  clock.Time          // time of the last requests; 0: none yet
+	received     bool                // whether a copy has arrived
 }
 
-// AskPeers starts a restarted controller's search for a table: it asks two peers, at
-// random, and AskMorePeers asks two more each time that no answer arrives in time.
+// AskPeers starts a restarted controller's search for a copy of a table: it sends requests
+// to two random peers, and AskMorePeers sends two more each time no reply arrives in time.
 func (t *Table) AskPeers() {
-	t.copied = tableCopy{}
+	t.copySearch = copySearch{}
 	for name := range ordered.Of(t.Peers) {
 		if name != t.Self {
-			t.copied.toAsk = append(t.copied.toAsk, name)
+			t.copySearch.unaskedPeers = append(t.copySearch.unaskedPeers, name)
 		}
 	}
-	names := t.copied.toAsk
+	names := t.copySearch.unaskedPeers
 	t.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	t.AskMorePeers()
 }
 
-// AskMorePeers asks the next peers for their table, unless one has been received, all
-// have been asked or those asked last may still answer.
+// AskMorePeers requests the tables of the next peers, unless a copy has been received, all
+// peers have been asked, or the peers asked last may still reply.
 func (t *Table) AskMorePeers() {
-	waiting := t.copied.askedAt != 0 && t.Since(t.copied.askedAt) < t.Op.CopyWait
-	if t.copied.received || len(t.copied.toAsk) == 0 || waiting {
+	awaitingReply := t.copySearch.requestedAt != 0 && t.Since(t.copySearch.requestedAt) < t.Op.CopyWait
+	if t.copySearch.received || len(t.copySearch.unaskedPeers) == 0 || awaitingReply {
 		return
 	}
-	n := min(peersPerRequest, len(t.copied.toAsk))
-	for _, name := range t.copied.toAsk[:n] {
+	count := min(peersPerRequest, len(t.copySearch.unaskedPeers))
+	for _, name := range t.copySearch.unaskedPeers[:count] {
 		t.Send(name, message.PeerMessage{AskTable: true})
 	}
-	t.copied.toAsk, t.copied.askedAt = t.copied.toAsk[n:], t.Now
+	t.copySearch.unaskedPeers, t.copySearch.requestedAt = t.copySearch.unaskedPeers[count:], t.Now
 }
 
-// SendCopy sends a restarted controller a copy of this table, unless no state of any
-// machine is known here.
+// SendCopy sends a restarted controller a copy of this table, unless the table holds no
+// published state of any machine.
 func (t *Table) SendCopy(to protocol.NodeName) {
 	var waits []message.WaitChange
 	for id, m := range ordered.Of(t.Machines) {
@@ -59,13 +59,13 @@
 	}
 }
 
-// Fill adopts the first copy of a table that arrives and ignores the others. States
-// published by the machines' dispatchers replace its waits.
+// Fill adopts the first copy of a table that arrives and ignores later copies. States
+// published by the machines' dispatchers replace the copied waits.
 func (t *Table) Fill(waits []message.WaitChange) {
-	if t.copied.received {
+	if t.copySearch.received {
 		return
 	}
-	t.copied.received = true
+	t.copySearch.received = true
 	for _, w := range waits {
 		if m := t.Machines[w.Machine]; m != nil && m.State.Epoch == 0 {
 			m.copiedWait = w.Add
--- a/internal/controller/waittable/tablecopy_test.go
+++ b/internal/controller/waittable/tablecopy_test.go
@@ -31,8 +31,9 @@
 	return table
 }
 
-// takeAsked returns the peers that were asked for their table since the last call.
-func takeAsked(table *Table) (names []protocol.NodeName) {
+// takeRequestedPeers returns the peers to which requests for their table were sent since the
+// last call.
+func takeRequestedPeers(table *Table) (names []protocol.NodeName) {
 	for _, action := range table.Actions {
 		if send, ok := action.(message.Send); ok && send.Message.AskTable {
 			names = append(names, send.To)
@@ -42,43 +43,43 @@
 	return names
 }
 
-// TestPeersAreAskedTwoAtATime: a restarted controller asks two of its peers for a
-// table, two others if no answer arrives in time, and none twice.
-func TestPeersAreAskedTwoAtATime(t *testing.T) {
+// TestCopyIsRequestedFromTwoPeersAtATime: a restarted controller requests a table from two of
+// its peers, from two others if no reply arrives in time, and from no peer twice.
+func TestCopyIsRequestedFromTwoPeersAtATime(t *testing.T) {
 	table := newTable(t, "node-1", "node-2", "node-3", "node-4")
 	table.AskPeers()
-	asked := takeAsked(table)
+	asked := takeRequestedPeers(table)
 	if len(asked) != 2 {
 		t.Fatalf("asked %v at first, want two peers", asked)
 	}
 	table.Now += clock.Time(copyWait) - 1
 	table.AskMorePeers()
-	if early := takeAsked(table); len(early) != 0 {
+	if early := takeRequestedPeers(table); len(early) != 0 {
 		t.Fatalf("asked %v before the wait was over", early)
 	}
 	table.Now++
 	table.AskMorePeers()
-	asked = append(asked, takeAsked(table)...)
+	asked = append(asked, takeRequestedPeers(table)...)
 	slices.Sort(asked)
 	if want := []protocol.NodeName{"node-1", "node-2", "node-3", "node-4"}; !slices.Equal(asked, want) {
 		t.Errorf("asked %v in all, want %v", asked, want)
 	}
 	table.Now += clock.Time(copyWait)
 	table.AskMorePeers()
-	if again := takeAsked(table); len(again) != 0 {
+	if again := takeRequestedPeers(table); len(again) != 0 {
 		t.Errorf("asked %v again", again)
 	}
 }
 
-// TestNobodyIsAskedAfterACopy: once a copy has arrived no other peer is asked.
-func TestNobodyIsAskedAfterACopy(t *testing.T) {
+// TestNoRequestsAfterCopyReceived: once a copy has arrived, no further requests are sent.
+func TestNoRequestsAfterCopyReceived(t *testing.T) {
 	table := newTable(t, "node-1", "node-2", "node-3", "node-4")
 	table.AskPeers()
-	takeAsked(table)
+	takeRequestedPeers(table)
 	table.Fill(nil)
 	table.Now += clock.Time(copyWait)
 	table.AskMorePeers()
-	if asked := takeAsked(table); len(asked) != 0 {
+	if asked := takeRequestedPeers(table); len(asked) != 0 {
 		t.Errorf("asked %v after a copy had arrived", asked)
 	}
 }
--- a/internal/controller/waittable/updates.go
+++ b/internal/controller/waittable/updates.go
@@ -9,115 +9,118 @@
 	"damsonkeel/internal/protocol"
 )
 
-// maxEarlyStates bounds the states kept for machines whose records have not arrived:
-// more machines than are registered while a watch request is open.
+// maxEarlyStates bounds the states that are kept for machines whose records have not
+// arrived. It exceeds the number of machines that are registered while a watch request is
+// open.
 const maxEarlyStates = 4096
 
-// PeerUpdates is the positions in the replicated streams between this controller and
-// one peer, in both directions, and the pending placements on the peer's machines.
+// PeerUpdates is the positions in the replicated streams between this controller and one
+// peer, in both directions, and the machines of the peer with pending placements.
 type PeerUpdates struct {
-	// MachinesTo and JobsTo are how far the peer has this controller's streams;
-	// MachinesFrom and JobsFrom how far this controller has the peer's.
+	// MachinesTo and JobsTo are the peer's positions in this controller's streams;
+	// MachinesFrom and JobsFrom are this controller's positions in the peer's streams.
 	MachinesTo, JobsTo     replication.Cursor
 	MachinesFrom, JobsFrom replication.Replica
-	// HoldsTo is the number of this controller's list of holds that the peer has, and
-	// HoldsFrom that of the peer's list that this controller has.
+	// HoldsTo is the number of this controller's list of holds that the peer has received,
+	// and HoldsFrom the number of the peer's list that this controller has received.
 	HoldsTo, HoldsFrom uint64
-	Short              bool       // the last message could not hold all changes of machines
+	Short              bool       // the last update to the peer could not hold all machine changes
 	At                 clock.Time // when the peer's machine stream was last received in this term
-	// handled is, by owner, the last Place message that the peer's states include.
-	handled map[protocol.NodeName]uint64
-	// waits are the machines of the peer's shards with pending placements.
-	waits map[*Machine]bool
-	// early are the published states of machines whose records have not arrived here.
-	early map[protocol.MachineID]message.MachineState
+	// handledPlaces is, by owner, the number of the last Place message that the peer's
+	// published states include.
+	handledPlaces map[protocol.NodeName]uint64
+	// pendingMachines is the set of machines of the peer's shards with pending placements.
+	pendingMachines map[*Machine]bool
+	// earlyStates are the published states of machines whose records have not arrived yet.
+	earlyStates map[protocol.MachineID]message.MachineState
 }
 
 func newPeerUpdates() PeerUpdates {
 	return PeerUpdates{
-		handled: map[protocol.NodeName]uint64{},
-		waits:   map[*Machine]bool{},
-		early:   map[protocol.MachineID]message.MachineState{},
+		handledPlaces:   map[protocol.NodeName]uint64{},
+		pendingMachines: map[*Machine]bool{},
+		earlyStates:     map[protocol.MachineID]message.MachineState{},
 	}
 }
 
-// ApplyMachineState applies the state that a dispatcher published of one of its
-// machines. Epoch 0 says that the peer no longer dispatches to the machine. A state of
-// a machine whose record has not arrived is kept for ApplyEarlyState.
-func (t *Table) ApplyMachineState(from protocol.NodeName, p *Peer, st message.MachineState) {
-	m := t.Machines[st.Machine]
+// ApplyMachineState applies the state that a dispatcher published for one of its machines.
+// Epoch 0 means that the peer no longer dispatches to the machine. The state of a machine
+// whose record has not arrived is kept for ApplyEarlyState.
+func (t *Table) ApplyMachineState(from protocol.NodeName, peer *Peer, state message.MachineState) {
+	m := t.Machines[state.Machine]
 	switch {
-	case st.Epoch == 0:
+	case state.Epoch == 0:
 		if m != nil && t.DispatcherOf(m.ID) == from {
 			m.StateFrom = nil
 		}
-	case m == nil || st.Epoch > m.Epoch:
-		// The dispatcher does not publish this state again.
-		if len(p.Updates.early) < maxEarlyStates {
-			p.Updates.early[st.Machine] = st
+	case m == nil || state.Epoch > m.Epoch:
+		// Keep the state: the dispatcher does not publish it again.
+		if len(peer.Updates.earlyStates) < maxEarlyStates {
+			peer.Updates.earlyStates[state.Machine] = state
 		}
-	case st.Epoch == m.Epoch && t.DispatcherOf(m.ID) == from:
-		t.replaceState(m, p, st)
+	case state.Epoch == m.Epoch && t.DispatcherOf(m.ID) == from:
+		t.replaceState(m, peer, state)
 	}
 }
 
-// replaceState replaces the state of a machine by one that its dispatcher, p, published.
-func (t *Table) replaceState(m *Machine, p *Peer, st message.MachineState) {
-	if (m.State.Closed || m.Refused) && !st.Closed || m.State.Epoch == 0 {
+// replaceState replaces the state of a machine by the one that peer, its dispatcher, published.
+func (t *Table) replaceState(m *Machine, peer *Peer, state message.MachineState) {
+	if (m.State.Closed || m.Refused) && !state.Closed || m.State.Epoch == 0 {
 		t.PlacementDue = true
 	}
-	st.Runs = withKnownRuns(m.State.Runs, st.Runs)
-	if !st.Heard && m.State.Epoch == m.Epoch {
-		st.Runs = m.State.Runs // the new dispatcher has received no heartbeat yet
+	state.Runs = keepEarlierEnds(m.State.Runs, state.Runs)
+	if !state.Heard && m.State.Epoch == m.Epoch {
+		state.Runs = m.State.Runs // the new dispatcher has received no heartbeat yet
 	}
-	m.State, m.StateFrom, m.StateReceivedAt = st, p, t.Now
+	m.State, m.StateFrom, m.StateReceivedAt = state, peer, t.Now
 	m.copiedWait, m.Refused = 0, false
 	m.AnnouncedUses = resource.Uses{}
-	message.AddLevelUses(&m.AnnouncedUses, st.Uses)
+	message.AddLevelUses(&m.AnnouncedUses, state.Uses)
 }
 
 // ApplyEarlyState applies the state that a machine's dispatcher published before the
-// machine's record arrived here.
+// machine's record arrived.
 func (t *Table) ApplyEarlyState(m *Machine) {
 	dispatcher := t.DispatcherOf(m.ID)
-	p := t.Peers[dispatcher]
-	if p == nil {
+	peer := t.Peers[dispatcher]
+	if peer == nil {
 		return
 	}
-	if st, ok := p.Updates.early[m.ID]; ok && st.Epoch <= m.Epoch {
-		delete(p.Updates.early, m.ID)
-		t.ApplyMachineState(dispatcher, p, st)
+	if state, ok := peer.Updates.earlyStates[m.ID]; ok && state.Epoch <= m.Epoch {
+		delete(peer.Updates.earlyStates, m.ID)
+		t.ApplyMachineState(dispatcher, peer, state)
 	}
 }
 
-// withKnownRuns corrects the expected ends of the attempts that a dispatcher found on a
-// machine by those that the dispatcher before it published: a worker does not report how
-// long an attempt has run. Without the correction, all holds on the machines of a
-// controller that ended would seem impossible to keep.
-func withKnownRuns(before, now []reservation.Run) []reservation.Run {
-	for i := range now {
-		for _, r := range before {
-			if r.Task == now[i].Task && r.Attempt == now[i].Attempt {
-				now[i].Ends = min(now[i].Ends, r.Ends)
+// keepEarlierEnds limits the expected ends of the attempts that a dispatcher reports on a
+// machine to those that the previous dispatcher published: a worker does not report how long
+// an attempt has run, so a new dispatcher expects attempts to end too late. Without the
+// correction, all holds on the machines of a controller that ended would seem impossible to
+// keep.
+func keepEarlierEnds(previous, current []reservation.Run) []reservation.Run {
+	for i := range current {
+		for _, r := range previous {
+			if r.Task == current[i].Task && r.Attempt == current[i].Attempt {
+				current[i].Ends = min(current[i].Ends, r.Ends)
 				break
 			}
 		}
 	}
-	return now
+	return current
 }
 
-// BeginStreams starts the streams of a new term with all peers from their beginning.
+// BeginStreams restarts the streams with all peers from their beginning, for a new term.
 func (t *Table) BeginStreams() {
 	for _, m := range t.Machines {
 		m.StateFrom = nil
 	}
-	for _, p := range t.Peers {
-		updates := &p.Updates
+	for _, peer := range t.Peers {
+		updates := &peer.Updates
 		updates.MachinesTo, updates.JobsTo = replication.Cursor{}, replication.Cursor{}
 		updates.MachinesFrom.Begin(uint64(t.View.Term))
 		updates.JobsFrom.Begin(uint64(t.View.Term))
 		updates.At, updates.Short = 0, false
 		updates.HoldsTo, updates.HoldsFrom = 0, 0
-		clear(updates.early)
+		clear(updates.earlyStates)
 	}
 }
