--- a/internal/controller/heartbeat/heap.go
+++ b/internal/controller/heartbeat/heap.go
@@ -2,18 +2,19 @@
 
 import "cmp"
 
-// waitingHeap is a heap.Interface of heartbeats in the order of service: the machine that
-// was answered longest ago first, then in the order of arrival. A machine that was never
-// answered here may have any part of its lease left, and goes before all others.
+// waitingHeap is a heap.Interface of heartbeats in the order in which they are answered: the
+// heartbeat of the machine that was answered longest ago first, then in the order of arrival.
+// A machine that was never answered here may have any part of its lease left, so its
+// heartbeat comes before those of all machines that were.
 type waitingHeap[T any] []Waiting[T]
 
 // Len returns the number of heartbeats.
 func (h waitingHeap[T]) Len() int { return len(h) }
 
-// Less reports whether heartbeat i is served before j.
+// Less reports whether heartbeat i is answered before heartbeat j.
 func (h waitingHeap[T]) Less(i, j int) bool {
-	byAnswer := cmp.Compare(h[i].answered, h[j].answered)
-	byArrival := cmp.Compare(h[i].number, h[j].number)
+	byAnswer := cmp.Compare(h[i].lastAnswer, h[j].lastAnswer)
+	byArrival := cmp.Compare(h[i].arrival, h[j].arrival)
 	return cmp.Or(byAnswer, byArrival) < 0
 }
 
--- a/internal/controller/heartbeat/queue.go
+++ b/internal/controller/heartbeat/queue.go
@@ -8,66 +8,68 @@
 	"damsonkeel/internal/protocol"
 )
 
-// maxMachines bounds the machines whose last answers are remembered: several times as many
-// as are expected. Beyond it all are forgotten, and treated as never answered for a while.
+// maxMachines bounds the machines whose last answers are recorded. It is several times the
+// expected number of machines. When it is reached, all records are dropped, and each machine
+// counts as never answered until its next answer.
 const maxMachines = 1 << 16
 
-// Waiting is a heartbeat that waits for its answer.
+// Waiting is a queued heartbeat that has not been answered yet.
 type Waiting[T any] struct {
-	Machine   protocol.MachineID
-	Heartbeat T
-	arrived   clock.Time
-	answered  clock.Time // when its machine was last answered here; 0: never
-	number    uint64     // counts arrivals
+	Machine    protocol.MachineID
+	Heartbeat  T
+	arrived    clock.Time
+	lastAnswer clock.Time // time of the machine's last answer when the heartbeat arrived; 0: never answered
+	arrival    uint64     // position in the order of arrival
 }
 
-// Queue is the heartbeats that wait for their answers.
+// Queue holds the heartbeats that have not been answered yet.
 type Queue[T any] struct {
-	capacity int
-	patience time.Duration
-	waiting  waitingHeap[T]
-	answered map[protocol.MachineID]clock.Time
-	arrivals uint64
+	capacity     int
+	maxWait      time.Duration
+	waiting      waitingHeap[T]
+	lastAnswers  map[protocol.MachineID]clock.Time
+	arrivalCount uint64
 }
 
-// NewQueue returns a queue that holds at most so many heartbeats. One that has waited longer
-// than patience is worth nothing: its worker waits for the answer no more.
-func NewQueue[T any](capacity int, patience time.Duration) *Queue[T] {
-	return &Queue[T]{capacity: capacity, patience: patience, answered: map[protocol.MachineID]clock.Time{}}
+// NewQueue returns a queue that holds at most capacity heartbeats. A heartbeat that has been
+// queued for longer than maxWait expires: its worker no longer waits for the answer.
+func NewQueue[T any](capacity int, maxWait time.Duration) *Queue[T] {
+	return &Queue[T]{capacity: capacity, maxWait: maxWait, lastAnswers: map[protocol.MachineID]clock.Time{}}
 }
 
-// Len returns the number of heartbeats that wait.
+// Len returns the number of queued heartbeats.
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
-// Add queues a heartbeat. If the queue is full, one is returned to be refused at once,
-// which may be the one that has just arrived.
+// Add queues a heartbeat. If the queue exceeds its capacity, it removes and returns the
+// heartbeat that would be answered last, which the caller refuses at once. That may be the
+// heartbeat that was just added.
 func (q *Queue[T]) Add(now clock.Time, machine protocol.MachineID, heartbeat T) (refused T, full bool) {
-	q.arrivals++
+	q.arrivalCount++
 	heap.Push(&q.waiting, Waiting[T]{
-		Machine:   machine,
-		Heartbeat: heartbeat,
-		arrived:   now,
-		answered:  q.answered[machine],
-		number:    q.arrivals,
+		Machine:    machine,
+		Heartbeat:  heartbeat,
+		arrived:    now,
+		lastAnswer: q.lastAnswers[machine],
+		arrival:    q.arrivalCount,
 	})
 	if len(q.waiting) <= q.capacity {
 		return refused, false
 	}
-	last := 0
+	leastUrgent := 0
 	for i := range q.waiting {
-		if q.waiting.Less(last, i) {
-			last = i
+		if q.waiting.Less(leastUrgent, i) {
+			leastUrgent = i
 		}
 	}
-	return heap.Remove(&q.waiting, last).(Waiting[T]).Heartbeat, true
+	return heap.Remove(&q.waiting, leastUrgent).(Waiting[T]).Heartbeat, true
 }
 
-// Next removes the heartbeat to be answered next. Those returned as expired are to be
-// refused: their workers wait no more.
+// Next removes and returns the heartbeat to be answered next. The caller refuses the expired
+// heartbeats: their workers no longer wait for an answer.
 func (q *Queue[T]) Next(now clock.Time) (next Waiting[T], ok bool, expired []T) {
 	for len(q.waiting) > 0 {
 		w := heap.Pop(&q.waiting).(Waiting[T])
-		if now.Since(w.arrived) <= q.patience {
+		if now.Since(w.arrived) <= q.maxWait {
 			return w, true, expired
 		}
 		expired = append(expired, w.Heartbeat)
@@ -75,10 +77,10 @@
 	return next, false, expired
 }
 
-// Answered records that a machine was answered in a way that renews its lease.
+// Answered records that a machine's heartbeat was answered and its lease thereby renewed.
 func (q *Queue[T]) Answered(now clock.Time, machine protocol.MachineID) {
-	if len(q.answered) >= maxMachines {
-		clear(q.answered)
+	if len(q.lastAnswers) >= maxMachines {
+		clear(q.lastAnswers)
 	}
-	q.answered[machine] = now
+	q.lastAnswers[machine] = now
 }
--- a/internal/controller/heartbeat/queue_test.go
+++ b/internal/controller/heartbeat/queue_test.go
@@ -17,16 +17,16 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// TestOrder: the next heartbeat is always the one of the machine answered longest ago, the
-// refused one that of the machine answered last, none is lost, and none is answered after
-// its worker has given up.
-func TestOrder(t *testing.T) {
+// TestOrderOfAnswersAndRefusals: the next heartbeat is always that of the machine that was
+// answered longest ago, and the refused one that of the machine that was answered most
+// recently. No heartbeat is lost, and none is answered after its worker's timeout.
+func TestOrderOfAnswersAndRefusals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type heartbeat struct{ number, answered, arrived int }
-		const capacity, patience = 5, 10
-		q := NewQueue[heartbeat](capacity, patience)
+		const capacity, maxWait = 5, 10
+		q := NewQueue[heartbeat](capacity, maxWait)
 		lastAnswer := map[int]int{}
-		var waiting []heartbeat // in the order of service
+		var waiting []heartbeat // in the order in which they are to be answered
 		order := func(a, b heartbeat) int {
 			if a.answered != b.answered {
 				return a.answered - b.answered
@@ -41,13 +41,13 @@
 			waiting = slices.Delete(waiting, i, i+1)
 		}
 		for now, n := 1, 0; now < 60; now++ {
-			if rapid.Bool().Draw(t, "comes") {
+			if rapid.Bool().Draw(t, "arrives") {
 				n++
-				m := rapid.IntRange(0, 7).Draw(t, "machine")
-				h := heartbeat{n, lastAnswer[m], now}
+				machine := rapid.IntRange(0, 7).Draw(t, "machine")
+				h := heartbeat{n, lastAnswer[machine], now}
 				waiting = append(waiting, h)
 				slices.SortFunc(waiting, order)
-				if refused, full := q.Add(clock.Time(now), protocol.MachineID(fmt.Sprint(m)), h); full {
+				if refused, full := q.Add(clock.Time(now), protocol.MachineID(fmt.Sprint(machine)), h); full {
 					if refused != waiting[len(waiting)-1] {
 						t.Fatalf("%+v refused, want %+v", refused, waiting[len(waiting)-1])
 					}
@@ -57,40 +57,41 @@
 			}
 			next, ok, expired := q.Next(clock.Time(now))
 			for _, h := range expired {
-				if now-h.arrived <= patience {
+				if now-h.arrived <= maxWait {
 					t.Fatalf("%+v expired at %d", h, now)
 				}
 				remove(h)
 			}
 			if !ok {
 				if len(waiting) > 0 {
-					t.Fatalf("%d wait, none is answered", len(waiting))
+					t.Fatalf("%d heartbeats wait, but none is answered", len(waiting))
 				}
 				continue
 			}
-			if next.Heartbeat != waiting[0] || now-next.Heartbeat.arrived > patience {
+			if next.Heartbeat != waiting[0] || now-next.Heartbeat.arrived > maxWait {
 				t.Fatalf("%+v answered, want %+v", next.Heartbeat, waiting[0])
 			}
 			remove(next.Heartbeat)
-			m := 0
-			fmt.Sscan(string(next.Machine), &m)
-			lastAnswer[m] = now
+			machine := 0
+			fmt.Sscan(string(next.Machine), &machine)
+			lastAnswer[machine] = now
 			q.Answered(clock.Time(now), next.Machine)
 		}
 	})
 }
 
-// server answers workers' heartbeats, and refuses some at once.
-type server interface {
+// heartbeatServer answers the heartbeats of workers. add may refuse one immediately.
+type heartbeatServer interface {
 	add(now clock.Time, worker int) (refused int, full bool)
 	next(now clock.Time) (worker int, ok bool)
 	answered(now clock.Time, worker int)
 }
 
-// fifo is a server that answers in the order of arrival, and refuses when it is full.
-type fifo struct{ waiting []int }
+// fifoServer is a heartbeatServer that answers in the order of arrival and refuses new
+// heartbeats when its queue is full.
+type fifoServer struct{ waiting []int }
 
-func (f *fifo) add(_ clock.Time, worker int) (int, bool) {
+func (f *fifoServer) add(_ clock.Time, worker int) (int, bool) {
 	if len(f.waiting) >= 256 {
 		return worker, true
 	}
@@ -98,7 +99,7 @@
 	return 0, false
 }
 
-func (f *fifo) next(clock.Time) (worker int, ok bool) {
+func (f *fifoServer) next(clock.Time) (worker int, ok bool) {
 	if len(f.waiting) == 0 {
 		return 0, false
 	}
@@ -106,35 +107,38 @@
 	return worker, true
 }
 
-func (f *fifo) answered(clock.Time, int) {}
+func (f *fifoServer) answered(clock.Time, int) {}
 
-// byLease is a server that answers in the order of a Queue.
-type byLease struct{ *Queue[int] }
+// queueServer is a heartbeatServer that answers in the order of a Queue.
+type queueServer struct{ *Queue[int] }
 
-// name returns the machine of a worker.
-func name(worker int) protocol.MachineID { return protocol.MachineID(fmt.Sprint(worker)) }
+// machineOf returns the ID of a worker's machine.
+func machineOf(worker int) protocol.MachineID { return protocol.MachineID(fmt.Sprint(worker)) }
 
-func (b byLease) add(now clock.Time, worker int) (int, bool) { return b.Add(now, name(worker), worker) }
+func (s queueServer) add(now clock.Time, worker int) (int, bool) {
+	return s.Add(now, machineOf(worker), worker)
+}
 
-func (b byLease) next(now clock.Time) (int, bool) {
-	w, ok, _ := b.Next(now)
+func (s queueServer) next(now clock.Time) (int, bool) {
+	w, ok, _ := s.Next(now)
 	return w.Heartbeat, ok
 }
-func (b byLease) answered(now clock.Time, worker int) { b.Answered(now, name(worker)) }
+func (s queueServer) answered(now clock.Time, worker int) { s.Answered(now, machineOf(worker)) }
 
-// expiredLeases plays workers that all send their heartbeats to one server, which answers
-// so many a second, and counts the leases that expire. Workers send a heartbeat every 5 s,
-// wait 4 s for its answer, and try again 1 to 2 s after a refusal or a timeout.
-func expiredLeases(s server, workers, perSecond int) int {
+// countExpiredLeases simulates workers that all send their heartbeats to one server, which
+// answers perSecond of them per second, and counts the leases that expire. A worker sends a
+// heartbeat 5 s after the last answer, waits 4 s for the answer, and retries 1 to 2 s after a
+// refusal or a timeout.
+func countExpiredLeases(s heartbeatServer, workers, perSecond int) int {
 	const (
-		step   = clock.Time(10 * time.Millisecond)
-		lease  = clock.Time(31 * time.Second)
-		length = clock.Time(2 * time.Minute)
+		step     = clock.Time(10 * time.Millisecond)
+		lease    = clock.Time(31 * time.Second)
+		duration = clock.Time(2 * time.Minute)
 	)
 	rng := rand.New(rand.NewPCG(1, 1))
-	next := make([]clock.Time, workers)    // when each sends its next heartbeat
-	sent := make([]clock.Time, workers)    // when each sent the one that waits for its answer
-	renewed := make([]clock.Time, workers) // when each sent the last one that was answered
+	next := make([]clock.Time, workers)    // when each worker sends its next heartbeat
+	sent := make([]clock.Time, workers)    // when each worker sent its unanswered heartbeat; 0: none
+	renewed := make([]clock.Time, workers) // when each worker sent its last answered heartbeat
 	for i := range workers {
 		next[i] = clock.Time(rng.Int64N(int64(5 * time.Second)))
 	}
@@ -142,11 +146,11 @@
 		return now + clock.Time(time.Second) + clock.Time(rng.Int64N(int64(time.Second)))
 	}
 	expired := 0
-	for now := step; now < length; now += step {
+	for now := step; now < duration; now += step {
 		for i := range workers {
 			switch {
 			case sent[i] != 0 && now-sent[i] > clock.Time(4*time.Second):
-				sent[i], next[i] = 0, retry(now) // given up
+				sent[i], next[i] = 0, retry(now) // timeout
 			case sent[i] == 0 && now >= next[i]:
 				sent[i] = now
 				if refused, full := s.add(now, i); full {
@@ -168,15 +172,15 @@
 	return expired
 }
 
-// TestLeasesAreKept: where all workers use one controller that can answer a third of their
-// heartbeats, no lease expires: each needs one answer in 31 s only. In the order of arrival
-// many do.
-func TestLeasesAreKept(t *testing.T) {
+// TestNoLeaseExpiresWhenOverloaded: no lease expires when all workers send their heartbeats to
+// one controller that can answer a third of them, because each worker needs only one answer
+// in 31 s. When the heartbeats are answered in the order of arrival, many leases expire.
+func TestNoLeaseExpiresWhenOverloaded(t *testing.T) {
 	const workers, perSecond = 3000, 200
-	if expired := expiredLeases(byLease{NewQueue[int](256, 3500*time.Millisecond)}, workers, perSecond); expired > 0 {
+	if expired := countExpiredLeases(queueServer{NewQueue[int](256, 3500*time.Millisecond)}, workers, perSecond); expired > 0 {
 		t.Errorf("%d leases expired", expired)
 	}
-	if expired := expiredLeases(&fifo{}, workers, perSecond); expired < 100 {
-		t.Errorf("%d leases expired in the order of arrival: the test shows nothing", expired)
+	if expired := countExpiredLeases(&fifoServer{}, workers, perSecond); expired < 100 {
+		t.Errorf("%d leases expired in the order of arrival, want at least 100: the load does not distinguish the two orders", expired)
 	}
 }
