--- a/internal/controller/autoscaler/autoscaler_test.go
+++ b/internal/controller/autoscaler/autoscaler_test.go
@@ -103,7 +103,7 @@
 func TestRefusalLeavesMachineReservable(t *testing.T) {
 	a := newAutoscaler(t)
 	m := addMachine(a, "vm-1")
-	m.Refused = true
+	m.PlacementRefused = true
 	reservable := len(a.planner.reservableMachines())
 	if a.table.Usable(m) || !m.Open() || reservable != 1 {
 		t.Errorf("usable %v, open %v, %d reservable machines", a.table.Usable(m), m.Open(), reservable)
--- a/internal/controller/autoscaler/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -100,7 +100,7 @@
 func (p *ReservationPlanner) mostMachinesInventoried() bool {
 	inventoried := 0
 	for _, m := range p.table.Machines {
-		if p.table.Recent(m, 3*p.Op.ReplicationInterval) && m.State.Heard {
+		if p.table.IsStateRecent(m, 3*p.Op.ReplicationInterval) && m.State.Heard {
 			inventoried++
 		}
 	}
--- a/internal/controller/autoscaler/reservabledemand.go
+++ b/internal/controller/autoscaler/reservabledemand.go
@@ -81,7 +81,7 @@
 	if !m.Open() || m.State.Epoch != m.Epoch {
 		return false
 	}
-	return p.table.Recent(m, 3*p.Op.ReplicationInterval) || len(p.reservations.Holds[m.ID]) > 0
+	return p.table.IsStateRecent(m, 3*p.Op.ReplicationInterval) || len(p.reservations.Holds[m.ID]) > 0
 }
 
 // expectedRuns returns the attempts on a machine with the times when they are expected to
--- a/internal/controller/autoscaler/scalein.go
+++ b/internal/controller/autoscaler/scalein.go
@@ -46,7 +46,7 @@
 			a.dropRecord(m)
 			continue
 		}
-		if m.State.Epoch != m.Epoch || !a.table.Recent(m, maxStateAge) {
+		if m.State.Epoch != m.Epoch || !a.table.IsStateRecent(m, maxStateAge) {
 			continue
 		}
 		id := m.ID
@@ -62,7 +62,7 @@
 		case empty && (m.State.Draining || m.State.Suspect):
 			ids = append(ids, id)
 		case a.planner.retainForReservation(m):
-		case empty && a.mayDrain(m, headroom) && claims.ReleaseMachine(m):
+		case empty && a.mayDrain(m, headroom) && claims.DeductMachine(m):
 			headroom -= m.Info.CPUs
 			a.Log.Info("returning an idle machine", "machine", id, "idle_s", int(a.idleSeconds(m)))
 			a.Send(a.DispatcherOf(id), message.PeerMessage{Drain: &id})
--- a/internal/controller/busyfleet_test.go
+++ b/internal/controller/busyfleet_test.go
@@ -149,6 +149,6 @@
 		}))
 	}
 	f.hear(0)
-	f.c.placer.Examined = 0
+	f.c.placer.ExaminedMachines = 0
 	return f
 }
--- a/internal/controller/classes_test.go
+++ b/internal/controller/classes_test.go
@@ -37,11 +37,11 @@
 	m := b.c.waitTable.Machines["vm-1"]
 	cl := b.c.placer.NewClaims()
 	small := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
-	if ok := cl.LeavesClaimed(small, m, resource.Need(&small.Job)); ok {
+	if ok := cl.LeavesClassReserves(small, m, resource.Need(&small.Job)); ok {
 		t.Error("another task may use the last reserved resources")
 	}
 	big := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 1}}}
-	if ok := cl.LeavesClaimed(big, m, resource.Need(&big.Job)); !ok {
+	if ok := cl.LeavesClassReserves(big, m, resource.Need(&big.Job)); !ok {
 		t.Error("the class itself may not use them")
 	}
 	b.c.Now += Time(10 * time.Minute)
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -153,12 +153,12 @@
 // once and at one more for each task, however many wait already.
 func TestPlacingLooksOnce(t *testing.T) {
 	w := fleetOf(t, 300, 3000)
-	before := w.c.placer.Examined
+	before := w.c.placer.ExaminedMachines
 	w.job("job-new", "free", 300)
 	if o := w.c.jobs.ByID["job-new"]; len(o.Placed) != 300 {
 		t.Fatalf("%d of 300 placed", len(o.Placed))
 	}
-	if n := w.c.placer.Examined - before; n > 600 {
+	if n := w.c.placer.ExaminedMachines - before; n > 600 {
 		t.Errorf("%d machines looked at for 300 tasks on 300 machines", n)
 	}
 }
@@ -236,7 +236,7 @@
 					f.c.placer.PlacePending()
 				}
 			}
-			b.ReportMetric(float64(f.c.placer.Examined)/float64(b.N), "looked/op")
+			b.ReportMetric(float64(f.c.placer.ExaminedMachines)/float64(b.N), "looked/op")
 		})
 	}
 }
@@ -253,8 +253,8 @@
 		f.c.Step(f.now, message.Tick{})
 	}
 	// Two passes for each gang that is tried: one for room, one to claim.
-	if most := 2 * 20 * 2 * placement.MaxExaminedForGangs; f.c.placer.Examined > most || f.c.placer.Examined < gangs*machines {
-		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.placer.Examined, gangs, most)
+	if most := 2 * 20 * 2 * placement.MaxExaminedForGangs; f.c.placer.ExaminedMachines > most || f.c.placer.ExaminedMachines < gangs*machines {
+		t.Errorf("%d machines looked at in 2 s for %d gangs, want %d at the most", f.c.placer.ExaminedMachines, gangs, most)
 	}
 	for i := range 8 { // machines come
 		id := protocol.MachineID(fmt.Sprintf("vm-new-%d", i))
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -32,12 +32,12 @@
 	if n := len(b.c.jobs.ByID); n < jobs*3/4 {
 		t.Fatalf("%d jobs owned", n)
 	}
-	before := b.c.placer.Examined
+	before := b.c.placer.ExaminedMachines
 	for range ticks {
 		b.c.waitTable.PlacementDue = true
 		b.step(message.Tick{})
 	}
-	if n := b.c.placer.Examined - before; n < machines || n > 2*ticks*placement.MaxExaminedForArrays {
+	if n := b.c.placer.ExaminedMachines - before; n < machines || n > 2*ticks*placement.MaxExaminedForArrays {
 		t.Errorf("%d machines examined in %d steps", n, ticks)
 	}
 	all := b.c.waitTable.InOrder()
--- a/internal/controller/heartbeat/queue.go
+++ b/internal/controller/heartbeat/queue.go
@@ -13,8 +13,8 @@
 // counts as never answered until its next answer.
 const maxMachines = 1 << 16
 
-// Waiting is a queued heartbeat that has not been answered yet.
-type Waiting[T any] struct {
+// QueuedHeartbeat is a queued heartbeat that has not been answered yet.
+type QueuedHeartbeat[T any] struct {
 	Machine    protocol.MachineID
 	Heartbeat  T
 	arrived    clock.Time
@@ -45,7 +45,7 @@
 // heartbeat that was just added.
 func (q *Queue[T]) Add(now clock.Time, machine protocol.MachineID, heartbeat T) (refused T, full bool) {
 	q.arrivalCount++
-	heap.Push(&q.waiting, Waiting[T]{
+	heap.Push(&q.waiting, QueuedHeartbeat[T]{
 		Machine:    machine,
 		Heartbeat:  heartbeat,
 		arrived:    now,
@@ -61,14 +61,14 @@
 			leastUrgent = i
 		}
 	}
-	return heap.Remove(&q.waiting, leastUrgent).(Waiting[T]).Heartbeat, true
+	return heap.Remove(&q.waiting, leastUrgent).(QueuedHeartbeat[T]).Heartbeat, true
 }
 
 // Next removes and returns the heartbeat to be answered next. The caller refuses the expired
 // heartbeats: their workers no longer wait for an answer.
-func (q *Queue[T]) Next(now clock.Time) (next Waiting[T], ok bool, expired []T) {
+func (q *Queue[T]) Next(now clock.Time) (next QueuedHeartbeat[T], ok bool, expired []T) {
 	for len(q.waiting) > 0 {
-		w := heap.Pop(&q.waiting).(Waiting[T])
+		w := heap.Pop(&q.waiting).(QueuedHeartbeat[T])
 		if now.Since(w.arrived) <= q.maxWait {
 			return w, true, expired
 		}
@@ -77,8 +77,8 @@
 	return next, false, expired
 }
 
-// Answered records that a machine's heartbeat was answered and its lease thereby renewed.
-func (q *Queue[T]) Answered(now clock.Time, machine protocol.MachineID) {
+// RecordAnswer records that a machine's heartbeat was answered and its lease thereby renewed.
+func (q *Queue[T]) RecordAnswer(now clock.Time, machine protocol.MachineID) {
 	if len(q.lastAnswers) >= maxMachines {
 		clear(q.lastAnswers)
 	}
--- a/internal/controller/heartbeat/queue_test.go
+++ b/internal/controller/heartbeat/queue_test.go
@@ -75,7 +75,7 @@
 			machine := 0
 			fmt.Sscan(string(next.Machine), &machine)
 			lastAnswer[machine] = now
-			q.Answered(clock.Time(now), next.Machine)
+			q.RecordAnswer(clock.Time(now), next.Machine)
 		}
 	})
 }
@@ -123,7 +123,7 @@
 	w, ok, _ := s.Next(now)
 	return w.Heartbeat, ok
 }
-func (s queueServer) answered(now clock.Time, worker int) { s.Answered(now, machineOf(worker)) }
+func (s queueServer) answered(now clock.Time, worker int) { s.RecordAnswer(now, machineOf(worker)) }
 
 // countExpiredLeases simulates workers that all send their heartbeats to one server, which
 // answers perSecond of them per second, and counts the leases that expire. A worker sends a
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -93,5 +93,5 @@
 func (q *heartbeatQueue) answered(now Time, machine protocol.MachineID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.queue.Answered(now, machine)
+	q.queue.RecordAnswer(now, machine)
 }
--- a/internal/controller/jobs/events.go
+++ b/internal/controller/jobs/events.go
@@ -82,7 +82,7 @@
 // markRefused excludes a machine from placement until its dispatcher's next update.
 func (o *Owned) markRefused(id protocol.MachineID) {
 	if m := o.table.Machines[id]; m != nil {
-		m.Refused = true
+		m.PlacementRefused = true
 	}
 }
 
--- a/internal/controller/jobs/slowmachines_test.go
+++ b/internal/controller/jobs/slowmachines_test.go
@@ -57,7 +57,7 @@
 			for i, m := range machines {
 				m.StateFrom = owned.table.Peers[owned.DispatcherOf(m.ID)]
 				if tc.recentUpdates {
-					m.StateFrom.Updates.At = owned.Now
+					m.StateFrom.Updates.MachinesReceivedAt = owned.Now
 				}
 				m.State.Draining = i > 0 && i <= tc.otherDraining
 			}
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -49,7 +49,7 @@
 	case m.Inventory != nil:
 		c.jobs.HandleInventory(from, m.Inventory)
 	case m.Added != nil:
-		c.waitTable.WaitsAdded(from, m.Added)
+		c.waitTable.ApplyWaitsAdded(from, m.Added)
 	case m.Relay != nil:
 		c.stateUpdated(from, m.Relay)
 	case m.Drain != nil:
@@ -65,6 +65,6 @@
 	case m.AskTable:
 		c.waitTable.SendCopy(from)
 	case m.Table != nil:
-		c.waitTable.Fill(m.Table)
+		c.waitTable.AdoptCopy(m.Table)
 	}
 }
--- a/internal/controller/placement/array.go
+++ b/internal/controller/placement/array.go
@@ -65,7 +65,7 @@
 	if peer := p.table.Peers[p.DispatcherOf(m.ID)]; peer != nil {
 		// The next Place message to that dispatcher will carry the placement.
 		p.table.AddPending(m, waittable.PendingWait{
-			Owner: p.Self, Number: peer.Placed + 1, Add: attempt.Estimate * job.CPUs, Level: job.Level, Taken: resource.Need(&job.Job),
+			Owner: p.Self, PlaceNumber: peer.LastPlaceNumber + 1, CPUSeconds: attempt.Estimate * job.CPUs, Level: job.Level, Need: resource.Need(&job.Job),
 		})
 	}
 	return message.Placement{
--- a/internal/controller/placement/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	p.Examined += len(p.table.InOrder())
+	p.ExaminedMachines += len(p.table.InOrder())
 	heap.Init(c)
 	return c
 }
@@ -165,7 +165,7 @@
 		return rankReserved
 	case c.avoidsSpot && m.Record.Spot:
 		return rankQueue
-	case c.claims.IsClaimed(c.job, m):
+	case c.claims.IsUsableByClassReserve(c.job, m):
 		return rankClaimed
 	}
 	return rankFree
@@ -208,12 +208,12 @@
 // classes. A queued task uses no capacity yet, and resources that a reservation holds for
 // the job are not part of a class reserve.
 func (c *candidates) usesClassReserve(entry *candidate) bool {
-	return entry.rank != rankQueue && entry.rank != rankReserved && !c.claims.LeavesClaimed(c.job, entry.machine, c.need)
+	return entry.rank != rankQueue && entry.rank != rankReserved && !c.claims.LeavesClassReserves(c.job, entry.machine, c.need)
 }
 
 // reevaluateTop evaluates the first candidate again after a task was placed on its machine.
 func (p *Placer) reevaluateTop(c *candidates) {
-	p.Examined++
+	p.ExaminedMachines++
 	found, ok := c.evaluate(c.heap[0].machine, p.rng.Uint32())
 	if !ok {
 		heap.Pop(c)
--- a/internal/controller/placement/candidates_test.go
+++ b/internal/controller/placement/candidates_test.go
@@ -30,11 +30,11 @@
 		}
 		wait, fitsNow := m.WaitFor(&job.Job, job.Level)
 		if fitsNow {
-			if !claims.LeavesClaimed(job, m, need) {
+			if !claims.LeavesClassReserves(job, m, need) {
 				continue
 			}
 			wait -= bonus
-			if !claims.IsClaimed(job, m) {
+			if !claims.IsUsableByClassReserve(job, m) {
 				wait -= bonus
 			}
 		} else if wait > MaxQueueWait.Seconds() && !m.NonPreemptibleFree(job.Level).Covers(need) {
@@ -92,7 +92,7 @@
 			OneZone: rapid.Bool().Draw(rt, "onezone"), Spread: rapid.Bool().Draw(rt, "spread"),
 		}})
 		reserved := &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 8, Spot: true}}
-		claims := &Claims{Classes: []ClassReserve{{Job: reserved, Need: resource.Need(&reserved.Job), Spare: rapid.IntRange(-2, 5).Draw(rt, "spare")}}}
+		claims := &Claims{Classes: []ClassReserve{{Job: reserved, Need: resource.Need(&reserved.Job), SpareTasks: rapid.IntRange(-2, 5).Draw(rt, "spare")}}}
 		zones := map[protocol.Zone]int{}
 		suitable := p.candidatesFor(job, zones, claims)
 		placed := 0
@@ -108,8 +108,8 @@
 			p.placeOnBest(suitable, i, m, p.jobs.NextAttempt(), zones)
 			placed++
 		}
-		if p.Examined > machines+placed {
-			rt.Errorf("%d machines examined for %d tasks on %d machines", p.Examined, placed, machines)
+		if p.ExaminedMachines > machines+placed {
+			rt.Errorf("%d machines examined for %d tasks on %d machines", p.ExaminedMachines, placed, machines)
 		}
 	})
 }
--- a/internal/controller/placement/claims.go
+++ b/internal/controller/placement/claims.go
@@ -33,24 +33,24 @@
 	return ok && job.Level >= claimed
 }
 
-// LeavesClaimed reports whether a task of a job can use a machine's resources without using
+// LeavesClassReserves reports whether a task of a job can use a machine's resources without using
 // the reserves of other classes.
-func (c *Claims) LeavesClaimed(job *jobs.Job, m *waittable.Machine, need resource.Amount) bool {
+func (c *Claims) LeavesClassReserves(job *jobs.Job, m *waittable.Machine, need resource.Amount) bool {
 	for i := range c.Classes {
 		reserve := &c.Classes[i]
 		if !reserve.restricts(job) || !reserve.canUse(m) {
 			continue
 		}
-		if cost := reserve.lostTaskSlots(m, need); cost > 0 && reserve.Spare < cost {
+		if cost := reserve.lostTaskSlots(m, need); cost > 0 && reserve.SpareTasks < cost {
 			return false
 		}
 	}
 	return true
 }
 
-// IsClaimed reports whether a class whose reserve the job may not use could use the
+// IsUsableByClassReserve reports whether a class whose reserve the job may not use could use the
 // machine.
-func (c *Claims) IsClaimed(job *jobs.Job, m *waittable.Machine) bool {
+func (c *Claims) IsUsableByClassReserve(job *jobs.Job, m *waittable.Machine) bool {
 	for i := range c.Classes {
 		if reserve := &c.Classes[i]; reserve.restricts(job) && reserve.canUse(m) {
 			return true
@@ -63,17 +63,17 @@
 func (c *Claims) deduct(m *waittable.Machine, need resource.Amount) {
 	for i := range c.Classes {
 		if reserve := &c.Classes[i]; reserve.canUse(m) {
-			reserve.Spare -= reserve.lostTaskSlots(m, need)
+			reserve.SpareTasks -= reserve.lostTaskSlots(m, need)
 		}
 	}
 }
 
-// ReleaseMachine deducts a whole machine from the spare capacity and reports whether the
+// DeductMachine deducts a whole machine from the spare capacity and reports whether the
 // reserves allow that. If they don't, it deducts nothing.
-func (c *Claims) ReleaseMachine(m *waittable.Machine) bool {
+func (c *Claims) DeductMachine(m *waittable.Machine) bool {
 	capacity := resource.Capacity(m.Info)
 	for i := range c.Classes {
-		if reserve := &c.Classes[i]; reserve.canUse(m) && reserve.Spare < reserve.lostTaskSlots(m, capacity) {
+		if reserve := &c.Classes[i]; reserve.canUse(m) && reserve.SpareTasks < reserve.lostTaskSlots(m, capacity) {
 			return false
 		}
 	}
@@ -94,7 +94,7 @@
 	Job        *clusterstate.LiveJob // a job of the class
 	avoidsSpot bool                  // spot machines do not count as capacity for the class
 	Need       resource.Amount       // resources that one task needs
-	Spare      int                   // tasks that fit beyond the reserved number; negative if too few fit
+	SpareTasks int                   // tasks that fit beyond the reserved number; negative if too few fit
 }
 
 // NewClaims returns the claims at the beginning of a step: the reserves of the classes and
@@ -107,10 +107,10 @@
 			continue
 		}
 		job := &clusterstate.LiveJob{Job: class.Job}
-		reserve := ClassReserve{Job: job, avoidsSpot: p.workload.AvoidsSpot(&job.Job), Need: resource.Need(&job.Job), Spare: -tasks}
+		reserve := ClassReserve{Job: job, avoidsSpot: p.workload.AvoidsSpot(&job.Job), Need: resource.Need(&job.Job), SpareTasks: -tasks}
 		for _, m := range p.table.Machines {
 			if p.table.Usable(m) && reserve.canUse(m) {
-				reserve.Spare += m.Unreserved().CountFitting(reserve.Need)
+				reserve.SpareTasks += m.Unreserved().CountFitting(reserve.Need)
 			}
 		}
 		claims.Classes = append(claims.Classes, reserve)
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -140,7 +140,7 @@
 func (p *Placer) countFittingByZone(job *jobs.Job, claims *Claims, withoutSpot bool) (now, preempting map[protocol.Zone]int) {
 	now, preempting = map[protocol.Zone]int{}, map[protocol.Zone]int{}
 	need, noZones := resource.Need(&job.Job), map[protocol.Zone]int{}
-	p.Examined += len(p.table.InOrder())
+	p.ExaminedMachines += len(p.table.InOrder())
 	feasible := p.Feasible(job, noZones)
 	for _, m := range p.table.InOrder() {
 		if !feasible(m) || claims.Blocks(job, m) || withoutSpot && m.Record.Spot {
@@ -171,7 +171,7 @@
 		}
 	}
 	remaining := int(job.Tasks)
-	p.Examined += len(p.table.InOrder())
+	p.ExaminedMachines += len(p.table.InOrder())
 	feasible := p.Feasible(job, noZones)
 	for _, m := range p.table.InOrder() {
 		if remaining <= 0 {
--- a/internal/controller/placement/placer.go
+++ b/internal/controller/placement/placer.go
@@ -43,8 +43,8 @@
 	// reached MaxMovesPerStep; the next tick continues after it. It is empty if the last
 	// rebalance covered all machines.
 	RebalancePosition protocol.MachineID
-	// Examined counts the machines examined for placements since the start.
-	Examined int
+	// ExaminedMachines counts the machines examined for placements since the start.
+	ExaminedMachines int
 }
 
 // New returns a Placer that has placed nothing.
@@ -54,12 +54,12 @@
 
 // Reset drops the failed searches and the time of the next round of an earlier session.
 func (p *Placer) Reset() {
-	p.ForgetSearches()
+	p.DropFailedSearches()
 	p.nextRoundAt = 0
 }
 
-// ForgetSearches drops the recorded searches that found no machine.
-func (p *Placer) ForgetSearches() { p.failedSearches = nil }
+// DropFailedSearches drops the recorded searches that found no machine.
+func (p *Placer) DropFailedSearches() { p.failedSearches = nil }
 
 // PlaceIfDue places pending tasks if a placing round is due, at most once per Interval. It
 // reports whether it ran a round.
--- a/internal/controller/placement/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -202,5 +202,5 @@
 	if tasks.excluded != nil && tasks.excluded(m) {
 		return false
 	}
-	return job.Allows(m, zones) && claims.LeavesClaimed(job, m, tasks.need)
+	return job.Allows(m, zones) && claims.LeavesClassReserves(job, m, tasks.need)
 }
--- a/internal/controller/placement/round.go
+++ b/internal/controller/placement/round.go
@@ -16,10 +16,10 @@
 type round struct {
 	usage         map[protocol.Team]resource.Amount
 	claims        *Claims
-	batches       map[protocol.NodeName][]message.Placement  // by dispatcher
-	waits         map[protocol.MachineID]*waittable.OwnWaits // to be announced to the peers
-	remaining     int                                        // placements that the step may still make
-	unplacedGangs int                                        // pending gangs whose last placement attempt failed
+	batches       map[protocol.NodeName][]message.Placement          // by dispatcher
+	waits         map[protocol.MachineID]*waittable.UnannouncedWaits // to be announced to the peers
+	remaining     int                                                // placements that the step may still make
+	unplacedGangs int                                                // pending gangs whose last placement attempt failed
 }
 
 // PlacePending places the pending tasks of the owned jobs, each once and on the machine with
@@ -33,7 +33,7 @@
 		usage:     p.jobs.TeamUsage(),
 		claims:    p.NewClaims(),
 		batches:   map[protocol.NodeName][]message.Placement{},
-		waits:     map[protocol.MachineID]*waittable.OwnWaits{},
+		waits:     map[protocol.MachineID]*waittable.UnannouncedWaits{},
 		remaining: MaxPerStep,
 	}
 	r.claims.headroomCPUs = p.headroom() // NewClaims leaves it at 0: only placing rounds use the headroom
@@ -51,7 +51,7 @@
 		}
 	}
 	p.sendPlacements(r.batches)
-	p.table.SendWaits(r.waits)
+	p.table.AnnounceWaits(r.waits)
 }
 
 // countUnplacedGangs counts the pending gangs whose last placement attempt failed.
@@ -88,14 +88,14 @@
 		return nil
 	}
 	var placed []message.Placement
-	examinedBefore := p.Examined
+	examinedBefore := p.ExaminedMachines
 	job.ClaimedMachines = nil
 	if gang {
 		placed = p.PlaceGang(job, r.usage, r.claims)
 	} else {
 		placed = p.placeArray(job, r.usage, maxTasks, r.claims)
 	}
-	job.SearchFailed, job.SearchedAt = gang && len(placed) == 0 && p.Examined > examinedBefore, p.Now
+	job.SearchFailed, job.SearchedAt = gang && len(placed) == 0 && p.ExaminedMachines > examinedBefore, p.Now
 	return placed
 }
 
@@ -107,11 +107,11 @@
 		r.batches[dispatcher] = append(r.batches[dispatcher], placement)
 		waits := r.waits[placement.Machine]
 		if waits == nil {
-			waits = &waittable.OwnWaits{}
+			waits = &waittable.UnannouncedWaits{}
 			r.waits[placement.Machine] = waits
 		}
-		waits.Add += placement.EstimateS * placement.CPUs
-		waits.Taken.Add(resource.Level(placement.Level), placement.Need())
+		waits.CPUSeconds += placement.EstimateS * placement.CPUs
+		waits.Uses.Add(resource.Level(placement.Level), placement.Need())
 	}
 }
 
@@ -123,12 +123,12 @@
 		if peer == nil {
 			continue
 		}
-		peer.Placed++
+		peer.LastPlaceNumber++
 		for _, placement := range tasks {
 			if job := p.jobs.ByID[placement.Task.Job]; job != nil && job.Placed[placement.Task] != nil {
-				job.Placed[placement.Task].PlaceNumber = peer.Placed
+				job.Placed[placement.Task].PlaceNumber = peer.LastPlaceNumber
 			}
 		}
-		p.Send(dispatcher, message.PeerMessage{Place: &message.Place{Number: peer.Placed, Term: p.View.Term, Configuration: revision, Tasks: tasks}})
+		p.Send(dispatcher, message.PeerMessage{Place: &message.Place{Number: peer.LastPlaceNumber, Term: p.View.Term, Configuration: revision, Tasks: tasks}})
 	}
 }
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -32,7 +32,7 @@
 	}
 	var previous *message.StateUpdate // as sent to the peer before
 	for name, peer := range ordered.Of(c.waitTable.Peers) {
-		if !regular && !peer.Updates.Short {
+		if !regular && !peer.Updates.Truncated {
 			continue
 		}
 		update := c.newUpdate(name, peer)
@@ -45,7 +45,7 @@
 			update.Demand = previous.Demand
 		}
 		c.fillMachines(update, &peer.Updates.MachinesTo, previous)
-		peer.Updates.Short = update.Handled == nil
+		peer.Updates.Truncated = update.Handled == nil
 		c.jobs.FillUpdate(update, &peer.Updates.JobsTo, statesMost)
 		c.Send(name, message.PeerMessage{Relay: update})
 		previous = update
@@ -142,12 +142,12 @@
 		c.reservations.Set(update.Holds.List)
 	}
 	if streams.MachinesFrom.Accept(update.Machines) {
-		streams.At = c.Now
+		streams.MachinesReceivedAt = c.Now
 		for _, state := range update.States {
 			c.waitTable.ApplyMachineState(from, peer, state)
 		}
 		if update.Handled != nil {
-			c.waitTable.DropCounted(peer, update.Handled)
+			c.waitTable.DropIncludedWaits(peer, update.Handled)
 		}
 	}
 	if streams.JobsFrom.Accept(update.Jobs) {
--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -185,7 +185,7 @@
 	if p.number > m.lastIncluded {
 		m.open[p.number] = p
 	}
-	m.core.waitTable.WaitsAdded("node-1", &message.WaitsAdded{
+	m.core.waitTable.ApplyWaitsAdded("node-1", &message.WaitsAdded{
 		Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
 		Waits: []message.WaitChange{{Machine: p.id, Add: p.add, Taken: []message.LevelUse{{CPUs: 1}}}},
 	})
@@ -346,11 +346,11 @@
 	}})
 	b.machine(id, 1)
 	m := b.c.waitTable.Machines[id]
-	if m.Free().CPUs != 3 || !b.c.waitTable.Recent(m, time.Minute) {
+	if m.Free().CPUs != 3 || !b.c.waitTable.IsStateRecent(m, time.Minute) {
 		t.Errorf("free %+v, state %+v", m.Free(), m.State)
 	}
 	b.view(2, "node-0", "node-1")
-	if b.c.waitTable.Recent(m, time.Minute) {
+	if b.c.waitTable.IsStateRecent(m, time.Minute) {
 		t.Error("a state of an earlier term counts as recent")
 	}
 }
--- a/internal/controller/tablecopy_test.go
+++ b/internal/controller/tablecopy_test.go
@@ -38,8 +38,8 @@
 func TestFirstTableCopyIsAdopted(t *testing.T) {
 	b := newBench(t, "node-1", "node-2", "node-3", "node-4")
 	b.machine("vm-1", 1)
-	b.c.waitTable.Fill([]message.WaitChange{{Machine: "vm-1", Add: 7}})
-	b.c.waitTable.Fill([]message.WaitChange{{Machine: "vm-1", Add: 9}})
+	b.c.waitTable.AdoptCopy([]message.WaitChange{{Machine: "vm-1", Add: 7}})
+	b.c.waitTable.AdoptCopy([]message.WaitChange{{Machine: "vm-1", Add: 9}})
 	if got := b.c.waitTable.Machines["vm-1"].Wait(); got != 7 {
 		t.Errorf("wait %v, want the first table's", got)
 	}
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -28,7 +28,7 @@
 		c.workBetween()
 	}
 	c.registrar.Write()
-	c.waitTable.AskMorePeers()
+	c.waitTable.RequestMoreCopies()
 	c.jobs.Retry()
 }
 
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -34,7 +34,7 @@
 	c.beginUpdates()
 	c.dispatcher.BeginInventories()
 	if !wasMember {
-		c.waitTable.AskPeers()
+		c.waitTable.RequestCopy()
 	}
 	c.autoscaler.ViewAdopted(c.Now)
 }
@@ -43,7 +43,7 @@
 // members take them over.
 func (c *Core) dropWork() {
 	c.jobs.DropAll()
-	c.placer.ForgetSearches()
+	c.placer.DropFailedSearches()
 	c.waitTable.PlacementDue = false
 	c.dispatcher.DropAllQueues()
 }
@@ -65,7 +65,7 @@
 	}
 	if len(moved) > 0 {
 		c.jobs.HandleShardsMoved(moved)
-		c.waitTable.ShardsMoved(moved)
+		c.waitTable.HandleMovedShards(moved)
 	}
 	c.dispatcher.AdoptShards(old)
 }
--- a/internal/controller/waittable/machine.go
+++ b/internal/controller/waittable/machine.go
@@ -16,18 +16,18 @@
 // published, and the announced placements that this state does not include yet.
 type Machine struct {
 	*clusterstate.Machine
-	State           message.MachineState // state last published by the machine's dispatcher
-	StateFrom       *Peer                // session of the dispatcher that published State in this term; nil: none
-	StateReceivedAt clock.Time           // when State was received
-	PendingWaits    []PendingWait        // announced placements that State does not include
-	PendingSum      float64              // sum of the waits in PendingWaits, in processor seconds
-	PendingUses     resource.Uses        // resources that the placements in PendingWaits use
-	Reserved        resource.Amount      // free resources of the machine that are held for reservations now
-	copiedWait      float64              // wait in processor seconds copied from a peer's table, until a state is published
-	AnnouncedUses   resource.Uses        // resources of the attempts that the dispatcher has queued or started on the machine
-	Refused         bool                 // the dispatcher refused a placement and has published no state since
-	LateRuns        int                  // tasks owned here that recently ran too long on the machine
-	LastLateRun     clock.Time           // when the last task in LateRuns was detected
+	State            message.MachineState // state last published by the machine's dispatcher
+	StateFrom        *Peer                // session of the dispatcher that published State in this term; nil: none
+	StateReceivedAt  clock.Time           // when State was received
+	PendingWaits     []PendingWait        // announced placements that State does not include
+	PendingSum       float64              // sum of the waits in PendingWaits, in processor seconds
+	PendingUses      resource.Uses        // resources that the placements in PendingWaits use
+	Reserved         resource.Amount      // free resources of the machine that are held for reservations now
+	copiedWait       float64              // wait in processor seconds copied from a peer's table, until a state is published
+	AnnouncedUses    resource.Uses        // resources of the attempts that the dispatcher has queued or started on the machine
+	PlacementRefused bool                 // the dispatcher refused a placement and has published no state since
+	LateRuns         int                  // tasks owned here that recently ran too long on the machine
+	LastLateRun      clock.Time           // when the last task in LateRuns was detected
 }
 
 // Wait is the machine's expected wait in processor seconds: that of its published state, or
@@ -124,8 +124,8 @@
 func (m *Machine) recomputeWait() {
 	m.PendingSum, m.PendingUses = 0, resource.Uses{}
 	for _, w := range m.PendingWaits {
-		m.PendingSum += w.Add
-		m.PendingUses.Add(w.Level, w.Taken)
+		m.PendingSum += w.CPUSeconds
+		m.PendingUses.Add(w.Level, w.Need)
 	}
 }
 
--- a/internal/controller/waittable/pending.go
+++ b/internal/controller/waittable/pending.go
@@ -12,11 +12,11 @@
 // PendingWait is one placement, or several at once on one machine, that an owner has
 // announced and that the state published by the machine's dispatcher does not include yet.
 type PendingWait struct {
-	Owner  protocol.NodeName // controller that made the placement
-	Number uint64            // number of the owner's Place message to the dispatcher with the placement
-	Add    float64           // wait that the placement adds, in processor seconds
-	Level  resource.Level    // level of the placed tasks
-	Taken  resource.Amount   // resources that the placed tasks need
+	Owner       protocol.NodeName // controller that made the placement
+	PlaceNumber uint64            // number of the owner's Place message to the dispatcher with the placement
+	CPUSeconds  float64           // wait that the placement adds, in processor seconds
+	Level       resource.Level    // level of the placed tasks
+	Need        resource.Amount   // resources that the placed tasks need
 }
 
 // AddPending adds a placement to the machine's pending placements, where it is counted until
@@ -27,15 +27,15 @@
 		return
 	}
 	m.PendingWaits = append(m.PendingWaits, w)
-	m.PendingSum += w.Add
-	m.PendingUses.Add(w.Level, w.Taken)
+	m.PendingSum += w.CPUSeconds
+	m.PendingUses.Add(w.Level, w.Need)
 	peer.Updates.pendingMachines[m] = true
 }
 
-// WaitsAdded adds the placements that another controller announced, except those that a
+// ApplyWaitsAdded adds the placements that another controller announced, except those that a
 // published state of their dispatcher already includes: the messages of the other controller
 // and of the dispatcher may arrive in either order.
-func (t *Table) WaitsAdded(from protocol.NodeName, announcement *message.WaitsAdded) {
+func (t *Table) ApplyWaitsAdded(from protocol.NodeName, announcement *message.WaitsAdded) {
 	if announcement.Term != t.View.Term {
 		return // the dispatcher refuses the placements, or its state of this term includes them
 	}
@@ -55,31 +55,31 @@
 				add = w.Add
 			}
 			t.AddPending(m, PendingWait{
-				Owner: from, Number: number, Add: add,
-				Level: resource.Level(use.Level), Taken: resource.Amount{CPUs: use.CPUs, GPUs: use.GPUs, GB: use.GB},
+				Owner: from, PlaceNumber: number, CPUSeconds: add,
+				Level: resource.Level(use.Level), Need: resource.Amount{CPUs: use.CPUs, GPUs: use.GPUs, GB: use.GB},
 			})
 		}
 	}
 }
 
-// OwnWaits is the sum of the placements that this controller has made on a machine and not
+// UnannouncedWaits is the sum of the placements that this controller has made on a machine and not
 // announced yet.
-type OwnWaits struct {
-	Add   float64       // wait that the placements add, in processor seconds
-	Taken resource.Uses // resources that the placements use
+type UnannouncedWaits struct {
+	CPUSeconds float64       // wait that the placements add, in processor seconds
+	Uses       resource.Uses // resources that the placements use
 }
 
-// SendWaits announces the placements of one placing round to every peer, in one message.
-func (t *Table) SendWaits(added map[protocol.MachineID]*OwnWaits) {
+// AnnounceWaits announces the placements of one placing round to every peer, in one message.
+func (t *Table) AnnounceWaits(added map[protocol.MachineID]*UnannouncedWaits) {
 	if len(added) == 0 {
 		return
 	}
 	announcement := &message.WaitsAdded{Term: t.View.Term, Numbers: map[protocol.NodeName]uint64{}}
 	for id, w := range ordered.Of(added) {
-		announcement.Waits = append(announcement.Waits, message.WaitChange{Machine: id, Add: w.Add, Taken: message.LevelUses(&w.Taken)})
+		announcement.Waits = append(announcement.Waits, message.WaitChange{Machine: id, Add: w.CPUSeconds, Taken: message.LevelUses(&w.Uses)})
 		dispatcher := t.DispatcherOf(id)
 		if peer := t.Peers[dispatcher]; peer != nil {
-			announcement.Numbers[dispatcher] = peer.Placed
+			announcement.Numbers[dispatcher] = peer.LastPlaceNumber
 		}
 	}
 	for name := range ordered.Of(t.Peers) {
@@ -124,15 +124,15 @@
 	return remaining
 }
 
-// DropCounted drops the pending placements that the published state of a dispatcher now
+// DropIncludedWaits drops the pending placements that the published state of a dispatcher now
 // includes. handled is, by owner, the number of the last Place message that the dispatcher
 // has handled.
-func (t *Table) DropCounted(peer *Peer, handled map[protocol.NodeName]uint64) {
+func (t *Table) DropIncludedWaits(peer *Peer, handled map[protocol.NodeName]uint64) {
 	for owner, number := range handled {
 		peer.Updates.handledPlaces[owner] = max(peer.Updates.handledPlaces[owner], number)
 	}
 	for m := range peer.Updates.pendingMachines {
-		included := func(w PendingWait) bool { return w.Number <= peer.Updates.handledPlaces[w.Owner] }
+		included := func(w PendingWait) bool { return w.PlaceNumber <= peer.Updates.handledPlaces[w.Owner] }
 		if slices.ContainsFunc(m.PendingWaits, included) {
 			m.PendingWaits = removeWaits(m.PendingWaits, included)
 			m.recomputeWait()
--- a/internal/controller/waittable/table.go
+++ b/internal/controller/waittable/table.go
@@ -30,11 +30,11 @@
 
 // Peer is the state of the present session of a controller, including this one.
 type Peer struct {
-	Session  protocol.LeaseID
-	Placed   uint64                              // number of the last Place message sent to it
-	Updates  PeerUpdates                         // replicated streams between it and this controller
-	Demand   []message.Demand                    // unstarted work of the jobs that the controller owns
-	Progress map[protocol.JobID]message.Progress // progress of the jobs that the controller owns
+	Session         protocol.LeaseID
+	LastPlaceNumber uint64                              // number of the last Place message sent to it
+	Updates         PeerUpdates                         // replicated streams between it and this controller
+	Demand          []message.Demand                    // unstarted work of the jobs that the controller owns
+	Progress        map[protocol.JobID]message.Progress // progress of the jobs that the controller owns
 	// Configuration is the effective configuration revision that the controller last
 	// reported, and ConfiguredAt the time of that report; 0 if it has reported none.
 	Configuration record.ConfigurationRevision
@@ -101,7 +101,7 @@
 
 // Usable reports whether tasks may be placed on a machine.
 func (t *Table) Usable(m *Machine) bool {
-	return m.Open() && !m.Refused && !t.PlaceClosed(m.Record.Type, m.Record.Zone)
+	return m.Open() && !m.PlacementRefused && !t.PlaceClosed(m.Record.Type, m.Record.Zone)
 }
 
 // AdoptPeers adopts the members of a view: it drops the peers whose sessions have ended or
@@ -135,10 +135,10 @@
 	}
 }
 
-// ShardsMoved handles a change of the holders of the given shards: the states of the shards'
+// HandleMovedShards handles a change of the holders of the given shards: the states of the shards'
 // machines no longer count as published by their present dispatchers, and the pending
 // placements on these machines are dropped.
-func (t *Table) ShardsMoved(moved map[sharding.ID]bool) {
+func (t *Table) HandleMovedShards(moved map[sharding.ID]bool) {
 	for id, m := range t.Machines {
 		if !moved[sharding.ShardOf(t.Shards, id, m.Record.Zone)] {
 			continue
@@ -154,8 +154,8 @@
 	}
 }
 
-// Recent reports whether a machine's state was published by its present dispatcher in this
+// IsStateRecent reports whether a machine's state was published by its present dispatcher in this
 // term, and was up to date at most maxAge ago.
-func (t *Table) Recent(m *Machine, maxAge time.Duration) bool {
-	return m.StateFrom != nil && m.StateFrom == t.Peers[t.DispatcherOf(m.ID)] && t.Since(m.StateFrom.Updates.At) <= maxAge
+func (t *Table) IsStateRecent(m *Machine, maxAge time.Duration) bool {
+	return m.StateFrom != nil && m.StateFrom == t.Peers[t.DispatcherOf(m.ID)] && t.Since(m.StateFrom.Updates.MachinesReceivedAt) <= maxAge
 }
--- a/internal/controller/waittable/tablecopy.go
+++ b/internal/controller/waittable/tablecopy.go
@@ -17,9 +17,9 @@
 	received     bool                // whether a copy has arrived
 }
 
-// AskPeers starts a restarted controller's search for a copy of a table: it sends requests
-// to two random peers, and AskMorePeers sends two more each time no reply arrives in time.
-func (t *Table) AskPeers() {
+// RequestCopy starts a restarted controller's search for a copy of a table: it sends requests
+// to two random peers, and RequestMoreCopies sends two more each time no reply arrives in time.
+func (t *Table) RequestCopy() {
 	t.copySearch = copySearch{}
 	for name := range ordered.Of(t.Peers) {
 		if name != t.Self {
@@ -28,12 +28,12 @@
 	}
 	names := t.copySearch.unaskedPeers
 	t.rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-	t.AskMorePeers()
+	t.RequestMoreCopies()
 }
 
-// AskMorePeers requests the tables of the next peers, unless a copy has been received, all
+// RequestMoreCopies requests the tables of the next peers, unless a copy has been received, all
 // peers have been asked, or the peers asked last may still reply.
-func (t *Table) AskMorePeers() {
+func (t *Table) RequestMoreCopies() {
 	awaitingReply := t.copySearch.requestedAt != 0 && t.Since(t.copySearch.requestedAt) < t.Op.CopyWait
 	if t.copySearch.received || len(t.copySearch.unaskedPeers) == 0 || awaitingReply {
 		return
@@ -59,9 +59,9 @@
 	}
 }
 
-// Fill adopts the first copy of a table that arrives and ignores later copies. States
+// AdoptCopy adopts the first copy of a table that arrives and ignores later copies. States
 // published by the machines' dispatchers replace the copied waits.
-func (t *Table) Fill(waits []message.WaitChange) {
+func (t *Table) AdoptCopy(waits []message.WaitChange) {
 	if t.copySearch.received {
 		return
 	}
--- a/internal/controller/waittable/tablecopy_test.go
+++ b/internal/controller/waittable/tablecopy_test.go
@@ -47,25 +47,25 @@
 // its peers, from two others if no reply arrives in time, and from no peer twice.
 func TestCopyIsRequestedFromTwoPeersAtATime(t *testing.T) {
 	table := newTable(t, "node-1", "node-2", "node-3", "node-4")
-	table.AskPeers()
+	table.RequestCopy()
 	asked := takeRequestedPeers(table)
 	if len(asked) != 2 {
 		t.Fatalf("asked %v at first, want two peers", asked)
 	}
 	table.Now += clock.Time(copyWait) - 1
-	table.AskMorePeers()
+	table.RequestMoreCopies()
 	if early := takeRequestedPeers(table); len(early) != 0 {
 		t.Fatalf("asked %v before the wait was over", early)
 	}
 	table.Now++
-	table.AskMorePeers()
+	table.RequestMoreCopies()
 	asked = append(asked, takeRequestedPeers(table)...)
 	slices.Sort(asked)
 	if want := []protocol.NodeName{"node-1", "node-2", "node-3", "node-4"}; !slices.Equal(asked, want) {
 		t.Errorf("asked %v in all, want %v", asked, want)
 	}
 	table.Now += clock.Time(copyWait)
-	table.AskMorePeers()
+	table.RequestMoreCopies()
 	if again := takeRequestedPeers(table); len(again) != 0 {
 		t.Errorf("asked %v again", again)
 	}
@@ -74,11 +74,11 @@
 // TestNoRequestsAfterCopyReceived: once a copy has arrived, no further requests are sent.
 func TestNoRequestsAfterCopyReceived(t *testing.T) {
 	table := newTable(t, "node-1", "node-2", "node-3", "node-4")
-	table.AskPeers()
+	table.RequestCopy()
 	takeRequestedPeers(table)
-	table.Fill(nil)
+	table.AdoptCopy(nil)
 	table.Now += clock.Time(copyWait)
-	table.AskMorePeers()
+	table.RequestMoreCopies()
 	if asked := takeRequestedPeers(table); len(asked) != 0 {
 		t.Errorf("asked %v after a copy had arrived", asked)
 	}
--- a/internal/controller/waittable/updates.go
+++ b/internal/controller/waittable/updates.go
@@ -24,8 +24,8 @@
 	// HoldsTo is the number of this controller's list of holds that the peer has received,
 	// and HoldsFrom the number of the peer's list that this controller has received.
 	HoldsTo, HoldsFrom uint64
-	Short              bool       // the last update to the peer could not hold all machine changes
-	At                 clock.Time // when the peer's machine stream was last received in this term
+	Truncated          bool       // the last update to the peer could not hold all machine changes
+	MachinesReceivedAt clock.Time // when the peer's machine stream was last received in this term
 	// handledPlaces is, by owner, the number of the last Place message that the peer's
 	// published states include.
 	handledPlaces map[protocol.NodeName]uint64
@@ -65,7 +65,7 @@
 
 // replaceState replaces the state of a machine by the one that peer, its dispatcher, published.
 func (t *Table) replaceState(m *Machine, peer *Peer, state message.MachineState) {
-	if (m.State.Closed || m.Refused) && !state.Closed || m.State.Epoch == 0 {
+	if (m.State.Closed || m.PlacementRefused) && !state.Closed || m.State.Epoch == 0 {
 		t.PlacementDue = true
 	}
 	state.Runs = keepEarlierEnds(m.State.Runs, state.Runs)
@@ -73,7 +73,7 @@
 		state.Runs = m.State.Runs // the new dispatcher has received no heartbeat yet
 	}
 	m.State, m.StateFrom, m.StateReceivedAt = state, peer, t.Now
-	m.copiedWait, m.Refused = 0, false
+	m.copiedWait, m.PlacementRefused = 0, false
 	m.AnnouncedUses = resource.Uses{}
 	message.AddLevelUses(&m.AnnouncedUses, state.Uses)
 }
@@ -119,7 +119,7 @@
 		updates.MachinesTo, updates.JobsTo = replication.Cursor{}, replication.Cursor{}
 		updates.MachinesFrom.Begin(uint64(t.View.Term))
 		updates.JobsFrom.Begin(uint64(t.View.Term))
-		updates.At, updates.Short = 0, false
+		updates.MachinesReceivedAt, updates.Truncated = 0, false
 		updates.HoldsTo, updates.HoldsFrom = 0, 0
 		clear(updates.earlyStates)
 	}
