--- a/internal/controller/membership/members.go
+++ b/internal/controller/membership/members.go
@@ -12,31 +12,33 @@
 	"damsonkeel/internal/record"
 )
 
-// Members is the membership of the cluster as this controller sees it: the registered
-// controllers, the view and when the next one is due, and the peers' sessions.
+// Members holds the membership of the cluster as this controller has observed it: the
+// registered controllers, the state of writing the next view, and the peers' sessions.
 type Members struct {
 	clusterstate.Module
-	nodes   map[protocol.NodeName]record.Node // registered in the key-value store
-	writing bool                              // a transaction on the view or the shard table is in flight
-	retryAt clock.Time                        // no transaction is sent before
-	// writtenOn is the version of the shard table that the last change was based on, and
-	// writtenAt when it was sent: no other change is sent until that one is observed.
-	writtenOn      protocol.Version
-	writtenAt      clock.Time
+	nodes map[protocol.NodeName]record.Node // controllers registered in the key-value store
+	// writeInFlight is set while a transaction on the view or the shard table is in flight.
+	writeInFlight bool
+	retryAt       clock.Time // earliest time at which the next transaction may be sent
+	// lastWriteBase is the version of the shard table that the last change was based on,
+	// and lastWriteAt is when that change was sent. No other change is sent until that
+	// one is observed.
+	lastWriteBase  protocol.Version
+	lastWriteAt    clock.Time
 	balancer       sharding.Balancer
-	requestedMoves []sharding.Move // requested by operators, not sent yet
+	requestedMoves []sharding.Move // moves that operators requested and that are not sent yet
 	reachability   reachability
 	peers          map[protocol.NodeName]*peer
 }
 
-// New returns a Members that knows no controller yet.
+// New returns a Members without any registered controllers.
 func New(module clusterstate.Module) *Members {
 	ms := &Members{Module: module}
 	ms.Reset()
 	return ms
 }
 
-// Reset discards all that was known in a session.
+// Reset discards all state of the previous session.
 func (ms *Members) Reset() {
 	*ms = Members{
 		Module:       ms.Module,
@@ -46,10 +48,10 @@
 	}
 }
 
-// Present notes that a controller is registered.
+// Present records that a controller is registered.
 func (ms *Members) Present(name protocol.NodeName, node record.Node) { ms.nodes[name] = node }
 
-// Absent notes that a controller's registration was deleted with its lease.
+// Absent records that a controller's registration was deleted with its lease.
 func (ms *Members) Absent(name protocol.NodeName) { delete(ms.nodes, name) }
 
 // IsPresent reports whether a controller is registered.
@@ -66,13 +68,14 @@
 	})
 }
 
-// BlockingLayout lists the registered controllers that do not support a layout: while
-// there are any, the layout does not come into use.
+// BlockingLayout lists the registered controllers that do not support a layout. The
+// layout is not used while there are any.
 func (ms *Members) BlockingLayout(layout record.Layout) []protocol.NodeName {
 	return ms.nodesWhere(func(node record.Node) bool { return node.Layout < layout })
 }
 
-// nodesWhere lists the registered controllers that match, in order of their names.
+// nodesWhere lists the registered controllers that match a condition, in order of their
+// names.
 func (ms *Members) nodesWhere(match func(record.Node) bool) []protocol.NodeName {
 	var names []protocol.NodeName
 	for name, node := range ordered.Of(ms.nodes) {
@@ -99,7 +102,7 @@
 	return list
 }
 
-// zones returns the zone of each controller, as the settings have it.
+// zones returns the zone of each controller according to the settings.
 func (ms *Members) zones() map[protocol.NodeName]protocol.Zone {
 	zones := map[protocol.NodeName]protocol.Zone{ms.Self: ms.Settings.Zone}
 	for _, member := range ms.Settings.Members {
--- a/internal/controller/membership/peers.go
+++ b/internal/controller/membership/peers.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// contactUpdates is after how many intervals of the regular state updates without
-	// any a peer no longer counts as in contact.
-	contactUpdates = 3
-	// isolatedAfter is how long a controller without a lease that receives nothing from
-	// any peer goes on accepting users' connections.
-	isolatedAfter = 10 * time.Second
+	// contactIntervals is the number of state update intervals after which a peer that
+	// has sent no update no longer counts as in contact.
+	contactIntervals = 3
+	// isolationTimeout is how long after the end of its lease a controller that receives
+	// nothing from any peer still accepts users' connections.
+	isolationTimeout = 10 * time.Second
 )
 
-// peer is what is known of the present session of a member of the view.
+// peer is the state of the current session of a member of the view.
 type peer struct {
-	session     protocol.LeaseID
-	term        protocol.Term // the highest that it is known to have adopted
-	shardsEpoch protocol.Term // the highest epoch of the shard table that it is known to have observed
-	next        uint64        // number of the next message expected
-	leaseHeldAt clock.Time    // when it last said that it holds its lease
-	load        message.Load  // as it last said
-	// firstContact and lastContact are when it first and last said its load.
+	session             protocol.LeaseID
+	adoptedTerm         protocol.Term // highest term that it has reported to have adopted
+	observedShardsEpoch protocol.Term // highest epoch of the shard table that it has reported to have observed
+	nextMessage         uint64        // number of the next message expected from it
+	leaseHeldAt         clock.Time    // when it last reported that it holds its lease
+	load                message.Load  // load that it last reported
+	// firstContact and lastContact are when it first and last reported its load.
 	firstContact, lastContact clock.Time
 }
 
-// NoteLoad records the load that a peer, or this controller, reports of itself.
+// NoteLoad records the load that a peer, or this controller itself, has reported.
 func (ms *Members) NoteLoad(name protocol.NodeName, load message.Load) {
 	p := ms.peers[name]
 	if p == nil {
@@ -43,7 +43,7 @@
 	p.lastContact = ms.Now
 }
 
-// NoteLeading notes that a peer says that it holds its lease.
+// NoteLeading records that a peer has reported that it holds its lease.
 func (ms *Members) NoteLeading(name protocol.NodeName) {
 	if p := ms.peers[name]; p != nil {
 		p.leaseHeldAt = ms.Now
@@ -56,32 +56,34 @@
 	return p != nil && p.load.Leaving
 }
 
-// recent reports whether a time is known and not longer ago than a peer in contact
-// takes for its next state update.
-func (ms *Members) recent(at clock.Time) bool {
-	return at != 0 && ms.Since(at) < contactUpdates*ms.Op.ReplicationInterval
+// isRecent reports whether a time is set and less than contactIntervals update intervals
+// ago: a peer in contact sends its next state update within that time.
+func (ms *Members) isRecent(at clock.Time) bool {
+	return at != 0 && ms.Since(at) < contactIntervals*ms.Op.ReplicationInterval
 }
 
-// Received accepts a peer's batch and returns the messages in it that are new. Batches
-// of sessions that have ended are dropped: the network may deliver them minutes late.
-func (ms *Members) Received(batch message.Batch) (fresh []message.PeerMessage) {
+// Received replies to a peer's batch and returns the messages in it that were not
+// received before. Batches of sessions that have ended are dropped: the network may
+// deliver them minutes late.
+func (ms *Members) Received(batch message.Batch) (newMessages []message.PeerMessage) {
 	reply := ms.classify(&batch)
 	if reply == message.BatchAccepted {
 		p := ms.peers[batch.From]
-		p.term = max(p.term, batch.Term)
-		p.shardsEpoch = max(p.shardsEpoch, batch.Shares)
-		if batch.First > p.next {
-			reply = message.BatchStale // a gap: this can't be the same stream
-		} else if known := p.next - batch.First; known < uint64(len(batch.Messages)) {
-			fresh = batch.Messages[known:]
-			p.next += uint64(len(fresh))
+		p.adoptedTerm = max(p.adoptedTerm, batch.Term)
+		p.observedShardsEpoch = max(p.observedShardsEpoch, batch.Shares)
+		if batch.First > p.nextMessage {
+			reply = message.BatchStale // a gap in the numbers: the batch belongs to another stream
+		} else if duplicates := p.nextMessage - batch.First; duplicates < uint64(len(batch.Messages)) {
+			newMessages = batch.Messages[duplicates:]
+			p.nextMessage += uint64(len(newMessages))
 		}
 	}
 	ms.Emit(message.ReplyBatch{Reply: reply})
-	return fresh
+	return newMessages
 }
 
-// classify decides by its sessions and its term whether a batch is accepted.
+// classify decides by a batch's sessions, term and shard table epoch whether it is
+// accepted.
 func (ms *Members) classify(batch *message.Batch) message.BatchReply {
 	if batch.ToSession != ms.Session {
 		return message.BatchStale
@@ -97,65 +99,67 @@
 	return message.BatchStale
 }
 
-// AllAdopted reports whether every member is known to have adopted this term, so that
-// none answers workers by an older one any more.
+// AllAdopted reports whether every member has reported that it adopted the current term,
+// so that no member answers workers by an older term any more.
 func (ms *Members) AllAdopted() bool {
 	for _, p := range ms.peers {
-		if p.term < ms.View.Term {
+		if p.adoptedTerm < ms.View.Term {
 			return false
 		}
 	}
 	return true
 }
 
-// ObservedShardEpoch is the epoch of the shard table that all other members are known to have
-// observed.
+// ObservedShardEpoch returns the epoch of the shard table that all other members have
+// reported to have observed.
 func (ms *Members) ObservedShardEpoch() protocol.Term {
 	floor := ms.ShardTableEpoch()
 	for name, p := range ms.peers {
 		if name != ms.Self {
-			floor = min(floor, p.shardsEpoch)
+			floor = min(floor, p.observedShardsEpoch)
 		}
 	}
 	return floor
 }
 
-// LeadingPeers lists the other controllers that are known to hold their leases now.
-// They say so in their state updates, and to a controller that is excluded from their
-// view in their replies to its batches.
+// LeadingPeers lists the other controllers that have recently reported that they hold
+// their leases. They report it in their state updates, and to a controller that is
+// excluded from their view in their replies to its batches.
 func (ms *Members) LeadingPeers() []protocol.NodeName {
 	var names []protocol.NodeName
 	for name, p := range ordered.Of(ms.peers) {
-		if name != ms.Self && ms.recent(p.leaseHeldAt) {
+		if name != ms.Self && ms.isRecent(p.leaseHeldAt) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// OthersLead reports whether another controller is known to hold its lease now. If one
-// does while this controller does not, then the key-value store refuses this controller
-// alone; otherwise the store is down for all, or no peer can be reached.
+// OthersLead reports whether another controller has recently reported that it holds its
+// lease. If one holds its lease while this controller does not, the key-value store
+// refuses only this controller; otherwise the store is down for all controllers, or no
+// peer can be reached.
 func (ms *Members) OthersLead() bool { return len(ms.LeadingPeers()) > 0 }
 
 // ShouldWaitOut reports whether this controller, while it does not hold its lease,
-// should keep its users' connections and wait: no other controller is known to hold a
-// lease, and it is in contact with peers that would say so. A controller that is cut
-// off from the store and from all peers can't know, and its users would have no answer
-// for as long as that lasts, so it waits for a moment only.
+// should keep its users' connections and wait until it holds one again. It should if no
+// other controller has reported that it holds a lease, and either there are no peers or
+// a peer is in contact and would report it. A controller that is cut off from the store
+// and from all peers can't detect whether another one holds a lease, and its users would
+// get no answer for as long as the cut lasts, so it waits for isolationTimeout only.
 func (ms *Members) ShouldWaitOut() bool {
 	if ms.OthersLead() {
 		return false
 	}
-	alone := true
+	hasNoPeers := true
 	for name, p := range ms.peers {
 		if name == ms.Self {
 			continue
 		}
-		alone = false
-		if ms.recent(p.lastContact) {
+		hasNoPeers = false
+		if ms.isRecent(p.lastContact) {
 			return true
 		}
 	}
-	return alone || ms.Since(ms.LeaseDeadline) < isolatedAfter
+	return hasNoPeers || ms.Since(ms.LeaseDeadline) < isolationTimeout
 }
--- a/internal/controller/membership/peers_test.go
+++ b/internal/controller/membership/peers_test.go
@@ -14,10 +14,11 @@
 	"damsonkeel/internal/record"
 )
 
-// TestWaitsOut: a controller that does not hold its lease keeps its users while it is
-// in contact with a peer that does not hold one either; not while a peer does, nor for
-// long when it receives nothing from any peer.
-func TestWaitsOut(t *testing.T) {
+// TestKeepsConnectionsUnlessPeerHoldsLease checks that a controller that does not hold its
+// lease keeps its users' connections while it is in contact with a peer that does not hold
+// one either, and that it does not keep them while a peer holds its lease, nor for long
+// when it receives nothing from any peer.
+func TestKeepsConnectionsUnlessPeerHoldsLease(t *testing.T) {
 	for name, tc := range map[string]struct {
 		peers     []protocol.NodeName
 		inContact bool
--- a/internal/controller/membership/rebalance.go
+++ b/internal/controller/membership/rebalance.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// warmUp is how long a controller takes part before shards move to it, or away from
-	// others for it: by then it has its peers' state of all machines.
-	warmUp = 3 * time.Second
-	// balancerKey is the rendezvous key by which the member that rebalances is chosen.
+	// warmUpTime is how long a controller must be in contact before shards move to it, or
+	// between other members on its account: by then it has received its peers' state of
+	// all machines.
+	warmUpTime = 3 * time.Second
+	// balancerKey is the rendezvous key that selects the member that runs the balancer.
 	balancerKey = "shares"
 )
 
-// RequestMoves queues the moves that an operator asks for; they are sent on the next
-// tick.
+// RequestMoves queues moves that an operator requested. They are sent on the next tick.
 func (ms *Members) RequestMoves(moves []sharding.Move) {
 	ms.requestedMoves = append(ms.requestedMoves, moves...)
 }
 
-// SendRequestedMoves sends the moves that operators have asked for. They are dropped
-// where this controller may not move shards.
+// SendRequestedMoves sends the moves that operators requested. They are dropped if there
+// is no shard table in use or this controller does not hold its lease.
 func (ms *Members) SendRequestedMoves() {
 	moves := ms.requestedMoves
 	ms.requestedMoves = nil
@@ -35,8 +35,8 @@
 	}
 }
 
-// Balance moves shards between members, if this controller is the one that decides on
-// it in this view: the holder of each shard is asked to hand it over.
+// Balance runs the balancer if this controller is the member selected for it in this
+// view, and asks the holder of each shard that should move to hand it over.
 func (ms *Members) Balance() {
 	if !ms.Sharded() || !ms.HoldsLease() || clusterstate.Rendezvous(ms.View, balancerKey) != ms.Self {
 		ms.balancer = sharding.Balancer{}
@@ -51,40 +51,40 @@
 	ms.sendMoves(ms.balancer.Step(ms.Now, ms.Shards, load, members))
 }
 
-// memberLoad is what the balancer needs to know of a member.
+// memberLoad returns the balancer's input for a member.
 func (ms *Members) memberLoad(name protocol.NodeName, zone protocol.Zone, p *peer) sharding.MemberLoad {
-	adopted := p.term >= ms.View.Term
-	warmedUp := p.firstContact != 0 && ms.Since(p.firstContact) >= warmUp
+	adopted := p.adoptedTerm >= ms.View.Term
+	warmedUp := p.firstContact != 0 && ms.Since(p.firstContact) >= warmUpTime
 	return sharding.MemberLoad{
 		Member:      sharding.Member{Name: name, Session: p.session, Zone: zone},
 		Late:        time.Duration(p.load.LateMS * float64(time.Millisecond)),
 		Leaving:     p.load.Leaving,
 		Away:        slices.Contains(ms.Shards.Away, name),
 		Unreachable: unreachable(ms.View, name),
-		Warm:        adopted && warmedUp && ms.recent(p.lastContact),
+		Warm:        adopted && warmedUp && ms.isRecent(p.lastContact),
 	}
 }
 
-// route is the way of a shard from its holder to another member.
-type route struct{ from, to protocol.NodeName }
+// handover is the pair of the holder of a shard and the member that the shard moves to.
+type handover struct{ from, to protocol.NodeName }
 
 // sendMoves asks the holders of shards to hand them over, in one message for each
 // holder and target.
 func (ms *Members) sendMoves(moves []sharding.Move) {
-	requests := map[route]*message.MoveShards{}
-	var routes []route
+	requests := map[handover]*message.MoveShards{}
+	var handovers []handover
 	for _, move := range moves {
-		r := route{ms.Holder(move.ID), clusterstate.NameOf(ms.View, move.To)}
-		if requests[r] == nil {
-			requests[r] = &message.MoveShards{Term: ms.View.Term, To: r.to, Cause: move.Cause}
-			routes = append(routes, r)
+		pair := handover{ms.Holder(move.ID), clusterstate.NameOf(ms.View, move.To)}
+		if requests[pair] == nil {
+			requests[pair] = &message.MoveShards{Term: ms.View.Term, To: pair.to, Cause: move.Cause}
+			handovers = append(handovers, pair)
 		}
 		shard := message.Tenured{Share: int(move.ID), Tenure: ms.Shards.List[move.ID].Since}
-		requests[r].Shares = append(requests[r].Shares, shard)
+		requests[pair].Shares = append(requests[pair].Shares, shard)
 	}
-	for _, r := range routes {
-		request := requests[r]
-		ms.Log.Info("requested move of shards", "from", r.from, "to", r.to, "shards", len(request.Shares), "cause", request.Cause)
-		ms.Send(r.from, message.PeerMessage{Move: request})
+	for _, pair := range handovers {
+		request := requests[pair]
+		ms.Log.Info("requested move of shards", "from", pair.from, "to", pair.to, "shards", len(request.Shares), "cause", request.Cause)
+		ms.Send(pair.from, message.PeerMessage{Move: request})
 	}
 }
--- a/internal/controller/membership/shardtable.go
+++ b/internal/controller/membership/shardtable.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// observeTimeout is how long a written change of the shard table may take until the
-	// watch delivers it.
+	// observeTimeout is how long to wait for the watch to deliver a written change of the
+	// shard table before another change may be sent.
 	observeTimeout = 2 * time.Second
-	// shardsRetryPause is how long after a failed write of the shard table the next one
-	// is tried.
+	// shardsRetryPause is the time between a failed write of the shard table and the
+	// next attempt.
 	shardsRetryPause = 100 * time.Millisecond
 )
 
@@ -28,26 +28,26 @@
 	ms.ShardsVersion = version
 }
 
-// ChangeShards writes what the dispatcher asks for: shards to be taken over by this
-// controller, and shards of its own whose epoch is to rise. The transaction depends on
-// the shard table and the view as they are known here. A table that was lost is written
-// anew.
-func (ms *Members) ChangeShards(take, raise []sharding.ID) {
-	nothingToDo := len(take)+len(raise) == 0 && ms.ShardsVersion != 0
+// ChangeShards writes the changes that the dispatcher requests: this controller becomes
+// the holder of the shards in takeOver, and the epochs of its own shards in raiseEpoch
+// rise. The transaction is conditional on the shard table and the view that this
+// controller has observed. If the table was lost, it is written anew.
+func (ms *Members) ChangeShards(takeOver, raiseEpoch []sharding.ID) {
+	nothingToDo := len(takeOver)+len(raiseEpoch) == 0 && ms.ShardsVersion != 0
 	if nothingToDo || !ms.mayWriteShards() {
 		return
 	}
 	next := sharding.Copy(ms.Shards)
 	sharding.RaiseEpochAbove(next, ms.HighestFencingToken)
-	for _, id := range take {
+	for _, id := range takeOver {
 		sharding.Assign(next, id, ms.Session)
 	}
-	for _, id := range raise {
+	for _, id := range raiseEpoch {
 		sharding.RaiseEpoch(next, id)
 	}
-	ms.writing = true
-	ms.writtenOn = ms.ShardsVersion
-	ms.writtenAt = ms.Now
+	ms.writeInFlight = true
+	ms.lastWriteBase = ms.ShardsVersion
+	ms.lastWriteAt = ms.Now
 	ms.Emit(message.Commit{Tag: ShardsTag{}, Transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{
 			ms.ViewUnchanged(),
@@ -58,27 +58,29 @@
 }
 
 // mayWriteShards reports whether a change of the shard table may be sent now: this
-// controller holds its lease, and the change before is answered and observed.
+// controller holds its lease, and the previous change has been answered and observed or
+// its observation has timed out.
 func (ms *Members) mayWriteShards() bool {
-	if !ms.Sharded() || !ms.HoldsLease() || ms.writing || ms.Now < ms.retryAt {
+	if !ms.Sharded() || !ms.HoldsLease() || ms.writeInFlight || ms.Now < ms.retryAt {
 		return false
 	}
-	unobserved := ms.writtenAt != 0 && ms.writtenOn == ms.ShardsVersion
-	return !unobserved || ms.Since(ms.writtenAt) >= observeTimeout
+	unobserved := ms.lastWriteAt != 0 && ms.lastWriteBase == ms.ShardsVersion
+	return !unobserved || ms.Since(ms.lastWriteAt) >= observeTimeout
 }
 
-// ShardsWritten handles the outcome of a change of the shard table. What counts is the
-// table that the watch delivers.
+// ShardsWritten handles the outcome of a change of the shard table. It does not install
+// the new table: the watch delivers it.
 func (ms *Members) ShardsWritten(outcome message.Outcome) {
-	ms.writing = false
+	ms.writeInFlight = false
 	if outcome != message.OutcomeDone {
 		ms.retryAt = ms.After(shardsRetryPause)
-		ms.writtenAt = 0
+		ms.lastWriteAt = 0
 	}
 }
 
-// shardTableFor returns the shard table that goes with a new view: shards whose holders
-// are not in it go to its members, all others stay. It is nil if nothing changes.
+// shardTableFor returns the shard table for a new view. Shards whose holders are not in
+// the view, or should hold no shards, are assigned to members of the view; all others
+// keep their holders. It returns nil if nothing changes.
 func (ms *Members) shardTableFor(view record.View) *record.ShardTable {
 	table := ms.Shards
 	if table == nil {
@@ -97,8 +99,8 @@
 	return next
 }
 
-// shardHolders lists the members of a view. Those that are to hold no shards have no
-// weight.
+// shardHolders lists the members of a view. Members that should hold no shards have the
+// weight 0.
 func (ms *Members) shardHolders(view record.View, table *record.ShardTable) []sharding.Member {
 	var list []sharding.Member
 	zones := ms.zones()
@@ -112,7 +114,7 @@
 	return list
 }
 
-// machinesByZone counts the registered machines.
+// machinesByZone counts the registered machines of each zone.
 func (ms *Members) machinesByZone() map[protocol.Zone]int {
 	count := map[protocol.Zone]int{}
 	for _, machine := range ms.Records {
--- a/internal/controller/membership/view.go
+++ b/internal/controller/membership/view.go
@@ -10,7 +10,7 @@
 	"damsonkeel/internal/record"
 )
 
-// viewRetryPause is how long after a failed write of the view the next one is tried.
+// viewRetryPause is the time between a failed write of the view and the next attempt.
 const viewRetryPause = 300 * time.Millisecond
 
 // ViewTag marks the transaction that writes a view.
@@ -33,16 +33,17 @@
 		}
 	}
 	if p := ms.peers[ms.Self]; p != nil {
-		p.term = view.Term
+		p.adoptedTerm = view.Term
 	}
-	ms.reachability.adopt(view, ms.Self, ms.Now)
+	ms.reachability.adoptView(view, ms.Self, ms.Now)
 }
 
-// UpdateView writes a view of the next term when the present one does not name exactly the
-// registered controllers, or when raise asks for it. A controller that refuses
-// connections stays a member; only lease expiry removes it.
-func (ms *Members) UpdateView(raise bool) {
-	if ms.Session == 0 || ms.Now >= ms.LeaseDeadline || ms.writing || ms.Now < ms.retryAt {
+// UpdateView writes a view of the next term if the members, unreachable members or layout
+// of the current view are not the desired ones, if a shard table is missing, or if
+// forceNewTerm is set. A controller that refuses connections stays a member; only the
+// expiry of its lease removes it.
+func (ms *Members) UpdateView(forceNewTerm bool) {
+	if ms.Session == 0 || ms.Now >= ms.LeaseDeadline || ms.writeInFlight || ms.Now < ms.retryAt {
 		return
 	}
 	members, layout := ms.desiredMembers()
@@ -55,15 +56,15 @@
 		Deaf:    ms.unreachableNodes(members),
 		Layout:  layout,
 	}
-	if !raise && ms.viewIsCurrent(&next) {
+	if !forceNewTerm && ms.viewIsCurrent(&next) {
 		return
 	}
-	ms.writing = true
+	ms.writeInFlight = true
 	ms.Emit(message.Commit{Tag: ViewTag{}, Transaction: ms.viewTransaction(next)})
 }
 
-// viewIsCurrent reports whether the view in force differs from the next one by no more
-// than its term, and the shard table that its layout needs is there.
+// viewIsCurrent reports whether the current view differs from the next one only by its
+// term, and the shard table exists if the layout requires one.
 func (ms *Members) viewIsCurrent(next *record.View) bool {
 	return maps.Equal(next.Members, ms.View.Members) &&
 		next.Layout == ms.View.Layout &&
@@ -71,10 +72,10 @@
 		(next.Layout < record.LayoutShards || ms.Shards != nil)
 }
 
-// viewTransaction writes a view, on the condition that the present one is unchanged.
-// A shard table that has to change with it goes into the same transaction, so that no
-// shard is without a holder. The table comes first: whoever watches it knows the
-// holders by the time the view arrives.
+// viewTransaction returns the transaction that writes a view, on the condition that the
+// current one is unchanged. If the shard table has to change with the view, it is written
+// in the same transaction, so that no shard is without a holder. The table is written
+// before the view, so that watchers have received the holders when the view arrives.
 func (ms *Members) viewTransaction(next record.View) protocol.Transaction {
 	txn := protocol.Transaction{Conditions: []protocol.Condition{ms.ViewUnchanged()}}
 	if next.Layout >= record.LayoutShards {
@@ -87,9 +88,10 @@
 	return txn
 }
 
-// desiredMembers returns the controllers that should be in the view, and its layout:
-// the latest that all of them support. Once a layout is in use, controllers that do not
-// support it are excluded: they would miss machines that may run tasks.
+// desiredMembers returns the controllers that should be in the view, and its layout: the
+// latest that all of them support. Once a layout is in use, controllers that do not
+// support it are excluded: they would not read the records of all machines that may run
+// tasks.
 func (ms *Members) desiredMembers() (map[protocol.NodeName]protocol.LeaseID, record.Layout) {
 	members := map[protocol.NodeName]protocol.LeaseID{}
 	supported := record.LatestLayout
@@ -104,9 +106,10 @@
 	return members, max(supported, ms.View.Layout)
 }
 
-// ViewWritten handles the outcome of writing a view.
+// ViewWritten handles the outcome of writing a view. It does not install the view: the
+// watch delivers it.
 func (ms *Members) ViewWritten(outcome message.Outcome) {
-	ms.writing = false
+	ms.writeInFlight = false
 	if outcome != message.OutcomeDone {
 		ms.retryAt = ms.After(viewRetryPause)
 	}
