--- a/internal/controller/sharding/assignment.go
+++ b/internal/controller/sharding/assignment.go
@@ -9,60 +9,62 @@
 	"damsonkeel/internal/record"
 )
 
-// Member is a controller that may hold shards.
+// Member is a member of the view, which may hold shards.
 type Member struct {
 	Name    protocol.NodeName
 	Session protocol.LeaseID
 	Zone    protocol.Zone
-	Weight  float64 // its capacity relative to the others'; 0: it is to hold no shards
+	Weight  float64 // capacity relative to the other members'; 0 if it should hold no shards
 }
 
-// Move is a shard that is to go from its holder to another member.
+// Move is a planned change of the holder of a shard.
 type Move struct {
 	ID    ID
 	To    protocol.LeaseID
 	Cause string
 }
 
-// Orphans lists the moves of shards whose holder is not a member, or is to hold no
-// shards; all others stay where they are.
+// Orphans lists the moves of shards whose holder is not a member or should hold no
+// shards. All other shards keep their holders.
 func Orphans(table *record.ShardTable, load []float64, members []Member) []Move {
 	a := newAssignment(table, load, members)
 	a.assignOrphans()
 	return a.changes()
 }
 
-// Rebalanced lists the moves that spread the load over the members by their weights, in
-// the order in which they should be made. After the first few of them the rest is still
-// wanted.
+// Rebalanced lists the moves that distribute the load over the members by their weights,
+// in the order in which they should be made. If only the first few of them are made, the
+// next call still returns the rest.
 func Rebalanced(table *record.ShardTable, load []float64, members []Member) []Move {
 	a := newAssignment(table, load, members)
 	a.assignOrphans()
-	a.evenOut()
+	a.balanceLoad()
 	a.localize()
 	return a.changes()
 }
 
-// slack is the fraction of its target by which a member's load may exceed it before a
-// shard moves. Without it, each machine that comes or goes would move some shards.
-const slack = 0.15
+// toleranceFraction is the fraction of its target by which a member's load may differ
+// from the target before a shard moves. Without it, each machine that is added or removed
+// would move some shards.
+const toleranceFraction = 0.15
 
-// noMember and noShard stand in for an index of a member and of a shard.
+// noMember and noShard mean that there is no such member or shard; they are used in place
+// of an index.
 const (
 	noMember = -1
 	noShard  = -1
 )
 
-// assignment is a working copy of who holds which shard.
+// assignment is a working copy of the holders of the shards.
 type assignment struct {
 	*record.ShardTable
-	load    []float64 // of each shard
-	largest float64   // the largest of these
-	members []Member  // in order of their names
-	target  []float64 // load that each member should hold
-	held    []float64 // load that each member holds
-	holder  []int     // index of each shard's holder in members, or noMember
-	order   []ID      // shards whose holder changes, in the order in which they should move
+	load        []float64 // load of each shard
+	largestLoad float64   // the largest load of a shard
+	members     []Member  // in order of their names
+	targetLoad  []float64 // load that each member should hold
+	heldLoad    []float64 // load that each member holds
+	holder      []int     // index of each shard's holder in members, or noMember
+	moveOrder   []ID      // shards whose holder changes, in the order in which they should move
 }
 
 func newAssignment(table *record.ShardTable, load []float64, members []Member) *assignment {
@@ -70,8 +72,8 @@
 		ShardTable: table,
 		load:       load,
 		members:    slices.Clone(members),
-		target:     make([]float64, len(members)),
-		held:       make([]float64, len(members)),
+		targetLoad: make([]float64, len(members)),
+		heldLoad:   make([]float64, len(members)),
 		holder:     make([]int, len(table.List)),
 	}
 	slices.SortFunc(a.members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
@@ -81,7 +83,7 @@
 			return m.Session == shard.Holder && shard.Holder != 0
 		})
 		if i := a.holder[id]; i != noMember {
-			a.held[i] += load[id]
+			a.heldLoad[i] += load[id]
 		}
 	}
 	return a
@@ -92,7 +94,7 @@
 	total, weights := 0.0, 0.0
 	for _, load := range a.load {
 		total += load
-		a.largest = max(a.largest, load)
+		a.largestLoad = max(a.largestLoad, load)
 	}
 	for _, m := range a.members {
 		weights += m.Weight
@@ -101,13 +103,13 @@
 		return
 	}
 	for i, m := range a.members {
-		a.target[i] = total * m.Weight / weights
+		a.targetLoad[i] = total * m.Weight / weights
 	}
 }
 
 // changes lists the shards whose holder differs from the table's.
 func (a *assignment) changes() (moves []Move) {
-	for _, id := range a.order {
+	for _, id := range a.moveOrder {
 		to := a.members[a.holder[id]].Session
 		if to != a.List[id].Holder {
 			moves = append(moves, Move{ID: id, To: to})
@@ -116,55 +118,57 @@
 	return moves
 }
 
-// give makes a member the holder of a shard.
-func (a *assignment) give(id, to int) {
+// assign makes a member the holder of a shard.
+func (a *assignment) assign(id, to int) {
 	if from := a.holder[id]; from != noMember {
-		a.held[from] -= a.load[id]
+		a.heldLoad[from] -= a.load[id]
 	}
 	a.holder[id] = to
-	a.held[to] += a.load[id]
-	if !slices.Contains(a.order, ID(id)) {
-		a.order = append(a.order, ID(id))
+	a.heldLoad[to] += a.load[id]
+	if !slices.Contains(a.moveOrder, ID(id)) {
+		a.moveOrder = append(a.moveOrder, ID(id))
 	}
 }
 
-// utilization is the load of a member, with some more added, relative to its target.
+// utilization returns the load of a member plus some more, relative to its target.
 func (a *assignment) utilization(i int, more float64) float64 {
-	if a.target[i] == 0 {
+	if a.targetLoad[i] == 0 {
 		return math.Inf(1)
 	}
-	return (a.held[i] + more) / a.target[i]
+	return (a.heldLoad[i] + more) / a.targetLoad[i]
 }
 
-// tolerance is by how much the load of a member may differ from its target.
-func (a *assignment) tolerance(i int) float64 { return max(slack*a.target[i], a.largest) }
+// tolerance returns how much the load of a member may differ from its target.
+func (a *assignment) tolerance(i int) float64 {
+	return max(toleranceFraction*a.targetLoad[i], a.largestLoad)
+}
 
-// limit is the highest load that a member may hold.
-func (a *assignment) limit(i int) float64 { return a.target[i] + a.tolerance(i) }
+// limit returns the highest load that a member may hold.
+func (a *assignment) limit(i int) float64 { return a.targetLoad[i] + a.tolerance(i) }
 
-// isLocal reports whether a member is in a shard's zone. A shard that is held in its
-// own zone is served while the zone is cut off from the others, and one that is held
-// elsewhere is not affected by that.
+// isLocal reports whether a member is in a shard's zone. A shard that is held in its own
+// zone is still served while that zone is cut off from the others, and is not affected
+// while another zone is cut off.
 func (a *assignment) isLocal(id, i int) bool {
 	return a.members[i].Zone != "" && a.members[i].Zone == ZoneOf(a.ShardTable, ID(id))
 }
 
 // fitsLocally reports whether a member is in a shard's zone and has capacity for it.
 func (a *assignment) fitsLocally(id, i int) bool {
-	return a.isLocal(id, i) && a.held[i]+a.load[id] <= a.limit(i)
+	return a.isLocal(id, i) && a.heldLoad[i]+a.load[id] <= a.limit(i)
 }
 
-// firstLocal returns the first member in a shard's zone that may hold shards.
+// firstLocal returns the first member in a shard's zone that may hold shards, or noMember.
 func (a *assignment) firstLocal(id int) int {
 	for i := range a.members {
-		if a.target[i] > 0 && a.isLocal(id, i) {
+		if a.targetLoad[i] > 0 && a.isLocal(id, i) {
 			return i
 		}
 	}
 	return noMember
 }
 
-// assignOrphans gives the shards without a holder, or whose holder is to hold none, to
+// assignOrphans assigns the shards without a holder, or whose holder should hold none, to
 // other members: to one in the shard's zone that has capacity, else to the one with the
 // lowest utilization.
 func (a *assignment) assignOrphans() {
@@ -173,12 +177,12 @@
 			continue
 		}
 		if best := a.bestHolder(id); best != noMember {
-			a.give(id, best)
+			a.assign(id, best)
 		}
 	}
 }
 
-// bestHolder returns the member that an orphaned shard should go to.
+// bestHolder returns the member that an orphaned shard should be assigned to.
 func (a *assignment) bestHolder(id int) int {
 	best := noMember
 	for i, m := range a.members {
@@ -189,7 +193,8 @@
 	return best
 }
 
-// isBetterHolder reports whether a shard should rather go to member i than to another.
+// isBetterHolder reports whether member i is a better holder of a shard than another
+// member.
 func (a *assignment) isBetterHolder(id, i, other int) bool {
 	fits, otherFits := a.fitsLocally(id, i), a.fitsLocally(id, other)
 	if fits != otherFits {
@@ -198,11 +203,11 @@
 	return a.utilization(i, a.load[id]) < a.utilization(other, a.load[id])
 }
 
-// evenOut moves shards from members above their limit to the one with the lowest
+// balanceLoad moves shards from members above their limit to the one with the lowest
 // utilization, and to members far below their target.
-func (a *assignment) evenOut() {
+func (a *assignment) balanceLoad() {
 	for range a.holder {
-		from, to := a.nextPair()
+		from, to := a.nextSourceAndTarget()
 		if from == noMember || to == noMember || from == to {
 			return
 		}
@@ -210,22 +215,24 @@
 		if id == noShard {
 			return
 		}
-		a.give(id, to)
+		a.assign(id, to)
 	}
 }
 
-// nextPair returns the members between which a shard should move next.
-func (a *assignment) nextPair() (from, to int) {
+// nextSourceAndTarget returns the members between which a shard should move next.
+func (a *assignment) nextSourceAndTarget() (from, to int) {
 	to = a.leastUtilized()
-	from = a.mostUtilized(func(i int) bool { return a.held[i] > a.limit(i) })
-	// A member that has just joined is due its load although no other is above its limit.
-	if from == noMember && to != noMember && a.held[to] < a.target[to]-a.tolerance(to) {
+	from = a.mostUtilized(func(i int) bool { return a.heldLoad[i] > a.limit(i) })
+	// A member that has just joined should receive shards although no other member is
+	// above its limit.
+	if from == noMember && to != noMember && a.heldLoad[to] < a.targetLoad[to]-a.tolerance(to) {
 		from = a.mostUtilized(func(i int) bool { return i != to })
 	}
 	return from, to
 }
 
-// mostUtilized returns the member with the highest utilization of those that match.
+// mostUtilized returns the member with the highest utilization of those that match a
+// condition.
 func (a *assignment) mostUtilized(match func(i int) bool) int {
 	most := noMember
 	for i := range a.members {
@@ -241,16 +248,17 @@
 func (a *assignment) leastUtilized() int {
 	least := noMember
 	for i := range a.members {
-		if a.target[i] > 0 && (least == noMember || a.utilization(i, 0) < a.utilization(least, 0)) {
+		if a.targetLoad[i] > 0 && (least == noMember || a.utilization(i, 0) < a.utilization(least, 0)) {
 			least = i
 		}
 	}
 	return least
 }
 
-// bestShard returns the shard that should move from one member to another: one that
-// gets into its zone by that, or at least does not leave it, if there is any. The
-// target must not end up with a higher utilization than the source has now.
+// bestShard returns the shard that should move from one member to another: preferably one
+// that is local to the target, else one that at least is not local to the source, else
+// any. After the move, the utilization of the target must not be higher than that of the
+// source is now. It returns noShard if there is no such shard.
 func (a *assignment) bestShard(from, to int) int {
 	best, bestScore := noShard, 0
 	for id, holder := range a.holder {
@@ -264,7 +272,7 @@
 	return best
 }
 
-// moveScore ranks a move by what it does for the locality of a shard.
+// moveScore ranks a move by its effect on the locality of the shard.
 func (a *assignment) moveScore(id, from, to int) int {
 	score := 1
 	if a.isLocal(id, to) {
@@ -276,8 +284,8 @@
 	return score
 }
 
-// localize moves shards to a member of their zone where it has capacity, or holds a
-// shard of another zone that it can give in exchange.
+// localize moves shards to a member of their zone that has capacity, or that holds a
+// shard of another zone to exchange for them.
 func (a *assignment) localize() {
 	for id, holder := range a.holder {
 		if holder == noMember || a.isLocal(id, holder) {
@@ -288,30 +296,30 @@
 			continue
 		}
 		if a.canMove(id, holder, local) {
-			a.give(id, local)
+			a.assign(id, local)
 			continue
 		}
 		a.exchange(id, holder, local)
 	}
 }
 
-// canMove reports whether both members stay near their targets when a shard moves.
+// canMove reports whether both members stay near their target loads when a shard moves.
 func (a *assignment) canMove(id, from, to int) bool {
-	return a.held[to]+a.load[id] <= a.target[to]+a.largest &&
-		a.held[from]-a.load[id] >= a.target[from]-a.tolerance(from)
+	return a.heldLoad[to]+a.load[id] <= a.targetLoad[to]+a.largestLoad &&
+		a.heldLoad[from]-a.load[id] >= a.targetLoad[from]-a.tolerance(from)
 }
 
-// exchange moves a shard to a member of its zone, and back the first shard that gets
-// into its own zone by that, or that no member is local to. Without such a shard nothing
-// moves.
+// exchange moves a shard to a member of its zone. In return it moves the first shard of
+// that member that is local to the former holder, or that no member is local to. Nothing
+// moves if there is no such shard.
 func (a *assignment) exchange(id, holder, local int) {
 	for other, otherHolder := range a.holder {
 		if otherHolder != local || a.isLocal(other, local) {
 			continue
 		}
 		if a.isLocal(other, holder) || a.firstLocal(other) == noMember {
-			a.give(id, local)
-			a.give(other, holder)
+			a.assign(id, local)
+			a.assign(other, holder)
 			return
 		}
 	}
--- a/internal/controller/sharding/assignment_test.go
+++ b/internal/controller/sharding/assignment_test.go
@@ -10,24 +10,25 @@
 	"pgregory.net/rapid"
 )
 
-// TestWantedComesToRest: rebalancing ends after fewer moves than there are shards, however
-// many of the wanted moves are made each time, so that no shard oscillates. Every member
-// then holds no more than its limit, and those without weight hold nothing.
-func TestWantedComesToRest(t *testing.T) {
+// TestRebalancingConverges checks that rebalancing ends after no more moves than there are
+// shards, however many of the returned moves are made each time, so that no shard
+// oscillates. Every member then holds no more than its limit, and members without weight
+// hold nothing.
+func TestRebalancingConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, load, members := drawSite(t)
+		table, load, members := drawShardsAndMembers(t)
 		moved := 0
 		for round := 0; ; round++ {
-			want := Rebalanced(table, load, members)
-			if len(want) == 0 {
+			moves := Rebalanced(table, load, members)
+			if len(moves) == 0 {
 				break
 			}
 			if round > 100 {
-				t.Fatalf("after %d rounds and %d moves %d are wanted", round, moved, len(want))
+				t.Fatalf("after %d rounds and %d moves, %d more moves are returned", round, moved, len(moves))
 			}
 			n := rapid.IntRange(1, 60).Draw(t, "at once")
-			for _, m := range want[:min(n, len(want))] {
-				Assign(table, m.ID, m.To)
+			for _, move := range moves[:min(n, len(moves))] {
+				Assign(table, move.ID, move.To)
 				moved++
 			}
 		}
@@ -36,36 +37,37 @@
 		}
 		a := newAssignment(table, load, members)
 		for i, m := range a.members {
-			if m.Weight == 0 && a.held[i] > 0 || a.held[i] > a.limit(i)+1e-6 {
-				t.Errorf("%s holds %.0f, at most %.0f", m.Name, a.held[i], a.limit(i))
+			if m.Weight == 0 && a.heldLoad[i] > 0 || a.heldLoad[i] > a.limit(i)+1e-6 {
+				t.Errorf("%s holds %.0f, at most %.0f", m.Name, a.heldLoad[i], a.limit(i))
 			}
 		}
 	})
 }
 
-// TestOrphansMoveNothingElse: members that stay hold what they held, every shard has a
-// holder, the epoch of every shard that moves rises, and the table survives encoding.
-func TestOrphansMoveNothingElse(t *testing.T) {
+// TestOrphansKeepOtherHolders checks that remaining members keep their shards, that every
+// shard has a holder, that the epoch of every shard that moves rises, and that the table
+// is unchanged by encoding and decoding.
+func TestOrphansKeepOtherHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table, load, members := drawSite(t)
+		table, load, members := drawShardsAndMembers(t)
 		before := Copy(table)
-		for _, m := range Orphans(table, load, members) {
-			Assign(table, m.ID, m.To)
+		for _, move := range Orphans(table, load, members) {
+			Assign(table, move.ID, move.To)
 		}
-		for id, now := range table.List {
-			was := before.List[id]
-			stays := false
-			for _, m := range members {
-				stays = stays || m.Session == was.Holder && m.Weight > 0
+		for id, current := range table.List {
+			previous := before.List[id]
+			holderStays := false
+			for _, member := range members {
+				holderStays = holderStays || member.Session == previous.Holder && member.Weight > 0
 			}
-			if stays && now != was || now.Holder == 0 || !stays && now.Epoch <= before.Epoch {
-				t.Fatalf("shard %d: %+v was %+v", id, now, was)
+			if holderStays && current != previous || current.Holder == 0 || !holderStays && current.Epoch <= before.Epoch {
+				t.Fatalf("shard %d: %+v, was %+v before", id, current, previous)
 			}
 		}
-		b, err := protocol.Encode(*table)
-		var read record.ShardTable
-		if err != nil || protocol.Decode(b, &read) != nil || read.Epoch != table.Epoch || fmt.Sprint(read.List) != fmt.Sprint(table.List) {
-			t.Fatalf("read %+v, %v", read, err)
+		encoded, err := protocol.Encode(*table)
+		var decoded record.ShardTable
+		if err != nil || protocol.Decode(encoded, &decoded) != nil || decoded.Epoch != table.Epoch || fmt.Sprint(decoded.List) != fmt.Sprint(table.List) {
+			t.Fatalf("decoded %+v, %v", decoded, err)
 		}
 	})
 }
--- a/internal/controller/sharding/balancer.go
+++ b/internal/controller/sharding/balancer.go
@@ -9,59 +9,60 @@
 	"damsonkeel/internal/record"
 )
 
-// MemberLoad is what the balancer knows of a member.
+// MemberLoad is the balancer's input for a member: its load and its state.
 type MemberLoad struct {
 	Member
 	Late        time.Duration // how late its ticks are, on average
 	Leaving     bool          // it is shutting down
-	Away        bool          // operators have asked that it holds no shards
+	Away        bool          // operators have requested that it holds no shards
 	Unreachable bool          // workers can't reach it
-	Warm        bool          // it has taken part for a while, and is in contact
+	Warm        bool          // it has adopted the view, has been in contact for a while, and still is
 }
 
-// Causes of moves, as the holder of a shard and operators see them.
+// Causes of moves, as they are sent to the holder of a shard and shown to operators.
 const (
 	causeBalance     = "balance"
 	causeLeaving     = "leaving"
-	causeAway        = "away"
+	causeCordoned    = "away"
 	causeUnreachable = "deaf"
 	causeSlow        = "slow"
 )
 
 const (
-	// maxMoves bounds the moves in flight, and maxLeavingMoves those from members that
-	// are shutting down.
+	// maxMoves bounds the number of moves in flight, and maxLeavingMoves the number of
+	// those from members that are shutting down.
 	maxMoves        = 8
 	maxLeavingMoves = 64
-	// moveTimeout is how long a move may take; one that has not been made by then is not
-	// requested again until moveCooldown after it was.
+	// moveTimeout is how long a move may take before it no longer counts as in flight. A
+	// move that was not made by then is requested again no sooner than moveCooldown after
+	// its request.
 	moveTimeout  = 5 * time.Second
 	moveCooldown = 20 * time.Second
-	// batchPause is the least time between one batch of moves and the next.
-	batchPause = time.Second
+	// minBatchInterval is the minimum time between one batch of moves and the next.
+	minBatchInterval = time.Second
 )
 
-// Balancer decides which shards move. It remembers the moves that it has requested and
-// how slow members were found to be. The zero value is ready to use.
+// Balancer decides which shards move. It holds the moves that it has requested and the
+// slowness of each member. The zero value is ready to use.
 type Balancer struct {
-	moving     map[ID]requestedMove
-	pauseUntil clock.Time
-	paces      map[protocol.LeaseID]pace
+	requestedMoves map[ID]requestedMove
+	pauseUntil     clock.Time
+	slownessOf     map[protocol.LeaseID]slowness
 }
 
-// requestedMove is the move of a shard that its holder was asked for.
+// requestedMove is a move that the holder of a shard was asked to make.
 type requestedMove struct {
-	shardEpoch  protocol.Term // of the holder that was asked
+	shardEpoch  protocol.Term // epoch since which that holder has held the shard
 	requestedAt clock.Time
 }
 
-// Step lists the moves that are to be requested now.
+// Step lists the moves that should be requested now.
 func (b *Balancer) Step(now clock.Time, table *record.ShardTable, load []float64, members []MemberLoad) []Move {
-	b.updatePaces(now, members)
+	b.updateSlowness(now, members)
 	inFlight := b.updateInFlight(now, table)
 	leaving := slices.ContainsFunc(members, func(m MemberLoad) bool { return m.Leaving })
-	cold := slices.ContainsFunc(members, func(m MemberLoad) bool { return !m.Warm })
-	if !leaving && (inFlight > 0 || now < b.pauseUntil || cold) {
+	anyNotWarm := slices.ContainsFunc(members, func(m MemberLoad) bool { return !m.Warm })
+	if !leaving && (inFlight > 0 || now < b.pauseUntil || anyNotWarm) {
 		return nil
 	}
 	bySession := map[protocol.LeaseID]*MemberLoad{}
@@ -73,25 +74,25 @@
 		shard := table.List[move.ID]
 		holder := bySession[shard.Holder]
 		if holder == nil {
-			continue // shards without a holder get one with the next view
+			continue // the next view assigns shards without a holder
 		}
 		if leaving && !holder.Leaving {
 			continue // members that are shutting down come first
 		}
-		if _, requested := b.moving[move.ID]; requested || inFlight+len(moves) >= maxMovesFrom(holder) {
+		if _, requested := b.requestedMoves[move.ID]; requested || inFlight+len(moves) >= maxMovesFrom(holder) {
 			continue
 		}
 		move.Cause = b.cause(holder)
 		moves = append(moves, move)
-		b.moving[move.ID] = requestedMove{shardEpoch: shard.Since, requestedAt: now}
+		b.requestedMoves[move.ID] = requestedMove{shardEpoch: shard.Since, requestedAt: now}
 	}
 	if len(moves) > 0 {
-		b.pauseUntil = now.Add(batchPause)
+		b.pauseUntil = now.Add(minBatchInterval)
 	}
 	return moves
 }
 
-// maxMovesFrom bounds the moves in flight when a shard of a holder is to move.
+// maxMovesFrom returns the maximum number of moves in flight for a move from a holder.
 func maxMovesFrom(holder *MemberLoad) int {
 	if holder.Leaving {
 		return maxLeavingMoves
@@ -99,35 +100,35 @@
 	return maxMoves
 }
 
-// cause says why shards of a holder move.
+// cause returns why shards of a holder move.
 func (b *Balancer) cause(holder *MemberLoad) string {
 	switch {
 	case holder.Leaving:
 		return causeLeaving
 	case holder.Away:
-		return causeAway
+		return causeCordoned
 	case holder.Unreachable:
 		return causeUnreachable
-	case b.paces[holder.Session].step > 0:
+	case b.slownessOf[holder.Session].step > 0:
 		return causeSlow
 	}
 	return causeBalance
 }
 
-// updateInFlight forgets the moves that were made, or timed out long enough ago to be
-// requested again, and counts those in flight.
+// updateInFlight deletes the moves that were made, or that were requested long enough ago
+// to be requested again, and counts those in flight.
 func (b *Balancer) updateInFlight(now clock.Time, table *record.ShardTable) (inFlight int) {
-	if b.moving == nil {
-		b.moving = map[ID]requestedMove{}
+	if b.requestedMoves == nil {
+		b.requestedMoves = map[ID]requestedMove{}
 	}
-	for id, move := range b.moving {
+	for id, move := range b.requestedMoves {
 		age := now.Since(move.requestedAt)
 		moved := int(id) >= len(table.List) || table.List[id].Since != move.shardEpoch
 		switch {
 		case moved || age > moveCooldown:
-			delete(b.moving, id)
+			delete(b.requestedMoves, id)
 			if age <= moveTimeout {
-				b.pauseUntil = max(b.pauseUntil, now.Add(batchPause))
+				b.pauseUntil = max(b.pauseUntil, now.Add(minBatchInterval))
 			}
 		case age <= moveTimeout:
 			inFlight++
@@ -136,7 +137,7 @@
 	return inFlight
 }
 
-// weighted returns the members with the weights by which shards are divided among them.
+// weighted returns the members with the weights by which shards are distributed.
 func (b *Balancer) weighted(members []MemberLoad) []Member {
 	list := make([]Member, 0, len(members))
 	for i := range members {
@@ -147,10 +148,10 @@
 	return list
 }
 
-// weight is the capacity of a member relative to the others'.
+// weight returns the capacity of a member relative to the other members'.
 func (b *Balancer) weight(m *MemberLoad) float64 {
 	if m.Leaving || m.Away || m.Unreachable {
 		return 0
 	}
-	return weights[b.paces[m.Session].step]
+	return weights[b.slownessOf[m.Session].step]
 }
--- a/internal/controller/sharding/sharding_test.go
+++ b/internal/controller/sharding/sharding_test.go
@@ -14,9 +14,9 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// drawSite draws the shard table of a site, whose shards are held by any of its members
-// or by none, the load of each shard, and the members.
-func drawSite(t *rapid.T) (*record.ShardTable, []float64, []Member) {
+// drawShardsAndMembers draws a shard table whose shards are held by any of the members or
+// by none, the load of each shard, and the members.
+func drawShardsAndMembers(t *rapid.T) (*record.ShardTable, []float64, []Member) {
 	zones := []protocol.Zone{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "zones")]
 	table := InitialTable(zones)
 	machines := map[protocol.Zone]int{}
--- a/internal/controller/sharding/table.go
+++ b/internal/controller/sharding/table.go
@@ -13,8 +13,8 @@
 type ID int
 
 const (
-	// shardsPerZone is how many shards each zone has, unless there are more zones than
-	// maxShards allows for.
+	// shardsPerZone is the number of shards of each zone, unless the shards of all zones
+	// together would exceed maxShards.
 	shardsPerZone = 32
 	// maxShards bounds the shards of a site.
 	maxShards = 512
@@ -35,8 +35,8 @@
 	return table
 }
 
-// ShardOf returns the shard of a machine: one of its zone's, or any where the table does not
-// know the zone.
+// ShardOf returns the shard of a machine: one of its zone's, or one of all shards if the
+// table does not contain the zone.
 func ShardOf(table *record.ShardTable, machine protocol.MachineID, zone protocol.Zone) ID {
 	hash := xxhash.Sum64String(string(machine))
 	if i, ok := slices.BinarySearch(table.Zones, zone); ok {
@@ -58,26 +58,27 @@
 	return &c
 }
 
-// Assign gives a shard to a holder, with an epoch above all before.
+// Assign makes a member the holder of a shard, with an epoch above all previous ones.
 func Assign(table *record.ShardTable, id ID, holder protocol.LeaseID) {
 	table.Epoch++
 	table.List[id] = record.ShardAssignment{Holder: holder, Since: table.Epoch, Epoch: table.Epoch}
 }
 
-// RaiseEpoch gives a shard an epoch above all before; its holder stays.
+// RaiseEpoch sets the epoch of a shard above all previous ones; its holder stays.
 func RaiseEpoch(table *record.ShardTable, id ID) {
 	table.Epoch++
 	table.List[id].Epoch = table.Epoch
 }
 
-// RaiseEpochAbove raises the epoch of the table to a fencing token that was issued
-// without it, so that the next epoch is above the token.
+// RaiseEpochAbove raises the epoch of the table to a fencing token that was issued from
+// another source than this table, so that the next epoch is above the token.
 func RaiseEpochAbove(table *record.ShardTable, token protocol.Term) {
 	table.Epoch = max(table.Epoch, token)
 }
 
-// Loads estimates the load of each shard from the number of machines in each zone. It
-// is the same for all shards of a zone, since machines are spread over them by hash.
+// Loads estimates the load of each shard from the number of machines in each zone. The
+// load is the same for all shards of a zone, since machines are distributed over them by
+// hash.
 func Loads(table *record.ShardTable, machines map[protocol.Zone]int) []float64 {
 	load := make([]float64, len(table.List))
 	for id := range load {
--- a/internal/controller/sharding/table_test.go
+++ b/internal/controller/sharding/table_test.go
@@ -7,9 +7,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestShardOfMachine: a machine's shard is in its zone, all shards of a zone are used, and
-// a machine of an unknown zone has a shard too.
-func TestShardOfMachine(t *testing.T) {
+// TestMachineShardIsInItsZone checks that a machine's shard is in its zone, that all
+// shards of a zone are used, and that a machine of an unknown zone has a shard too.
+func TestMachineShardIsInItsZone(t *testing.T) {
 	table := InitialTable([]protocol.Zone{"b", "a", "b"})
 	used := map[ID]bool{}
 	for i := range 2000 {
