--- a/internal/controller/clusterstate/clusterstate_test.go
+++ b/internal/controller/clusterstate/clusterstate_test.go
@@ -18,9 +18,10 @@
 	return NewState(fake.Settings(), config.DefaultOperator(), slog.New(slog.DiscardHandler))
 }
 
-// TestRendezvousMovesLittle: when a member leaves the view, only the keys that it was
-// responsible for move, and all members are responsible for some.
-func TestRendezvousMovesLittle(t *testing.T) {
+// TestRendezvousMovesOnlyKeysOfRemovedMember checks that when a member leaves the view,
+// only the keys that it was responsible for move, and that all members are responsible for
+// some keys.
+func TestRendezvousMovesOnlyKeysOfRemovedMember(t *testing.T) {
 	before := record.View{Members: map[protocol.NodeName]protocol.LeaseID{"a": 1, "b": 2, "c": 3}}
 	after := record.View{Members: map[protocol.NodeName]protocol.LeaseID{"a": 1, "b": 2}}
 	count := map[protocol.NodeName]int{}
@@ -41,32 +42,33 @@
 	}
 }
 
-// TestMayStart: tasks of a job may be started while it is live, and not once it is known to
-// be cancelled or has ended.
-func TestMayStart(t *testing.T) {
+// TestMayStartRequiresLiveJob checks that tasks of a job may be started while the job is
+// live, and not once it is marked as cancelled or ended.
+func TestMayStartRequiresLiveJob(t *testing.T) {
 	s := newState(t)
 	s.Now = clock.Time(time.Minute)
 	if s.MayStart("job") {
-		t.Error("a job that was not observed may start")
+		t.Error("tasks of a job that was not observed may start")
 	}
 	s.Live["job"] = &LiveJob{}
 	if !s.MayStart("job") || s.HasEnded("job") {
-		t.Error("a live job may not start, or has ended")
+		t.Error("tasks of a live job may not start, or the job has ended")
 	}
 	s.MarkCancelled("job")
 	if s.MayStart("job") {
-		t.Error("a cancelled job may start")
+		t.Error("tasks of a cancelled job may start")
 	}
 	delete(s.Live, "job")
 	s.MarkEnded("job")
 	if s.MayStart("job") || !s.HasEnded("job") {
-		t.Error("an ended job may start, or has not ended")
+		t.Error("tasks of an ended job may start, or the job has not ended")
 	}
 }
 
-// TestFinishBy: a job should be finished by the deadline that it can still meet; one that
-// can't meet it any more is due later, again and again.
-func TestFinishBy(t *testing.T) {
+// TestFinishByDoublesMissedTimes checks that a job should be finished by its deadline while
+// it can still meet it, and that the time is doubled, repeatedly if needed, once the job
+// can't meet it any more.
+func TestFinishByDoublesMissedTimes(t *testing.T) {
 	for name, tc := range map[string]struct {
 		deadlineS float64
 		age       time.Duration
@@ -75,8 +77,8 @@
 		"no deadline":            {want: noDeadlineS * time.Second},
 		"deadline can be met":    {deadlineS: 60, age: 30 * time.Second, want: time.Minute},
 		"deadline is missed":     {deadlineS: 60, age: 90 * time.Second, want: 2 * time.Minute},
-		"second time is missed":  {deadlineS: 60, age: 150 * time.Second, want: 4 * time.Minute},
-		"estimate goes too long": {deadlineS: 60, age: 55 * time.Second, want: 2 * time.Minute},
+		"doubled time is missed": {deadlineS: 60, age: 150 * time.Second, want: 4 * time.Minute},
+		"estimate is too long":   {deadlineS: 60, age: 55 * time.Second, want: 2 * time.Minute},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newState(t)
--- a/internal/controller/clusterstate/configuration.go
+++ b/internal/controller/clusterstate/configuration.go
@@ -8,15 +8,16 @@
 )
 
 // Limited reports whether a team may have a limit, now or after a change of the
-// configuration: its jobs then have one owner, which counts all that they use.
-func (s *State) Limited(name protocol.Team) bool { return s.limitedIn(s.View, name) }
+// configuration. All its jobs then have the same owner, which counts the resources that
+// they use.
+func (s *State) Limited(name protocol.Team) bool { return s.mayHaveLimitIn(s.View, name) }
 
-// limitedIn is Limited in a view.
-func (s *State) limitedIn(view record.View, name protocol.Team) bool {
+// mayHaveLimitIn is Limited for a given view.
+func (s *State) mayHaveLimitIn(view record.View, name protocol.Team) bool {
 	return dynamicconfig.HasSingleOwner(&s.Settings.Site, view.Layout, name)
 }
 
-// Team returns a team as it is in force.
+// Team returns the settings of a team that are in force.
 func (s *State) Team(name protocol.Team) (dynamicconfig.Team, bool) {
 	return s.Configuration.Effective().Team(name)
 }
@@ -24,13 +25,14 @@
 // Objectives returns the service-level objectives in force.
 func (s *State) Objectives() []config.Objective { return s.Configuration.Effective().Objectives }
 
-// PlaceClosed reports whether a machine's type or zone accepts no new tasks.
+// PlaceClosed reports whether a machine type or zone is cordoned, so that its machines
+// accept no new tasks.
 func (s *State) PlaceClosed(machineType protocol.MachineType, zone protocol.Zone) bool {
 	return s.Configuration.Effective().PlaceCordoned(machineType, zone)
 }
 
-// LimitLowered returns the last revision of the configuration that lowered a team's limit:
-// what was placed by an earlier one is started no more.
+// LimitLowered returns the last revision of the configuration that lowered a team's limit.
+// Tasks that were placed under an earlier revision are not started any more.
 func (s *State) LimitLowered(name protocol.Team) dynamicconfig.Revision {
 	return s.Configuration.Effective().LimitLowered(name)
 }
--- a/internal/controller/clusterstate/deadline.go
+++ b/internal/controller/clusterstate/deadline.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// noDeadlineS is after how many seconds a job without a deadline or objective should
-	// be finished: later than jobs that are expected sooner, but before all those that
-	// are still to come.
+	// noDeadlineS is the time, in seconds after its submission, by which a job without a
+	// deadline or objective should be finished. It is later than that of jobs expected
+	// sooner, but early enough that jobs submitted later are not all ordered first.
 	noDeadlineS = 600.0
-	// minEstimateS is the shortest run time assumed, in seconds: rates are divided by it.
+	// minEstimateS is the minimum run time assumed, in seconds, since rates are divided by
+	// the run time.
 	minEstimateS = 0.001
 )
 
@@ -43,17 +44,17 @@
 	return times
 }
 
-// Deadline returns the time by which jobs of a level are ordered.
+// Deadline returns the time by which a job is ordered among the jobs of its level.
 func (s *State) Deadline(job *LiveJob) clock.Time {
 	if s.HasStartObjective(&job.Job) {
-		return job.Since // the job that has waited longest for its start goes first
+		return job.Since // the job that has waited longest for its start is first
 	}
 	return s.FinishBy(job)
 }
 
-// FinishBy returns when a job should be finished: the first of its times that can still be
-// met. A job that can meet none any more makes way for those that can, but not for ever:
-// its last time is doubled until it can be met.
+// FinishBy returns when a job should be finished: the earliest of its objective times that
+// it can still meet. A job that can't meet any of them is ordered after jobs that can, but
+// does not starve: its latest time is doubled until the job can meet it.
 func (s *State) FinishBy(job *LiveJob) clock.Time {
 	age := s.Since(job.Since).Seconds()
 	first, last := math.Inf(1), 0.0
@@ -76,7 +77,8 @@
 	return job.Since + clock.Time(first*float64(time.Second))
 }
 
-// HasStartObjective reports whether jobs of a job's class should start within some time.
+// HasStartObjective reports whether the class of a job has an objective for the time until
+// its jobs start.
 func (s *State) HasStartObjective(job *protocol.Job) bool {
 	for _, o := range s.Objectives() {
 		if o.Kind == objectiveWait && o.Class == job.Class {
@@ -86,8 +88,8 @@
 	return false
 }
 
-// Estimate returns the expected run time of a task in seconds: the owner's estimate, or
-// the default.
+// Estimate returns the expected run time of a task of a job in seconds: the estimate in the
+// job, or the default.
 func (s *State) Estimate(job *protocol.Job) float64 {
 	if job.EstimateS > 0 {
 		return max(job.EstimateS, minEstimateS)
@@ -95,7 +97,8 @@
 	return s.Op.DefaultEstimate.Seconds()
 }
 
-// ExpectedRunSeconds returns how long a task is very likely to run at the most, in seconds.
+// ExpectedRunSeconds returns the run time, in seconds, that a task very likely does not
+// exceed: its estimate times the factor of observed estimation errors of the job's class.
 func (s *State) ExpectedRunSeconds(job *protocol.Job, estimateS float64) float64 {
 	return estimateS * s.Reservations.Errors[job.Class].Factor()
 }
--- a/internal/controller/clusterstate/jobs.go
+++ b/internal/controller/clusterstate/jobs.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	// maxEndedJobs is from how many on ended jobs are forgotten, once endedFor has
-	// passed.
-	maxEndedJobs = 4096
-	endedFor     = 10 * time.Minute
-	// cancelledFor is how long a cancelled job is remembered: far longer than a
+	// maxEndedJobs is the number of remembered ended jobs above which those that ended
+	// longer than endedRetention ago are deleted.
+	maxEndedJobs   = 4096
+	endedRetention = 10 * time.Minute
+	// cancelledRetention is how long a cancelled job is remembered: far longer than a
 	// controller may hold its lease without having observed the job's end.
-	cancelledFor = time.Minute
+	cancelledRetention = time.Minute
 )
 
-// MarkEnded remembers that a job has ended, for messages about it that are still on their
-// way.
+// MarkEnded records that a job has ended, for messages about it that are still in transit.
 func (s *State) MarkEnded(id protocol.JobID) {
 	s.endedJobs[id] = s.Now
 	delete(s.cancelledJobs, id)
 	if len(s.endedJobs) > maxEndedJobs {
-		s.forget(s.endedJobs, endedFor)
+		s.forgetOlderThan(s.endedJobs, endedRetention)
 	}
 }
 
-// forget deletes the jobs that were marked longer ago than some time.
-func (s *State) forget(jobs map[protocol.JobID]clock.Time, after time.Duration) {
+// forgetOlderThan deletes the jobs that were marked longer ago than an age.
+func (s *State) forgetOlderThan(jobs map[protocol.JobID]clock.Time, age time.Duration) {
 	for id, at := range jobs {
-		if s.Since(at) > after {
+		if s.Since(at) > age {
 			delete(jobs, id)
 		}
 	}
 }
 
-// HasEnded reports whether a job is known to have ended, rather than not to have been
+// HasEnded reports whether a job was observed to end, as opposed to not having been
 // observed yet.
 func (s *State) HasEnded(id protocol.JobID) bool {
 	_, ended := s.endedJobs[id]
 	return ended && s.Live[id] == nil
 }
 
-// MarkCancelled prevents further starts of a job's tasks. Its user is about to be notified
-// that it is cancelled, which is recorded, but may not have been observed yet. The rest of
-// its cancellation waits for that, so that it happens in the order of the records.
+// MarkCancelled prevents further starts of a job's tasks. The cancellation is recorded, but
+// this controller may not have observed the record yet, while the user is about to be
+// notified. All other effects of the cancellation are delayed until the record is observed,
+// so that they happen in the order of the records.
 func (s *State) MarkCancelled(id protocol.JobID) {
 	if s.HasEnded(id) {
 		return
 	}
 	s.cancelledJobs[id] = s.Now
-	s.forget(s.cancelledJobs, cancelledFor)
+	s.forgetOlderThan(s.cancelledJobs, cancelledRetention)
 }
 
-// MayStart reports whether tasks of a job may be started: it is live, and not known to be
+// MayStart reports whether tasks of a job may be started: the job is live and not marked as
 // cancelled.
 func (s *State) MayStart(id protocol.JobID) bool {
 	_, cancelled := s.cancelledJobs[id]
--- a/internal/controller/clusterstate/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// graceSaves and graceSlackS make the grace period of a task: so many times as long
-	// as saving a checkpoint takes, and some seconds.
-	graceSaves  = 2
-	graceSlackS = 1
+	// graceCheckpointFactor and graceSlackS define the grace period of a task: this
+	// multiple of the time that saving a checkpoint takes, plus this many seconds.
+	graceCheckpointFactor = 2
+	graceSlackS           = 1
 )
 
 // LiveJob is an accepted job as it is recorded.
@@ -20,13 +20,13 @@
 	protocol.Job
 	Version   protocol.Version
 	Since     clock.Time        // when it was submitted
-	Deadline  clock.Time        // as last calculated
-	owner     protocol.NodeName // in the view of ownerTerm
+	Deadline  clock.Time        // result of State.Deadline when it was last calculated
+	owner     protocol.NodeName // cached owner in the view of ownerTerm
 	ownerTerm protocol.Term
 }
 
-// AllowsKind reports whether the job alone allows machines of a type in a zone: no
-// reservation, window or configuration is considered.
+// AllowsKind reports whether the job's own requirements allow machines of a type in a zone.
+// It considers no reservation, window or configuration.
 func (j *LiveJob) AllowsKind(machineType protocol.TypeInfo, zone protocol.Zone, spot bool) bool {
 	if len(j.Types) > 0 && !slices.Contains(j.Types, machineType.Name) {
 		return false
@@ -46,4 +46,6 @@
 
 // GraceS returns the grace period in which a task of a job may save a checkpoint, in
 // seconds.
-func GraceS(job *protocol.Job) float64 { return graceSaves*job.CheckpointDurationS + graceSlackS }
+func GraceS(job *protocol.Job) float64 {
+	return graceCheckpointFactor*job.CheckpointDurationS + graceSlackS
+}
--- a/internal/controller/clusterstate/module.go
+++ b/internal/controller/clusterstate/module.go
@@ -9,28 +9,30 @@
 	"damsonkeel/internal/record"
 )
 
-// Module is what each module of the core embeds: the state that it reads, and the output
-// of its steps.
+// Module is embedded by each module of the core. It has the state that the module reads and
+// the output of its steps.
 type Module struct {
 	*State
 	*Output
 }
 
-// NewModule returns a state that knows nothing but its settings, with an empty output.
+// NewModule returns a Module whose state has nothing but the settings, with an empty output.
 func NewModule(settings *config.Settings, operator config.Operator, log *slog.Logger) Module {
 	return Module{State: NewState(settings, operator, log), Output: &Output{}}
 }
 
-// Output is what a step asks for.
+// Output holds the actions that a step requests and the messages that it sends to this
+// controller itself.
 type Output struct {
 	Actions []message.Action
-	Local   []message.PeerMessage // to this controller, handled before the step ends
+	Local   []message.PeerMessage // messages to this controller, handled before the step ends
 }
 
-// Emit asks for an action.
+// Emit requests an action.
 func (m Module) Emit(action message.Action) { m.Actions = append(m.Actions, action) }
 
-// Send sends a message to a member of the view, which may be this controller.
+// Send sends a message to a member of the view, which may be this controller. A message to
+// a controller that is not a member is dropped.
 func (m Module) Send(to protocol.NodeName, msg message.PeerMessage) {
 	if to == m.Self {
 		m.Local = append(m.Local, msg)
@@ -50,9 +52,9 @@
 	})
 }
 
-// ChangeRecord has a machine's record written or deleted: by the registrar where machines
-// are recorded in blocks, else by this controller. In the latter case the transaction
-// depends on the conditions given and on the version of the record.
+// ChangeRecord requests that a machine's record is written or deleted: by the registrar if
+// machines are recorded in blocks, else by this controller. In the latter case the
+// transaction is conditional on the given conditions and on the version of the record.
 func (m Module) ChangeRecord(tag any, change message.RecordChange, conditions ...protocol.Condition) {
 	if m.UsesBlocks() {
 		change.Term = m.View.Term
--- a/internal/controller/clusterstate/rendezvous.go
+++ b/internal/controller/clusterstate/rendezvous.go
@@ -21,7 +21,7 @@
 		if slices.Contains(excluded, name) {
 			continue
 		}
-		score := mix(fnv1a(fnv1a(fnv1a(fnvOffset, string(name)), "\x00"), key))
+		score := murmurFinalizer(fnv1a(fnv1a(fnv1a(fnvOffset, string(name)), "\x00"), key))
 		if best == "" || score > bestScore || score == bestScore && name < best {
 			best, bestScore = name, score
 		}
@@ -29,8 +29,8 @@
 	return best
 }
 
-// RendezvousDispatcher returns the controller that dispatches to a machine where there is
-// no shard table: one that workers can reach, unless there is none.
+// RendezvousDispatcher returns the controller that dispatches to a machine if there is no
+// shard table: a member that workers can reach, unless they can reach none.
 func RendezvousDispatcher(view record.View, machine protocol.MachineID) protocol.NodeName {
 	key := "machine " + string(machine)
 	if len(view.Deaf) >= len(view.Members) {
@@ -45,8 +45,9 @@
 	fnvPrime  = 1099511628211
 )
 
-// fnv1a continues a hash with a text. Package hash/fnv takes bytes, which costs a copy of
-// each text: more than the hash, where thousands of machines change dispatchers.
+// fnv1a adds a string to a hash. Package hash/fnv takes bytes, which costs a copy of each
+// string: when thousands of machines change dispatchers, the copies cost more than the
+// hashing.
 func fnv1a(hash uint64, text string) uint64 {
 	for i := range len(text) {
 		hash = (hash ^ uint64(text[i])) * fnvPrime
@@ -54,9 +55,9 @@
 	return hash
 }
 
-// mix is the finalizer of MurmurHash3. It spreads the hashes of similar keys, which FNV
-// leaves close together.
-func mix(x uint64) uint64 {
+// murmurFinalizer is the finalizer of MurmurHash3. It spreads the hashes of similar keys,
+// which FNV-1a leaves close together.
+func murmurFinalizer(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -13,62 +13,66 @@
 )
 
 const (
-	// LeadSlack is how much earlier than two boots before its start the resources of a
-	// reservation are free: enough for one more boot if a machine does not come up.
+	// LeadSlack is added to the time of leadBoots boots by which the resources of a
+	// reservation must be free before its start: enough for one more boot if a machine
+	// fails to boot.
 	LeadSlack = 20 * time.Second
-	// SettleHolds is the longest that it takes, after all controllers have restarted,
-	// until resources are held again: machines have to be in contact first.
+	// SettleHolds is the maximum time from a restart of all controllers until resources
+	// are held again: machines have to be in contact first.
 	SettleHolds = 20 * time.Second
-	// settleSlack is how much longer this controller waits for the list of holds.
+	// settleSlack is how much longer than SettleHolds this controller waits for the list
+	// of holds.
 	settleSlack = 10 * time.Second
-	// leadBoots is how many boots before its start the resources of a reservation are
-	// free: one of a machine, and one of another in its place.
+	// leadBoots is the number of boots that must fit between the time when the resources
+	// of a reservation are free and its start: one of a machine, and one of a replacement.
 	leadBoots = 2
 )
 
-// noReservation stands in for a reservation that does not exist: it matches no job.
+// noReservation is used in place of a reservation that does not exist. It matches no job.
 var noReservation = &record.Reservation{Spec: record.ReservationSpec{Job: "none"}}
 
-// Reservations is what all modules know of the calendar: the reservations and windows as
-// recorded, the resources held for them at present, and the windows that are open.
+// Reservations is the state of the calendar that all modules read: the recorded
+// reservations and maintenance windows, the resources that are held for reservations now,
+// and the windows that are open or about to open.
 type Reservations struct {
 	Calendar *reservation.Calendar
-	Version  protocol.Version // of the calendar's own record
-	Changes  uint64           // that this record counts
-	// Any: the calendar has an entry. While it has none, no decision or message differs
-	// from those of a cluster without a calendar.
+	Version  protocol.Version // version of the calendar's own record
+	Changes  uint64           // number of changes that this record counts
+	// Any is set if the calendar has an entry. While it has none, all decisions and
+	// messages are the same as in a cluster without a calendar.
 	Any bool
 
 	Holds   map[protocol.MachineID][]reservation.Hold
 	List    []reservation.Hold // all holds
-	Listed  bool               // the list was received in this session
-	Windows []OpenWindow       // open now, or soon
+	Listed  bool               // List was received in this session
+	Windows []OpenWindow       // windows that are open now or soon
 
-	Errors map[string]*forecast.Errors // of run time estimates, by class
-	Boots  forecast.Boots
+	Errors map[string]*forecast.Errors // errors of run time estimates, by class
+	Boots  forecast.Boots              // errors of boot time estimates
 }
 
-// next returns the state of a new session: what was learned of estimates and boots stays.
-func (r *Reservations) next() *Reservations {
-	fresh := &Reservations{
+// forNewSession returns the state for a new session. The observed errors of run time and
+// boot time estimates are kept.
+func (r *Reservations) forNewSession() *Reservations {
+	next := &Reservations{
 		Calendar: reservation.NewCalendar(),
 		Holds:    map[protocol.MachineID][]reservation.Hold{},
 		Errors:   map[string]*forecast.Errors{},
 	}
 	if r != nil {
-		fresh.Boots = r.Boots
-		fresh.Errors = r.Errors
+		next.Boots = r.Boots
+		next.Errors = r.Errors
 	}
-	return fresh
+	return next
 }
 
 // OpenWindow is a maintenance window that is open, or will be.
 type OpenWindow struct {
 	Spec       *record.WindowSpec
-	Start, End reservation.Moment // with a margin for differences of clocks
+	Start, End reservation.Moment // extended by a margin for clock differences
 }
 
-// ReservationFilter returns a function that reports whether a reservation is for a job.
+// ReservationFilter returns a function that reports whether a reservation matches a job.
 func (s *State) ReservationFilter(job *protocol.Job) func(reservation.Name) bool {
 	return func(name reservation.Name) bool {
 		entry := s.Reservations.Calendar.Reservation(name)
@@ -76,8 +80,8 @@
 	}
 }
 
-// InWindow reports whether a window that covers a machine is open at any time from one
-// moment until before another.
+// InWindow reports whether a window that covers a machine is open at any time in the
+// half-open interval [from, to).
 func (s *State) InWindow(id protocol.MachineID, machineType protocol.MachineType, zone protocol.Zone, from, to reservation.Moment) bool {
 	for i := range s.Reservations.Windows {
 		w := &s.Reservations.Windows[i]
@@ -88,12 +92,12 @@
 	return false
 }
 
-// NoticeBefore returns how long before its start the resources of a reservation are free:
-// as long as a machine takes to boot, and another in its place.
+// NoticeBefore returns how long before its start the resources of a reservation must be
+// free: the time that a machine and then a replacement take to boot, plus LeadSlack.
 func (s *State) NoticeBefore(spec *record.ReservationSpec) time.Duration {
 	bootS := 0.0
-	// Types that the cloud is out of at present count too: the result must not change
-	// from one moment to the next.
+	// Types that the cloud can't provide now count too, so that the result does not
+	// change with their availability.
 	for _, machineType := range s.Types {
 		if reservation.Fits(spec, machineType, spec.Zone) {
 			bootS = max(bootS, s.Reservations.Boots.Likely(machineType.BootS))
@@ -102,9 +106,10 @@
 	return config.Seconds(leadBoots*bootS) + LeadSlack
 }
 
-// SpansReservation reports whether a task that ends at a moment could be in the way of a
-// reservation whose resources were held before all controllers restarted. Until they are
-// held again, such a task waits.
+// SpansReservation reports whether a task that ends at a given time could use resources of
+// a reservation that were held before all controllers restarted and are not held again yet.
+// Such a task waits until the list of holds is received, or until SettleHolds and
+// settleSlack have passed since the start of the session.
 func (s *State) SpansReservation(job *protocol.Job, ends reservation.Moment) bool {
 	if s.Reservations.Listed || s.Since(s.SessionStart) > SettleHolds+settleSlack {
 		return false
@@ -120,7 +125,8 @@
 	})
 }
 
-// ReservationOf returns the reservation of a name, or one that matches no job.
+// ReservationOf returns the reservation with a name, or one that matches no job if there is
+// none.
 func (s *State) ReservationOf(name reservation.Name) *record.Reservation {
 	if entry := s.Reservations.Calendar.Reservation(name); entry != nil {
 		return entry.Reservation
@@ -128,8 +134,9 @@
 	return noReservation
 }
 
-// ReservedEnd returns when a task is assumed to have ended: no later than its own
-// resources are held, which no window shortens.
+// ReservedEnd returns when a task is assumed to have ended: at its expected end, but no
+// later than the end of the holds of its own reservation. Windows do not shorten these
+// holds.
 func ReservedEnd(holds []reservation.Hold, task *reservation.Task) reservation.Moment {
 	if until := reservation.ReservedUntil(holds, task.IsOf); until != 0 {
 		return min(task.Ends, until)
@@ -137,7 +144,7 @@
 	return task.Ends
 }
 
-// ReservedBy returns how much of a machine's resources its holds reserve now.
+// ReservedBy returns the amount of a machine's resources that its holds reserve now.
 func ReservedBy(holds []reservation.Hold, now reservation.Moment) (sum resource.Amount) {
 	for _, hold := range holds {
 		if now >= hold.Clear && now < hold.Until {
--- a/internal/controller/clusterstate/responsibility.go
+++ b/internal/controller/clusterstate/responsibility.go
@@ -6,14 +6,15 @@
 	"damsonkeel/internal/record"
 )
 
-// dispatcherCacheSize bounds the cached dispatchers: far more machines than there are at a
-// time.
+// dispatcherCacheSize bounds the number of cached dispatchers. It is far above the number of
+// machines that exist at a time.
 const dispatcherCacheSize = 1 << 14
 
-// registrarKey is the rendezvous key of the registrar.
+// registrarKey is the rendezvous key that selects the registrar.
 const registrarKey = "machine records"
 
-// Sharded reports whether machines are divided by shards in this term.
+// Sharded reports whether machines are assigned to dispatchers by the shard table in this
+// term.
 func (s *State) Sharded() bool {
 	return s.View.Layout >= record.LayoutShards && s.Shards != nil
 }
@@ -27,8 +28,8 @@
 	return s.DispatcherInZone(machine, zone)
 }
 
-// DispatcherInZone returns the controller that dispatches to a machine of a zone; none
-// while its shard has no holder.
+// DispatcherInZone returns the controller that dispatches to a machine of a zone, or "" while
+// its shard has no holder.
 func (s *State) DispatcherInZone(machine protocol.MachineID, zone protocol.Zone) protocol.NodeName {
 	switch {
 	case s.Sharded():
@@ -39,7 +40,7 @@
 	return s.rendezvousDispatcher(machine)
 }
 
-// rendezvousDispatcher is RendezvousDispatcher in the present view, cached.
+// rendezvousDispatcher is RendezvousDispatcher for the current view, cached.
 func (s *State) rendezvousDispatcher(machine protocol.MachineID) protocol.NodeName {
 	name, ok := s.DispatcherCache[machine]
 	if !ok {
@@ -52,12 +53,13 @@
 	return name
 }
 
-// Holder returns the member that holds a shard; none if its session has ended.
+// Holder returns the member that holds a shard, or "" if the holder's session is not in the
+// view.
 func (s *State) Holder(id sharding.ID) protocol.NodeName {
 	return NameOf(s.View, s.Shards.List[id].Holder)
 }
 
-// NameOf returns the member of a view that has a session.
+// NameOf returns the member of a view that has a session, or "" if there is none.
 func NameOf(view record.View, session protocol.LeaseID) protocol.NodeName {
 	for name, memberSession := range view.Members {
 		if memberSession == session && memberSession != 0 {
@@ -73,8 +75,8 @@
 	return ok && b.Members[name] == session
 }
 
-// FencingToken returns the token that a dispatcher's commands to a machine carry: the
-// epoch of its shard, or the term where there are no shards.
+// FencingToken returns the fencing token of a dispatcher's commands to a machine: the epoch
+// of the machine's shard, or the term if there are no shards.
 func (s *State) FencingToken(machine protocol.MachineID, zone protocol.Zone) protocol.Term {
 	if s.Sharded() {
 		return s.Shards.List[sharding.ShardOf(s.Shards, machine, zone)].Epoch
@@ -82,8 +84,8 @@
 	return s.View.Term
 }
 
-// ShardEpoch returns the epoch since which a machine's shard has had its holder; 0 where
-// there are no shards, since the holder depends on the term alone then.
+// ShardEpoch returns the epoch since which a machine's shard has had its holder. It is 0 if
+// there are no shards, since the dispatcher then depends on the term alone.
 func (s *State) ShardEpoch(machine protocol.MachineID, zone protocol.Zone) protocol.Term {
 	if s.Sharded() {
 		return s.Shards.List[sharding.ShardOf(s.Shards, machine, zone)].Since
@@ -91,7 +93,7 @@
 	return 0
 }
 
-// ShardTableEpoch returns the epoch of the shard table as it was last observed.
+// ShardTableEpoch returns the epoch of the shard table that was last observed.
 func (s *State) ShardTableEpoch() protocol.Term {
 	if s.Shards == nil {
 		return 0
@@ -99,7 +101,7 @@
 	return s.Shards.Epoch
 }
 
-// OwnerOf is JobOwner in the present view, cached.
+// OwnerOf is JobOwner for the current view, cached.
 func (s *State) OwnerOf(job *LiveJob) protocol.NodeName {
 	if job.ownerTerm != s.View.Term {
 		job.owner = s.JobOwner(s.View, &job.Job)
@@ -108,16 +110,16 @@
 	return job.owner
 }
 
-// JobOwner returns the controller that owns a job in a view. All jobs of a team with a
-// limit have the same owner, so that the limit is checked in one place.
+// JobOwner returns the controller that owns a job in a view. All jobs of a team that may
+// have a limit have the same owner, so that the limit is checked in one place.
 func (s *State) JobOwner(view record.View, job *protocol.Job) protocol.NodeName {
-	if s.limitedIn(view, job.Team) {
+	if s.mayHaveLimitIn(view, job.Team) {
 		return Rendezvous(view, "team "+string(job.Team))
 	}
 	return Rendezvous(view, "job "+string(job.ID))
 }
 
-// Registrar returns the member that writes the blocks of machines' records.
+// Registrar returns the member that writes the blocks of machine records.
 func (s *State) Registrar() protocol.NodeName { return Rendezvous(s.View, registrarKey) }
 
 // UsesBlocks reports whether machines are recorded in blocks in this term.
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -15,41 +15,41 @@
 type State struct {
 	Self     protocol.NodeName
 	Settings *config.Settings
-	Op       config.Operator
+	Op       config.Operator // operator settings in force
 	Log      *slog.Logger
 	Now      clock.Time
-	WallMS   int64 // the time of day when Now was 0, as last set
+	WallMS   int64 // time of day when Now was 0, in milliseconds, as last set
 
 	Types map[protocol.MachineType]protocol.TypeInfo
 
 	Session       protocol.LeaseID
 	SessionStart  clock.Time
-	LeaseDeadline clock.Time // this controller holds its lease before
+	LeaseDeadline clock.Time // when this controller's lease expires by its own clock
 	View          record.View
 	ViewVersion   protocol.Version
-	// DispatcherCache is the dispatchers in the present view, as far as they were asked
-	// for, where there is no shard table.
+	// DispatcherCache holds the dispatchers of machines in the current view that were
+	// looked up, if there is no shard table.
 	DispatcherCache map[protocol.MachineID]protocol.NodeName
-	// Shards is the shard table as it was last observed; nil: there is none. It is in use
-	// where the view's layout says so.
+	// Shards is the shard table that was last observed, or nil if there is none. It is in
+	// use if the view's layout is LayoutShards or later.
 	Shards        *record.ShardTable
 	ShardsVersion protocol.Version
-	// Leaving: the process is shutting down, and hands its shards over first.
+	// Leaving is set while the process is shutting down and hands its shards over first.
 	Leaving bool
-	// HighestFencingToken is the highest fencing token that any worker has reported since the
-	// process started.
+	// HighestFencingToken is the highest fencing token that any worker has reported since
+	// the process started.
 	HighestFencingToken protocol.Term
 
 	Live          map[protocol.JobID]*LiveJob
 	endedJobs     map[protocol.JobID]clock.Time // when each was observed to end
-	cancelledJobs map[protocol.JobID]clock.Time // since when each is known to be cancelled
+	cancelledJobs map[protocol.JobID]clock.Time // when each was marked as cancelled
 	Records       map[protocol.MachineID]*Machine
 	Reservations  *Reservations
-	// Configuration is the settings with the changes of operators.
+	// Configuration holds the settings with the changes that operators have made.
 	Configuration *dynamicconfig.Followed
 }
 
-// NewState returns a state that knows nothing but its settings.
+// NewState returns a state that has nothing but the settings.
 func NewState(settings *config.Settings, op config.Operator, log *slog.Logger) *State {
 	s := &State{
 		Self:          settings.Name,
@@ -63,7 +63,8 @@
 	return s
 }
 
-// Reset discards what was known in a session: what matters is recorded.
+// Reset discards the state of the previous session. Durable state is recorded in the
+// key-value store.
 func (s *State) Reset() {
 	s.Session = 0
 	s.LeaseDeadline = 0
@@ -76,12 +77,12 @@
 	s.endedJobs = map[protocol.JobID]clock.Time{}
 	s.cancelledJobs = map[protocol.JobID]clock.Time{}
 	s.Records = map[protocol.MachineID]*Machine{}
-	s.Reservations = s.Reservations.next()
+	s.Reservations = s.Reservations.forNewSession()
 	s.Configuration.Reset()
 	s.Op = s.Configuration.Effective().Operator
 }
 
-// Machine is a registered machine as it is recorded.
+// Machine is the record of a registered machine and the information on its type.
 type Machine struct {
 	ID     protocol.MachineID
 	Record record.Machine
@@ -90,17 +91,17 @@
 }
 
 // HoldsLease reports whether this controller may send commands to workers and change
-// jobs: its lease has not expired by its own clock, and the view has its session.
+// jobs: its lease has not expired by its own clock, and the view contains its session.
 func (s *State) HoldsLease() bool {
 	return s.Now < s.LeaseDeadline && s.Member()
 }
 
-// Member reports whether the view has this session.
+// Member reports whether this controller is in the view with its current session.
 func (s *State) Member() bool {
 	return s.Session != 0 && s.View.Members[s.Self] == s.Session
 }
 
-// ViewUnchanged returns the condition that the view is unchanged.
+// ViewUnchanged returns the transaction condition that the view is unchanged.
 func (s *State) ViewUnchanged() protocol.Condition {
 	return protocol.Condition{Key: record.ViewKey, Version: s.ViewVersion}
 }
--- a/internal/controller/clusterstate/time.go
+++ b/internal/controller/clusterstate/time.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// slowClock is how much longer a lease is by the slowest clock of a worker.
-	slowClock = 1.002
-	// answerMargin is how long an answer to a worker may be on its way.
+	// slowClockFactor is how many times as long as nominal a lease can last by the slowest
+	// clock of a worker.
+	slowClockFactor = 1.002
+	// answerMargin is how long an answer to a worker may be in transit.
 	answerMargin = 5 * time.Second
 )
 
-// After returns the time some duration from now.
+// After returns the time a duration from now.
 func (s *State) After(d time.Duration) clock.Time { return s.Now.Add(d) }
 
-// Since returns how long ago a time was.
+// Since returns the duration from an earlier time until now.
 func (s *State) Since(t clock.Time) time.Duration { return s.Now.Since(t) }
 
-// SubmissionTime returns when a job was submitted, by this process's clock.
+// SubmissionTime returns when a job was submitted, by this process's monotonic clock.
 func (s *State) SubmissionTime(job *protocol.Job) clock.Time {
 	if s.WallMS == 0 || job.SubmittedMS == 0 {
 		return s.Now
@@ -29,26 +30,26 @@
 	return min(s.Now, clock.Time(job.SubmittedMS-s.WallMS)*clock.Time(time.Millisecond))
 }
 
-// WallTime returns the time of day.
+// WallTime returns the time of day now.
 func (s *State) WallTime() reservation.Moment {
 	return reservation.Moment(s.WallMS + s.nowMS())
 }
 
-// SetWallClock sets the time of day, if it is known. This is repeated, since monotonic
-// clocks drift.
+// SetWallClock sets the time of day; 0 means that it is unknown and changes nothing. It is
+// called repeatedly, since monotonic clocks drift.
 func (s *State) SetWallClock(wallMS int64) {
 	if wallMS != 0 {
 		s.WallMS = wallMS - s.nowMS()
 	}
 }
 
-// nowMS returns the time of this process in milliseconds.
+// nowMS returns the time of this process's monotonic clock in milliseconds.
 func (s *State) nowMS() int64 { return int64(s.Now / clock.Time(time.Millisecond)) }
 
-// WorkerLeaseBound returns how long after the last possible answer a worker has surely
-// killed its tasks: its lease by a clock that may be slow, and a margin for answers on
-// their way.
+// WorkerLeaseBound returns how long after the last possible answer to a worker the worker
+// has certainly killed its tasks: the worker's lease by a clock that may be slow, plus a
+// margin for answers in transit.
 func (s *State) WorkerLeaseBound() time.Duration {
 	leaseS := s.Settings.Site.Workers.LeaseS
-	return time.Duration(leaseS*slowClock*float64(time.Second)) + answerMargin
+	return time.Duration(leaseS*slowClockFactor*float64(time.Second)) + answerMargin
 }
