--- a/internal/controller/clock/clock.go
+++ b/internal/controller/clock/clock.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Time is a process's monotonic clock, in nanoseconds since it started; 0 is never.
+// Time is a time of a process's monotonic clock, in nanoseconds since the process started.
+// 0 means never.
 type Time int64
 
-// Add returns the time a duration later.
+// Add returns the time that is a duration later.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
 
 // Since returns the duration from an earlier time.
