--- a/internal/controller/ordered/ordered.go
+++ b/internal/controller/ordered/ordered.go
@@ -14,13 +14,13 @@
 	return byKeys(m, slices.Sorted(maps.Keys(m)))
 }
 
-// Tasks iterates over a map by task: by job, then by index.
+// Tasks iterates over a map in the order of its tasks: by job, then by index.
 func Tasks[V any](m map[protocol.TaskID]V) iter.Seq2[protocol.TaskID, V] {
 	return byKeys(m, slices.SortedFunc(maps.Keys(m), compareTasks))
 }
 
-// TasksWhere is Tasks for the entries that match a condition when it is called: only these
-// are sorted.
+// TasksWhere is Tasks for the entries that match a condition at the time of the call. Only
+// these entries are sorted.
 func TasksWhere[V any](m map[protocol.TaskID]V, match func(protocol.TaskID, V) bool) iter.Seq2[protocol.TaskID, V] {
 	var tasks []protocol.TaskID
 	for task, v := range m {
@@ -36,8 +36,8 @@
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 }
 
-// byKeys iterates over the entries of a map that are still there, in the order of some
-// keys.
+// byKeys iterates over the entries of a map in the order of the given keys. It skips keys
+// that the map no longer contains when they are reached.
 func byKeys[K comparable, V any](m map[K]V, keys []K) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, key := range keys {
--- a/internal/controller/ordered/ordered_test.go
+++ b/internal/controller/ordered/ordered_test.go
@@ -7,9 +7,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestOrder: entries come in the order of their keys, and those that the loop has deleted
-// do not.
-func TestOrder(t *testing.T) {
+// TestOfIteratesInKeyOrder checks that entries are visited in the order of their keys, and
+// that entries that the loop has deleted are not visited.
+func TestOfIteratesInKeyOrder(t *testing.T) {
 	m := map[string]int{"c": 3, "a": 1, "b": 2, "d": 4}
 	var values []int
 	for key, value := range Of(m) {
@@ -23,8 +23,9 @@
 	}
 }
 
-// TestTasks: tasks come in the order of their jobs, then of their indexes.
-func TestTasks(t *testing.T) {
+// TestTasksIteratesByJobThenIndex checks that tasks are visited in the order of their jobs,
+// then of their indexes, and that TasksWhere visits the matching ones only.
+func TestTasksIteratesByJobThenIndex(t *testing.T) {
 	m := map[protocol.TaskID]bool{
 		{Job: "b", Index: 1}:  true,
 		{Job: "a", Index: 10}: true,
