--- a/internal/controller/resource/amount.go
+++ b/internal/controller/resource/amount.go
@@ -7,35 +7,38 @@
 )
 
 const (
-	// Slack is by how much sums of amounts may be wrong: they are decimal numbers.
+	// Slack is the tolerance for rounding errors in comparisons of amounts, which are sums
+	// of decimal numbers.
 	Slack = 1e-6
-	// maxFitting bounds CountFitting: tasks that use nothing fit any number of times.
+	// maxFitting bounds the result of CountFitting, since any number of tasks that use
+	// nothing fit.
 	maxFitting = 1000
 )
 
-// Amount is the resources that a task uses or a machine has. It is part of messages
-// between controllers.
+// Amount is an amount of resources that a task uses or a machine has. It is part of
+// messages between controllers.
 type Amount struct {
 	CPUs, GPUs float64
-	GB         float64 // memory
+	GB         float64 // gigabytes of memory
 }
 
-// Need returns what a task of a job uses.
+// Need returns the resources that a task of a job uses.
 func Need(job *protocol.Job) Amount { return Amount{job.CPUs, job.GPUs, job.MemoryGB} }
 
-// Capacity returns what a machine of a type has.
+// Capacity returns the resources that a machine of a type has.
 func Capacity(machineType protocol.TypeInfo) Amount {
 	return Amount{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
 }
 
-// Round removes from a sum of decimal numbers what depends on the order of the summands:
-// equal sums compare as equal, and simulations are repeatable.
+// Round rounds a sum of decimal numbers to a multiple of the tolerance of comparisons. This
+// removes the rounding errors that depend on the order of the summands, so that equal sums
+// compare as equal and simulations are repeatable.
 func Round(x float64) float64 { return math.Round(x/Slack) * Slack }
 
 // Round rounds each resource.
 func (a Amount) Round() Amount { return Amount{Round(a.CPUs), Round(a.GPUs), Round(a.GB)} }
 
-// Covers reports whether a need fits into the amount.
+// Covers reports whether a need fits into the amount, with a tolerance for rounding errors.
 func (a Amount) Covers(need Amount) bool {
 	return need.CPUs <= a.CPUs+Slack && need.GPUs <= a.GPUs+Slack && need.GB <= a.GB+Slack
 }
@@ -53,7 +56,8 @@
 // Times returns a multiple of the amount.
 func (a Amount) Times(n float64) Amount { return Amount{n * a.CPUs, n * a.GPUs, n * a.GB} }
 
-// CountFitting returns how many tasks of a need fit at the same time.
+// CountFitting returns how many tasks with a need fit into the amount at the same time, at
+// most maxFitting.
 func (a Amount) CountFitting(need Amount) int {
 	count := 0
 	for a.Covers(need) && count < maxFitting {
@@ -63,21 +67,21 @@
 	return count
 }
 
-// FractionalFit returns how many tasks of a need the amount is enough for, with fractions; 0 for a
-// task that uses nothing.
+// FractionalFit returns how many tasks with a need fit into the amount, including fractions
+// of a task. It is 0 for a task that uses nothing.
 func (a Amount) FractionalFit(need Amount) float64 {
-	places := math.Inf(1)
+	count := math.Inf(1)
 	for _, r := range [...]struct{ available, need float64 }{
 		{a.CPUs, need.CPUs},
 		{a.GPUs, need.GPUs},
 		{a.GB, need.GB},
 	} {
 		if r.need > 0 {
-			places = math.Min(places, r.available/r.need)
+			count = math.Min(count, r.available/r.need)
 		}
 	}
-	if math.IsInf(places, 1) {
+	if math.IsInf(count, 1) {
 		return 0
 	}
-	return places
+	return count
 }
--- a/internal/controller/resource/level.go
+++ b/internal/controller/resource/level.go
@@ -9,11 +9,13 @@
 const (
 	// Ranks is the number of priorities.
 	Ranks = 4
-	// Levels is the number of levels: each priority, without and within a guarantee.
+	// Levels is the number of levels: one without and one within a guarantee for each
+	// priority.
 	Levels = 2 * Ranks
 )
 
-// LevelOf returns the level of a priority, within its team's guarantee or not.
+// LevelOf returns the level of tasks of a priority, either within their team's guarantee or
+// not.
 func LevelOf(priority protocol.Priority, guaranteed bool) Level {
 	if guaranteed {
 		return Level(priority.Rank() + Ranks)
@@ -21,17 +23,17 @@
 	return Level(priority.Rank())
 }
 
-// Guaranteed reports whether a level is within its team's guarantee.
+// Guaranteed reports whether tasks of a level are within their team's guarantee.
 func (l Level) Guaranteed() bool { return l >= Ranks }
 
 // Rank returns the rank of the level's priority.
 func (l Level) Rank() int { return int(l) % Ranks }
 
-// Uses is the resources that attempts use on a machine, by level.
+// Uses holds the resources that attempts use on a machine, by level.
 type Uses [Levels]Amount
 
-// NonPreemptible returns what attempts of a level or above use: a task of that level can't
-// preempt them.
+// NonPreemptible returns the resources that attempts of a level or above use: a task of that
+// level can't preempt them.
 func (u *Uses) NonPreemptible(level Level) Amount {
 	var sum Amount
 	for _, used := range u[min(max(level, 0), Levels):] {
@@ -40,7 +42,8 @@
 	return sum
 }
 
-// Above returns what attempts of a priority above a rank use, within a guarantee or not.
+// Above returns the resources that attempts of priorities above a rank use, within a
+// guarantee or not.
 func (u *Uses) Above(rank int) Amount {
 	var sum Amount
 	for level, used := range u {
@@ -51,8 +54,8 @@
 	return sum
 }
 
-// Add adds the resources of an attempt of a level. Levels out of range count as the
-// nearest one.
+// Add adds the resources that an attempt of a level uses. A level out of range counts as the
+// nearest one in range.
 func (u *Uses) Add(level Level, amount Amount) {
 	level = min(max(level, 0), Levels-1)
 	u[level] = u[level].Plus(amount)
