--- a/internal/controller/outcome/outcome.go
+++ b/internal/controller/outcome/outcome.go
@@ -1,5 +1,6 @@
 // Package outcome translates errors of calls to the platform's services, the key-value
-// store and the cloud, into what is known of their effect. It holds no state.
+// store and the cloud, into outcomes: whether the call had its effect, did not, or may have
+// had it. It holds no state.
 package outcome
 
 import (
@@ -9,8 +10,8 @@
 	"damsonkeel/internal/serviceclient"
 )
 
-// Of returns the outcome of a call that ended with err. It is unknown where the call may
-// have had its effect though no answer came.
+// Of returns the outcome of a call that returned err. The outcome is unknown if the call may
+// have had its effect although no answer was received.
 func Of(err error) message.Outcome {
 	switch {
 	case err == nil:
--- a/internal/controller/outcome/outcome_test.go
+++ b/internal/controller/outcome/outcome_test.go
@@ -9,9 +9,9 @@
 	"damsonkeel/internal/serviceclient"
 )
 
-// TestOnlyAnswersTellTheOutcome: an outcome is certain only if the service has answered,
-// also where the error is wrapped.
-func TestOnlyAnswersTellTheOutcome(t *testing.T) {
+// TestOutcomeIsUnknownWithoutAnswer checks that an outcome is certain only if the service
+// has answered, also if the error is wrapped.
+func TestOutcomeIsUnknownWithoutAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		err  error
 		want message.Outcome
