--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -157,11 +157,11 @@
 // tick ends announcements and requests whose time is over, and reads the records of
 // writes that have had no answer for long.
 func (a *Admission) tick() {
-	for id, announcement := range ordered.Of(a.announcements) {
+	for id, announcement := range ordered.ByKey(a.announcements) {
 		a.finishAnnouncement(id, announcement)
 	}
 	next := clock.Time(0)
-	for _, r := range ordered.Of(a.requests) {
+	for _, r := range ordered.ByKey(a.requests) {
 		switch {
 		case a.now >= r.deadline:
 			a.unavailable(r, "not settled in time")
--- a/internal/controller/admission/configuration.go
+++ b/internal/controller/admission/configuration.go
@@ -14,7 +14,7 @@
 	// A stored version says that it may change, whatever this controller's own settings
 	// say.
 	a.configurable = a.configurable || effective.Version > 0
-	for _, r := range ordered.Of(a.requests) {
+	for _, r := range ordered.ByKey(a.requests) {
 		if r.conditionFailed && r.configurationVersion != effective.Version {
 			a.resubmit(r)
 		}
--- a/internal/controller/admission/submission.go
+++ b/internal/controller/admission/submission.go
@@ -86,7 +86,7 @@
 }
 
 // exceeds reports whether an amount is over a team's limit; 0: the team has none.
-func exceeds(amount, limit float64) bool { return limit > 0 && amount > limit+resource.Slack }
+func exceeds(amount, limit float64) bool { return limit > 0 && amount > limit+resource.Tolerance }
 
 // AcceptTransaction accepts a job: it holds only if no job with its id is known.
 func AcceptTransaction(j *protocol.Job) protocol.Transaction {
--- a/internal/controller/autoscaler/offers.go
+++ b/internal/controller/autoscaler/offers.go
@@ -21,7 +21,7 @@
 		zones := info.AllowZones
 		info.AllowZones = nil
 		for _, zone := range zones {
-			if !a.PlaceClosed(name, zone) {
+			if !a.PlaceCordoned(name, zone) {
 				info.AllowZones = append(info.AllowZones, zone)
 			}
 		}
--- a/internal/controller/autoscaler/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -66,14 +66,14 @@
 // chooseReserved chooses the holds anew, and writes the states that reservations are in.
 func (p *ReservationPlanner) chooseReserved() {
 	held := p.reservations
-	if !held.Any && len(held.List) == 0 || !p.autoscaler.mayPlan() {
+	if !held.HasEntries && len(held.List) == 0 || !p.autoscaler.mayPlan() {
 		return
 	}
-	settled := held.Listed || p.Since(p.autoscaler.viewAdoptedAt) >= clusterstate.SettleHolds || p.mostMachinesInventoried()
+	settled := held.HoldsListed || p.Since(p.autoscaler.viewAdoptedAt) >= clusterstate.HoldsSettleTime || p.mostMachinesInventoried()
 	if !settled {
 		return
 	}
-	held.Listed = true
+	held.HoldsListed = true
 	p.chooseHolds()
 	held.Write()
 	p.noteRisks()
@@ -100,7 +100,7 @@
 func (p *ReservationPlanner) mostMachinesInventoried() bool {
 	inventoried := 0
 	for _, m := range p.table.Machines {
-		if p.table.IsStateRecent(m, 3*p.Op.ReplicationInterval) && m.State.Heard {
+		if p.table.IsStateRecent(m, 3*p.Operator.ReplicationInterval) && m.State.Heard {
 			inventoried++
 		}
 	}
@@ -170,7 +170,7 @@
 	}
 	came, desired, started := p.reservations.JobsOf(e)
 	next, changed := reservation.Advance(*e.Reservation, e.Schedule, reservation.Observation{
-		Now: now, ClockError: p.Settings.Site.ClockError(), Lead: p.NoticeBefore(&e.Reservation.Spec),
+		Now: now, ClockError: p.Settings.Site.ClockError(), Lead: p.ReservationLeadTime(&e.Reservation.Spec),
 		JobAccepted: came, Wanted: desired, Started: started, Risk: p.risks[name],
 	})
 	if !changed {
--- a/internal/controller/autoscaler/provision.go
+++ b/internal/controller/autoscaler/provision.go
@@ -48,7 +48,7 @@
 // been provisioned. Only a request of the same name can find that out without
 // provisioning more.
 func (a *Autoscaler) retryProvisionCalls() {
-	for name, call := range ordered.Of(a.provisionCalls) {
+	for name, call := range ordered.ByKey(a.provisionCalls) {
 		switch {
 		case call.inFlight || a.Since(call.at) < provisionRetryAfter:
 		case call.tries > maxProvisionTries:
--- a/internal/controller/autoscaler/reservabledemand.go
+++ b/internal/controller/autoscaler/reservabledemand.go
@@ -42,7 +42,7 @@
 		}
 		_, desired, started := p.reservations.JobsOf(e)
 		if left := desired - started; left > 0 {
-			clearFrom := reservation.After(e.StartMS, -p.NoticeBefore(&e.Reservation.Spec))
+			clearFrom := reservation.After(e.StartMS, -p.ReservationLeadTime(&e.Reservation.Spec))
 			demands = append(demands, reservation.Demand{Reservation: e.Reservation, Remaining: left, ClearBy: clearFrom})
 		}
 	}
@@ -61,7 +61,7 @@
 			})
 		}
 	}
-	for id, m := range ordered.Of(p.autoscaler.booting) {
+	for id, m := range ordered.ByKey(p.autoscaler.booting) {
 		info := p.Types[m.Type]
 		remaining := config.Seconds(p.reservations.Boots.Likely(info.BootS)) - p.Since(m.at)
 		if remaining < 0 || p.table.Machines[id] != nil {
@@ -81,7 +81,7 @@
 	if !m.Open() || m.State.Epoch != m.Epoch {
 		return false
 	}
-	return p.table.IsStateRecent(m, 3*p.Op.ReplicationInterval) || len(p.reservations.Holds[m.ID]) > 0
+	return p.table.IsStateRecent(m, 3*p.Operator.ReplicationInterval) || len(p.reservations.Holds[m.ID]) > 0
 }
 
 // expectedRuns returns the attempts on a machine with the times when they are expected to
--- a/internal/controller/autoscaler/scalein.go
+++ b/internal/controller/autoscaler/scalein.go
@@ -113,7 +113,7 @@
 // likely to arrive meanwhile is known, and there is headroom for it without the machine. A
 // controller that has just started knows that of no class.
 func (a *Autoscaler) idleTimeout(t protocol.TypeInfo, headroom float64) float64 {
-	timeout := math.Min(t.BootS, a.Op.IdleTimeout.Seconds())
+	timeout := math.Min(t.BootS, a.Operator.IdleTimeout.Seconds())
 	if !math.IsInf(headroom, 1) && a.Since(a.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
 		timeout = math.Min(timeout, knownIdleTimeout.Seconds())
 	}
@@ -125,7 +125,7 @@
 // bring while a machine boots; infinite if there is no such work.
 func (a *Autoscaler) headroomProcessors() float64 {
 	topRank, headroom, expected := 0, 0.0, false
-	for _, class := range ordered.Of(a.workload.Classes) {
+	for _, class := range ordered.ByKey(a.workload.Classes) {
 		if work := a.workload.ExpectedWork(class); work > 0 {
 			headroom -= work / a.workload.BootSeconds(&class.Job)
 			topRank, expected = max(topRank, class.Job.Priority.Rank()), true
@@ -147,7 +147,7 @@
 // unstartedProcessors is the processors needed by the unstarted tasks of a priority rank
 // or below. Those of higher ranks count as uses of the machines in whose queues they are.
 func (a *Autoscaler) unstartedProcessors(rank int) (sum float64) {
-	for _, p := range ordered.Of(a.table.Peers) {
+	for _, p := range ordered.ByKey(a.table.Peers) {
 		for _, d := range p.Demand {
 			if j := a.Live[d.Job]; j != nil && j.Priority.Rank() <= rank {
 				sum += float64(d.Unstarted) * j.CPUs
@@ -160,7 +160,7 @@
 // scaleInUnregistered returns the listed machines to terminate because they failed, or
 // because they do not register in time.
 func (a *Autoscaler) scaleInUnregistered() (ids []protocol.MachineID) {
-	for id, l := range ordered.Of(a.listed) {
+	for id, l := range ordered.ByKey(a.listed) {
 		registered := a.table.Machines[id] != nil
 		if registered || a.terminated[id] != 0 {
 			delete(a.orphans, id)
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -59,16 +59,16 @@
 		up.Add(alike, m.Info)
 	}
 	slots := up.List
-	for id, m := range ordered.Of(a.booting) {
+	for id, m := range ordered.ByKey(a.booting) {
 		if a.canaryOnly(m.Kind) {
 			continue
 		}
 		slot := binpack.NewSlot(a.Types[m.Type], m.Kind, 1)
 		slot.ReadyInSeconds = math.Max(slot.Info.BootS-a.Since(m.at).Seconds(), minBootRemaining)
-		slot.Free = slot.Free.Minus(clusterstate.ReservedBy(a.reservations.Holds[id], a.WallTime()))
+		slot.Free = slot.Free.Minus(clusterstate.ReservedAmount(a.reservations.Holds[id], a.WallTime()))
 		slots = append(slots, slot)
 	}
-	for _, call := range ordered.Of(a.provisionCalls) {
+	for _, call := range ordered.ByKey(a.provisionCalls) {
 		slots = append(slots, binpack.NewSlot(a.Types[call.request.Type], call.kind(), call.request.Count))
 	}
 	return slots
@@ -104,7 +104,7 @@
 // reserveForClasses plans machines for the tasks that the classes with a start objective
 // are likely to bring while a machine boots.
 func (a *Autoscaler) reserveForClasses(plan *binpack.Plan) {
-	for _, class := range ordered.Of(a.workload.Classes) {
+	for _, class := range ordered.ByKey(a.workload.Classes) {
 		j := &clusterstate.LiveJob{Job: class.Job}
 		j.OneZone = false // the resources are reserved for several jobs
 		if n := a.workload.TasksToReserve(class); n > 0 {
@@ -141,10 +141,10 @@
 // are likely to bring while a machine boots. It has to start by then: otherwise each
 // burst would wait for the machines that the last one needed.
 func (a *Autoscaler) workOffExpected(plan *binpack.Plan) {
-	for _, class := range ordered.Of(a.workload.Classes) {
+	for _, class := range ordered.ByKey(a.workload.Classes) {
 		if work := a.workload.ExpectedWork(class); work > 0 {
 			estimateS := a.Estimate(&class.Job)
-			n := int(work / (estimateS * math.Max(class.Job.CPUs, resource.Slack)))
+			n := int(work / (estimateS * math.Max(class.Job.CPUs, resource.Tolerance)))
 			plan.ReserveBefore(a.work(&clusterstate.LiveJob{Job: class.Job}, 0, estimateS), n, a.workload.BootSeconds(&class.Job))
 		}
 	}
--- a/internal/controller/binpack/pools.go
+++ b/internal/controller/binpack/pools.go
@@ -24,8 +24,8 @@
 func (p *Plan) PoolCapacity(rank int, runS float64) {
 	for _, s := range p.slots {
 		pooled := p.pool(s.Kind)
-		left, machines := resource.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.Machines)
-		if left.CPUs <= resource.Slack || s.Machines == 0 {
+		left, machines := resource.Capacity(s.Info).Minus(s.Held.AboveRank(rank)), float64(s.Machines)
+		if left.CPUs <= resource.Tolerance || s.Machines == 0 {
 			continue
 		}
 		pooled.capacity = pooled.capacity.Plus(left.Times(machines))
@@ -97,7 +97,7 @@
 	if places < 1 {
 		return 0
 	}
-	backlog := l.backlogSeconds / math.Max(l.capacity.CPUs, resource.Slack)
+	backlog := l.backlogSeconds / math.Max(l.capacity.CPUs, resource.Tolerance)
 	possible := math.Max(0, leftS+estimateS-backlog) / estimateS * places
 	taken := math.Min(tasks, possible)
 	// A task without processors takes its part of the machines, too.
--- a/internal/controller/clusterstate/clusterstate_test.go
+++ b/internal/controller/clusterstate/clusterstate_test.go
@@ -84,7 +84,7 @@
 			s := newState(t)
 			since := clock.Time(time.Hour)
 			s.Now = since.Add(tc.age)
-			job := &LiveJob{Job: protocol.Job{DeadlineS: tc.deadlineS, EstimateS: 10}, Since: since}
+			job := &LiveJob{Job: protocol.Job{DeadlineS: tc.deadlineS, EstimateS: 10}, SubmittedAt: since}
 			if got := s.FinishBy(job).Since(since); got != tc.want {
 				t.Errorf("%v after the submission, want %v", got, tc.want)
 			}
--- a/internal/controller/clusterstate/configuration.go
+++ b/internal/controller/clusterstate/configuration.go
@@ -7,10 +7,10 @@
 	"damsonkeel/internal/record"
 )
 
-// Limited reports whether a team may have a limit, now or after a change of the
+// MayHaveLimit reports whether a team may have a limit, now or after a change of the
 // configuration. All its jobs then have the same owner, which counts the resources that
 // they use.
-func (s *State) Limited(name protocol.Team) bool { return s.mayHaveLimitIn(s.View, name) }
+func (s *State) MayHaveLimit(name protocol.Team) bool { return s.mayHaveLimitIn(s.View, name) }
 
 // mayHaveLimitIn is Limited for a given view.
 func (s *State) mayHaveLimitIn(view record.View, name protocol.Team) bool {
@@ -25,9 +25,9 @@
 // Objectives returns the service-level objectives in force.
 func (s *State) Objectives() []config.Objective { return s.Configuration.Effective().Objectives }
 
-// PlaceClosed reports whether a machine type or zone is cordoned, so that its machines
+// PlaceCordoned reports whether a machine type or zone is cordoned, so that its machines
 // accept no new tasks.
-func (s *State) PlaceClosed(machineType protocol.MachineType, zone protocol.Zone) bool {
+func (s *State) PlaceCordoned(machineType protocol.MachineType, zone protocol.Zone) bool {
 	return s.Configuration.Effective().PlaceCordoned(machineType, zone)
 }
 
--- a/internal/controller/clusterstate/deadline.go
+++ b/internal/controller/clusterstate/deadline.go
@@ -47,7 +47,7 @@
 // Deadline returns the time by which a job is ordered among the jobs of its level.
 func (s *State) Deadline(job *LiveJob) clock.Time {
 	if s.HasStartObjective(&job.Job) {
-		return job.Since // the job that has waited longest for its start is first
+		return job.SubmittedAt // the job that has waited longest for its start is first
 	}
 	return s.FinishBy(job)
 }
@@ -56,7 +56,7 @@
 // it can still meet. A job that can't meet any of them is ordered after jobs that can, but
 // does not starve: its latest time is doubled until the job can meet it.
 func (s *State) FinishBy(job *LiveJob) clock.Time {
-	age := s.Since(job.Since).Seconds()
+	age := s.Since(job.SubmittedAt).Seconds()
 	first, last := math.Inf(1), 0.0
 	times := s.ObjectiveTimes(&job.Job)
 	if len(times) == 0 {
@@ -74,7 +74,7 @@
 			first = last
 		}
 	}
-	return job.Since + clock.Time(first*float64(time.Second))
+	return job.SubmittedAt + clock.Time(first*float64(time.Second))
 }
 
 // HasStartObjective reports whether the class of a job has an objective for the time until
@@ -94,7 +94,7 @@
 	if job.EstimateS > 0 {
 		return max(job.EstimateS, minEstimateS)
 	}
-	return s.Op.DefaultEstimate.Seconds()
+	return s.Operator.DefaultEstimate.Seconds()
 }
 
 // ExpectedRunSeconds returns the run time, in seconds, that a task very likely does not
--- a/internal/controller/clusterstate/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -18,11 +18,11 @@
 // LiveJob is an accepted job as it is recorded.
 type LiveJob struct {
 	protocol.Job
-	Version   protocol.Version
-	Since     clock.Time        // when it was submitted
-	Deadline  clock.Time        // result of State.Deadline when it was last calculated
-	owner     protocol.NodeName // cached owner in the view of ownerTerm
-	ownerTerm protocol.Term
+	Version     protocol.Version
+	SubmittedAt clock.Time        // when it was submitted
+	Deadline    clock.Time        // result of State.Deadline when it was last calculated
+	owner       protocol.NodeName // cached owner in the view of ownerTerm
+	ownerTerm   protocol.Term
 }
 
 // AllowsKind reports whether the job's own requirements allow machines of a type in a zone.
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -17,10 +17,10 @@
 	// reservation must be free before its start: enough for one more boot if a machine
 	// fails to boot.
 	LeadSlack = 20 * time.Second
-	// SettleHolds is the maximum time from a restart of all controllers until resources
+	// HoldsSettleTime is the maximum time from a restart of all controllers until resources
 	// are held again: machines have to be in contact first.
-	SettleHolds = 20 * time.Second
-	// settleSlack is how much longer than SettleHolds this controller waits for the list
+	HoldsSettleTime = 20 * time.Second
+	// settleSlack is how much longer than HoldsSettleTime this controller waits for the list
 	// of holds.
 	settleSlack = 10 * time.Second
 	// leadBoots is the number of boots that must fit between the time when the resources
@@ -38,14 +38,14 @@
 	Calendar *reservation.Calendar
 	Version  protocol.Version // version of the calendar's own record
 	Changes  uint64           // number of changes that this record counts
-	// Any is set if the calendar has an entry. While it has none, all decisions and
+	// HasEntries is set if the calendar has an entry. While it has none, all decisions and
 	// messages are the same as in a cluster without a calendar.
-	Any bool
+	HasEntries bool
 
-	Holds   map[protocol.MachineID][]reservation.Hold
-	List    []reservation.Hold // all holds
-	Listed  bool               // List was received in this session
-	Windows []OpenWindow       // windows that are open now or soon
+	Holds       map[protocol.MachineID][]reservation.Hold
+	List        []reservation.Hold // all holds
+	HoldsListed bool               // List was received in this session
+	Windows     []OpenWindow       // windows that are open now or soon
 
 	Errors map[string]*forecast.Errors // errors of run time estimates, by class
 	Boots  forecast.Boots              // errors of boot time estimates
@@ -92,9 +92,9 @@
 	return false
 }
 
-// NoticeBefore returns how long before its start the resources of a reservation must be
+// ReservationLeadTime returns how long before its start the resources of a reservation must be
 // free: the time that a machine and then a replacement take to boot, plus LeadSlack.
-func (s *State) NoticeBefore(spec *record.ReservationSpec) time.Duration {
+func (s *State) ReservationLeadTime(spec *record.ReservationSpec) time.Duration {
 	bootS := 0.0
 	// Types that the cloud can't provide now count too, so that the result does not
 	// change with their availability.
@@ -106,12 +106,12 @@
 	return config.Seconds(leadBoots*bootS) + LeadSlack
 }
 
-// SpansReservation reports whether a task that ends at a given time could use resources of
+// OverlapsUnlistedReservation reports whether a task that ends at a given time could use resources of
 // a reservation that were held before all controllers restarted and are not held again yet.
-// Such a task waits until the list of holds is received, or until SettleHolds and
+// Such a task waits until the list of holds is received, or until HoldsSettleTime and
 // settleSlack have passed since the start of the session.
-func (s *State) SpansReservation(job *protocol.Job, ends reservation.Moment) bool {
-	if s.Reservations.Listed || s.Since(s.SessionStart) > SettleHolds+settleSlack {
+func (s *State) OverlapsUnlistedReservation(job *protocol.Job, ends reservation.Moment) bool {
+	if s.Reservations.HoldsListed || s.Since(s.SessionStart) > HoldsSettleTime+settleSlack {
 		return false
 	}
 	own := s.ReservationFilter(job)
@@ -121,7 +121,7 @@
 		if !entry.Active() || own(entry.Name()) {
 			return false
 		}
-		return ends > reservation.After(entry.StartMS, -s.NoticeBefore(&entry.Reservation.Spec))
+		return ends > reservation.After(entry.StartMS, -s.ReservationLeadTime(&entry.Reservation.Spec))
 	})
 }
 
@@ -144,8 +144,8 @@
 	return task.Ends
 }
 
-// ReservedBy returns the amount of a machine's resources that its holds reserve now.
-func ReservedBy(holds []reservation.Hold, now reservation.Moment) (sum resource.Amount) {
+// ReservedAmount returns the amount of a machine's resources that its holds reserve now.
+func ReservedAmount(holds []reservation.Hold, now reservation.Moment) (sum resource.Amount) {
 	for _, hold := range holds {
 		if now >= hold.Clear && now < hold.Until {
 			sum = sum.Plus(hold.Need)
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -15,7 +15,7 @@
 type State struct {
 	Self     protocol.NodeName
 	Settings *config.Settings
-	Op       config.Operator // operator settings in force
+	Operator config.Operator // operator settings in force
 	Log      *slog.Logger
 	Now      clock.Time
 	WallMS   int64 // time of day when Now was 0, in milliseconds, as last set
@@ -54,7 +54,7 @@
 	s := &State{
 		Self:          settings.Name,
 		Settings:      settings,
-		Op:            op,
+		Operator:      op,
 		Log:           log,
 		Types:         map[protocol.MachineType]protocol.TypeInfo{},
 		Configuration: dynamicconfig.NewFollowed(&settings.Site, op),
@@ -79,7 +79,7 @@
 	s.Records = map[protocol.MachineID]*Machine{}
 	s.Reservations = s.Reservations.forNewSession()
 	s.Configuration.Reset()
-	s.Op = s.Configuration.Effective().Operator
+	s.Operator = s.Configuration.Effective().Operator
 }
 
 // Machine is the record of a registered machine and the information on its type.
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -14,7 +14,7 @@
 // type of its tag.
 func (c *Core) commitDone(m message.CommitDone) {
 	switch tag := m.Tag.(type) {
-	case membership.ShardsTag:
+	case membership.ShardTableTag:
 		c.members.ShardsWritten(m.Outcome)
 	case membership.ViewTag:
 		c.members.ViewWritten(m.Outcome)
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -36,7 +36,7 @@
 // decisions by the former one whose effect has not begun are made anew.
 func (c *Core) applyConfiguration() {
 	effective := c.Configuration.Effective()
-	c.Op = effective.Operator
+	c.Operator = effective.Operator
 	c.Log.Info("configuration in force", "revision", uint64(effective.Revision))
 	c.jobs.InvalidateOrder()
 	c.waitTable.PlacementDue = true
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -139,7 +139,7 @@
 	case message.CommandDone:
 		c.dispatcher.HandleCommandDone(m)
 	case message.PeerLeads:
-		c.members.NoteLeading(m.Peer)
+		c.members.NoteHoldsLease(m.Peer)
 	case message.ProvisionDone:
 		c.autoscaler.Provisioned(m)
 	case message.TerminateDone:
@@ -158,7 +158,7 @@
 	for _, item := range m.Items {
 		c.recordUpdated(item.Key, item.Value, item.Version, true)
 	}
-	if !c.members.IsPresent(c.Self) && c.Op.NodeLease >= ratelimit.MaxGrantDuration {
+	if !c.members.IsRegistered(c.Self) && c.Operator.NodeLease >= ratelimit.MaxGrantDuration {
 		// An earlier process of this controller was absent for its whole lease:
 		// every rate that it granted has expired.
 		c.rates.NothingOutstanding()
--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -21,7 +21,7 @@
 		b.c.Configuration.Reset() // read anew
 		l := &clusterstate.LiveJob{Job: protocol.Job{
 			Class: "array", EstimateS: float64(rapid.IntRange(1, 300).Draw(t, "estimate")), DeadlineS: float64(rapid.IntRange(0, 300).Draw(t, "deadline")),
-		}, Since: b.c.Now}
+		}, SubmittedAt: b.c.Now}
 		before := Time(0)
 		for range 30 {
 			due := b.c.Deadline(l)
@@ -43,7 +43,7 @@
 	b := newBench(t)
 	b.c.Settings.Site.Objectives = append(b.c.Settings.Site.Objectives, config.Objective{Kind: "finished", Class: "array"})
 	b.c.Configuration.Reset() // read anew
-	l := &clusterstate.LiveJob{Job: protocol.Job{Class: "array", EstimateS: 10}, Since: b.c.Now}
+	l := &clusterstate.LiveJob{Job: protocol.Job{Class: "array", EstimateS: 10}, SubmittedAt: b.c.Now}
 	if n := len(b.c.ObjectiveTimes(&l.Job)); n != 0 {
 		t.Fatalf("%d times of an objective without one", n)
 	}
--- a/internal/controller/dispatcher/configuration.go
+++ b/internal/controller/dispatcher/configuration.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // closed reports whether the configuration closes the machine to new starts.
-func (q *queue) closed() bool { return q.PlaceClosed(q.machineType.Name, q.zone) }
+func (q *queue) closed() bool { return q.PlaceCordoned(q.machineType.Name, q.zone) }
 
 // releaseOutdated releases the waiting attempts that the configuration in force does not
 // allow to start.
--- a/internal/controller/dispatcher/entry.go
+++ b/internal/controller/dispatcher/entry.go
@@ -143,7 +143,7 @@
 	earliest := env.FinishBy(job) - clock.Time(estimateMargin*e.estimate*float64(time.Second))
 	for _, o := range env.Objectives() {
 		applies := o.Kind == "wait" && o.Class == job.Class || o.Kind == "guarantee" && e.level.Guaranteed()
-		if objectiveTime := job.Since + clock.Time(o.WithinS*float64(time.Second)); applies && objectiveTime >= env.Now {
+		if objectiveTime := job.SubmittedAt + clock.Time(o.WithinS*float64(time.Second)); applies && objectiveTime >= env.Now {
 			earliest = min(earliest, objectiveTime)
 		}
 	}
--- a/internal/controller/dispatcher/estimates.go
+++ b/internal/controller/dispatcher/estimates.go
@@ -18,7 +18,7 @@
 // resources would be expected to be free while they are in use.
 func (q *queue) recordEstimateError(e *entry) {
 	job := q.Live[e.task.Job]
-	if !q.Reservations.Any || job == nil || e.arrival == 0 || e.runningSince == 0 || e.cause != protocol.EndDone {
+	if !q.Reservations.HasEntries || job == nil || e.arrival == 0 || e.runningSince == 0 || e.cause != protocol.EndDone {
 		return
 	}
 	classErrors := q.Reservations.Errors[job.Class]
@@ -32,7 +32,7 @@
 // reservationRuns lists the attempts on the machine, for the controller that chooses where
 // resources are reserved.
 func (q *queue) reservationRuns() []reservation.Run {
-	if !q.Reservations.Any {
+	if !q.Reservations.HasEntries {
 		return nil
 	}
 	now := q.WallTime()
@@ -85,7 +85,7 @@
 // the levels that their owners announce. A guessed level may be too high, and the attempt
 // would then never be preempted.
 func (q *queue) adoptAnnouncedLevels(levelOf levelLookup) {
-	if !q.Reservations.Any {
+	if !q.Reservations.HasEntries {
 		return
 	}
 	for _, e := range q.entries {
--- a/internal/controller/dispatcher/estimates_test.go
+++ b/internal/controller/dispatcher/estimates_test.go
@@ -16,7 +16,7 @@
 // resources were still in use when the reservation began.
 func TestFoundTasksDoNotChangeEstimates(t *testing.T) {
 	f := newFixture(t)
-	f.dispatcher.Reservations.Any = true
+	f.dispatcher.Reservations.HasEntries = true
 	f.dispatcher.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Class: "array"}}
 	q := newQueue(f.dispatcher.environment, "vm-1", "a")
 	recordEnds := func(arrival uint64, n int) {
@@ -37,7 +37,7 @@
 // is replaced by the level that the owner announces.
 func TestGuessedLevelIsReplaced(t *testing.T) {
 	f := newFixture(t)
-	f.dispatcher.Reservations.Any = true
+	f.dispatcher.Reservations.HasEntries = true
 	f.registerAndSendHeartbeat()
 	e := &entry{task: protocol.TaskID{Job: "job-1"}, attempt: 3, level: resource.LevelOf("best_effort", true), levelGuessed: true, present: true, sent: true}
 	q := f.queue()
--- a/internal/controller/dispatcher/fixture_test.go
+++ b/internal/controller/dispatcher/fixture_test.go
@@ -38,7 +38,7 @@
 	module.Types["small"] = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, AllowZones: []protocol.Zone{"a", "b"}}
 	module.Session, module.SessionStart, module.Now, module.LeaseDeadline = 100, 1, 1, clock.Time(time.Hour)
 	module.View = record.View{Term: 1, Members: map[protocol.NodeName]protocol.LeaseID{"node-0": 100}}
-	module.Reservations.Listed = true
+	module.Reservations.HoldsListed = true
 	return &fixture{t: t, dispatcher: New(module)}
 }
 
@@ -96,7 +96,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.dispatcher.Reservations.Any = true
+	f.dispatcher.Reservations.HasEntries = true
 }
 
 // holdAllShards assigns all shards of the machines to this dispatcher's controller.
--- a/internal/controller/dispatcher/handoverin.go
+++ b/internal/controller/dispatcher/handoverin.go
@@ -67,14 +67,14 @@
 // acquireShards begins to hold shards: with the state that was handed over or, without a
 // complete handover, with only the records of their machines.
 func (d *Dispatcher) acquireShards(gained map[sharding.ID]bool, old *record.ShardTable) {
-	for id := range ordered.Of(gained) {
+	for id := range ordered.ByKey(gained) {
 		d.shards.byID(id)
 		if h := d.shards.incoming[id]; h != nil && h.missingPieces == 0 && h.epoch == old.List[id].Epoch {
 			d.acquireHandedOverMachines(h)
 		}
 		delete(d.shards.incoming, id)
 	}
-	for id, m := range ordered.Of(d.Records) {
+	for id, m := range ordered.ByKey(d.Records) {
 		if !gained[sharding.ShardOf(d.Shards, id, m.Record.Zone)] {
 			continue
 		}
--- a/internal/controller/dispatcher/handoverout.go
+++ b/internal/controller/dispatcher/handoverout.go
@@ -47,7 +47,7 @@
 			queues[id] = append(queues[id], q)
 		}
 	}
-	for id := range ordered.Of(moving) {
+	for id := range ordered.ByKey(moving) {
 		d.beginHandover(id, queues[id], move)
 	}
 }
@@ -105,7 +105,7 @@
 		Images:   slices.Clone(q.images),
 		Idle:     q.Since(q.idleSince),
 	}
-	for job := range ordered.Of(q.quarantine.failedJobs) {
+	for job := range ordered.ByKey(q.quarantine.failedJobs) {
 		h.Failed = append(h.Failed, job)
 	}
 	for _, e := range ordered.Tasks(q.entries) {
@@ -217,7 +217,7 @@
 			finished[task.Job] = true
 		}
 	}
-	for job := range ordered.Of(finished) {
+	for job := range ordered.ByKey(finished) {
 		q.endJob(job)
 	}
 }
--- a/internal/controller/dispatcher/inventory.go
+++ b/internal/controller/dispatcher/inventory.go
@@ -89,7 +89,7 @@
 	q.inventorySent, q.inventoryKnown = true, true
 	q.markChanged()
 	attempts := q.attemptsByOwner()
-	for name := range ordered.Of(d.View.Members) {
+	for name := range ordered.ByKey(d.View.Members) {
 		d.Send(name, message.PeerMessage{Inventory: &message.Inventory{
 			Term:    d.View.Term,
 			Tenure:  d.ShardEpoch(q.id, q.zone),
@@ -113,7 +113,7 @@
 		if e.present {
 			attempt.State = e.state
 		}
-		if job := q.Live[e.task.Job]; job != nil && q.Limited(job.Team) {
+		if job := q.Live[e.task.Job]; job != nil && q.MayHaveLimit(job.Team) {
 			attempt.Team, attempt.Need = job.Team, resource.Need(&job.Job)
 		}
 		byOwner[owner] = append(byOwner[owner], attempt)
--- a/internal/controller/dispatcher/preempt_test.go
+++ b/internal/controller/dispatcher/preempt_test.go
@@ -75,7 +75,7 @@
 		f.registerAndSendHeartbeat()
 		q := f.queue()
 		addEntry := func(id protocol.JobID, p protocol.Priority, class string, s float64) *entry {
-			live := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Priority: p, CPUs: 3, Tasks: 1, EstimateS: s}, Since: f.dispatcher.Now}
+			live := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Class: class, Team: "free", Priority: p, CPUs: 3, Tasks: 1, EstimateS: s}, SubmittedAt: f.dispatcher.Now}
 			live.Deadline = f.dispatcher.Deadline(live)
 			f.dispatcher.Live[id] = live
 			e := &entry{task: protocol.TaskID{Job: id}, attempt: 1, estimate: s, queuedSince: f.dispatcher.Now, need: resource.Amount{CPUs: 3}, level: resource.LevelOf(p, false)}
--- a/internal/controller/dispatcher/quarantine.go
+++ b/internal/controller/dispatcher/quarantine.go
@@ -49,7 +49,7 @@
 		switch {
 		case isFailing(id):
 			q.quarantine.forgetJob(id)
-		case q.Since(since) >= 2*q.Op.ReplicationInterval:
+		case q.Since(since) >= 2*q.Operator.ReplicationInterval:
 			count++
 		}
 	}
--- a/internal/controller/dispatcher/queue_test.go
+++ b/internal/controller/dispatcher/queue_test.go
@@ -14,7 +14,7 @@
 func TestQueueIsOrderedByDeadline(t *testing.T) {
 	f := newFixture(t)
 	job := func(id protocol.JobID, deadline float64) *entry {
-		live := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, Since: f.dispatcher.Now}
+		live := &clusterstate.LiveJob{Job: protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 10, DeadlineS: deadline}, SubmittedAt: f.dispatcher.Now}
 		live.Deadline = f.dispatcher.Deadline(live)
 		f.dispatcher.Live[id] = live
 		return &entry{task: protocol.TaskID{Job: id}, level: 1}
--- a/internal/controller/dispatcher/queueset.go
+++ b/internal/controller/dispatcher/queueset.go
@@ -24,7 +24,7 @@
 // caller adds or drops queues during the iteration.
 func (s *queueSet) inOrder() []*queue {
 	if s.sorted == nil {
-		for _, q := range ordered.Of(s.byMachine) {
+		for _, q := range ordered.ByKey(s.byMachine) {
 			s.sorted = append(s.sorted, q)
 		}
 	}
--- a/internal/controller/dispatcher/reservations.go
+++ b/internal/controller/dispatcher/reservations.go
@@ -29,7 +29,7 @@
 func (q *queue) checkReservations(e *entry, job *clusterstate.LiveJob, free resource.Amount) (reservationVerdict, bool) {
 	reservations := q.Reservations
 	holds := reservations.Holds[q.id]
-	if len(reservations.Windows) == 0 && len(holds) == 0 && (reservations.Listed || !reservations.Any) {
+	if len(reservations.Windows) == 0 && len(holds) == 0 && (reservations.HoldsListed || !reservations.HasEntries) {
 		return startNow, false
 	}
 	now := q.WallTime()
@@ -41,7 +41,7 @@
 		return startElsewhere, reserved
 	}
 	switch {
-	case q.SpansReservation(&job.Job, task.Ends):
+	case q.OverlapsUnlistedReservation(&job.Job, task.Ends):
 		return startAfterOthers, reserved
 	case reservation.AllowsStart(holds, &task, free, now):
 		return startNow, reserved
--- a/internal/controller/dispatcher/shards.go
+++ b/internal/controller/dispatcher/shards.go
@@ -129,7 +129,7 @@
 // completeIncoming lists the shards whose incoming handovers are complete, and drops
 // handovers that are no longer valid.
 func (s *shardSet) completeIncoming() (complete []sharding.ID) {
-	for id, handover := range ordered.Of(s.incoming) {
+	for id, handover := range ordered.ByKey(s.incoming) {
 		if handover.epoch != s.Shards.List[id].Epoch || s.Since(handover.receivedAt) > incomingTimeout {
 			delete(s.incoming, id)
 			continue
@@ -145,7 +145,7 @@
 // epochsToRaise lists the shards whose epoch has to be raised to settle an unanswered start
 // or to abort an overdue handover.
 func (s *shardSet) epochsToRaise() (raise []sharding.ID) {
-	for id, shard := range ordered.Of(s.states) {
+	for id, shard := range ordered.ByKey(s.states) {
 		assignment := &s.Shards.List[id]
 		if assignment.Holder != s.Session || shard.epoch != assignment.Since {
 			continue
@@ -257,7 +257,7 @@
 			d.dropQueue(q.id)
 		}
 	}
-	for id := range ordered.Of(lost) {
+	for id := range ordered.ByKey(lost) {
 		shard := d.shards.states[id]
 		if shard == nil {
 			continue
@@ -281,7 +281,7 @@
 	if !d.Sharded() {
 		return
 	}
-	for id, shard := range ordered.Of(d.shards.states) {
+	for id, shard := range ordered.ByKey(d.shards.states) {
 		if d.Shards.List[id].Holder != d.Session || d.Shards.List[id].Since != shard.epoch {
 			delete(d.shards.states, id)
 		} else if shard.handover != nil {
--- a/internal/controller/dispatcher/view.go
+++ b/internal/controller/dispatcher/view.go
@@ -35,12 +35,12 @@
 			}
 		}
 	}
-	for owner, refs := range ordered.Of(released) {
+	for owner, refs := range ordered.ByKey(released) {
 		for part := range slices.Chunk(refs, maxReleasedPerMessage) {
 			d.Send(owner, message.PeerMessage{Released: part})
 		}
 	}
-	for id, m := range ordered.Of(d.Records) {
+	for id, m := range ordered.ByKey(d.Records) {
 		if d.DispatcherOf(id) == d.Self && d.queues.get(id) == nil {
 			d.addQueue(id, m.Record.Zone).applyRecord(m)
 		}
--- a/internal/controller/excluded_test.go
+++ b/internal/controller/excluded_test.go
@@ -22,7 +22,7 @@
 	}
 	out := newBench(t, "node-1")
 	out.step(message.PeerLeads{Peer: "node-1"})
-	if !out.c.members.OthersLead() {
+	if !out.c.members.AnyPeerHoldsLease() {
 		t.Error("requests not refused alone, though a peer leads")
 	}
 }
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -37,7 +37,7 @@
 	o := b.c.jobs.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: tasks, CPUs: 4, MemoryGB: 1,
 		EstimateS: 100, CheckpointS: 10, OneZone: true, Spot: true,
-	}, Since: b.c.Now})
+	}, SubmittedAt: b.c.Now})
 	o.Loaded = true
 	o.Pending.FlipRange(0, uint(tasks))
 	o.Level = resource.LevelOf(o.Priority, false)
--- a/internal/controller/holding_test.go
+++ b/internal/controller/holding_test.go
@@ -34,7 +34,7 @@
 // cloud, resources counted as clear that were not, and were released a moment later.
 func TestNoticeDoesNotDependOnRefusals(t *testing.T) {
 	b := newReservationBench(t)
-	before := b.c.NoticeBefore(reserve("one", "daily at 04:00"))
+	before := b.c.ReservationLeadTime(reserve("one", "daily at 04:00"))
 	b.put(record.LiveKey("job-1"), protocol.Job{
 		ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 100, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true,
 	})
@@ -50,7 +50,7 @@
 	if again := b.refuseProvisioning(); len(again) > 0 {
 		t.Fatalf("%v requested though the cloud has just refused them", again)
 	}
-	if after := b.c.NoticeBefore(reserve("one", "daily at 04:00")); after != before || before <= clusterstate.LeadSlack {
+	if after := b.c.ReservationLeadTime(reserve("one", "daily at 04:00")); after != before || before <= clusterstate.LeadSlack {
 		t.Errorf("%v before, %v after", before, after)
 	}
 }
@@ -62,7 +62,7 @@
 func TestExpectedEndsSurviveNewDispatcher(t *testing.T) {
 	b := newReservationBench(t)
 	b.ready("vm-1")
-	b.c.reservations.Any = true
+	b.c.reservations.HasEntries = true
 	m := b.c.waitTable.Machines["vm-1"]
 	task := protocol.TaskID{Job: "job-1"}
 	soon := reservation.After(b.c.WallTime(), time.Minute)
--- a/internal/controller/holds/calendar.go
+++ b/internal/controller/holds/calendar.go
@@ -81,17 +81,17 @@
 // which attempts run on their machines only while it has.
 func (h *Holds) reservationsChanged() {
 	hasEntries := !h.Calendar.Empty()
-	if hasEntries == h.Any {
+	if hasEntries == h.HasEntries {
 		return
 	}
-	h.Any = hasEntries
+	h.HasEntries = hasEntries
 	h.republish()
 }
 
 // Refresh computes, once a relay period, the open windows, the resources held now and the
 // claims on teams' limits.
 func (h *Holds) Refresh() {
-	if !h.Any && len(h.List) == 0 {
+	if !h.HasEntries && len(h.List) == 0 {
 		return
 	}
 	now, clockError := h.WallTime(), h.Settings.Site.ClockError()
--- a/internal/controller/holds/holds.go
+++ b/internal/controller/holds/holds.go
@@ -89,7 +89,7 @@
 func (h *Holds) computeReserved() {
 	now := h.WallTime()
 	for _, m := range h.table.Machines {
-		m.Reserved = clusterstate.ReservedBy(h.Holds[m.ID], now)
+		m.Reserved = clusterstate.ReservedAmount(h.Holds[m.ID], now)
 	}
 }
 
--- a/internal/controller/holds/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -54,10 +54,10 @@
 	if err := protocol.Decode(value, &r); err != nil {
 		return fmt.Errorf("decoding the holds: %w", err)
 	}
-	if h.Listed {
+	if h.HoldsListed {
 		return nil
 	}
-	h.Listed = true
+	h.HoldsListed = true
 	h.Set(r.Holds)
 	return nil
 }
--- a/internal/controller/holds/occurrence.go
+++ b/internal/controller/holds/occurrence.go
@@ -72,7 +72,7 @@
 
 // JobEnded counts the tasks of a job that has ended for its reservation.
 func (h *Holds) JobEnded(l *clusterstate.LiveJob) {
-	if !h.Any || l == nil {
+	if !h.HasEntries || l == nil {
 		return
 	}
 	now := h.WallTime()
--- a/internal/controller/holds/teamclaims.go
+++ b/internal/controller/holds/teamclaims.go
@@ -18,7 +18,7 @@
 // tasks which have not started.
 func (h *Holds) claimLimit(e *reservation.Entry) {
 	spec := &e.Reservation.Spec
-	if !e.Active() || !h.Limited(spec.Team) {
+	if !e.Active() || !h.MayHaveLimit(spec.Team) {
 		return
 	}
 	_, desired, started := h.JobsOf(e)
--- a/internal/controller/jobs/bitmap.go
+++ b/internal/controller/jobs/bitmap.go
@@ -20,7 +20,7 @@
 		return
 	}
 	written := 0
-	for _, job := range ordered.Of(o.ByID) {
+	for _, job := range ordered.ByKey(o.ByID) {
 		if len(job.bitmap.dirty) == 0 || job.bitmap.writing || job.FinishDue || !job.Loaded || job.bitmap.rereadNeeded {
 			continue
 		}
@@ -38,7 +38,7 @@
 		{Key: record.ViewKey, Version: o.ViewVersion}, // rejects late writes of a former owner
 		{Key: record.LiveKey(job.ID), Version: job.Version},
 	}}
-	for chunk := range ordered.Of(job.bitmap.dirty) {
+	for chunk := range ordered.ByKey(job.bitmap.dirty) {
 		tag.chunks = append(tag.chunks, chunk)
 		// The write is conditional on the chunk's version: an unanswered write may be
 		// carried out after the next one, and would then clear the finished tasks that only
--- a/internal/controller/jobs/completed.go
+++ b/internal/controller/jobs/completed.go
@@ -33,7 +33,7 @@
 		return
 	}
 	done := bitset.New(uint(job.Tasks))
-	for chunk, bitmap := range ordered.Of(completed.Chunks) {
+	for chunk, bitmap := range ordered.ByKey(completed.Chunks) {
 		if err := record.DecodeChunk(record.BitmapChunkKey(completed.Job, chunk), bitmap, done, job.Tasks); err != nil {
 			o.Log.Error("decoding a peer's bitmap failed", "job", completed.Job, "err", err)
 		}
--- a/internal/controller/jobs/finish.go
+++ b/internal/controller/jobs/finish.go
@@ -53,7 +53,7 @@
 	}
 	// Only chunks that may be stored are deleted, since each deletion uses one change of the
 	// transaction. A short job has no stored chunks.
-	for chunk := range ordered.Of(j.bitmap.stored) {
+	for chunk := range ordered.ByKey(j.bitmap.stored) {
 		txn.Changes = append(txn.Changes, protocol.Change{Delete: record.BitmapChunkKey(j.ID, chunk)})
 	}
 	return txn
--- a/internal/controller/jobs/inventory.go
+++ b/internal/controller/jobs/inventory.go
@@ -50,7 +50,7 @@
 // would be assigned to other tasks of the team, and the team would exceed its limit.
 func (o *Owned) recordEndedJobAttempts(inventory *message.Inventory) {
 	for _, held := range inventory.Held {
-		if o.Live[held.Task.Job] == nil && held.State != protocol.TaskEnded && o.Limited(held.Team) {
+		if o.Live[held.Task.Job] == nil && held.State != protocol.TaskEnded && o.MayHaveLimit(held.Team) {
 			ref := message.TaskRef{Task: held.Task, Attempt: held.Attempt, Machine: inventory.Machine}
 			o.EndedJobAttempts[ref] = endedJobAttempt{held.Team, held.Need, 0}
 		}
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -105,7 +105,7 @@
 		interrupted:  bitset.New(tasks),
 		Placed:       map[protocol.TaskID]*Attempt{},
 		FailedOn:     map[protocol.MachineID]bool{},
-		WaitingSince: live.Since,
+		WaitingSince: live.SubmittedAt,
 		bitmap:       bitmapState{dirty: map[int]bool{}, stored: map[int]protocol.Version{}},
 	}
 }
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -92,7 +92,7 @@
 	if o.Live[accepted.ID] != nil {
 		return
 	}
-	live := &clusterstate.LiveJob{Job: accepted, Version: version, Since: o.SubmissionTime(&accepted)}
+	live := &clusterstate.LiveJob{Job: accepted, Version: version, SubmittedAt: o.SubmissionTime(&accepted)}
 	live.Deadline = o.Deadline(live)
 	o.Live[accepted.ID] = live
 	o.workload.RecordArrival(&live.Job)
@@ -124,7 +124,7 @@
 		return
 	}
 	for _, attempt := range ordered.Tasks(job.Placed) {
-		if o.Limited(job.Team) {
+		if o.MayHaveLimit(job.Team) {
 			ended := endedJobAttempt{job.Team, resource.Need(&job.Job), attempt.PlaceNumber}
 			if attempt.Unverified {
 				ended.placeNumber = 0
@@ -147,7 +147,7 @@
 		return
 	}
 	o.retryAt = o.After(retryInterval)
-	for _, job := range ordered.Of(o.ByID) {
+	for _, job := range ordered.ByKey(o.ByID) {
 		if job.FinishDue {
 			o.writeFinish(job)
 		}
@@ -198,9 +198,9 @@
 // a task starts, which puts it first. Otherwise it would not start for minutes where there is
 // more work than resources, since jobs with earlier deadlines keep arriving.
 func (o *Owned) CurrentDeadline(live *clusterstate.LiveJob) clock.Time {
-	if o.Since(live.Since) > HeadroomOnlyDuration && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
+	if o.Since(live.SubmittedAt) > HeadroomOnlyDuration && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
 		if progress, _ := o.JobProgress(live.ID); progress.Running == 0 && progress.Done == 0 {
-			return live.Since
+			return live.SubmittedAt
 		}
 	}
 	return o.Deadline(live)
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -13,7 +13,7 @@
 // progressOf returns the progress of an owned job.
 func (o *Owned) progressOf(job *Job) message.Progress {
 	progress := message.Progress{Job: job.ID, Done: job.DoneCount, Running: job.runningCount, Failing: job.Failing}
-	if o.Reservations.Any {
+	if o.Reservations.HasEntries {
 		progress.Level = int(job.Level) + 1
 	}
 	return progress
@@ -50,7 +50,7 @@
 // BeginProgressStream begins the change stream of a new term, with all owned jobs marked as changed.
 func (o *Owned) BeginProgressStream() {
 	o.changes = replication.ChangeLog[protocol.JobID]{}
-	for id := range ordered.Of(o.ByID) {
+	for id := range ordered.ByKey(o.ByID) {
 		o.changes.Touch(id)
 	}
 }
--- a/internal/controller/jobs/slowmachines.go
+++ b/internal/controller/jobs/slowmachines.go
@@ -123,7 +123,7 @@
 // machine: it has received the machine's inventory, the dispatcher's updates are recent, and
 // the machine's heartbeats are not overdue.
 func (o *Owned) observesTaskEnds(m *waittable.Machine) bool {
-	return !o.AwaitedInventories[m.ID] && o.table.IsStateRecent(m, maxStateAgeUpdates*o.Op.ReplicationInterval) && m.State.Silence == message.SilenceNone
+	return !o.AwaitedInventories[m.ID] && o.table.IsStateRecent(m, maxStateAgeUpdates*o.Operator.ReplicationInterval) && m.State.Silence == message.SilenceNone
 }
 
 // countLateRun counts a late task against its machine, and drains the machine once it has
--- a/internal/controller/jobs/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -27,7 +27,7 @@
 	o.EndedJobAttempts.resetPlaceNumbers(func(id protocol.MachineID) bool { return o.dispatcherChanged(oldView, id) })
 	o.unverifyTeams(oldView, continuous)
 	o.awaitInventories(oldView, continuous)
-	for id, live := range ordered.Of(o.Live) {
+	for id, live := range ordered.ByKey(o.Live) {
 		job := previousJobs[id]
 		switch {
 		case o.OwnerOf(live) != o.Self:
@@ -47,7 +47,7 @@
 func (o *Owned) unverifyTeams(oldView record.View, continuous bool) {
 	for _, team := range o.Configuration.Effective().TeamsEver() {
 		job := &protocol.Job{Team: team}
-		if o.Limited(team) && o.JobOwner(o.View, job) == o.Self && (!continuous || o.JobOwner(oldView, job) != o.Self) {
+		if o.MayHaveLimit(team) && o.JobOwner(o.View, job) == o.Self && (!continuous || o.JobOwner(oldView, job) != o.Self) {
 			o.UnverifiedTeams[team] = true
 		}
 	}
--- a/internal/controller/jobs/usage.go
+++ b/internal/controller/jobs/usage.go
@@ -15,7 +15,7 @@
 func (o *Owned) TeamUsage() map[protocol.Team]resource.Amount {
 	usage := map[protocol.Team]resource.Amount{}
 	for _, job := range o.ByID {
-		if o.Limited(job.Team) {
+		if o.MayHaveLimit(job.Team) {
 			o.AddUsage(job, usage, len(job.Placed))
 		}
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -19,7 +19,7 @@
 	}
 	c.planner.RecordBootTime(id, registration)
 	machine = &waittable.Machine{Machine: &clusterstate.Machine{ID: id, Record: registration, Epoch: version, Info: c.Types[registration.Type]}}
-	machine.Reserved = clusterstate.ReservedBy(c.reservations.Holds[id], c.WallTime())
+	machine.Reserved = clusterstate.ReservedAmount(c.reservations.Holds[id], c.WallTime())
 	c.waitTable.Add(machine)
 	c.waitTable.PlacementDue = true
 	c.dispatcher.RecordUpdated(machine.Machine)
--- a/internal/controller/membership/members.go
+++ b/internal/controller/membership/members.go
@@ -48,29 +48,29 @@
 	}
 }
 
-// Present records that a controller is registered.
-func (ms *Members) Present(name protocol.NodeName, node record.Node) { ms.nodes[name] = node }
+// AddNode records that a controller is registered.
+func (ms *Members) AddNode(name protocol.NodeName, node record.Node) { ms.nodes[name] = node }
 
-// Absent records that a controller's registration was deleted with its lease.
-func (ms *Members) Absent(name protocol.NodeName) { delete(ms.nodes, name) }
+// RemoveNode records that a controller's registration was deleted with its lease.
+func (ms *Members) RemoveNode(name protocol.NodeName) { delete(ms.nodes, name) }
 
-// IsPresent reports whether a controller is registered.
-func (ms *Members) IsPresent(name protocol.NodeName) bool {
+// IsRegistered reports whether a controller is registered.
+func (ms *Members) IsRegistered(name protocol.NodeName) bool {
 	_, present := ms.nodes[name]
 	return present
 }
 
-// Outdated lists the registered controllers that are excluded from the view because
+// OutdatedNodes lists the registered controllers that are excluded from the view because
 // they do not support its layout.
-func (ms *Members) Outdated() []protocol.NodeName {
+func (ms *Members) OutdatedNodes() []protocol.NodeName {
 	return ms.nodesWhere(func(node record.Node) bool {
 		return max(node.Layout, record.LayoutSingle) < ms.View.Layout
 	})
 }
 
-// BlockingLayout lists the registered controllers that do not support a layout. The
+// NodesBlockingLayout lists the registered controllers that do not support a layout. The
 // layout is not used while there are any.
-func (ms *Members) BlockingLayout(layout record.Layout) []protocol.NodeName {
+func (ms *Members) NodesBlockingLayout(layout record.Layout) []protocol.NodeName {
 	return ms.nodesWhere(func(node record.Node) bool { return node.Layout < layout })
 }
 
@@ -78,7 +78,7 @@
 // names.
 func (ms *Members) nodesWhere(match func(record.Node) bool) []protocol.NodeName {
 	var names []protocol.NodeName
-	for name, node := range ordered.Of(ms.nodes) {
+	for name, node := range ordered.ByKey(ms.nodes) {
 		if match(node) {
 			names = append(names, name)
 		}
@@ -89,7 +89,7 @@
 // Controllers lists the members for operators.
 func (ms *Members) Controllers() (list []operatorapi.Controller) {
 	zones := ms.zones()
-	for name, p := range ordered.Of(ms.peers) {
+	for name, p := range ordered.ByKey(ms.peers) {
 		list = append(list, operatorapi.Controller{
 			Name:        name,
 			Zone:        zones[name],
--- a/internal/controller/membership/peers.go
+++ b/internal/controller/membership/peers.go
@@ -43,8 +43,8 @@
 	p.lastContact = ms.Now
 }
 
-// NoteLeading records that a peer has reported that it holds its lease.
-func (ms *Members) NoteLeading(name protocol.NodeName) {
+// NoteHoldsLease records that a peer has reported that it holds its lease.
+func (ms *Members) NoteHoldsLease(name protocol.NodeName) {
 	if p := ms.peers[name]; p != nil {
 		p.leaseHeldAt = ms.Now
 	}
@@ -59,13 +59,13 @@
 // isRecent reports whether a time is set and less than contactIntervals update intervals
 // ago: a peer in contact sends its next state update within that time.
 func (ms *Members) isRecent(at clock.Time) bool {
-	return at != 0 && ms.Since(at) < contactIntervals*ms.Op.ReplicationInterval
+	return at != 0 && ms.Since(at) < contactIntervals*ms.Operator.ReplicationInterval
 }
 
-// Received replies to a peer's batch and returns the messages in it that were not
+// AcceptBatch replies to a peer's batch and returns the messages in it that were not
 // received before. Batches of sessions that have ended are dropped: the network may
 // deliver them minutes late.
-func (ms *Members) Received(batch message.Batch) (newMessages []message.PeerMessage) {
+func (ms *Members) AcceptBatch(batch message.Batch) (newMessages []message.PeerMessage) {
 	reply := ms.classify(&batch)
 	if reply == message.BatchAccepted {
 		p := ms.peers[batch.From]
@@ -99,9 +99,9 @@
 	return message.BatchStale
 }
 
-// AllAdopted reports whether every member has reported that it adopted the current term,
+// AllAdoptedTerm reports whether every member has reported that it adopted the current term,
 // so that no member answers workers by an older term any more.
-func (ms *Members) AllAdopted() bool {
+func (ms *Members) AllAdoptedTerm() bool {
 	for _, p := range ms.peers {
 		if p.adoptedTerm < ms.View.Term {
 			return false
@@ -122,12 +122,12 @@
 	return floor
 }
 
-// LeadingPeers lists the other controllers that have recently reported that they hold
+// PeersHoldingLease lists the other controllers that have recently reported that they hold
 // their leases. They report it in their state updates, and to a controller that is
 // excluded from their view in their replies to its batches.
-func (ms *Members) LeadingPeers() []protocol.NodeName {
+func (ms *Members) PeersHoldingLease() []protocol.NodeName {
 	var names []protocol.NodeName
-	for name, p := range ordered.Of(ms.peers) {
+	for name, p := range ordered.ByKey(ms.peers) {
 		if name != ms.Self && ms.isRecent(p.leaseHeldAt) {
 			names = append(names, name)
 		}
@@ -135,20 +135,20 @@
 	return names
 }
 
-// OthersLead reports whether another controller has recently reported that it holds its
+// AnyPeerHoldsLease reports whether another controller has recently reported that it holds its
 // lease. If one holds its lease while this controller does not, the key-value store
 // refuses only this controller; otherwise the store is down for all controllers, or no
 // peer can be reached.
-func (ms *Members) OthersLead() bool { return len(ms.LeadingPeers()) > 0 }
+func (ms *Members) AnyPeerHoldsLease() bool { return len(ms.PeersHoldingLease()) > 0 }
 
-// ShouldWaitOut reports whether this controller, while it does not hold its lease,
+// ShouldWaitForLease reports whether this controller, while it does not hold its lease,
 // should keep its users' connections and wait until it holds one again. It should if no
 // other controller has reported that it holds a lease, and either there are no peers or
 // a peer is in contact and would report it. A controller that is cut off from the store
 // and from all peers can't detect whether another one holds a lease, and its users would
 // get no answer for as long as the cut lasts, so it waits for isolationTimeout only.
-func (ms *Members) ShouldWaitOut() bool {
-	if ms.OthersLead() {
+func (ms *Members) ShouldWaitForLease() bool {
+	if ms.AnyPeerHoldsLease() {
 		return false
 	}
 	hasNoPeers := true
--- a/internal/controller/membership/peers_test.go
+++ b/internal/controller/membership/peers_test.go
@@ -45,7 +45,7 @@
 			for i, peer := range tc.peers {
 				view.Members[peer] = protocol.LeaseID(101 + i)
 			}
-			ms.Adopt(view, 1)
+			ms.AdoptView(view, 1)
 			wait := time.Second
 			if tc.forLong {
 				wait = time.Minute
@@ -55,9 +55,9 @@
 				ms.NoteLoad("node-1", message.Load{})
 			}
 			if tc.peerLeads {
-				ms.NoteLeading("node-1")
+				ms.NoteHoldsLease("node-1")
 			}
-			if got := ms.ShouldWaitOut(); got != tc.waitsOut {
+			if got := ms.ShouldWaitForLease(); got != tc.waitsOut {
 				t.Errorf("waits out the outage: %v, want %v", got, tc.waitsOut)
 			}
 		})
--- a/internal/controller/membership/rebalance.go
+++ b/internal/controller/membership/rebalance.go
@@ -44,7 +44,7 @@
 	}
 	var members []sharding.MemberLoad
 	zones := ms.zones()
-	for name, p := range ordered.Of(ms.peers) {
+	for name, p := range ordered.ByKey(ms.peers) {
 		members = append(members, ms.memberLoad(name, zones[name], p))
 	}
 	load := sharding.Loads(ms.Shards, ms.machinesByZone())
@@ -56,12 +56,12 @@
 	adopted := p.adoptedTerm >= ms.View.Term
 	warmedUp := p.firstContact != 0 && ms.Since(p.firstContact) >= warmUpTime
 	return sharding.MemberLoad{
-		Member:      sharding.Member{Name: name, Session: p.session, Zone: zone},
-		Late:        time.Duration(p.load.LateMS * float64(time.Millisecond)),
-		Leaving:     p.load.Leaving,
-		Away:        slices.Contains(ms.Shards.Away, name),
-		Unreachable: unreachable(ms.View, name),
-		Warm:        adopted && warmedUp && ms.isRecent(p.lastContact),
+		Member:       sharding.Member{Name: name, Session: p.session, Zone: zone},
+		TickLateness: time.Duration(p.load.LateMS * float64(time.Millisecond)),
+		Leaving:      p.load.Leaving,
+		Cordoned:     slices.Contains(ms.Shards.Away, name),
+		Unreachable:  unreachable(ms.View, name),
+		WarmedUp:     adopted && warmedUp && ms.isRecent(p.lastContact),
 	}
 }
 
@@ -74,12 +74,12 @@
 	requests := map[handover]*message.MoveShards{}
 	var handovers []handover
 	for _, move := range moves {
-		pair := handover{ms.Holder(move.ID), clusterstate.NameOf(ms.View, move.To)}
+		pair := handover{ms.Holder(move.Shard), clusterstate.NameOf(ms.View, move.To)}
 		if requests[pair] == nil {
 			requests[pair] = &message.MoveShards{Term: ms.View.Term, To: pair.to, Cause: move.Cause}
 			handovers = append(handovers, pair)
 		}
-		shard := message.Tenured{Share: int(move.ID), Tenure: ms.Shards.List[move.ID].Since}
+		shard := message.Tenured{Share: int(move.Shard), Tenure: ms.Shards.List[move.Shard].Since}
 		requests[pair].Shares = append(requests[pair].Shares, shard)
 	}
 	for _, pair := range handovers {
--- a/internal/controller/membership/shardtable.go
+++ b/internal/controller/membership/shardtable.go
@@ -19,11 +19,11 @@
 	shardsRetryPause = 100 * time.Millisecond
 )
 
-// ShardsTag marks a transaction that changes the holders or epochs of shards.
-type ShardsTag struct{}
+// ShardTableTag marks a transaction that changes the holders or epochs of shards.
+type ShardTableTag struct{}
 
-// AdoptShards installs a shard table.
-func (ms *Members) AdoptShards(table *record.ShardTable, version protocol.Version) {
+// AdoptShardTable installs a shard table.
+func (ms *Members) AdoptShardTable(table *record.ShardTable, version protocol.Version) {
 	ms.Shards = table
 	ms.ShardsVersion = version
 }
@@ -48,7 +48,7 @@
 	ms.writeInFlight = true
 	ms.lastWriteBase = ms.ShardsVersion
 	ms.lastWriteAt = ms.Now
-	ms.Emit(message.Commit{Tag: ShardsTag{}, Transaction: protocol.Transaction{
+	ms.Emit(message.Commit{Tag: ShardTableTag{}, Transaction: protocol.Transaction{
 		Conditions: []protocol.Condition{
 			ms.ViewUnchanged(),
 			{Key: record.ShardTableKey, Version: ms.ShardsVersion},
@@ -89,12 +89,12 @@
 	next := sharding.Copy(table)
 	// Before there was a shard table, terms were used as fencing tokens.
 	sharding.RaiseEpochAbove(next, max(ms.View.Term, ms.HighestFencingToken))
-	moves := sharding.Orphans(table, sharding.Loads(table, ms.machinesByZone()), ms.shardHolders(view, table))
+	moves := sharding.OrphanMoves(table, sharding.Loads(table, ms.machinesByZone()), ms.shardHolders(view, table))
 	if len(moves) == 0 && table == ms.Shards {
 		return nil
 	}
 	for _, move := range moves {
-		sharding.Assign(next, move.ID, move.To)
+		sharding.Assign(next, move.Shard, move.To)
 	}
 	return next
 }
--- a/internal/controller/membership/view.go
+++ b/internal/controller/membership/view.go
@@ -16,8 +16,8 @@
 // ViewTag marks the transaction that writes a view.
 type ViewTag struct{}
 
-// Adopt installs a new view.
-func (ms *Members) Adopt(view record.View, version protocol.Version) {
+// AdoptView installs a new view.
+func (ms *Members) AdoptView(view record.View, version protocol.Version) {
 	ms.View = view
 	ms.ViewVersion = version
 	clear(ms.DispatcherCache)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -50,7 +50,7 @@
 	frontend    *frontend.Frontend
 
 	leaseDeadline atomic.Int64
-	shouldWaitOut atomic.Bool // a member without its lease that should keep its users: see Members.ShouldWaitOut
+	shouldWaitOut atomic.Bool // a member without its lease that should keep its users: see Members.ShouldWaitForLease
 	leaving       atomic.Bool // shutting down
 	left          chan struct{}
 	typesKnown    atomic.Bool
@@ -154,7 +154,7 @@
 		deadline = n.core.LeaseDeadline
 	}
 	n.leaseDeadline.Store(int64(deadline))
-	n.shouldWaitOut.Store(deadline != 0 && n.core.members.ShouldWaitOut())
+	n.shouldWaitOut.Store(deadline != 0 && n.core.members.ShouldWaitForLease())
 	n.carryOut(ctx, actions)
 	if e.reply != nil {
 		e.reply(actions)
--- a/internal/controller/operatorrequest/calendar.go
+++ b/internal/controller/operatorrequest/calendar.go
@@ -11,7 +11,7 @@
 // facts is what decisions on the calendar need to know of the site.
 func (h *Handler) facts() *reservation.Facts {
 	return &reservation.Facts{
-		Types: h.Types, MaxMachines: h.Op.Machines,
+		Types: h.Types, MaxMachines: h.Operator.Machines,
 		Team: func(name protocol.Team) (config.Team, bool) {
 			t, ok := h.Team(name)
 			return t.Team, ok
--- a/internal/controller/operatorrequest/configuration.go
+++ b/internal/controller/operatorrequest/configuration.go
@@ -25,7 +25,7 @@
 	case !h.HoldsLease():
 		return refuse(operatorapi.RetryLater, "may not act now")
 	case h.View.Layout < record.LayoutConfiguration:
-		return refuse(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", h.members.BlockingLayout(record.LayoutConfiguration)))
+		return refuse(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", h.members.NodesBlockingLayout(record.LayoutConfiguration)))
 	case r.Config.Revision != nil && *r.Config.Revision != present:
 		return refuse(operatorapi.Refused, fmt.Sprintf("revision %d is in force, not %d", present, *r.Config.Revision))
 	}
@@ -49,7 +49,7 @@
 
 // configuredWithinS is how long a controller may act on an earlier revision, in seconds.
 func (h *Handler) configuredWithinS() float64 {
-	return config.MaxWatchStaleness(h.Op.NodeLease).Seconds()
+	return config.MaxWatchStaleness(h.Operator.NodeLease).Seconds()
 }
 
 // configurationFacts is what decisions on the configuration need to know of the site.
@@ -65,7 +65,7 @@
 			return n
 		},
 	}
-	for name, count := range h.Op.Machines {
+	for name, count := range h.Operator.Machines {
 		facts.Processors += float64(count) * h.Types[name].CPUs
 	}
 	return facts
--- a/internal/controller/operatorrequest/configurationview.go
+++ b/internal/controller/operatorrequest/configurationview.go
@@ -89,7 +89,7 @@
 // configurationStatus lists the controllers with the revisions that they act on.
 func (h *Handler) configurationStatus() Decision {
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: h.Configuration.Effective().Revision, WithinS: h.configuredWithinS()}}
-	outdated := h.members.Outdated()
+	outdated := h.members.OutdatedNodes()
 	names := append(slices.Collect(maps.Keys(h.View.Members)), outdated...)
 	names = append(names, h.Self)
 	for _, m := range h.Settings.Members {
--- a/internal/controller/operatorrequest/shards.go
+++ b/internal/controller/operatorrequest/shards.go
@@ -62,7 +62,7 @@
 			return refuse(operatorapi.NotFound, "no such share")
 		}
 		if h.Shards.List[id].Holder != session {
-			moves = append(moves, sharding.Move{ID: sharding.ID(id), To: session, Cause: "operator"})
+			moves = append(moves, sharding.Move{Shard: sharding.ID(id), To: session, Cause: "operator"})
 		}
 	}
 	h.members.RequestMoves(moves)
--- a/internal/controller/ordered/ordered.go
+++ b/internal/controller/ordered/ordered.go
@@ -9,8 +9,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Of iterates over a map in the order of its keys.
-func Of[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
+// ByKey iterates over a map in the order of its keys.
+func ByKey[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return byKeys(m, slices.Sorted(maps.Keys(m)))
 }
 
--- a/internal/controller/ordered/ordered_test.go
+++ b/internal/controller/ordered/ordered_test.go
@@ -12,7 +12,7 @@
 func TestOfIteratesInKeyOrder(t *testing.T) {
 	m := map[string]int{"c": 3, "a": 1, "b": 2, "d": 4}
 	var values []int
-	for key, value := range Of(m) {
+	for key, value := range ByKey(m) {
 		values = append(values, value)
 		if key == "a" {
 			delete(m, "c")
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -13,7 +13,7 @@
 
 // batchReceived handles those messages of a batch that have not been received before.
 func (c *Core) batchReceived(batch message.Batch) {
-	for _, received := range c.members.Received(batch) {
+	for _, received := range c.members.AcceptBatch(batch) {
 		if err := received.Check(); err != nil {
 			c.ignoreInvalid(batch.From, err)
 			continue
--- a/internal/controller/placement/claims.go
+++ b/internal/controller/placement/claims.go
@@ -101,7 +101,7 @@
 // their spare capacity. Claims of gangs are added while the gangs are tried.
 func (p *Placer) NewClaims() *Claims {
 	claims := &Claims{Gangs: map[*waittable.Machine]resource.Level{}}
-	for _, class := range ordered.Of(p.workload.Classes) {
+	for _, class := range ordered.ByKey(p.workload.Classes) {
 		tasks := p.workload.TasksToReserve(class)
 		if tasks == 0 {
 			continue
--- a/internal/controller/placement/failedsearch.go
+++ b/internal/controller/placement/failedsearch.go
@@ -37,7 +37,7 @@
 
 // recordFailedSearch records that the search for a job's next task found no machine.
 func (p *Placer) recordFailedSearch(job *jobs.Job) {
-	if job.OneZone || job.Spread || len(job.FailedOn) > 0 || p.reservations.Any || len(p.failedSearches) >= maxFailedSearches {
+	if job.OneZone || job.Spread || len(job.FailedOn) > 0 || p.reservations.HasEntries || len(p.failedSearches) >= maxFailedSearches {
 		return // the job's feasible machines depend on more than a failedSearch records
 	}
 	search := failedSearch{
@@ -63,7 +63,7 @@
 // searchWouldFail reports whether the search for a job's next task would fail because a
 // recorded search that could use at least the same machines has failed.
 func (p *Placer) searchWouldFail(job *jobs.Job) bool {
-	if p.reservations.Any {
+	if p.reservations.HasEntries {
 		return false
 	}
 	need := resource.Need(&job.Job)
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -127,7 +127,7 @@
 // zonesWithCapacity lists the zones in which at least the given number of tasks fit.
 func zonesWithCapacity(fitting map[protocol.Zone]int, tasks int) []protocol.Zone {
 	var zones []protocol.Zone
-	for zone := range ordered.Of(fitting) {
+	for zone := range ordered.ByKey(fitting) {
 		if fitting[zone] >= tasks {
 			zones = append(zones, zone)
 		}
@@ -164,7 +164,7 @@
 	var best protocol.Zone
 	if job.OneZone {
 		_, fitting := p.countFittingByZone(job, claims, false)
-		for zone, n := range ordered.Of(fitting) {
+		for zone, n := range ordered.ByKey(fitting) {
 			if best == "" || n > fitting[best] {
 				best = zone
 			}
--- a/internal/controller/placement/headroom.go
+++ b/internal/controller/placement/headroom.go
@@ -89,7 +89,7 @@
 		return true
 	}
 	cpus := float64(n) * job.CPUs
-	if cpus > c.headroomCPUs+resource.Slack {
+	if cpus > c.headroomCPUs+resource.Tolerance {
 		return false
 	}
 	c.headroomCPUs -= cpus
--- a/internal/controller/placement/levels.go
+++ b/internal/controller/placement/levels.go
@@ -24,7 +24,7 @@
 		unfinished := float64(job.Tasks - job.DoneCount)
 		sum := used[job.Team].Plus(resource.Amount{CPUs: unfinished * job.CPUs, GPUs: unfinished * job.GPUs})
 		used[job.Team] = sum
-		guaranteed := sum.CPUs <= team.CPUs+resource.Slack && sum.GPUs <= team.GPUs+resource.Slack
+		guaranteed := sum.CPUs <= team.CPUs+resource.Tolerance && sum.GPUs <= team.GPUs+resource.Tolerance
 		p.setLevel(job, resource.LevelOf(job.Priority, guaranteed))
 	}
 }
@@ -32,7 +32,7 @@
 // setLevel sets a job's level. Peers need the level only while there are reservations; only
 // then is a change replicated to them.
 func (p *Placer) setLevel(job *jobs.Job, level resource.Level) {
-	if job.Level != level && p.reservations.Any {
+	if job.Level != level && p.reservations.HasEntries {
 		p.jobs.MarkProgressChanged(job)
 	}
 	job.Level = level
--- a/internal/controller/placement/limits.go
+++ b/internal/controller/placement/limits.go
@@ -22,8 +22,8 @@
 		return false
 	}
 	used := usage[job.Team].Plus(p.limitReservedForOthers(job))
-	return (team.MaxCPUs == 0 || used.CPUs+job.CPUs*float64(n) <= team.MaxCPUs+resource.Slack) &&
-		(team.MaxGPUs == 0 || used.GPUs+job.GPUs*float64(n) <= team.MaxGPUs+resource.Slack)
+	return (team.MaxCPUs == 0 || used.CPUs+job.CPUs*float64(n) <= team.MaxCPUs+resource.Tolerance) &&
+		(team.MaxGPUs == 0 || used.GPUs+job.GPUs*float64(n) <= team.MaxGPUs+resource.Tolerance)
 }
 
 // limitReservedForOthers returns the part of the team's limit that reservations claim for
@@ -55,7 +55,7 @@
 // LimitSharedAfter, the one that has waited longest. It returns nil if there is none or the
 // team has no limit.
 func (p *Placer) longestWaiting(job *jobs.Job) (longest *jobs.Job) {
-	if !p.Limited(job.Team) {
+	if !p.MayHaveLimit(job.Team) {
 		return nil
 	}
 	for _, other := range p.jobs.ByID {
--- a/internal/controller/placement/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -82,8 +82,8 @@
 		if m.ID <= after || !p.table.Usable(m) || m.State.Epoch != m.Epoch {
 			continue
 		}
-		if m.State.Queued == 0 && m.Free().CPUs > resource.Slack ||
-			len(p.reservations.Holds[m.ID]) > 0 && m.Idle().CPUs > resource.Slack {
+		if m.State.Queued == 0 && m.Free().CPUs > resource.Tolerance ||
+			len(p.reservations.Holds[m.ID]) > 0 && m.Idle().CPUs > resource.Tolerance {
 			free = append(free, m)
 		}
 	}
--- a/internal/controller/placement/round.go
+++ b/internal/controller/placement/round.go
@@ -118,7 +118,7 @@
 // sendPlacements sends the placements to the dispatchers of their machines.
 func (p *Placer) sendPlacements(batches map[protocol.NodeName][]message.Placement) {
 	revision := p.Configuration.Effective().Revision
-	for dispatcher, tasks := range ordered.Of(batches) {
+	for dispatcher, tasks := range ordered.ByKey(batches) {
 		peer := p.table.Peers[dispatcher]
 		if peer == nil {
 			continue
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -22,7 +22,7 @@
 func (c *Core) recordDeleted(key record.FollowedKey) {
 	switch {
 	case key.Node != "":
-		c.members.Absent(key.Node)
+		c.members.RemoveNode(key.Node)
 		c.checkView()
 	case key.ShardTable:
 		c.ShardsVersion = 0 // lost: it is written again as this controller knows it
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	c.members.Present(name, node)
+	c.members.AddNode(name, node)
 	if !snapshot {
 		c.checkView()
 	}
--- a/internal/controller/reservation/feasibility.go
+++ b/internal/controller/reservation/feasibility.go
@@ -65,7 +65,7 @@
 			names = append(names, o.Name)
 		}
 	}
-	if team.MaxCPUs > 0 && cpus > team.MaxCPUs+resource.Slack || team.MaxGPUs > 0 && gpus > team.MaxGPUs+resource.Slack {
+	if team.MaxCPUs > 0 && cpus > team.MaxCPUs+resource.Tolerance || team.MaxGPUs > 0 && gpus > team.MaxGPUs+resource.Tolerance {
 		return refused(names, "more than the limit of team %s, with what is promised to it for the same time", s.Team)
 	}
 	return Answer{OK: true}
--- a/internal/controller/reservation/holdchoice_test.go
+++ b/internal/controller/reservation/holdchoice_test.go
@@ -44,7 +44,7 @@
 					cpus += o.Need.CPUs
 				}
 			}
-			if cpus > 8+resource.Slack {
+			if cpus > 8+resource.Tolerance {
 				t.Fatalf("%s holds %v at once", h.Machine, cpus)
 			}
 			tasks[h.For] += h.Tasks
--- a/internal/controller/resource/amount.go
+++ b/internal/controller/resource/amount.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// Slack is the tolerance for rounding errors in comparisons of amounts, which are sums
+	// Tolerance is the tolerance for rounding errors in comparisons of amounts, which are sums
 	// of decimal numbers.
-	Slack = 1e-6
+	Tolerance = 1e-6
 	// maxFitting bounds the result of CountFitting, since any number of tasks that use
 	// nothing fit.
 	maxFitting = 1000
@@ -33,14 +33,14 @@
 // Round rounds a sum of decimal numbers to a multiple of the tolerance of comparisons. This
 // removes the rounding errors that depend on the order of the summands, so that equal sums
 // compare as equal and simulations are repeatable.
-func Round(x float64) float64 { return math.Round(x/Slack) * Slack }
+func Round(x float64) float64 { return math.Round(x/Tolerance) * Tolerance }
 
 // Round rounds each resource.
 func (a Amount) Round() Amount { return Amount{Round(a.CPUs), Round(a.GPUs), Round(a.GB)} }
 
 // Covers reports whether a need fits into the amount, with a tolerance for rounding errors.
 func (a Amount) Covers(need Amount) bool {
-	return need.CPUs <= a.CPUs+Slack && need.GPUs <= a.GPUs+Slack && need.GB <= a.GB+Slack
+	return need.CPUs <= a.CPUs+Tolerance && need.GPUs <= a.GPUs+Tolerance && need.GB <= a.GB+Tolerance
 }
 
 // Plus returns the sum of two amounts.
--- a/internal/controller/resource/level.go
+++ b/internal/controller/resource/level.go
@@ -42,9 +42,9 @@
 	return sum
 }
 
-// Above returns the resources that attempts of priorities above a rank use, within a
+// AboveRank returns the resources that attempts of priorities above a rank use, within a
 // guarantee or not.
-func (u *Uses) Above(rank int) Amount {
+func (u *Uses) AboveRank(rank int) Amount {
 	var sum Amount
 	for level, used := range u {
 		if Level(level).Rank() > rank {
--- a/internal/controller/resource/resource_test.go
+++ b/internal/controller/resource/resource_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("level %d can't preempt %v processors, want %v", level, got, want)
 		}
 	}
-	if got := u.Above(0).CPUs; got != 14 {
+	if got := u.AboveRank(0).CPUs; got != 14 {
 		t.Errorf("%v processors above the lowest rank, want 14", got)
 	}
 }
--- a/internal/controller/scaleout_test.go
+++ b/internal/controller/scaleout_test.go
@@ -148,7 +148,7 @@
 	b.zoned("b", 1, false, resource.Uses{})
 	o := b.c.jobs.AdoptJob(&clusterstate.LiveJob{Job: protocol.Job{
 		ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 60, CPUs: 1, MemoryGB: 1, EstimateS: 60, OneZone: true,
-	}, Since: b.c.Now})
+	}, SubmittedAt: b.c.Now})
 	o.Loaded = true
 	o.Pending.FlipRange(0, 60)
 	b.c.Live["job-1"] = o.LiveJob
--- a/internal/controller/sharding/assignment.go
+++ b/internal/controller/sharding/assignment.go
@@ -19,23 +19,23 @@
 
 // Move is a planned change of the holder of a shard.
 type Move struct {
-	ID    ID
+	Shard ID
 	To    protocol.LeaseID
 	Cause string
 }
 
-// Orphans lists the moves of shards whose holder is not a member or should hold no
+// OrphanMoves lists the moves of shards whose holder is not a member or should hold no
 // shards. All other shards keep their holders.
-func Orphans(table *record.ShardTable, load []float64, members []Member) []Move {
+func OrphanMoves(table *record.ShardTable, load []float64, members []Member) []Move {
 	a := newAssignment(table, load, members)
 	a.assignOrphans()
 	return a.changes()
 }
 
-// Rebalanced lists the moves that distribute the load over the members by their weights,
+// RebalancingMoves lists the moves that distribute the load over the members by their weights,
 // in the order in which they should be made. If only the first few of them are made, the
 // next call still returns the rest.
-func Rebalanced(table *record.ShardTable, load []float64, members []Member) []Move {
+func RebalancingMoves(table *record.ShardTable, load []float64, members []Member) []Move {
 	a := newAssignment(table, load, members)
 	a.assignOrphans()
 	a.balanceLoad()
@@ -112,7 +112,7 @@
 	for _, id := range a.moveOrder {
 		to := a.members[a.holder[id]].Session
 		if to != a.List[id].Holder {
-			moves = append(moves, Move{ID: id, To: to})
+			moves = append(moves, Move{Shard: id, To: to})
 		}
 	}
 	return moves
--- a/internal/controller/sharding/assignment_test.go
+++ b/internal/controller/sharding/assignment_test.go
@@ -19,7 +19,7 @@
 		table, load, members := drawShardsAndMembers(t)
 		moved := 0
 		for round := 0; ; round++ {
-			moves := Rebalanced(table, load, members)
+			moves := RebalancingMoves(table, load, members)
 			if len(moves) == 0 {
 				break
 			}
@@ -28,7 +28,7 @@
 			}
 			n := rapid.IntRange(1, 60).Draw(t, "at once")
 			for _, move := range moves[:min(n, len(moves))] {
-				Assign(table, move.ID, move.To)
+				Assign(table, move.Shard, move.To)
 				moved++
 			}
 		}
@@ -51,8 +51,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		table, load, members := drawShardsAndMembers(t)
 		before := Copy(table)
-		for _, move := range Orphans(table, load, members) {
-			Assign(table, move.ID, move.To)
+		for _, move := range OrphanMoves(table, load, members) {
+			Assign(table, move.Shard, move.To)
 		}
 		for id, current := range table.List {
 			previous := before.List[id]
--- a/internal/controller/sharding/balancer.go
+++ b/internal/controller/sharding/balancer.go
@@ -12,11 +12,11 @@
 // MemberLoad is the balancer's input for a member: its load and its state.
 type MemberLoad struct {
 	Member
-	Late        time.Duration // how late its ticks are, on average
-	Leaving     bool          // it is shutting down
-	Away        bool          // operators have requested that it holds no shards
-	Unreachable bool          // workers can't reach it
-	Warm        bool          // it has adopted the view, has been in contact for a while, and still is
+	TickLateness time.Duration // how late its ticks are, on average
+	Leaving      bool          // it is shutting down
+	Cordoned     bool          // operators have requested that it holds no shards
+	Unreachable  bool          // workers can't reach it
+	WarmedUp     bool          // it has adopted the view, has been in contact for a while, and still is
 }
 
 // Causes of moves, as they are sent to the holder of a shard and shown to operators.
@@ -61,7 +61,7 @@
 	b.updateSlowness(now, members)
 	inFlight := b.updateInFlight(now, table)
 	leaving := slices.ContainsFunc(members, func(m MemberLoad) bool { return m.Leaving })
-	anyNotWarm := slices.ContainsFunc(members, func(m MemberLoad) bool { return !m.Warm })
+	anyNotWarm := slices.ContainsFunc(members, func(m MemberLoad) bool { return !m.WarmedUp })
 	if !leaving && (inFlight > 0 || now < b.pauseUntil || anyNotWarm) {
 		return nil
 	}
@@ -70,8 +70,8 @@
 		bySession[members[i].Session] = &members[i]
 	}
 	var moves []Move
-	for _, move := range Rebalanced(table, load, b.weighted(members)) {
-		shard := table.List[move.ID]
+	for _, move := range RebalancingMoves(table, load, b.weighted(members)) {
+		shard := table.List[move.Shard]
 		holder := bySession[shard.Holder]
 		if holder == nil {
 			continue // the next view assigns shards without a holder
@@ -79,12 +79,12 @@
 		if leaving && !holder.Leaving {
 			continue // members that are shutting down come first
 		}
-		if _, requested := b.requestedMoves[move.ID]; requested || inFlight+len(moves) >= maxMovesFrom(holder) {
+		if _, requested := b.requestedMoves[move.Shard]; requested || inFlight+len(moves) >= maxMovesFrom(holder) {
 			continue
 		}
 		move.Cause = b.cause(holder)
 		moves = append(moves, move)
-		b.requestedMoves[move.ID] = requestedMove{shardEpoch: shard.Since, requestedAt: now}
+		b.requestedMoves[move.Shard] = requestedMove{shardEpoch: shard.Since, requestedAt: now}
 	}
 	if len(moves) > 0 {
 		b.pauseUntil = now.Add(minBatchInterval)
@@ -105,7 +105,7 @@
 	switch {
 	case holder.Leaving:
 		return causeLeaving
-	case holder.Away:
+	case holder.Cordoned:
 		return causeCordoned
 	case holder.Unreachable:
 		return causeUnreachable
@@ -150,7 +150,7 @@
 
 // weight returns the capacity of a member relative to the other members'.
 func (b *Balancer) weight(m *MemberLoad) float64 {
-	if m.Leaving || m.Away || m.Unreachable {
+	if m.Leaving || m.Cordoned || m.Unreachable {
 		return 0
 	}
 	return weights[b.slownessOf[m.Session].step]
--- a/internal/controller/sharding/balancer_test.go
+++ b/internal/controller/sharding/balancer_test.go
@@ -15,7 +15,7 @@
 	load := Loads(table, map[protocol.Zone]int{"a": 1300})
 	for i := range seconds {
 		for _, m := range b.Step(clock.Time(i+1)*clock.Time(time.Second), table, load, members(i)) {
-			Assign(table, m.ID, m.To)
+			Assign(table, m.Shard, m.To)
 			moves++
 		}
 	}
@@ -38,12 +38,12 @@
 	var members []MemberLoad
 	for i := range 3 {
 		members = append(members, MemberLoad{
-			Member: Member{Name: protocol.NodeName(fmt.Sprint("n", i)), Session: protocol.LeaseID(10 + i)},
-			Late:   20 * time.Millisecond,
-			Warm:   true,
+			Member:       Member{Name: protocol.NodeName(fmt.Sprint("n", i)), Session: protocol.LeaseID(10 + i)},
+			TickLateness: 20 * time.Millisecond,
+			WarmedUp:     true,
 		})
 	}
-	members[2].Late = late
+	members[2].TickLateness = late
 	return members
 }
 
@@ -88,7 +88,7 @@
 	}
 	all := func(int) []MemberLoad {
 		members := threeMembers(time.Second)
-		members[0].Late, members[1].Late = time.Second, time.Second
+		members[0].TickLateness, members[1].TickLateness = time.Second, time.Second
 		return members
 	}
 	if n := runBalancer(&Balancer{}, table, 100, all); n != 0 {
--- a/internal/controller/sharding/slowness.go
+++ b/internal/controller/sharding/slowness.go
@@ -67,7 +67,7 @@
 	for i := range members {
 		m := &members[i]
 		present[m.Session] = true
-		slow := len(members) > 1 && m.Late > threshold
+		slow := len(members) > 1 && m.TickLateness > threshold
 		b.slownessOf[m.Session] = b.slownessOf[m.Session].observe(now, slow)
 	}
 	for session := range b.slownessOf {
@@ -84,7 +84,7 @@
 	}
 	late := make([]time.Duration, 0, len(members))
 	for i := range members {
-		late = append(late, members[i].Late)
+		late = append(late, members[i].TickLateness)
 	}
 	slices.Sort(late)
 	median := late[(len(late)-1)/2]
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -31,7 +31,7 @@
 		c.setRateAllotment() // before a peer can use what is granted to it
 	}
 	var previous *message.StateUpdate // as sent to the peer before
-	for name, peer := range ordered.Of(c.waitTable.Peers) {
+	for name, peer := range ordered.ByKey(c.waitTable.Peers) {
 		if !regular && !peer.Updates.Truncated {
 			continue
 		}
@@ -110,7 +110,7 @@
 		return
 	}
 	if update.Acting {
-		c.members.NoteLeading(from)
+		c.members.NoteHoldsLease(from)
 	}
 	c.members.NoteLoad(from, update.Load)
 	peer.Configuration, peer.ConfiguredAt = update.Configuration, c.Now
@@ -138,7 +138,7 @@
 	streams.HoldsTo = update.HaveHolds
 	if update.Holds != nil && from != c.Self {
 		streams.HoldsFrom = update.Holds.Number
-		c.reservations.Listed = true
+		c.reservations.HoldsListed = true
 		c.reservations.Set(update.Holds.List)
 	}
 	if streams.MachinesFrom.Accept(update.Machines) {
--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -410,16 +410,16 @@
 // concerns it alone from an outage by whether a peer has recently reported that it leads.
 func TestOthersLeadOnlyAsLongAsReported(t *testing.T) {
 	b := newBench(t, "node-1")
-	if b.c.members.OthersLead() {
+	if b.c.members.AnyPeerHoldsLease() {
 		t.Error("others lead though none has reported it")
 	}
 	b.c.stateUpdated("node-1", &message.StateUpdate{Acting: true})
-	if !b.c.members.OthersLead() {
+	if !b.c.members.AnyPeerHoldsLease() {
 		t.Error("no others lead though a peer reports it")
 	}
 	b.now += Time(time.Minute)
 	b.c.Now = b.now
-	if b.c.members.OthersLead() {
+	if b.c.members.AnyPeerHoldsLease() {
 		t.Error("others lead by a report that is a minute old")
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -105,5 +105,5 @@
 		}
 	}
 	members := slices.Sorted(maps.Keys(c.View.Members))
-	return admission.OwnersAnswered{Query: query.Query, Jobs: found, Leading: c.members.LeadingPeers(), Members: members}
+	return admission.OwnersAnswered{Query: query.Query, Jobs: found, Leading: c.members.PeersHoldingLease(), Members: members}
 }
--- a/internal/controller/tablecopy_test.go
+++ b/internal/controller/tablecopy_test.go
@@ -24,11 +24,11 @@
 	if got := askedForTable(b.step(message.Tick{})); len(got) != 0 {
 		t.Fatalf("asked %v before the wait was over", got)
 	}
-	b.now += Time(b.c.Op.CopyWait)
+	b.now += Time(b.c.Operator.CopyWait)
 	if got := askedForTable(b.step(message.Tick{})); len(got) != 2 {
 		t.Fatalf("asked %v after the wait, want the two peers left", got)
 	}
-	b.now += Time(b.c.Op.CopyWait)
+	b.now += Time(b.c.Operator.CopyWait)
 	if got := askedForTable(b.step(message.Tick{})); len(got) != 0 {
 		t.Fatalf("asked %v though all had been asked", got)
 	}
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -21,7 +21,7 @@
 	if !c.Member() {
 		return
 	}
-	if c.Since(c.lastUpdate) >= c.Op.ReplicationInterval {
+	if c.Since(c.lastUpdate) >= c.Operator.ReplicationInterval {
 		c.lastUpdate = c.Now
 		c.regularWork()
 	} else {
@@ -39,7 +39,7 @@
 	c.reservations.Refresh()
 	c.workload.RecordSpotUptime()
 	c.jobs.DetectSlowMachines()
-	c.dispatcher.ExpireSilentMachines(c.members.AllAdopted(), c.members.ObservedShardEpoch())
+	c.dispatcher.ExpireSilentMachines(c.members.AllAdoptedTerm(), c.members.ObservedShardEpoch())
 	c.placer.Rebalance("")
 	c.dispatcher.MaintainQueues(c.announcedLevel, c.jobs.IsFailing)
 	c.jobs.WriteBitmaps()
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -17,7 +17,7 @@
 	old := c.View
 	consecutive := old.Term != 0 && view.Term == old.Term+1
 	wasMember := c.Member()
-	c.members.Adopt(view, version)
+	c.members.AdoptView(view, version)
 	c.registrar.Adopted()
 	c.dispatcher.TermAdopted()
 	c.waitTable.AdoptPeers(view)
@@ -53,7 +53,7 @@
 func (c *Core) adoptShards(shards *record.ShardTable, version protocol.Version) {
 	old := c.Shards
 	wasSharded := c.Sharded()
-	c.members.AdoptShards(shards, version)
+	c.members.AdoptShardTable(shards, version)
 	if !wasSharded || !c.Member() {
 		return // the shards are adopted with the view that names them
 	}
--- a/internal/controller/waittable/machine.go
+++ b/internal/controller/waittable/machine.go
@@ -84,7 +84,7 @@
 // FreeBelow is the resources of a machine that are not used by attempts of a higher priority
 // rank than the given one.
 func (m *Machine) FreeBelow(rank int) resource.Amount {
-	return resource.Capacity(m.Info).Minus(m.AnnouncedUses.Above(rank)).Minus(m.PendingUses.Above(rank))
+	return resource.Capacity(m.Info).Minus(m.AnnouncedUses.AboveRank(rank)).Minus(m.PendingUses.AboveRank(rank))
 }
 
 // WaitFor returns the expected wait of a task per processor before it runs, in seconds and
--- a/internal/controller/waittable/pending.go
+++ b/internal/controller/waittable/pending.go
@@ -75,14 +75,14 @@
 		return
 	}
 	announcement := &message.WaitsAdded{Term: t.View.Term, Numbers: map[protocol.NodeName]uint64{}}
-	for id, w := range ordered.Of(added) {
+	for id, w := range ordered.ByKey(added) {
 		announcement.Waits = append(announcement.Waits, message.WaitChange{Machine: id, Add: w.CPUSeconds, Taken: message.LevelUses(&w.Uses)})
 		dispatcher := t.DispatcherOf(id)
 		if peer := t.Peers[dispatcher]; peer != nil {
 			announcement.Numbers[dispatcher] = peer.LastPlaceNumber
 		}
 	}
-	for name := range ordered.Of(t.Peers) {
+	for name := range ordered.ByKey(t.Peers) {
 		if name != t.Self {
 			t.Send(name, message.PeerMessage{Added: announcement})
 		}
--- a/internal/controller/waittable/table.go
+++ b/internal/controller/waittable/table.go
@@ -101,7 +101,7 @@
 
 // Usable reports whether tasks may be placed on a machine.
 func (t *Table) Usable(m *Machine) bool {
-	return m.Open() && !m.PlacementRefused && !t.PlaceClosed(m.Record.Type, m.Record.Zone)
+	return m.Open() && !m.PlacementRefused && !t.PlaceCordoned(m.Record.Type, m.Record.Zone)
 }
 
 // AdoptPeers adopts the members of a view: it drops the peers whose sessions have ended or
--- a/internal/controller/waittable/tablecopy.go
+++ b/internal/controller/waittable/tablecopy.go
@@ -21,7 +21,7 @@
 // to two random peers, and RequestMoreCopies sends two more each time no reply arrives in time.
 func (t *Table) RequestCopy() {
 	t.copySearch = copySearch{}
-	for name := range ordered.Of(t.Peers) {
+	for name := range ordered.ByKey(t.Peers) {
 		if name != t.Self {
 			t.copySearch.unaskedPeers = append(t.copySearch.unaskedPeers, name)
 		}
@@ -34,7 +34,7 @@
 // RequestMoreCopies requests the tables of the next peers, unless a copy has been received, all
 // peers have been asked, or the peers asked last may still reply.
 func (t *Table) RequestMoreCopies() {
-	awaitingReply := t.copySearch.requestedAt != 0 && t.Since(t.copySearch.requestedAt) < t.Op.CopyWait
+	awaitingReply := t.copySearch.requestedAt != 0 && t.Since(t.copySearch.requestedAt) < t.Operator.CopyWait
 	if t.copySearch.received || len(t.copySearch.unaskedPeers) == 0 || awaitingReply {
 		return
 	}
@@ -49,7 +49,7 @@
 // published state of any machine.
 func (t *Table) SendCopy(to protocol.NodeName) {
 	var waits []message.WaitChange
-	for id, m := range ordered.Of(t.Machines) {
+	for id, m := range ordered.ByKey(t.Machines) {
 		if m.State.Epoch == m.Epoch {
 			waits = append(waits, message.WaitChange{Machine: id, Add: m.Wait()})
 		}
--- a/internal/controller/waittable/tablecopy_test.go
+++ b/internal/controller/waittable/tablecopy_test.go
@@ -23,7 +23,7 @@
 	for i, name := range peers {
 		view.Members[name] = protocol.LeaseID(101 + i)
 	}
-	state := &clusterstate.State{Op: config.Operator{CopyWait: copyWait}, Now: clock.Time(time.Hour), View: view, Session: 100}
+	state := &clusterstate.State{Operator: config.Operator{CopyWait: copyWait}, Now: clock.Time(time.Hour), View: view, Session: 100}
 	state.Self = "node-0"
 	table := New(clusterstate.Module{State: state, Output: &clusterstate.Output{}}, rand.New(rand.NewPCG(1, 1)))
 	table.Reset()
--- a/internal/controller/workerregistry/write.go
+++ b/internal/controller/workerregistry/write.go
@@ -115,7 +115,7 @@
 // other requests. Machines that are in no block and should not be lose their single
 // records only, which takes no write of a block; these fill half a transaction at most.
 func (g *Registrar) collectChanges(b *batch, limits recordblock.Limits) {
-	for id, request := range ordered.Of(g.pending.requested) {
+	for id, request := range ordered.ByKey(g.pending.requested) {
 		change, needed := g.blockChange(id, request)
 		if request.To == nil && request.Tenure != 0 {
 			b.usesShards = b.usesShards || needed
--- a/internal/controller/workload/objectives.go
+++ b/internal/controller/workload/objectives.go
@@ -61,7 +61,7 @@
 // provisioned for the classes with objectives.
 func (w *Workload) ReservedForObjectives(usableCPUs float64) (cpus float64) {
 	excessSquares, minCPUs := 0.0, 0.0
-	for _, class := range ordered.Of(w.Classes) {
+	for _, class := range ordered.ByKey(w.Classes) {
 		bootS := w.BootSeconds(&class.Job)
 		if math.IsInf(bootS, 1) {
 			continue
--- a/internal/controller/workload/spot.go
+++ b/internal/controller/workload/spot.go
@@ -23,7 +23,7 @@
 // RecordSpotUptime adds the uptime of the present spot machines to the estimate of the preemption
 // rate. It must be called once in each replication interval.
 func (w *Workload) RecordSpotUptime() {
-	w.SpotPreemptions.NoteUptime(w.table.SpotMachines, w.Op.ReplicationInterval)
+	w.SpotPreemptions.NoteUptime(w.table.SpotMachines, w.Operator.ReplicationInterval)
 }
 
 // SpotSlowdown returns the fraction by which one spot machine is expected to lengthen the run
--- a/internal/simulator/userchecks_test.go
+++ b/internal/simulator/userchecks_test.go
@@ -110,7 +110,7 @@
 
 // checkForgotten: once all faults are over, no job goes without an answer for 75 s.
 func (u *users) checkForgotten() {
-	for _, j := range ordered.Of(u.jobs) {
+	for _, j := range ordered.ByKey(u.jobs) {
 		if j.polled && j.rank < over && u.faultFreeSince != 0 && u.now-max(j.lastAnswer, u.faultFreeSince) > maxUnanswered {
 			u.fail("%v forgotten: no question about %s has been answered for %v", u.now, j.id, u.now-max(j.lastAnswer, u.faultFreeSince))
 		}
--- a/internal/simulator/userhandover_test.go
+++ b/internal/simulator/userhandover_test.go
@@ -48,12 +48,12 @@
 					w.run(w.now + time.Second)
 				}
 				n := w.nodes[1+int(at/step)%2]
-				for _, j := range ordered.Of(u.jobs) {
+				for _, j := range ordered.ByKey(u.jobs) {
 					w.after(at, func() { u.cancelJob(j) })
 				}
 				hand.do(w, n)
 				w.run(w.now + at + time.Duration(w.settings.Site.Workers.CancelS)*time.Second + 10*time.Second)
-				for id, j := range ordered.Of(u.jobs) {
+				for id, j := range ordered.ByKey(u.jobs) {
 					if j.finalAnswer != protocol.JobCancelled {
 						t.Errorf("after %v: the user of %s was not told: %+v, record %q", at, id, *j, w.finalState[id])
 					}
@@ -133,7 +133,7 @@
 				for end := w.now + 2*time.Minute; w.now < end && slices.ContainsFunc(slices.Collect(maps.Values(u.jobs)), func(j *userJob) bool { return j.rank < over }); {
 					w.run(w.now + time.Second)
 				}
-				for id, j := range ordered.Of(u.jobs) {
+				for id, j := range ordered.ByKey(u.jobs) {
 					if j.finalAnswer != protocol.JobDone {
 						t.Errorf("after %v: the user of %s was not told that it is done", at, id)
 					}
--- a/internal/simulator/userscenario_test.go
+++ b/internal/simulator/userscenario_test.go
@@ -90,7 +90,7 @@
 		w.run(w.now + 5*time.Second)
 		u.checkRecords()
 		u.checkForgotten()
-		for _, j := range ordered.Of(u.jobs) {
+		for _, j := range ordered.ByKey(u.jobs) {
 			if j.accepted && j.rank < over && (j.job.Kind == protocol.KindService || w.faultyJobs[j.id]) {
 				u.cancelJob(j)
 			}
@@ -99,7 +99,7 @@
 			u.checkLeftWaiting(since)
 		}
 	}
-	for _, j := range ordered.Of(u.jobs) {
+	for _, j := range ordered.ByKey(u.jobs) {
 		if j.accepted && j.rank < over {
 			fail("the user of %s was never told of its end; record %q, cancelled %v, %+v\n%s", j.id, w.finalState[j.id], j.cancelRequested, j.job, w.describeJob(j.id))
 		}
@@ -167,7 +167,7 @@
 
 // checkLeftWaiting: no job waits so long beside a machine for it, once all is well.
 func (u *users) checkLeftWaiting(since map[protocol.JobID]time.Duration) {
-	for _, j := range ordered.Of(u.jobs) {
+	for _, j := range ordered.ByKey(u.jobs) {
 		m, waits := protocol.MachineID(""), false
 		if j.accepted && u.finalState[j.id] == "" && !u.faultyJobs[j.id] {
 			m, waits = u.waitsBeside(j)
