--- a/internal/controller/workerregistry/registrar.go
+++ b/internal/controller/workerregistry/registrar.go
@@ -8,28 +8,29 @@
 	"damsonkeel/internal/record"
 )
 
-// Registrar maintains the records of machines: the blocks as they are stored and, where
-// this controller is the member that writes them in this term, the pending writes.
+// Registrar maintains the records of machines: the index of the stored blocks and, if this
+// controller is the registrar of the present term, the pending writes.
 type Registrar struct {
 	clusterstate.Module
 	blocks  *recordblock.Index
 	pending pendingWrites
 }
 
-// New returns a Registrar that knows no records yet.
+// New returns a Registrar without blocks or pending writes.
 func New(module clusterstate.Module) *Registrar {
 	g := &Registrar{Module: module}
 	g.Reset()
 	return g
 }
 
-// Reset discards all that was known in a session.
+// Reset discards the index of blocks and the pending writes, for the start of a session.
 func (g *Registrar) Reset() {
 	g.blocks = recordblock.NewIndex()
 	g.pending = newPendingWrites()
 }
 
-// Adopted discards what was to be written in the term before.
+// Adopted handles the adoption of a new view: it discards the pending writes of the
+// previous term.
 func (g *Registrar) Adopted() { g.pending = newPendingWrites() }
 
 // InBlock reports whether a machine's record is in a block.
@@ -41,9 +42,9 @@
 // BlockCount returns the number of blocks.
 func (g *Registrar) BlockCount() int { return g.blocks.Len() }
 
-// RequestChange queues a change that a dispatcher asks for. It replaces an earlier one
-// for the same machine. Requests of other terms, and those to a controller that is not
-// the registrar, are dropped.
+// RequestChange queues a change that a dispatcher requested. The change replaces an
+// earlier one for the same machine. Requests of other terms are dropped, and so are all
+// requests on a controller that is not the registrar.
 func (g *Registrar) RequestChange(from protocol.NodeName, change message.RecordChange) {
 	change.From = from
 	if change.Term == g.View.Term && g.UsesBlocks() && g.Registrar() == g.Self {
@@ -51,15 +52,15 @@
 	}
 }
 
-// BlockUpdated installs a block as it is stored now, and returns the records that have
-// changed by that and the machines whose records were removed.
+// BlockUpdated installs the stored content of a block in the index. It returns the records
+// that are new or changed, and the machines whose records were removed from the block.
 func (g *Registrar) BlockUpdated(name string, block record.Block, version protocol.Version) (changed []record.BlockEntry, removed []protocol.MachineID) {
 	delete(g.pending.unobserved, name)
 	return g.blocks.Set(name, version, block.Machines)
 }
 
-// BlockDeleted removes a block that is stored no more, and returns the machines that
-// were in it.
+// BlockDeleted removes a deleted block from the index, and returns the machines whose
+// records it held.
 func (g *Registrar) BlockDeleted(name string) (removed []protocol.MachineID) {
 	delete(g.pending.unobserved, name)
 	return g.blocks.Drop(name)
--- a/internal/controller/workerregistry/write.go
+++ b/internal/controller/workerregistry/write.go
@@ -12,42 +12,46 @@
 )
 
 const (
-	// observeTimeout is how long a block just written is left alone: the watch delivers
-	// its change, and a write before that would fail.
+	// observeTimeout is how long no further write of a block is sent while the watch has
+	// not delivered the last one: a write before that would fail, since its condition
+	// names the earlier version.
 	observeTimeout = 3 * time.Second
-	// retryPause is how long after a failed transaction the next one is sent.
+	// retryPause is the pause after a failed transaction.
 	retryPause = 300 * time.Millisecond
-	// epochTermShift places the term above the counter in the epochs of records.
+	// epochTermShift is the position of the term in the epoch of a record; the bits below
+	// hold a counter.
 	epochTermShift = 32
 )
 
-// Tag marks the transaction that writes blocks.
+// Tag identifies a transaction of the registrar, and lists what it writes.
 type Tag struct {
 	writes []recordblock.Write
-	// dropped are the machines whose single records are deleted without a write to a
-	// block.
-	dropped []protocol.MachineID
+	// deletedSingles are the machines whose single records (one key per machine, outside
+	// of any block) the transaction deletes without a write to a block.
+	deletedSingles []protocol.MachineID
 }
 
-// pendingWrites is what the registrar has to write in a term.
+// pendingWrites is the state of the registrar's writes in one term.
 type pendingWrites struct {
-	requested  map[protocol.MachineID]message.RecordChange
-	inFlight   bool                  // a transaction is not answered yet
-	unobserved map[string]clock.Time // blocks written whose change was not delivered yet, and when
-	// bound is, for machines that are in no block, the block that a write has tried to
-	// put them into. Such a write may remain unanswered and be executed late, so they go
-	// into no other block: of two writes of the same block on the same version, at most
-	// one takes effect.
-	bound   map[protocol.MachineID]string
-	epochs  uint64 // counts the epochs given out
-	retryAt clock.Time
+	requested map[protocol.MachineID]message.RecordChange
+	inFlight  bool // a transaction was sent and its outcome is not known yet
+	// unobserved holds the blocks with a write that the watch has not delivered yet, and
+	// the time of that write.
+	unobserved map[string]clock.Time
+	// attemptedBlock maps a machine that is in no block to the block that a write has
+	// tried to add it to. The store may execute such a write late, without an answer, so
+	// the machine may be added to no other block: of two writes of the same block on the
+	// condition of the same version, at most one takes effect.
+	attemptedBlock map[protocol.MachineID]string
+	epochCounter   uint64 // number of epochs assigned in this term
+	retryAt        clock.Time
 }
 
 func newPendingWrites() pendingWrites {
 	return pendingWrites{
-		requested:  map[protocol.MachineID]message.RecordChange{},
-		unobserved: map[string]clock.Time{},
-		bound:      map[protocol.MachineID]string{},
+		requested:      map[protocol.MachineID]message.RecordChange{},
+		unobserved:     map[string]clock.Time{},
+		attemptedBlock: map[protocol.MachineID]string{},
 	}
 }
 
@@ -56,18 +60,22 @@
 	txn     protocol.Transaction
 	tag     Tag
 	changes []recordblock.Change
-	// usesShards: a removal in it depends on the holder of the machine's shard.
-	usesShards bool
+	// dependsOnShards is set if the batch has a removal that is valid only while the
+	// machine's shard has the same holder. The transaction then has the version of the
+	// shard table as a condition.
+	dependsOnShards bool
 }
 
-// dropSingle deletes a machine's single record, which must have a version.
-func (b *batch) dropSingle(id protocol.MachineID, version protocol.Version) {
+// deleteSingle adds the deletion of a machine's single record, on the condition that the
+// record has the given version.
+func (b *batch) deleteSingle(id protocol.MachineID, version protocol.Version) {
 	key := record.MachineKey(id)
 	b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: key, Version: version})
 	b.txn.Changes = append(b.txn.Changes, protocol.Change{Delete: key})
 }
 
-// addBlock writes a block, or deletes it if no machine is left in it.
+// addBlock adds the write of a block, or its deletion if no machine is left in it, and the
+// deletions of the single records that the block replaces.
 func (b *batch) addBlock(write recordblock.Write) {
 	key := record.BlockKey(write.Block)
 	change := protocol.Change{Delete: key}
@@ -78,15 +86,15 @@
 	b.txn.Changes = append(b.txn.Changes, change)
 	for _, c := range write.Changes {
 		if c.Single != 0 {
-			b.dropSingle(c.Machine, c.Single)
+			b.deleteSingle(c.Machine, c.Single)
 		}
 	}
 }
 
-// Write writes the requested changes, as many at a time as one transaction holds. The
-// transaction depends on the present view, like every write of a machine's record:
-// whoever reads the records after a new view misses none, and a registrar that was
-// replaced writes nothing.
+// Write sends the requested changes, as many as fit into one transaction. It sends nothing
+// while an earlier transaction is unanswered. Like every write of a machine's record, the
+// transaction is conditional on the present view: a controller that reads the records
+// after a new view misses none of them, and a registrar that was replaced writes nothing.
 func (g *Registrar) Write() {
 	p := &g.pending
 	if len(p.requested) == 0 || p.inFlight || g.Now < p.retryAt || !g.HoldsLease() {
@@ -96,15 +104,15 @@
 	b := &batch{txn: protocol.Transaction{Conditions: []protocol.Condition{g.ViewUnchanged()}}}
 	g.collectChanges(b, limits)
 	limits.Ops -= len(b.txn.Changes)
-	b.tag.writes = g.blocks.Pack(b.changes, g.awaitsWatch, limits)
+	b.tag.writes = g.blocks.Pack(b.changes, g.isUnobserved, limits)
 	for _, write := range b.tag.writes {
 		b.addBlock(write)
-		g.noteWrite(write)
+		g.trackWrite(write)
 	}
 	if len(b.txn.Changes) == 0 {
 		return
 	}
-	if b.usesShards {
+	if b.dependsOnShards {
 		b.txn.Conditions = append(b.txn.Conditions, protocol.Condition{Key: record.ShardTableKey, Version: g.ShardsVersion})
 	}
 	p.inFlight = true
@@ -112,48 +120,52 @@
 }
 
 // collectChanges adds the changes that are still needed to a batch, and discards the
-// other requests. Machines that are in no block and should not be lose their single
-// records only, which takes no write of a block; these fill half a transaction at most.
+// other requests. To remove a machine that is in no block, only its single record is
+// deleted, which needs no write of a block; such deletions fill at most half of a
+// transaction.
 func (g *Registrar) collectChanges(b *batch, limits recordblock.Limits) {
 	for id, request := range ordered.Of(g.pending.requested) {
-		change, needed := g.blockChange(id, request)
+		change, needed := g.neededChange(id, request)
 		if request.To == nil && request.Tenure != 0 {
-			b.usesShards = b.usesShards || needed
-			// Another dispatcher that holds the machine since may have answered it.
-			needed = needed && g.isDispatcher(request)
+			b.dependsOnShards = b.dependsOnShards || needed
+			// If the shard has had another holder since, that dispatcher may have answered
+			// the machine, and the removal is no longer valid.
+			needed = needed && g.isSentByDispatcher(request)
 		}
 		switch {
 		case !needed:
 			delete(g.pending.requested, id)
-			delete(g.pending.bound, id)
+			delete(g.pending.attemptedBlock, id)
 		case change.Entry != nil || change.Single == 0:
 			b.changes = append(b.changes, change)
 		case 2*len(b.txn.Changes) < limits.Ops:
-			b.dropSingle(id, change.Single)
-			b.tag.dropped = append(b.tag.dropped, id)
+			b.deleteSingle(id, change.Single)
+			b.tag.deletedSingles = append(b.tag.deletedSingles, id)
 		}
 	}
 }
 
-// awaitsWatch reports whether the watch has yet to deliver the last write of a block.
-func (g *Registrar) awaitsWatch(block string) bool {
+// isUnobserved reports whether the watch has not delivered the last write of a block yet
+// and observeTimeout has not passed since that write.
+func (g *Registrar) isUnobserved(block string) bool {
 	at, ok := g.pending.unobserved[block]
 	return ok && g.Since(at) < observeTimeout
 }
 
-// noteWrite remembers that a block is being written, and binds the new machines in it.
-func (g *Registrar) noteWrite(write recordblock.Write) {
+// trackWrite records that a write of a block was sent, and that the machines it adds may
+// be in no other block.
+func (g *Registrar) trackWrite(write recordblock.Write) {
 	g.pending.unobserved[write.Block] = g.Now
 	for _, change := range write.Changes {
 		if !g.InBlock(change.Machine) {
-			g.pending.bound[change.Machine] = write.Block
+			g.pending.attemptedBlock[change.Machine] = write.Block
 		}
 	}
 }
 
-// isDispatcher reports whether a request's sender still dispatches to the machine, in
-// the shard epoch that it names.
-func (g *Registrar) isDispatcher(request message.RecordChange) bool {
+// isSentByDispatcher reports whether the sender of a request is still the dispatcher of
+// the machine, in the shard epoch that the request names.
+func (g *Registrar) isSentByDispatcher(request message.RecordChange) bool {
 	machine := g.Records[request.Machine]
 	if machine == nil {
 		return false
@@ -162,10 +174,11 @@
 		g.DispatcherOf(request.Machine) == request.From
 }
 
-// blockChange returns the change of a machine's record that a request needs, if it still
-// needs any. A record that has changed since the request was sent is left alone: if that
-// is not enough, the dispatcher asks again.
-func (g *Registrar) blockChange(id protocol.MachineID, request message.RecordChange) (change recordblock.Change, needed bool) {
+// neededChange returns the change of a machine's record that fulfils a request, and whether
+// a change is still needed. A record that has changed since the request was sent stays as
+// it is: if it still differs from what the dispatcher needs, the dispatcher sends another
+// request.
+func (g *Registrar) neededChange(id protocol.MachineID, request message.RecordChange) (change recordblock.Change, needed bool) {
 	machine := g.Records[id]
 	var epoch protocol.Version
 	if machine != nil {
@@ -174,7 +187,7 @@
 	if epoch != request.Have {
 		return recordblock.Change{}, false
 	}
-	change = recordblock.Change{Machine: id, Bound: g.pending.bound[id]}
+	change = recordblock.Change{Machine: id, Bound: g.pending.attemptedBlock[id]}
 	if machine != nil && !g.InBlock(id) {
 		change.Single = machine.Epoch
 	}
@@ -184,19 +197,21 @@
 	return change, machine != nil || request.To != nil
 }
 
-// nextEpoch returns an epoch above all before, and above the versions of single records:
-// terms are above 0, and revisions of the key-value store far below 2^32.
+// nextEpoch returns an epoch above all earlier ones and above the versions of all single
+// records: terms start at 1, and revisions of the key-value store stay far below 2^32.
 func (g *Registrar) nextEpoch() protocol.Version {
-	g.pending.epochs++
-	return protocol.Version(uint64(g.View.Term)<<epochTermShift | g.pending.epochs)
+	g.pending.epochCounter++
+	return protocol.Version(uint64(g.View.Term)<<epochTermShift | g.pending.epochCounter)
 }
 
-// Written handles the outcome of a transaction. Only a change that the watch delivers
-// counts; until then a block that may have been written is left alone.
+// Written handles the outcome of a transaction. A request for a change of a block stays
+// queued until the watch delivers that change. After success the blocks are not written
+// again before the watch delivers them or observeTimeout passes; after any other outcome
+// they may be written again after retryPause.
 func (g *Registrar) Written(tag Tag, outcome message.Outcome) {
 	g.pending.inFlight = false
 	if outcome == message.OutcomeDone {
-		for _, id := range tag.dropped {
+		for _, id := range tag.deletedSingles {
 			delete(g.pending.requested, id)
 		}
 		return
--- a/internal/controller/workerregistry/write_test.go
+++ b/internal/controller/workerregistry/write_test.go
@@ -20,7 +20,7 @@
 	term    protocol.Term     = 7
 )
 
-// newRegistrar returns the registrar of a view of one controller.
+// newRegistrar returns the registrar of a view with one controller.
 func newRegistrar(t *testing.T) *Registrar {
 	t.Helper()
 	settings := fake.Settings()
@@ -37,7 +37,8 @@
 	return New(module)
 }
 
-// takeCommit returns the only action since the last call; nil if there is none.
+// takeCommit returns the transaction emitted since the last call, or nil if there is none.
+// It fails the test if any other action was emitted.
 func takeCommit(t *testing.T, g *Registrar) *message.Commit {
 	t.Helper()
 	actions := g.Actions
@@ -52,35 +53,36 @@
 	return &commit
 }
 
-// register asks for the record of a new machine.
-func register(g *Registrar, id protocol.MachineID, requestTerm protocol.Term) {
+// requestNewRecord requests the record of a new machine.
+func requestNewRecord(g *Registrar, id protocol.MachineID, requestTerm protocol.Term) {
 	g.RequestChange(self, message.RecordChange{Term: requestTerm, Machine: id, To: &record.Machine{Zone: "a"}})
 }
 
-// TestWriteOnceAtATime: a requested record is written with an epoch above those of earlier
-// terms, on the condition of the view; nothing else is written until that is answered, and
-// a failed write is retried after a pause, into the same block.
-func TestWriteOnceAtATime(t *testing.T) {
+// TestWritesOneTransactionAtATime: a requested record is written with an epoch above those
+// of earlier terms, on the condition that the view is unchanged. No other transaction is
+// sent before the first is answered. A failed write is retried after a pause, into the
+// same block.
+func TestWritesOneTransactionAtATime(t *testing.T) {
 	g := newRegistrar(t)
-	register(g, "vm-old", term-1)
+	requestNewRecord(g, "vm-old", term-1)
 	g.Write()
 	if commit := takeCommit(t, g); commit != nil {
-		t.Fatalf("a request of an earlier term is written: %+v", commit)
+		t.Fatalf("a request of an earlier term was written: %+v", commit)
 	}
-	register(g, "vm-1", term)
+	requestNewRecord(g, "vm-1", term)
 	g.Write()
 	first := takeCommit(t, g)
 	if first == nil || len(first.Transaction.Changes) != 1 || first.Transaction.Conditions[0].Key != record.ViewKey {
-		t.Fatalf("transaction %+v, want one block on the condition of the view", first)
+		t.Fatalf("transaction %+v, want one block, conditional on the view", first)
 	}
 	block, ok := first.Transaction.Changes[0].Value.(record.Block)
 	if !ok || len(block.Machines) != 1 || block.Machines[0].Epoch != protocol.Version(uint64(term)<<32|1) {
-		t.Fatalf("wrote %+v", first.Transaction.Changes[0])
+		t.Fatalf("wrote %+v, want one machine with the first epoch of the term", first.Transaction.Changes[0])
 	}
-	register(g, "vm-2", term)
+	requestNewRecord(g, "vm-2", term)
 	g.Write()
 	if commit := takeCommit(t, g); commit != nil {
-		t.Fatalf("a second transaction before the answer: %+v", commit)
+		t.Fatalf("a second transaction was sent before the answer: %+v", commit)
 	}
 	g.Written(first.Tag.(Tag), message.OutcomeUnknown)
 	g.Write()
@@ -91,18 +93,18 @@
 	g.Write()
 	second := takeCommit(t, g)
 	if second == nil {
-		t.Fatal("not retried")
+		t.Fatal("the failed write was not retried")
 	}
 	for _, change := range second.Transaction.Changes {
 		if change.Put != first.Transaction.Changes[0].Put {
-			t.Errorf("a machine that may be in %s is put into %s", first.Transaction.Changes[0].Put, change.Put)
+			t.Errorf("a machine that may be in %s was added to %s", first.Transaction.Changes[0].Put, change.Put)
 		}
 	}
 }
 
-// TestBlockObserved: what the watch delivers is what counts: the machines of a block are
-// known to be in it until the block is deleted.
-func TestBlockObserved(t *testing.T) {
+// TestInBlockFollowsWatchedBlocks: a machine is in a block once the watch has delivered the
+// block, until the watch delivers the block's deletion.
+func TestInBlockFollowsWatchedBlocks(t *testing.T) {
 	g := newRegistrar(t)
 	name := record.BlockName(1)
 	entry := record.BlockEntry{ID: "vm-1", Epoch: 1}
