--- a/internal/controller/recordblock/doc.go
+++ b/internal/controller/recordblock/doc.go
@@ -1,7 +1,8 @@
-// Package recordblock stores the records of many machines in few blocks of the key-value
-// store, and decides which blocks to write so that a wave of machines costs few writes.
+// Package recordblock packs the records of many machines into few blocks. A block is one
+// value of the key-value store. The package decides which blocks to write, so that the
+// registration of many machines at once costs few writes.
 //
-// An Index owns the blocks as they are stored. The package decides only: who may write,
-// and on which conditions, is decided by package workerregistry. It must not build
-// transactions or read a clock (docs/machine-records.md).
+// An Index holds the blocks as they are stored. The package only plans writes: package
+// workerregistry decides which controller may write, and on which conditions. This package
+// must not build transactions or read a clock (docs/machine-records.md).
 package recordblock
--- a/internal/controller/recordblock/draft.go
+++ b/internal/controller/recordblock/draft.go
@@ -8,17 +8,18 @@
 	"damsonkeel/internal/record"
 )
 
-// draft is a block as it would be written.
+// draft is a block with pending changes applied.
 type draft struct {
 	name    string
-	version protocol.Version
+	version protocol.Version // of the stored block; 0: the block is new
 	entries map[protocol.MachineID]record.BlockEntry
-	bytes   int
+	bytes   int // estimated size of the entries in JSON
 	changes []Change
-	ops     int // puts and deletes that it takes
+	ops     int // puts and deletes in the transaction: of the block and of single records
 }
 
-// draft returns a block as it is stored, or an empty one of a new name.
+// draft returns a draft of the stored block with the given name, or an empty one if no
+// such block is stored.
 func (x *Index) draft(name string) *draft {
 	d := &draft{name: name, entries: map[protocol.MachineID]record.BlockEntry{}, ops: 1}
 	if b := x.blocks[name]; b != nil {
@@ -29,7 +30,7 @@
 	return d
 }
 
-// apply makes a change.
+// apply applies a change to the draft.
 func (d *draft) apply(c Change) {
 	if old, ok := d.entries[c.Machine]; ok {
 		d.bytes -= estimateSize(old)
@@ -43,7 +44,7 @@
 	d.ops += c.ops()
 }
 
-// write returns the write that stores the draft, its entries in order of their machines.
+// write returns the write that stores the draft, with the entries sorted by machine.
 func (d *draft) write() Write {
 	w := Write{Block: d.name, Version: d.version, Changes: d.changes}
 	for _, id := range slices.Sorted(maps.Keys(d.entries)) {
--- a/internal/controller/recordblock/index.go
+++ b/internal/controller/recordblock/index.go
@@ -7,17 +7,18 @@
 	"damsonkeel/internal/record"
 )
 
-// Index is all blocks as they are stored.
+// Index holds all blocks as they are stored.
 type Index struct {
-	blocks  map[string]*block
-	blockOf map[protocol.MachineID]string
-	newest  uint64 // the highest number of a block seen
+	blocks        map[string]*block // by name
+	blockOf       map[protocol.MachineID]string
+	highestNumber uint64 // highest block number seen
 }
 
+// block is one stored block.
 type block struct {
 	version protocol.Version
 	entries map[protocol.MachineID]record.BlockEntry
-	bytes   int
+	bytes   int // estimated size of the entries in JSON
 }
 
 // NewIndex returns an index without blocks.
@@ -28,14 +29,16 @@
 // Len returns the number of blocks.
 func (x *Index) Len() int { return len(x.blocks) }
 
-// BlockOf returns the block that holds a machine's record, if one does.
+// BlockOf returns the name of the block that holds a machine's record; ok is false if no
+// block holds it.
 func (x *Index) BlockOf(id protocol.MachineID) (name string, ok bool) {
 	name, ok = x.blockOf[id]
 	return name, ok
 }
 
-// Set installs a block. It returns the entries that are new or have changed, in the order
-// given, and the machines that are no longer in it, in order of their names.
+// Set adds or replaces a block. It returns the entries that are new or have another epoch,
+// in the given order, and the machines that were removed from the block, sorted by ID. A
+// machine that another block holds by now doesn't count as removed.
 func (x *Index) Set(name string, version protocol.Version, entries []record.BlockEntry) (changed []record.BlockEntry, removed []protocol.MachineID) {
 	before := x.blocks[name]
 	if before == nil {
@@ -59,22 +62,22 @@
 		x.blockOf[entry.ID] = name
 	}
 	x.blocks[name] = b
-	x.newest = max(x.newest, record.BlockNumber(name))
+	x.highestNumber = max(x.highestNumber, record.BlockNumber(name))
 	slices.Sort(removed)
 	return changed, removed
 }
 
-// Drop removes a block, and returns the machines that were in it.
+// Drop removes a block, and returns the machines whose records it held.
 func (x *Index) Drop(name string) (removed []protocol.MachineID) {
 	_, removed = x.Set(name, 0, nil)
 	delete(x.blocks, name)
 	return removed
 }
 
-// entryOverhead is what the JSON form of an entry takes beside its texts, at most.
+// entryOverhead is the maximum size in bytes of an entry in JSON, without its strings.
 const entryOverhead = 130
 
-// estimateSize is the size of an entry in JSON, rather overestimated.
+// estimateSize returns an upper estimate of the size of an entry in JSON, in bytes.
 func estimateSize(e record.BlockEntry) int {
 	return entryOverhead + len(e.ID) + len(e.Address) + len(e.Type) + len(e.Zone)
 }
--- a/internal/controller/recordblock/limits.go
+++ b/internal/controller/recordblock/limits.go
@@ -1,23 +1,24 @@
 package recordblock
 
-// Limits bound what is written at once.
+// Limits bounds the size of one block and of one transaction.
 type Limits struct {
 	Entries          int // machines in one block
 	ValueBytes       int // size of one block in JSON
-	TransactionBytes int // size of all blocks of one transaction
+	TransactionBytes int // size of all blocks of one transaction in JSON
 	Ops              int // puts and deletes of one transaction
 }
 
 const (
-	// maxEntries bounds a block: a change of one of its machines is sent to every
-	// controller together with all others.
+	// maxEntries is the maximum number of machines in a block. It is small because a
+	// change of one machine sends the whole block to every controller.
 	maxEntries = 64
-	// maxTxnBytes bounds the blocks of one transaction.
+	// maxTxnBytes is the maximum size of all blocks of one transaction.
 	maxTxnBytes = 48 << 10
 )
 
-// LimitsOf returns limits for those of the key-value store. A quarter of the size of a
-// value stays free, since sizes are estimated rather than measured.
+// LimitsOf derives the limits from those of the key-value store: the size of a value in
+// KiB, and the operations of a transaction. A quarter of the size of a value stays free,
+// since the sizes of blocks are estimates.
 func LimitsOf(valueKB float64, txnOps int) Limits {
 	return Limits{
 		Entries:          maxEntries,
--- a/internal/controller/recordblock/pack.go
+++ b/internal/controller/recordblock/pack.go
@@ -12,16 +12,17 @@
 // Change is a requested change of one machine's record.
 type Change struct {
 	Machine protocol.MachineID
-	Entry   *record.BlockEntry // the new record; nil: it is removed
-	// Single is the version of the machine's single record, which is deleted in the same
-	// transaction; 0: it has none.
+	Entry   *record.BlockEntry // the new record; nil removes the record
+	// Single is the version of the machine's single record (one key per machine, outside
+	// of any block), which is deleted in the same transaction; 0 if there is none.
 	Single protocol.Version
-	// Bound is the only block that a machine which is in none may be put into: one that
-	// an unanswered write may already have put it into.
+	// Bound is set for a machine that is in no block but may have been added to one by an
+	// unanswered write. It names that block, the only one that the machine may be added to.
 	Bound string
 }
 
-// ops is how many puts and deletes a change takes beside the put of its block.
+// ops returns the number of operations that a change adds to a transaction, without the
+// put of its block.
 func (c *Change) ops() int {
 	if c.Single != 0 {
 		return 1
@@ -29,25 +30,25 @@
 	return 0
 }
 
-// Write is one block to be written.
+// Write is a planned write of one block.
 type Write struct {
 	Block   string
-	Version protocol.Version // that the stored block must have; 0: it must not exist
-	Entries []record.BlockEntry
-	Changes []Change // that the write makes
+	Version protocol.Version    // version that the stored block must have; 0: it must not exist
+	Entries []record.BlockEntry // all entries of the block; none: the block is deleted
+	Changes []Change            // changes that the write applies
 }
 
-// Pack chooses what to write first: the blocks with the most pending changes, and new
-// machines into these, then into the emptiest blocks, then into new ones. Busy blocks,
-// which are being written already, are left alone. What does not fit the limits is left
-// for the next transaction.
+// Pack plans the writes of the next transaction. It writes the blocks with the most pending
+// changes first, and adds new machines to these blocks, then to the emptiest blocks, then
+// to new blocks. It does not write busy blocks, which an earlier transaction is writing.
+// Changes that exceed the limits remain for a later transaction.
 func (x *Index) Pack(changes []Change, busy func(block string) bool, limits Limits) []Write {
-	p := &packer{index: x, limits: limits, busy: busy, byBlock: map[string][]Change{}, newest: x.newest}
-	added := p.sort(changes)
+	p := &packer{index: x, limits: limits, busy: busy, byBlock: map[string][]Change{}, highestNumber: x.highestNumber}
+	added := p.splitChanges(changes)
 	p.changeBlocks()
 	p.emptiest = x.emptiest(p.isFree, limits)
 	for _, c := range added {
-		if !p.add(c) {
+		if !p.addMachine(c) {
 			break
 		}
 	}
@@ -55,8 +56,8 @@
 }
 
 // emptiest lists the free blocks that are at most half full, those with the fewest
-// entries first: filling up a block that is nearly full would cost a write for few
-// machines.
+// entries first. Fuller blocks are not used, since the write of a block that is nearly
+// full would add only few machines.
 func (x *Index) emptiest(free func(block string) bool, limits Limits) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(x.blocks)) {
@@ -77,18 +78,19 @@
 	limits Limits
 	busy   func(block string) bool
 
-	byBlock  map[string][]Change // changes of machines that have their block
-	emptiest []string            // blocks to add machines to next
-	newest   uint64              // the highest number of a block in use
+	byBlock       map[string][]Change // changes that are tied to a block, by block
+	emptiest      []string            // blocks to add machines to next
+	highestNumber uint64              // highest block number in use
 
 	drafts []*draft
 	ops    int // puts and deletes of the drafts
-	bytes  int // size of the drafts
+	bytes  int // estimated size of the drafts
 }
 
-// sort divides the changes into those of blocks that are not busy and machines to be
-// added to any block, which it returns.
-func (p *packer) sort(changes []Change) (added []Change) {
+// splitChanges groups the changes that are tied to a block by that block, and returns the
+// additions of machines that may go into any block. It leaves out changes of busy blocks
+// and removals of machines that are in no block.
+func (p *packer) splitChanges(changes []Change) (added []Change) {
 	for _, c := range changes {
 		name, ok := p.index.blockOf[c.Machine]
 		if !ok {
@@ -109,7 +111,7 @@
 	return p.byBlock[block] == nil && !p.busy(block)
 }
 
-// changeBlocks drafts the blocks with changes, those with the most of them first.
+// changeBlocks drafts the blocks with pending changes, those with the most changes first.
 func (p *packer) changeBlocks() {
 	names := slices.Sorted(maps.Keys(p.byBlock))
 	slices.SortStableFunc(names, func(a, b string) int {
@@ -129,15 +131,16 @@
 	}
 }
 
+// addDraft adds a draft to the transaction.
 func (p *packer) addDraft(d *draft) {
 	p.drafts = append(p.drafts, d)
 	p.ops += d.ops
 	p.bytes += d.bytes
 }
 
-// add puts a new machine into the first draft with capacity, or into a further one. It
-// reports whether the transaction has capacity for it.
-func (p *packer) add(c Change) bool {
+// addMachine adds a new machine to the first draft with capacity, or to a further draft if
+// there is none. It reports whether the transaction has capacity for the machine.
+func (p *packer) addMachine(c Change) bool {
 	growth := estimateSize(*c.Entry)
 	d := p.draftWithCapacity(growth)
 	if d == nil {
@@ -155,7 +158,8 @@
 	return true
 }
 
-// draftWithCapacity returns the first draft that one more entry fits into.
+// draftWithCapacity returns the first draft that one more entry of the given size fits
+// into, or nil if there is none.
 func (p *packer) draftWithCapacity(growth int) *draft {
 	for _, d := range p.drafts {
 		if len(d.entries) < p.limits.Entries && d.bytes+growth <= p.limits.ValueBytes {
@@ -165,8 +169,8 @@
 	return nil
 }
 
-// openDraft drafts a further block for an entry; nil if the transaction has no capacity
-// for it.
+// openDraft adds a draft of a further block for an entry of the given size. It returns nil
+// if the transaction has no capacity for both.
 func (p *packer) openDraft(ops, growth int) *draft {
 	if p.ops+1+ops > p.limits.Ops {
 		return nil
@@ -179,7 +183,8 @@
 	return d
 }
 
-// nextBlock returns the emptiest block left, or a new one.
+// nextBlock returns the name of the emptiest block that is not drafted yet, or else the
+// name of a new block.
 func (p *packer) nextBlock() string {
 	if len(p.emptiest) > 0 {
 		name := p.emptiest[0]
@@ -187,14 +192,14 @@
 		return name
 	}
 	for {
-		p.newest++
-		if name := record.BlockName(p.newest); p.isFree(name) {
+		p.highestNumber++
+		if name := record.BlockName(p.highestNumber); p.isFree(name) {
 			return name
 		}
 	}
 }
 
-// writes returns the drafts that change anything.
+// writes returns the writes of the drafts that have changes.
 func (p *packer) writes() []Write {
 	var writes []Write
 	for _, d := range p.drafts {
--- a/internal/controller/recordblock/pack_test.go
+++ b/internal/controller/recordblock/pack_test.go
@@ -17,24 +17,25 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// entry is a record of a machine with long texts.
-func entry(id protocol.MachineID, epoch protocol.Version) *record.BlockEntry {
+// newEntry returns the record of a machine with long strings.
+func newEntry(id protocol.MachineID, epoch protocol.Version) *record.BlockEntry {
 	return &record.BlockEntry{ID: id, Epoch: epoch, Machine: record.Machine{
-		Session: 1 << 40, Address: "10.123.234.255:9000", Type: "rackturm", Zone: "dachraum", Spot: true,
+		Session: 1 << 40, Address: "10.123.234.255:9000", Type: "himem-48", Zone: "region-a", Spot: true,
 	}}
 }
 
-// notBusy reports every block as not being written.
+// notBusy reports every block as free.
 func notBusy(string) bool { return false }
 
-// drawChanges draws changes of some machines, whose versions are above the last one.
+// drawChanges draws at most one pending change per machine. The epochs of the new records
+// are above *version, which it advances.
 func drawChanges(t *rapid.T, x *Index, singles map[protocol.MachineID]protocol.Version, version *protocol.Version) map[protocol.MachineID]Change {
 	pending := map[protocol.MachineID]Change{}
 	for range rapid.IntRange(1, 30).Draw(t, "changes") {
 		id := protocol.MachineID(fmt.Sprint("vm-", rapid.IntRange(0, 25).Draw(t, "machine")))
 		*version++
-		c := Change{Machine: id, Entry: entry(id, *version), Single: singles[id]}
-		if _, stored := x.BlockOf(id); stored && rapid.Bool().Draw(t, "goes") {
+		c := Change{Machine: id, Entry: newEntry(id, *version), Single: singles[id]}
+		if _, stored := x.BlockOf(id); stored && rapid.Bool().Draw(t, "removed") {
 			c.Entry = nil
 		}
 		pending[id] = c
@@ -42,9 +43,9 @@
 	return pending
 }
 
-// TestPack: whatever changes are requested, no machine gets into two blocks, no limit is
-// exceeded, and all changes are made within few transactions.
-func TestPack(t *testing.T) {
+// TestPackStaysWithinLimits: for any requested changes, no machine gets into two blocks, no
+// limit is exceeded, and the changes of a round are written within 41 transactions.
+func TestPackStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
 			Entries:          rapid.IntRange(2, 9).Draw(t, "entries"),
@@ -63,7 +64,7 @@
 			pending := drawChanges(t, x, singles, &version)
 			for transactions := 0; len(pending) > 0; transactions++ {
 				if transactions > 40 {
-					t.Fatalf("%d changes left: %v", len(pending), pending)
+					t.Fatalf("%d changes still not written: %v", len(pending), pending)
 				}
 				writes := x.Pack(slices.Collect(maps.Values(pending)), notBusy, limits)
 				checkLimits(t, writes, limits)
@@ -80,20 +81,20 @@
 					}
 				}
 			}
-			checkOneBlockEach(t, x)
+			checkNoMachineInTwoBlocks(t, x)
 		}
 	})
 }
 
-// checkLimits fails if the writes of one transaction exceed a limit, or write a block
-// twice.
+// checkLimits fails the test if the writes of one transaction exceed a limit or write a
+// block twice.
 func checkLimits(t *rapid.T, writes []Write, limits Limits) {
 	t.Helper()
 	ops, bytes, blocks := 0, 0, map[string]bool{}
 	for _, w := range writes {
 		text, err := json.Marshal(record.Block{Machines: w.Entries})
 		if err != nil || len(text) > limits.ValueBytes || len(w.Entries) > limits.Entries || blocks[w.Block] {
-			t.Fatalf("block %s of %d machines, %d bytes, again %v: %v", w.Block, len(w.Entries), len(text), blocks[w.Block], err)
+			t.Fatalf("block %s of %d machines, %d bytes, written twice: %v: %v", w.Block, len(w.Entries), len(text), blocks[w.Block], err)
 		}
 		blocks[w.Block] = true
 		ops++
@@ -105,52 +106,52 @@
 		}
 	}
 	if ops > limits.Ops || bytes > limits.TransactionBytes {
-		t.Fatalf("%d changes, %d bytes at once", ops, bytes)
+		t.Fatalf("%d operations, %d bytes in one transaction", ops, bytes)
 	}
 }
 
-// checkOneBlockEach fails if a machine is in two blocks.
-func checkOneBlockEach(t *rapid.T, x *Index) {
+// checkNoMachineInTwoBlocks fails the test if a machine is in two blocks.
+func checkNoMachineInTwoBlocks(t *rapid.T, x *Index) {
 	t.Helper()
 	blockOf := map[protocol.MachineID]string{}
 	for name, b := range x.blocks {
 		for id := range b.entries {
 			if other, twice := blockOf[id]; twice {
-				t.Fatalf("%s is in %s and in %s", id, name, other)
+				t.Fatalf("machine %s is in block %s and in block %s", id, name, other)
 			}
 			blockOf[id] = name
 		}
 	}
 }
 
-// TestBoundStaysWhereItWas: a machine that an unanswered write may have put into a block
-// is put into no other, however full others are.
-func TestBoundStaysWhereItWas(t *testing.T) {
+// TestMachineOfUnansweredWriteKeepsItsBlock: a machine that an unanswered write may have
+// added to a block is added to no other block, also while that block is busy.
+func TestMachineOfUnansweredWriteKeepsItsBlock(t *testing.T) {
 	x := NewIndex()
 	limits := LimitsOf(16, 12)
-	bound := Change{Machine: "vm-1", Entry: entry("vm-1", 1), Bound: firstBlock(t, x, limits)}
+	unanswered := Change{Machine: "vm-1", Entry: newEntry("vm-1", 1), Bound: blockOfFirstMachine(t, x, limits)}
 	for _, busy := range []bool{false, true} {
-		changes := []Change{bound, {Machine: "vm-2", Entry: entry("vm-2", 2)}}
-		writes := x.Pack(changes, func(name string) bool { return busy && name == bound.Bound }, limits)
+		changes := []Change{unanswered, {Machine: "vm-2", Entry: newEntry("vm-2", 2)}}
+		writes := x.Pack(changes, func(name string) bool { return busy && name == unanswered.Bound }, limits)
 		for _, w := range writes {
 			for _, c := range w.Changes {
-				if c.Machine == "vm-1" && (busy || w.Block != bound.Bound) {
-					t.Errorf("vm-1 goes into %s, busy %v, bound to %s", w.Block, busy, bound.Bound)
+				if c.Machine == "vm-1" && (busy || w.Block != unanswered.Bound) {
+					t.Errorf("vm-1 is added to block %s, busy %v, want only %s", w.Block, busy, unanswered.Bound)
 				}
 			}
 		}
 		if len(writes) == 0 {
-			t.Error("nothing is written")
+			t.Error("no block is written")
 		}
 	}
 }
 
-// firstBlock returns the block that a first machine goes into.
-func firstBlock(t *testing.T, x *Index, limits Limits) string {
+// blockOfFirstMachine returns the block that the first machine of an index is added to.
+func blockOfFirstMachine(t *testing.T, x *Index, limits Limits) string {
 	t.Helper()
-	writes := x.Pack([]Change{{Machine: "vm-0", Entry: entry("vm-0", 1)}}, notBusy, limits)
+	writes := x.Pack([]Change{{Machine: "vm-0", Entry: newEntry("vm-0", 1)}}, notBusy, limits)
 	if len(writes) != 1 {
-		t.Fatalf("%d writes", len(writes))
+		t.Fatalf("%d writes of one machine, want 1", len(writes))
 	}
 	return writes[0].Block
 }
