--- a/internal/controller/replication/changelog.go
+++ b/internal/controller/replication/changelog.go
@@ -1,9 +1,10 @@
 package replication
 
-// ChangeLog numbers the changes of keyed state. Of each key only the last change counts: the
-// sender sends the state that the key has at that time. The zero value is an empty log.
+// ChangeLog assigns ascending sequence numbers to the changes of keyed state. It has only
+// the last change of each key, since a sender sends the state that the key has at the time
+// of sending. The zero value is an empty log.
 type ChangeLog[K comparable] struct {
-	version uint64
+	version uint64 // number of the last change
 	changes map[K]*change[K]
 	newest  *change[K]
 }
@@ -39,8 +40,8 @@
 	l.newest = c
 }
 
-// Drop removes a key. That is not replicated: receivers learn of it from the records in
-// the key-value store.
+// Drop removes a key. The removal is not replicated: receivers observe it in the records
+// of the key-value store.
 func (l *ChangeLog[K]) Drop(key K) {
 	if c := l.changes[key]; c != nil {
 		l.unlink(c)
@@ -48,7 +49,7 @@
 	}
 }
 
-// unlink takes a change out of the list.
+// unlink removes a change from the list.
 func (l *ChangeLog[K]) unlink(c *change[K]) {
 	if c.older != nil {
 		c.older.newer = c.newer
@@ -61,9 +62,9 @@
 	c.older, c.newer = nil, nil
 }
 
-// Since lists the keys changed after a number, the oldest change first and no more than a
-// limit, and returns the number that they bring a receiver to. It visits the changes after
-// the number only, not all keys.
+// Since lists the keys that changed after a number, the oldest change first and at most
+// limit keys. It also returns the number up to which a receiver has all changes once it
+// has received these. It visits only the changes after the number, not all keys.
 func (l *ChangeLog[K]) Since(number uint64, limit int) (keys []K, upto uint64) {
 	oldest, count := l.oldestAfter(number)
 	complete := count <= limit
@@ -80,7 +81,7 @@
 	return keys, max(upto, number)
 }
 
-// oldestAfter returns the oldest change after a number, and how many there are.
+// oldestAfter returns the oldest change after a number, and the count of changes after it.
 func (l *ChangeLog[K]) oldestAfter(number uint64) (oldest *change[K], count int) {
 	for c := l.newest; c != nil && c.number > number; c = c.older {
 		oldest = c
--- a/internal/controller/replication/cursor.go
+++ b/internal/controller/replication/cursor.go
@@ -1,38 +1,39 @@
 package replication
 
-// stuckAfter is how many times in a row a receiver may acknowledge a number below what was
-// sent, without progress, before the sender resends from that number.
-const stuckAfter = 3
+// maxAcksWithoutProgress is the number of acknowledgements in a row, without progress and
+// below the last number sent, after which the sender resends from the acknowledged number.
+const maxAcksWithoutProgress = 3
 
-// Cursor tracks what one receiver was sent and has. The zero value is for a receiver that
-// has nothing.
+// Cursor is the sender's state for one receiver: the numbers up to which changes were sent
+// and acknowledged. The zero value is for a receiver that has no changes.
 type Cursor struct {
-	sent, acknowledged uint64
-	stuck              int // acknowledgements in a row without progress
+	sent, acknowledged  uint64
+	acksWithoutProgress int
 }
 
-// Next returns the number after which changes are to be sent.
+// Next returns the number after which the next changes to send begin.
 func (c *Cursor) Next() uint64 { return c.sent }
 
 // Sent records that all changes up to a number were sent.
 func (c *Cursor) Sent(upto uint64) { c.sent = max(c.sent, upto) }
 
-// Acknowledged handles the number that the receiver says it has. Without progress, a
-// message was lost on the way, and the sender goes back to what the receiver has.
+// Acknowledged handles an acknowledgement: the number up to which the receiver has all
+// changes. Repeated acknowledgements without progress mean that a message was lost; the
+// sender then resends from the acknowledged number.
 func (c *Cursor) Acknowledged(have uint64) {
 	switch {
 	case have > c.acknowledged:
 		c.acknowledged = have
-		c.stuck = 0
+		c.acksWithoutProgress = 0
 		c.sent = max(c.sent, have)
 	case have < c.sent:
-		c.stuck++
+		c.acksWithoutProgress++
 	default:
-		c.stuck = 0
+		c.acksWithoutProgress = 0
 	}
-	if c.stuck >= stuckAfter {
+	if c.acksWithoutProgress >= maxAcksWithoutProgress {
 		c.sent = have
 		c.acknowledged = have
-		c.stuck = 0
+		c.acksWithoutProgress = 0
 	}
 }
--- a/internal/controller/replication/doc.go
+++ b/internal/controller/replication/doc.go
@@ -1,10 +1,11 @@
-// Package replication sends changes of keyed state to peers rather than all of it. The
-// sender numbers its changes (Log) and tracks what each receiver has (Cursor); a receiver
-// accepts only ranges of changes that leave no gap after what it has (Replica). Whatever
-// is lost, repeated or reordered on the way, a receiver has for every key the state as of
-// its last change that the receiver's number covers: docs/design.md has the proof, and
-// the tests of this package try it.
+// Package replication tracks changes of keyed state, so that a sender can replicate to its
+// peers only what has changed rather than the whole state. The sender numbers its changes
+// (ChangeLog) and tracks what each receiver has (Cursor); a receiver accepts only ranges
+// of changes that leave no gap after what it has (Replica). Even if messages are lost,
+// repeated or reordered, a receiver that has all changes up to a number has, for every
+// key, a state no older than the key's last change up to that number. docs/design.md has
+// the proof, and the tests of this package check the property.
 //
-// The package owns the numbers only. The state itself stays with its user, who sends the
-// state that a key has at that time; the package sends nothing.
+// The package owns only the numbers. It neither stores nor sends the state: its user does,
+// and sends the state that a key has at the time of sending.
 package replication
--- a/internal/controller/replication/range.go
+++ b/internal/controller/replication/range.go
@@ -1,14 +1,17 @@
 package replication
 
-// Range says which changes a message brings: all after From up to and including Upto. Each
-// stream has numbers of its own. It is sent to peers.
+// Range identifies the changes in a message: all after From, up to and including Upto. It
+// is sent to peers.
 type Range struct {
-	Stream     uint64
+	// Stream identifies the sequence that From and Upto are numbers of.
+	Stream uint64
+	// From is the number of the last change before the range, 0 at the start of a stream.
+	// Upto is the number of the last change in the range.
 	From, Upto uint64
 }
 
-// Follows reports whether a range continues an earlier one without a gap, so that both can
-// be sent as one.
+// Follows reports whether the range continues an earlier one without a gap, so that both
+// can be sent as one.
 func (r Range) Follows(before Range) bool {
 	return r.Stream == before.Stream && before.From <= r.From && r.From <= before.Upto
 }
--- a/internal/controller/replication/replica.go
+++ b/internal/controller/replication/replica.go
@@ -1,12 +1,12 @@
 package replication
 
-// Replica is the receiver's side of one stream at a time. The zero value has no changes.
+// Replica is the receiver's state of one stream at a time. The zero value has no changes.
 type Replica struct {
 	stream uint64
-	have   uint64
+	have   uint64 // number up to which all changes were applied
 }
 
-// Begin starts to receive a stream from its beginning.
+// Begin starts receiving a stream from its beginning.
 func (r *Replica) Begin(stream uint64) {
 	r.stream = stream
 	r.have = 0
@@ -15,10 +15,10 @@
 // Have returns the number up to which the receiver has all changes.
 func (r *Replica) Have() uint64 { return r.have }
 
-// Accept reports whether a range of changes may be applied, and counts it as applied. A
-// range that leaves a gap may not: a key changed in between would keep an old state for
-// ever. Nor may one that ends before what the receiver has: it may bring an older state
-// back.
+// Accept reports whether a range of changes may be applied, and if so counts it as applied.
+// A range that leaves a gap is rejected: a key that changed in the gap would keep its old
+// state forever. A range that ends before what the receiver has is rejected too: it could
+// restore an older state.
 func (r *Replica) Accept(changes Range) bool {
 	if changes.Stream != r.stream || changes.From > r.have || changes.Upto < r.have {
 		return false
--- a/internal/controller/replication/replication_test.go
+++ b/internal/controller/replication/replication_test.go
@@ -11,15 +11,17 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// message is a range of changes with the states that its keys had when it was sent.
+// message is a range of changes with the states that its keys had when the message was
+// sent.
 type message struct {
 	Range
 	states map[int]int
 }
 
-// TestReplicaConverges: whatever is lost, repeated, delayed or reordered, a receiver's state
-// of each key is one that the sender's key had, never goes back, and is the present one for
-// all that its number covers; once all messages arrive again it soon has everything.
+// TestReplicaConverges: while messages are lost, repeated, delayed and reordered, a
+// receiver's state of a key never goes back to an older one, and equals the sender's
+// present state for every key whose last change has a number that the receiver has. Once
+// messages arrive again, the receiver has all states after 40 messages.
 func TestReplicaConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log ChangeLog[int]
@@ -30,7 +32,7 @@
 		current, received := map[int]int{}, map[int]int{}
 		var inFlight []message
 		send := func() {
-			keys, upto := log.Since(cursor.Next(), rapid.IntRange(1, 5).Draw(t, "most"))
+			keys, upto := log.Since(cursor.Next(), rapid.IntRange(1, 5).Draw(t, "limit"))
 			m := message{Range{stream, cursor.Next(), upto}, map[int]int{}}
 			for _, k := range keys {
 				m.states[k] = current[k]
@@ -44,13 +46,13 @@
 			}
 			for k, v := range m.states {
 				if v < received[k] {
-					t.Fatalf("key %d goes back from %d to %d", k, received[k], v)
+					t.Fatalf("key %d went back from state %d to %d", k, received[k], v)
 				}
 				received[k] = v
 			}
 			for k, c := range log.changes {
 				if c.number <= replica.Have() && received[k] != current[k] {
-					t.Fatalf("key %d: %d received, %d is covered by number %d", k, received[k], current[k], replica.Have())
+					t.Fatalf("key %d: received state %d, want %d: the receiver has all changes up to %d", k, received[k], current[k], replica.Have())
 				}
 			}
 		}
@@ -62,7 +64,7 @@
 				log.Touch(k)
 			case 2:
 				send()
-			case 3, 4: // delivered, perhaps out of order, perhaps to come again
+			case 3, 4: // deliver a message, possibly out of order or to be repeated
 				if len(inFlight) > 0 {
 					i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "which")
 					receive(inFlight[i])
@@ -70,7 +72,7 @@
 						inFlight = append(inFlight[:i:i], inFlight[i+1:]...)
 					}
 				}
-			case 5: // lost
+			case 5: // lose the oldest message
 				if len(inFlight) > 0 {
 					inFlight = inFlight[1:]
 				}
@@ -86,14 +88,14 @@
 		}
 		for k, v := range current {
 			if received[k] != v {
-				t.Fatalf("key %d: %d received in the end, want %d", k, received[k], v)
+				t.Fatalf("key %d: received state %d in the end, want %d", k, received[k], v)
 			}
 		}
 	})
 }
 
-// TestSinceListsChanges: every changed key is listed once, the oldest change first, and no
-// dropped key.
+// TestSinceListsChanges: every changed key is listed once, the oldest change first, and a
+// dropped key is not listed.
 func TestSinceListsChanges(t *testing.T) {
 	var log ChangeLog[string]
 	for _, k := range []string{"a", "b", "c", "a", "d", "d"} {
