--- a/internal/controller/ratelimit/amount.go
+++ b/internal/controller/ratelimit/amount.go
@@ -1,6 +1,6 @@
 package ratelimit
 
-// Amount is a part of the store's rates: requests and writes a second.
+// Amount is a part of the key-value store's rate limits: requests and writes a second.
 type Amount struct{ Requests, Writes float64 }
 
 // Plus returns the sum of two amounts.
@@ -9,11 +9,11 @@
 // Times returns a multiple of an amount.
 func (a Amount) Times(factor float64) Amount { return Amount{a.Requests * factor, a.Writes * factor} }
 
-// combine applies a function to the requests and to the writes of two amounts.
+// combine applies f to the requests of two amounts, and to their writes.
 func combine(a, b Amount, f func(a, b float64) float64) Amount {
 	return Amount{f(a.Requests, b.Requests), f(a.Writes, b.Writes)}
 }
 
-// add and subtract are functions for combine.
+// add and subtract are arguments of combine.
 func add(a, b float64) float64      { return a + b }
 func subtract(a, b float64) float64 { return a - b }
--- a/internal/controller/ratelimit/doc.go
+++ b/internal/controller/ratelimit/doc.go
@@ -1,14 +1,16 @@
-// Package ratelimit lets controllers lend one another the rates of the key-value store
-// that they do not need. Each has an equal allotment to begin with. A controller that
-// needs more asks its peers with each regular state update, and one that needs less
-// lends for a few seconds. Whatever is lost or late, the allotments in use never sum to
-// more than the limit.
+// Package ratelimit lets controllers lend each other the parts of the key-value store's
+// rate limits that they do not need. Every controller starts with an equal allotment. A
+// controller that needs more requests it from its peers with each regular state update,
+// and a controller that needs less lends a part of its allotment for a few seconds. Even
+// if messages are lost or late, the allotments in use never sum to more than the limit.
 //
-// That holds because a grant answers a request and names it by the borrower's own clock.
-// The borrower uses the grant only for a while after its request, and the lender does
-// without it for a longer while after the grant, which comes later: so a grant is never
-// in use by both, however long either message took. A controller that has restarted and
-// no longer knows what it lent holds back, for that while, all that may be outstanding.
+// This holds because a grant answers a request and identifies it by the time of the
+// request on the borrower's own clock. The borrower uses the grant only for a fixed
+// duration after its request. The lender does not use the granted amount for a longer
+// duration after the grant, which is later than the request. So the two never use the same
+// amount at once, however long either message took. A controller that has restarted no
+// longer has a record of its grants: for that longer duration it holds back all that an
+// earlier process may have granted.
 //
 // A Ledger owns one controller's requests, grants and measured need. It reads no clock,
 // sends nothing and does not limit requests itself.
--- a/internal/controller/ratelimit/ledger.go
+++ b/internal/controller/ratelimit/ledger.go
@@ -7,104 +7,109 @@
 	"damsonkeel/internal/controller/clock"
 )
 
-// Request says what a controller could use beyond its own allotment. It is sent to its
-// peers.
+// Request states the rates that a controller could use beyond its base allotment. It is
+// sent to the controller's peers.
 type Request struct {
-	At   clock.Time // by the requester's clock
-	Want Amount
+	At   clock.Time // time of the request, by the requester's clock
+	Want Amount     // requested amount; all peers receive the same request
 }
 
 // Grant answers a Request. It is sent to the requester.
 type Grant struct {
-	Asked  clock.Time // the At of the request
-	Amount Amount
+	Asked  clock.Time // Request.At of the answered request, by the borrower's clock
+	Amount Amount     // granted amount, including earlier grants that it replaces
 }
 
 const (
 	// grantDuration is how long after its request a borrower may use a grant.
 	grantDuration = clock.Time(4 * time.Second)
-	// reclaimAfter is how long after a grant its lender does without it: longer, for
-	// clocks that differ by 0.05% each and for requests in flight.
+	// reclaimAfter is how long after a grant its lender does not use the granted amount. It
+	// is longer than grantDuration to allow for clocks that are off by 0.05% each and for
+	// requests to the store that are in flight.
 	reclaimAfter = grantDuration + grantDuration/100 + clock.Time(500*time.Millisecond)
-	// maxGrantedFraction is the most of its base that a controller lends.
+	// maxGrantedFraction is the largest fraction of its base allotment that a controller
+	// lends.
 	maxGrantedFraction = 0.5
-	// headroom is how many times its need a controller keeps.
-	headroom = 2.0
-	// needDecay is the weight of the need before the last second in one that falls.
+	// headroomFactor is the multiple of its need that a controller keeps for itself.
+	headroomFactor = 2.0
+	// needDecay is the weight of the previous need, against the use in the last second,
+	// while the need falls.
 	needDecay = 0.7
 )
 
-// MaxGrantDuration is the longest that a lender may do without what it has lent.
+// MaxGrantDuration is the longest time that a lender does without an amount it has granted.
 const MaxGrantDuration = time.Duration(reclaimAfter)
 
-// Ledger is one controller's account of its rates. Peers are known by a key that no other
-// process or session of the same peer has: a request is answered to the session that it
-// came from, by whose clock it counts, or to none.
+// Ledger is one controller's account of its rates. A key of type K identifies one session
+// of a peer, and no other process or session of the same peer has the same key. A request
+// is answered only to the session that sent it, since its time is by that session's clock.
 type Ledger[K comparable] struct {
-	base Amount
-	// settledAt is from when on no grant of an earlier process is in use any more.
-	settledAt   clock.Time
-	need        Amount
-	requests    map[K]peerRequest
-	outstanding map[K][]outstandingGrant
-	borrowed    map[K]Grant
+	base Amount // the controller's allotment without borrowing and lending
+	// startupHoldEnd is the time from which no grant of an earlier process is in use.
+	startupHoldEnd clock.Time
+	need           Amount
+	requests       map[K]peerRequest        // requests of peers that were not answered yet
+	outstanding    map[K][]outstandingGrant // grants to peers that they may be using
+	borrowed       map[K]Grant              // grants of peers to this controller
 }
 
-// peerRequest is the last request of a peer, and when it was received.
+// peerRequest is the last request of a peer, and the time at which it was received.
 type peerRequest struct {
 	request    Request
 	receivedAt clock.Time
 }
 
-// outstandingGrant is an amount lent until a time.
+// outstandingGrant is an amount that the lender does not use until a time.
 type outstandingGrant struct {
 	amount Amount
 	until  clock.Time
 }
 
-// NewLedger returns a ledger with a base allotment. Until MaxGrantDuration has passed, as
-// much as an earlier process may have lent is held back.
+// NewLedger returns a ledger with a base allotment. Until MaxGrantDuration has passed, the
+// ledger holds back as much as an earlier process may have lent.
 func NewLedger[K comparable](base Amount, now clock.Time) *Ledger[K] {
 	return &Ledger[K]{
-		base:        base,
-		settledAt:   now + reclaimAfter,
-		requests:    map[K]peerRequest{},
-		outstanding: map[K][]outstandingGrant{},
-		borrowed:    map[K]Grant{},
+		base:           base,
+		startupHoldEnd: now + reclaimAfter,
+		requests:       map[K]peerRequest{},
+		outstanding:    map[K][]outstandingGrant{},
+		borrowed:       map[K]Grant{},
 	}
 }
 
-// NothingOutstanding says that there is no grant that this ledger does not know of.
-func (b *Ledger[K]) NothingOutstanding() { b.settledAt = 0 }
+// NothingOutstanding ends the hold of NewLedger: the caller asserts that no grant of an
+// earlier process is in use.
+func (b *Ledger[K]) NothingOutstanding() { b.startupHoldEnd = 0 }
 
-// NoteUse records what was requested of the store in the last second, whether it was
-// within the allotment or not. The need rises at once and falls slowly.
+// NoteUse records the requests to the store that were demanded in the last second, within
+// the allotment or not. The need rises at once and falls slowly.
 func (b *Ledger[K]) NoteUse(last Amount) {
 	b.need = combine(b.need, last, func(need, last float64) float64 {
 		return math.Max(last, needDecay*need+(1-needDecay)*last)
 	})
 }
 
-// Request returns what to request of all peers now.
+// Request returns the request to send to all peers now.
 func (b *Ledger[K]) Request(now clock.Time) Request {
 	want := combine(b.need, b.base, func(need, base float64) float64 {
-		return math.Max(0, headroom*need-base)
+		return math.Max(0, headroomFactor*need-base)
 	})
 	return Request{At: now, Want: want}
 }
 
-// NoteRequest records a peer's request. It replaces an earlier one that was not answered.
+// NoteRequest records a peer's request, which replaces an earlier unanswered one.
 func (b *Ledger[K]) NoteRequest(peer K, request Request, now clock.Time) {
 	b.requests[peer] = peerRequest{request, now}
 }
 
-// GrantRequests answers the last request of each peer, out of what is not needed here.
+// GrantRequests answers the last request of each peer from the part of the allotment that
+// this controller does not need. It returns the grants to send.
 func (b *Ledger[K]) GrantRequests(now clock.Time) map[K]Grant {
 	b.expire(now)
 	fraction := b.grantableFraction(now)
 	grants := map[K]Grant{}
 	for peer, r := range b.requests {
-		amount := b.amountFor(peer, r.request.Want, fraction)
+		amount := b.grantAmount(peer, r.request.Want, fraction)
 		if amount == (Amount{}) || now-r.receivedAt > grantDuration {
 			continue
 		}
@@ -115,9 +120,9 @@
 	return grants
 }
 
-// grantableFraction is the fraction of the requested amounts that can be granted now.
+// grantableFraction returns the fraction of the requested amounts that can be granted now.
 func (b *Ledger[K]) grantableFraction(now clock.Time) Amount {
-	unused := combine(b.base, b.need, func(base, need float64) float64 { return base - headroom*need })
+	unused := combine(b.base, b.need, func(base, need float64) float64 { return base - headroomFactor*need })
 	available := combine(b.base.Times(maxGrantedFraction), unused, math.Min)
 	available = combine(available, b.outstandingAt(now), func(available, lent float64) float64 {
 		return math.Max(0, available-lent)
@@ -134,23 +139,24 @@
 	})
 }
 
-// amountFor is what a peer is granted: a fraction of its request on top of what it may
-// have of earlier grants, since the new grant replaces these, and no more than it wants.
-func (b *Ledger[K]) amountFor(peer K, want, fraction Amount) Amount {
-	fresh := combine(want, fraction, func(want, fraction float64) float64 { return want * fraction })
-	total := combine(b.largestOutstanding(peer), fresh, add)
+// grantAmount returns the amount to grant to a peer: a fraction of its request in addition
+// to the amount it may have from earlier grants, since the new grant replaces those, and
+// no more than it requested.
+func (b *Ledger[K]) grantAmount(peer K, want, fraction Amount) Amount {
+	additional := combine(want, fraction, func(want, fraction float64) float64 { return want * fraction })
+	total := combine(b.largestOutstanding(peer), additional, add)
 	return combine(total, want, math.Min)
 }
 
-// NoteGrant records a peer's grant. One that answers an earlier request than the last
-// does not replace it.
+// NoteGrant records a peer's grant. It replaces the last grant of that peer only if it
+// answers a later request.
 func (b *Ledger[K]) NoteGrant(peer K, grant Grant) {
 	if last, ok := b.borrowed[peer]; !ok || grant.Asked > last.Asked {
 		b.borrowed[peer] = grant
 	}
 }
 
-// Allotment returns what may be used now.
+// Allotment returns the rates that this controller may use now, including borrowed ones.
 func (b *Ledger[K]) Allotment(now clock.Time) Amount {
 	sum := b.Own(now)
 	for _, grant := range b.borrowed {
@@ -159,13 +165,15 @@
 	return sum
 }
 
-// Own returns the part of the allotment that is not borrowed.
+// Own returns the part of the allotment that is not borrowed: the base without what is
+// lent.
 func (b *Ledger[K]) Own(now clock.Time) Amount {
 	b.expire(now)
 	return combine(b.base, b.outstandingAt(now), subtract)
 }
 
-// Until returns when the first borrowed grant expires; ok if there is any.
+// Until returns the time at which the first borrowed grant expires; ok is false if there is
+// none.
 func (b *Ledger[K]) Until(now clock.Time) (until clock.Time, ok bool) {
 	b.expire(now)
 	for _, grant := range b.borrowed {
@@ -176,10 +184,10 @@
 	return until, ok
 }
 
-// outstandingAt returns what is lent to all peers, or may have been lent by an earlier
-// process.
+// outstandingAt returns the amount lent to all peers. Before startupHoldEnd it returns the
+// largest amount that an earlier process may have lent.
 func (b *Ledger[K]) outstandingAt(now clock.Time) Amount {
-	if now < b.settledAt {
+	if now < b.startupHoldEnd {
 		return b.base.Times(maxGrantedFraction)
 	}
 	var sum Amount
@@ -189,8 +197,8 @@
 	return sum
 }
 
-// largestOutstanding returns the largest grant that a peer may be using: it uses one at a
-// time.
+// largestOutstanding returns the largest amount that a peer may be using: a peer uses only
+// one of its grants at a time.
 func (b *Ledger[K]) largestOutstanding(peer K) Amount {
 	var largest Amount
 	for _, grant := range b.outstanding[peer] {
@@ -199,17 +207,17 @@
 	return largest
 }
 
-// expire removes the grants whose time is over.
+// expire removes the grants that have expired.
 func (b *Ledger[K]) expire(now clock.Time) {
 	for peer, grants := range b.outstanding {
-		var left []outstandingGrant
+		var active []outstandingGrant
 		for _, grant := range grants {
 			if grant.until > now {
-				left = append(left, grant)
+				active = append(active, grant)
 			}
 		}
-		b.outstanding[peer] = left
-		if len(left) == 0 {
+		b.outstanding[peer] = active
+		if len(active) == 0 {
 			delete(b.outstanding, peer)
 		}
 	}
--- a/internal/controller/ratelimit/ledger_test.go
+++ b/internal/controller/ratelimit/ledger_test.go
@@ -13,22 +13,22 @@
 
 func TestMain(m *testing.M) { os.Exit(fixedseed.Run(m)) }
 
-// member is a controller whose clock has its own start and speed.
+// member is a controller whose clock has its own zero and speed.
 type member struct {
 	*Ledger[session]
 	session
-	start, speed float64 // true seconds at its start; how fast its clock runs
+	start, speed float64 // true time in seconds at which its clock is zero; clock seconds per true second
 }
 
-// session identifies a process of a member.
+// session identifies one process of a member.
 type session struct{ member, restarts int }
 
-// now returns the member's clock at a true time in seconds.
+// now returns the time on the member's clock at a true time in seconds.
 func (m *member) now(at float64) clock.Time {
 	return clock.Time((at - m.start) * m.speed * float64(time.Second))
 }
 
-// envelope is a message on its way.
+// envelope is a message in flight.
 type envelope struct {
 	from, to session
 	request  Request
@@ -37,9 +37,10 @@
 
 var base = Amount{Requests: 45, Writes: 15}
 
-// TestSumNeverAboveLimit: however long messages take, whoever restarts, and however clocks
-// differ, the allotments in use never sum to more than the limit.
-func TestSumNeverAboveLimit(t *testing.T) {
+// TestAllotmentsNeverExceedLimit: while messages are delayed, repeated and reordered,
+// controllers restart, and clocks differ by up to 0.05%, the allotments in use never sum
+// to more than the limit.
+func TestAllotmentsNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var members []*member
 		start := func(at float64, i, restarts int) *member {
@@ -78,7 +79,7 @@
 					if rapid.Bool().Draw(t, "once") {
 						inFlight = append(inFlight[:k:k], inFlight[k+1:]...)
 					}
-					if to := members[e.to.member]; to.session == e.to { // else of a session that has ended
+					if to := members[e.to.member]; to.session == e.to { // otherwise the addressed session has ended
 						to.NoteRequest(e.from, e.request, to.now(at))
 						if e.grant != nil {
 							to.NoteGrant(e.from, *e.grant)
@@ -95,20 +96,21 @@
 				sum = sum.Plus(m.Allotment(m.now(at)))
 			}
 			if sum.Requests > 3*base.Requests+1e-6 || sum.Writes > 3*base.Writes+1e-6 {
-				t.Fatalf("%v in use, %v of each", sum, base)
+				t.Fatalf("allotments sum to %v, with a base of %v each of 3", sum, base)
 			}
 		}
 	})
 }
 
-// TestNeedIsMet: a controller that does nearly all the work soon gets what the others do
-// not need, and they get it back when they need it.
-func TestNeedIsMet(t *testing.T) {
+// TestBusyControllerBorrowsAndReturnsRates: a controller with nearly all of the load borrows
+// what the others do not need within 10 s, and the others have their base again within
+// 12 s when they need it. Without messages all grants expire.
+func TestBusyControllerBorrowsAndReturnsRates(t *testing.T) {
 	var members []*Ledger[int]
 	for range 3 {
 		members = append(members, NewLedger[int](base, 0))
 	}
-	second := func(n int, used ...Amount) {
+	runSecond := func(n int, used ...Amount) {
 		now := clock.Time(n) * clock.Time(time.Second)
 		for i, m := range members {
 			m.NoteUse(used[i])
@@ -126,23 +128,23 @@
 	}
 	idle, busy := Amount{5, 1}, Amount{70, 25}
 	for n := 10; n < 20; n++ {
-		second(n, busy, idle, idle)
+		runSecond(n, busy, idle, idle)
 	}
 	if s := members[0].Allotment(clock.Time(20 * time.Second)); s.Requests < 80 || s.Writes < 28 {
-		t.Errorf("the busy controller may use %v, its base is %v", s, base)
+		t.Errorf("the busy controller may use %v with a base of %v, want nearly twice its base", s, base)
 	}
 	for n := 20; n < 32; n++ {
-		second(n, idle, Amount{40, 14}, Amount{40, 14})
+		runSecond(n, idle, Amount{40, 14}, Amount{40, 14})
 	}
 	for _, m := range members[1:] {
 		if s := m.Allotment(clock.Time(32 * time.Second)); s.Requests < base.Requests || s.Writes < base.Writes {
-			t.Errorf("a controller that needs its base has %v of %v", s, base)
+			t.Errorf("a controller that needs its whole base may use %v, want %v", s, base)
 		}
 	}
 	for n := 32; n < 40; n++ { // no messages: all grants expire
 		members[0].NoteUse(busy)
 	}
 	if s := members[0].Allotment(clock.Time(40 * time.Second)); s.Requests > base.Requests+1e-9 {
-		t.Errorf("%v in use without a grant", s)
+		t.Errorf("the busy controller may use %v without a grant, want its base", s)
 	}
 }
