--- a/internal/record/bitmap.go
+++ b/internal/record/bitmap.go
@@ -12,31 +12,32 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// ChunkTasks is how many tasks one bitmap record covers: 4 KiB of bits, well below any
-// limit of values that a job's own record fits into.
+// ChunkTasks is the number of tasks that one bitmap record covers. Its 4 KiB of bits are
+// well below any limit on the size of values that a job's own record fits into.
 const ChunkTasks = 32768
 
 const (
 	bitsPerByte = 8
-	// chunkBytes is the size of a chunk with all its bits.
+	// chunkBytes is the size of a full chunk.
 	chunkBytes = ChunkTasks / bitsPerByte
-	// chunkCapacity is the initial capacity for the bytes of a chunk.
-	chunkCapacity = 64
+	// initialChunkBytes is the initial capacity of the buffer that a chunk is encoded into.
+	initialChunkBytes = 64
 )
 
 var (
-	errNoChunkNumber = errors.New("no chunk number")
-	errChunkTooLong  = errors.New("too long")
+	errNoChunkNumber = errors.New("key without a valid chunk number")
+	errChunkTooLong  = errors.New("more bits than a chunk holds")
 )
 
-// BitmapChunk is one chunk of a bitmap of finished tasks.
+// BitmapChunk is the record of one chunk of a job's bitmap of finished tasks.
 type BitmapChunk struct {
-	Bits string `cbor:"bits"` // in base64: the store takes no binary values
+	Bits string `cbor:"bits"` // in base64, since the store accepts no binary values
 }
 
-// EncodeChunk encodes one chunk of the finished tasks.
+// EncodeChunk encodes one chunk of the bitmap of finished tasks. Trailing zero bytes are
+// omitted.
 func EncodeChunk(done *bitset.BitSet, chunk int) BitmapChunk {
-	bits := make([]byte, 0, chunkCapacity)
+	bits := make([]byte, 0, initialChunkBytes)
 	base := uint(chunk * ChunkTasks)
 	for task, ok := done.NextSet(base); ok && task < base+ChunkTasks; task, ok = done.NextSet(task + 1) {
 		offset := int(task-base) / bitsPerByte
@@ -48,13 +49,15 @@
 	return BitmapChunk{Bits: base64.RawStdEncoding.EncodeToString(bits)}
 }
 
-// ChunkNumber parses the number of the chunk out of the key of a bitmap record.
+// ChunkNumber parses the chunk number in the key of a bitmap record; ok is false if the key
+// has none, or one beyond the last chunk of the largest job.
 func ChunkNumber(key string) (chunk int, ok bool) {
 	chunk, err := strconv.Atoi(key[strings.LastIndexByte(key, '/')+1:])
 	return chunk, err == nil && chunk >= 0 && chunk <= protocol.MaxTasks/ChunkTasks
 }
 
-// DecodeChunk adds the finished tasks of a chunk, read from key, to done.
+// DecodeChunk adds the finished tasks of the chunk stored at key to done. It ignores bits
+// beyond the number of tasks of the job.
 func DecodeChunk(key string, b BitmapChunk, done *bitset.BitSet, tasks uint32) error {
 	chunk, ok := ChunkNumber(key)
 	if !ok {
--- a/internal/record/bitmap_test.go
+++ b/internal/record/bitmap_test.go
@@ -9,9 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestChunksDecodeToTheirBitmap: a bitmap of any job decodes from its chunks, and each
-// chunk is well below the smallest limit of values seen.
-func TestChunksDecodeToTheirBitmap(t *testing.T) {
+// TestBitmapChunksRoundTrip: the bitmap of a job of any size decodes from its chunks, and
+// each encoded chunk is at most 6 KiB, well below the smallest known limit on the size of
+// values. A chunk beyond the largest job and invalid base64 are rejected.
+func TestBitmapChunksRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tasks := rapid.Uint32Range(1, protocol.MaxTasks).Draw(t, "tasks")
 		done := bitset.New(uint(tasks))
@@ -21,22 +22,22 @@
 		if rapid.Bool().Draw(t, "all") {
 			done.FlipRange(0, uint(tasks))
 		}
-		back := bitset.New(uint(tasks))
+		decoded := bitset.New(uint(tasks))
 		for chunk := 0; chunk*ChunkTasks < int(tasks); chunk++ {
 			b := EncodeChunk(done, chunk)
 			if len(b.Bits) > 6<<10 {
-				t.Fatalf("chunk of %d bytes", len(b.Bits))
+				t.Fatalf("chunk of %d bytes, want at most 6 KiB", len(b.Bits))
 			}
-			if err := DecodeChunk(BitmapChunkKey("job-1", chunk), b, back, tasks); err != nil {
+			if err := DecodeChunk(BitmapChunkKey("job-1", chunk), b, decoded, tasks); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if back.Count() != done.Count() || !back.IsSuperSet(done) {
-			t.Fatalf("%d of %d bits came back", back.Count(), done.Count())
+		if decoded.Count() != done.Count() || !decoded.IsSuperSet(done) {
+			t.Fatalf("%d bits after decoding, want the same %d bits", decoded.Count(), done.Count())
 		}
 	})
 	if err := DecodeChunk("bits/job-1/9", BitmapChunk{"//8"}, bitset.New(1), 1); err == nil {
-		t.Error("a chunk past the largest job was accepted")
+		t.Error("a chunk beyond the largest job was accepted")
 	}
 	if err := DecodeChunk("bits/job-1/0", BitmapChunk{"not base64!"}, bitset.New(1), 1); err == nil {
 		t.Error("invalid base64 was accepted")
--- a/internal/record/configuration.go
+++ b/internal/record/configuration.go
@@ -7,27 +7,28 @@
 	"damsonkeel/internal/protocol"
 )
 
-// The dynamic configuration is stored as a record of each entry, under one revision. A
-// transaction that changes entries also writes the revision's record and compares its
-// version, so that changes are serialized: each is decided on the result of those
-// before it.
+// The dynamic configuration is stored as one record per entry and one record of the
+// revision. A transaction that changes entries also writes the record of the revision, on
+// the condition that its version is unchanged. So changes are serialized: each is decided
+// on the result of the changes before it.
 const (
 	// ConfigurationKey is the key of the Configuration.
 	ConfigurationKey         = "c/config/revision"
 	configurationEntryPrefix = "c/config/entry/"
-	// ConfigurationHistoryPrefix is the prefix of the latest changes, which nobody watches.
+	// ConfigurationHistoryPrefix is the prefix of the keys of the latest changes, which no
+	// controller watches.
 	ConfigurationHistoryPrefix = "config/history/"
-	// ConfigurationHistory is how many of the latest changes are stored.
+	// ConfigurationHistory is the number of latest changes that are stored.
 	ConfigurationHistory = 200
-	// ConfigurationRequests is how many idempotency keys of the latest requests the
-	// revision's record lists, so that a repeated request changes nothing more.
+	// ConfigurationRequests is the number of latest requests whose idempotency keys the
+	// record of the revision lists, so that a repeated request is not executed again.
 	ConfigurationRequests = 64
 )
 
-// ConfigurationRevision counts the changes of the configuration; 0 is none yet.
+// ConfigurationRevision is the number of changes of the configuration; 0 before the first.
 type ConfigurationRevision uint64
 
-// EntryKind is the kind of thing that an entry of the configuration configures.
+// EntryKind is the kind of object that an entry of the configuration applies to.
 type EntryKind string
 
 // The kinds of entries.
@@ -39,14 +40,14 @@
 	EntrySetting EntryKind = "setting"
 )
 
-// EntryID identifies an entry of the configuration: its kind, a slash and the name of
-// what it configures.
+// EntryID identifies an entry of the configuration: its kind, a slash, and the name of the
+// object that it applies to.
 type EntryID string
 
-// NewEntryID makes the id of the entry of a kind and a name.
+// NewEntryID returns the ID of the entry for the object of the given kind and name.
 func NewEntryID(kind EntryKind, name string) EntryID { return EntryID(string(kind) + "/" + name) }
 
-// Split returns the kind and the name of an id.
+// Split returns the kind and the name in the ID.
 func (id EntryID) Split() (EntryKind, string) {
 	kind, name, _ := strings.Cut(string(id), "/")
 	return EntryKind(kind), name
@@ -55,33 +56,33 @@
 // ConfigurationEntryKey is the key of a ConfigurationEntry.
 func ConfigurationEntryKey(id EntryID) string { return configurationEntryPrefix + string(id) }
 
-// ConfigurationHistoryKey is the key of a ConfigurationChange. The keys form a ring:
-// later revisions overwrite those from ConfigurationHistory revisions ago.
+// ConfigurationHistoryKey is the key of a ConfigurationChange. The keys form a ring: each
+// revision overwrites the record from ConfigurationHistory revisions ago.
 func ConfigurationHistoryKey(r ConfigurationRevision) string {
 	return fmt.Sprintf("%s%03d", ConfigurationHistoryPrefix, uint64(r)%ConfigurationHistory)
 }
 
-// Configuration is the record of the revision.
+// Configuration is the record of the revision in force.
 type Configuration struct {
 	Revision ConfigurationRevision `cbor:"revision"`
-	// Entries are those that this revision changed: a controller applies the revision
-	// once it has read all of them.
+	// Entries are the entries that this revision changed. A controller applies the
+	// revision once it has read all of them.
 	Entries  []EntryID              `cbor:"entries"`
-	Requests []ConfigurationRequest `cbor:"requests"`
+	Requests []ConfigurationRequest `cbor:"requests"` // latest requests
 }
 
-// ConfigurationRequest is a request that was carried out, and the revision that did so.
+// ConfigurationRequest is an executed request and the revision that it resulted in.
 type ConfigurationRequest struct {
-	ID       string                `cbor:"id"`
+	ID       string                `cbor:"id"` // idempotency key
 	Revision ConfigurationRevision `cbor:"revision"`
 }
 
-// ConfigurationEntry is the record of an entry. Beside the revision exactly one of
-// Reset, Team, Class, Place and Value is set.
+// ConfigurationEntry is the record of an entry. Exactly one of Reset, Team, Class, Place and
+// Value is set.
 type ConfigurationEntry struct {
-	Revision ConfigurationRevision `cbor:"revision" json:"revision"` // that wrote it
-	// Reset means that the platform's file applies. For a team, Lowered is then the last
-	// revision that lowered its limit.
+	Revision ConfigurationRevision `cbor:"revision" json:"revision"` // that wrote the entry
+	// Reset means that the configuration file of the platform applies. For a team, Lowered
+	// then holds the last revision that lowered its limit.
 	Reset   bool                  `cbor:"reset,omitempty" json:"reset,omitempty"`
 	Lowered ConfigurationRevision `cbor:"lowered,omitempty" json:"lowered,omitempty"`
 	Team    *TeamEntry            `cbor:"team,omitempty" json:"team,omitempty"`
@@ -90,28 +91,30 @@
 	Value   *SettingText          `cbor:"value,omitempty" json:"value,omitempty"`
 }
 
-// SettingText is the value of one of the operators' settings, written as in their file.
+// SettingText is the value of an operator setting, in the syntax of the operators' file.
 type SettingText string
 
-// TeamEntry is a team's guarantee and limit, in the units of the platform's file.
+// TeamEntry is the guarantee of a team (CPUs, GPUs) and its limit (MaxCPUs, MaxGPUs), in the
+// units of the platform's file.
 type TeamEntry struct {
 	CPUs    float64 `cbor:"cpus" json:"cpus"`
 	MaxCPUs float64 `cbor:"cpus_max" json:"cpus_max"`
 	GPUs    float64 `cbor:"gpus" json:"gpus"`
 	MaxGPUs float64 `cbor:"gpus_max" json:"gpus_max"`
-	Closed  bool    `cbor:"closed,omitempty" json:"closed,omitempty"` // to new jobs
+	Closed  bool    `cbor:"closed,omitempty" json:"closed,omitempty"` // new jobs are rejected
 	Removed bool    `cbor:"removed,omitempty" json:"removed,omitempty"`
-	// Lowered is the last revision that lowered the limit: what was placed under an
-	// earlier one must not be started any more.
+	// Lowered is the last revision that lowered the limit. Tasks that were placed under an
+	// earlier revision must not be started.
 	Lowered ConfigurationRevision `cbor:"lowered,omitempty" json:"lowered,omitempty"`
 }
 
-// ClassEntry is the objectives of a class, which replace those of the platform's file.
+// ClassEntry holds the objectives of a class, which replace those of the platform's file.
 type ClassEntry struct {
 	Objectives []ObjectiveEntry `cbor:"objectives" json:"objectives"`
 }
 
-// ObjectiveEntry is a service-level objective of a class, as in the platform's file.
+// ObjectiveEntry is a service-level objective of a class, with the fields of the platform's
+// file.
 type ObjectiveEntry struct {
 	Kind    string  `cbor:"kind" json:"kind" toml:"kind"`
 	WithinS float64 `cbor:"within_s" json:"within_s" toml:"within_s"`
@@ -119,21 +122,22 @@
 	Times   float64 `cbor:"times" json:"times" toml:"times"`
 }
 
-// PlaceEntry says whether a zone or a machine type is cordoned: nothing is placed,
-// started or provisioned there.
+// PlaceEntry states whether a zone or a machine type is cordoned.
 type PlaceEntry struct {
+	// Closed means cordoned: no task is placed or started and no machine is provisioned
+	// there.
 	Closed bool `cbor:"closed" json:"closed"`
 }
 
 // ConfigurationChange is the history record of one revision.
 type ConfigurationChange struct {
 	Revision ConfigurationRevision `cbor:"revision" json:"revision"`
-	By       string                `cbor:"by" json:"by"`
+	By       string                `cbor:"by" json:"by"` // name of the operator's key
 	AtMS     Moment                `cbor:"at_ms" json:"at_ms"`
 	Changes  []EntryChange         `cbor:"changes" json:"changes"`
 }
 
-// EntryChange is an entry before and after a change.
+// EntryChange is one entry before (From) and after (To) a change.
 type EntryChange struct {
 	Entry EntryID            `cbor:"entry" json:"entry"`
 	From  ConfigurationEntry `cbor:"from" json:"from"`
@@ -146,7 +150,7 @@
 	return EntryID(id), ok
 }
 
-// TeamOf returns the team that an entry configures, if its kind is EntryTeam.
+// TeamOf returns the team that an entry applies to; ok is false for entries of other kinds.
 func TeamOf(id EntryID) (protocol.Team, bool) {
 	kind, name := id.Split()
 	return protocol.Team(name), kind == EntryTeam
--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -1,9 +1,9 @@
-// Package record holds the schemas and keys of what controllers store in the key-value
-// store: the view of the members, the shard table, the machines' records, the jobs'
-// states and bitmaps of finished tasks, reservations and maintenance windows, and the
-// dynamic configuration.
+// Package record defines the schemas and keys of the data that controllers store in the
+// key-value store: the membership view, the shard table, the records of machines, the
+// states of jobs and their bitmaps of finished tasks, reservations and maintenance
+// windows, and the dynamic configuration.
 //
-// The package has no state of its own. It neither reads nor writes the store: package
-// kvstore does. Keys, tags and numbers of constants are those of stored data, so they
-// never change; a new form of a record gets a new Layout.
+// The package has no state. It neither reads nor writes the store; package kvstore does.
+// Keys, tags and numbers of constants are part of the stored data and never change; a new
+// form of a record gets a new Layout.
 package record
--- a/internal/record/followedkey.go
+++ b/internal/record/followedkey.go
@@ -6,7 +6,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// FollowedKey is the parsed form of a key under FollowedPrefix; exactly one field is set.
+// FollowedKey is a parsed key under FollowedPrefix, which every controller watches. Exactly
+// one field is set.
 type FollowedKey struct {
 	View    bool
 	Node    protocol.NodeName
@@ -24,8 +25,8 @@
 	ConfigurationEntry EntryID
 }
 
-// ParseFollowedKey parses a key under FollowedPrefix. It returns false for a key of a
-// kind that this version does not know.
+// ParseFollowedKey parses a key under FollowedPrefix. It returns false for a kind of key
+// that this version does not support.
 func ParseFollowedKey(key string) (FollowedKey, bool) {
 	if key == ViewKey {
 		return FollowedKey{View: true}, true
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -1,15 +1,14 @@
 package record
 
-// JobRecord is the state of a job as reported to its users. RecordLive stands for
-// every state that is not final.
+// JobRecord is the state of a job as reported to its users.
 type JobRecord struct {
-	State string `cbor:"state"`
-	Tasks uint32 `cbor:"tasks"`
+	State string `cbor:"state"` // one of the Record... constants
+	Tasks uint32 `cbor:"tasks"` // number of tasks of the job
 }
 
 // The states of job records.
 const (
-	RecordLive      = "live"
+	RecordLive      = "live" // accepted and neither done nor cancelled
 	RecordDone      = "done"
 	RecordCancelled = "aborted"
 )
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -7,8 +7,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Keys of the records. All that every controller watches has one prefix; final states
-// of jobs and bitmaps are read on demand and have others.
+// Keys of the records. The records that every controller watches share one prefix. Job
+// records and bitmaps are read on demand and have other prefixes.
 const (
 	// FollowedPrefix is the prefix of the records that every controller watches.
 	FollowedPrefix = "c/"
@@ -34,10 +34,11 @@
 // BlockKey is the key of a Block.
 func BlockKey(name string) string { return blockPrefix + name }
 
-// BlockName formats the number of a block, from 1 on, as its name.
+// BlockName returns the name of the block with the given number. Numbers start at 1.
 func BlockName(n uint64) string { return fmt.Sprintf("%08d", n) }
 
-// BlockNumber parses the name of a block; it returns 0 for a name without a number.
+// BlockNumber parses the number in the name of a block; it returns 0 for a name that is
+// not a number.
 func BlockNumber(name string) uint64 {
 	n, err := strconv.ParseUint(name, 10, 64)
 	if err != nil {
@@ -46,10 +47,10 @@
 	return n
 }
 
-// MachineKey is the key of a Machine with a record of its own.
+// MachineKey is the key of a single record: a Machine that is stored outside of any block.
 func MachineKey(m protocol.MachineID) string { return machinePrefix + string(m) }
 
-// BitmapPrefix is the prefix of the keys of a job's bitmap of finished tasks.
+// BitmapPrefix is the prefix of the keys of the chunks of a job's bitmap of finished tasks.
 func BitmapPrefix(j protocol.JobID) string { return bitsPrefix + string(j) + "/" }
 
 // BitmapChunkKey is the key of one chunk of a job's bitmap.
--- a/internal/record/reservation.go
+++ b/internal/record/reservation.go
@@ -3,12 +3,12 @@
 import "damsonkeel/internal/protocol"
 
 const (
-	// CalendarKey is the key of the Calendar. Each acceptance and cancellation compares
-	// its version, so that they are serialized: each is decided on the result of those
-	// before it.
+	// CalendarKey is the key of the Calendar. Each acceptance and cancellation is
+	// conditional on the version of this record. So they are serialized: each is decided
+	// on the result of those before it.
 	CalendarKey = "c/calendar"
-	// ReservationHoldsKey is the key of the resources that are held for reservations, a
-	// recent copy for controllers that restart.
+	// ReservationHoldsKey is the key of a recent copy of the resources that are held for
+	// reservations. Controllers that restart read it.
 	ReservationHoldsKey = "c/held"
 	reservationPrefix   = "c/reservation/"
 	windowPrefix        = "c/window/"
@@ -23,10 +23,11 @@
 // WindowKey is the key of a Window.
 func WindowKey(n EntryName) string { return windowPrefix + string(n) }
 
-// Moment is a time in milliseconds since the Unix epoch; 0 is none.
+// Moment is a time in milliseconds since the Unix epoch; 0 means no time.
 type Moment int64
 
-// Calendar counts the accepted changes of reservations and windows.
+// Calendar is the record that counts the accepted changes of reservations and maintenance
+// windows.
 type Calendar struct {
 	Changes uint64 `json:"changes"`
 }
@@ -34,34 +35,37 @@
 // ReservationState is the state of a reservation's current occurrence.
 type ReservationState string
 
-// The states of reservations. A recurring one returns from Used or Expired to Accepted
-// for its next occurrence.
+// The states of reservations. A recurring reservation returns from Used or Expired to
+// Accepted for its next occurrence.
 const (
-	// Proposed is the result of a dry run: checked, and not stored.
+	// Proposed is the state in the result of a dry run: checked, but not stored.
 	Proposed ReservationState = "proposed"
-	// Accepted is promised, and its start is not near yet.
+	// Accepted means that the reservation is guaranteed and no resources are held yet, as
+	// its start is not near.
 	Accepted ReservationState = "accepted"
-	// Holding has resources held for it.
+	// Holding means that resources are held for the reservation.
 	Holding ReservationState = "holding"
-	// Used has seen its job start.
+	// Used means that the job of the reservation has started.
 	Used ReservationState = "used"
-	// Expired was held for HoldS without its job being submitted.
+	// Expired means that resources were held for HoldS and no job was submitted.
 	Expired ReservationState = "expired"
-	// Cancelled was cancelled by an operator.
+	// Cancelled means that an operator cancelled the reservation.
 	Cancelled ReservationState = "cancelled"
 )
 
 // ReservationSpec is a reservation as an operator requests it.
 type ReservationSpec struct {
 	Name EntryName `json:"name"`
-	// Job is the job that may use it, or Class the class of such jobs, of Team if set.
+	// Job is the job that may use the reservation. If it is empty, any job of Class may use
+	// it, and only jobs of Team if that is set.
 	Job   protocol.JobID `json:"job,omitempty"`
 	Class string         `json:"class,omitempty"`
 	Team  protocol.Team  `json:"team,omitempty"`
-	// When is its start, once or recurring.
+	// When is the start of the reservation, once or recurring, as package reservation
+	// parses it.
 	When string `json:"when"`
-	// HoldS is how long resources are held for the job to be submitted, and LengthS its
-	// expected run time, in seconds.
+	// HoldS is how long resources are held for the job to be submitted, in seconds.
+	// LengthS is the expected run time of the job, in seconds.
 	HoldS   float64 `json:"hold_s"`
 	LengthS float64 `json:"length_s"`
 
@@ -79,23 +83,23 @@
 // Reservation is the record of an accepted reservation.
 type Reservation struct {
 	Spec    ReservationSpec  `json:"spec"`
-	Request string           `json:"request"` // idempotency key of the request that made it
+	Request string           `json:"request"` // idempotency key of the request that created it
 	By      string           `json:"by"`      // name of the operator's key
 	MadeMS  Moment           `json:"made_ms"`
-	Order   uint64           `json:"order"` // of acceptance
+	Order   uint64           `json:"order"` // position in the order of acceptance
 	State   ReservationState `json:"state"`
 	StartMS Moment           `json:"start_ms"` // of the current occurrence
-	// Risk is why the current occurrence is at risk, and RiskMS since when; empty if it
-	// is not.
+	// Risk is the reason why the current occurrence is at risk, and RiskMS the time since
+	// when. Both are empty if it is not at risk.
 	Risk   string    `json:"risk,omitempty"`
 	RiskMS Moment    `json:"risk_ms,omitempty"`
 	Past   []Outcome `json:"past,omitempty"` // earlier occurrences, the latest last
 }
 
-// Outcome is how an occurrence of a reservation ended.
+// Outcome describes how an occurrence of a reservation ended.
 type Outcome struct {
 	StartMS Moment           `json:"start_ms"`
 	State   ReservationState `json:"state"`
-	EndMS   Moment           `json:"end_ms"` // when it was used or expired
+	EndMS   Moment           `json:"end_ms"` // time at which it was used or expired
 	Risk    string           `json:"risk,omitempty"`
 }
--- a/internal/record/shardtable.go
+++ b/internal/record/shardtable.go
@@ -11,15 +11,16 @@
 // ShardTableKey is the key of the ShardTable.
 const ShardTableKey = "c/shares"
 
-// ShardTable assigns the shards of the machines to controllers: Slots shards of each
-// zone, in the order of Zones. Neither Zones nor Slots change once it is written.
+// ShardTable assigns the shards of the machines to controllers. Each zone has the same
+// number of shards. Zones and Slots never change once the table is written.
 type ShardTable struct {
 	// Epoch is the highest epoch that any shard has or had.
 	Epoch protocol.Term
 	Zones []protocol.Zone
-	Slots int // shards of each zone
-	// Away are the controllers that operators have cordoned: they lead no shards.
+	Slots int // number of shards of each zone
+	// Away are the controllers that operators have cordoned. They lead no shards.
 	Away []protocol.NodeName
+	// List has Slots assignments for each zone, in the order of Zones.
 	List []ShardAssignment
 }
 
@@ -29,11 +30,11 @@
 	// Since is the epoch at which the holder took the shard over.
 	Since protocol.Term
 	// Epoch is the fencing token of commands to the machines of the shard. It rises when
-	// the holder changes, and when the outcome of a start has to be settled.
+	// the holder changes, and when the unknown outcome of a start has to be settled.
 	Epoch protocol.Term
 }
 
-// shardTableRecord is the stored form of ShardTable: each lease once, and the
+// shardTableRecord is the stored form of ShardTable. It lists each lease once and stores the
 // assignments in columns, so that hundreds of shards fit into a value.
 type shardTableRecord struct {
 	Epoch    protocol.Term       `cbor:"epoch"`
@@ -46,7 +47,7 @@
 	Epochs   []protocol.Term     `cbor:"epochs"`
 }
 
-// MarshalCBOR encodes the table in columns.
+// MarshalCBOR encodes the table as a shardTableRecord.
 func (s ShardTable) MarshalCBOR() ([]byte, error) {
 	r := shardTableRecord{Epoch: s.Epoch, Zones: s.Zones, Slots: s.Slots, Away: s.Away}
 	for _, shard := range s.List {
@@ -68,7 +69,7 @@
 
 var errShardColumns = errors.New("shard table: columns of different lengths")
 
-// UnmarshalCBOR decodes a table from columns.
+// UnmarshalCBOR decodes a table from a shardTableRecord.
 func (s *ShardTable) UnmarshalCBOR(b []byte) error {
 	var r shardTableRecord
 	if err := protocol.Decode(b, &r); err != nil {
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -6,22 +6,23 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Layout is the form in which agent epochs and the assignment of machines to
-// controllers are stored. Higher layouts include the lower ones.
+// Layout is the version of the form in which agent epochs and the assignment of machines
+// to controllers are stored. Higher layouts include the lower ones.
 type Layout int
 
-// The layouts. A View or Node without one was written by a version that knows only
+// The layouts. A View or Node without a layout was written by a version that supports only
 // LayoutSingle.
 const (
-	// LayoutSingle has a record for each machine.
+	// LayoutSingle has a single record for each machine.
 	LayoutSingle Layout = 1
-	// LayoutBlocks has records of several machines.
+	// LayoutBlocks adds blocks, which hold the records of several machines.
 	LayoutBlocks Layout = 2
 	// LayoutShards adds the shard table.
 	LayoutShards Layout = 3
-	// LayoutConfiguration has all members follow the records of the configuration.
+	// LayoutConfiguration requires that all members follow the records of the dynamic
+	// configuration.
 	LayoutConfiguration Layout = 4
-	// LatestLayout is the highest layout that this version knows.
+	// LatestLayout is the highest layout that this version supports.
 	LatestLayout = LayoutConfiguration
 )
 
@@ -30,13 +31,14 @@
 type View struct {
 	Term    protocol.Term
 	Members map[protocol.NodeName]protocol.LeaseID
-	// Deaf are members that workers can't reach: they lead no shards.
+	// Deaf are the members that workers can't reach. They lead no shards.
 	Deaf []protocol.NodeName
 	// Layout is the layout of the records in this term.
 	Layout Layout
 }
 
-// viewRecord is the stored form of View.
+// viewRecord is the stored form of View. From LayoutBlocks on, Who holds the members and
+// Members holds membersPlaceholder.
 type viewRecord struct {
 	Term    protocol.Term       `cbor:"term"`
 	Members any                 `cbor:"members"`
@@ -45,18 +47,19 @@
 	Layout  Layout              `cbor:"layout,omitempty"`
 }
 
+// members is the type of View.Members.
 type members = map[protocol.NodeName]protocol.LeaseID
 
-// membersElsewhere takes the place of the members for versions that know only
-// LayoutSingle. They fail to decode such a view and so never act on it: they would take
-// a machine recorded in a block for one that was never registered.
-const membersElsewhere = "who"
+// membersPlaceholder replaces the map of members for versions that support only
+// LayoutSingle. Those versions fail to decode such a view and never act on it. Otherwise
+// they would treat a machine whose record is in a block as never registered.
+const membersPlaceholder = "who"
 
-// MarshalCBOR encodes a view in the form of its layout.
+// MarshalCBOR encodes the view in the form of its layout.
 func (v View) MarshalCBOR() ([]byte, error) {
 	r := viewRecord{Term: v.Term, Members: v.Members, Deaf: v.Deaf}
 	if v.Layout >= LayoutBlocks {
-		r.Members, r.Who, r.Layout = membersElsewhere, v.Members, v.Layout
+		r.Members, r.Who, r.Layout = membersPlaceholder, v.Members, v.Layout
 	}
 	b, err := protocol.Encode(r)
 	if err != nil {
@@ -84,8 +87,8 @@
 	return nil
 }
 
-// Node is a controller's record, attached to its lease.
+// Node is the record of a running controller, which is attached to its lease.
 type Node struct {
-	Session protocol.LeaseID `cbor:"session"`
-	Layout  Layout           `cbor:"layout,omitempty"` // the highest that the controller knows
+	Session protocol.LeaseID `cbor:"session"`          // the controller's lease
+	Layout  Layout           `cbor:"layout,omitempty"` // highest layout that the controller supports
 }
