--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -17,43 +17,47 @@
 
 const (
 	callTimeout = 1500 * time.Millisecond
-	// watchGrace is how much longer than its hold time a watch may take to answer.
+	// watchGrace is how long after its hold time the store may take to answer a watch.
 	watchGrace = 3 * time.Second
-	// watchPart is the part of the allotment of requests that goes to watches.
-	watchPart = 1.0 / 4
-	// pageSize is how many keys a page of a list has.
+	// watchFraction is the fraction of the allotment of requests that watches may use.
+	watchFraction = 1.0 / 4
+	// pageSize is the number of keys in a page of a list.
 	pageSize = 500
 )
 
-// Client is a client of the key-value store that keeps to this controller's allotment.
+// Client is a client of the key-value store that limits its requests to this controller's
+// allotment.
 type Client struct {
-	calls   *transport.Client
-	watches *transport.Client
-	budget  *rateBudget
-	opens   *rate.Limiter // of watches
+	calls        *transport.Client // connections for all requests but watches
+	watches      *transport.Client
+	budget       *rateBudget
+	watchLimiter *rate.Limiter // rate at which watches are opened
 }
 
-// NewClient makes a client of the store at addr. The rates are those of all count
-// controllers together; the client keeps to an equal part until SetAllotment.
+// NewClient returns a client of the store at addr. The rates are those of all count
+// controllers together. The client limits itself to an equal part of them until
+// SetAllotment is called.
 func NewClient(addr string, rps, writeRPS float64, count int) *Client {
 	allotment := EqualAllotment(rps, writeRPS, count)
 	return &Client{
-		calls:   transport.NewClient(addr),
-		watches: transport.NewClient(addr),
-		budget:  newRateBudget(allotment),
-		opens:   rate.NewLimiter(rate.Limit(allotment.Requests*watchPart), 1),
+		calls:        transport.NewClient(addr),
+		watches:      transport.NewClient(addr),
+		budget:       newRateBudget(allotment),
+		watchLimiter: rate.NewLimiter(rate.Limit(allotment.Requests*watchFraction), 1),
 	}
 }
 
-// SetAllotment sets the allotment to all until a time, if that is not past, and to own
-// from then on.
+// SetAllotment sets the allotment: all, which includes borrowed rates, until the given time,
+// and own from then on. If the time has passed, own applies at once.
 func (c *Client) SetAllotment(own, all RateAllotment, until time.Time) {
 	c.budget.set(own, all, until)
 }
 
-// DemandedRate is what was demanded since its last call, within the allotment or not.
+// DemandedRate returns the number of requests and writes that were demanded since the last
+// call, within the allotment or not, and resets the count.
 func (c *Client) DemandedRate() RateAllotment { return c.budget.takeDemanded() }
 
+// do sends one request and decodes its response into out.
 func (c *Client) do(ctx context.Context, method, target string, in, out any) error {
 	if err := serviceclient.Call(ctx, c.calls, callTimeout, method, target, in, out); err != nil {
 		return fmt.Errorf("key-value store: %w", err)
@@ -71,8 +75,8 @@
 	return item, err
 }
 
-// List reads all keys with a prefix, page by page. The revision is that of the first
-// page: a watch from it misses no change.
+// List reads all keys with a prefix, page by page. It returns the revision of the first
+// page: a watch from that revision misses no change.
 func (c *Client) List(ctx context.Context, prefix string) ([]protocol.Item, protocol.Revision, error) {
 	var items []protocol.Item
 	var revision protocol.Revision
@@ -93,7 +97,7 @@
 	}
 }
 
-// listPage reads the page of keys after a key, or the first one.
+// listPage reads the page of keys after the given key, or the first page if it is empty.
 func (c *Client) listPage(ctx context.Context, prefix, after string) (protocol.Page, error) {
 	var page protocol.Page
 	c.budget.countRead()
@@ -113,7 +117,7 @@
 	if !c.budget.allow(len(t.Changes), p) {
 		return 0, serviceclient.ErrRefused
 	}
-	// The store takes an empty list, but not a missing one.
+	// The store accepts an empty list, but not a missing one.
 	if t.Conditions == nil {
 		t.Conditions = []protocol.Condition{}
 	}
@@ -125,8 +129,8 @@
 	return reply.Revision, err
 }
 
-// Compare compares the versions of records, all in one request. Where some differ it
-// returns their keys and serviceclient.ErrConflict.
+// Compare checks the versions of records in one request. If some differ from the expected
+// ones, it returns their keys and serviceclient.ErrConflict.
 func (c *Client) Compare(ctx context.Context, conditions []protocol.Condition) ([]string, error) {
 	if !c.budget.allow(0, PriorityHigh) {
 		return nil, serviceclient.ErrRefused
@@ -134,21 +138,21 @@
 	var reply protocol.TransactionReply
 	err := c.do(ctx, http.MethodPost, "/txn", protocol.Transaction{Conditions: conditions, Changes: []protocol.Change{}}, &reply)
 	if errors.Is(err, serviceclient.ErrConflict) {
-		c.budget.takeWrite() // the store counts a failed transaction as a change
+		c.budget.takeWrite() // the store counts a failed transaction as a write
 	}
 	return reply.Failed, err
 }
 
 // Watch waits up to hold for changes of keys with a prefix after a revision. Each change
-// ends a watch, and opening the next one is a request too: many changes in a row would
-// use up the rate that leases need. So watches are opened at a limited rate, and bring
-// several changes at once.
+// ends the watch, and the next watch is a further request: many changes in a row would use
+// up the rate that leases need. So watches are opened at a limited rate, and a watch
+// returns several changes at once.
 func (c *Client) Watch(ctx context.Context, prefix string, after protocol.Revision, hold time.Duration) (protocol.Events, error) {
 	var events protocol.Events
-	if err := c.opens.Wait(ctx); err != nil {
+	if err := c.watchLimiter.Wait(ctx); err != nil {
 		return events, fmt.Errorf("watch %s: wait for the rate limit: %w", prefix, err)
 	}
-	c.budget.takeUnlimited()
+	c.budget.takeUnconditionally()
 	ctx, cancel := context.WithTimeout(ctx, hold+watchGrace)
 	defer cancel()
 	target := fmt.Sprintf("/follow?starts=%s&from=%d&hold_ms=%d", url.QueryEscape(prefix), after, hold.Milliseconds())
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/time/rate"
 )
 
-// serve answers each connection's requests with what answer says; no message
-// closes the connection without an answer.
+// serve listens on a local port, answers requests by the function answer, and returns the
+// address. If answer returns nil, the connection is closed without a response.
 func serve(t *testing.T, answer func(*transport.Message) *transport.Message) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,6 +35,7 @@
 	return ln.Addr().String()
 }
 
+// serveConnection answers the requests of one connection.
 func serveConnection(c net.Conn, answer func(*transport.Message) *transport.Message) {
 	defer c.Close()
 	p := transport.NewRequestParser()
@@ -64,8 +65,9 @@
 	}
 }
 
-// TestResponsesGiveTypedErrors: each status of the store, and a missing response, gives
-// an error of its own; only ErrRefused says that the request was not executed.
+// TestResponsesGiveTypedErrors: each error status of the store results in its own typed
+// error. A missing response means an unknown outcome, so its error is neither ErrRefused
+// (not executed) nor ErrConflict.
 func TestResponsesGiveTypedErrors(t *testing.T) {
 	var next *transport.Message
 	s := NewClient(serve(t, func(*transport.Message) *transport.Message { return next }), 1e6, 1e6, 1)
@@ -90,7 +92,7 @@
 	next = nil
 	_, err := s.CompareAndSwap(ctx, txn, PriorityHigh)
 	if err == nil || errors.Is(err, serviceclient.ErrRefused) || errors.Is(err, serviceclient.ErrConflict) {
-		t.Errorf("no answer: %v, want an unknown outcome", err)
+		t.Errorf("no response: %v, want an unknown outcome", err)
 	}
 	next = &transport.Message{Status: 410}
 	if _, err := s.Watch(ctx, "c/", 1, time.Millisecond); !errors.Is(err, serviceclient.ErrCompacted) {
@@ -102,18 +104,19 @@
 	}
 }
 
-// TestWatchesAreRateLimited: a watch that ends at once, as each does while many records
-// change, is not opened again at once: leases would not be renewed.
+// TestWatchesAreRateLimited: while many records change, each watch ends at once. The next
+// watch is opened at a limited rate, since otherwise the watches would use up the rate
+// that the renewal of leases needs.
 func TestWatchesAreRateLimited(t *testing.T) {
 	s := NewClient("127.0.0.1:1", 120, 40, 3)
 	opened := 0
 	for now := time.Unix(0, 0); now.Before(time.Unix(10, 0)); now = now.Add(time.Millisecond) {
-		if s.opens.AllowN(now, 1) {
+		if s.watchLimiter.AllowN(now, 1) {
 			opened++
 		}
 	}
 	if opened < 80 || opened > 100 {
-		t.Errorf("%d watches in 10 s, of 36 requests a second that are this controller's", opened)
+		t.Errorf("%d watches in 10 s with an allotment of 36 requests a second, want 80 to 100", opened)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -122,9 +125,11 @@
 	}
 }
 
-// TestScarceChangesGoToHighPrecedence: when the budget of changes runs short, bitmaps are
-// refused first, then machines, and what users wait for last.
-func TestScarceChangesGoToHighPrecedence(t *testing.T) {
+// TestScarceWritesGoToHighPriority: when the budget of writes runs short, transactions of
+// low priority (bitmaps) are refused first, then those of normal priority (registrations
+// of machines), and those of high priority (users wait for them) last. A full burst of one
+// write is available to every priority.
+func TestScarceWritesGoToHighPriority(t *testing.T) {
 	body, err := protocol.Encode(map[string]any{"ledgerline": 1})
 	if err != nil {
 		t.Fatal(err)
@@ -132,7 +137,7 @@
 	addr := serve(t, func(*transport.Message) *transport.Message { return &transport.Message{Status: 200, Body: body} })
 	for p, want := range map[Priority]int{PriorityHigh: 20, PriorityNormal: 15, PriorityLow: 10} {
 		s := NewClient(addr, 1e6, 1e6, 1)
-		s.budget.writes = rate.NewLimiter(0, 20) // full, and nothing comes back
+		s.budget.writes = rate.NewLimiter(0, 20) // a full burst that is not refilled
 		done := 0
 		for range 40 {
 			if _, err := s.CompareAndSwap(context.Background(), protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1}}}, p); err == nil {
@@ -140,25 +145,25 @@
 			}
 		}
 		if done != want {
-			t.Errorf("precedence %d: %d done of a burst of 20, want %d", p, done, want)
+			t.Errorf("priority %d: %d transactions executed of a burst of 20, want %d", p, done, want)
 		}
 		s.budget.writes = rate.NewLimiter(0, 1)
 		if _, err := s.CompareAndSwap(context.Background(), protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1}}}, p); err != nil {
-			t.Errorf("precedence %d: never done with a burst of one: %v", p, err)
+			t.Errorf("priority %d: refused with a full burst of one: %v", p, err)
 		}
 	}
 }
 
 // TestRequestsOverBudgetAreRefused: requests beyond this controller's allotment are
-// refused at once and not sent; the lease is renewed nevertheless.
+// refused at once and not sent, but a lease is renewed nevertheless.
 func TestRequestsOverBudgetAreRefused(t *testing.T) {
 	body, err := protocol.Encode(map[string]any{"ledgerline": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := 0
+	received := 0
 	s := NewClient(serve(t, func(*transport.Message) *transport.Message {
-		asked++
+		received++
 		return &transport.Message{Status: 200, Body: body}
 	}), 3, 30, 3)
 	refused := 0
@@ -167,10 +172,10 @@
 			refused++
 		}
 	}
-	if asked > 20 || refused < 20 {
-		t.Errorf("%d asked, %d refused, of one a second", asked, refused)
+	if received > 20 || refused < 20 {
+		t.Errorf("%d requests sent and %d refused with an allotment of about one a second", received, refused)
 	}
 	if err := s.KeepAlive(context.Background(), 1); err != nil {
-		t.Errorf("renewal: %v", err)
+		t.Errorf("renewal of a lease: %v", err)
 	}
 }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -9,18 +9,18 @@
 	"damsonkeel/internal/protocol"
 )
 
-// GrantLease creates a lease. As all that concerns leases, it never waits for the
-// budget: everything else is held back for it.
+// GrantLease creates a lease. Like all requests about leases, it never waits for the
+// budget; other requests have to wait instead.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (protocol.LeaseID, error) {
 	var reply protocol.LeaseReply
-	c.budget.takeUnlimited()
+	c.budget.takeUnconditionally()
 	err := c.do(ctx, http.MethodPost, "/holds", protocol.LeaseRequest{TTLMS: ttl.Milliseconds()}, &reply)
 	return reply.Lease, err
 }
 
 // KeepAlive renews a lease.
 func (c *Client) KeepAlive(ctx context.Context, id protocol.LeaseID) error {
-	c.budget.takeUnlimited()
+	c.budget.takeUnconditionally()
 	return c.do(ctx, http.MethodPost, leasePath(id)+"/extend", struct{}{}, nil)
 }
 
@@ -29,4 +29,5 @@
 	return c.do(ctx, http.MethodDelete, leasePath(id), nil, nil)
 }
 
+// leasePath returns the path of a lease.
 func leasePath(id protocol.LeaseID) string { return fmt.Sprintf("/holds/%d", id) }
--- a/internal/kvstore/ratebudget.go
+++ b/internal/kvstore/ratebudget.go
@@ -7,45 +7,46 @@
 	"golang.org/x/time/rate"
 )
 
-// leaseReserve is the part of the store's rates that no controller is allotted, so that
-// leases can be renewed at any time.
+// leaseReserve is the fraction of the store's rates that is not allotted to any controller,
+// so that leases can be renewed at any time.
 const leaseReserve = 0.1
 
-// RateAllotment is a controller's part of the store's rates: all requests, and changes,
-// a second.
+// RateAllotment is a controller's part of the store's rates: requests of all kinds, and
+// writes, per second. A write is one put or delete of a transaction.
 type RateAllotment struct{ Requests, Writes float64 }
 
-// EqualAllotment is the allotment of each of count controllers while none has borrowed
-// from another.
+// EqualAllotment returns the allotment of each of count controllers while no controller has
+// borrowed from another.
 func EqualAllotment(rps, writeRPS float64, count int) RateAllotment {
-	part := (1 - leaseReserve) / float64(max(count, 1))
-	return RateAllotment{rps * part, writeRPS * part}
+	fraction := (1 - leaseReserve) / float64(max(count, 1))
+	return RateAllotment{rps * fraction, writeRPS * fraction}
 }
 
-// Priority orders transactions when the allotment of changes runs short.
+// Priority orders transactions when the allotment of writes runs short.
 type Priority int
 
-// The precedences of transactions.
+// The priorities of transactions.
 const (
-	PriorityHigh   Priority = iota // users or agent epochs wait for it
-	PriorityNormal                 // may be delayed, as the registration of many machines at once
-	PriorityLow                    // only keeps a record up to date, as bitmaps
+	PriorityHigh   Priority = iota // users or agent epochs wait for the transaction
+	PriorityNormal                 // may be delayed, such as the registration of many machines at once
+	PriorityLow                    // only keeps a record up to date, such as a bitmap
 )
 
-// reservedPerPrecedence is the part of the burst of changes that each step of precedence
-// leaves to the transactions before it.
-const reservedPerPrecedence = 1.0 / 4
+// reservedPerPriority is the fraction of the burst of writes that a transaction leaves to
+// those of higher priorities, for each step of its priority below PriorityHigh.
+const reservedPerPriority = 1.0 / 4
 
-// rateBudget limits requests to an allotment, part of which may be borrowed for a time.
+// rateBudget limits requests to an allotment, a part of which may be borrowed until a time.
 type rateBudget struct {
 	mu            sync.Mutex
 	requests      *rate.Limiter
 	writes        *rate.Limiter
-	own           RateAllotment // in force again when borrowedUntil has passed
+	own           RateAllotment // applies again when borrowedUntil has passed
 	borrowedUntil time.Time     // zero if nothing is borrowed
-	demanded      RateAllotment // since it was last reported
+	demanded      RateAllotment // requests and writes since the last takeDemanded
 }
 
+// newRateBudget returns a budget with an allotment and nothing borrowed.
 func newRateBudget(allotment RateAllotment) *rateBudget {
 	return &rateBudget{
 		requests: rate.NewLimiter(rate.Limit(allotment.Requests), burst(allotment.Requests)),
@@ -53,10 +54,10 @@
 	}
 }
 
-// burst is how much of a rate may be used at once: that of a second.
+// burst returns how much of a rate may be used at once: the amount of one second.
 func burst(perSecond float64) int { return max(1, int(perSecond)) }
 
-// set puts all in force until a time, and own from then on.
+// set applies all until the given time, and own from then on.
 func (b *rateBudget) set(own, all RateAllotment, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,6 +71,7 @@
 	b.apply(now, all)
 }
 
+// apply sets the limits of both limiters to an allotment.
 func (b *rateBudget) apply(now time.Time, allotment RateAllotment) {
 	b.requests.SetLimitAt(now, rate.Limit(allotment.Requests))
 	b.requests.SetBurstAt(now, burst(allotment.Requests))
@@ -77,7 +79,8 @@
 	b.writes.SetBurstAt(now, burst(allotment.Writes))
 }
 
-// takeDemanded returns what was demanded since its last call, whether granted or not.
+// takeDemanded returns the requests and writes that were demanded since the last call,
+// whether allowed or not, and resets the count.
 func (b *rateBudget) takeDemanded() RateAllotment {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,19 +89,19 @@
 	return demanded
 }
 
-// allow takes a request with a number of changes out of the budget, and reports whether
-// it may be sent.
+// allow takes a request with a number of writes out of the budget, and reports whether the
+// request may be sent.
 func (b *rateBudget) allow(writes int, p Priority) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.count(now, writes)
-	return !b.defers(now, writes, p) && b.requests.AllowN(now, 1) && b.writes.AllowN(now, writes)
+	return !b.mustDefer(now, writes, p) && b.requests.AllowN(now, 1) && b.writes.AllowN(now, writes)
 }
 
-// takeUnlimited takes a request without changes out of the budget. It may be sent in any
-// case: others are held back for it.
-func (b *rateBudget) takeUnlimited() {
+// takeUnconditionally takes a request without writes out of the budget. The request may be
+// sent even if the budget is exhausted; other requests have to wait instead.
+func (b *rateBudget) takeUnconditionally() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -106,22 +109,24 @@
 	b.requests.AllowN(now, 1)
 }
 
-// countRead counts a request without changes that waits for the limiter of requests.
+// countRead adds a request without writes to the demand. The caller waits for the limiter
+// of requests itself.
 func (b *rateBudget) countRead() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.count(time.Now(), 0)
 }
 
-// takeWrite takes a change out of the budget that the store has counted as one.
+// takeWrite takes one write out of the budget after the store has counted it.
 func (b *rateBudget) takeWrite() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.writes.AllowN(time.Now(), 1)
 }
 
-// count adds a request to the demand. It also ends a borrowing that has run out: the
-// lender uses its rate again at that time, whether or not this controller has noticed.
+// count adds a request to the demand. It also returns to the controller's own allotment if
+// the borrowed one has expired: the lender uses its rate again from that time, whether or
+// not SetAllotment was called since.
 func (b *rateBudget) count(now time.Time, writes int) {
 	if !b.borrowedUntil.IsZero() && now.After(b.borrowedUntil) {
 		b.borrowedUntil = time.Time{}
@@ -131,10 +136,11 @@
 	b.demanded.Writes += float64(writes)
 }
 
-// defers reports whether a transaction has to leave the remaining budget of changes to
-// those of a higher precedence. With a full burst none has to.
-func (b *rateBudget) defers(now time.Time, writes int, p Priority) bool {
+// mustDefer reports whether a transaction has to leave the remaining budget of writes to
+// transactions of a higher priority. While the full burst is available, no transaction has
+// to.
+func (b *rateBudget) mustDefer(now time.Time, writes int, p Priority) bool {
 	available, full := b.writes.TokensAt(now), float64(b.writes.Burst())
-	reserved := full * float64(p) * reservedPerPrecedence
+	reserved := full * float64(p) * reservedPerPriority
 	return available < full && available-float64(writes) < reserved
 }
--- a/internal/kvstore/ratebudget_test.go
+++ b/internal/kvstore/ratebudget_test.go
@@ -9,29 +9,29 @@
 	"damsonkeel/internal/serviceclient"
 )
 
-// TestBorrowedRateEndsByItself: a borrowed rate is not used after its time, though
-// SetAllotment is not called again: the actor that would call it may be stalled.
-func TestBorrowedRateEndsByItself(t *testing.T) {
+// TestBorrowedRateExpiresWithoutUpdate: a borrowed rate is not used after its expiry even
+// if SetAllotment is not called again, since the actor that calls it may be stalled.
+func TestBorrowedRateExpiresWithoutUpdate(t *testing.T) {
 	s := NewClient("127.0.0.1:1", 100, 50, 1)
 	b := s.budget
 	own, all := RateAllotment{30, 10}, RateAllotment{60, 25}
 	s.SetAllotment(own, all, time.Now().Add(time.Hour))
 	if b.requests.Burst() != 60 || b.writes.Burst() != 25 {
-		t.Errorf("%d requests and %d changes while it lasts", b.requests.Burst(), b.writes.Burst())
+		t.Errorf("burst of %d requests and %d writes while the borrowed rate is valid, want 60 and 25", b.requests.Burst(), b.writes.Burst())
 	}
-	b.borrowedUntil = time.Now() // an hour later
+	b.borrowedUntil = time.Now() // as if an hour had passed
 	b.allow(1, PriorityHigh)
 	if b.requests.Burst() != 30 || b.writes.Burst() != 10 {
-		t.Errorf("%d requests and %d changes after it is over", b.requests.Burst(), b.writes.Burst())
+		t.Errorf("burst of %d requests and %d writes after the borrowed rate expired, want 30 and 10", b.requests.Burst(), b.writes.Burst())
 	}
 	s.SetAllotment(own, all, time.Now())
 	if b.writes.Burst() != 10 {
-		t.Errorf("%d changes by a borrowed rate that has run out", b.writes.Burst())
+		t.Errorf("burst of %d writes with a borrowed rate that has expired, want 10", b.writes.Burst())
 	}
 }
 
-// TestDemandCountsRefusedRequests: requests that the budget refuses count as demand too;
-// those of leases are never refused.
+// TestDemandCountsRefusedRequests: requests that the budget refuses count as demand too.
+// Requests about leases are never refused.
 func TestDemandCountsRefusedRequests(t *testing.T) {
 	s := NewClient("127.0.0.1:1", 10, 4, 1)
 	refused := 0
@@ -41,12 +41,12 @@
 		}
 	}
 	if demanded := s.DemandedRate(); demanded.Requests != 40 || demanded.Writes != 40 || refused < 30 {
-		t.Errorf("demanded %+v, %d refused", demanded, refused)
+		t.Errorf("demand %+v, %d refused, want 40 requests and 40 writes, most refused", demanded, refused)
 	}
 	if err := s.KeepAlive(context.Background(), 1); err == nil || errors.Is(err, serviceclient.ErrRefused) {
-		t.Errorf("renewal of a lease: %v, want a connection that fails", err)
+		t.Errorf("renewal of a lease: %v, want a connection error", err)
 	}
 	if demanded := s.DemandedRate(); demanded.Requests != 1 || demanded.Writes != 0 {
-		t.Errorf("demanded %+v since", demanded)
+		t.Errorf("demand %+v after the renewal of a lease, want 1 request", demanded)
 	}
 }
