--- a/internal/controller/workerregistry/write.go
+++ b/internal/controller/workerregistry/write.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// observeTimeout is how long no further write of a block is sent while the watch has
-	// not delivered the last one: a write before that would fail, since its condition
-	// names the earlier version.
+	// observeTimeout is the longest time for which the registrar defers a further write of
+	// a block until the watch has delivered the last one. A write before that would fail,
+	// since its condition names the earlier version.
 	observeTimeout = 3 * time.Second
 	// retryPause is the pause after a failed transaction.
 	retryPause = 300 * time.Millisecond
@@ -47,6 +47,7 @@
 	retryAt        clock.Time
 }
 
+// newPendingWrites returns the state at the start of a term: nothing is pending.
 func newPendingWrites() pendingWrites {
 	return pendingWrites{
 		requested:      map[protocol.MachineID]message.RecordChange{},
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// listPage reads the page of keys after the given key, or the first page if it is empty.
+// listPage reads the page of keys after the given key, or the first page if the key is
+// empty.
 func (c *Client) listPage(ctx context.Context, prefix, after string) (protocol.Page, error) {
 	var page protocol.Page
 	c.budget.countRead()
