--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -29,7 +29,7 @@
 	case holds.Tag:
 		c.reservations.Written(m.Outcome)
 	case workerregistry.Tag:
-		c.registrar.Written(tag, m.Outcome)
+		c.registrar.WriteCompleted(tag, m.Outcome)
 	case dispatcher.RemoveTag:
 		c.dispatcher.RemovalDone(tag.Machine)
 	}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -161,7 +161,7 @@
 	if !c.members.IsRegistered(c.Self) && c.Operator.NodeLease >= ratelimit.MaxGrantDuration {
 		// An earlier process of this controller was absent for its whole lease:
 		// every rate that it granted has expired.
-		c.rates.NothingOutstanding()
+		c.rates.EndStartupHold()
 	}
 }
 
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -37,9 +37,9 @@
 // FillUpdate adds the progress of changed jobs to a state update for a peer, and advances the
 // peer's cursor. It adds those that changed since the last update, up to limit jobs.
 func (o *Owned) FillUpdate(update *message.StateUpdate, cursor *replication.Cursor, limit int) {
-	ids, upto := o.changes.Since(cursor.Next(), limit)
-	update.Jobs = replication.Range{Stream: uint64(o.View.Term), From: cursor.Next(), Upto: upto}
-	cursor.Sent(upto)
+	ids, upto := o.changes.Since(cursor.SentUpTo(), limit)
+	update.Jobs = replication.Range{Stream: uint64(o.View.Term), From: cursor.SentUpTo(), Upto: upto}
+	cursor.MarkSent(upto)
 	for _, id := range ids {
 		if job := o.ByID[id]; job != nil {
 			update.Progress = append(update.Progress, o.progressOf(job))
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -174,7 +174,7 @@
 		case <-ticker.C:
 			n.offer(envelope{msg: message.Tick{WallMS: time.Now().UnixMilli()}})
 			if i%ticksPerRateSample == 0 {
-				n.offer(envelope{msg: message.StoreRateUsed{Amount: ratelimit.Amount(n.store.DemandedRate())}})
+				n.offer(envelope{msg: message.StoreRateUsed{Amount: ratelimit.Amount(n.store.TakeDemandedRate())}})
 			}
 		case <-ctx.Done():
 			return
--- a/internal/controller/ratelimit/ledger.go
+++ b/internal/controller/ratelimit/ledger.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// NothingOutstanding ends the hold of NewLedger: the caller asserts that no grant of an
+// EndStartupHold ends the hold of NewLedger: the caller asserts that no grant of an
 // earlier process is in use.
-func (b *Ledger[K]) NothingOutstanding() { b.startupHoldEnd = 0 }
+func (b *Ledger[K]) EndStartupHold() { b.startupHoldEnd = 0 }
 
 // NoteUse records the requests to the store that were demanded in the last second, within
 // the allotment or not. The need rises at once and falls slowly.
@@ -158,23 +158,23 @@
 
 // Allotment returns the rates that this controller may use now, including borrowed ones.
 func (b *Ledger[K]) Allotment(now clock.Time) Amount {
-	sum := b.Own(now)
+	sum := b.OwnAllotment(now)
 	for _, grant := range b.borrowed {
 		sum = sum.Plus(grant.Amount)
 	}
 	return sum
 }
 
-// Own returns the part of the allotment that is not borrowed: the base without what is
+// OwnAllotment returns the part of the allotment that is not borrowed: the base without what is
 // lent.
-func (b *Ledger[K]) Own(now clock.Time) Amount {
+func (b *Ledger[K]) OwnAllotment(now clock.Time) Amount {
 	b.expire(now)
 	return combine(b.base, b.outstandingAt(now), subtract)
 }
 
-// Until returns the time at which the first borrowed grant expires; ok is false if there is
+// BorrowedUntil returns the time at which the first borrowed grant expires; ok is false if there is
 // none.
-func (b *Ledger[K]) Until(now clock.Time) (until clock.Time, ok bool) {
+func (b *Ledger[K]) BorrowedUntil(now clock.Time) (until clock.Time, ok bool) {
 	b.expire(now)
 	for _, grant := range b.borrowed {
 		if end := grant.Asked + grantDuration; !ok || end < until {
--- a/internal/controller/rates.go
+++ b/internal/controller/rates.go
@@ -15,8 +15,8 @@
 
 // setRateAllotment emits the rates that this controller may use now, if they have changed.
 func (c *Core) setRateAllotment() {
-	allotment := message.SetRateAllotment{Own: c.rates.Own(c.Now), All: c.rates.Allotment(c.Now)}
-	if until, ok := c.rates.Until(c.Now); ok {
+	allotment := message.SetRateAllotment{Own: c.rates.OwnAllotment(c.Now), All: c.rates.Allotment(c.Now)}
+	if until, ok := c.rates.BorrowedUntil(c.Now); ok {
 		allotment.Until = until
 	}
 	if allotment != c.rateAllotment {
--- a/internal/controller/recordblock/pack.go
+++ b/internal/controller/recordblock/pack.go
@@ -16,9 +16,9 @@
 	// Single is the version of the machine's single record (one key per machine, outside
 	// of any block), which is deleted in the same transaction; 0 if there is none.
 	Single protocol.Version
-	// Bound is set for a machine that is in no block but may have been added to one by an
+	// RequiredBlock is set for a machine that is in no block but may have been added to one by an
 	// unanswered write. It names that block, the only one that the machine may be added to.
-	Bound string
+	RequiredBlock string
 }
 
 // ops returns the number of operations that a change adds to a transaction, without the
@@ -94,7 +94,7 @@
 	for _, c := range changes {
 		name, ok := p.index.blockOf[c.Machine]
 		if !ok {
-			name = c.Bound
+			name = c.RequiredBlock
 		}
 		switch {
 		case name == "" && c.Entry != nil:
--- a/internal/controller/recordblock/pack_test.go
+++ b/internal/controller/recordblock/pack_test.go
@@ -129,14 +129,14 @@
 func TestMachineOfUnansweredWriteKeepsItsBlock(t *testing.T) {
 	x := NewIndex()
 	limits := LimitsOf(16, 12)
-	unanswered := Change{Machine: "vm-1", Entry: newEntry("vm-1", 1), Bound: blockOfFirstMachine(t, x, limits)}
+	unanswered := Change{Machine: "vm-1", Entry: newEntry("vm-1", 1), RequiredBlock: blockOfFirstMachine(t, x, limits)}
 	for _, busy := range []bool{false, true} {
 		changes := []Change{unanswered, {Machine: "vm-2", Entry: newEntry("vm-2", 2)}}
-		writes := x.Pack(changes, func(name string) bool { return busy && name == unanswered.Bound }, limits)
+		writes := x.Pack(changes, func(name string) bool { return busy && name == unanswered.RequiredBlock }, limits)
 		for _, w := range writes {
 			for _, c := range w.Changes {
-				if c.Machine == "vm-1" && (busy || w.Block != unanswered.Bound) {
-					t.Errorf("vm-1 is added to block %s, busy %v, want only %s", w.Block, busy, unanswered.Bound)
+				if c.Machine == "vm-1" && (busy || w.Block != unanswered.RequiredBlock) {
+					t.Errorf("vm-1 is added to block %s, busy %v, want only %s", w.Block, busy, unanswered.RequiredBlock)
 				}
 			}
 		}
--- a/internal/controller/replication/cursor.go
+++ b/internal/controller/replication/cursor.go
@@ -11,16 +11,16 @@
 	acksWithoutProgress int
 }
 
-// Next returns the number after which the next changes to send begin.
-func (c *Cursor) Next() uint64 { return c.sent }
+// SentUpTo returns the number after which the next changes to send begin.
+func (c *Cursor) SentUpTo() uint64 { return c.sent }
 
-// Sent records that all changes up to a number were sent.
-func (c *Cursor) Sent(upto uint64) { c.sent = max(c.sent, upto) }
+// MarkSent records that all changes up to a number were sent.
+func (c *Cursor) MarkSent(upto uint64) { c.sent = max(c.sent, upto) }
 
-// Acknowledged handles an acknowledgement: the number up to which the receiver has all
+// HandleAcknowledgement handles an acknowledgement: the number up to which the receiver has all
 // changes. Repeated acknowledgements without progress mean that a message was lost; the
 // sender then resends from the acknowledged number.
-func (c *Cursor) Acknowledged(have uint64) {
+func (c *Cursor) HandleAcknowledgement(have uint64) {
 	switch {
 	case have > c.acknowledged:
 		c.acknowledged = have
--- a/internal/controller/replication/replication_test.go
+++ b/internal/controller/replication/replication_test.go
@@ -32,12 +32,12 @@
 		current, received := map[int]int{}, map[int]int{}
 		var inFlight []message
 		send := func() {
-			keys, upto := log.Since(cursor.Next(), rapid.IntRange(1, 5).Draw(t, "limit"))
-			m := message{Range{stream, cursor.Next(), upto}, map[int]int{}}
+			keys, upto := log.Since(cursor.SentUpTo(), rapid.IntRange(1, 5).Draw(t, "limit"))
+			m := message{Range{stream, cursor.SentUpTo(), upto}, map[int]int{}}
 			for _, k := range keys {
 				m.states[k] = current[k]
 			}
-			cursor.Sent(upto)
+			cursor.MarkSent(upto)
 			inFlight = append(inFlight, m)
 		}
 		receive := func(m message) {
@@ -77,11 +77,11 @@
 					inFlight = inFlight[1:]
 				}
 			case 6:
-				cursor.Acknowledged(replica.Have())
+				cursor.HandleAcknowledgement(replica.Have())
 			}
 		}
 		for range 40 {
-			cursor.Acknowledged(replica.Have())
+			cursor.HandleAcknowledgement(replica.Have())
 			inFlight = nil
 			send()
 			receive(inFlight[0])
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -80,14 +80,14 @@
 // fillMachines adds what changed of machines. Most peers lack the same changes: what was
 // collected for the peer before is used again if it starts from the same place.
 func (c *Core) fillMachines(update *message.StateUpdate, to *replication.Cursor, previous *message.StateUpdate) {
-	if previous != nil && previous.Machines.From == to.Next() {
+	if previous != nil && previous.Machines.From == to.SentUpTo() {
 		update.Machines, update.States, update.Handled = previous.Machines, previous.States, previous.Handled
-		to.Sent(update.Machines.Upto)
+		to.MarkSent(update.Machines.Upto)
 		return
 	}
-	ids, upto := c.dispatcher.MachinesChangedSince(to.Next(), statesMost)
-	update.Machines = replication.Range{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
-	to.Sent(upto)
+	ids, upto := c.dispatcher.MachinesChangedSince(to.SentUpTo(), statesMost)
+	update.Machines = replication.Range{Stream: uint64(c.View.Term), From: to.SentUpTo(), Upto: upto}
+	to.MarkSent(upto)
 	update.States = make([]message.MachineState, 0, len(ids))
 	for _, id := range ids {
 		if state, queued := c.dispatcher.PublishedState(id); queued {
@@ -133,8 +133,8 @@
 // its jobs and the holds of reservations.
 func (c *Core) applyStreams(from protocol.NodeName, peer *waittable.Peer, update *message.StateUpdate) {
 	streams := &peer.Updates
-	streams.MachinesTo.Acknowledged(update.HaveMachines)
-	streams.JobsTo.Acknowledged(update.HaveJobs)
+	streams.MachinesTo.HandleAcknowledgement(update.HaveMachines)
+	streams.JobsTo.HandleAcknowledgement(update.HaveJobs)
 	streams.HoldsTo = update.HaveHolds
 	if update.Holds != nil && from != c.Self {
 		streams.HoldsFrom = update.Holds.Number
--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -214,9 +214,9 @@
 
 // publish has the dispatcher send what the core lacks, two machines at the most.
 func (m *announcementModel) publish() {
-	ids, upto := m.log.Since(m.cursor.Next(), 2)
-	r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: m.cursor.Next(), Upto: upto}}
-	m.cursor.Sent(upto)
+	ids, upto := m.log.Since(m.cursor.SentUpTo(), 2)
+	r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: m.cursor.SentUpTo(), Upto: upto}}
+	m.cursor.MarkSent(upto)
 	for _, id := range ids {
 		r.States = append(r.States, message.MachineState{Machine: id, Epoch: m.core.waitTable.Machines[id].Epoch, Wait: m.waits[id]})
 	}
@@ -255,7 +255,7 @@
 
 // acknowledge has the dispatcher learn how far the core has its stream.
 func (m *announcementModel) acknowledge() {
-	m.cursor.Acknowledged(m.core.waitTable.Peers["node-2"].Updates.MachinesFrom.Have())
+	m.cursor.HandleAcknowledgement(m.core.waitTable.Peers["node-2"].Updates.MachinesFrom.Have())
 }
 
 // step plays one random event.
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -27,7 +27,7 @@
 	} else {
 		c.workBetween()
 	}
-	c.registrar.Write()
+	c.registrar.WriteRequestedChanges()
 	c.waitTable.RequestMoreCopies()
 	c.jobs.Retry()
 }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -18,7 +18,7 @@
 	consecutive := old.Term != 0 && view.Term == old.Term+1
 	wasMember := c.Member()
 	c.members.AdoptView(view, version)
-	c.registrar.Adopted()
+	c.registrar.StartTerm()
 	c.dispatcher.TermAdopted()
 	c.waitTable.AdoptPeers(view)
 	c.dispatcher.ForgetEndedOwnerSessions(old)
--- a/internal/controller/workerregistry/registrar.go
+++ b/internal/controller/workerregistry/registrar.go
@@ -29,9 +29,9 @@
 	g.pending = newPendingWrites()
 }
 
-// Adopted handles the adoption of a new view: it discards the pending writes of the
+// StartTerm handles the adoption of a new view: it discards the pending writes of the
 // previous term.
-func (g *Registrar) Adopted() { g.pending = newPendingWrites() }
+func (g *Registrar) StartTerm() { g.pending = newPendingWrites() }
 
 // InBlock reports whether a machine's record is in a block.
 func (g *Registrar) InBlock(id protocol.MachineID) bool {
--- a/internal/controller/workerregistry/write.go
+++ b/internal/controller/workerregistry/write.go
@@ -92,11 +92,11 @@
 	}
 }
 
-// Write sends the requested changes, as many as fit into one transaction. It sends nothing
+// WriteRequestedChanges sends the requested changes, as many as fit into one transaction. It sends nothing
 // while an earlier transaction is unanswered. Like every write of a machine's record, the
 // transaction is conditional on the present view: a controller that reads the records
 // after a new view misses none of them, and a registrar that was replaced writes nothing.
-func (g *Registrar) Write() {
+func (g *Registrar) WriteRequestedChanges() {
 	p := &g.pending
 	if len(p.requested) == 0 || p.inFlight || g.Now < p.retryAt || !g.HoldsLease() {
 		return
@@ -188,7 +188,7 @@
 	if epoch != request.Have {
 		return recordblock.Change{}, false
 	}
-	change = recordblock.Change{Machine: id, Bound: g.pending.attemptedBlock[id]}
+	change = recordblock.Change{Machine: id, RequiredBlock: g.pending.attemptedBlock[id]}
 	if machine != nil && !g.InBlock(id) {
 		change.Single = machine.Epoch
 	}
@@ -205,11 +205,11 @@
 	return protocol.Version(uint64(g.View.Term)<<epochTermShift | g.pending.epochCounter)
 }
 
-// Written handles the outcome of a transaction. A request for a change of a block stays
+// WriteCompleted handles the outcome of a transaction. A request for a change of a block stays
 // queued until the watch delivers that change. After success the blocks are not written
 // again before the watch delivers them or observeTimeout passes; after any other outcome
 // they may be written again after retryPause.
-func (g *Registrar) Written(tag Tag, outcome message.Outcome) {
+func (g *Registrar) WriteCompleted(tag Tag, outcome message.Outcome) {
 	g.pending.inFlight = false
 	if outcome == message.OutcomeDone {
 		for _, id := range tag.deletedSingles {
--- a/internal/controller/workerregistry/write_test.go
+++ b/internal/controller/workerregistry/write_test.go
@@ -65,12 +65,12 @@
 func TestWritesOneTransactionAtATime(t *testing.T) {
 	g := newRegistrar(t)
 	requestNewRecord(g, "vm-old", term-1)
-	g.Write()
+	g.WriteRequestedChanges()
 	if commit := takeCommit(t, g); commit != nil {
 		t.Fatalf("a request of an earlier term was written: %+v", commit)
 	}
 	requestNewRecord(g, "vm-1", term)
-	g.Write()
+	g.WriteRequestedChanges()
 	first := takeCommit(t, g)
 	if first == nil || len(first.Transaction.Changes) != 1 || first.Transaction.Conditions[0].Key != record.ViewKey {
 		t.Fatalf("transaction %+v, want one block, conditional on the view", first)
@@ -80,17 +80,17 @@
 		t.Fatalf("wrote %+v, want one machine with the first epoch of the term", first.Transaction.Changes[0])
 	}
 	requestNewRecord(g, "vm-2", term)
-	g.Write()
+	g.WriteRequestedChanges()
 	if commit := takeCommit(t, g); commit != nil {
 		t.Fatalf("a second transaction was sent before the answer: %+v", commit)
 	}
-	g.Written(first.Tag.(Tag), message.OutcomeUnknown)
-	g.Write()
+	g.WriteCompleted(first.Tag.(Tag), message.OutcomeUnknown)
+	g.WriteRequestedChanges()
 	if commit := takeCommit(t, g); commit != nil {
 		t.Fatalf("retried without a pause: %+v", commit)
 	}
 	g.Now = g.After(retryPause)
-	g.Write()
+	g.WriteRequestedChanges()
 	second := takeCommit(t, g)
 	if second == nil {
 		t.Fatal("the failed write was not retried")
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -53,9 +53,9 @@
 	c.budget.set(own, all, until)
 }
 
-// DemandedRate returns the number of requests and writes that were demanded since the last
+// TakeDemandedRate returns the number of requests and writes that were demanded since the last
 // call, within the allotment or not, and resets the count.
-func (c *Client) DemandedRate() RateAllotment { return c.budget.takeDemanded() }
+func (c *Client) TakeDemandedRate() RateAllotment { return c.budget.takeDemanded() }
 
 // do sends one request and decodes its response into out.
 func (c *Client) do(ctx context.Context, method, target string, in, out any) error {
--- a/internal/kvstore/ratebudget_test.go
+++ b/internal/kvstore/ratebudget_test.go
@@ -40,13 +40,13 @@
 			refused++
 		}
 	}
-	if demanded := s.DemandedRate(); demanded.Requests != 40 || demanded.Writes != 40 || refused < 30 {
+	if demanded := s.TakeDemandedRate(); demanded.Requests != 40 || demanded.Writes != 40 || refused < 30 {
 		t.Errorf("demand %+v, %d refused, want 40 requests and 40 writes, most refused", demanded, refused)
 	}
 	if err := s.KeepAlive(context.Background(), 1); err == nil || errors.Is(err, serviceclient.ErrRefused) {
 		t.Errorf("renewal of a lease: %v, want a connection error", err)
 	}
-	if demanded := s.DemandedRate(); demanded.Requests != 1 || demanded.Writes != 0 {
+	if demanded := s.TakeDemandedRate(); demanded.Requests != 1 || demanded.Writes != 0 {
 		t.Errorf("demand %+v after the renewal of a lease, want 1 request", demanded)
 	}
 }
