--- a/internal/controller/reservation/calendar.go
+++ b/internal/controller/reservation/calendar.go
@@ -13,37 +13,37 @@
 
 const (
 	// Horizon is how far ahead the calendar reaches: a new entry is checked against all
-	// that is accepted until then.
+	// accepted entries up to then.
 	Horizon = 366 * day
-	// retainPast is for how long occurrences that are over are kept.
+	// retainPast is how long occurrences stay in the index after they have ended.
 	retainPast = 25 * time.Hour
-	// listAtOnce is how far ahead an entry's occurrences are listed when it comes; the
-	// rest follows, a few entries at a time.
-	listAtOnce = 15 * day
-	// listMargin is how much further than Ahead occurrences are listed, and how often
-	// that is done.
-	listMargin = day
-	// listSingle is how far ahead an entry is listed that does not recur.
-	listSingle = 100 * Horizon
-	// maxExtendedEntries bounds the entries whose occurrences are listed in one go.
-	maxExtendedEntries = 20
+	// initialIndexSpan is how far ahead the occurrences of a new entry are indexed at
+	// once. Extend indexes the others later, for a few entries at a time.
+	initialIndexSpan = 15 * day
+	// indexMargin is how far beyond Horizon occurrences are indexed, and at the same time
+	// the interval at which Extend looks for entries to be indexed further.
+	indexMargin = day
+	// singleIndexSpan is how far ahead an entry that does not recur is indexed.
+	singleIndexSpan = 100 * Horizon
+	// maxEntriesPerExtension bounds the entries that one call of Extend indexes further.
+	maxEntriesPerExtension = 20
 )
 
-// Calendar is all entries, with an index of their occurrences by time.
+// Calendar holds all reservations and windows, with an index of their occurrences by time.
 type Calendar struct {
-	reservations map[Name]*Entry
-	windows      map[Name]*Entry
-	index        *occurrenceIndex
-	toExtend     []*Entry // whose occurrences are to be listed further
-	extendedAt   Moment   // when entries were last looked through for such
+	reservations      map[Name]*Entry
+	windows           map[Name]*Entry
+	index             *occurrenceIndex
+	pendingExtension  []*Entry // entries whose occurrences have to be indexed further
+	lastExtensionScan Moment   // when Extend last looked for such entries
 }
 
-// NewCalendar makes an empty calendar.
+// NewCalendar returns an empty calendar.
 func NewCalendar() *Calendar {
 	return &Calendar{reservations: map[Name]*Entry{}, windows: map[Name]*Entry{}, index: newOccurrenceIndex()}
 }
 
-// entries are the windows, or the reservations.
+// entries returns the windows if window is set, and the reservations otherwise.
 func (c *Calendar) entries(window bool) map[Name]*Entry {
 	if window {
 		return c.windows
@@ -51,121 +51,127 @@
 	return c.reservations
 }
 
-// PutReservation takes over a record; it replaces an earlier one.
+// PutReservation adds the reservation of a record. It replaces an earlier record of the
+// same name.
 func (c *Calendar) PutReservation(r record.Reservation, v protocol.Version, now Moment) error {
-	w, err := ParseSchedule(r.Spec.When)
+	schedule, err := ParseSchedule(r.Spec.When)
 	if err != nil {
 		return fmt.Errorf("reservation %s: %w", r.Spec.Name, err)
 	}
-	e := &Entry{Reservation: &r, Version: v, Schedule: w, length: MaxDuration(&r.Spec)}
+	e := &Entry{Reservation: &r, Version: v, Schedule: schedule, duration: MaxDuration(&r.Spec)}
 	if old := c.reservations[r.Spec.Name]; old != nil && old.Order == r.Order && e.Valid() {
-		// The same reservation in another state: its occurrences stay.
+		// The same reservation in another state: its indexed occurrences stay valid.
 		old.Reservation, old.Version = e.Reservation, v
 		return nil
 	}
-	c.put(e, now)
+	c.putEntry(e, now)
 	return nil
 }
 
-// PutWindow takes over a record; it replaces an earlier one.
+// PutWindow adds the window of a record. It replaces an earlier record of the same name.
 func (c *Calendar) PutWindow(w record.Window, v protocol.Version, now Moment) error {
-	when, err := ParseSchedule(w.Spec.When)
+	schedule, err := ParseSchedule(w.Spec.When)
 	if err != nil {
 		return fmt.Errorf("window %s: %w", w.Spec.Name, err)
 	}
-	c.put(&Entry{Window: &w, Version: v, Schedule: when, length: config.Seconds(w.Spec.LengthS)}, now)
+	c.putEntry(&Entry{Window: &w, Version: v, Schedule: schedule, duration: config.Seconds(w.Spec.LengthS)}, now)
 	return nil
 }
 
-func (c *Calendar) put(e *Entry, now Moment) {
+// putEntry adds an entry in place of an earlier one of its name, and indexes its first
+// occurrences unless it is cancelled.
+func (c *Calendar) putEntry(e *Entry, now Moment) {
 	window := e.Window != nil
 	c.Drop(window, e.Name())
 	c.entries(window)[e.Name()] = e
 	if !e.Valid() {
 		return
 	}
-	e.listedTo = After(now, -retainPast)
-	c.list(e, After(now, listAtOnce))
+	e.indexedUntil = After(now, -retainPast)
+	c.indexOccurrences(e, After(now, initialIndexSpan))
 	if e.Schedule.Recurs() {
-		e.incomplete = true
-		c.toExtend = append(c.toExtend, e)
+		e.indexIncomplete = true
+		c.pendingExtension = append(c.pendingExtension, e)
 	} else {
-		c.list(e, After(now, listSingle))
+		c.indexOccurrences(e, After(now, singleIndexSpan))
 	}
 }
 
-// list adds an entry's occurrences until before a moment to the index.
-func (c *Calendar) list(e *Entry, to Moment) {
-	for _, start := range e.Schedule.Occurrences(e.listedTo, to) {
+// indexOccurrences adds the occurrences of an entry that begin before a moment and are not
+// indexed yet. It stops when the index is full.
+func (c *Calendar) indexOccurrences(e *Entry, to Moment) {
+	for _, start := range e.Schedule.Occurrences(e.indexedUntil, to) {
 		if c.index.full() {
 			break
 		}
-		key := c.index.add(Occurrence{Name: e.Name(), Window: e.Window != nil, Start: start, End: After(start, e.length)})
-		e.keys = append(e.keys, key)
+		key := c.index.add(Occurrence{Name: e.Name(), Window: e.Window != nil, Start: start, End: After(start, e.duration)})
+		e.indexKeys = append(e.indexKeys, key)
 	}
-	e.listedTo = max(e.listedTo, to)
+	e.indexedUntil = max(e.indexedUntil, to)
 }
 
-// Drop removes an entry.
+// Drop removes an entry and its occurrences.
 func (c *Calendar) Drop(window bool, n Name) {
 	dropped := c.entries(window)[n]
 	if dropped == nil {
 		return
 	}
 	delete(c.entries(window), n)
-	for _, key := range dropped.keys {
+	for _, key := range dropped.indexKeys {
 		c.index.remove(key)
 	}
-	dropped.keys = nil
-	c.toExtend = slices.DeleteFunc(c.toExtend, func(e *Entry) bool { return e == dropped })
+	dropped.indexKeys = nil
+	c.pendingExtension = slices.DeleteFunc(c.pendingExtension, func(e *Entry) bool { return e == dropped })
 }
 
-// Extend lists further occurrences, of a few entries at a time, and drops
-// those long over. It is called regularly.
+// Extend indexes further occurrences, for a few entries per call, and drops those that
+// ended long ago. It has to be called regularly.
 func (c *Calendar) Extend(now Moment) {
-	for range min(maxExtendedEntries, len(c.toExtend)) {
-		e := c.toExtend[0]
-		c.toExtend = c.toExtend[1:]
-		c.list(e, After(now, Horizon+listMargin))
-		e.incomplete = false
+	for range min(maxEntriesPerExtension, len(c.pendingExtension)) {
+		e := c.pendingExtension[0]
+		c.pendingExtension = c.pendingExtension[1:]
+		c.indexOccurrences(e, After(now, Horizon+indexMargin))
+		e.indexIncomplete = false
 	}
-	if Between(c.extendedAt, now) < listMargin || len(c.toExtend) > 0 {
+	if Between(c.lastExtensionScan, now) < indexMargin || len(c.pendingExtension) > 0 {
 		return
 	}
-	c.extendedAt = now
+	c.lastExtensionScan = now
 	for _, entries := range []map[Name]*Entry{c.reservations, c.windows} {
 		for _, e := range entries {
-			c.dropPast(e, now)
-			if e.Schedule.Recurs() && e.Valid() && e.listedTo < After(now, Horizon) {
-				c.toExtend = append(c.toExtend, e)
+			c.dropPastOccurrences(e, now)
+			if e.Schedule.Recurs() && e.Valid() && e.indexedUntil < After(now, Horizon) {
+				c.pendingExtension = append(c.pendingExtension, e)
 			}
 		}
 	}
-	slices.SortFunc(c.toExtend, compareNames)
+	slices.SortFunc(c.pendingExtension, compareNames)
 }
 
-// dropPast drops the occurrences of an entry that are long over.
-func (c *Calendar) dropPast(e *Entry, now Moment) {
-	oldest := treeTime(After(now, -retainPast-e.length))
-	for len(e.keys) > 0 && e.keys[0] < oldest {
-		c.index.remove(e.keys[0])
-		e.keys = e.keys[1:]
+// dropPastOccurrences removes the occurrences of an entry that ended more than retainPast
+// ago from the index.
+func (c *Calendar) dropPastOccurrences(e *Entry, now Moment) {
+	oldest := firstKeyAt(After(now, -retainPast-e.duration))
+	for len(e.indexKeys) > 0 && e.indexKeys[0] < oldest {
+		c.index.remove(e.indexKeys[0])
+		e.indexKeys = e.indexKeys[1:]
 	}
 }
 
-// Complete reports whether the occurrences of all entries are listed: until then
-// nothing can be accepted beside them.
+// Complete reports whether the occurrences of all entries are indexed up to Horizon. Until
+// they are, no further entry can be accepted.
 func (c *Calendar) Complete() bool {
-	return !c.index.full() && !slices.ContainsFunc(c.toExtend, func(e *Entry) bool { return e.incomplete })
+	return !c.index.full() && !slices.ContainsFunc(c.pendingExtension, func(e *Entry) bool { return e.indexIncomplete })
 }
 
-// Overlapping lists what overlaps a time, in the order of the beginnings.
+// Overlapping returns the occurrences that overlap a period, ordered by start. An empty
+// period counts as one millisecond.
 func (c *Calendar) Overlapping(from, to Moment) []Occurrence {
 	return c.index.overlapping(from, max(to, from+1))
 }
 
-// Due lists the reservations whose present occurrence overlaps a time, in the
-// order of the beginnings.
+// Due returns the reservations whose current occurrence overlaps a period, ordered by
+// start.
 func (c *Calendar) Due(from, to Moment) []*Entry {
 	var due []*Entry
 	for _, o := range c.Overlapping(from, to) {
@@ -176,16 +182,16 @@
 	return due
 }
 
-// Reservation finds a reservation; nil if there is none.
+// Reservation returns the reservation of a name, or nil if there is none.
 func (c *Calendar) Reservation(n Name) *Entry { return c.reservations[n] }
 
-// Window finds a window; nil if there is none.
+// Window returns the window of a name, or nil if there is none.
 func (c *Calendar) Window(n Name) *Entry { return c.windows[n] }
 
-// Reservations lists all reservations by name.
+// Reservations returns all reservations, sorted by name.
 func (c *Calendar) Reservations() []*Entry { return sortedByName(c.reservations) }
 
-// Windows lists all windows by name.
+// Windows returns all windows, sorted by name.
 func (c *Calendar) Windows() []*Entry { return sortedByName(c.windows) }
 
 func sortedByName(entries map[Name]*Entry) []*Entry {
--- a/internal/controller/reservation/calendar_test.go
+++ b/internal/controller/reservation/calendar_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOverlappingFindsExactlyWhatOverlaps: the index finds what a walk through all entries
-// finds, while entries come, change and go.
-func TestOverlappingFindsExactlyWhatOverlaps(t *testing.T) {
+// TestOverlappingMatchesLinearScan checks that the index finds the same occurrences as a
+// scan of all entries, while entries are added, changed and dropped.
+func TestOverlappingMatchesLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewCalendar()
 		all := map[Name]Occurrence{}
@@ -52,15 +52,15 @@
 	})
 }
 
-// TestCancelledEntryIsNotListedAgain: a cancelled entry is not listed again as time goes
-// on. A recurring reservation was, a day later, from 1970 on, and was in the way of
-// all that was asked for then.
-func TestCancelledEntryIsNotListedAgain(t *testing.T) {
+// TestCancelledEntryIsNotIndexedAgain guards against Extend indexing cancelled entries. A
+// cancelled recurring reservation was indexed a day later with its occurrences from 1970 on,
+// and conflicted with every request after that.
+func TestCancelledEntryIsNotIndexedAgain(t *testing.T) {
 	c := NewCalendar()
 	r := record.Reservation{Spec: *spec("one", "daily at 04:00", 1), State: record.Cancelled, Order: 1}
 	w := record.Window{Spec: record.WindowSpec{Name: "w", When: "daily at 04:00", LengthS: 60}, Cancelled: true}
 	if c.PutReservation(r, 1, noon) != nil || c.PutWindow(w, 1, noon) != nil {
-		t.Fatal("not taken")
+		t.Fatal("entry not added to the calendar")
 	}
 	for day := range 3 {
 		for range 3 {
@@ -68,14 +68,14 @@
 		}
 	}
 	if c.index.size != 0 {
-		t.Errorf("%d times listed", c.index.size)
+		t.Errorf("%d occurrences indexed", c.index.size)
 	}
 }
 
-// TestThousandRecurringReservationsAreListedInPieces: a search costs by what it finds:
-// a thousand recurring reservations of a year's calendar are listed in pieces, and only
-// what overlaps is looked at.
-func TestThousandRecurringReservationsAreListedInPieces(t *testing.T) {
+// TestThousandRecurringReservationsAreIndexedInBatches checks that a year's occurrences of a
+// thousand recurring reservations are indexed over many calls of Extend, and that a search
+// returns only those that overlap, as its cost depends on what it finds.
+func TestThousandRecurringReservationsAreIndexedInBatches(t *testing.T) {
 	c := NewCalendar()
 	for i := range 1000 {
 		s := spec(fmt.Sprintf("r%04d", i), fmt.Sprintf("daily at %02d:%02d", i%24, i/24%60), 1)
@@ -88,14 +88,14 @@
 	for ; !c.Complete(); steps++ {
 		c.Extend(noon)
 	}
-	if steps < 1000/maxExtendedEntries/2 || c.index.size < 360_000 {
-		t.Fatalf("%d times listed in %d steps", c.index.size, steps)
+	if steps < 1000/maxEntriesPerExtension/2 || c.index.size < 360_000 {
+		t.Fatalf("%d occurrences indexed in %d steps", c.index.size, steps)
 	}
-	midnight := at("2026-06-01T00:00:00Z")
+	midnight := parseTime("2026-06-01T00:00:00Z")
 	if n := len(c.Overlapping(midnight, After(midnight, time.Minute))); n == 0 || n > 5 {
-		t.Errorf("%d overlap one minute", n)
+		t.Errorf("%d occurrences overlap one minute", n)
 	}
 	if a := c.DecideReservation(spec("one", "daily at 04:30", 2), facts(0), noon); !a.OK || len(a.Overlapping) == 0 {
-		t.Errorf("%+v", a)
+		t.Errorf("decision beside a thousand reservations: %+v", a)
 	}
 }
--- a/internal/controller/reservation/capacity.go
+++ b/internal/controller/reservation/capacity.go
@@ -9,96 +9,103 @@
 	"damsonkeel/internal/record"
 )
 
-// startDelay is by how much later than its estimate says work may end that was let
-// start: it begins when its image has arrived and its start was reported.
+// startDelay is how much later than estimated a task may end that was allowed to start: it
+// begins to run only after its image has been fetched and its start has been reported.
 const startDelay = 15 * time.Second
 
-// Machine is a machine on which resources may be held.
+// Machine describes a machine on which resources may be held.
 type Machine struct {
 	ID   protocol.MachineID
 	Info protocol.TypeInfo
 	Zone protocol.Zone
 	Spot bool
-	// UpAt is when it is up; 0: it is.
+	// UpAt is when the machine is expected to be up; 0 if it is up already.
 	UpAt Moment
 	Runs []Run
 }
 
-// Demand is an occurrence of a reservation that resources are held for.
+// Demand is an occurrence of a reservation for which resources are to be held.
 type Demand struct {
 	*record.Reservation
-	Remaining int // of its tasks, not started yet
-	// ClearBy is from when on the resources have to be free of what can't be stopped for
-	// it: as long before its time as another machine takes to come.
+	Remaining int // number of its tasks that have not started yet
+	// ClearBy is when the resources have to be free of work that can't be stopped for the
+	// reservation. It precedes the start by the time that it takes to provision another
+	// machine.
 	ClearBy Moment
 }
 
-// level is that of the reserved work: no more than its priority gives it.
+// level returns the level of the reserved work. It follows from the priority alone, without
+// a team's guarantee.
 func (d *Demand) level() resource.Level { return resource.LevelOf(d.Spec.Priority, false) }
 
+// size returns the resources of one task.
 func (d *Demand) size() resource.Amount { return Size(&d.Spec) }
 
-// until is when its job should be over at the latest.
-func (d *Demand) until() Moment { return afterSeconds(d.StartMS, d.Spec.HoldS+d.Spec.LengthS) }
+// holdEnd returns when the job of the occurrence should have ended at the latest.
+func (d *Demand) holdEnd() Moment { return afterSeconds(d.StartMS, d.Spec.HoldS+d.Spec.LengthS) }
 
-// machineCapacity is a machine while holds are chosen.
+// machineCapacity is a machine with the holds chosen for it so far.
 type machineCapacity struct {
 	*Machine
-	holds []Hold // chosen so far
+	holds []Hold
 }
 
-// free is what a machine has left for an occurrence that can be relied on: what
-// is there is likely to be over when it has to be clear, and from then on is
-// over. With preempting, what can be stopped for it counts as over, too.
-func (m *machineCapacity) free(d *Demand, now Moment, preempting bool) resource.Amount {
-	by := Moment(0)
+// freeAtClear returns the free resources of a machine that an occurrence can rely on. Up to
+// ClearBy, tasks that are likely to end by then count as ended. After ClearBy, all tasks
+// that are still there count as running. With preempting, tasks that can be stopped for the
+// occurrence count as ended at any time.
+func (m *machineCapacity) freeAtClear(d *Demand, now Moment, preempting bool) resource.Amount {
+	at := Moment(0)
 	if now <= d.ClearBy {
-		by = After(d.ClearBy, startDelay)
+		at = After(d.ClearBy, startDelay)
 	}
-	return m.freeBy(d, by, preempting)
+	return m.freeAt(d, at, preempting)
 }
 
-// freeBy is what is left if everything is over that is likely to be by a moment.
-func (m *machineCapacity) freeBy(d *Demand, by Moment, preempting bool) resource.Amount {
+// freeAt returns the resources of a machine that are left for an occurrence if every task
+// has ended that is likely to end by a moment. Tasks of the occurrence itself always count
+// as running. With preempting, other tasks of a lower level count as ended. Holds for other
+// reservations that overlap the occurrence in time are subtracted.
+func (m *machineCapacity) freeAt(d *Demand, at Moment, preempting bool) resource.Amount {
 	free := resource.Capacity(m.Info)
 	for _, r := range m.Runs {
-		started := r.For == d.Spec.Name // of this occurrence: its resources are used
-		over := r.Ends <= by || preempting && r.Level < d.level()
-		if started || !over {
+		ownTask := r.For == d.Spec.Name // a task of this occurrence, which uses its resources
+		ended := r.Ends <= at || preempting && r.Level < d.level()
+		if ownTask || !ended {
 			free = free.Minus(r.Need)
 		}
 	}
 	for _, h := range m.holds {
-		if h.For != d.Spec.Name && h.From < d.until() && d.StartMS < h.Until {
+		if h.For != d.Spec.Name && h.From < d.holdEnd() && d.StartMS < h.Until {
 			free = free.Minus(h.Need)
 		}
 	}
 	return free
 }
 
-// earliestCapacity is how many tasks of an occurrence are likely to fit on a machine at
-// the earliest, and from when on; 0: none ever will.
-func (m *machineCapacity) earliestCapacity(d *Demand, now Moment) (by Moment, tasks int) {
+// earliestCapacity returns the earliest moment from which tasks of an occurrence are likely
+// to fit on a machine, and how many; 0 tasks if none ever will.
+func (m *machineCapacity) earliestCapacity(d *Demand, now Moment) (at Moment, tasks int) {
 	ends := []Moment{max(now, m.UpAt)}
 	for _, r := range m.Runs {
 		ends = append(ends, max(r.Ends, now, m.UpAt))
 	}
 	slices.Sort(ends)
-	for _, by := range ends {
-		// What comes free until its time counts, whatever was first.
-		if tasks := m.freeBy(d, max(by, d.StartMS), true).CountFitting(d.size()); tasks > 0 {
-			return by, tasks
+	for _, at := range ends {
+		// All resources that become free before the start count, not only the first ones.
+		if tasks := m.freeAt(d, max(at, d.StartMS), true).CountFitting(d.size()); tasks > 0 {
+			return at, tasks
 		}
 	}
 	return 0, 0
 }
 
-// holdsFor reports whether resources of the machine are held for a reservation.
-func (m *machineCapacity) holdsFor(n Name) bool {
+// hasHoldFor reports whether the machine has a hold for a reservation.
+func (m *machineCapacity) hasHoldFor(n Name) bool {
 	return slices.ContainsFunc(m.holds, func(h Hold) bool { return h.For == n })
 }
 
-// runs reports whether the machine runs work of a reservation.
-func (m *machineCapacity) runs(n Name) bool {
+// runsWorkOf reports whether the machine runs tasks of a reservation.
+func (m *machineCapacity) runsWorkOf(n Name) bool {
 	return slices.ContainsFunc(m.Runs, func(r Run) bool { return r.For == n })
 }
--- a/internal/controller/reservation/decision.go
+++ b/internal/controller/reservation/decision.go
@@ -12,47 +12,47 @@
 	"damsonkeel/internal/record"
 )
 
-// maxFirstTimes is how many of its times an answer lists.
-const maxFirstTimes = 3
+// maxListedTimes bounds the occurrences that an answer lists.
+const maxListedTimes = 3
 
-// errNoTimeAhead says that nothing of an entry lies within the calendar.
-var errNoTimeAhead = errors.New("its time is over, or more than a year away")
+// errNoOccurrenceAhead means that an entry has no occurrence from now until Horizon.
+var errNoOccurrenceAhead = errors.New("its time is over, or more than a year away")
 
-// Facts is what a decision knows of the site.
+// Facts describes the site, as the input of a decision.
 type Facts struct {
 	Types map[protocol.MachineType]protocol.TypeInfo
 	Team  func(protocol.Team) (config.Team, bool)
-	// MaxMachines is how many machines of a type there can be at the most, as far as
-	// operators say so; the cloud does not.
+	// MaxMachines is the largest number of machines of a type that operators count on. A
+	// type without a number has no bound, as the cloud does not report its capacity.
 	MaxMachines map[protocol.MachineType]int
-	// Machine finds the type and zone of a machine that is up.
+	// Machine returns the type and zone of a machine, and whether it is up.
 	Machine func(protocol.MachineID) (protocol.MachineType, protocol.Zone, bool)
 }
 
-// Answer is what was decided on a reservation or a window.
+// Answer is the decision on a requested reservation or window.
 type Answer struct {
 	OK     bool
-	Reason string // why it is refused, or what it gets
-	// Conflicts names what it can't be kept beside, Beside what overlaps it and
-	// fits as well.
+	Reason string // why the entry is refused, or which resources it gets
+	// Conflicts names the entries that conflict with the requested one, Overlapping the
+	// reservations that overlap it without a conflict.
 	Conflicts   []Name
 	Overlapping []Name
-	FirstTimes  []Moment // its first times
+	FirstTimes  []Moment // starts of its first occurrences
 }
 
-func refused(inTheWay []Name, format string, args ...any) Answer {
-	return Answer{Reason: fmt.Sprintf(format, args...), Conflicts: inTheWay}
+func refused(conflicts []Name, format string, args ...any) Answer {
+	return Answer{Reason: fmt.Sprintf(format, args...), Conflicts: conflicts}
 }
 
-func accepted(reason string, times []Moment, beside map[Name]bool) Answer {
+func accepted(reason string, times []Moment, overlapping map[Name]bool) Answer {
 	return Answer{
-		OK: true, Reason: reason, FirstTimes: times[:min(len(times), maxFirstTimes)],
-		Overlapping: slices.Sorted(maps.Keys(beside)),
+		OK: true, Reason: reason, FirstTimes: times[:min(len(times), maxListedTimes)],
+		Overlapping: slices.Sorted(maps.Keys(overlapping)),
 	}
 }
 
-// DecideReservation decides whether a reservation can be kept beside everything that is
-// accepted already.
+// DecideReservation decides whether a reservation can be accepted in addition to all entries
+// that have been accepted before.
 func (c *Calendar) DecideReservation(s *record.ReservationSpec, f *Facts, now Moment) Answer {
 	if !feasibleInCatalogue(s, f) {
 		return refused(nil, "a task fits no allowed machine type of the catalogue")
@@ -62,43 +62,44 @@
 			return refused(nil, "unknown team %s", s.Team)
 		}
 	}
-	times, err := timesAhead(s.When, now)
+	times, err := occurrencesWithinHorizon(s.When, now)
 	if err != nil {
 		return refused(nil, "%v", err)
 	}
-	beside := map[Name]bool{}
-	for m, active := range c.adjacent(times, MaxDuration(s), s.Name, beside) {
+	overlapping := map[Name]bool{}
+	for m, active := range c.distinctActiveSets(times, MaxDuration(s), s.Name, overlapping) {
 		if a := c.checkCapacity(s, active, f); !a.OK {
-			a.Reason += " on " + clockTime(m)
+			a.Reason += " on " + formatUTC(m)
 			return a
 		}
 	}
-	return accepted(describeAcceptance(s, f), times, beside)
+	return accepted(describeAcceptance(s, f), times, overlapping)
 }
 
-// DecideWindow decides whether a window leaves resources for everything that is
-// accepted already.
+// DecideWindow decides whether a window leaves enough resources for all reservations that
+// have been accepted.
 func (c *Calendar) DecideWindow(s *record.WindowSpec, f *Facts, now Moment) Answer {
 	if s.Type != "" {
 		if _, ok := f.Types[s.Type]; !ok {
 			return refused(nil, "the catalogue has no type %s", s.Type)
 		}
 	}
-	times, err := timesAhead(s.When, now)
+	times, err := occurrencesWithinHorizon(s.When, now)
 	if err != nil {
 		return refused(nil, "%v", err)
 	}
 	window := &Entry{Window: &record.Window{Spec: *s}}
-	beside := map[Name]bool{}
-	for m, active := range c.adjacent(times, config.Seconds(s.LengthS), "", beside) {
-		if names := c.displaced(window, active, f); len(names) > 0 {
-			return refused(names, "what is promised would have no room on %s", clockTime(m))
+	overlapping := map[Name]bool{}
+	for m, active := range c.distinctActiveSets(times, config.Seconds(s.LengthS), "", overlapping) {
+		if names := c.displacedReservations(window, active, f); len(names) > 0 {
+			return refused(names, "what is promised would have no room on %s", formatUTC(m))
 		}
 	}
-	return accepted("nothing new starts there then; what runs is let run", times, beside)
+	return accepted("nothing new starts there then; what runs is let run", times, overlapping)
 }
 
-// feasibleInCatalogue reports whether a task of a reservation fits any machine type.
+// feasibleInCatalogue reports whether a task of a reservation fits an allowed machine type
+// of the catalogue.
 func feasibleInCatalogue(s *record.ReservationSpec, f *Facts) bool {
 	for _, t := range f.Types {
 		for _, z := range t.AllowZones {
@@ -110,22 +111,23 @@
 	return false
 }
 
-// timesAhead lists the occurrences of a time as far ahead as the calendar reaches.
-func timesAhead(when string, now Moment) ([]Moment, error) {
-	w, err := ParseSchedule(when)
+// occurrencesWithinHorizon parses a schedule and returns its occurrences from now until
+// Horizon. It is an error if there are none.
+func occurrencesWithinHorizon(text string, now Moment) ([]Moment, error) {
+	schedule, err := ParseSchedule(text)
 	if err != nil {
 		return nil, err
 	}
-	times := w.Occurrences(now, After(now, Horizon))
+	times := schedule.Occurrences(now, After(now, Horizon))
 	if len(times) == 0 {
-		return nil, errNoTimeAhead
+		return nil, errNoOccurrenceAhead
 	}
 	return times, nil
 }
 
-func clockTime(m Moment) string { return time.UnixMilli(int64(m)).UTC().Format("2006-01-02 15:04 MST") }
+func formatUTC(m Moment) string { return time.UnixMilli(int64(m)).UTC().Format("2006-01-02 15:04 MST") }
 
-// describeAcceptance says what a reservation gets.
+// describeAcceptance returns the reason of an accepted reservation: which resources it gets.
 func describeAcceptance(s *record.ReservationSpec, f *Facts) string {
 	if len(f.MaxMachines) == 0 {
 		return fmt.Sprintf("room for %d tasks; what is not there is rented, as the cloud does not say how much it has", s.Tasks)
--- a/internal/controller/reservation/entry.go
+++ b/internal/controller/reservation/entry.go
@@ -12,26 +12,26 @@
 // Name names a reservation or a window.
 type Name = record.EntryName
 
-// Entry is a reservation or a window in the calendar; one of the two is set.
+// Entry is a reservation or a window in the calendar. Exactly one of the two is set.
 type Entry struct {
 	*record.Reservation
 	*record.Window
-	Version  protocol.Version // of its record
+	Version  protocol.Version // version of the record
 	Schedule Schedule
 
-	length     time.Duration
-	keys       []int64 // of its occurrences in the index, the earliest first
-	listedTo   Moment  // until when its occurrences are in the index
-	incomplete bool    // its occurrences were not listed as far as Ahead yet
+	duration        time.Duration
+	indexKeys       []int64 // keys of the indexed occurrences, ordered by start
+	indexedUntil    Moment  // all occurrences that begin before this moment were indexed
+	indexIncomplete bool    // the occurrences are not indexed up to Horizon yet
 }
 
-// MaxDuration is how long a reservation keeps its resources at the most: held for its job,
-// then used by it.
+// MaxDuration returns how long an occurrence of a reservation keeps its resources at the
+// most: they are held for its job first, and then used by it.
 func MaxDuration(s *record.ReservationSpec) time.Duration {
 	return config.Seconds(s.HoldS + s.LengthS)
 }
 
-// Name is the entry's name.
+// Name returns the name of the reservation or window.
 func (e *Entry) Name() Name {
 	if e.Window != nil {
 		return e.Window.Spec.Name
@@ -39,7 +39,7 @@
 	return e.Reservation.Spec.Name
 }
 
-// CreatedAt is when the entry was requested.
+// CreatedAt returns when the entry was requested.
 func (e *Entry) CreatedAt() Moment {
 	if e.Window != nil {
 		return e.Window.MadeMS
@@ -47,7 +47,7 @@
 	return e.Reservation.MadeMS
 }
 
-// Valid reports whether the entry was not cancelled.
+// Valid reports whether the entry has not been cancelled.
 func (e *Entry) Valid() bool {
 	if e.Window != nil {
 		return !e.Cancelled
@@ -55,7 +55,8 @@
 	return e.State != record.Cancelled
 }
 
-// Active reports whether a reservation is still to be kept.
+// Active reports whether the current occurrence of a reservation is still to be served: it
+// is accepted or its resources are held.
 func (e *Entry) Active() bool {
 	return e.State == record.Accepted || e.State == record.Holding
 }
--- a/internal/controller/reservation/feasibility.go
+++ b/internal/controller/reservation/feasibility.go
@@ -10,38 +10,38 @@
 	"damsonkeel/internal/record"
 )
 
-// unlimitedMachines stands for as many machines as anybody may ask for.
+// unlimitedMachines stands for an unbounded number of machines: more than any request needs.
 const unlimitedMachines = 1 << 20
 
-// checkCapacity decides whether a reservation has resources beside those active at the
-// same time. Reservations accepted earlier go first.
+// checkCapacity decides whether a reservation fits in addition to the entries that are
+// active at the same time. Reservations that were accepted earlier are packed first.
 func (c *Calendar) checkCapacity(s *record.ReservationSpec, active []Occurrence, f *Facts) Answer {
 	windows, others := c.splitActive(active)
-	if a := withinTeamLimit(s, others, f); !a.OK {
+	if a := checkTeamLimit(s, others, f); !a.OK {
 		return a
 	}
 	plan := binpack.New(f.Types, availableSlots(windows, f), nil)
 	for _, e := range others {
-		plan.Fill(workOf(&e.Reservation.Spec), e.Reservation.Spec.Tasks)
+		plan.Fill(binpackWork(&e.Reservation.Spec), e.Reservation.Spec.Tasks)
 	}
-	left := plan.Fill(workOf(s), s.Tasks)
-	if left == 0 {
+	unplaced := plan.Fill(binpackWork(s), s.Tasks)
+	if unplaced == 0 {
 		return Answer{OK: true}
 	}
-	var names []Name
+	var conflicts []Name
 	for _, e := range windows {
-		names = append(names, e.Window.Spec.Name)
+		conflicts = append(conflicts, e.Window.Spec.Name)
 	}
 	for _, e := range others {
-		if overlapOnMachines(s, &e.Reservation.Spec) {
-			names = append(names, e.Reservation.Spec.Name)
+		if mayShareMachines(s, &e.Reservation.Spec) {
+			conflicts = append(conflicts, e.Reservation.Spec.Name)
 		}
 	}
-	return refused(names, "no room for %d of its %d tasks", left, s.Tasks)
+	return refused(conflicts, "no room for %d of its %d tasks", unplaced, s.Tasks)
 }
 
-// overlapOnMachines reports whether two reservations could be held on the same machines.
-func overlapOnMachines(a, b *record.ReservationSpec) bool {
+// mayShareMachines reports whether two reservations could be held on the same machines.
+func mayShareMachines(a, b *record.ReservationSpec) bool {
 	if a.Zone != "" && b.Zone != "" && a.Zone != b.Zone {
 		return false
 	}
@@ -49,9 +49,9 @@
 		slices.ContainsFunc(a.Types, func(t protocol.MachineType) bool { return slices.Contains(b.Types, t) })
 }
 
-// withinTeamLimit checks the team's limit: what is reserved for a team at the same time
-// has to stay within it.
-func withinTeamLimit(s *record.ReservationSpec, others []*Entry, f *Facts) Answer {
+// checkTeamLimit checks that the resources reserved for a team at the same time, including
+// those of a new reservation, stay within the team's limit.
+func checkTeamLimit(s *record.ReservationSpec, others []*Entry, f *Facts) Answer {
 	team, ok := f.Team(s.Team)
 	if !ok || !team.Limited() {
 		return Answer{OK: true}
@@ -71,23 +71,23 @@
 	return Answer{OK: true}
 }
 
-// displaced names the reservations that would have no resources beside another window,
-// and have some without it.
-func (c *Calendar) displaced(window *Entry, active []Occurrence, f *Facts) (names []Name) {
+// displacedReservations returns the names of the reservations that would lack resources for
+// more of their tasks with a window than without it.
+func (c *Calendar) displacedReservations(window *Entry, active []Occurrence, f *Facts) (names []Name) {
 	windows, others := c.splitActive(active)
 	windows = slices.DeleteFunc(windows, func(e *Entry) bool { return e.Name() == window.Name() })
-	without := binpack.New(f.Types, availableSlots(windows, f), nil)
-	with := binpack.New(f.Types, availableSlots(append(windows, window), f), nil)
+	planWithout := binpack.New(f.Types, availableSlots(windows, f), nil)
+	planWith := binpack.New(f.Types, availableSlots(append(windows, window), f), nil)
 	for _, e := range others {
 		s := &e.Reservation.Spec
-		if without.Fill(workOf(s), s.Tasks) < with.Fill(workOf(s), s.Tasks) {
+		if planWithout.Fill(binpackWork(s), s.Tasks) < planWith.Fill(binpackWork(s), s.Tasks) {
 			names = append(names, s.Name)
 		}
 	}
 	return names
 }
 
-// availableSlots is the machines there can be while windows are open.
+// availableSlots returns the machines that can be in use while windows are open.
 func availableSlots(windows []*Entry, f *Facts) []binpack.Slot {
 	var slots []binpack.Slot
 	for _, name := range slices.Sorted(maps.Keys(f.Types)) {
@@ -103,9 +103,9 @@
 	return slots
 }
 
-// maxMachines is how many machines of a type there can be in one of its zones: where the
-// number of all is known, each zone has its part, as nobody knows in which the cloud has
-// them.
+// maxMachines returns how many machines of a type there can be in one of its zones. If the
+// total is known, it is split evenly among the zones, as it is not known in which of them
+// the cloud has the machines.
 func (f *Facts) maxMachines(t protocol.MachineType, zone, zones int) int {
 	total, known := f.MaxMachines[t]
 	if !known {
@@ -118,12 +118,12 @@
 	return count
 }
 
-// machinesInWindows is how many machines of a type in a zone are named by windows.
+// machinesInWindows returns how many machines of a type in a zone are named by windows.
 func (f *Facts) machinesInWindows(windows []*Entry, t protocol.MachineType, z protocol.Zone) int {
 	count := 0
 	for _, e := range windows {
 		for _, id := range e.Window.Spec.Machines {
-			if ofType, inZone, up := f.Machine(id); up && ofType == t && inZone == z {
+			if machineType, machineZone, up := f.Machine(id); up && machineType == t && machineZone == z {
 				count++
 			}
 		}
@@ -131,8 +131,9 @@
 	return count
 }
 
-// workOf is a reservation's tasks as the autoscaler packs them.
-func workOf(s *record.ReservationSpec) binpack.Work {
+// binpackWork returns the tasks of a reservation in the form in which the autoscaler packs
+// them.
+func binpackWork(s *record.ReservationSpec) binpack.Work {
 	return binpack.Work{
 		Need: Size(s), Level: resource.LevelOf(s.Priority, false), OneZone: s.OneZone && s.Zone == "",
 		Allows: func(t protocol.TypeInfo, z protocol.Zone, spot bool) bool { return Allows(s, t, z, spot) },
--- a/internal/controller/reservation/fixture_test.go
+++ b/internal/controller/reservation/fixture_test.go
@@ -8,14 +8,15 @@
 
 const noon = Moment(1_770_000_000_000)
 
-// spec is a reservation for jobs of a class of the same name.
+// spec returns a reservation for the jobs of a class of the same name.
 func spec(name string, when string, tasks int) *record.ReservationSpec {
 	return &record.ReservationSpec{
 		Name: Name(name), Class: name, When: when, HoldS: 600, LengthS: 1200, Tasks: tasks, CPUs: 4, MemoryGB: 1, Priority: "standard",
 	}
 }
 
-// facts is a site of one machine type in two zones; 0 machines: any number.
+// facts returns a site with one machine type in two zones. With 0 machines their number has
+// no bound.
 func facts(machines int) *Facts {
 	f := &Facts{
 		Types: map[protocol.MachineType]protocol.TypeInfo{"m8": {Name: "m8", CPUs: 8, MemoryGB: 32, BootS: 40, AllowZones: []protocol.Zone{"a", "b"}}},
@@ -30,7 +31,7 @@
 	return f
 }
 
-// accept decides on a reservation and puts it into the calendar if it can be kept.
+// accept decides on a reservation and adds it to the calendar if it is accepted.
 func accept(c *Calendar, s *record.ReservationSpec, f *Facts, order uint64) Answer {
 	a := c.DecideReservation(s, f, noon)
 	if a.OK {
--- a/internal/controller/reservation/hold.go
+++ b/internal/controller/reservation/hold.go
@@ -7,46 +7,49 @@
 	"damsonkeel/internal/protocol"
 )
 
-// stopLead is how long before its time the resources of a hold are cleared of what may
-// be stopped for it, beyond the time that a checkpoint takes.
+// stopLead is how long before the start of a hold the tasks that may be stopped for it are
+// stopped, in addition to the time that they take to save a checkpoint.
 const stopLead = 15 * time.Second
 
-// Run is work that a machine does, or has in its queue.
+// Run is a task attempt that a machine runs or has in its queue.
 type Run struct {
 	Task    protocol.TaskID
 	Attempt protocol.Attempt
-	Ends    Moment // when it is likely to be over, by its estimate and the error of such
+	Ends    Moment // when it is likely to have ended, by its estimate and the error of such estimates
 	Need    resource.Amount
 	Level   resource.Level
-	For     Name // the reservation it is of, if any
-	Sure    bool // its machine's dispatcher has seen it start
+	For     Name // reservation that it belongs to, if any
+	Sure    bool // the machine's dispatcher has observed its start
 }
 
-// Hold is resources of one machine that are held for a reservation. What is not of it
-// may use them until Clear, and what may be stopped for it until From.
+// Hold is the resources of one machine that are held for a reservation. Other tasks may use
+// them until Clear, and those that may be stopped for the reservation until shortly before
+// From.
 type Hold struct {
 	For     Name               `cbor:"for"`
 	Machine protocol.MachineID `cbor:"machine"`
 	Tasks   int                `cbor:"tasks"`
-	Need    resource.Amount    `cbor:"need"` // of all of them
+	Need    resource.Amount    `cbor:"need"` // of all these tasks together
 	Level   resource.Level     `cbor:"level"`
 	Clear   Moment             `cbor:"clear"`
 	From    Moment             `cbor:"from"`
 	Until   Moment             `cbor:"until"`
-	// Ends is when the last of what can't be stopped for it is likely to be over.
+	// Ends is when the last task on the machine that can't be stopped for the reservation
+	// is likely to have ended.
 	Ends Moment `cbor:"ends"`
 }
 
-// Task is work that is to start, as far as holds are concerned.
+// Task describes a task that is to start, as far as holds depend on it.
 type Task struct {
-	IsOf            func(Name) bool // whether it is of a reservation
+	IsOf            func(Name) bool // reports whether the task belongs to a reservation
 	Need            resource.Amount
 	Level           resource.Level
-	SavesCheckpoint bool   // it saves a checkpoint when it is stopped
-	Ends            Moment // when it is likely to be over, if it starts now
+	SavesCheckpoint bool   // the task saves a checkpoint when it is stopped
+	Ends            Moment // when the task is likely to have ended if it starts now
 }
 
-// AllowsStart reports whether a machine's holds let a task start in the free resources.
+// AllowsStart reports whether the holds of a machine allow a task to start in its free
+// resources.
 func AllowsStart(holds []Hold, t *Task, free resource.Amount, now Moment) bool {
 	until := ReservedUntil(holds, t.IsOf)
 	for i := range holds {
@@ -57,30 +60,33 @@
 	return free.Covers(t.Need)
 }
 
-// ReservedUntil is until when resources are held for a task, by which reservations it is of;
-// 0: none are. What is held there from a later moment on was accepted beside that, and
-// does not keep the task from starting, however wrong estimates of its kind may be.
-func ReservedUntil(holds []Hold, of func(Name) bool) Moment {
+// ReservedUntil returns until when resources are held for a task, or 0 if none are; isOf
+// reports whether the task belongs to a reservation. A hold on the same machine that begins
+// at that moment or later was accepted with the task's own hold taken into account. It does
+// not keep the task from starting, however inaccurate the estimates for such tasks are.
+func ReservedUntil(holds []Hold, isOf func(Name) bool) Moment {
 	until := Moment(0)
 	for i := range holds {
-		if h := &holds[i]; of(h.For) {
+		if h := &holds[i]; isOf(h.For) {
 			until = max(until, h.Until)
 		}
 	}
 	return until
 }
 
-// allows reports whether held resources may be used by a task: they are held for it, it
-// is likely to end in time, or it saves checkpoints and may be stopped in time.
+// allows reports whether a task may use the held resources: because they are held for it or
+// no longer held, because it is likely to end before they have to be clear, or because it
+// saves checkpoints and can still be stopped in time.
 func (h *Hold) allows(t *Task, now Moment) bool {
 	return t.IsOf(h.For) || now >= h.Until || t.Ends <= h.Clear && now <= h.Clear ||
 		t.SavesCheckpoint && t.Level < h.Level && now < h.stopAt(stopLead)
 }
 
+// stopAt returns the moment that precedes the start of the hold by a lead.
 func (h *Hold) stopAt(lead time.Duration) Moment { return After(h.From, -lead) }
 
-// ShouldStop reports whether it is time to stop the work that uses the resources of a hold,
-// given how long that takes to save a checkpoint.
+// ShouldStop reports whether it is time to stop a task that uses the resources of a hold,
+// given how long the task takes to save a checkpoint.
 func (h *Hold) ShouldStop(checkpoint time.Duration, now Moment) bool {
 	return now >= h.stopAt(stopLead+checkpoint) && now < h.Until
 }
--- a/internal/controller/reservation/holdchoice.go
+++ b/internal/controller/reservation/holdchoice.go
@@ -11,38 +11,43 @@
 )
 
 const (
-	// tasksPerHeadroomEarly is for how many tasks resources for one more are held until
-	// all of them have to be clear, as some of what runs there is not over by then.
+	// tasksPerHeadroomEarly is the number of tasks for which resources for one extra task
+	// are held before ClearBy, as some of the work on the machines will not have ended by
+	// then.
 	tasksPerHeadroomEarly = 4
-	// tasksPerHeadroom is the same from then on, for machines that are lost.
+	// tasksPerHeadroom is the same number from ClearBy on, when the extra resources make up
+	// for lost machines.
 	tasksPerHeadroom = 8
-	// maxDelay is how late resources may come free after their time and still be in time.
+	// maxDelay is how long after the start of an occurrence resources may become free and
+	// still count as in time.
 	maxDelay = 30 * time.Second
 )
 
-// Plan is what is held, and what is missing.
+// Plan is the result of ChooseHolds: the holds, and the tasks without resources.
 type Plan struct {
 	Holds []Hold
-	// Short is how many tasks have no resources that can be relied on: for those
-	// machines are to be provisioned. Missing is how many of them are unlikely to have
-	// any at their time.
+	// Short is the number of tasks without resources that can be relied on: machines have
+	// to be provisioned for them. Missing is the number of those that are unlikely to
+	// have resources when their occurrence starts.
 	Short, Missing map[Name]int
-	Zones          map[Name]protocol.Zone // of those that are held in one zone
+	Zones          map[Name]protocol.Zone // zone of each reservation that is held in a single zone
 }
 
 // holdChooser is the state of one call of ChooseHolds.
 type holdChooser struct {
 	plan     Plan
 	machines []*machineCapacity
-	previous map[Name]map[protocol.MachineID]int // tasks held before
+	previous map[Name]map[protocol.MachineID]int // number of tasks in the previous holds
 	usable   func(*Machine, *Demand) bool
 	now      Moment
 }
 
-// ChooseHolds chooses on which machines resources are held for what is due. What was
-// held before stays where it is as long as that will do; what comes sooner goes first,
-// then what was accepted earlier. Usable tells whether a machine may be held for a
-// time: not one that is leaving, or in a window then.
+// ChooseHolds chooses the machines on which resources are held for occurrences. Demands are
+// served in the order of their starts, and those with the same start in the order in which
+// they were accepted.
+// Previous holds stay where they are as long as they suffice. The function usable reports
+// whether a machine may be held for a demand: not if it is being released, or in a window at
+// that time.
 func ChooseHolds(demands []Demand, machines []Machine, before []Hold, usable func(*Machine, *Demand) bool, now Moment) Plan {
 	c := &holdChooser{
 		plan:     Plan{Short: map[Name]int{}, Missing: map[Name]int{}, Zones: map[Name]protocol.Zone{}},
@@ -59,12 +64,12 @@
 		return cmp.Or(cmp.Compare(a.StartMS, b.StartMS), cmp.Compare(a.Order, b.Order))
 	})
 	for i := range demands {
-		c.choose(&demands[i])
+		c.chooseHolds(&demands[i])
 	}
 	return c.plan
 }
 
-// tasksByMachine is how many tasks are held for each reservation on each machine.
+// tasksByMachine returns the number of held tasks by reservation and machine.
 func tasksByMachine(holds []Hold) map[Name]map[protocol.MachineID]int {
 	tasks := map[Name]map[protocol.MachineID]int{}
 	for _, h := range holds {
@@ -76,17 +81,18 @@
 	return tasks
 }
 
-// choose chooses the holds of one occurrence.
-func (c *holdChooser) choose(d *Demand) {
-	machines := c.candidates(d)
-	if short := c.holdReliable(d, machines); short > 0 {
+// chooseHolds chooses the holds of one occurrence.
+func (c *holdChooser) chooseHolds(d *Demand) {
+	machines := c.candidateMachines(d)
+	if short := c.holdReliableCapacity(d, machines); short > 0 {
 		c.plan.Short[d.Spec.Name] = short
-		c.holdSoonest(d, machines, short)
+		c.holdEarliestCapacity(d, machines, short)
 	}
 }
 
-// candidates lists the machines that may be held for an occurrence.
-func (c *holdChooser) candidates(d *Demand) []*machineCapacity {
+// candidateMachines returns the machines that may be held for an occurrence, all in one zone
+// if it needs that.
+func (c *holdChooser) candidateMachines(d *Demand) []*machineCapacity {
 	var machines []*machineCapacity
 	for _, m := range c.machines {
 		if Allows(&d.Spec, m.Info, m.Zone, m.Spot) && c.usable(m.Machine, d) {
@@ -95,7 +101,7 @@
 	}
 	zone := d.Spec.Zone
 	if d.Spec.OneZone && zone == "" {
-		zone = c.bestZone(d, machines)
+		zone = c.chooseZone(d, machines)
 	}
 	if zone != "" {
 		c.plan.Zones[d.Spec.Name] = zone
@@ -104,20 +110,20 @@
 	return machines
 }
 
-// holdReliable holds resources that can be relied on, with some headroom, and returns
-// for how many tasks there are none.
+// holdReliableCapacity holds resources that can be relied on, with some headroom, and returns
+// the number of tasks for which there are none.
 //
-// What was held is taken first, and only then more of it elsewhere: the dispatchers
-// learn of a change a moment later, and meanwhile others start both in what was given up
-// and in what is not held yet.
-func (c *holdChooser) holdReliable(d *Demand, machines []*machineCapacity) (short int) {
+// It keeps previous holds first and only then holds further resources. Dispatchers receive
+// a change of the holds with a delay, and until then other tasks start both in the resources
+// that were released and in those that are not held yet.
+func (c *holdChooser) holdReliableCapacity(d *Demand, machines []*machineCapacity) (short int) {
 	short = d.Remaining
 	headroom := 1 + d.Remaining/tasksPerHeadroom
 	if c.now < d.ClearBy {
 		headroom = 1 + d.Remaining/tasksPerHeadroomEarly
 	}
 	previous := c.previous[d.Spec.Name]
-	ranked := c.rank(d, machines)
+	ranked := c.rankMachines(d, machines)
 	tasks := make([]int, len(ranked))
 	for _, limit := range []func(rankedMachine) int{
 		func(m rankedMachine) int { return previous[m.ID] },
@@ -137,16 +143,17 @@
 	return short
 }
 
-// holdSoonest holds for tasks that are short resources that are likely to come free: at
-// once, or others would take them.
-func (c *holdChooser) holdSoonest(d *Demand, machines []*machineCapacity, short int) {
+// holdEarliestCapacity holds resources that are likely to become free, for tasks without
+// resources that can be relied on. It holds them at once, as other tasks would use them
+// otherwise.
+func (c *holdChooser) holdEarliestCapacity(d *Demand, machines []*machineCapacity, short int) {
 	name := d.Spec.Name
-	inTime := After(max(d.StartMS, c.now), maxDelay)
-	for _, m := range soonest(d, machines, c.now) {
+	latest := After(max(d.StartMS, c.now), maxDelay)
+	for _, m := range machinesByEarliestCapacity(d, machines, c.now) {
 		if short <= 0 {
 			return
 		}
-		if m.by > inTime && c.plan.Missing[name] == 0 {
+		if m.availableAt > latest && c.plan.Missing[name] == 0 {
 			c.plan.Missing[name] = short
 		}
 		short -= c.hold(d, m.machineCapacity, min(short, m.tasks))
@@ -156,14 +163,14 @@
 	}
 }
 
-// hold holds resources for so many tasks on a machine, and returns that number.
+// hold adds a hold for a number of tasks on a machine, and returns that number.
 func (c *holdChooser) hold(d *Demand, m *machineCapacity, tasks int) int {
 	if tasks <= 0 {
 		return 0
 	}
 	h := Hold{
 		For: d.Spec.Name, Machine: m.ID, Tasks: tasks, Need: d.size().Times(float64(tasks)), Level: d.level(),
-		Clear: d.ClearBy, From: d.StartMS, Until: d.until(),
+		Clear: d.ClearBy, From: d.StartMS, Until: d.holdEnd(),
 	}
 	for _, r := range m.Runs {
 		if r.For != d.Spec.Name && r.Level >= h.Level {
@@ -175,43 +182,43 @@
 	return tasks
 }
 
-// bestZone is where a reservation that needs all its resources in one zone is held:
-// where it was, as long as that can hold it or no other can, else where the most
-// of it fits.
-func (c *holdChooser) bestZone(d *Demand, machines []*machineCapacity) protocol.Zone {
-	fits, best := map[protocol.Zone]int{}, protocol.Zone("")
+// chooseZone returns the zone for a reservation that needs all its resources in one zone:
+// the zone of its previous holds or of its running tasks, unless more of its remaining tasks
+// fit in another zone.
+func (c *holdChooser) chooseZone(d *Demand, machines []*machineCapacity) protocol.Zone {
+	capacity, best := map[protocol.Zone]int{}, protocol.Zone("")
 	for _, m := range machines {
-		fits[m.Zone] += m.free(d, c.now, true).CountFitting(d.size())
-		if best == "" && (c.previous[d.Spec.Name][m.ID] > 0 || m.runs(d.Spec.Name)) {
+		capacity[m.Zone] += m.freeAtClear(d, c.now, true).CountFitting(d.size())
+		if best == "" && (c.previous[d.Spec.Name][m.ID] > 0 || m.runsWorkOf(d.Spec.Name)) {
 			best = m.Zone
 		}
 	}
-	for _, z := range slices.Sorted(maps.Keys(fits)) {
-		if best == "" || min(fits[z], d.Remaining) > min(fits[best], d.Remaining) {
+	for _, z := range slices.Sorted(maps.Keys(capacity)) {
+		if best == "" || min(capacity[z], d.Remaining) > min(capacity[best], d.Remaining) {
 			best = z
 		}
 	}
 	return best
 }
 
-// rankedMachine is a machine and how many tasks of an occurrence fit on it, without
-// anything being stopped and with that.
+// rankedMachine is a machine with the number of tasks of an occurrence that fit on it
+// without and with preempting other tasks.
 type rankedMachine struct {
 	*machineCapacity
 	tasks, tasksPreempting int
 }
 
-// rank lists machines in the order in which they are taken: first where nothing has to
-// be stopped, of these those held already, ordinary machines before spot
-// machines, those that are up before those that come, those where the most tasks
-// fit, and the cheapest.
-func (c *holdChooser) rank(d *Demand, machines []*machineCapacity) []rankedMachine {
+// rankMachines sorts machines by preference. Machines where nothing has to be preempted come
+// first, then machines with a previous hold, ordinary before spot machines, those that are
+// up before those that are being provisioned, those where the most tasks fit, and the
+// cheapest.
+func (c *holdChooser) rankMachines(d *Demand, machines []*machineCapacity) []rankedMachine {
 	ranked := make([]rankedMachine, len(machines))
 	for i, m := range machines {
 		ranked[i] = rankedMachine{
 			machineCapacity: m,
-			tasks:           m.free(d, c.now, false).CountFitting(d.size()),
-			tasksPreempting: m.free(d, c.now, true).CountFitting(d.size()),
+			tasks:           m.freeAtClear(d, c.now, false).CountFitting(d.size()),
+			tasksPreempting: m.freeAtClear(d, c.now, true).CountFitting(d.size()),
 		}
 	}
 	previous := c.previous[d.Spec.Name]
@@ -239,28 +246,28 @@
 	return 1
 }
 
-// laterMachine is a machine that is likely to have resources for so many tasks, and by
-// when.
-type laterMachine struct {
+// pendingMachine is a machine that is likely to have resources for a number of tasks from a
+// later moment on.
+type pendingMachine struct {
 	*machineCapacity
-	by    Moment
-	tasks int
+	availableAt Moment
+	tasks       int
 }
 
-// soonest lists machines that have no resources to rely on yet by when they are
-// likely to have some.
-func soonest(d *Demand, machines []*machineCapacity, now Moment) []laterMachine {
-	var later []laterMachine
+// machinesByEarliestCapacity returns the machines without a hold for an occurrence that are
+// likely to have resources for it later, the earliest first.
+func machinesByEarliestCapacity(d *Demand, machines []*machineCapacity, now Moment) []pendingMachine {
+	var pending []pendingMachine
 	for _, m := range machines {
-		if m.holdsFor(d.Spec.Name) {
+		if m.hasHoldFor(d.Spec.Name) {
 			continue
 		}
-		if by, tasks := m.earliestCapacity(d, now); tasks > 0 {
-			later = append(later, laterMachine{m, by, tasks})
+		if at, tasks := m.earliestCapacity(d, now); tasks > 0 {
+			pending = append(pending, pendingMachine{m, at, tasks})
 		}
 	}
-	slices.SortFunc(later, func(a, b laterMachine) int {
-		return cmp.Or(cmp.Compare(a.by, b.by), cmp.Compare(a.ID, b.ID))
+	slices.SortFunc(pending, func(a, b pendingMachine) int {
+		return cmp.Or(cmp.Compare(a.availableAt, b.availableAt), cmp.Compare(a.ID, b.ID))
 	})
-	return later
+	return pending
 }
--- a/internal/controller/reservation/matching.go
+++ b/internal/controller/reservation/matching.go
@@ -9,12 +9,12 @@
 	"damsonkeel/internal/record"
 )
 
-// maxEarly is how long before the time a job of a reservation's class counts as
-// the one it is for.
+// maxEarly is how long before the start of an occurrence a job of the reservation's class
+// may be submitted to match it.
 const maxEarly = 30 * time.Minute
 
-// Matches reports whether a job is one that a reservation's present occurrence
-// is for. One of its class may come a little earlier.
+// Matches reports whether the current occurrence of a reservation is for a job. A job of
+// its class may be submitted up to maxEarly before the start.
 func Matches(r *record.Reservation, j *protocol.Job) bool {
 	if r.Spec.Team != "" && r.Spec.Team != j.Team {
 		return false
@@ -26,18 +26,19 @@
 	return r.Spec.Class == j.Class && submitted >= After(r.StartMS, -maxEarly) && submitted < afterSeconds(r.StartMS, r.Spec.HoldS)
 }
 
-// Size is what each task of a reservation takes.
+// Size returns the resources that each task of a reservation needs.
 func Size(s *record.ReservationSpec) resource.Amount {
 	return resource.Amount{CPUs: s.CPUs, GPUs: s.GPUs, GB: s.MemoryGB}
 }
 
-// Fits reports whether a task of a reservation fits an ordinary machine of a type
-// in a zone that it allows.
+// Fits reports whether a reservation allows ordinary machines of a type in a zone, and one
+// of its tasks fits on such a machine.
 func Fits(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone) bool {
 	return Allows(s, t, z, false) && resource.Capacity(t).Covers(Size(s))
 }
 
-// Allows reports whether a reservation may hold resources on a kind of machine.
+// Allows reports whether a reservation may hold resources on machines of a type in a zone,
+// ordinary or spot.
 func Allows(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && (s.Zone == "" || s.Zone == z) && (s.Spot || !spot)
 }
--- a/internal/controller/reservation/occurrenceindex.go
+++ b/internal/controller/reservation/occurrenceindex.go
@@ -5,42 +5,44 @@
 )
 
 const (
-	// maxOccurrences bounds the index.
+	// maxOccurrences bounds the number of occurrences in the index.
 	maxOccurrences = 1 << 20
-	// The keys of the tree have to differ: a number follows the time in them.
-	numberBits = 20
-	numberMask = 1<<numberBits - 1
+	// The keys of the tree have to be unique: the time in a key is followed by a sequence
+	// number of sequenceBits bits.
+	sequenceBits = 20
+	sequenceMask = 1<<sequenceBits - 1
 )
 
-// Occurrence is one time of a reservation or a window.
+// Occurrence is one of the periods in which a reservation or a window is in effect.
 type Occurrence struct {
 	Name   Name
 	Window bool
 	Start  Moment
-	End    Moment // of a reservation: when its job should be over at the latest
+	End    Moment // for a reservation: when its job should have ended at the latest
 }
 
-// occurrenceIndex finds occurrences by time: a search costs by what it finds.
+// occurrenceIndex finds occurrences by time. The cost of a search grows with the number
+// of occurrences found, not with that of all occurrences.
 type occurrenceIndex struct {
-	tree       *interval.Tree[int64, Occurrence]
-	size       int
-	lastNumber int64
+	tree         *interval.Tree[int64, Occurrence]
+	size         int
+	lastSequence int64
 }
 
 func newOccurrenceIndex() *occurrenceIndex {
 	return &occurrenceIndex{tree: interval.New[int64, Occurrence]()}
 }
 
-// treeTime is the first key of a moment.
-func treeTime(m Moment) int64 { return int64(m) << numberBits }
+// firstKeyAt returns the smallest key of a moment.
+func firstKeyAt(m Moment) int64 { return int64(m) << sequenceBits }
 
 func (x *occurrenceIndex) full() bool { return x.size >= maxOccurrences }
 
 // add adds an occurrence and returns its key.
 func (x *occurrenceIndex) add(o Occurrence) int64 {
-	x.lastNumber = (x.lastNumber + 1) & numberMask
-	key := treeTime(o.Start) | x.lastNumber
-	x.tree.Put(key, treeTime(o.End), o)
+	x.lastSequence = (x.lastSequence + 1) & sequenceMask
+	key := firstKeyAt(o.Start) | x.lastSequence
+	x.tree.Put(key, firstKeyAt(o.End), o)
 	x.size++
 	return key
 }
@@ -51,10 +53,10 @@
 	x.size--
 }
 
-// overlapping lists what overlaps a time, in the order of the beginnings.
+// overlapping returns the occurrences that overlap a period, ordered by start.
 func (x *occurrenceIndex) overlapping(from, to Moment) []Occurrence {
 	var found []Occurrence
-	for _, item := range x.tree.Overlaps(treeTime(from), treeTime(to)) {
+	for _, item := range x.tree.Overlaps(firstKeyAt(from), firstKeyAt(to)) {
 		found = append(found, item.Val)
 	}
 	return found
--- a/internal/controller/reservation/overlap.go
+++ b/internal/controller/reservation/overlap.go
@@ -8,16 +8,18 @@
 	"time"
 )
 
-// adjacent goes through what is active beside an entry at any of its times, at
-// each moment within at which that changes for the worse, but through the same
-// set only once: most days are alike. The entry's own name is left out, and the
-// reservations among what is active are added to beside.
-func (c *Calendar) adjacent(times []Moment, length time.Duration, own Name, beside map[Name]bool) iter.Seq2[Moment, []Occurrence] {
+// distinctActiveSets iterates over the sets of occurrences that are active at the same time
+// as an entry, whose occurrences begin at the given times and have the given length. Within
+// an occurrence, it checks each moment at which another one begins, as only then there can
+// be fewer resources. Equal sets are yielded once, since most days have the same ones.
+// The reservation named excluded is left out. All other reservations that are active are
+// added to overlapping.
+func (c *Calendar) distinctActiveSets(times []Moment, length time.Duration, excluded Name, overlapping map[Name]bool) iter.Seq2[Moment, []Occurrence] {
 	return func(yield func(Moment, []Occurrence) bool) {
 		visited := map[string]bool{}
 		for _, start := range times {
-			for _, m := range c.changes(Occurrence{Start: start, End: After(start, length)}) {
-				active := c.active(m, own, beside)
+			for _, m := range c.activationTimes(Occurrence{Start: start, End: After(start, length)}) {
+				active := c.activeAt(m, excluded, overlapping)
 				key := fmt.Sprint(active)
 				if visited[key] {
 					continue
@@ -31,12 +33,12 @@
 	}
 }
 
-// changes are the moments within an occurrence at which what overlaps it
-// changes for the worse: its own beginning, and those of others.
-func (c *Calendar) changes(within Occurrence) []Moment {
-	moments := []Moment{within.Start}
-	for _, o := range c.Overlapping(within.Start, within.End) {
-		if o.Start > within.Start {
+// activationTimes returns the moments within an occurrence at which fewer resources may be
+// left for it: its own start and the starts of the occurrences that overlap it.
+func (c *Calendar) activationTimes(occurrence Occurrence) []Moment {
+	moments := []Moment{occurrence.Start}
+	for _, o := range c.Overlapping(occurrence.Start, occurrence.End) {
+		if o.Start > occurrence.Start {
 			moments = append(moments, o.Start)
 		}
 	}
@@ -44,17 +46,17 @@
 	return slices.Compact(moments)
 }
 
-// active lists what there is at a moment, but for one reservation's name, without its
-// times and in one order, so that the same set is known again. The reservations among
-// it are added to beside.
-func (c *Calendar) active(m Moment, own Name, beside map[Name]bool) []Occurrence {
+// activeAt returns the occurrences that are active at a moment, except those of the
+// reservation named excluded. The result has no times and a fixed order, so that equal
+// sets can be recognized. The reservations among them are added to overlapping.
+func (c *Calendar) activeAt(m Moment, excluded Name, overlapping map[Name]bool) []Occurrence {
 	var active []Occurrence
 	for _, o := range c.Overlapping(m, m+1) {
-		if !o.Window && o.Name == own {
+		if !o.Window && o.Name == excluded {
 			continue
 		}
 		if !o.Window {
-			beside[o.Name] = true
+			overlapping[o.Name] = true
 		}
 		active = append(active, Occurrence{Name: o.Name, Window: o.Window})
 	}
@@ -64,8 +66,8 @@
 	return active
 }
 
-// splitActive splits what is active: windows, and reservations in the order in which
-// they were accepted.
+// splitActive returns the windows among active occurrences, and the reservations in the order
+// in which they were accepted.
 func (c *Calendar) splitActive(active []Occurrence) (windows, reservations []*Entry) {
 	for _, o := range active {
 		if o.Window {
--- a/internal/controller/reservation/scheduleparser.go
+++ b/internal/controller/reservation/scheduleparser.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 	"time"
-	_ "time/tzdata" // a controller's machine may have no time zones of its own
+	_ "time/tzdata" // a controller's machine may have no time zone database
 
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
@@ -12,22 +12,22 @@
 )
 
 const (
-	// maxScheduleLength bounds the length of a text that is parsed.
+	// maxScheduleLength bounds the length of the text of a schedule.
 	maxScheduleLength = 200
-	// weekdayLetters is how many letters of a day of the week are read.
+	// weekdayLetters is how many letters of a day of the week are significant.
 	weekdayLetters = 3
 )
 
-// ScheduleError says what is wrong with the text of a time.
+// ScheduleError describes what is wrong with the text of a schedule.
 type ScheduleError struct {
 	Text    string
 	Problem string
 }
 
-// Error quotes the text and says what is wrong.
+// Error returns a message that quotes the text and describes the problem.
 func (e *ScheduleError) Error() string { return fmt.Sprintf("time %q: %s", e.Text, e.Problem) }
 
-// scheduleText is the grammar of a time.
+// scheduleText is the grammar and the syntax tree of a schedule.
 type scheduleText struct {
 	Daily bool     `parser:"( @'daily'"`
 	Days  []string `parser:"| 'weekly' 'on' @Word ( ',' @Word )*"`
@@ -54,7 +54,7 @@
 	"mon": rrule.MO, "tue": rrule.TU, "wed": rrule.WE, "thu": rrule.TH, "fri": rrule.FR, "sat": rrule.SA, "sun": rrule.SU,
 }
 
-// ParseSchedule parses a time; its errors say what could not be read.
+// ParseSchedule parses a schedule. Its errors describe what could not be parsed.
 func ParseSchedule(text string) (Schedule, error) {
 	if len(text) > maxScheduleLength {
 		return Schedule{}, invalidField("time", "longer than %d characters", maxScheduleLength)
@@ -63,41 +63,41 @@
 	if err != nil {
 		return Schedule{}, fmt.Errorf("time %q: %w", text, err)
 	}
-	w, problem := parsed.when()
+	schedule, problem := parsed.toSchedule()
 	if problem != "" {
 		return Schedule{}, &ScheduleError{Text: text, Problem: problem}
 	}
-	return w, nil
+	return schedule, nil
 }
 
-// when converts the parts of a text, or says which of them is wrong.
-func (t *scheduleText) when() (w Schedule, problem string) {
-	w.daily = t.Daily
-	if w.weekdays, problem = t.weekdays(); problem != "" {
-		return w, problem
+// toSchedule converts the syntax tree to a schedule, or describes the part that is invalid.
+func (t *scheduleText) toSchedule() (s Schedule, problem string) {
+	s.daily = t.Daily
+	if s.weekdays, problem = t.parseWeekdays(); problem != "" {
+		return s, problem
 	}
-	if w.zone, problem = t.location(); problem != "" {
-		return w, problem
+	if s.zone, problem = t.parseLocation(); problem != "" {
+		return s, problem
 	}
-	if w.clock, problem = t.timeOfDay(); problem != "" {
-		return w, problem
+	if s.clock, problem = t.parseClock(); problem != "" {
+		return s, problem
 	}
-	if w.date, problem = parseDate(t.Date); problem != "" {
-		return w, problem
+	if s.date, problem = parseDate(t.Date); problem != "" {
+		return s, problem
 	}
-	if w.from, problem = parseDate(t.From); problem != "" {
-		return w, problem
+	if s.from, problem = parseDate(t.From); problem != "" {
+		return s, problem
 	}
-	if w.until, problem = parseDate(t.Until); problem != "" {
-		return w, problem
+	if s.until, problem = parseDate(t.Until); problem != "" {
+		return s, problem
 	}
-	if !w.Recurs() && (t.From != "" || t.Until != "") {
-		return w, `a date has no "from" and "until"`
+	if !s.Recurs() && (t.From != "" || t.Until != "") {
+		return s, `a date has no "from" and "until"`
 	}
-	return w, ""
+	return s, ""
 }
 
-func (t *scheduleText) weekdays() (weekdays []rrule.Weekday, problem string) {
+func (t *scheduleText) parseWeekdays() (weekdays []rrule.Weekday, problem string) {
 	for _, name := range t.Days {
 		weekday, ok := weekdayNames[strings.ToLower(name)[:min(weekdayLetters, len(name))]]
 		if !ok {
@@ -108,7 +108,7 @@
 	return weekdays, ""
 }
 
-func (t *scheduleText) location() (zone *time.Location, problem string) {
+func (t *scheduleText) parseLocation() (zone *time.Location, problem string) {
 	if t.Zone == "" {
 		return time.UTC, ""
 	}
@@ -119,7 +119,7 @@
 	return zone, ""
 }
 
-func (t *scheduleText) timeOfDay() (clock time.Duration, problem string) {
+func (t *scheduleText) parseClock() (clock time.Duration, problem string) {
 	layout := time.TimeOnly
 	if strings.Count(t.Clock, ":") == 1 {
 		layout = "15:04"
@@ -131,7 +131,7 @@
 	return parsed.Sub(parsed.Truncate(day)), ""
 }
 
-// parseDate parses a date; an empty one is the zero time.
+// parseDate parses a date. It returns the zero time for an empty text.
 func parseDate(text string) (date time.Time, problem string) {
 	if text == "" {
 		return time.Time{}, ""
--- a/internal/controller/reservation/validation.go
+++ b/internal/controller/reservation/validation.go
@@ -12,42 +12,43 @@
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,59}$`)
 
 const (
-	// maxLength bounds how long a reservation or a window lasts.
+	// maxLength is the greatest length of a reservation or a window, and the longest time
+	// for which resources are held for a job.
 	maxLength = 7 * day
-	// minHold is the least time for which resources are held for a job.
+	// minHold is the shortest time for which resources are held for a job.
 	minHold = time.Minute
 	// minLength is the least length of a reservation or a window.
 	minLength = time.Second
 	// maxTasks bounds the tasks of a reservation.
 	maxTasks = 10_000
-	// maxListed bounds the machines or types that are named.
-	maxListed = 200
+	// maxListItems bounds the machines or types that an entry names.
+	maxListItems = 200
 )
 
-// FieldError says what is wrong with a field of a reservation or a window.
+// FieldError describes what is wrong with a field of a reservation or a window.
 type FieldError struct {
 	Field   string
 	Problem string
 }
 
-// Error names the field and says what is wrong.
+// Error returns a message that names the field and describes the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 func invalidField(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// CheckReservation checks what does not depend on anything else; its errors
-// name the field.
+// CheckReservation checks a reservation as far as that depends neither on the site nor on
+// other entries. Its errors name the field.
 func CheckReservation(s *record.ReservationSpec) error {
 	if err := checkName(s.Name); err != nil {
 		return err
 	}
-	w, err := ParseSchedule(s.When)
+	schedule, err := ParseSchedule(s.When)
 	if err != nil {
 		return err
 	}
-	if err := checkTarget(s, w); err != nil {
+	if err := checkTarget(s, schedule); err != nil {
 		return err
 	}
 	if err := checkTasks(s); err != nil {
@@ -64,7 +65,8 @@
 	return checkSeconds("length", s.LengthS, minLength)
 }
 
-// CheckWindow checks what does not depend on anything else; its errors name the field.
+// CheckWindow checks a window as far as that depends neither on the site nor on other
+// entries. Its errors name the field.
 func CheckWindow(s *record.WindowSpec) error {
 	if err := checkName(s.Name); err != nil {
 		return err
@@ -72,8 +74,8 @@
 	if _, err := ParseSchedule(s.When); err != nil {
 		return err
 	}
-	if len(s.Machines) > maxListed {
-		return invalidField("machines", "more than %d", maxListed)
+	if len(s.Machines) > maxListItems {
+		return invalidField("machines", "more than %d", maxListItems)
 	}
 	if len(s.Machines) > 0 && (s.Type != "" || s.Zone != "") {
 		return invalidField("machines", "named beside a type or a zone")
@@ -89,11 +91,11 @@
 }
 
 // checkTarget checks that a reservation is for one job or for one class of jobs.
-func checkTarget(s *record.ReservationSpec, w Schedule) error {
+func checkTarget(s *record.ReservationSpec, schedule Schedule) error {
 	if (s.Job == "") == (s.Class == "") {
 		return invalidField("job, class", "one of the two is needed")
 	}
-	if s.Job != "" && w.Recurs() {
+	if s.Job != "" && schedule.Recurs() {
 		return invalidField("job", "a job runs once, so a recurring time needs a class")
 	}
 	return nil
@@ -106,18 +108,19 @@
 		return invalidField("tasks", "%d is not from 1 to %d", s.Tasks, maxTasks)
 	case !(s.CPUs >= 0) || !(s.GPUs >= 0) || !(s.MemoryGB >= 0) || s.CPUs+s.GPUs+s.MemoryGB <= 0:
 		return invalidField("cpus, gpus, memory_gb", "no task takes nothing or less")
-	case len(s.Types) > maxListed:
-		return invalidField("types", "more than %d", maxListed)
+	case len(s.Types) > maxListItems:
+		return invalidField("types", "more than %d", maxListItems)
 	case !s.Priority.Known():
 		return invalidField("priority", "%q is none", s.Priority)
 	}
 	return nil
 }
 
-// checkSeconds checks a length of time. NaN is refused, too.
-func checkSeconds(field string, s float64, least time.Duration) error {
-	if !(s >= least.Seconds()) || s > maxLength.Seconds() {
-		return invalidField(field, "%v is not from %v to %v", s, least, maxLength)
+// checkSeconds checks that a duration in seconds is between a minimum and maxLength. The
+// condition is written so that it refuses NaN, too.
+func checkSeconds(field string, seconds float64, minimum time.Duration) error {
+	if !(seconds >= minimum.Seconds()) || seconds > maxLength.Seconds() {
+		return invalidField(field, "%v is not from %v to %v", seconds, minimum, maxLength)
 	}
 	return nil
 }
--- a/internal/controller/reservation/validation_test.go
+++ b/internal/controller/reservation/validation_test.go
@@ -9,8 +9,9 @@
 	"damsonkeel/internal/record"
 )
 
-// TestInvalidReservationIsRefusedByItsField: operators get these texts as they are.
-func TestInvalidReservationIsRefusedByItsField(t *testing.T) {
+// TestReservationErrorNamesField checks the error texts of reservations, which operators
+// receive unchanged.
+func TestReservationErrorNamesField(t *testing.T) {
 	for _, tc := range []struct {
 		change func(*record.ReservationSpec)
 		want   string
@@ -41,8 +42,9 @@
 	}
 }
 
-// TestInvalidWindowIsRefusedByItsField: operators get these texts as they are.
-func TestInvalidWindowIsRefusedByItsField(t *testing.T) {
+// TestWindowErrorNamesField checks the error texts of windows, which operators receive
+// unchanged.
+func TestWindowErrorNamesField(t *testing.T) {
 	for _, tc := range []struct {
 		change func(*record.WindowSpec)
 		want   string
