--- a/internal/controller/holds/calendar.go
+++ b/internal/controller/holds/calendar.go
@@ -10,11 +10,12 @@
 	"damsonkeel/internal/record"
 )
 
-// windowsAhead is how far ahead windows and reservations are considered when a task is
-// placed: longer than tasks are likely to run.
-const windowsAhead = 24 * time.Hour
+// calendarLookahead is how far ahead windows and reservations are considered when a task is
+// placed. It is longer than tasks are likely to run.
+const calendarLookahead = 24 * time.Hour
 
-// AdoptCalendarRecord adopts a record of the calendar.
+// AdoptCalendarRecord adopts a new version of a record of the calendar: the calendar's own
+// record, a reservation or a window.
 func (h *Holds) AdoptCalendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
 	switch {
 	case f.Calendar:
@@ -24,12 +25,12 @@
 	case f.Window != "":
 		err = h.adoptWindow(value, version)
 	}
-	h.reservationsChanged()
+	h.updateHasEntries()
 	return err
 }
 
-// adoptCalendar adopts the calendar's own record, which counts the changes of all others.
-// Its version is adopted even if it can't be decoded.
+// adoptCalendar adopts the calendar's own record, which counts the changes of all other
+// records. Its version is adopted even if the record can't be decoded.
 func (h *Holds) adoptCalendar(value protocol.RawValue, version protocol.Version) error {
 	var r record.Calendar
 	err := protocol.Decode(value, &r)
@@ -40,6 +41,8 @@
 	return nil
 }
 
+// adoptReservation adopts the record of a reservation, and drops its holds unless it is
+// accepted or holding.
 func (h *Holds) adoptReservation(value protocol.RawValue, version protocol.Version) error {
 	var r record.Reservation
 	if err := protocol.Decode(value, &r); err != nil {
@@ -74,12 +77,13 @@
 	} else {
 		h.Calendar.Drop(true, f.Window)
 	}
-	h.reservationsChanged()
+	h.updateHasEntries()
 }
 
-// reservationsChanged notes whether the calendar has any entries. Controllers publish
-// which attempts run on their machines only while it has.
-func (h *Holds) reservationsChanged() {
+// updateHasEntries records whether the calendar has any entries, and has machine states published
+// again if that changed: controllers publish which attempts run on their machines only while
+// it has entries.
+func (h *Holds) updateHasEntries() {
 	hasEntries := !h.Calendar.Empty()
 	if hasEntries == h.Any {
 		return
@@ -88,27 +92,27 @@
 	h.republish()
 }
 
-// Refresh computes, once a relay period, the open windows, the resources held now and the
-// claims on teams' limits.
+// Refresh computes the open windows, the resources held now and the claims on teams' limits.
+// It is called once per relay period.
 func (h *Holds) Refresh() {
 	if !h.Any && len(h.List) == 0 {
 		return
 	}
 	now, clockError := h.WallTime(), h.Settings.Site.ClockError()
-	from, until := reservation.After(now, -2*clockError), reservation.After(now, windowsAhead)
+	from, until := reservation.After(now, -2*clockError), reservation.After(now, calendarLookahead)
 	h.Calendar.Extend(now)
 	occurrences := h.Calendar.Overlapping(from, until)
 	h.collectLiveJobs(occurrences)
 	h.Windows = h.openWindows(occurrences, clockError)
 	h.teamClaims = map[protocol.Team][]teamClaim{}
 	for _, e := range h.Calendar.Due(from, until) {
-		h.claimLimit(e)
+		h.addTeamClaim(e)
 	}
 	h.computeReserved()
 }
 
-// openWindows returns the windows that are open or open soon, longer by what clocks may
-// be off by.
+// openWindows returns the windows that are open or will open soon, extended on both sides by
+// the amount that clocks may be off.
 func (h *Holds) openWindows(occurrences []reservation.Occurrence, clockError time.Duration) (windows []clusterstate.OpenWindow) {
 	for _, o := range occurrences {
 		if !o.Window {
--- a/internal/controller/holds/exclusion.go
+++ b/internal/controller/holds/exclusion.go
@@ -9,11 +9,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Exclusion returns a function that tells on which machines a job's tasks may not be
-// placed: they would run into a window, or use resources that are held for others.
+// Exclusion returns a function that reports whether a job's tasks may not be placed on a
+// machine, because they would run into a window or use resources that are held for others.
 func (h *Holds) Exclusion(j *protocol.Job, level resource.Level, estimateS float64) func(m *waittable.Machine) bool {
 	now := h.WallTime()
-	likelyS := h.ExpectedRunSeconds(j, estimateS)
+	expectedRunS := h.ExpectedRunSeconds(j, estimateS)
 	task := reservation.Task{IsOf: h.ReservationFilter(j), Need: resource.Need(j), Level: level, SavesCheckpoint: j.CheckpointS > 0}
 	return func(m *waittable.Machine) bool {
 		free, waitS := m.Free(), m.FetchSeconds(j)
@@ -21,11 +21,11 @@
 			free = m.Idle()
 		}
 		if !free.Covers(task.Need) {
-			// The task would wait there for whatever resources are not held.
+			// The task would be queued there and could use all resources that are not held.
 			free = resource.Capacity(m.Info)
 			waitS += m.WaitBefore(level) / max(m.Info.CPUs, 1)
 		}
-		task.Ends = reservation.After(now, config.Seconds(waitS+likelyS))
+		task.Ends = reservation.After(now, config.Seconds(waitS+expectedRunS))
 		holds := h.Holds[m.ID]
 		if h.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, clusterstate.ReservedEnd(holds, &task)) {
 			return true
--- a/internal/controller/holds/holds.go
+++ b/internal/controller/holds/holds.go
@@ -11,38 +11,39 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Holds is the state of the reservations and windows that a controller places by.
+// Holds is the state of reservations and windows that a controller uses to place tasks.
 type Holds struct {
 	clusterstate.Module
 	*clusterstate.Reservations
 	table *waittable.Table
-	// progress returns how far a live job is, as far as this controller knows.
+	// progress returns the latest progress of a live job that this controller has received.
 	progress func(protocol.JobID) (message.Progress, bool)
-	// republish has the states of all machines published again.
+	// republish causes the states of all machines to be published again.
 	republish func()
 
 	// Number identifies the list of holds: the term of the controller that chose it in
 	// the upper half, a count in the lower.
 	Number uint64
 
-	recordWrittenAt clock.Time       // when the list was last written to its record
-	recordStale     bool             // the list has changed since
-	recordVersion   protocol.Version // of the record, as followed
+	recordWrittenAt clock.Time       // when the last write of the record was issued
+	recordStale     bool             // a write of the list is due
+	recordVersion   protocol.Version // latest version of the record that was adopted
 
 	teamClaims map[protocol.Team][]teamClaim
-	// liveByClass are the live jobs of the classes with an occurrence within
-	// windowsAhead, as of the last relay period.
+	// liveByClass contains the live jobs of the classes with an occurrence within
+	// calendarLookahead, as of the last relay period.
 	liveByClass map[string][]*clusterstate.LiveJob
 	endedTasks  map[reservation.Name]*endedTasks
 }
 
-// New returns a state that Reset has to be called on before use. It is given how far jobs
-// are, and what has the states of all machines published again.
+// New returns a state on which Reset has to be called before use. The function progress
+// returns the progress of a job, and republish causes the states of all machines to be
+// published again.
 func New(module clusterstate.Module, table *waittable.Table, progress func(protocol.JobID) (message.Progress, bool), republish func()) *Holds {
 	return &Holds{Module: module, table: table, progress: progress, republish: republish}
 }
 
-// Reset drops the state of the last session.
+// Reset drops the state of the previous session.
 func (h *Holds) Reset() {
 	*h = Holds{
 		Module: h.Module, Reservations: h.State.Reservations, table: h.table, progress: h.progress, republish: h.republish,
@@ -53,14 +54,14 @@
 // Active reports whether there are holds or open windows at present.
 func (h *Holds) Active() bool { return len(h.Windows) > 0 || len(h.List) > 0 }
 
-// Choose adopts the list that this controller has chosen as the autoscaler. A list that
-// differs, or the first one of a term, gets a new number.
-func (h *Holds) Choose(list []reservation.Hold) {
+// Choose adopts the list that this controller has chosen while it runs the autoscaler. A list
+// that differs from the present one, or is the first one of a term, gets a new number.
+func (h *Holds) Choose(chosen []reservation.Hold) {
 	term := uint64(h.View.Term)
-	if slices.Equal(list, h.List) && h.Number>>32 == term {
+	if slices.Equal(chosen, h.List) && h.Number>>32 == term {
 		return
 	}
-	h.Set(list)
+	h.Set(chosen)
 	h.recordStale = true
 	h.Number = max(h.Number+1, term<<32|1)
 }
@@ -76,8 +77,8 @@
 	h.table.PlacementDue = true
 }
 
-// dropHolds drops the holds of a reservation that has ended, without waiting for the next
-// list.
+// dropHolds drops the holds of a reservation that has ended, was cancelled or was deleted,
+// without waiting for the next list.
 func (h *Holds) dropHolds(name reservation.Name) {
 	isFor := func(hold reservation.Hold) bool { return hold.For == name }
 	if slices.ContainsFunc(h.List, isFor) {
@@ -85,7 +86,7 @@
 	}
 }
 
-// computeReserved computes how much of each machine is held now.
+// computeReserved computes which amount of each machine's resources is held now.
 func (h *Holds) computeReserved() {
 	now := h.WallTime()
 	for _, m := range h.table.Machines {
--- a/internal/controller/holds/holds_test.go
+++ b/internal/controller/holds/holds_test.go
@@ -14,7 +14,7 @@
 	"damsonkeel/internal/protocol"
 )
 
-// newHolds returns the holds of a controller without machines, jobs or reservations.
+// newHolds returns the state of a controller without machines, jobs and reservations.
 func newHolds(t *testing.T) *Holds {
 	t.Helper()
 	module := clusterstate.NewModule(fake.Settings(), config.DefaultOperator(), slog.New(slog.DiscardHandler))
@@ -26,8 +26,9 @@
 	return h
 }
 
-// TestChosenListGetsNewNumberIfItDiffers: the number tells peers whether they have the
-// list: it grows with each change and with each term, and with nothing else.
+// TestChosenListGetsNewNumberIfItDiffers checks that the number of the list grows with each
+// change and with each term, and only then. Peers compare it to determine whether they have
+// the list.
 func TestChosenListGetsNewNumberIfItDiffers(t *testing.T) {
 	h := newHolds(t)
 	list := []reservation.Hold{{For: "one", Machine: "vm-1", Tasks: 2}}
@@ -53,9 +54,9 @@
 	}
 }
 
-// TestFailedWriteOfHoldsIsRepeated: the record is written once per change, again if that
-// failed, and no more often than every writeEvery.
-func TestFailedWriteOfHoldsIsRepeated(t *testing.T) {
+// TestFailedWriteOfHoldsIsRetried checks that the record is written once per change and again
+// after a failed write, with at least writeInterval between two writes.
+func TestFailedWriteOfHoldsIsRetried(t *testing.T) {
 	h := newHolds(t)
 	writes := func() int {
 		h.Actions = nil
@@ -63,20 +64,20 @@
 		return len(h.Actions)
 	}
 	h.Choose([]reservation.Hold{{For: "one", Machine: "vm-1", Tasks: 2}})
-	h.Now = h.After(writeEvery)
+	h.Now = h.After(writeInterval)
 	if n := writes(); n != 1 {
 		t.Fatalf("%d writes of a changed list", n)
 	}
 	h.Written(message.OutcomeRefused)
 	if n := writes(); n != 0 {
-		t.Errorf("%d writes at once after a failure", n)
+		t.Errorf("%d writes immediately after a failure", n)
 	}
-	h.Now = h.After(writeEvery)
+	h.Now = h.After(writeInterval)
 	if n := writes(); n != 1 {
-		t.Errorf("%d writes after a failure and a pause", n)
+		t.Errorf("%d writes after a failure and a write interval", n)
 	}
 	h.Written(message.OutcomeDone)
-	h.Now = h.After(writeEvery)
+	h.Now = h.After(writeInterval)
 	if n := writes(); n != 0 {
 		t.Errorf("%d writes though nothing changed", n)
 	}
--- a/internal/controller/holds/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// writeEvery is the least time between two writes of the record.
-	writeEvery = 5 * time.Second
-	// maxHoldBytes is more than one hold takes in the record.
+	// writeInterval is the minimum time between two writes of the record.
+	writeInterval = 5 * time.Second
+	// maxHoldBytes is an upper bound of the encoded size of one hold in the record.
 	maxHoldBytes = 350
 )
 
-// Record is the list of holds as it is written for controllers that start anew.
+// Record is the recorded list of holds, which controllers read when they start.
 type Record struct {
 	Holds []reservation.Hold `cbor:"holds"`
 }
@@ -25,12 +25,12 @@
 // Tag marks the transaction that writes the record of the holds.
 type Tag struct{}
 
-// Write writes the list of holds if it has changed: those that begin first, if not all of
-// them fit into a record. Only one thing depends on it: how soon the same resources are
-// held again after all controllers have ended. Without the record their machines would be
-// filled before any controller knows the holds.
+// Write writes the list of holds if it has changed. If they do not all fit into a record, it
+// writes those that begin first. The record only serves to hold the same resources again
+// soon after all controllers have ended. Without it, other tasks would fill the machines
+// before any controller has a list of holds.
 func (h *Holds) Write() {
-	if !h.recordStale || h.Since(h.recordWrittenAt) < writeEvery {
+	if !h.recordStale || h.Since(h.recordWrittenAt) < writeInterval {
 		return
 	}
 	h.recordStale, h.recordWrittenAt = false, h.Now
@@ -41,13 +41,13 @@
 	}})
 }
 
-// Written handles the outcome of a write: one that failed is repeated.
+// Written handles the outcome of a write. A failed write is retried.
 func (h *Holds) Written(out message.Outcome) {
 	h.recordStale = h.recordStale || out != message.OutcomeDone
 }
 
-// AdoptRecord adopts the list in the record, unless a list has been received from a peer
-// already: that one is newer.
+// AdoptRecord adopts the recorded list, unless this controller has a list already: only the
+// first record of a session is adopted, and a list received from a peer is newer.
 func (h *Holds) AdoptRecord(value protocol.RawValue, version protocol.Version) error {
 	h.recordVersion = version
 	var r Record
--- a/internal/controller/holds/occurrence.go
+++ b/internal/controller/holds/occurrence.go
@@ -8,20 +8,21 @@
 	"damsonkeel/internal/record"
 )
 
-// A job that ends counts for the occurrences from endedBehind ago until endedAhead.
+// A job that ends is counted for the occurrences that overlap the period from endedLookback
+// ago until endedLookahead from now.
 const (
-	endedBehind = time.Minute
-	endedAhead  = time.Hour
+	endedLookback  = time.Minute
+	endedLookahead = time.Hour
 )
 
-// endedTasks counts the tasks of the ended jobs of one occurrence.
+// endedTasks is the number of tasks of the ended jobs of one occurrence.
 type endedTasks struct {
-	start reservation.Moment // of the occurrence
+	start reservation.Moment // start of the occurrence
 	tasks int
 }
 
-// collectLiveJobs collects the live jobs of the classes that have reservations among the
-// occurrences.
+// collectLiveJobs collects the live jobs of the classes that have a reservation among the
+// given occurrences.
 func (h *Holds) collectLiveJobs(occurrences []reservation.Occurrence) {
 	h.liveByClass = map[string][]*clusterstate.LiveJob{}
 	for _, o := range occurrences {
@@ -36,31 +37,33 @@
 	}
 }
 
-// JobsOf reports on the jobs of a reservation's present occurrence: whether one was
-// submitted, how many tasks the reservation is for, and how many of these have started.
-func (h *Holds) JobsOf(e *reservation.Entry) (came bool, desired, started int) {
+// JobsOf reports on the jobs of a reservation's current occurrence: whether one was
+// submitted, how many tasks the reservation covers, and how many of these have started.
+// Before a job is submitted the reservation covers all the tasks it is made for; after that,
+// no more than its jobs have.
+func (h *Holds) JobsOf(e *reservation.Entry) (submitted bool, desired, started int) {
 	spec := &e.Reservation.Spec
 	desired = spec.Tasks
 	tasks := 0
 	if ended := h.endedTasks[spec.Name]; ended != nil && ended.start == e.StartMS {
-		came, tasks, started = true, ended.tasks, ended.tasks
+		submitted, tasks, started = true, ended.tasks, ended.tasks
 	}
-	for _, l := range h.candidates(spec) {
+	for _, l := range h.candidateJobs(spec) {
 		if h.Live[l.ID] != l || !reservation.Matches(e.Reservation, &l.Job) {
 			continue
 		}
 		progress, _ := h.progress(l.ID)
-		came, tasks, started = true, tasks+int(l.Tasks), started+int(progress.Done+progress.Running)
+		submitted, tasks, started = true, tasks+int(l.Tasks), started+int(progress.Done+progress.Running)
 	}
-	if came {
+	if submitted {
 		desired = min(desired, tasks)
 	}
-	return came, desired, min(started, desired)
+	return submitted, desired, min(started, desired)
 }
 
-// candidates returns the jobs that a reservation may be for: the one that it names, or
+// candidateJobs returns the jobs that a reservation may be for: the one that it names, or
 // those of its class. Some of the latter may have ended since the last relay period.
-func (h *Holds) candidates(spec *record.ReservationSpec) []*clusterstate.LiveJob {
+func (h *Holds) candidateJobs(spec *record.ReservationSpec) []*clusterstate.LiveJob {
 	if spec.Job == "" {
 		return h.liveByClass[spec.Class]
 	}
@@ -70,13 +73,13 @@
 	return nil
 }
 
-// JobEnded counts the tasks of a job that has ended for its reservation.
+// JobEnded adds the tasks of a job that has ended to the occurrences that were for it.
 func (h *Holds) JobEnded(l *clusterstate.LiveJob) {
 	if !h.Any || l == nil {
 		return
 	}
 	now := h.WallTime()
-	for _, e := range h.Calendar.Due(reservation.After(now, -endedBehind), reservation.After(now, endedAhead)) {
+	for _, e := range h.Calendar.Due(reservation.After(now, -endedLookback), reservation.After(now, endedLookahead)) {
 		if !reservation.Matches(e.Reservation, &l.Job) {
 			continue
 		}
