--- a/internal/controller/autoscaler/planner.go
+++ b/internal/controller/autoscaler/planner.go
@@ -75,7 +75,7 @@
 	}
 	held.HoldsListed = true
 	p.chooseHolds()
-	held.Write()
+	held.WriteRecord()
 	p.noteRisks()
 	p.advanceReserved()
 }
@@ -86,13 +86,13 @@
 	p.demands = p.reservationDemands()
 	usable := func(m *reservation.Machine, d *reservation.Demand) bool {
 		latest := max(d.StartMS, reservation.After(now, time.Minute)) // a late machine is better than none
-		end := reservation.After(d.StartMS, reservation.MaxDuration(&d.Spec))
+		end := reservation.After(d.StartMS, reservation.MaxOccurrenceDuration(&d.Spec))
 		return m.UpAt <= latest && !p.InWindow(m.ID, m.Info.Name, m.Zone, d.StartMS, end)
 	}
 	held := p.reservations
 	plan := reservation.ChooseHolds(p.demands, p.reservableMachines(), held.List, usable, now)
 	p.shortfall, p.missing, p.zones = plan.Short, plan.Missing, plan.Zones
-	held.Choose(plan.Holds)
+	held.AdoptChosenList(plan.Holds)
 }
 
 // mostMachinesInventoried reports whether the attempts on at least nine of ten machines
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	for _, e := range calendar.Due(now, reservation.After(now, holdAhead)) {
+	for _, e := range calendar.DueReservations(now, reservation.After(now, holdAhead)) {
 		p.advance(e, now)
 	}
 }
@@ -168,8 +168,8 @@
 	if p.writing[name] || e.State == record.Cancelled {
 		return
 	}
-	came, desired, started := p.reservations.JobsOf(e)
-	next, changed := reservation.Advance(*e.Reservation, e.Schedule, reservation.Observation{
+	came, desired, started := p.reservations.OccurrenceProgress(e)
+	next, changed := reservation.AdvanceState(*e.Reservation, e.Schedule, reservation.Observation{
 		Now: now, ClockError: p.Settings.Site.ClockError(), Lead: p.ReservationLeadTime(&e.Reservation.Spec),
 		JobAccepted: came, Wanted: desired, Started: started, Risk: p.risks[name],
 	})
--- a/internal/controller/autoscaler/reservabledemand.go
+++ b/internal/controller/autoscaler/reservabledemand.go
@@ -36,11 +36,11 @@
 func (p *ReservationPlanner) reservationDemands() []reservation.Demand {
 	now := p.WallTime()
 	var demands []reservation.Demand
-	for _, e := range p.reservations.Calendar.Due(now, reservation.After(now, holdAhead)) {
+	for _, e := range p.reservations.Calendar.DueReservations(now, reservation.After(now, holdAhead)) {
 		if !e.Active() {
 			continue
 		}
-		_, desired, started := p.reservations.JobsOf(e)
+		_, desired, started := p.reservations.OccurrenceProgress(e)
 		if left := desired - started; left > 0 {
 			clearFrom := reservation.After(e.StartMS, -p.ReservationLeadTime(&e.Reservation.Spec))
 			demands = append(demands, reservation.Demand{Reservation: e.Reservation, Remaining: left, ClearBy: clearFrom})
@@ -125,7 +125,7 @@
 func (p *ReservationPlanner) requestedTasks(spec *record.ReservationSpec) (tasks int) {
 	for _, call := range p.autoscaler.provisionCalls {
 		if call.reservation == spec.Name {
-			tasks += call.request.Count * resource.Capacity(p.Types[call.request.Type]).CountFitting(reservation.Size(spec))
+			tasks += call.request.Count * resource.Capacity(p.Types[call.request.Type]).CountFitting(reservation.TaskSize(spec))
 		}
 	}
 	return tasks
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -76,7 +76,7 @@
 func (s *State) ReservationFilter(job *protocol.Job) func(reservation.Name) bool {
 	return func(name reservation.Name) bool {
 		entry := s.Reservations.Calendar.Reservation(name)
-		return entry != nil && reservation.Matches(entry.Reservation, job)
+		return entry != nil && reservation.MatchesJob(entry.Reservation, job)
 	}
 }
 
@@ -85,7 +85,7 @@
 func (s *State) InWindow(id protocol.MachineID, machineType protocol.MachineType, zone protocol.Zone, from, to reservation.Moment) bool {
 	for i := range s.Reservations.Windows {
 		w := &s.Reservations.Windows[i]
-		if w.End > from && w.Start < to && reservation.Covers(w.Spec, id, machineType, zone) {
+		if w.End > from && w.Start < to && reservation.WindowCovers(w.Spec, id, machineType, zone) {
 			return true
 		}
 	}
@@ -99,7 +99,7 @@
 	// Types that the cloud can't provide now count too, so that the result does not
 	// change with their availability.
 	for _, machineType := range s.Types {
-		if reservation.Fits(spec, machineType, spec.Zone) {
+		if reservation.FitsMachineType(spec, machineType, spec.Zone) {
 			bootS = max(bootS, s.Reservations.Boots.Likely(machineType.BootS))
 		}
 	}
@@ -116,7 +116,7 @@
 	}
 	own := s.ReservationFilter(job)
 	now := s.WallTime()
-	due := s.Reservations.Calendar.Due(now, max(ends, now+1))
+	due := s.Reservations.Calendar.DueReservations(now, max(ends, now+1))
 	return slices.ContainsFunc(due, func(entry *reservation.Entry) bool {
 		if !entry.Active() || own(entry.Name()) {
 			return false
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -27,7 +27,7 @@
 	case jobs.BitmapTag:
 		c.jobs.HandleBitmapWritten(tag, m.Outcome, m.Revision)
 	case holds.Tag:
-		c.reservations.Written(m.Outcome)
+		c.reservations.HandleRecordWritten(m.Outcome)
 	case workerregistry.Tag:
 		c.registrar.WriteCompleted(tag, m.Outcome)
 	case dispatcher.RemoveTag:
--- a/internal/controller/dispatcher/estimates.go
+++ b/internal/controller/dispatcher/estimates.go
@@ -56,7 +56,7 @@
 // there is none.
 func (env *environment) reservationFor(job *protocol.Job) (name reservation.Name) {
 	for _, hold := range env.Reservations.List {
-		if reservation.Matches(env.ReservationOf(hold.For), job) {
+		if reservation.MatchesJob(env.ReservationOf(hold.For), job) {
 			return hold.For
 		}
 	}
--- a/internal/controller/dispatcher/reservations.go
+++ b/internal/controller/dispatcher/reservations.go
@@ -104,7 +104,7 @@
 	var victims []*entry
 	for _, e := range ordered.Tasks(q.entries) {
 		job := q.Live[e.task.Job]
-		if e.present && !e.ended() && !e.kill && job != nil && e.level < level && !reservation.Matches(q.ReservationOf(name), &job.Job) {
+		if e.present && !e.ended() && !e.kill && job != nil && e.level < level && !reservation.MatchesJob(q.ReservationOf(name), &job.Job) {
 			victims = append(victims, e)
 		}
 	}
--- a/internal/controller/holds/calendar.go
+++ b/internal/controller/holds/calendar.go
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// CalendarDeleted adopts the deletion of a record of the calendar.
-func (h *Holds) CalendarDeleted(f record.FollowedKey) {
+// AdoptCalendarDeletion adopts the deletion of a record of the calendar.
+func (h *Holds) AdoptCalendarDeletion(f record.FollowedKey) {
 	if f.Reservation != "" {
-		h.Calendar.Drop(false, f.Reservation)
+		h.Calendar.DropEntry(false, f.Reservation)
 		h.dropHolds(f.Reservation)
 	} else {
-		h.Calendar.Drop(true, f.Window)
+		h.Calendar.DropEntry(true, f.Window)
 	}
 	h.updateHasEntries()
 }
@@ -100,12 +100,12 @@
 	}
 	now, clockError := h.WallTime(), h.Settings.Site.ClockError()
 	from, until := reservation.After(now, -2*clockError), reservation.After(now, calendarLookahead)
-	h.Calendar.Extend(now)
+	h.Calendar.ExtendIndex(now)
 	occurrences := h.Calendar.Overlapping(from, until)
 	h.collectLiveJobs(occurrences)
 	h.Windows = h.openWindows(occurrences, clockError)
 	h.teamClaims = map[protocol.Team][]teamClaim{}
-	for _, e := range h.Calendar.Due(from, until) {
+	for _, e := range h.Calendar.DueReservations(from, until) {
 		h.addTeamClaim(e)
 	}
 	h.computeReserved()
--- a/internal/controller/holds/holds.go
+++ b/internal/controller/holds/holds.go
@@ -21,9 +21,9 @@
 	// republish causes the states of all machines to be published again.
 	republish func()
 
-	// Number identifies the list of holds: the term of the controller that chose it in
+	// ListNumber identifies the list of holds: the term of the controller that chose it in
 	// the upper half, a count in the lower.
-	Number uint64
+	ListNumber uint64
 
 	recordWrittenAt clock.Time       // when the last write of the record was issued
 	recordStale     bool             // a write of the list is due
@@ -54,20 +54,20 @@
 // Active reports whether there are holds or open windows at present.
 func (h *Holds) Active() bool { return len(h.Windows) > 0 || len(h.List) > 0 }
 
-// Choose adopts the list that this controller has chosen while it runs the autoscaler. A list
+// AdoptChosenList adopts the list that this controller has chosen while it runs the autoscaler. A list
 // that differs from the present one, or is the first one of a term, gets a new number.
-func (h *Holds) Choose(chosen []reservation.Hold) {
+func (h *Holds) AdoptChosenList(chosen []reservation.Hold) {
 	term := uint64(h.View.Term)
-	if slices.Equal(chosen, h.List) && h.Number>>32 == term {
+	if slices.Equal(chosen, h.List) && h.ListNumber>>32 == term {
 		return
 	}
-	h.Set(chosen)
+	h.ReplaceList(chosen)
 	h.recordStale = true
-	h.Number = max(h.Number+1, term<<32|1)
+	h.ListNumber = max(h.ListNumber+1, term<<32|1)
 }
 
-// Set replaces the list of holds.
-func (h *Holds) Set(list []reservation.Hold) {
+// ReplaceList replaces the list of holds.
+func (h *Holds) ReplaceList(list []reservation.Hold) {
 	h.List = list
 	h.Holds = map[protocol.MachineID][]reservation.Hold{}
 	for _, hold := range list {
@@ -82,7 +82,7 @@
 func (h *Holds) dropHolds(name reservation.Name) {
 	isFor := func(hold reservation.Hold) bool { return hold.For == name }
 	if slices.ContainsFunc(h.List, isFor) {
-		h.Set(slices.DeleteFunc(slices.Clone(h.List), isFor))
+		h.ReplaceList(slices.DeleteFunc(slices.Clone(h.List), isFor))
 	}
 }
 
--- a/internal/controller/holds/holds_test.go
+++ b/internal/controller/holds/holds_test.go
@@ -45,8 +45,8 @@
 		{"same list in the next term", 4, list, 4<<32 | 1},
 	} {
 		h.View.Term = tc.term
-		if h.Choose(tc.list); h.Number != tc.want {
-			t.Errorf("%s: number %x, want %x", tc.name, h.Number, tc.want)
+		if h.AdoptChosenList(tc.list); h.ListNumber != tc.want {
+			t.Errorf("%s: number %x, want %x", tc.name, h.ListNumber, tc.want)
 		}
 	}
 	if on := h.Holds["vm-1"]; len(on) != 1 || on[0].Tasks != 2 {
@@ -60,15 +60,15 @@
 	h := newHolds(t)
 	writes := func() int {
 		h.Actions = nil
-		h.Write()
+		h.WriteRecord()
 		return len(h.Actions)
 	}
-	h.Choose([]reservation.Hold{{For: "one", Machine: "vm-1", Tasks: 2}})
+	h.AdoptChosenList([]reservation.Hold{{For: "one", Machine: "vm-1", Tasks: 2}})
 	h.Now = h.After(writeInterval)
 	if n := writes(); n != 1 {
 		t.Fatalf("%d writes of a changed list", n)
 	}
-	h.Written(message.OutcomeRefused)
+	h.HandleRecordWritten(message.OutcomeRefused)
 	if n := writes(); n != 0 {
 		t.Errorf("%d writes immediately after a failure", n)
 	}
@@ -76,7 +76,7 @@
 	if n := writes(); n != 1 {
 		t.Errorf("%d writes after a failure and a write interval", n)
 	}
-	h.Written(message.OutcomeDone)
+	h.HandleRecordWritten(message.OutcomeDone)
 	h.Now = h.After(writeInterval)
 	if n := writes(); n != 0 {
 		t.Errorf("%d writes though nothing changed", n)
--- a/internal/controller/holds/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -25,11 +25,11 @@
 // Tag marks the transaction that writes the record of the holds.
 type Tag struct{}
 
-// Write writes the list of holds if it has changed. If they do not all fit into a record, it
+// WriteRecord writes the list of holds if it has changed. If they do not all fit into a record, it
 // writes those that begin first. The record only serves to hold the same resources again
 // soon after all controllers have ended. Without it, other tasks would fill the machines
 // before any controller has a list of holds.
-func (h *Holds) Write() {
+func (h *Holds) WriteRecord() {
 	if !h.recordStale || h.Since(h.recordWrittenAt) < writeInterval {
 		return
 	}
@@ -41,8 +41,8 @@
 	}})
 }
 
-// Written handles the outcome of a write. A failed write is retried.
-func (h *Holds) Written(out message.Outcome) {
+// HandleRecordWritten handles the outcome of a write. A failed write is retried.
+func (h *Holds) HandleRecordWritten(out message.Outcome) {
 	h.recordStale = h.recordStale || out != message.OutcomeDone
 }
 
@@ -58,6 +58,6 @@
 		return nil
 	}
 	h.HoldsListed = true
-	h.Set(r.Holds)
+	h.ReplaceList(r.Holds)
 	return nil
 }
--- a/internal/controller/holds/occurrence.go
+++ b/internal/controller/holds/occurrence.go
@@ -37,11 +37,11 @@
 	}
 }
 
-// JobsOf reports on the jobs of a reservation's current occurrence: whether one was
+// OccurrenceProgress reports on the jobs of a reservation's current occurrence: whether one was
 // submitted, how many tasks the reservation covers, and how many of these have started.
 // Before a job is submitted the reservation covers all the tasks it is made for; after that,
 // no more than its jobs have.
-func (h *Holds) JobsOf(e *reservation.Entry) (submitted bool, desired, started int) {
+func (h *Holds) OccurrenceProgress(e *reservation.Entry) (submitted bool, desired, started int) {
 	spec := &e.Reservation.Spec
 	desired = spec.Tasks
 	tasks := 0
@@ -49,7 +49,7 @@
 		submitted, tasks, started = true, ended.tasks, ended.tasks
 	}
 	for _, l := range h.candidateJobs(spec) {
-		if h.Live[l.ID] != l || !reservation.Matches(e.Reservation, &l.Job) {
+		if h.Live[l.ID] != l || !reservation.MatchesJob(e.Reservation, &l.Job) {
 			continue
 		}
 		progress, _ := h.progress(l.ID)
@@ -73,14 +73,14 @@
 	return nil
 }
 
-// JobEnded adds the tasks of a job that has ended to the occurrences that were for it.
-func (h *Holds) JobEnded(l *clusterstate.LiveJob) {
+// CountEndedJob adds the tasks of a job that has ended to the occurrences that were for it.
+func (h *Holds) CountEndedJob(l *clusterstate.LiveJob) {
 	if !h.HasEntries || l == nil {
 		return
 	}
 	now := h.WallTime()
-	for _, e := range h.Calendar.Due(reservation.After(now, -endedLookback), reservation.After(now, endedLookahead)) {
-		if !reservation.Matches(e.Reservation, &l.Job) {
+	for _, e := range h.Calendar.DueReservations(reservation.After(now, -endedLookback), reservation.After(now, endedLookahead)) {
+		if !reservation.MatchesJob(e.Reservation, &l.Job) {
 			continue
 		}
 		ended := h.endedTasks[e.Name()]
--- a/internal/controller/holds/teamclaims.go
+++ b/internal/controller/holds/teamclaims.go
@@ -21,16 +21,16 @@
 	if !e.Active() || !h.MayHaveLimit(spec.Team) {
 		return
 	}
-	_, desired, started := h.JobsOf(e)
+	_, desired, started := h.OccurrenceProgress(e)
 	if unstarted := float64(desired - started); unstarted > 0 {
-		claim := teamClaim{reservation: spec.Name, need: reservation.Size(spec).Times(unstarted), from: e.StartMS}
+		claim := teamClaim{reservation: spec.Name, need: reservation.TaskSize(spec).Times(unstarted), from: e.StartMS}
 		h.teamClaims[spec.Team] = append(h.teamClaims[spec.Team], claim)
 	}
 }
 
-// LimitClaimed returns the part of a team's limit that reservations for other jobs claim
+// ClaimedByOthers returns the part of a team's limit that reservations for other jobs claim
 // before a task of the given job has very likely ended.
-func (h *Holds) LimitClaimed(j *protocol.Job, estimateS float64) (sum resource.Amount) {
+func (h *Holds) ClaimedByOthers(j *protocol.Job, estimateS float64) (sum resource.Amount) {
 	claims := h.teamClaims[j.Team]
 	endsAt := reservation.After(h.WallTime(), config.Seconds(h.ExpectedRunSeconds(j, estimateS)))
 	isOwn := h.ReservationFilter(j)
@@ -42,7 +42,7 @@
 	return sum
 }
 
-// ClaimsLimitOf reports whether any reservation claims a part of a team's limit.
-func (h *Holds) ClaimsLimitOf(team protocol.Team) bool {
+// HasTeamClaims reports whether any reservation claims a part of a team's limit.
+func (h *Holds) HasTeamClaims(team protocol.Team) bool {
 	return len(h.teamClaims[team]) > 0
 }
--- a/internal/controller/operatorrequest/calendar.go
+++ b/internal/controller/operatorrequest/calendar.go
@@ -9,8 +9,8 @@
 )
 
 // facts is what decisions on the calendar need to know of the site.
-func (h *Handler) facts() *reservation.Facts {
-	return &reservation.Facts{
+func (h *Handler) facts() *reservation.SiteFacts {
+	return &reservation.SiteFacts{
 		Types: h.Types, MaxMachines: h.Operator.Machines,
 		Team: func(name protocol.Team) (config.Team, bool) {
 			t, ok := h.Team(name)
@@ -40,7 +40,7 @@
 	if existing != nil && !r.Replace && !hasEnded(existing) {
 		return refuse(operatorapi.Refused, "there is a reservation of this name")
 	}
-	if !calendar.Complete() {
+	if !calendar.IndexComplete() {
 		return refuse(operatorapi.RetryLater, "the calendar is still being read, or is full")
 	}
 	a := calendar.DecideReservation(&spec, h.facts(), h.WallTime())
@@ -79,7 +79,7 @@
 	if existing != nil && !r.Replace && !existing.Cancelled {
 		return refuse(operatorapi.Refused, "there is a window of this name")
 	}
-	if !calendar.Complete() {
+	if !calendar.IndexComplete() {
 		return refuse(operatorapi.RetryLater, "the calendar is still being read, or is full")
 	}
 	a := calendar.DecideWindow(&spec, h.facts(), h.WallTime())
@@ -136,7 +136,7 @@
 		return refuse(operatorapi.NotFound, "no "+what+" of this name")
 	case r.CreatedAt != 0 && e.CreatedAt() != r.CreatedAt:
 		return refuse(operatorapi.Refused, "it was made anew since")
-	case !e.Valid():
+	case !e.NotCancelled():
 		return Decision{Reply: done}
 	case r.Window:
 		rec := *e.Window
--- a/internal/controller/operatorrequest/calendarview.go
+++ b/internal/controller/operatorrequest/calendarview.go
@@ -79,7 +79,7 @@
 	if risk, ok := h.planner.Risk(e.Name()); ok {
 		v.Risk = risk // newer than its record
 	}
-	_, _, v.Started = h.reservations.JobsOf(e)
+	_, _, v.Started = h.reservations.OccurrenceProgress(e)
 	return v
 }
 
@@ -104,7 +104,7 @@
 func (h *Handler) overruns(spec *record.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
 	var overruns []operatorapi.Overrun
 	for _, m := range h.table.InOrder() {
-		if !reservation.Covers(spec, m.ID, m.Record.Type, m.Record.Zone) {
+		if !reservation.WindowCovers(spec, m.ID, m.Record.Type, m.Record.Zone) {
 			continue
 		}
 		lastEnd := reservation.Moment(0)
--- a/internal/controller/placement/limits.go
+++ b/internal/controller/placement/limits.go
@@ -29,10 +29,10 @@
 // limitReservedForOthers returns the part of the team's limit that reservations claim for
 // other jobs by the time at which a task of the given job is likely to end.
 func (p *Placer) limitReservedForOthers(job *jobs.Job) resource.Amount {
-	if !p.reservations.ClaimsLimitOf(job.Team) {
+	if !p.reservations.HasTeamClaims(job.Team) {
 		return resource.Amount{}
 	}
-	return p.reservations.LimitClaimed(&job.Job, p.jobs.EstimateRunSeconds(job))
+	return p.reservations.ClaimedByOthers(&job.Job, p.jobs.EstimateRunSeconds(job))
 }
 
 // mayQueueWithinLimit reports whether one more task of a job may be queued on a machine
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -37,7 +37,7 @@
 			c.machineDeregistered(id)
 		}
 	case key.Reservation != "" || key.Window != "":
-		c.reservations.CalendarDeleted(key)
+		c.reservations.AdoptCalendarDeletion(key)
 	}
 }
 
@@ -156,7 +156,7 @@
 
 // jobEnded handles the deletion of a live job's record: it is done or cancelled.
 func (c *Core) jobEnded(id protocol.JobID) {
-	c.reservations.JobEnded(c.Live[id])
+	c.reservations.CountEndedJob(c.Live[id])
 	failing := c.jobs.IsFailing(id)
 	delete(c.Live, id)
 	c.MarkEnded(id)
--- a/internal/controller/reservation/calendar.go
+++ b/internal/controller/reservation/calendar.go
@@ -58,8 +58,8 @@
 	if err != nil {
 		return fmt.Errorf("reservation %s: %w", r.Spec.Name, err)
 	}
-	e := &Entry{Reservation: &r, Version: v, Schedule: schedule, duration: MaxDuration(&r.Spec)}
-	if old := c.reservations[r.Spec.Name]; old != nil && old.Order == r.Order && e.Valid() {
+	e := &Entry{Reservation: &r, Version: v, Schedule: schedule, duration: MaxOccurrenceDuration(&r.Spec)}
+	if old := c.reservations[r.Spec.Name]; old != nil && old.Order == r.Order && e.NotCancelled() {
 		// The same reservation in another state: its indexed occurrences stay valid.
 		old.Reservation, old.Version = e.Reservation, v
 		return nil
@@ -82,9 +82,9 @@
 // occurrences unless it is cancelled.
 func (c *Calendar) putEntry(e *Entry, now Moment) {
 	window := e.Window != nil
-	c.Drop(window, e.Name())
+	c.DropEntry(window, e.Name())
 	c.entries(window)[e.Name()] = e
-	if !e.Valid() {
+	if !e.NotCancelled() {
 		return
 	}
 	e.indexedUntil = After(now, -retainPast)
@@ -110,8 +110,8 @@
 	e.indexedUntil = max(e.indexedUntil, to)
 }
 
-// Drop removes an entry and its occurrences.
-func (c *Calendar) Drop(window bool, n Name) {
+// DropEntry removes an entry and its occurrences.
+func (c *Calendar) DropEntry(window bool, n Name) {
 	dropped := c.entries(window)[n]
 	if dropped == nil {
 		return
@@ -124,9 +124,9 @@
 	c.pendingExtension = slices.DeleteFunc(c.pendingExtension, func(e *Entry) bool { return e == dropped })
 }
 
-// Extend indexes further occurrences, for a few entries per call, and drops those that
+// ExtendIndex indexes further occurrences, for a few entries per call, and drops those that
 // ended long ago. It has to be called regularly.
-func (c *Calendar) Extend(now Moment) {
+func (c *Calendar) ExtendIndex(now Moment) {
 	for range min(maxEntriesPerExtension, len(c.pendingExtension)) {
 		e := c.pendingExtension[0]
 		c.pendingExtension = c.pendingExtension[1:]
@@ -140,7 +140,7 @@
 	for _, entries := range []map[Name]*Entry{c.reservations, c.windows} {
 		for _, e := range entries {
 			c.dropPastOccurrences(e, now)
-			if e.Schedule.Recurs() && e.Valid() && e.indexedUntil < After(now, Horizon) {
+			if e.Schedule.Recurs() && e.NotCancelled() && e.indexedUntil < After(now, Horizon) {
 				c.pendingExtension = append(c.pendingExtension, e)
 			}
 		}
@@ -158,9 +158,9 @@
 	}
 }
 
-// Complete reports whether the occurrences of all entries are indexed up to Horizon. Until
+// IndexComplete reports whether the occurrences of all entries are indexed up to Horizon. Until
 // they are, no further entry can be accepted.
-func (c *Calendar) Complete() bool {
+func (c *Calendar) IndexComplete() bool {
 	return !c.index.full() && !slices.ContainsFunc(c.pendingExtension, func(e *Entry) bool { return e.indexIncomplete })
 }
 
@@ -170,9 +170,9 @@
 	return c.index.overlapping(from, max(to, from+1))
 }
 
-// Due returns the reservations whose current occurrence overlaps a period, ordered by
+// DueReservations returns the reservations whose current occurrence overlaps a period, ordered by
 // start.
-func (c *Calendar) Due(from, to Moment) []*Entry {
+func (c *Calendar) DueReservations(from, to Moment) []*Entry {
 	var due []*Entry
 	for _, o := range c.Overlapping(from, to) {
 		if e := c.Reservation(o.Name); !o.Window && e != nil && e.StartMS == o.Start {
--- a/internal/controller/reservation/calendar_test.go
+++ b/internal/controller/reservation/calendar_test.go
@@ -19,7 +19,7 @@
 		for i := range rapid.IntRange(1, 40).Draw(t, "entries") {
 			n := Name(fmt.Sprint("r", rapid.IntRange(0, 15).Draw(t, "name")))
 			if rapid.IntRange(0, 4).Draw(t, "drop") == 0 {
-				c.Drop(false, n)
+				c.DropEntry(false, n)
 				delete(all, n)
 				continue
 			}
@@ -30,7 +30,7 @@
 			if err := c.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: start, Order: uint64(i + 1)}, 1, noon); err != nil {
 				t.Fatal(err)
 			}
-			all[n] = Occurrence{Name: n, Start: start, End: After(start, MaxDuration(s))}
+			all[n] = Occurrence{Name: n, Start: start, End: After(start, MaxOccurrenceDuration(s))}
 		}
 		from := After(noon, time.Duration(rapid.IntRange(-100, 6000).Draw(t, "from"))*time.Minute)
 		to := After(from, time.Duration(rapid.IntRange(1, 600).Draw(t, "to"))*time.Minute)
@@ -64,7 +64,7 @@
 	}
 	for day := range 3 {
 		for range 3 {
-			c.Extend(After(noon, time.Duration(day)*25*time.Hour))
+			c.ExtendIndex(After(noon, time.Duration(day)*25*time.Hour))
 		}
 	}
 	if c.index.size != 0 {
@@ -85,8 +85,8 @@
 		}
 	}
 	steps := 0
-	for ; !c.Complete(); steps++ {
-		c.Extend(noon)
+	for ; !c.IndexComplete(); steps++ {
+		c.ExtendIndex(noon)
 	}
 	if steps < 1000/maxEntriesPerExtension/2 || c.index.size < 360_000 {
 		t.Fatalf("%d occurrences indexed in %d steps", c.index.size, steps)
--- a/internal/controller/reservation/capacity.go
+++ b/internal/controller/reservation/capacity.go
@@ -39,7 +39,7 @@
 func (d *Demand) level() resource.Level { return resource.LevelOf(d.Spec.Priority, false) }
 
 // size returns the resources of one task.
-func (d *Demand) size() resource.Amount { return Size(&d.Spec) }
+func (d *Demand) size() resource.Amount { return TaskSize(&d.Spec) }
 
 // holdEnd returns when the job of the occurrence should have ended at the latest.
 func (d *Demand) holdEnd() Moment { return afterSeconds(d.StartMS, d.Spec.HoldS+d.Spec.LengthS) }
--- a/internal/controller/reservation/decision.go
+++ b/internal/controller/reservation/decision.go
@@ -18,8 +18,8 @@
 // errNoOccurrenceAhead means that an entry has no occurrence from now until Horizon.
 var errNoOccurrenceAhead = errors.New("its time is over, or more than a year away")
 
-// Facts describes the site, as the input of a decision.
-type Facts struct {
+// SiteFacts describes the site, as the input of a decision.
+type SiteFacts struct {
 	Types map[protocol.MachineType]protocol.TypeInfo
 	Team  func(protocol.Team) (config.Team, bool)
 	// MaxMachines is the largest number of machines of a type that operators count on. A
@@ -53,7 +53,7 @@
 
 // DecideReservation decides whether a reservation can be accepted in addition to all entries
 // that have been accepted before.
-func (c *Calendar) DecideReservation(s *record.ReservationSpec, f *Facts, now Moment) Answer {
+func (c *Calendar) DecideReservation(s *record.ReservationSpec, f *SiteFacts, now Moment) Answer {
 	if !feasibleInCatalogue(s, f) {
 		return refused(nil, "a task fits no allowed machine type of the catalogue")
 	}
@@ -67,7 +67,7 @@
 		return refused(nil, "%v", err)
 	}
 	overlapping := map[Name]bool{}
-	for m, active := range c.distinctActiveSets(times, MaxDuration(s), s.Name, overlapping) {
+	for m, active := range c.distinctActiveSets(times, MaxOccurrenceDuration(s), s.Name, overlapping) {
 		if a := c.checkCapacity(s, active, f); !a.OK {
 			a.Reason += " on " + formatUTC(m)
 			return a
@@ -78,7 +78,7 @@
 
 // DecideWindow decides whether a window leaves enough resources for all reservations that
 // have been accepted.
-func (c *Calendar) DecideWindow(s *record.WindowSpec, f *Facts, now Moment) Answer {
+func (c *Calendar) DecideWindow(s *record.WindowSpec, f *SiteFacts, now Moment) Answer {
 	if s.Type != "" {
 		if _, ok := f.Types[s.Type]; !ok {
 			return refused(nil, "the catalogue has no type %s", s.Type)
@@ -100,10 +100,10 @@
 
 // feasibleInCatalogue reports whether a task of a reservation fits an allowed machine type
 // of the catalogue.
-func feasibleInCatalogue(s *record.ReservationSpec, f *Facts) bool {
+func feasibleInCatalogue(s *record.ReservationSpec, f *SiteFacts) bool {
 	for _, t := range f.Types {
 		for _, z := range t.AllowZones {
-			if Fits(s, t, z) {
+			if FitsMachineType(s, t, z) {
 				return true
 			}
 		}
@@ -128,7 +128,7 @@
 func formatUTC(m Moment) string { return time.UnixMilli(int64(m)).UTC().Format("2006-01-02 15:04 MST") }
 
 // describeAcceptance returns the reason of an accepted reservation: which resources it gets.
-func describeAcceptance(s *record.ReservationSpec, f *Facts) string {
+func describeAcceptance(s *record.ReservationSpec, f *SiteFacts) string {
 	if len(f.MaxMachines) == 0 {
 		return fmt.Sprintf("room for %d tasks; what is not there is rented, as the cloud does not say how much it has", s.Tasks)
 	}
--- a/internal/controller/reservation/decision_test.go
+++ b/internal/controller/reservation/decision_test.go
@@ -25,7 +25,7 @@
 		if a := accept(c, spec("one", "daily at 04:00", tc.first), facts(tc.machines), 1); !a.OK {
 			t.Fatal(a.Reason)
 		}
-		c.Extend(noon)
+		c.ExtendIndex(noon)
 		a := accept(c, spec("two", "weekly on wed at "+tc.at, tc.second), facts(tc.machines), 2)
 		if a.OK != tc.ok || slices.Contains(a.Overlapping, "one") != tc.overlaps || !tc.ok && !slices.Contains(a.Conflicts, "one") {
 			t.Errorf("%+v: %+v", tc, a)
--- a/internal/controller/reservation/entry.go
+++ b/internal/controller/reservation/entry.go
@@ -25,9 +25,9 @@
 	indexIncomplete bool    // the occurrences are not indexed up to Horizon yet
 }
 
-// MaxDuration returns how long an occurrence of a reservation keeps its resources at the
+// MaxOccurrenceDuration returns how long an occurrence of a reservation keeps its resources at the
 // most: they are held for its job first, and then used by it.
-func MaxDuration(s *record.ReservationSpec) time.Duration {
+func MaxOccurrenceDuration(s *record.ReservationSpec) time.Duration {
 	return config.Seconds(s.HoldS + s.LengthS)
 }
 
@@ -47,8 +47,8 @@
 	return e.Reservation.MadeMS
 }
 
-// Valid reports whether the entry has not been cancelled.
-func (e *Entry) Valid() bool {
+// NotCancelled reports whether the entry has not been cancelled.
+func (e *Entry) NotCancelled() bool {
 	if e.Window != nil {
 		return !e.Cancelled
 	}
--- a/internal/controller/reservation/feasibility.go
+++ b/internal/controller/reservation/feasibility.go
@@ -15,7 +15,7 @@
 
 // checkCapacity decides whether a reservation fits in addition to the entries that are
 // active at the same time. Reservations that were accepted earlier are packed first.
-func (c *Calendar) checkCapacity(s *record.ReservationSpec, active []Occurrence, f *Facts) Answer {
+func (c *Calendar) checkCapacity(s *record.ReservationSpec, active []Occurrence, f *SiteFacts) Answer {
 	windows, others := c.splitActive(active)
 	if a := checkTeamLimit(s, others, f); !a.OK {
 		return a
@@ -51,7 +51,7 @@
 
 // checkTeamLimit checks that the resources reserved for a team at the same time, including
 // those of a new reservation, stay within the team's limit.
-func checkTeamLimit(s *record.ReservationSpec, others []*Entry, f *Facts) Answer {
+func checkTeamLimit(s *record.ReservationSpec, others []*Entry, f *SiteFacts) Answer {
 	team, ok := f.Team(s.Team)
 	if !ok || !team.Limited() {
 		return Answer{OK: true}
@@ -73,7 +73,7 @@
 
 // displacedReservations returns the names of the reservations that would lack resources for
 // more of their tasks with a window than without it.
-func (c *Calendar) displacedReservations(window *Entry, active []Occurrence, f *Facts) (names []Name) {
+func (c *Calendar) displacedReservations(window *Entry, active []Occurrence, f *SiteFacts) (names []Name) {
 	windows, others := c.splitActive(active)
 	windows = slices.DeleteFunc(windows, func(e *Entry) bool { return e.Name() == window.Name() })
 	planWithout := binpack.New(f.Types, availableSlots(windows, f), nil)
@@ -88,12 +88,12 @@
 }
 
 // availableSlots returns the machines that can be in use while windows are open.
-func availableSlots(windows []*Entry, f *Facts) []binpack.Slot {
+func availableSlots(windows []*Entry, f *SiteFacts) []binpack.Slot {
 	var slots []binpack.Slot
 	for _, name := range slices.Sorted(maps.Keys(f.Types)) {
 		t := f.Types[name]
 		for i, z := range t.AllowZones {
-			if slices.ContainsFunc(windows, func(e *Entry) bool { return Covers(&e.Window.Spec, "", name, z) }) {
+			if slices.ContainsFunc(windows, func(e *Entry) bool { return WindowCovers(&e.Window.Spec, "", name, z) }) {
 				continue
 			}
 			count := f.maxMachines(name, i, len(t.AllowZones)) - f.machinesInWindows(windows, name, z)
@@ -106,7 +106,7 @@
 // maxMachines returns how many machines of a type there can be in one of its zones. If the
 // total is known, it is split evenly among the zones, as it is not known in which of them
 // the cloud has the machines.
-func (f *Facts) maxMachines(t protocol.MachineType, zone, zones int) int {
+func (f *SiteFacts) maxMachines(t protocol.MachineType, zone, zones int) int {
 	total, known := f.MaxMachines[t]
 	if !known {
 		return unlimitedMachines
@@ -119,7 +119,7 @@
 }
 
 // machinesInWindows returns how many machines of a type in a zone are named by windows.
-func (f *Facts) machinesInWindows(windows []*Entry, t protocol.MachineType, z protocol.Zone) int {
+func (f *SiteFacts) machinesInWindows(windows []*Entry, t protocol.MachineType, z protocol.Zone) int {
 	count := 0
 	for _, e := range windows {
 		for _, id := range e.Window.Spec.Machines {
@@ -135,7 +135,7 @@
 // them.
 func binpackWork(s *record.ReservationSpec) binpack.Work {
 	return binpack.Work{
-		Need: Size(s), Level: resource.LevelOf(s.Priority, false), OneZone: s.OneZone && s.Zone == "",
-		Allows: func(t protocol.TypeInfo, z protocol.Zone, spot bool) bool { return Allows(s, t, z, spot) },
+		Need: TaskSize(s), Level: resource.LevelOf(s.Priority, false), OneZone: s.OneZone && s.Zone == "",
+		Allows: func(t protocol.TypeInfo, z protocol.Zone, spot bool) bool { return AllowsMachineKind(s, t, z, spot) },
 	}
 }
--- a/internal/controller/reservation/fixture_test.go
+++ b/internal/controller/reservation/fixture_test.go
@@ -17,8 +17,8 @@
 
 // facts returns a site with one machine type in two zones. With 0 machines their number has
 // no bound.
-func facts(machines int) *Facts {
-	f := &Facts{
+func facts(machines int) *SiteFacts {
+	f := &SiteFacts{
 		Types: map[protocol.MachineType]protocol.TypeInfo{"m8": {Name: "m8", CPUs: 8, MemoryGB: 32, BootS: 40, AllowZones: []protocol.Zone{"a", "b"}}},
 		Team: func(t protocol.Team) (config.Team, bool) {
 			return config.Team{Name: "small", MaxCPUs: 20}, t == "small"
@@ -32,7 +32,7 @@
 }
 
 // accept decides on a reservation and adds it to the calendar if it is accepted.
-func accept(c *Calendar, s *record.ReservationSpec, f *Facts, order uint64) Answer {
+func accept(c *Calendar, s *record.ReservationSpec, f *SiteFacts, order uint64) Answer {
 	a := c.DecideReservation(s, f, noon)
 	if a.OK {
 		_ = c.PutReservation(record.Reservation{Spec: *s, State: record.Accepted, StartMS: a.FirstTimes[0], Order: order}, 1, noon)
--- a/internal/controller/reservation/holdchoice.go
+++ b/internal/controller/reservation/holdchoice.go
@@ -95,7 +95,7 @@
 func (c *holdChooser) candidateMachines(d *Demand) []*machineCapacity {
 	var machines []*machineCapacity
 	for _, m := range c.machines {
-		if Allows(&d.Spec, m.Info, m.Zone, m.Spot) && c.usable(m.Machine, d) {
+		if AllowsMachineKind(&d.Spec, m.Info, m.Zone, m.Spot) && c.usable(m.Machine, d) {
 			machines = append(machines, m)
 		}
 	}
--- a/internal/controller/reservation/lifecycle.go
+++ b/internal/controller/reservation/lifecycle.go
@@ -23,7 +23,7 @@
 // maxPastOutcomes bounds the outcomes of past occurrences in a record.
 const maxPastOutcomes = 12
 
-// Advance is the state machine of a reservation: it returns the updated record, and whether
+// AdvanceState is the state machine of a reservation: it returns the updated record, and whether
 // it differs from the given one.
 //
 //	accepted -> holding   its start is near
@@ -34,7 +34,7 @@
 //
 // If no controller held a lease in the meantime, a reservation goes through the same states
 // late. Cancelled is a final state.
-func Advance(r record.Reservation, schedule Schedule, observed Observation) (record.Reservation, bool) {
+func AdvanceState(r record.Reservation, schedule Schedule, observed Observation) (record.Reservation, bool) {
 	began := beginHolding(&r, observed)
 	ended := endHolding(&r, observed)
 	risk := updateRisk(&r, observed)
@@ -57,7 +57,7 @@
 		return false
 	}
 	holdEnded := observed.Now >= After(afterSeconds(r.StartMS, r.Spec.HoldS), observed.ClockError)
-	ended := observed.Now >= After(r.StartMS, MaxDuration(&r.Spec))
+	ended := observed.Now >= After(r.StartMS, MaxOccurrenceDuration(&r.Spec))
 	switch {
 	case observed.JobAccepted && observed.Started >= observed.Wanted:
 		r.State = record.Used
--- a/internal/controller/reservation/lifecycle_test.go
+++ b/internal/controller/reservation/lifecycle_test.go
@@ -15,7 +15,7 @@
 	start := schedule.Occurrences(noon, After(noon, Horizon))[0]
 	r := record.Reservation{Spec: *spec("one", "daily at 04:00", 4), State: record.Accepted, StartMS: start}
 	step := func(r record.Reservation, now Moment, jobAccepted bool, started int, risk string) record.Reservation {
-		r, _ = Advance(r, schedule, Observation{Now: now, ClockError: time.Second, Lead: 5 * time.Minute, JobAccepted: jobAccepted, Wanted: 4, Started: started, Risk: risk})
+		r, _ = AdvanceState(r, schedule, Observation{Now: now, ClockError: time.Second, Lead: 5 * time.Minute, JobAccepted: jobAccepted, Wanted: 4, Started: started, Risk: risk})
 		return r
 	}
 	if got := step(r, After(start, -6*time.Minute), false, 0, ""); got.State != record.Accepted {
@@ -42,7 +42,7 @@
 			t.Errorf("%v after the start: %+v", tc.now, got)
 		}
 	}
-	if _, changed := Advance(record.Reservation{State: record.Cancelled, Spec: r.Spec, StartMS: start}, schedule, Observation{Now: start}); changed {
+	if _, changed := AdvanceState(record.Reservation{State: record.Cancelled, Spec: r.Spec, StartMS: start}, schedule, Observation{Now: start}); changed {
 		t.Error("cancelled reservation changed")
 	}
 }
--- a/internal/controller/reservation/matching.go
+++ b/internal/controller/reservation/matching.go
@@ -13,9 +13,9 @@
 // may be submitted to match it.
 const maxEarly = 30 * time.Minute
 
-// Matches reports whether the current occurrence of a reservation is for a job. A job of
+// MatchesJob reports whether the current occurrence of a reservation is for a job. A job of
 // its class may be submitted up to maxEarly before the start.
-func Matches(r *record.Reservation, j *protocol.Job) bool {
+func MatchesJob(r *record.Reservation, j *protocol.Job) bool {
 	if r.Spec.Team != "" && r.Spec.Team != j.Team {
 		return false
 	}
@@ -26,25 +26,25 @@
 	return r.Spec.Class == j.Class && submitted >= After(r.StartMS, -maxEarly) && submitted < afterSeconds(r.StartMS, r.Spec.HoldS)
 }
 
-// Size returns the resources that each task of a reservation needs.
-func Size(s *record.ReservationSpec) resource.Amount {
+// TaskSize returns the resources that each task of a reservation needs.
+func TaskSize(s *record.ReservationSpec) resource.Amount {
 	return resource.Amount{CPUs: s.CPUs, GPUs: s.GPUs, GB: s.MemoryGB}
 }
 
-// Fits reports whether a reservation allows ordinary machines of a type in a zone, and one
+// FitsMachineType reports whether a reservation allows ordinary machines of a type in a zone, and one
 // of its tasks fits on such a machine.
-func Fits(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone) bool {
-	return Allows(s, t, z, false) && resource.Capacity(t).Covers(Size(s))
+func FitsMachineType(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone) bool {
+	return AllowsMachineKind(s, t, z, false) && resource.Capacity(t).Covers(TaskSize(s))
 }
 
-// Allows reports whether a reservation may hold resources on machines of a type in a zone,
+// AllowsMachineKind reports whether a reservation may hold resources on machines of a type in a zone,
 // ordinary or spot.
-func Allows(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone, spot bool) bool {
+func AllowsMachineKind(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && (s.Zone == "" || s.Zone == z) && (s.Spot || !spot)
 }
 
-// Covers reports whether a window covers a machine.
-func Covers(s *record.WindowSpec, id protocol.MachineID, t protocol.MachineType, z protocol.Zone) bool {
+// WindowCovers reports whether a window covers a machine.
+func WindowCovers(s *record.WindowSpec, id protocol.MachineID, t protocol.MachineType, z protocol.Zone) bool {
 	if len(s.Machines) > 0 {
 		return slices.Contains(s.Machines, id)
 	}
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -64,8 +64,8 @@
 		Load:          message.Load{LateMS: c.tickLatenessMS, Leaving: c.Leaving},
 		Ask:           c.rates.Request(c.Now),
 	}
-	if name != c.Self && c.holdsOfThisTerm() && peer.Updates.HoldsTo != c.reservations.Number {
-		update.Holds = &message.ReservationHolds{Number: c.reservations.Number, List: c.reservations.List}
+	if name != c.Self && c.holdsOfThisTerm() && peer.Updates.HoldsTo != c.reservations.ListNumber {
+		update.Holds = &message.ReservationHolds{Number: c.reservations.ListNumber, List: c.reservations.List}
 	}
 	return update
 }
@@ -73,7 +73,7 @@
 // holdsOfThisTerm reports whether this controller has planned the reservations' holds in
 // this term: the upper half of their number is the term.
 func (c *Core) holdsOfThisTerm() bool {
-	number := c.reservations.Number
+	number := c.reservations.ListNumber
 	return number != 0 && number>>32 == uint64(c.View.Term)
 }
 
@@ -139,7 +139,7 @@
 	if update.Holds != nil && from != c.Self {
 		streams.HoldsFrom = update.Holds.Number
 		c.reservations.HoldsListed = true
-		c.reservations.Set(update.Holds.List)
+		c.reservations.ReplaceList(update.Holds.List)
 	}
 	if streams.MachinesFrom.Accept(update.Machines) {
 		streams.MachinesReceivedAt = c.Now
--- a/internal/simulator/driver.go
+++ b/internal/simulator/driver.go
@@ -211,7 +211,7 @@
 	m := d.workers[id]
 	now := reservation.Moment(d.wallMS())
 	for _, w := range d.windows {
-		if reservation.Covers(w.spec, id, m.Info.Name, m.Zone) && len(w.when.Occurrences(reservation.After(now, -config.Seconds(w.spec.LengthS)+1), now)) > 0 {
+		if reservation.WindowCovers(w.spec, id, m.Info.Name, m.Zone) && len(w.when.Occurrences(reservation.After(now, -config.Seconds(w.spec.LengthS)+1), now)) > 0 {
 			d.result.InWindow++
 		}
 	}
