--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -14,7 +14,7 @@
 // type of its tag.
 func (c *Core) commitDone(m message.CommitDone) {
 	switch tag := m.Tag.(type) {
-	case membership.ShardsTag:
+	case membership.ShardTableTag:
 		c.members.ShardsWritten(m.Outcome)
 	case membership.ViewTag:
 		c.members.ViewWritten(m.Outcome)
@@ -27,9 +27,9 @@
 	case jobs.BitmapTag:
 		c.jobs.HandleBitmapWritten(tag, m.Outcome, m.Revision)
 	case holds.Tag:
-		c.reservations.Written(m.Outcome)
+		c.reservations.HandleRecordWritten(m.Outcome)
 	case workerregistry.Tag:
-		c.registrar.Written(tag, m.Outcome)
+		c.registrar.WriteCompleted(tag, m.Outcome)
 	case dispatcher.RemoveTag:
 		c.dispatcher.RemovalDone(tag.Machine)
 	}
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -13,7 +13,7 @@
 // progressOf returns the progress of an owned job.
 func (o *Owned) progressOf(job *Job) message.Progress {
 	progress := message.Progress{Job: job.ID, Done: job.DoneCount, Running: job.runningCount, Failing: job.Failing}
-	if o.Reservations.Any {
+	if o.Reservations.HasEntries {
 		progress.Level = int(job.Level) + 1
 	}
 	return progress
@@ -37,9 +37,9 @@
 // FillUpdate adds the progress of changed jobs to a state update for a peer, and advances the
 // peer's cursor. It adds those that changed since the last update, up to limit jobs.
 func (o *Owned) FillUpdate(update *message.StateUpdate, cursor *replication.Cursor, limit int) {
-	ids, upto := o.changes.Since(cursor.Next(), limit)
-	update.Jobs = replication.Range{Stream: uint64(o.View.Term), From: cursor.Next(), Upto: upto}
-	cursor.Sent(upto)
+	ids, upto := o.changes.Since(cursor.SentUpTo(), limit)
+	update.Jobs = replication.Range{Stream: uint64(o.View.Term), From: cursor.SentUpTo(), Upto: upto}
+	cursor.MarkSent(upto)
 	for _, id := range ids {
 		if job := o.ByID[id]; job != nil {
 			update.Progress = append(update.Progress, o.progressOf(job))
@@ -50,7 +50,7 @@
 // BeginProgressStream begins the change stream of a new term, with all owned jobs marked as changed.
 func (o *Owned) BeginProgressStream() {
 	o.changes = replication.ChangeLog[protocol.JobID]{}
-	for id := range ordered.Of(o.ByID) {
+	for id := range ordered.ByKey(o.ByID) {
 		o.changes.Touch(id)
 	}
 }
--- a/internal/controller/membership/peers_test.go
+++ b/internal/controller/membership/peers_test.go
@@ -14,10 +14,11 @@
 	"damsonkeel/internal/record"
 )
 
-// TestWaitsOut: a controller that does not hold its lease keeps its users while it is
-// in contact with a peer that does not hold one either; not while a peer does, nor for
-// long when it receives nothing from any peer.
-func TestWaitsOut(t *testing.T) {
+// TestKeepsConnectionsUnlessPeerHoldsLease checks that a controller that does not hold its
+// lease keeps its users' connections while it is in contact with a peer that does not hold
+// one either, and that it does not keep them while a peer holds its lease, nor for long
+// when it receives nothing from any peer.
+func TestKeepsConnectionsUnlessPeerHoldsLease(t *testing.T) {
 	for name, tc := range map[string]struct {
 		peers     []protocol.NodeName
 		inContact bool
@@ -44,7 +45,7 @@
 			for i, peer := range tc.peers {
 				view.Members[peer] = protocol.LeaseID(101 + i)
 			}
-			ms.Adopt(view, 1)
+			ms.AdoptView(view, 1)
 			wait := time.Second
 			if tc.forLong {
 				wait = time.Minute
@@ -54,9 +55,9 @@
 				ms.NoteLoad("node-1", message.Load{})
 			}
 			if tc.peerLeads {
-				ms.NoteLeading("node-1")
+				ms.NoteHoldsLease("node-1")
 			}
-			if got := ms.ShouldWaitOut(); got != tc.waitsOut {
+			if got := ms.ShouldWaitForLease(); got != tc.waitsOut {
 				t.Errorf("waits out the outage: %v, want %v", got, tc.waitsOut)
 			}
 		})
--- a/internal/controller/placement/round.go
+++ b/internal/controller/placement/round.go
@@ -14,16 +14,16 @@
 
 // round is one pass over the jobs with pending tasks.
 type round struct {
-	usage      map[protocol.Team]resource.Amount
-	claims     *Claims
-	batches    map[protocol.NodeName][]message.Placement // by dispatcher
-	waits      map[protocol.MachineID]*waittable.OwnWaits
-	remaining  int // placements that the step may still make
-	stuckGangs int // gangs that found no place when they were last tried
+	usage         map[protocol.Team]resource.Amount
+	claims        *Claims
+	batches       map[protocol.NodeName][]message.Placement          // by dispatcher
+	waits         map[protocol.MachineID]*waittable.UnannouncedWaits // to be announced to the peers
+	remaining     int                                                // placements that the step may still make
+	unplacedGangs int                                                // pending gangs whose last placement attempt failed
 }
 
-// PlacePending places what is pending: each task once, on the machine with the smallest
-// expected wait per processor among those that can run it.
+// PlacePending places the pending tasks of the owned jobs, each once and on the machine with
+// the smallest expected wait per processor among those that can run it.
 func (p *Placer) PlacePending() {
 	p.table.PlacementDue = false
 	if len(p.Types) == 0 {
@@ -33,13 +33,13 @@
 		usage:     p.jobs.TeamUsage(),
 		claims:    p.NewClaims(),
 		batches:   map[protocol.NodeName][]message.Placement{},
-		waits:     map[protocol.MachineID]*waittable.OwnWaits{},
+		waits:     map[protocol.MachineID]*waittable.UnannouncedWaits{},
 		remaining: MaxPerStep,
 	}
-	r.claims.headroomCPUs = p.headroom() // only placing uses it
+	r.claims.headroomCPUs = p.headroom() // NewClaims leaves it at 0: only placing rounds use the headroom
 	p.SetLevels()
 	p.expireFailedSearches()
-	r.stuckGangs = p.countStuckGangs()
+	r.unplacedGangs = p.countUnplacedGangs()
 	for _, job := range p.jobs.InPlacementOrder() {
 		if !job.Loaded || job.FinishDue || job.NotBefore > p.Now || job.Pending.None() {
 			continue
@@ -51,50 +51,51 @@
 		}
 	}
 	p.sendPlacements(r.batches)
-	p.table.SendWaits(r.waits)
+	p.table.AnnounceWaits(r.waits)
 }
 
-// countStuckGangs counts the pending gangs that found no place when they were last tried.
-func (p *Placer) countStuckGangs() int {
-	stuck := 0
+// countUnplacedGangs counts the pending gangs whose last placement attempt failed.
+func (p *Placer) countUnplacedGangs() int {
+	unplaced := 0
 	for _, job := range p.jobs.InPlacementOrder() {
 		if job.SearchFailed && !job.Pending.None() {
-			stuck++
+			unplaced++
 		}
 	}
-	return stuck
+	return unplaced
 }
 
-// retryInterval returns how often gangs that found no place are tried again when there are
-// so many: at each step where that is cheap, less often where many wait on a large fleet.
-func (p *Placer) retryInterval(stuckGangs int) time.Duration {
-	return Interval * time.Duration(stuckGangs*len(p.table.InOrder())/MaxExaminedForGangs)
+// retryInterval returns how long a gang that could not be placed is not tried again, given
+// the number of such gangs. It is 0, so that each step retries them, as long as that is
+// cheap, and grows with the number of gangs and the size of the fleet.
+func (p *Placer) retryInterval(unplacedGangs int) time.Duration {
+	return Interval * time.Duration(unplacedGangs*len(p.table.InOrder())/MaxExaminedForGangs)
 }
 
-// placeJob places what is pending of one job.
+// placeJob places the pending tasks of one job.
 func (p *Placer) placeJob(job *jobs.Job, r *round) []message.Placement {
 	job.ConfinedToHeadroom = !math.IsInf(r.claims.headroomCPUs, 1) && p.workload.WithoutObjective(&job.Job) && !p.reservations.IsReserved(&job.Job)
-	most := r.remaining
+	maxTasks := r.remaining
 	if job.ConfinedToHeadroom && p.startOverdue(job) {
-		job.ConfinedToHeadroom, most = false, min(r.remaining, 1)
+		job.ConfinedToHeadroom, maxTasks = false, min(r.remaining, 1)
 	}
-	if job.SearchFailed && p.Since(job.SearchedAt) < p.retryInterval(r.stuckGangs) {
+	if job.SearchFailed && p.Since(job.SearchedAt) < p.retryInterval(r.unplacedGangs) {
 		p.renewClaims(job, r.claims)
 		return nil
 	}
 	gang := job.Kind == protocol.KindGang
-	if !gang && p.wouldFindNone(job) {
+	if !gang && p.searchWouldFail(job) {
 		return nil
 	}
 	var placed []message.Placement
-	examinedBefore := p.Examined
+	examinedBefore := p.ExaminedMachines
 	job.ClaimedMachines = nil
 	if gang {
 		placed = p.PlaceGang(job, r.usage, r.claims)
 	} else {
-		placed = p.placeArray(job, r.usage, most, r.claims)
+		placed = p.placeArray(job, r.usage, maxTasks, r.claims)
 	}
-	job.SearchFailed, job.SearchedAt = gang && len(placed) == 0 && p.Examined > examinedBefore, p.Now
+	job.SearchFailed, job.SearchedAt = gang && len(placed) == 0 && p.ExaminedMachines > examinedBefore, p.Now
 	return placed
 }
 
@@ -106,28 +107,28 @@
 		r.batches[dispatcher] = append(r.batches[dispatcher], placement)
 		waits := r.waits[placement.Machine]
 		if waits == nil {
-			waits = &waittable.OwnWaits{}
+			waits = &waittable.UnannouncedWaits{}
 			r.waits[placement.Machine] = waits
 		}
-		waits.Add += placement.EstimateS * placement.CPUs
-		waits.Taken.Add(resource.Level(placement.Level), placement.Need())
+		waits.CPUSeconds += placement.EstimateS * placement.CPUs
+		waits.Uses.Add(resource.Level(placement.Level), placement.Need())
 	}
 }
 
 // sendPlacements sends the placements to the dispatchers of their machines.
 func (p *Placer) sendPlacements(batches map[protocol.NodeName][]message.Placement) {
 	revision := p.Configuration.Effective().Revision
-	for dispatcher, tasks := range ordered.Of(batches) {
+	for dispatcher, tasks := range ordered.ByKey(batches) {
 		peer := p.table.Peers[dispatcher]
 		if peer == nil {
 			continue
 		}
-		peer.Placed++
+		peer.LastPlaceNumber++
 		for _, placement := range tasks {
 			if job := p.jobs.ByID[placement.Task.Job]; job != nil && job.Placed[placement.Task] != nil {
-				job.Placed[placement.Task].PlaceNumber = peer.Placed
+				job.Placed[placement.Task].PlaceNumber = peer.LastPlaceNumber
 			}
 		}
-		p.Send(dispatcher, message.PeerMessage{Place: &message.Place{Number: peer.Placed, Term: p.View.Term, Configuration: revision, Tasks: tasks}})
+		p.Send(dispatcher, message.PeerMessage{Place: &message.Place{Number: peer.LastPlaceNumber, Term: p.View.Term, Configuration: revision, Tasks: tasks}})
 	}
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -22,7 +22,7 @@
 func (c *Core) recordDeleted(key record.FollowedKey) {
 	switch {
 	case key.Node != "":
-		c.members.Absent(key.Node)
+		c.members.RemoveNode(key.Node)
 		c.checkView()
 	case key.ShardTable:
 		c.ShardsVersion = 0 // lost: it is written again as this controller knows it
@@ -37,7 +37,7 @@
 			c.machineDeregistered(id)
 		}
 	case key.Reservation != "" || key.Window != "":
-		c.reservations.CalendarDeleted(key)
+		c.reservations.AdoptCalendarDeletion(key)
 	}
 }
 
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	c.members.Present(name, node)
+	c.members.AddNode(name, node)
 	if !snapshot {
 		c.checkView()
 	}
@@ -156,7 +156,7 @@
 
 // jobEnded handles the deletion of a live job's record: it is done or cancelled.
 func (c *Core) jobEnded(id protocol.JobID) {
-	c.reservations.JobEnded(c.Live[id])
+	c.reservations.CountEndedJob(c.Live[id])
 	failing := c.jobs.IsFailing(id)
 	delete(c.Live, id)
 	c.MarkEnded(id)
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -31,8 +31,8 @@
 		c.setRateAllotment() // before a peer can use what is granted to it
 	}
 	var previous *message.StateUpdate // as sent to the peer before
-	for name, peer := range ordered.Of(c.waitTable.Peers) {
-		if !regular && !peer.Updates.Short {
+	for name, peer := range ordered.ByKey(c.waitTable.Peers) {
+		if !regular && !peer.Updates.Truncated {
 			continue
 		}
 		update := c.newUpdate(name, peer)
@@ -45,7 +45,7 @@
 			update.Demand = previous.Demand
 		}
 		c.fillMachines(update, &peer.Updates.MachinesTo, previous)
-		peer.Updates.Short = update.Handled == nil
+		peer.Updates.Truncated = update.Handled == nil
 		c.jobs.FillUpdate(update, &peer.Updates.JobsTo, statesMost)
 		c.Send(name, message.PeerMessage{Relay: update})
 		previous = update
@@ -64,8 +64,8 @@
 		Load:          message.Load{LateMS: c.tickLatenessMS, Leaving: c.Leaving},
 		Ask:           c.rates.Request(c.Now),
 	}
-	if name != c.Self && c.holdsOfThisTerm() && peer.Updates.HoldsTo != c.reservations.Number {
-		update.Holds = &message.ReservationHolds{Number: c.reservations.Number, List: c.reservations.List}
+	if name != c.Self && c.holdsOfThisTerm() && peer.Updates.HoldsTo != c.reservations.ListNumber {
+		update.Holds = &message.ReservationHolds{Number: c.reservations.ListNumber, List: c.reservations.List}
 	}
 	return update
 }
@@ -73,21 +73,21 @@
 // holdsOfThisTerm reports whether this controller has planned the reservations' holds in
 // this term: the upper half of their number is the term.
 func (c *Core) holdsOfThisTerm() bool {
-	number := c.reservations.Number
+	number := c.reservations.ListNumber
 	return number != 0 && number>>32 == uint64(c.View.Term)
 }
 
 // fillMachines adds what changed of machines. Most peers lack the same changes: what was
 // collected for the peer before is used again if it starts from the same place.
 func (c *Core) fillMachines(update *message.StateUpdate, to *replication.Cursor, previous *message.StateUpdate) {
-	if previous != nil && previous.Machines.From == to.Next() {
+	if previous != nil && previous.Machines.From == to.SentUpTo() {
 		update.Machines, update.States, update.Handled = previous.Machines, previous.States, previous.Handled
-		to.Sent(update.Machines.Upto)
+		to.MarkSent(update.Machines.Upto)
 		return
 	}
-	ids, upto := c.dispatcher.MachinesChangedSince(to.Next(), statesMost)
-	update.Machines = replication.Range{Stream: uint64(c.View.Term), From: to.Next(), Upto: upto}
-	to.Sent(upto)
+	ids, upto := c.dispatcher.MachinesChangedSince(to.SentUpTo(), statesMost)
+	update.Machines = replication.Range{Stream: uint64(c.View.Term), From: to.SentUpTo(), Upto: upto}
+	to.MarkSent(upto)
 	update.States = make([]message.MachineState, 0, len(ids))
 	for _, id := range ids {
 		if state, queued := c.dispatcher.PublishedState(id); queued {
@@ -110,7 +110,7 @@
 		return
 	}
 	if update.Acting {
-		c.members.NoteLeading(from)
+		c.members.NoteHoldsLease(from)
 	}
 	c.members.NoteLoad(from, update.Load)
 	peer.Configuration, peer.ConfiguredAt = update.Configuration, c.Now
@@ -133,21 +133,21 @@
 // its jobs and the holds of reservations.
 func (c *Core) applyStreams(from protocol.NodeName, peer *waittable.Peer, update *message.StateUpdate) {
 	streams := &peer.Updates
-	streams.MachinesTo.Acknowledged(update.HaveMachines)
-	streams.JobsTo.Acknowledged(update.HaveJobs)
+	streams.MachinesTo.HandleAcknowledgement(update.HaveMachines)
+	streams.JobsTo.HandleAcknowledgement(update.HaveJobs)
 	streams.HoldsTo = update.HaveHolds
 	if update.Holds != nil && from != c.Self {
 		streams.HoldsFrom = update.Holds.Number
-		c.reservations.Listed = true
-		c.reservations.Set(update.Holds.List)
+		c.reservations.HoldsListed = true
+		c.reservations.ReplaceList(update.Holds.List)
 	}
 	if streams.MachinesFrom.Accept(update.Machines) {
-		streams.At = c.Now
+		streams.MachinesReceivedAt = c.Now
 		for _, state := range update.States {
 			c.waitTable.ApplyMachineState(from, peer, state)
 		}
 		if update.Handled != nil {
-			c.waitTable.DropCounted(peer, update.Handled)
+			c.waitTable.DropIncludedWaits(peer, update.Handled)
 		}
 	}
 	if streams.JobsFrom.Accept(update.Jobs) {
--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -185,7 +185,7 @@
 	if p.number > m.lastIncluded {
 		m.open[p.number] = p
 	}
-	m.core.waitTable.WaitsAdded("node-1", &message.WaitsAdded{
+	m.core.waitTable.ApplyWaitsAdded("node-1", &message.WaitsAdded{
 		Term: 1, Numbers: map[protocol.NodeName]uint64{"node-2": p.number},
 		Waits: []message.WaitChange{{Machine: p.id, Add: p.add, Taken: []message.LevelUse{{CPUs: 1}}}},
 	})
@@ -214,9 +214,9 @@
 
 // publish has the dispatcher send what the core lacks, two machines at the most.
 func (m *announcementModel) publish() {
-	ids, upto := m.log.Since(m.cursor.Next(), 2)
-	r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: m.cursor.Next(), Upto: upto}}
-	m.cursor.Sent(upto)
+	ids, upto := m.log.Since(m.cursor.SentUpTo(), 2)
+	r := &message.StateUpdate{Term: 1, Machines: replication.Range{Stream: 1, From: m.cursor.SentUpTo(), Upto: upto}}
+	m.cursor.MarkSent(upto)
 	for _, id := range ids {
 		r.States = append(r.States, message.MachineState{Machine: id, Epoch: m.core.waitTable.Machines[id].Epoch, Wait: m.waits[id]})
 	}
@@ -255,7 +255,7 @@
 
 // acknowledge has the dispatcher learn how far the core has its stream.
 func (m *announcementModel) acknowledge() {
-	m.cursor.Acknowledged(m.core.waitTable.Peers["node-2"].Updates.MachinesFrom.Have())
+	m.cursor.HandleAcknowledgement(m.core.waitTable.Peers["node-2"].Updates.MachinesFrom.Have())
 }
 
 // step plays one random event.
@@ -346,11 +346,11 @@
 	}})
 	b.machine(id, 1)
 	m := b.c.waitTable.Machines[id]
-	if m.Free().CPUs != 3 || !b.c.waitTable.Recent(m, time.Minute) {
+	if m.Free().CPUs != 3 || !b.c.waitTable.IsStateRecent(m, time.Minute) {
 		t.Errorf("free %+v, state %+v", m.Free(), m.State)
 	}
 	b.view(2, "node-0", "node-1")
-	if b.c.waitTable.Recent(m, time.Minute) {
+	if b.c.waitTable.IsStateRecent(m, time.Minute) {
 		t.Error("a state of an earlier term counts as recent")
 	}
 }
@@ -410,16 +410,16 @@
 // concerns it alone from an outage by whether a peer has recently reported that it leads.
 func TestOthersLeadOnlyAsLongAsReported(t *testing.T) {
 	b := newBench(t, "node-1")
-	if b.c.members.OthersLead() {
+	if b.c.members.AnyPeerHoldsLease() {
 		t.Error("others lead though none has reported it")
 	}
 	b.c.stateUpdated("node-1", &message.StateUpdate{Acting: true})
-	if !b.c.members.OthersLead() {
+	if !b.c.members.AnyPeerHoldsLease() {
 		t.Error("no others lead though a peer reports it")
 	}
 	b.now += Time(time.Minute)
 	b.c.Now = b.now
-	if b.c.members.OthersLead() {
+	if b.c.members.AnyPeerHoldsLease() {
 		t.Error("others lead by a report that is a minute old")
 	}
 }
--- a/internal/controller/tablecopy_test.go
+++ b/internal/controller/tablecopy_test.go
@@ -24,11 +24,11 @@
 	if got := askedForTable(b.step(message.Tick{})); len(got) != 0 {
 		t.Fatalf("asked %v before the wait was over", got)
 	}
-	b.now += Time(b.c.Op.CopyWait)
+	b.now += Time(b.c.Operator.CopyWait)
 	if got := askedForTable(b.step(message.Tick{})); len(got) != 2 {
 		t.Fatalf("asked %v after the wait, want the two peers left", got)
 	}
-	b.now += Time(b.c.Op.CopyWait)
+	b.now += Time(b.c.Operator.CopyWait)
 	if got := askedForTable(b.step(message.Tick{})); len(got) != 0 {
 		t.Fatalf("asked %v though all had been asked", got)
 	}
@@ -38,8 +38,8 @@
 func TestFirstTableCopyIsAdopted(t *testing.T) {
 	b := newBench(t, "node-1", "node-2", "node-3", "node-4")
 	b.machine("vm-1", 1)
-	b.c.waitTable.Fill([]message.WaitChange{{Machine: "vm-1", Add: 7}})
-	b.c.waitTable.Fill([]message.WaitChange{{Machine: "vm-1", Add: 9}})
+	b.c.waitTable.AdoptCopy([]message.WaitChange{{Machine: "vm-1", Add: 7}})
+	b.c.waitTable.AdoptCopy([]message.WaitChange{{Machine: "vm-1", Add: 9}})
 	if got := b.c.waitTable.Machines["vm-1"].Wait(); got != 7 {
 		t.Errorf("wait %v, want the first table's", got)
 	}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -17,8 +17,8 @@
 	old := c.View
 	consecutive := old.Term != 0 && view.Term == old.Term+1
 	wasMember := c.Member()
-	c.members.Adopt(view, version)
-	c.registrar.Adopted()
+	c.members.AdoptView(view, version)
+	c.registrar.StartTerm()
 	c.dispatcher.TermAdopted()
 	c.waitTable.AdoptPeers(view)
 	c.dispatcher.ForgetEndedOwnerSessions(old)
@@ -34,7 +34,7 @@
 	c.beginUpdates()
 	c.dispatcher.BeginInventories()
 	if !wasMember {
-		c.waitTable.AskPeers()
+		c.waitTable.RequestCopy()
 	}
 	c.autoscaler.ViewAdopted(c.Now)
 }
@@ -43,7 +43,7 @@
 // members take them over.
 func (c *Core) dropWork() {
 	c.jobs.DropAll()
-	c.placer.ForgetSearches()
+	c.placer.DropFailedSearches()
 	c.waitTable.PlacementDue = false
 	c.dispatcher.DropAllQueues()
 }
@@ -53,7 +53,7 @@
 func (c *Core) adoptShards(shards *record.ShardTable, version protocol.Version) {
 	old := c.Shards
 	wasSharded := c.Sharded()
-	c.members.AdoptShards(shards, version)
+	c.members.AdoptShardTable(shards, version)
 	if !wasSharded || !c.Member() {
 		return // the shards are adopted with the view that names them
 	}
@@ -65,7 +65,7 @@
 	}
 	if len(moved) > 0 {
 		c.jobs.HandleShardsMoved(moved)
-		c.waitTable.ShardsMoved(moved)
+		c.waitTable.HandleMovedShards(moved)
 	}
 	c.dispatcher.AdoptShards(old)
 }
