--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -13,37 +13,38 @@
 )
 
 const (
-	// MaxRequests bounds the requests that wait for an answer at a time.
+	// MaxRequests is the maximum number of requests waiting for an answer at a time.
 	MaxRequests = 256
-	// requestBudget is how long a request may take: users wait 2 s for a poll.
+	// requestBudget is how long a request may take. Users time out a poll after 2 s.
 	requestBudget = 1800 * time.Millisecond
-	// writeRecheckDelay is how long the key-value store takes to answer a write as a
-	// rule, and more. Where only its answer is lost or late, the record itself can be
-	// read after this time.
+	// writeRecheckDelay is how long a write may remain unanswered before the record is
+	// read instead. It exceeds the usual response time of the key-value store, so a write
+	// that was executed, and whose answer alone is late or lost, shows in the record.
 	writeRecheckDelay = 100 * time.Millisecond
 )
 
-// Admission is the state of one process between messages. It is not safe for
-// concurrent use: one actor owns it.
+// Admission is the state machine that answers users' requests in one process. It is not
+// safe for concurrent use: one actor owns it.
 type Admission struct {
 	settings *config.Settings
 	log      *slog.Logger
 	now      clock.Time
 	actions  []Action
-	wakeAt   clock.Time // the next tick that was asked for
+	wakeAt   clock.Time // the next requested tick
 
-	// configuration is the one in force, as followed. Where it may change
-	// (configurable), submissions are accepted and refused on its version.
+	// configuration is the configuration in force, as last observed by this process. If
+	// it may change (configurable), submissions are accepted and refused on condition of
+	// its version.
 	configuration *dynamicconfig.Effective
 	configurable  bool
 	machineTypes  []protocol.TypeInfo // nil: not read yet
 
 	requests map[RequestID]*request
 
-	queries   map[QueryID]ownerQuery
+	queries   map[QueryID]coreQuery
 	lastQuery QueryID
 
-	waitingPolls     []*request // polls whose comparison has not begun
+	waitingPolls     []*request // polls that are not part of a comparison yet
 	comparisons      map[QueryID]*pollComparison
 	nextComparisonAt clock.Time
 
@@ -51,31 +52,32 @@
 	announcements map[protocol.JobID]*announcement
 }
 
-// request is a user's request that waits for its answer.
+// request is a user's request that has not been answered yet.
 type request struct {
 	Request
 	deadline clock.Time
-	attempts int // writes that were carried out without settling the request
+	attempts int // answered writes that did not settle the request
 
-	// refusal answers a submission unless its job turns out to be known.
+	// refusal is the answer to a submission unless its job already has a record.
 	refusal *Answer
-	// fallback answers a submission that was forwarded, unless the peer answers.
+	// fallback is the answer to a forwarded submission unless the peer answers.
 	fallback *Answer
 
-	// writePending is set while a write has no answer yet, and recheckAt is when the
-	// record is read to find out what became of it; 0: no write is pending, or the
-	// record has been read.
+	// writePending is set while a write has no answer yet. recheckAt is when the record
+	// is read to find out whether the write was executed; 0: no write is pending, or the
+	// record has been read already.
 	writePending bool
 	recheckAt    clock.Time
 
-	// configurationVersion is the version that a submission's transaction holds on.
-	// conditionFailed is set once that transaction failed, perhaps because of the
-	// configuration alone.
+	// configurationVersion is the version of the configuration that a submission's
+	// transaction is conditional on. conditionFailed is set once that transaction has
+	// failed, possibly only because the configuration has changed.
 	configurationVersion protocol.Version
 	conditionFailed      bool
 }
 
-// New makes an Admission that knows nothing but its settings.
+// New returns an Admission without requests or cached records. It uses the configuration
+// of the settings until it receives another one.
 func New(s *config.Settings, op config.Operator, log *slog.Logger) *Admission {
 	return &Admission{
 		settings:      s,
@@ -83,36 +85,36 @@
 		configuration: dynamicconfig.Base(&s.Site, op),
 		configurable:  op.Configurable(),
 		requests:      map[RequestID]*request{},
-		queries:       map[QueryID]ownerQuery{},
+		queries:       map[QueryID]coreQuery{},
 		comparisons:   map[QueryID]*pollComparison{},
 		finalRecords:  map[protocol.JobID]record.JobRecord{},
 		announcements: map[protocol.JobID]*announcement{},
 	}
 }
 
-// Step handles one message and returns the actions that follow from it. Now is the
+// Step handles one message and returns the resulting actions. The argument now is the
 // time of a monotonic clock.
 func (a *Admission) Step(now clock.Time, msg any) []Action {
 	a.now, a.actions = now, nil
 	switch m := msg.(type) {
 	case Request:
-		a.receive(m)
+		a.handleRequest(m)
 	case Read:
-		a.recordRead(m)
+		a.handleRecordRead(m)
 	case Written:
-		a.written(m)
+		a.handleWritten(m)
 	case OwnersAnswered:
-		a.ownersAnswered(m)
+		a.handleCoreAnswer(m)
 	case Compared:
-		a.compared(m)
+		a.handleCompared(m)
 	case Forwarded:
-		a.forwarded(m)
+		a.handleForwarded(m)
 	case Announced:
-		a.announced(m)
+		a.handleAcknowledgement(m)
 	case TypesRead:
 		a.machineTypes = m.Types
 	case Configured:
-		a.configurationChanged(m.Effective)
+		a.applyConfiguration(m.Effective)
 	case Tick:
 		a.tick()
 	}
@@ -122,10 +124,10 @@
 
 func (a *Admission) emit(action Action) { a.actions = append(a.actions, action) }
 
-// after is the time that lies so long after now.
-func (a *Admission) after(d time.Duration) clock.Time { return a.now + clock.Time(d) }
+// timeAfter returns the time d after now.
+func (a *Admission) timeAfter(d time.Duration) clock.Time { return a.now + clock.Time(d) }
 
-// wakeBy asks for a tick at a time, unless an earlier one was asked for already.
+// wakeBy requests a tick at the given time, unless an earlier tick has been requested.
 func (a *Admission) wakeBy(at clock.Time) {
 	if a.wakeAt <= a.now || at < a.wakeAt {
 		a.wakeAt = at
@@ -133,15 +135,15 @@
 	}
 }
 
-// receive begins a user's request.
-func (a *Admission) receive(m Request) {
+// handleRequest registers a user's request and starts its operation.
+func (a *Admission) handleRequest(m Request) {
 	if len(a.requests) >= MaxRequests {
 		a.emit(Reply{m.ID, Failure(statusUnavailable, "too many requests at once")})
 		return
 	}
-	r := &request{Request: m, deadline: a.after(requestBudget)}
+	r := &request{Request: m, deadline: a.timeAfter(requestBudget)}
 	if m.Forwarded {
-		r.deadline = a.after(ForwardTimeout)
+		r.deadline = a.timeAfter(ForwardTimeout)
 	}
 	a.requests[m.ID] = r
 	switch m.Operation {
@@ -154,8 +156,8 @@
 	}
 }
 
-// tick ends announcements and requests whose time is over, and reads the records of
-// writes that have had no answer for long.
+// tick ends announcements and requests whose deadline has passed, and reads the records
+// of writes that have been unanswered for writeRecheckDelay.
 func (a *Admission) tick() {
 	for id, announcement := range ordered.Of(a.announcements) {
 		a.finishAnnouncement(id, announcement)
@@ -164,7 +166,7 @@
 	for _, r := range ordered.Of(a.requests) {
 		switch {
 		case a.now >= r.deadline:
-			a.unavailable(r, "not settled in time")
+			a.answerUnavailable(r, "not settled in time")
 		case r.recheckAt == 0:
 		case a.now >= r.recheckAt:
 			r.recheckAt = 0
--- a/internal/controller/admission/answer.go
+++ b/internal/controller/admission/answer.go
@@ -6,7 +6,8 @@
 	"damsonkeel/internal/record"
 )
 
-// RetryAfterSeconds is after how many seconds a user who gets 503 may retry.
+// RetryAfterSeconds is the number of seconds after which a user may retry a request that
+// was answered with 503.
 const RetryAfterSeconds = 1
 
 // HTTP status codes of the answers.
@@ -20,9 +21,10 @@
 	statusUnavailable   = 503
 )
 
-// Failure is an answer that says what is wrong. With 503 it says when to retry.
-func Failure(status int, what string) Answer {
-	body, _ := protocol.Encode(protocol.ErrorBody{Error: what}) // a struct of text always encodes
+// Failure returns an answer whose body gives the reason of the failure. An answer with
+// status 503 also says when to retry.
+func Failure(status int, reason string) Answer {
+	body, _ := protocol.Encode(protocol.ErrorBody{Error: reason}) // a struct of text always encodes
 	answer := Answer{Status: status, Body: body}
 	if status == statusUnavailable {
 		answer.RetryAfterS = RetryAfterSeconds
@@ -30,7 +32,7 @@
 	return answer
 }
 
-// success is an answer with the status of a job.
+// success returns an answer with the status of a job.
 func success(status int, s protocol.JobStatus) Answer {
 	body, err := protocol.Encode(s)
 	if err != nil {
@@ -39,29 +41,29 @@
 	return Answer{Status: status, Body: body}
 }
 
-// finalAnswer is the answer to a request for a job that is over.
+// finalAnswer returns the answer to a request for a finished job.
 func finalAnswer(r *request, rec record.JobRecord) Answer {
-	s := protocol.JobStatus{ID: r.Job, State: protocol.JobCancelled}
+	status := protocol.JobStatus{ID: r.Job, State: protocol.JobCancelled}
 	done, running := uint32(0), uint32(0)
 	if rec.State == record.RecordDone {
-		s.State, done = protocol.JobDone, rec.Tasks
+		status.State, done = protocol.JobDone, rec.Tasks
 	}
 	if r.Operation != Cancel {
-		s.Done, s.Running = &done, &running
+		status.Done, status.Running = &done, &running
 	}
-	return success(statusOK, s)
+	return success(statusOK, status)
 }
 
-// liveAnswer is the answer to a request for a job that is live.
-func liveAnswer(id protocol.JobID, p message.Progress) Answer {
-	s := protocol.JobStatus{ID: id, State: protocol.JobQueued, Done: &p.Done, Running: &p.Running}
-	if p.Running > 0 {
-		s.State = protocol.JobRunning
+// liveAnswer returns the answer to a request for a live job.
+func liveAnswer(id protocol.JobID, progress message.Progress) Answer {
+	status := protocol.JobStatus{ID: id, State: protocol.JobQueued, Done: &progress.Done, Running: &progress.Running}
+	if progress.Running > 0 {
+		status.State = protocol.JobRunning
 	}
-	return success(statusOK, s)
+	return success(statusOK, status)
 }
 
-// reply answers a request, once: later answers to the same request are dropped.
+// reply answers a request once; it drops later answers to the same request.
 func (a *Admission) reply(r *request, answer Answer) {
 	if a.requests[r.ID] == r {
 		delete(a.requests, r.ID)
--- a/internal/controller/admission/cancellation.go
+++ b/internal/controller/admission/cancellation.go
@@ -9,21 +9,22 @@
 	"damsonkeel/internal/record"
 )
 
-// AnnounceTimeout is how long a user waits at the most for all controllers to acknowledge
-// a cancellation. The bound on tasks of cancelled jobs rests on what controllers
-// follow, not on this.
+// AnnounceTimeout is the maximum time a user waits for all controllers to acknowledge a
+// cancellation. The bound on how long tasks of cancelled jobs may run doesn't depend on
+// it: controllers also learn of cancellations by watching the records.
 const AnnounceTimeout = 250 * time.Millisecond
 
-// announcement is a cancellation that is being announced to the controllers.
+// announcement is a cancellation that controllers have yet to acknowledge.
 type announcement struct {
 	record   record.JobRecord
-	pending  map[protocol.NodeName]bool // have not acknowledged it; nil: not sent yet
+	pending  map[protocol.NodeName]bool // controllers without acknowledgement; nil: not sent yet
 	deadline clock.Time
-	waiting  []*request
+	waiting  []*request // answered when the announcement ends
 }
 
-// CancelTransaction cancels a job: it holds only if the job is still as it was read.
-// Both of its records change together, always, so they have one version.
+// CancelTransaction returns the transaction that cancels a job. It is conditional on the
+// version at which the job was read. One version covers both records of the job, since
+// they always change in the same transaction.
 func CancelTransaction(id protocol.JobID, version protocol.Version, r record.JobRecord) protocol.Transaction {
 	r.State = record.RecordCancelled
 	return protocol.Transaction{
@@ -32,10 +33,10 @@
 	}
 }
 
-// answerCancelled answers that a job is cancelled. Before the first such answer the
-// cancellation is announced to all controllers: each follows the records, but some
-// milliseconds late, or seconds, and may start a task until then. From the answer on
-// none may.
+// answerCancelled answers that a job is cancelled. Before the first such answer it
+// announces the cancellation to all controllers: each watches the records, but with a lag
+// of milliseconds to seconds, during which it may still start a task. After the answer no
+// controller may start one.
 func (a *Admission) answerCancelled(r *request, rec record.JobRecord) {
 	if _, ok := a.finalRecords[r.Job]; ok {
 		a.reply(r, finalAnswer(r, rec))
@@ -43,28 +44,28 @@
 	}
 	current := a.announcements[r.Job]
 	if current == nil {
-		current = &announcement{record: rec, deadline: a.after(AnnounceTimeout)}
+		current = &announcement{record: rec, deadline: a.timeAfter(AnnounceTimeout)}
 		a.announcements[r.Job] = current
-		a.queryOwners(announceQuery{r.Job})
+		a.queryCore(announceQuery{r.Job})
 	}
 	r.deadline = max(r.deadline, current.deadline+1)
 	current.waiting = append(current.waiting, r)
 }
 
-// announceQuery asks which controllers are members, to announce a cancellation.
+// announceQuery asks which controllers are members, in order to announce a cancellation.
 type announceQuery struct{ job protocol.JobID }
 
 func (q announceQuery) resume(a *Admission, _ QueryID, m OwnersAnswered) {
 	a.announce(q.job, m.Members)
 }
 
-// announce sends a cancellation to all controllers. It waits for the acknowledgement of
-// those that are members by the view: others can't start anything. One that has ended,
-// or stands still, is waited for until the view leaves it out.
+// announce sends a cancellation to all controllers. Only members of the view have to
+// acknowledge it, since other controllers can't start anything. Until the view excludes
+// it, a member that has ended or hangs delays the answer up to the deadline.
 func (a *Admission) announce(id protocol.JobID, members []protocol.NodeName) {
 	current := a.announcements[id]
 	if current == nil {
-		return // its time is over
+		return // the deadline has passed
 	}
 	controllers := []protocol.NodeName{a.settings.Name}
 	for _, m := range a.settings.Members {
@@ -79,23 +80,23 @@
 	}
 }
 
-// announced takes a controller's acknowledgement of a cancellation.
-func (a *Admission) announced(m Announced) {
+// handleAcknowledgement records that a controller has acknowledged a cancellation.
+func (a *Admission) handleAcknowledgement(m Announced) {
 	if current := a.announcements[m.Job]; current != nil {
 		delete(current.pending, m.By)
 		a.finishAnnouncement(m.Job, current)
 	}
 }
 
-// finishAnnouncement answers the requests that wait for a cancellation once all members
-// have acknowledged it, or its deadline has passed.
+// finishAnnouncement ends an announcement once all members have acknowledged it or its
+// deadline has passed, and answers the waiting requests.
 func (a *Admission) finishAnnouncement(id protocol.JobID, current *announcement) {
 	acknowledged := current.pending != nil && len(current.pending) == 0
 	if !acknowledged && a.now < current.deadline {
 		return
 	}
 	delete(a.announcements, id)
-	a.rememberFinal(id, current.record)
+	a.cacheFinalRecord(id, current.record)
 	for _, r := range current.waiting {
 		a.reply(r, finalAnswer(r, current.record))
 	}
--- a/internal/controller/admission/cancellation_test.go
+++ b/internal/controller/admission/cancellation_test.go
@@ -10,15 +10,15 @@
 	"damsonkeel/internal/record"
 )
 
-// TestCancellationIsAnsweredOnceAcknowledged: a request is answered that a job is
-// cancelled, whatever the request, only when all members have acknowledged the
-// cancellation, or its deadline has passed. No request waits for a controller that the
-// view leaves out.
+// TestCancellationIsAnsweredOnceAcknowledged checks that a submission, a poll and a
+// cancellation of a cancelled job are answered only when all members have acknowledged
+// the cancellation or its deadline has passed. No request waits for a controller that
+// isn't in the view.
 func TestCancellationIsAnsweredOnceAcknowledged(t *testing.T) {
 	for _, op := range []Operation{Submit, Poll, Cancel} {
 		h := newHarness()
 		members := []protocol.NodeName{"node-0", "node-1", "node-2"}
-		var silent protocol.NodeName
+		var unresponsive protocol.NodeName
 		var notified []protocol.NodeName
 		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: members} }
 		h.get = func(g Get) any {
@@ -27,13 +27,13 @@
 		h.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeFailed} }
 		h.announce = func(action Announce) any {
 			notified = append(notified, action.To)
-			if action.To == silent {
+			if action.To == unresponsive {
 				return nil
 			}
 			return Announced{Job: action.Job, By: action.To}
 		}
 		h.step(t, smallType)
-		ask := func(id RequestID, job string) time.Duration {
+		timeToAnswer := func(id RequestID, job string) time.Duration {
 			t.Helper()
 			from := h.now
 			h.step(t, Request{ID: id, Operation: op, Job: protocol.JobID(job), Body: submission(t, job, nil)})
@@ -41,34 +41,34 @@
 				if _, ok := h.answers[id]; ok {
 					break
 				}
-				h.pass(t, 10*time.Millisecond)
+				h.advance(t, 10*time.Millisecond)
 			}
-			if a := h.answers[id]; a.Status != 200 || status(t, a).State != protocol.JobCancelled {
+			if a := h.answers[id]; a.Status != 200 || decodeStatus(t, a).State != protocol.JobCancelled {
 				t.Fatalf("operation %d: %+v", op, a)
 			}
 			return time.Duration(h.now - from)
 		}
-		if d := ask(1, "job-000001"); d >= AnnounceTimeout {
-			t.Errorf("operation %d: answered after %v, though all have acknowledged", op, d)
+		if d := timeToAnswer(1, "job-000001"); d >= AnnounceTimeout {
+			t.Errorf("operation %d: answered after %v, though all members have acknowledged", op, d)
 		}
 		if slices.Sort(notified); !slices.Equal(notified, members) {
-			t.Errorf("operation %d: %v are notified", op, notified)
+			t.Errorf("operation %d: notified %v, want all members", op, notified)
 		}
-		silent = "node-2"
-		if d := ask(2, "job-000002"); d < AnnounceTimeout {
-			t.Errorf("operation %d: answered after %v, though one has not acknowledged", op, d)
+		unresponsive = "node-2"
+		if d := timeToAnswer(2, "job-000002"); d < AnnounceTimeout {
+			t.Errorf("operation %d: answered after %v, though a member has not acknowledged", op, d)
 		}
 		members = members[:2]
-		if d := ask(3, "job-000003"); d >= AnnounceTimeout {
-			t.Errorf("operation %d: waited %v for one that is no member", op, d)
+		if d := timeToAnswer(3, "job-000003"); d >= AnnounceTimeout {
+			t.Errorf("operation %d: waited %v for a controller that is not a member", op, d)
 		}
-		members = nil // not known: any controller may be one
-		if d := ask(4, "job-000004"); d < AnnounceTimeout {
-			t.Errorf("operation %d: answered after %v, though one that may be a member has not acknowledged", op, d)
+		members = nil // unknown: any controller may be a member
+		if d := timeToAnswer(4, "job-000004"); d < AnnounceTimeout {
+			t.Errorf("operation %d: answered after %v, though a possible member has not acknowledged", op, d)
 		}
 		notified = nil
-		if ask(5, "job-000004"); len(notified) > 0 {
-			t.Errorf("operation %d: %v are notified once more", op, notified)
+		if timeToAnswer(5, "job-000004"); len(notified) > 0 {
+			t.Errorf("operation %d: notified %v a second time", op, notified)
 		}
 	}
 }
--- a/internal/controller/admission/configuration.go
+++ b/internal/controller/admission/configuration.go
@@ -7,12 +7,12 @@
 	"damsonkeel/internal/record"
 )
 
-// configurationChanged takes over the configuration in force, and decides anew the
-// submissions whose transaction may have failed because of the one before.
-func (a *Admission) configurationChanged(effective *dynamicconfig.Effective) {
+// applyConfiguration installs the configuration in force. It decides again each submission
+// whose transaction may have failed because the configuration had changed.
+func (a *Admission) applyConfiguration(effective *dynamicconfig.Effective) {
 	a.configuration = effective
-	// A stored version says that it may change, whatever this controller's own settings
-	// say.
+	// A stored version means that the configuration may change, even if this controller's
+	// own settings don't allow changes.
 	a.configurable = a.configurable || effective.Version > 0
 	for _, r := range ordered.Of(a.requests) {
 		if r.conditionFailed && r.configurationVersion != effective.Version {
@@ -21,9 +21,9 @@
 	}
 }
 
-// conditionOnConfiguration has a transaction hold only while the configuration that it
-// was decided by is in force: however late it is carried out, it accepts nothing by one
-// that was replaced.
+// conditionOnConfiguration makes a transaction conditional on the configuration that the
+// submission was decided by. However late the store executes the transaction, it can't
+// accept a job by a configuration that has been replaced.
 func (a *Admission) conditionOnConfiguration(r *request, txn protocol.Transaction) protocol.Transaction {
 	if !a.configurable {
 		return txn
@@ -34,7 +34,7 @@
 	return txn
 }
 
-// refuseByConfiguration refuses a submission, unless its id is one that was accepted,
+// refuseByConfiguration refuses a submission, unless a job with its ID has been accepted
 // or the configuration has changed.
 func (a *Admission) refuseByConfiguration(r *request, refusal Answer) {
 	if !a.configurable {
@@ -49,8 +49,8 @@
 	a.write(r, a.conditionOnConfiguration(r, unknownJob))
 }
 
-// resubmit decides a submission by the configuration in force, once that differs from
-// the one it was decided by.
+// resubmit decides a submission again if the configuration in force differs from the one
+// that it was decided by.
 func (a *Admission) resubmit(r *request) {
 	if r.configurationVersion != a.configuration.Version {
 		a.submit(r)
--- a/internal/controller/admission/configuration_test.go
+++ b/internal/controller/admission/configuration_test.go
@@ -17,92 +17,92 @@
 	"pgregory.net/rapid"
 )
 
-// frontend is an Admission that follows the configuration, with the actions that have
-// not been executed yet.
-type frontend struct {
-	admission *Admission
-	followed  *dynamicconfig.Followed
-	seen      int // changes of the store that were followed
-	pending   []Action
+// testController is an Admission that follows the stored configuration, with its pending
+// actions.
+type testController struct {
+	admission       *Admission
+	followed        *dynamicconfig.Followed
+	followedChanges int      // number of the store's changes that were followed
+	pending         []Action // not executed yet
 }
 
-// closingTeam is several frontends of one store, while a team is closed and opened
-// again.
-type closingTeam struct {
-	t         *rapid.T
-	state     *fake.KeyValueStore
-	operator  *dynamicconfig.Followed // follows at once, as it makes the changes
-	frontends []*frontend
-	now       clock.Time
-	submitted int
-	changesAt map[RequestID]int // changes of the configuration before the request
-	closed    []bool            // the team, after so many changes of the configuration
-	accepted  int
-	refused   int
+// closingTeamTest is the state of a test in which several controllers share one store
+// while a team is closed to new jobs and opened again.
+type closingTeamTest struct {
+	t             *rapid.T
+	store         *fake.KeyValueStore
+	operator      *dynamicconfig.Followed // the state of the operator's controller, which has no lag
+	controllers   []*testController
+	now           clock.Time
+	submissions   int
+	changesBefore map[RequestID]int // number of configuration changes before each request
+	closedAfter   []bool            // whether the team is closed, by number of configuration changes
+	accepted      int
+	refused       int
 }
 
-func newClosingTeam(t *rapid.T) *closingTeam {
+func newClosingTeamTest(t *rapid.T) *closingTeamTest {
 	s := &config.Settings{Name: "node-0"}
 	s.Site = fake.Settings().Site
 	op := config.DefaultOperator()
 	op.OperatorKeys = "keys"
-	c := &closingTeam{
-		t: t, state: fake.NewKeyValueStore(), operator: dynamicconfig.NewFollowed(&s.Site, op), now: 1,
-		changesAt: map[RequestID]int{}, closed: []bool{false},
+	c := &closingTeamTest{
+		t: t, store: fake.NewKeyValueStore(), operator: dynamicconfig.NewFollowed(&s.Site, op), now: 1,
+		changesBefore: map[RequestID]int{}, closedAfter: []bool{false},
 	}
 	for range 2 {
-		f := &frontend{admission: New(s, op, slog.New(slog.DiscardHandler)), followed: dynamicconfig.NewFollowed(&s.Site, op)}
-		f.admission.Step(c.now, TypesRead{Types: []protocol.TypeInfo{{Name: "m", CPUs: 4, MemoryGB: 8, AllowZones: []protocol.Zone{"a"}}}})
-		c.frontends = append(c.frontends, f)
+		controller := &testController{admission: New(s, op, slog.New(slog.DiscardHandler)), followed: dynamicconfig.NewFollowed(&s.Site, op)}
+		controller.admission.Step(c.now, TypesRead{Types: []protocol.TypeInfo{{Name: "m", CPUs: 4, MemoryGB: 8, AllowZones: []protocol.Zone{"a"}}}})
+		c.controllers = append(c.controllers, controller)
 	}
 	return c
 }
 
-// step handles a message, and keeps the actions that follow.
-func (c *closingTeam) step(f *frontend, msg any) {
+// step has a controller handle a message, and queues the resulting actions.
+func (c *closingTeamTest) step(controller *testController, msg any) {
 	c.now++
-	for _, a := range f.admission.Step(c.now, msg) {
+	for _, a := range controller.admission.Step(c.now, msg) {
 		if reply, ok := a.(Reply); ok {
-			c.answered(reply)
+			c.checkReply(reply)
 			continue
 		}
-		f.pending = append(f.pending, a)
+		controller.pending = append(controller.pending, a)
 	}
 }
 
-// answered checks that a submission is refused only if the team was closed at some time
-// since it came.
-func (c *closingTeam) answered(r Reply) {
+// checkReply checks that a submission is refused only if the team was closed at some time
+// after it arrived.
+func (c *closingTeamTest) checkReply(r Reply) {
 	switch r.Answer.Status {
 	case 201, 200:
 		c.accepted++
 	case 422:
 		c.refused++
-		since := c.closed[c.changesAt[r.ID]:]
+		since := c.closedAfter[c.changesBefore[r.ID]:]
 		for _, closed := range since {
 			if closed {
 				return
 			}
 		}
-		c.t.Fatalf("request %d is refused, and the team was open all the time", r.ID)
+		c.t.Fatalf("request %d was refused, though the team was open all the time", r.ID)
 	}
 }
 
-// follow brings a frontend the next change of the store.
-func (c *closingTeam) follow(f *frontend) {
-	if f.seen >= c.state.Changes() {
+// followNextChange delivers the next change of the store to a controller.
+func (c *closingTeamTest) followNextChange(controller *testController) {
+	if controller.followedChanges >= c.store.Changes() {
 		return
 	}
-	ev := c.state.Change(f.seen)
-	f.seen++
-	if takeRecord(c.t, f.followed, ev) {
-		c.step(f, Configured{Effective: f.followed.Effective()})
+	ev := c.store.Change(controller.followedChanges)
+	controller.followedChanges++
+	if applyRecord(c.t, controller.followed, ev) {
+		c.step(controller, Configured{Effective: controller.followed.Effective()})
 	}
 }
 
-// takeRecord takes over a changed record, and reports whether another configuration is
-// in force by it.
-func takeRecord(t *rapid.T, f *dynamicconfig.Followed, ev protocol.Event) bool {
+// applyRecord applies a changed record, and reports whether the configuration in force has
+// changed.
+func applyRecord(t *rapid.T, followed *dynamicconfig.Followed, ev protocol.Event) bool {
 	t.Helper()
 	key, known := record.ParseFollowedKey(ev.Put)
 	var head record.Configuration
@@ -112,110 +112,111 @@
 		if err := protocol.Decode(ev.Value, &head); err != nil {
 			t.Fatal(err)
 		}
-		return f.ApplyRevision(head, ev.Version)
+		return followed.ApplyRevision(head, ev.Version)
 	case known && key.ConfigurationEntry != "":
 		if err := protocol.Decode(ev.Value, &entry); err != nil {
 			t.Fatal(err)
 		}
-		return f.ApplyEntry(key.ConfigurationEntry, entry)
+		return followed.ApplyEntry(key.ConfigurationEntry, entry)
 	}
 	return false
 }
 
-// toggle closes the team, or opens it.
-func (c *closingTeam) toggle() {
-	closed := !c.closed[len(c.closed)-1]
+// toggleClosed closes the team if it is open, and opens it otherwise.
+func (c *closingTeamTest) toggleClosed() {
+	closed := !c.closedAfter[len(c.closedAfter)-1]
 	facts := &dynamicconfig.Facts{MaxChanges: 12, LiveJobs: func(protocol.Team) int { return 0 }}
 	plan, err := c.operator.Decide(facts, []operatorapi.ConfigChange{{Entry: "team/free", Closed: &closed}})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	first := c.state.Changes()
-	if !c.state.Txn(plan.Transaction()) {
-		c.t.Fatal("not written")
+	first := c.store.Changes()
+	if !c.store.Txn(plan.Transaction()) {
+		c.t.Fatal("the configuration change was not written")
 	}
-	for ; first < c.state.Changes(); first++ {
-		takeRecord(c.t, c.operator, c.state.Change(first))
+	for ; first < c.store.Changes(); first++ {
+		applyRecord(c.t, c.operator, c.store.Change(first))
 	}
-	c.closed = append(c.closed, closed)
+	c.closedAfter = append(c.closedAfter, closed)
 }
 
 // submit submits a new job.
-func (c *closingTeam) submit(f *frontend) {
-	c.submitted++
-	j := protocol.Job{ID: protocol.JobID(fmt.Sprint("job-", c.submitted)), Class: "c", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
+func (c *closingTeamTest) submit(controller *testController) {
+	c.submissions++
+	j := protocol.Job{ID: protocol.JobID(fmt.Sprint("job-", c.submissions)), Class: "c", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	body, err := protocol.EncodeSubmission(j)
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	id := RequestID(c.submitted)
-	c.changesAt[id] = len(c.closed) - 1
-	c.step(f, Request{ID: id, Operation: Submit, Body: body})
+	id := RequestID(c.submissions)
+	c.changesBefore[id] = len(c.closedAfter) - 1
+	c.step(controller, Request{ID: id, Operation: Submit, Body: body})
 }
 
-// execute executes the oldest pending action of a frontend, and checks that a job is
+// execute executes the oldest pending action of a controller, and checks that a job is
 // accepted only while the team is open.
-func (c *closingTeam) execute(f *frontend) {
-	if len(f.pending) == 0 {
+func (c *closingTeamTest) execute(controller *testController) {
+	if len(controller.pending) == 0 {
 		return
 	}
-	a := f.pending[0]
-	f.pending = f.pending[1:]
+	a := controller.pending[0]
+	controller.pending = controller.pending[1:]
 	switch a := a.(type) {
 	case Write:
-		out := message.OutcomeFailed
-		if c.state.Txn(a.Transaction) {
-			out = message.OutcomeDone
-			if c.closed[len(c.closed)-1] && len(a.Transaction.Changes) > 0 {
-				c.t.Fatalf("request %d is accepted while the team is closed", a.ID)
+		outcome := message.OutcomeFailed
+		if c.store.Txn(a.Transaction) {
+			outcome = message.OutcomeDone
+			if c.closedAfter[len(c.closedAfter)-1] && len(a.Transaction.Changes) > 0 {
+				c.t.Fatalf("request %d was accepted while the team was closed", a.ID)
 			}
 		}
-		c.step(f, Written{ID: a.ID, Outcome: out})
+		c.step(controller, Written{ID: a.ID, Outcome: outcome})
 	case Get:
-		it, ok := c.state.Get(record.JobKey(a.Job))
+		it, ok := c.store.Get(record.JobKey(a.Job))
 		r := Read{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
 		if ok && protocol.Decode(it.Value, &r.Record) == nil {
 			r.Outcome = message.OutcomeDone
 		}
-		c.step(f, r)
+		c.step(controller, r)
 	case QueryOwners:
-		c.step(f, OwnersAnswered{Query: a.Query})
+		c.step(controller, OwnersAnswered{Query: a.Query})
 	}
 }
 
-// TestNothingIsAcceptedWhileTeamIsClosed: a team is closed and opened at any moment
-// between the steps of submissions at two controllers, which follow late. Nothing is
-// accepted while it is closed, nothing is refused that could be accepted all along, and
-// a controller that has followed everything has answered everything.
-func TestNothingIsAcceptedWhileTeamIsClosed(t *testing.T) {
+// TestClosedTeamAcceptsNothingAndOpenTeamRefusesNothing closes and opens a team at any
+// moment between the steps of submissions to two controllers, which observe the change
+// late. No job may be accepted while the team is closed, no job may be refused if the team
+// was open all the time, and a controller that has followed all changes has no unanswered
+// request.
+func TestClosedTeamAcceptsNothingAndOpenTeamRefusesNothing(t *testing.T) {
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		c := newClosingTeam(t)
+		c := newClosingTeamTest(t)
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
-			f := c.frontends[rapid.IntRange(0, 1).Draw(t, "at")]
+			controller := c.controllers[rapid.IntRange(0, 1).Draw(t, "at")]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				c.toggle()
+				c.toggleClosed()
 			case 1, 2:
-				c.submit(f)
+				c.submit(controller)
 			case 3, 4, 5:
-				c.follow(f)
+				c.followNextChange(controller)
 			default:
-				c.execute(f)
+				c.execute(controller)
 			}
 		}
-		for _, f := range c.frontends {
+		for _, controller := range c.controllers {
 			for range 400 {
-				c.follow(f)
-				c.execute(f)
+				c.followNextChange(controller)
+				c.execute(controller)
 			}
-			if n := len(f.admission.requests); n > 0 {
-				t.Fatalf("%d requests have no answer", n)
+			if n := len(controller.admission.requests); n > 0 {
+				t.Fatalf("%d requests are unanswered", n)
 			}
 		}
 		accepted, refused = accepted+c.accepted, refused+c.refused
 	})
 	if accepted == 0 || refused == 0 {
-		t.Errorf("%d accepted, %d refused: nothing was tried", accepted, refused)
+		t.Errorf("%d accepted, %d refused: one of the cases was not tested", accepted, refused)
 	}
 }
--- a/internal/controller/admission/ownerquery.go
+++ b/internal/controller/admission/corequery.go
@@ -2,21 +2,21 @@
 
 import "damsonkeel/internal/protocol"
 
-// ownerQuery is a question to this controller's core: what it knows of live jobs, of
-// leading peers and of members.
-type ownerQuery interface {
-	// resume goes on with what the question was asked for.
+// coreQuery is a pending query to this controller's core for the state of live jobs, the
+// leading peers and the members.
+type coreQuery interface {
+	// resume continues the operation that issued the query.
 	resume(a *Admission, id QueryID, m OwnersAnswered)
 }
 
-// queryOwners asks the core.
-func (a *Admission) queryOwners(query ownerQuery, jobs ...protocol.JobID) {
+// queryCore sends a query to the core. The answer resumes it.
+func (a *Admission) queryCore(query coreQuery, jobs ...protocol.JobID) {
 	a.lastQuery++
 	a.queries[a.lastQuery] = query
 	a.emit(QueryOwners{a.lastQuery, jobs})
 }
 
-func (a *Admission) ownersAnswered(m OwnersAnswered) {
+func (a *Admission) handleCoreAnswer(m OwnersAnswered) {
 	query := a.queries[m.Query]
 	if query == nil {
 		return
@@ -25,7 +25,7 @@
 	query.resume(a, m.Query, m)
 }
 
-// progressQuery asks how far a live job is, to answer a request for it.
+// progressQuery asks for the progress of a live job, in order to answer a request for it.
 type progressQuery struct{ request *request }
 
 func (q progressQuery) resume(a *Admission, _ QueryID, m OwnersAnswered) {
--- a/internal/controller/admission/forwarding.go
+++ b/internal/controller/admission/forwarding.go
@@ -6,13 +6,13 @@
 	"damsonkeel/internal/protocol"
 )
 
-// ForwardTimeout is how long a peer may take to answer a forwarded submission.
+// ForwardTimeout is the maximum time a peer may take to answer a forwarded submission.
 const ForwardTimeout = 700 * time.Millisecond
 
-// unavailable answers a request that can't be settled now. A submission is forwarded
-// to a leading peer, once: the key-value store may be out of reach of this controller
-// alone.
-func (a *Admission) unavailable(r *request, reason string) {
+// answerUnavailable answers a request that can't be settled now with 503. A submission is
+// first forwarded to a leading peer, once, since the key-value store may be unreachable
+// from this controller only.
+func (a *Admission) answerUnavailable(r *request, reason string) {
 	a.log.Debug("request not settled", "operation", r.Operation, "job", r.Job, "reason", reason)
 	answer := Failure(statusUnavailable, reason)
 	if r.Operation != Submit || r.Forwarded || r.fallback != nil || a.now >= r.deadline {
@@ -20,19 +20,19 @@
 		return
 	}
 	r.fallback = &answer
-	r.deadline = min(r.deadline, a.after(ForwardTimeout))
-	a.queryOwners(forwardQuery{r})
+	r.deadline = min(r.deadline, a.timeAfter(ForwardTimeout))
+	a.queryCore(forwardQuery{r})
 }
 
-// forwardQuery asks which peers lead, to forward a submission to one of them.
+// forwardQuery asks for the leading peers, in order to forward a submission to one of them.
 type forwardQuery struct{ request *request }
 
 func (q forwardQuery) resume(a *Admission, _ QueryID, m OwnersAnswered) {
 	a.forward(q.request, m.Leading)
 }
 
-// forward sends a submission to the first of the leading peers. It is sent to one peer
-// only, and not forwarded from there.
+// forward sends a submission to the first of the leading peers. No other peer receives it,
+// and the receiver doesn't forward it again.
 func (a *Admission) forward(r *request, leading []protocol.NodeName) {
 	for _, m := range a.settings.Members {
 		if len(leading) > 0 && m.Name == leading[0] && a.requests[r.ID] == r {
@@ -43,9 +43,10 @@
 	a.reply(r, *r.fallback)
 }
 
-// forwarded gives back a peer's answer to a forwarded submission. Without one the job
-// may have been accepted or not: the user finds out by a retry.
-func (a *Admission) forwarded(m Forwarded) {
+// handleForwarded returns a peer's answer to a forwarded submission to the user. If the
+// peer didn't answer, the job may or may not have been accepted, and the user's retry
+// settles it.
+func (a *Admission) handleForwarded(m Forwarded) {
 	r := a.requests[m.ID]
 	if r == nil || r.fallback == nil {
 		return
--- a/internal/controller/admission/harness_test.go
+++ b/internal/controller/admission/harness_test.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// harness executes the actions of an Admission: each is answered by the given function,
-// at once unless that returns nil.
+// harness executes the actions of an Admission. Each field of function type answers one
+// kind of action: at once, or not at all if the function returns nil.
 type harness struct {
 	admission   *Admission
 	now         clock.Time
@@ -20,22 +20,22 @@
 	write       func(Write) any
 	queryOwners func(QueryOwners) any
 	compare     func(Compare) any
-	passOn      func(Forward) any
+	forward     func(Forward) any
 	announce    func(Announce) any
 }
 
-// testingT is what *testing.T and *rapid.T have in common here.
+// testingT is the common interface of *testing.T and *rapid.T that the tests use.
 type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// testTxnOps is how many operations a transaction of the tests' store may hold.
-const testTxnOps = 4
+// maxTransactionOps is the number of operations that a transaction may hold in the tests.
+const maxTransactionOps = 4
 
 func newHarness() *harness {
 	s := &config.Settings{Name: "node-0", Members: []config.Member{{Name: "node-1"}, {Name: "node-2"}}}
-	s.Site.Count, s.Site.State = 3, config.State{RPS: 6000, WriteRPS: 2000, TxnOps: testTxnOps}
+	s.Site.Count, s.Site.State = 3, config.State{RPS: 6000, WriteRPS: 2000, TxnOps: maxTransactionOps}
 	s.Site.Teams = []config.Team{{Name: "free"}, {Name: "bound", MaxCPUs: 4}}
 	return &harness{
 		admission: New(s, config.DefaultOperator(), slog.New(slog.DiscardHandler)),
@@ -44,7 +44,7 @@
 	}
 }
 
-// step handles a message, and all that follow from it.
+// step handles a message and all messages that answer the resulting actions.
 func (h *harness) step(t testingT, msg any) {
 	t.Helper()
 	for pending := []any{msg}; len(pending) > 0; pending = pending[1:] {
@@ -53,7 +53,7 @@
 			switch a := a.(type) {
 			case Reply:
 				if _, twice := h.answers[a.ID]; twice {
-					t.Fatalf("request %d is answered twice", a.ID)
+					t.Fatalf("request %d was answered twice", a.ID)
 				}
 				h.answers[a.ID] = a.Answer
 			case Get:
@@ -65,7 +65,7 @@
 			case Compare:
 				next = h.compare(a)
 			case Forward:
-				next = h.passOn(a)
+				next = h.forward(a)
 			case Announce:
 				next = h.announce(a)
 			}
@@ -76,8 +76,8 @@
 	}
 }
 
-// pass lets time pass, with ticks.
-func (h *harness) pass(t testingT, d time.Duration) {
+// advance moves the clock forward by d, with a tick every 10 ms.
+func (h *harness) advance(t testingT, d time.Duration) {
 	t.Helper()
 	for end := h.now + clock.Time(d); h.now < end; {
 		h.now += clock.Time(10 * time.Millisecond)
@@ -85,16 +85,16 @@
 	}
 }
 
-func status(t testingT, a Answer) protocol.JobStatus {
+func decodeStatus(t testingT, a Answer) protocol.JobStatus {
 	t.Helper()
 	var s protocol.JobStatus
 	if err := protocol.Decode(a.Body, &s); err != nil {
-		t.Fatalf("body of %d: %v", a.Status, err)
+		t.Fatalf("decode the body of an answer with status %d: %v", a.Status, err)
 	}
 	return s
 }
 
-// submission is what a user sends, with a field left out or changed.
+// submission returns the body of a user's submission, as modified by change.
 func submission(t *testing.T, id string, change func(map[string]any)) []byte {
 	t.Helper()
 	m := map[string]any{
--- a/internal/controller/admission/jobrecord.go
+++ b/internal/controller/admission/jobrecord.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// maxFinalRecords bounds the cache of the records of finished jobs.
+	// maxFinalRecords is the capacity of the cache of finished jobs' records.
 	maxFinalRecords = 20000
-	// maxWriteAttempts is after how many writes that settled nothing a request is given
-	// up.
+	// maxWriteAttempts is the number of unsettled writes after which a request is not
+	// retried any more.
 	maxWriteAttempts = 3
 )
 
-// finalRecord is a job's record if it is known to be over.
+// finalRecord returns a job's record if the job is known to be finished, which includes a
+// job whose cancellation is still being announced.
 func (a *Admission) finalRecord(id protocol.JobID) (record.JobRecord, bool) {
 	if current := a.announcements[id]; current != nil {
 		return current.record, true
@@ -23,10 +24,10 @@
 	return rec, ok
 }
 
-// rememberFinal caches the record of a finished job, which never changes any more.
-func (a *Admission) rememberFinal(id protocol.JobID, rec record.JobRecord) {
+// cacheFinalRecord caches the record of a finished job, which never changes again.
+func (a *Admission) cacheFinalRecord(id protocol.JobID, rec record.JobRecord) {
 	if len(a.finalRecords) >= maxFinalRecords {
-		for evicted := range a.finalRecords { // any one: it can be read again
+		for evicted := range a.finalRecords { // any record: it can be read again
 			delete(a.finalRecords, evicted)
 			break
 		}
@@ -34,8 +35,8 @@
 	a.finalRecords[id] = rec
 }
 
-// readRecord reads a job's record: from the cache if the job is over, else from the
-// key-value store.
+// readRecord reads a job's record from the cache if the job is finished, and from the
+// key-value store otherwise.
 func (a *Admission) readRecord(r *request) {
 	if rec, ok := a.finalRecord(r.Job); ok {
 		a.answerFromRecord(r, rec)
@@ -44,8 +45,8 @@
 	a.emit(Get{r.ID, r.Job})
 }
 
-// recordRead goes on with a request once the job's record was read.
-func (a *Admission) recordRead(m Read) {
+// handleRecordRead continues a request after the job's record has been read.
+func (a *Admission) handleRecordRead(m Read) {
 	r := a.requests[m.ID]
 	if r == nil {
 		return
@@ -54,43 +55,43 @@
 	live := m.Record.State == record.RecordLive
 	settled := found && (r.Operation == Submit || !live)
 	switch {
-	case r.writePending && !settled: // the answer to the write may still come
+	case r.writePending && !settled: // the answer to the write may still arrive
 	case found && live && r.Operation == Cancel:
 		a.write(r, CancelTransaction(r.Job, m.Version, m.Record))
 	case found:
 		a.answerFromRecord(r, m.Record)
 	case m.Outcome != message.OutcomeFailed:
-		a.unavailable(r, "state service can't be asked")
+		a.answerUnavailable(r, "state service can't be asked")
 	default:
-		a.recordMissing(r)
+		a.handleMissingRecord(r)
 	}
 }
 
-// recordMissing goes on with a request for a job that has no record.
-func (a *Admission) recordMissing(r *request) {
+// handleMissingRecord continues a request for a job that has no record.
+func (a *Admission) handleMissingRecord(r *request) {
 	switch {
 	case r.refusal != nil:
 		a.reply(r, *r.refusal)
 	case r.conditionFailed:
 		a.resubmit(r)
 	case r.Operation == Submit:
-		// A write that is under way may still create it: its absence says nothing.
-		a.unavailable(r, "not settled yet")
+		// A write in flight may still create the record, so its absence is not conclusive.
+		a.answerUnavailable(r, "not settled yet")
 	default:
 		a.reply(r, Failure(statusNotFound, "no such job"))
 	}
 }
 
-// write executes a transaction for a request. If its answer is late, tick reads the
-// record to find out what became of it.
+// write executes a transaction for a request. If the answer is late, tick reads the record
+// to find out whether the transaction was executed.
 func (a *Admission) write(r *request, txn protocol.Transaction) {
-	r.writePending, r.recheckAt = true, a.after(writeRecheckDelay)
+	r.writePending, r.recheckAt = true, a.timeAfter(writeRecheckDelay)
 	a.emit(Write{r.ID, txn})
 	a.wakeBy(r.recheckAt)
 }
 
-// written goes on with a request once its transaction was answered.
-func (a *Admission) written(m Written) {
+// handleWritten continues a request after its transaction has been answered.
+func (a *Admission) handleWritten(m Written) {
 	r := a.requests[m.ID]
 	if r == nil {
 		return
@@ -98,25 +99,26 @@
 	r.writePending, r.recheckAt = false, 0
 	switch {
 	case m.Outcome == message.OutcomeRefused:
-		a.unavailable(r, "state service can't be asked")
+		a.answerUnavailable(r, "state service can't be asked")
 	case r.Operation == Submit && m.Outcome == message.OutcomeDone && r.refusal != nil:
-		// Refused by the configuration in force, and the job is not known.
+		// The configuration in force refuses the job, and no record of it exists.
 		a.reply(r, *r.refusal)
 	case r.Operation == Submit && m.Outcome == message.OutcomeDone:
 		a.reply(r, success(statusCreated, protocol.JobStatus{ID: r.Job, State: protocol.JobQueued}))
 	case r.Operation == Cancel && m.Outcome == message.OutcomeDone:
 		a.answerFromRecord(r, record.JobRecord{State: record.RecordCancelled})
 	default:
-		a.writeUnsettled(r, m.Outcome)
+		a.handleUnsettledWrite(r, m.Outcome)
 	}
 }
 
-// writeUnsettled goes on with a request whose transaction failed, or whose answer was
-// lost: the job is not as it was read, or known already, and its record can tell.
-func (a *Admission) writeUnsettled(r *request, outcome message.Outcome) {
+// handleUnsettledWrite continues a request whose transaction failed or whose outcome is
+// unknown. The job has changed since it was read, or its ID is in use already, or the
+// transaction may have been executed: the record shows which.
+func (a *Admission) handleUnsettledWrite(r *request, outcome message.Outcome) {
 	r.attempts++
 	if r.attempts >= maxWriteAttempts {
-		a.unavailable(r, "not settled yet")
+		a.answerUnavailable(r, "not settled yet")
 		return
 	}
 	r.conditionFailed = r.Operation == Submit && a.configurable && outcome == message.OutcomeFailed
@@ -130,11 +132,11 @@
 func (a *Admission) answerFromRecord(r *request, rec record.JobRecord) {
 	switch rec.State {
 	case record.RecordLive:
-		a.queryOwners(progressQuery{r}, r.Job)
+		a.queryCore(progressQuery{r}, r.Job)
 	case record.RecordCancelled:
 		a.answerCancelled(r, rec)
 	default:
-		a.rememberFinal(r.Job, rec)
+		a.cacheFinalRecord(r.Job, rec)
 		a.reply(r, finalAnswer(r, rec))
 	}
 }
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -8,13 +8,13 @@
 	"damsonkeel/internal/record"
 )
 
-// RequestID numbers the requests that one process receives.
+// RequestID identifies a request within the process that received it.
 type RequestID uint64
 
-// QueryID numbers the queries to the core.
+// QueryID identifies a query to the core, or the comparison that follows from it.
 type QueryID uint64
 
-// Operation is what a user asks for.
+// Operation is the operation that a user requests.
 type Operation uint8
 
 // The operations.
@@ -32,13 +32,13 @@
 		Operation Operation
 		Job       protocol.JobID // of polls and cancellations
 		Body      []byte         // of submissions
-		Forwarded bool           // forwarded by a peer: not to be forwarded again
+		Forwarded bool           // forwarded by a peer, and not to be forwarded again
 		WallMS    int64          // the time of day, in milliseconds of the Unix epoch
 	}
 	// Read answers a Get.
 	Read struct {
 		ID      RequestID
-		Outcome message.Outcome // failed: there is no such record
+		Outcome message.Outcome // OutcomeFailed: there is no such record
 		Record  record.JobRecord
 		Version protocol.Version
 	}
@@ -50,18 +50,18 @@
 	// OwnersAnswered answers a QueryOwners.
 	OwnersAnswered struct {
 		Query   QueryID
-		Jobs    map[protocol.JobID]LiveJob // those asked for that are live, as followed
-		Leading []protocol.NodeName        // peers known to hold their lease
-		// Members are the controllers of the view, as followed; empty: none is known.
+		Jobs    map[protocol.JobID]LiveJob // the requested jobs that are live in the core's state
+		Leading []protocol.NodeName        // peers that are known to hold their lease
+		// Members lists the controllers in the core's latest view; empty: unknown.
 		Members []protocol.NodeName
 	}
-	// Compared answers a Compare: done if nothing differs, failed if something does.
+	// Compared answers a Compare.
 	Compared struct {
 		Query     QueryID
-		Outcome   message.Outcome
-		Differing []string // keys that are named as different
+		Outcome   message.Outcome // OutcomeDone: all versions match; OutcomeFailed: some differ
+		Differing []string        // keys that the store reported to differ, perhaps not all
 	}
-	// Forwarded answers a Forward; status 0: the peer did not answer.
+	// Forwarded answers a Forward. A status of 0 means that the peer did not answer.
 	Forwarded struct {
 		ID     RequestID
 		Answer Answer
@@ -71,15 +71,15 @@
 		Job protocol.JobID
 		By  protocol.NodeName
 	}
-	// Configured brings the configuration in force, as followed.
+	// Configured carries the configuration in force, as observed by the core.
 	Configured struct{ Effective *dynamicconfig.Effective }
-	// TypesRead brings the machine types of the catalogue.
+	// TypesRead carries the machine types of the catalogue.
 	TypesRead struct{ Types []protocol.TypeInfo }
-	// Tick lets time pass.
+	// Tick triggers the work that is due by the clock.
 	Tick struct{}
 )
 
-// LiveJob is a live job as this controller's core knows it.
+// LiveJob is the state of a live job in this controller's core.
 type LiveJob struct {
 	Version  protocol.Version
 	Progress message.Progress
@@ -87,16 +87,16 @@
 
 // Answer is the response to a user's request.
 type Answer struct {
-	Status      int
+	Status      int // the HTTP status; 0: no answer
 	Body        []byte
-	RetryAfterS int
+	RetryAfterS int // seconds after which the user may retry; 0: not sent
 }
 
-// Action is something that the caller of the step function is to execute.
+// Action is a request to the caller of the step function.
 type Action any
 
-// The actions. Each but Reply and Wake is answered by one message, at some time or
-// never: a request that waits longer than its budget is answered without.
+// The actions. Each except Reply and Wake is answered by one message, which may arrive at
+// any time or never: a request whose budget is used up is answered without it.
 type (
 	// Reply answers a request.
 	Reply struct {
@@ -113,13 +113,13 @@
 		ID          RequestID
 		Transaction protocol.Transaction
 	}
-	// QueryOwners asks this controller's core what it knows of jobs, which peers lead,
-	// and which controllers are members.
+	// QueryOwners asks this controller's core for the state of jobs, the leading peers and
+	// the members.
 	QueryOwners struct {
 		Query QueryID
 		Jobs  []protocol.JobID
 	}
-	// Compare is a transaction that only compares.
+	// Compare executes a transaction that has conditions and changes nothing.
 	Compare struct {
 		Query      QueryID
 		Conditions []protocol.Condition
@@ -130,12 +130,13 @@
 		To   protocol.NodeName
 		Body []byte
 	}
-	// Announce tells a controller, this one or a peer, that a job is cancelled: it
-	// starts no task of it any more, though it may not have followed that yet.
+	// Announce notifies a controller, this one or a peer, that a job is cancelled. The
+	// controller starts no more tasks of the job, even before it observes the cancellation
+	// in the records.
 	Announce struct {
 		Job protocol.JobID
 		To  protocol.NodeName
 	}
-	// Wake asks for a Tick at a time.
+	// Wake requests a Tick at the given time.
 	Wake struct{ At clock.Time }
 )
--- a/internal/controller/admission/polling_test.go
+++ b/internal/controller/admission/polling_test.go
@@ -12,31 +12,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestPollsAreComparedTogether: polls that come together are answered by few requests to
-// the store, each by one that began after the poll came. No answer says that a job is
-// live whose record differs, and a poll is refused while the store is out.
+// TestPollsAreComparedTogether checks that polls that arrive together are answered by few
+// requests to the store, and each by a request that started after the poll arrived. No
+// answer reports a job as live if its record differs, and polls are refused while the
+// store is unavailable.
 func TestPollsAreComparedTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness()
 		records := map[protocol.JobID]protocol.Version{}
-		known := map[protocol.JobID]LiveJob{}
+		followed := map[protocol.JobID]LiveJob{}
 		jobs := rapid.IntRange(1, 60).Draw(t, "jobs")
 		for i := range jobs {
 			id := protocol.JobID(fmt.Sprint("job-", i))
 			records[id] = protocol.Version(i + 1)
 			switch rapid.IntRange(0, 9).Draw(t, "record") {
-			case 0: // ended since
-				known[id] = LiveJob{Version: records[id]}
+			case 0: // the record has changed since it was observed
+				followed[id] = LiveJob{Version: records[id]}
 				records[id] += 100
-			case 1: // its record has not arrived here
+			case 1: // the record has not been observed
 			default:
-				known[id] = LiveJob{Version: records[id], Progress: message.Progress{Job: id, Running: uint32(i)}}
+				followed[id] = LiveJob{Version: records[id], Progress: message.Progress{Job: id, Running: uint32(i)}}
 			}
 		}
-		live := func(id protocol.JobID) bool { k, ok := known[id]; return ok && k.Version == records[id] }
+		live := func(id protocol.JobID) bool { k, ok := followed[id]; return ok && k.Version == records[id] }
 		outage, namesAll := rapid.IntRange(0, 5).Draw(t, "outage") == 0, rapid.Bool().Draw(t, "names all")
 		requests, read := 0, map[protocol.JobID]bool{}
-		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Jobs: known} }
+		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Jobs: followed} }
 		h.compare = func(c Compare) any {
 			requests++
 			out := Compared{Query: c.Query, Outcome: message.OutcomeDone}
@@ -57,7 +58,7 @@
 		h.get = func(g Get) any {
 			read[g.Job] = true
 			r := Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordDone, Tasks: 1}}
-			if live(g.Job) || known[g.Job].Version == 0 {
+			if live(g.Job) || followed[g.Job].Version == 0 {
 				r.Record.State = record.RecordLive
 			}
 			if outage {
@@ -69,7 +70,7 @@
 		for i := range polls {
 			h.step(t, Request{ID: RequestID(i), Operation: Poll, Job: protocol.JobID(fmt.Sprint("job-", i%jobs))})
 		}
-		h.pass(t, requestBudget)
+		h.advance(t, requestBudget)
 		for i := range polls {
 			id := protocol.JobID(fmt.Sprint("job-", i%jobs))
 			a, ok := h.answers[RequestID(i)]
@@ -81,16 +82,16 @@
 			case outage:
 			case a.Status != 200:
 				t.Fatalf("%s: %+v", id, a)
-			case live(id) && (*status(t, a).Running != known[id].Progress.Running || namesAll && read[id]):
-				t.Fatalf("%s, which is live: %+v, read %v", id, status(t, a), read[id])
+			case live(id) && (*decodeStatus(t, a).Running != followed[id].Progress.Running || namesAll && read[id]):
+				t.Fatalf("live job %s: %+v, read %v", id, decodeStatus(t, a), read[id])
 			case !live(id) && !read[id]:
-				t.Fatalf("%s, which is not known to be live, is not read", id)
-			case !live(id) && known[id].Version != 0 && status(t, a).State != protocol.JobDone:
-				t.Fatalf("%s, which is over, is answered as %s", id, status(t, a).State)
+				t.Fatalf("the record of %s, which is not an observed live job, was not read", id)
+			case !live(id) && followed[id].Version != 0 && decodeStatus(t, a).State != protocol.JobDone:
+				t.Fatalf("finished job %s was answered as %s", id, decodeStatus(t, a).State)
 			}
 		}
-		// The first poll is answered by itself; the others come together.
-		if most := 2 * (polls/16 + 2); requests > most {
+		// The first poll has a comparison of its own; the others arrive together.
+		if limit := 2 * (polls/16 + 2); requests > limit {
 			t.Fatalf("%d requests for %d polls", requests, polls)
 		}
 	})
--- a/internal/controller/admission/submission.go
+++ b/internal/controller/admission/submission.go
@@ -7,8 +7,8 @@
 	"damsonkeel/internal/record"
 )
 
-// submit checks a submission and accepts or refuses it. A job whose id is known
-// already is answered from its record: submissions are idempotent.
+// submit checks a submission and accepts or refuses it. If a job with the same ID has been
+// accepted before, its record answers the submission: submissions are idempotent.
 func (a *Admission) submit(r *request) {
 	j, err := protocol.ParseSubmission(r.Body)
 	if err != nil {
@@ -21,10 +21,10 @@
 		return
 	}
 	if a.machineTypes == nil {
-		a.unavailable(r, "machine types not known yet")
+		a.answerUnavailable(r, "machine types not known yet")
 		return
 	}
-	if reason := a.whyInfeasible(&j); reason != "" {
+	if reason := a.infeasibleReason(&j); reason != "" {
 		a.refuseByConfiguration(r, Failure(statusUnprocessable, reason))
 		return
 	}
@@ -44,14 +44,14 @@
 	a.refuse(r, refusal)
 }
 
-// refuse refuses a submission, unless its id is one that was accepted.
+// refuse refuses a submission, unless a job with its ID has been accepted.
 func (a *Admission) refuse(r *request, refusal Answer) {
 	r.refusal = &refusal
 	a.readRecord(r)
 }
 
-// whyInfeasible says why a job can never run, or nothing.
-func (a *Admission) whyInfeasible(j *protocol.Job) string {
+// infeasibleReason returns why a job can't be accepted, or "" if it can.
+func (a *Admission) infeasibleReason(j *protocol.Job) string {
 	team, ok := a.configuration.Team(j.Team)
 	if !ok {
 		return "unknown team"
@@ -73,7 +73,7 @@
 }
 
 // runsOnAnyMachineType reports whether a task of a job fits a machine type that the job
-// allows. Its zone is left aside: it may offer the type another day.
+// allows. It ignores the job's zone, which may offer the type at another time.
 func (a *Admission) runsOnAnyMachineType(j *protocol.Job) bool {
 	live := clusterstate.LiveJob{Job: *j}
 	live.Zone = ""
@@ -85,10 +85,11 @@
 	return false
 }
 
-// exceeds reports whether an amount is over a team's limit; 0: the team has none.
+// exceeds reports whether an amount is above a team's limit. A limit of 0 means none.
 func exceeds(amount, limit float64) bool { return limit > 0 && amount > limit+resource.Slack }
 
-// AcceptTransaction accepts a job: it holds only if no job with its id is known.
+// AcceptTransaction returns the transaction that accepts a job. It is conditional on there
+// being no record with the job's ID.
 func AcceptTransaction(j *protocol.Job) protocol.Transaction {
 	return protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.JobKey(j.ID)}},
--- a/internal/controller/admission/submission_test.go
+++ b/internal/controller/admission/submission_test.go
@@ -8,22 +8,23 @@
 	"damsonkeel/internal/record"
 )
 
-// TestInvalidSubmissionIsRefused: a submission that lacks a field or can't run is
-// refused, unless its job is known. None is refused while the store is out.
+// TestInvalidSubmissionIsRefused checks that a submission that lacks a field or can never
+// run is refused, unless its job has a record already. No submission with an ID is refused
+// while the store is unavailable.
 func TestInvalidSubmissionIsRefused(t *testing.T) {
 	set := func(k string, v any) func(map[string]any) { return func(m map[string]any) { m[k] = v } }
 	cases := map[string]struct {
 		body   []byte
 		status int
 	}{
-		"not CBOR":              {[]byte{0xff, 1}, 400},
-		"empty":                 {nil, 400},
-		"no id":                 {submission(t, "", nil), 400},
-		"unknown team":          {submission(t, "job-000001", set("crew", "nobody")), 422},
-		"fits no machine":       {submission(t, "job-000001", set("cores", 5.0)), 422},
-		"of no type":            {submission(t, "job-000001", set("hulls", []string{"huge"})), 422},
-		"beyond the team's":     {submission(t, "job-000001", func(m map[string]any) { m["crew"], m["rig"], m["hauls"], m["cores"] = "bound", "gang", 3, 2.0 }), 422},
-		"an array in the limit": {submission(t, "job-000001", func(m map[string]any) { m["crew"], m["hauls"], m["cores"] = "bound", 3, 2.0 }), 201},
+		"not CBOR":                      {[]byte{0xff, 1}, 400},
+		"empty":                         {nil, 400},
+		"no id":                         {submission(t, "", nil), 400},
+		"unknown team":                  {submission(t, "job-000001", set("crew", "nobody")), 422},
+		"fits no machine type":          {submission(t, "job-000001", set("cores", 5.0)), 422},
+		"unknown machine type":          {submission(t, "job-000001", set("hulls", []string{"huge"})), 422},
+		"gang above the team's limit":   {submission(t, "job-000001", func(m map[string]any) { m["crew"], m["rig"], m["hauls"], m["cores"] = "bound", "gang", 3, 2.0 }), 422},
+		"array within the team's limit": {submission(t, "job-000001", func(m map[string]any) { m["crew"], m["hauls"], m["cores"] = "bound", 3, 2.0 }), 201},
 	}
 	for _, field := range []string{"berth", "crew", "rig", "tide", "hauls", "cores", "gpus", "memory_gb", "hullcast", "image_gb", "together", "scatter", "driftstock", "passage_s", "logmark_s", "stow_s"} {
 		cases["without "+field] = struct {
