--- a/internal/controller/frontend/actor.go
+++ b/internal/controller/frontend/actor.go
@@ -20,19 +20,19 @@
 // tickInterval is the time between two ticks of Admission.
 const tickInterval = 100 * time.Millisecond
 
-// Run is the actor around Admission. It returns when the context ends; so do the
+// Run runs the actor around Admission. It returns when the context ends, and so do the
 // goroutines that it has started.
 func (f *Frontend) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case m := <-f.mailbox:
-			if request, ok := m.(userRequest); ok {
+		case msg := <-f.mailbox:
+			if request, ok := msg.(userRequest); ok {
 				f.replies[request.ID] = request.reply
-				m = request.Request
+				msg = request.Request
 			}
-			f.step(ctx, m)
+			f.step(ctx, msg)
 		case effective := <-f.configurations:
 			f.step(ctx, admission.Configured{Effective: effective})
 		case <-ticker.C:
@@ -43,8 +43,8 @@
 	}
 }
 
-// Configure gives Admission the configuration in force, in place of one that it has not
-// taken yet. Only one goroutine may call it, the core's actor.
+// Configure passes the configuration in force to Admission. It replaces one that Admission
+// has not received yet. Only one goroutine may call it: the core's actor.
 func (f *Frontend) Configure(effective *dynamicconfig.Effective) {
 	select {
 	case <-f.configurations:
@@ -53,14 +53,15 @@
 	f.configurations <- effective
 }
 
-// SetTypes gives Admission the machine types as last read from the cloud. It waits while
-// the mailbox is full.
+// SetTypes passes the machine types as last read from the cloud to Admission. It blocks
+// while the mailbox is full.
 func (f *Frontend) SetTypes(ctx context.Context, types []protocol.TypeInfo) {
 	f.post(ctx, admission.TypesRead{Types: types})
 }
 
-// admit gives Admission a request, or refuses it at once if too many wait.
-func (f *Frontend) admit(request admission.Request, reply transport.Reply) {
+// enqueueRequest puts a request into the mailbox, or refuses it at once if the mailbox is
+// full.
+func (f *Frontend) enqueueRequest(request admission.Request, reply transport.Reply) {
 	request.ID, request.WallMS = admission.RequestID(f.lastRequest.Add(1)), time.Now().UnixMilli()
 	select {
 	case f.mailbox <- userRequest{request, reply}:
@@ -69,29 +70,30 @@
 	}
 }
 
-// post gives the actor a message; it waits while the mailbox is full.
-func (f *Frontend) post(ctx context.Context, m any) {
+// post sends a message to the actor. It blocks while the mailbox is full.
+func (f *Frontend) post(ctx context.Context, msg any) {
 	select {
-	case f.mailbox <- m:
+	case f.mailbox <- msg:
 	case <-ctx.Done():
 	}
 }
 
-// step has Admission handle a message and those that follow from it at once.
-func (f *Frontend) step(ctx context.Context, m any) {
-	f.local = append(f.local, m)
-	for len(f.local) > 0 {
-		next := f.local[0]
-		f.local = f.local[1:]
+// step has Admission handle a message, and then the messages that executing the resulting
+// actions has added to stepQueue.
+func (f *Frontend) step(ctx context.Context, msg any) {
+	f.stepQueue = append(f.stepQueue, msg)
+	for len(f.stepQueue) > 0 {
+		next := f.stepQueue[0]
+		f.stepQueue = f.stepQueue[1:]
 		for _, action := range f.admission.Step(f.controller.Now(), next) {
-			f.carryOut(ctx, action)
+			f.executeAction(ctx, action)
 		}
 	}
 }
 
-// carryOut executes an action of Admission. It never waits: what takes time is done in a
-// goroutine whose result is posted.
-func (f *Frontend) carryOut(ctx context.Context, action admission.Action) {
+// executeAction executes an action of Admission. It never blocks: a goroutine executes each
+// action that takes time, and posts the result.
+func (f *Frontend) executeAction(ctx context.Context, action admission.Action) {
 	switch a := action.(type) {
 	case admission.Reply:
 		f.replies[a.ID](response(a.Answer))
@@ -101,7 +103,7 @@
 	case admission.Write:
 		go func() { f.post(ctx, f.write(ctx, a)) }()
 	case admission.QueryOwners:
-		f.queryOwners(ctx, a)
+		f.queryCore(ctx, a)
 	case admission.Compare:
 		go func() { f.post(ctx, f.compare(ctx, a)) }()
 	case admission.Forward:
@@ -113,15 +115,16 @@
 	}
 }
 
-// queryOwners asks the core about live jobs; a busy core answers nothing.
-func (f *Frontend) queryOwners(ctx context.Context, query admission.QueryOwners) {
+// queryCore asks the core for the state of live jobs. If the core is too busy, Admission
+// gets an empty answer.
+func (f *Frontend) queryCore(ctx context.Context, query admission.QueryOwners) {
 	answer := func(answered admission.OwnersAnswered) { f.post(ctx, answered) }
 	if !f.controller.QueryOwners(query, answer) {
-		f.local = append(f.local, admission.OwnersAnswered{Query: query.Query})
+		f.stepQueue = append(f.stepQueue, admission.OwnersAnswered{Query: query.Query})
 	}
 }
 
-// announce tells a controller, which may be this one, of a cancellation.
+// announce notifies a controller, which may be this one, of a cancellation.
 func (f *Frontend) announce(ctx context.Context, a admission.Announce) {
 	announced := func() { f.post(ctx, admission.Announced{Job: a.Job, By: a.To}) }
 	if a.To == f.settings.Name {
@@ -146,11 +149,11 @@
 }
 
 func (f *Frontend) compare(ctx context.Context, a admission.Compare) admission.Compared {
-	differ, err := f.store.Compare(ctx, a.Conditions)
-	return admission.Compared{Query: a.Query, Outcome: outcome.Of(err), Differing: differ}
+	differingKeys, err := f.store.Compare(ctx, a.Conditions)
+	return admission.Compared{Query: a.Query, Outcome: outcome.Of(err), Differing: differingKeys}
 }
 
-// forward passes a submission on to a peer; the answer is empty if none came.
+// forward sends a submission to a peer. The answer is empty if the peer did not answer.
 func (f *Frontend) forward(a admission.Forward) admission.Forwarded {
 	answer, err := f.controller.ForwardSubmission(a.To, a.Body)
 	if err != nil {
@@ -159,7 +162,7 @@
 	return admission.Forwarded{ID: a.ID, Answer: answer}
 }
 
-// readJob reads a job's record. OutcomeFailed means that there is none.
+// readJob reads a job's record. OutcomeFailed means that the record does not exist.
 func (f *Frontend) readJob(ctx context.Context, a admission.Get) admission.Read {
 	item, err := f.store.Get(ctx, record.JobKey(a.Job))
 	read := admission.Read{ID: a.ID, Outcome: outcome.Of(err), Version: item.Version}
--- a/internal/controller/frontend/confighistory.go
+++ b/internal/controller/frontend/confighistory.go
@@ -12,11 +12,11 @@
 	"damsonkeel/internal/transport"
 )
 
-// maxHistoryBytes bounds the history in one answer: well below what an answer may hold.
+// maxHistoryBytes is the maximum size of the changes in one answer, well below the limit
+// for the body of an answer.
 const maxHistoryBytes = 40 << 10
 
-// configurationHistory answers with the latest changes of the configuration, the last one
-// first.
+// configurationHistory answers with the latest changes of the configuration, newest first.
 func (f *Frontend) configurationHistory(ctx context.Context) *transport.Message {
 	items, _, err := f.store.List(ctx, record.ConfigurationHistoryPrefix)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return operatorResponse(reply)
 }
 
-// latestChanges decodes changes of the configuration and returns as many as an answer may
-// hold, the last one first, and whether there are more.
+// latestChanges decodes changes of the configuration. It returns the latest changes that
+// fit into an answer, newest first, and whether there are more.
 func (f *Frontend) latestChanges(items []protocol.Item) (history []record.ConfigurationChange, more bool) {
 	sizes := map[record.ConfigurationRevision]int{}
 	for _, item := range items {
--- a/internal/controller/frontend/frontend.go
+++ b/internal/controller/frontend/frontend.go
@@ -17,29 +17,29 @@
 	"damsonkeel/internal/transport"
 )
 
-// Controller is what the front end needs of the controller that it serves.
+// Controller is the interface of the front end to the controller that it serves.
 type Controller interface {
-	// Now is the controller's steady clock.
+	// Now returns the time of the controller's monotonic clock.
 	Now() clock.Time
-	// Ready reports whether the load balancer may send requests here.
+	// Ready reports whether the load balancer may send requests to this controller.
 	Ready() bool
-	// QueueHeartbeat passes a worker's heartbeat to the core; reply gets the answer. It
-	// never waits.
+	// QueueHeartbeat queues a worker's heartbeat for the core; reply receives the answer.
+	// It never blocks.
 	QueueHeartbeat(heartbeat protocol.Heartbeat, reply transport.Reply)
-	// QueryOwners asks the core about live jobs. It never waits, and returns false if
-	// the core is too busy: answer is not called then.
+	// QueryOwners asks the core for the state of live jobs. It never blocks. If the core
+	// is too busy, it returns false and answer is not called.
 	QueryOwners(query admission.QueryOwners, answer func(admission.OwnersAnswered)) bool
-	// CancelJob tells the core of a cancelled job, if it is not too busy; done is
-	// called once it has handled that. It never waits.
+	// CancelJob notifies the core of a cancelled job, unless the core is too busy. It
+	// calls done once the core has handled the notification, and never blocks.
 	CancelJob(job protocol.JobID, done func())
-	// DecideOperation has the core decide an operator's request, and waits for it. It
-	// returns false if the core is too busy.
+	// DecideOperation has the core decide an operator's request, and waits for the
+	// decision. It returns false if the core is too busy.
 	DecideOperation(by string, request *operatorapi.Request) (operatorrequest.Decision, bool)
-	// ForwardSubmission passes a submission on to a peer and waits for its answer, which
-	// is empty if there is an error.
+	// ForwardSubmission sends a submission to a peer and waits for the answer, which is
+	// empty if there is an error.
 	ForwardSubmission(to protocol.NodeName, body []byte) (admission.Answer, error)
-	// AnnounceCancellation tells a peer of a cancelled job and waits until it has
-	// handled that.
+	// AnnounceCancellation notifies a peer of a cancelled job and waits until the peer has
+	// handled the notification.
 	AnnounceCancellation(to protocol.NodeName, job protocol.JobID) error
 }
 
@@ -52,7 +52,7 @@
 	suffixCancel  = "/abort"
 )
 
-// maxOperatorRequests bounds the operators' requests that are under way at a time.
+// maxOperatorRequests is the maximum number of concurrent operators' requests.
 const maxOperatorRequests = 64
 
 // Frontend routes HTTP requests, and is the actor around an admission.Admission.
@@ -63,25 +63,25 @@
 	store      *kvstore.Client
 	log        *slog.Logger
 
-	// Only the actor's goroutine, Run, touches these.
+	// Only the actor's goroutine, Run, accesses these fields.
 	admission *admission.Admission
-	local     []any // messages of a step to itself
+	stepQueue []any // messages that the current step has not handled yet
 	replies   map[admission.RequestID]transport.Reply
 
 	mailbox chan any
-	// configurations holds the configuration in force until Admission has taken it.
+	// configurations holds the configuration in force until Admission has received it.
 	configurations chan *dynamicconfig.Effective
 	lastRequest    atomic.Uint64
-	operatorSlots  chan struct{} // holds one for each operator's request under way
+	operatorSlots  chan struct{} // holds one element for each operator's request in progress
 }
 
-// userRequest is a request to Admission with the way to answer it.
+// userRequest is a request to Admission with the function that sends the answer.
 type userRequest struct {
 	admission.Request
 	reply transport.Reply
 }
 
-// New makes the front end of a controller. Run starts its actor.
+// New returns the front end of a controller. Run runs its actor.
 func New(controller Controller, settings *config.Settings, operator config.Operator, store *kvstore.Client, log *slog.Logger) *Frontend {
 	return &Frontend{
 		controller:     controller,
@@ -97,40 +97,40 @@
 	}
 }
 
-// Handle routes a request. It runs on the server's event loop and never waits.
+// Handle routes a request. It runs on the server's event loop and never blocks.
 func (f *Frontend) Handle(m *transport.Message, reply transport.Reply) {
 	switch {
 	case m.Path == pathHeartbeat:
 		if allowOnly(http.MethodPost, m, reply) {
-			f.heartbeat(m, reply)
+			f.handleHeartbeat(m, reply)
 		}
 	case m.Path == pathHealth:
 		if allowOnly(http.MethodGet, m, reply) {
-			f.health(reply)
+			f.handleHealthCheck(reply)
 		}
 	case m.Path == pathSubmit:
 		if allowOnly(http.MethodPost, m, reply) {
-			f.admit(admission.Request{Operation: admission.Submit, Body: m.Body}, reply)
+			f.enqueueRequest(admission.Request{Operation: admission.Submit, Body: m.Body}, reply)
 		}
 	case m.Path == operatorapi.Path && f.operator.OperatorKeys != "":
 		if allowOnly(http.MethodPost, m, reply) {
-			f.operatorRequest(m.Body, reply)
+			f.handleOperatorRequest(m.Body, reply)
 		}
 	case strings.HasPrefix(m.Path, pathJobs):
-		f.jobRequest(m, reply)
+		f.handleJobRequest(m, reply)
 	default:
 		reply(Failure(http.StatusNotFound, "no such path"))
 	}
 }
 
-// SubmitForwarded takes a submission that a peer could not accept. Any goroutine may
-// call it.
+// SubmitForwarded handles a submission that a peer could not settle and has forwarded. Any
+// goroutine may call it.
 func (f *Frontend) SubmitForwarded(body []byte, reply transport.Reply) {
-	f.admit(admission.Request{Operation: admission.Submit, Body: body, Forwarded: true}, reply)
+	f.enqueueRequest(admission.Request{Operation: admission.Submit, Body: body, Forwarded: true}, reply)
 }
 
-// jobRequest handles a poll or a cancellation of one job.
-func (f *Frontend) jobRequest(m *transport.Message, reply transport.Reply) {
+// handleJobRequest handles a poll or a cancellation of one job.
+func (f *Frontend) handleJobRequest(m *transport.Message, reply transport.Reply) {
 	name, cancel := strings.CutSuffix(strings.TrimPrefix(m.Path, pathJobs), suffixCancel)
 	request, method := admission.Request{Operation: admission.Poll}, http.MethodGet
 	if cancel {
@@ -145,11 +145,11 @@
 		return
 	}
 	request.Job = id
-	f.admit(request, reply)
+	f.enqueueRequest(request, reply)
 }
 
-// allowOnly reports whether a request has the method that its path allows, and refuses
-// it otherwise.
+// allowOnly reports whether a request has the method that its path allows. It refuses the
+// request otherwise.
 func allowOnly(method string, m *transport.Message, reply transport.Reply) bool {
 	if m.Method != method {
 		reply(Failure(http.StatusMethodNotAllowed, "method not allowed"))
@@ -158,11 +158,12 @@
 	return true
 }
 
-// health answers health checks: 200 while this controller is a member, knows the machine
-// types, and holds its lease. While the key-value store is out for all controllers it
-// stays 200: requests get their 503 with the time to come back at once, and the load
-// balancer need not find every controller healthy anew when the outage is over.
-func (f *Frontend) health(reply transport.Reply) {
+// handleHealthCheck answers health checks. The status is 200 while this controller is a
+// member, has read the machine types, and holds its lease. It remains 200 while the
+// key-value store is unavailable to all controllers: requests get a 503 with a retry time
+// at once, and the load balancer doesn't have to find every controller healthy again when
+// the outage is over.
+func (f *Frontend) handleHealthCheck(reply transport.Reply) {
 	if !f.controller.Ready() {
 		reply(Failure(http.StatusServiceUnavailable, "not ready"))
 		return
@@ -170,7 +171,7 @@
 	reply(&transport.Message{Status: http.StatusOK})
 }
 
-func (f *Frontend) heartbeat(m *transport.Message, reply transport.Reply) {
+func (f *Frontend) handleHeartbeat(m *transport.Message, reply transport.Reply) {
 	heartbeat, err := protocol.ParseHeartbeat(m.Body)
 	if err != nil {
 		f.log.Info("heartbeat refused", "err", err)
--- a/internal/controller/frontend/frontend_test.go
+++ b/internal/controller/frontend/frontend_test.go
@@ -28,9 +28,9 @@
 
 var errNoPeer = errors.New("no such peer")
 
-// stubController is a controller that answers as its fields say.
+// stubController is a Controller with fixed answers. It records the heartbeats it receives.
 type stubController struct {
-	ready      bool
+	ready      bool // returned by Ready
 	heartbeats []protocol.Heartbeat
 }
 
@@ -64,7 +64,7 @@
 	return New(controller, fake.Settings(), config.DefaultOperator(), nil, slog.New(slog.DiscardHandler))
 }
 
-// errorBody is the body of a refusal.
+// errorBody returns the body of a refusal.
 func errorBody(t *testing.T, reason string) []byte {
 	t.Helper()
 	body, err := protocol.Encode(protocol.ErrorBody{Error: reason})
@@ -74,8 +74,10 @@
 	return body
 }
 
-// TestRequestsAreRefusedByPathAndMethod: what no path or method allows gets its status and
-// body at once; operators' requests have no path where there are no operators' keys.
+// TestRequestsAreRefusedByPathAndMethod checks the status and body of the immediate answers
+// to requests with an unknown path, a wrong method, or an invalid job ID, and to health
+// checks of a controller that isn't ready. The path of operators' requests is
+// unknown unless operators' keys are configured.
 func TestRequestsAreRefusedByPathAndMethod(t *testing.T) {
 	for _, tc := range []struct {
 		method, path string
@@ -107,8 +109,9 @@
 	}
 }
 
-// TestHealthFollowsReadiness: a controller that is ready answers 200 without a body.
-func TestHealthFollowsReadiness(t *testing.T) {
+// TestReadyControllerIsHealthy checks that a ready controller answers health checks with
+// 200 and no body.
+func TestReadyControllerIsHealthy(t *testing.T) {
 	f := newTestFrontend(t, &stubController{ready: true})
 	f.Handle(&transport.Message{Method: http.MethodGet, Path: "/up"}, func(m *transport.Message) {
 		if m.Status != http.StatusOK || len(m.Body) != 0 {
@@ -117,9 +120,10 @@
 	})
 }
 
-// TestHeartbeatsReachTheCore: a heartbeat is queued as it was sent, and its answer names
-// the controller that the worker has to turn to; a malformed one is refused.
-func TestHeartbeatsReachTheCore(t *testing.T) {
+// TestHeartbeatsAreQueuedForTheCore checks that a heartbeat is queued as it was sent, and
+// that its answer names the controller that the worker is redirected to. A malformed
+// heartbeat is refused.
+func TestHeartbeatsAreQueuedForTheCore(t *testing.T) {
 	controller := &stubController{}
 	f := newTestFrontend(t, controller)
 	sent := protocol.Heartbeat{Machine: "vm-1", Address: "10.0.0.1:9000", Type: "small", Zone: "a", AgentEpoch: 1, Seq: 1}
@@ -139,12 +143,12 @@
 	}
 	f.Handle(&transport.Message{Method: http.MethodPost, Path: "/v1/report", Body: []byte{0xff}}, reply)
 	if got.Status != 400 || len(controller.heartbeats) != 1 {
-		t.Errorf("a malformed heartbeat is answered %+v", got)
+		t.Errorf("malformed heartbeat: answered %+v", got)
 	}
 }
 
-// TestRequestsBeyondTheMailboxAreRefusedAtOnce: nobody waits for a place in the mailbox.
-func TestRequestsBeyondTheMailboxAreRefusedAtOnce(t *testing.T) {
+// TestFullMailboxRefusesRequestsAtOnce checks that no request blocks on a full mailbox.
+func TestFullMailboxRefusesRequestsAtOnce(t *testing.T) {
 	f := newTestFrontend(t, &stubController{})
 	var got []*transport.Message
 	for range cap(f.mailbox) + 1 { // the actor does not run
@@ -155,9 +159,9 @@
 	}
 }
 
-// TestRunEndsWithItsContext: the actor answers a request while it runs, and ends with the
-// context though its mailbox is full.
-func TestRunEndsWithItsContext(t *testing.T) {
+// TestRunReturnsWhenContextEnds checks that the actor answers a request while it runs and
+// ends with its context. After that, posting to a full mailbox doesn't block.
+func TestRunReturnsWhenContextEnds(t *testing.T) {
 	f := newTestFrontend(t, &stubController{})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -169,33 +173,33 @@
 	answered := make(chan *transport.Message, 1)
 	f.Handle(&transport.Message{Method: http.MethodPost, Path: "/work", Body: []byte{0xff}}, func(m *transport.Message) { answered <- m })
 	if m := <-answered; m.Status < 400 || m.Status == 404 {
-		t.Errorf("a malformed submission is answered %+v", m)
+		t.Errorf("malformed submission: answered %+v", m)
 	}
 	cancel()
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the actor goes on after its context has ended")
+		t.Fatal("the actor still runs after its context has ended")
 	}
 	for range cap(f.mailbox) + 1 {
-		f.post(ctx, admission.Tick{}) // returns, also when the mailbox is full
+		f.post(ctx, admission.Tick{}) // returns even if the mailbox is full
 	}
 }
 
-// TestOperatorCodesHaveTheirStatus: each code of a reply has its HTTP status, and only
-// "later" says when to come back.
-func TestOperatorCodesHaveTheirStatus(t *testing.T) {
+// TestOperatorReplyCodesMapToHTTPStatus checks the HTTP status of each reply code. Only the
+// response for RetryLater has a retry time.
+func TestOperatorReplyCodesMapToHTTPStatus(t *testing.T) {
 	for code, want := range map[operatorapi.Code]int{operatorapi.Done: 200, operatorapi.Refused: 409, operatorapi.NotFound: 404, operatorapi.RetryLater: 503} {
 		m := operatorResponse(operatorapi.Reply{Code: code})
 		if m.Status != want || (m.RetryAfterS != 0) != (want == 503) {
-			t.Errorf("%s is answered %d, retry after %d s; want %d", code, m.Status, m.RetryAfterS, want)
+			t.Errorf("code %s: status %d, retry after %d s; want status %d", code, m.Status, m.RetryAfterS, want)
 		}
 	}
 }
 
-// TestHistoryIsTheLatestThatFits: of the configuration's changes an answer has the latest,
-// the last one first, as long as they fit; records that can't be read are left out.
-func TestHistoryIsTheLatestThatFits(t *testing.T) {
+// TestHistoryHoldsLatestChangesThatFit checks that an answer holds the latest changes of the
+// configuration that fit, newest first, and omits records that can't be decoded.
+func TestHistoryHoldsLatestChangesThatFit(t *testing.T) {
 	f := newTestFrontend(t, &stubController{})
 	item := func(revision record.ConfigurationRevision, by string) protocol.Item {
 		value, err := protocol.Encode(record.ConfigurationChange{Revision: revision, By: by})
--- a/internal/controller/frontend/operators.go
+++ b/internal/controller/frontend/operators.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// operatorBudget is how long an operator's request may take.
+	// operatorBudget is the maximum duration of an operator's request.
 	operatorBudget = 1800 * time.Millisecond
-	// operatorRetryDelay is the time until a change is tried again, in which the core
-	// follows what others have changed.
+	// operatorRetryDelay is the time before a change is retried, in which the core can
+	// observe the changes of others.
 	operatorRetryDelay = 100 * time.Millisecond
 )
 
-// operatorRequest answers an operator's request in a goroutine of its own, which ends
+// handleOperatorRequest answers an operator's request in a separate goroutine, which ends
 // within operatorBudget.
-func (f *Frontend) operatorRequest(body []byte, reply transport.Reply) {
+func (f *Frontend) handleOperatorRequest(body []byte, reply transport.Reply) {
 	select {
 	case f.operatorSlots <- struct{}{}:
 	default:
@@ -35,13 +35,13 @@
 			cancel()
 			<-f.operatorSlots
 		}()
-		reply(f.operate(ctx, body))
+		reply(f.answerOperatorRequest(ctx, body))
 	}()
 }
 
-// operate verifies an operator's request and answers it.
-func (f *Frontend) operate(ctx context.Context, body []byte) *transport.Message {
-	keys, err := operatorapi.ReadKeys(f.operator.OperatorKeys) // each time: keys are changed without a restart
+// answerOperatorRequest verifies an operator's request and answers it.
+func (f *Frontend) answerOperatorRequest(ctx context.Context, body []byte) *transport.Message {
+	keys, err := operatorapi.ReadKeys(f.operator.OperatorKeys) // read for each request: keys may change without a restart
 	if err != nil {
 		f.log.Error("operators' keys not read", "err", err)
 		return Failure(http.StatusServiceUnavailable, "operators' keys can't be read")
@@ -54,13 +54,13 @@
 	if request.Op == operatorapi.OpConfigHistory {
 		return f.configurationHistory(ctx)
 	}
-	return f.decide(ctx, by, &request)
+	return f.commitDecision(ctx, by, &request)
 }
 
-// decide has the core decide an operator's request, and commits the change. A change is
-// tried again while others change the same records, or while its effect is unknown: the
-// request's ID shows the core whether it has been made.
-func (f *Frontend) decide(ctx context.Context, by string, request *operatorapi.Request) *transport.Message {
+// commitDecision has the core decide an operator's request, and commits the decided change.
+// It retries while others change the same records, or while the outcome of the transaction
+// is unknown: by the request's ID the core detects a change that has been made already.
+func (f *Frontend) commitDecision(ctx context.Context, by string, request *operatorapi.Request) *transport.Message {
 	for ctx.Err() == nil {
 		decision, ok := f.controller.DecideOperation(by, request)
 		if !ok {
@@ -72,7 +72,7 @@
 		_, err := f.store.CompareAndSwap(ctx, *decision.Transaction, kvstore.PriorityHigh)
 		switch {
 		case err == nil:
-			f.log.Info("operator's change", "by", by, "op", request.Op, "window", request.Window, "name", request.Name, "controller", request.Controller, "id", request.ID)
+			f.log.Info("operator's change committed", "by", by, "op", request.Op, "window", request.Window, "name", request.Name, "controller", request.Controller, "id", request.ID)
 			return operatorResponse(decision.Reply)
 		case errors.Is(err, serviceclient.ErrMalformed):
 			f.log.Error("operator's record refused by the key-value store", "err", err)
--- a/internal/controller/frontend/responses.go
+++ b/internal/controller/frontend/responses.go
@@ -10,12 +10,12 @@
 	"damsonkeel/internal/transport"
 )
 
-// Failure is the response to a request that is refused.
+// Failure returns the response to a refused request.
 func Failure(status int, reason string) *transport.Message {
 	return response(admission.Failure(status, reason))
 }
 
-// HeartbeatResponse is the response to a worker's heartbeat as the core answers it.
+// HeartbeatResponse returns the HTTP response for the core's reply to a worker's heartbeat.
 func HeartbeatResponse(reply message.ReplyHeartbeat) *transport.Message {
 	switch reply.Status {
 	case http.StatusOK:
@@ -26,12 +26,12 @@
 	return Failure(reply.Status, "not entitled")
 }
 
-// response is the HTTP form of an answer to a user.
+// response returns the HTTP response for an answer to a user.
 func response(answer admission.Answer) *transport.Message {
 	return &transport.Message{Status: answer.Status, Body: answer.Body, RetryAfterS: answer.RetryAfterS}
 }
 
-// success is a response with an encoded body.
+// success returns a response with an encoded body.
 func success(status int, body any) *transport.Message {
 	encoded, err := protocol.Encode(body)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return &transport.Message{Status: status, Body: encoded}
 }
 
-// operatorStatus is the HTTP status for each code of an operator's reply.
+// operatorStatus maps the codes of replies to operators to HTTP statuses.
 var operatorStatus = map[operatorapi.Code]int{
 	operatorapi.Done:       http.StatusOK,
 	operatorapi.Refused:    http.StatusConflict,
@@ -48,7 +48,7 @@
 	operatorapi.RetryLater: http.StatusServiceUnavailable,
 }
 
-// operatorResponse is the response to an operator's request.
+// operatorResponse returns the response to an operator's request.
 func operatorResponse(reply operatorapi.Reply) *transport.Message {
 	status := operatorStatus[reply.Code]
 	m := success(status, reply)
