--- a/internal/controller/message/action.go
+++ b/internal/controller/message/action.go
@@ -7,34 +7,35 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Action is something that a step asks for.
+// Action is a request of the core's step function to its caller.
 type Action any
 
-// The actions that a step asks for.
+// The actions that a step may return.
 type (
-	// ReplyHeartbeat answers the heartbeat just handled.
+	// ReplyHeartbeat answers the heartbeat that the step handled.
 	ReplyHeartbeat struct {
-		Status int
+		Status int // the HTTP status
 		Reply  protocol.HeartbeatReply
-		Leader protocol.NodeName
+		Leader protocol.NodeName // the controller to which a redirect refers the worker
 	}
-	// ReplyBatch answers the batch just handled.
+	// ReplyBatch answers the batch that the step handled.
 	ReplyBatch struct{ Reply BatchReply }
-	// Send sends a message to a peer's session, in order, and retries until it is accepted.
+	// Send sends a message to a peer's session. Messages are delivered in order, and each is
+	// retried until the peer accepts it or one of the sessions has ended.
 	Send struct {
 		To          protocol.NodeName
-		From        protocol.LeaseID // the sender's session
-		Session     protocol.LeaseID // the addressee's
+		From        protocol.LeaseID // the session of the sender
+		Session     protocol.LeaseID // the session of the receiver
 		Term        protocol.Term
 		ShardsEpoch protocol.Term // epoch of the shard table
 		Message     PeerMessage
 	}
 	// Commit executes a transaction.
 	Commit struct {
-		Tag         any
+		Tag         any // identifies the transaction in its CommitDone
 		Transaction protocol.Transaction
 	}
-	// LoadBitmap reads the bitmap of a job.
+	// LoadBitmap reads the bitmap of a job's finished tasks.
 	LoadBitmap struct{ Job protocol.JobID }
 	// Command sends commands directly to a worker.
 	Command struct {
@@ -46,13 +47,14 @@
 	Provision struct{ Request protocol.ProvisionRequest }
 	// Terminate terminates machines of the cloud.
 	Terminate struct{ Machines []protocol.MachineID }
-	// SetRateAllotment sets what may be used of the key-value store's rates: All until a
-	// time, and Own from then on.
+	// SetRateAllotment sets the rates at which this controller may use the key-value
+	// store: All, which includes the grants of peers, until the time Until, and Own from
+	// then on.
 	SetRateAllotment struct {
 		Own, All ratelimit.Amount
 		Until    clock.Time
 	}
-	// ConfigurationChanged notifies the node that another configuration is in force.
+	// ConfigurationChanged notifies the node that the configuration in force has changed.
 	ConfigurationChanged struct{ Effective *dynamicconfig.Effective }
 	// ListMachines reads the cloud's list of machines.
 	ListMachines struct{}
--- a/internal/controller/message/machinestate.go
+++ b/internal/controller/message/machinestate.go
@@ -6,64 +6,68 @@
 	"damsonkeel/internal/protocol"
 )
 
-// MachineState is what a machine's dispatcher sends all peers of it, when it changes.
+// MachineState is the state of a machine that its dispatcher publishes to all peers
+// whenever it changes.
 type MachineState struct {
-	Machine  protocol.MachineID
-	Epoch    protocol.Version // 0: its present agent epoch is not registered yet, and nothing is known
-	Wait     float64          // processor seconds
-	Queue    []float64        // the part of these that was never sent to the worker, by level
+	Machine protocol.MachineID
+	// Epoch is the version of the machine's record. 0: the machine's current agent epoch is
+	// not registered yet, and all fields but Machine are unset.
+	Epoch    protocol.Version
+	Wait     float64   // expected wait, in processor seconds
+	Queue    []float64 // the part of Wait that was never sent to the worker, by level
 	FreeCPUs float64
 	FreeGPUs float64
 	FreeGB   float64
-	Uses     []LevelUse // what its attempts, running or queued, use by level
-	Ending   LevelUse   // what becomes free each second, by estimate, as its tasks end
+	Uses     []LevelUse // resources of its running and queued attempts, by level
+	Ending   LevelUse   // estimate of the resources that ending tasks free each second
 	Heard    bool       // all attempts on it are known; otherwise there may be more
-	Held     int        // attempts, running or queued
-	Queued   int        // the part of these that was never sent to the worker
-	Closed   bool
-	Suspect  bool
+	Held     int        // number of attempts, running or queued
+	Queued   int        // the part of Held that was never sent to the worker
+	Closed   bool       // no more attempts may be placed on it
+	Suspect  bool       // quarantined
 	Draining bool
 	Noticed  bool // the cloud is about to reclaim it
 	Silence  Silence
-	IdleS    float64  // how long it has had no attempt, when this was sent
+	IdleS    float64  // how long it had been without attempts when this was sent
 	Images   []string // fetched lately
-	// Runs is what it runs, while there are reservations.
+	// Runs lists its attempts while reservations exist.
 	Runs []reservation.Run
 }
 
-// Silence is how long a worker has sent no heartbeat. Its numbers are sent to peers.
+// Silence classifies how long a worker has sent no heartbeat. Its numbers are sent to peers.
 type Silence uint8
 
 // The degrees of silence.
 const (
-	SilenceNone Silence = iota // no longer than a healthy worker's
-	SilenceSome                // longer
-	SilenceLong                // at least twice as long: nothing is placed on its machine
+	SilenceNone Silence = iota // as long as a healthy worker may be silent
+	SilenceSome                // longer than a healthy worker may be silent
+	SilenceLong                // more than twice as long: nothing is placed on its machine
 )
 
-// WaitChange is a change of a machine's expected wait, in processor seconds.
+// WaitChange is an addition to a machine's expected wait.
 type WaitChange struct {
 	Machine protocol.MachineID
-	Add     float64
-	Taken   []LevelUse
+	Add     float64    // processor seconds
+	Taken   []LevelUse // resources of the placements that add the wait
 }
 
-// WaitsAdded notifies all peers of what placements have added to the waits of machines.
-// Numbers are, by dispatcher, those of the Place messages with these placements: a table
-// that already includes the dispatcher's state with them does not count them again.
+// WaitsAdded notifies all peers of the waits that placements have added to machines.
 type WaitsAdded struct {
-	Term    protocol.Term
+	Term protocol.Term
+	// Numbers holds, by dispatcher, the number of the Place message with these placements.
+	// A table whose state from the dispatcher already includes that message does not count
+	// the placements again.
 	Numbers map[protocol.NodeName]uint64
 	Waits   []WaitChange
 }
 
-// LevelUse is what attempts of one level use of a machine.
+// LevelUse is the resources of a machine that attempts of one level use.
 type LevelUse struct {
-	Level          int
+	Level          int // a resource.Level
 	CPUs, GPUs, GB float64
 }
 
-// LevelUses returns uses in the form in which they are sent.
+// LevelUses converts uses to the form in which they are sent.
 func LevelUses(uses *resource.Uses) []LevelUse {
 	var list []LevelUse
 	for level, used := range uses {
@@ -74,7 +78,7 @@
 	return list
 }
 
-// AddLevelUses adds uses in the form in which they are sent.
+// AddLevelUses adds uses that were received in the form of LevelUses.
 func AddLevelUses(uses *resource.Uses, list []LevelUse) {
 	for _, use := range list {
 		uses.Add(resource.Level(use.Level), resource.Amount{CPUs: use.CPUs, GPUs: use.GPUs, GB: use.GB})
--- a/internal/controller/message/stateupdate.go
+++ b/internal/controller/message/stateupdate.go
@@ -8,70 +8,73 @@
 	"damsonkeel/internal/record"
 )
 
-// StateUpdate is the regular message of a controller to each peer: what has changed of the
-// machines that it dispatches to and of the jobs that it owns, in streams that start anew
-// with each term (package replication).
+// StateUpdate is the regular message of a controller to each peer. It contains the changes
+// of the machines that the sender dispatches to and of the jobs that it owns, in streams
+// that restart with each term (package replication).
 type StateUpdate struct {
 	Term   protocol.Term
 	Acting bool // the sender holds its lease by its own clock
-	// Configuration is the revision that is in force at the sender.
+	// Configuration is the revision of the configuration in force at the sender.
 	Configuration record.ConfigurationRevision
-	// HaveMachines and HaveJobs are how far the sender has received the addressee's
-	// streams of this term.
+	// HaveMachines and HaveJobs are the positions up to which the sender has received the
+	// receiver's streams of this term.
 	HaveMachines, HaveJobs uint64
 
-	Machines replication.Range
+	Machines replication.Range // the changes that States contains
 	States   []MachineState
-	// Handled is, by owner, the number of the last Place that the states include; nil
-	// while some of the states are still to come.
+	// Handled holds, by owner, the number of the last Place that the states include. It is
+	// nil if some states did not fit and follow in a later update.
 	Handled map[protocol.NodeName]uint64
 
-	Jobs     replication.Range
+	Jobs     replication.Range // the changes that Progress contains
 	Progress []Progress
 
-	Demand []Demand // all of it, each time
+	Demand []Demand // the sender's complete demand, in each update
 
 	Load Load // of the sender
 
-	// Ask and Loan share the rates of the key-value store by need (package ratelimit).
+	// Ask requests a part of the receiver's rates of the key-value store, and Loan grants
+	// the receiver a part of the sender's (package ratelimit).
 	Ask  ratelimit.Request
 	Loan *ratelimit.Grant
 
-	// Holds is sent by the controller that provisions machines, to those that do not have
-	// its present number yet; HaveHolds is the number that the sender has.
+	// Holds is sent by the controller that provisions machines to each peer that does not
+	// have the current list yet. HaveHolds is the number of the list that the sender has
+	// received.
 	Holds     *ReservationHolds
 	HaveHolds uint64
 }
 
-// Load is what a controller reports of itself, for the balancing of shards.
+// Load is a controller's report on itself, for the balancing of shards.
 type Load struct {
-	LateMS  float64 // how late its ticks are, on average
-	Leaving bool    // it is shutting down
+	LateMS  float64 // average lateness of its ticks
+	Leaving bool    // the controller is shutting down
 }
 
 // Progress is the progress of a job.
 type Progress struct {
 	Job           protocol.JobID
-	Done, Running uint32
-	// Level is the job's level plus 1, while there are reservations: dispatchers that
-	// found its tasks on machines have to guess it otherwise. 0: not sent.
+	Done, Running uint32 // numbers of tasks
+	// Level is the job's level plus 1, and is sent while reservations exist: otherwise
+	// dispatchers that find the job's tasks on machines have to guess the level. 0: not
+	// sent.
 	Level int
-	// Failing: it fails wherever it runs, which does not count against any machine.
+	// Failing: the job fails on every machine, so its failures do not count against any.
 	Failing bool
 }
 
-// Demand is the part of one job that no machine has started.
+// Demand is the demand of one job's tasks that no machine has started.
 type Demand struct {
 	Job       protocol.JobID
-	Unstarted int
-	Level     int
-	EstimateS float64
-	OldestS   float64
-	Zone      protocol.Zone // the only zone possible, since the rest of the job is there
+	Unstarted int           // number of these tasks
+	Level     int           // the job's resource.Level
+	EstimateS float64       // estimated run time of a task
+	OldestS   float64       // how long the oldest of these tasks has waited
+	Zone      protocol.Zone // the only possible zone, since other tasks of the job are there
 }
 
-// ReservationHolds is all resources that are held for reservations.
+// ReservationHolds lists all resources that are held for reservations.
 type ReservationHolds struct {
-	Number uint64
+	Number uint64 // identifies the list; its upper half is the term
 	List   []reservation.Hold
 }
--- a/internal/controller/message/step.go
+++ b/internal/controller/message/step.go
@@ -8,49 +8,49 @@
 
 // The messages to the step function of a controller's core.
 type (
-	// Snapshot starts a session: all watched records.
+	// Snapshot starts a session with all watched records.
 	Snapshot struct {
 		Session protocol.LeaseID
-		Items   []protocol.Item
-		WallMS  int64 // the time of day
+		Items   []protocol.Item // the watched records
+		WallMS  int64           // the time of day
 	}
 	// RecordChanged is one change of a watched record.
 	RecordChanged struct{ Event protocol.Event }
-	// LeaseExtended says until when this controller holds its lease.
+	// LeaseExtended reports until when this controller holds its lease.
 	LeaseExtended struct{ Until clock.Time }
-	// SessionEnded says that the session has ended.
+	// SessionEnded reports that the session has ended.
 	SessionEnded struct{}
-	// CatalogueRead brings the machine types.
+	// CatalogueRead carries the machine types of the catalogue.
 	CatalogueRead struct{ Types []protocol.TypeInfo }
 	// HeartbeatReceived is a worker's heartbeat; ReplyHeartbeat answers it.
 	HeartbeatReceived struct{ Heartbeat protocol.Heartbeat }
 	// BatchReceived is a peer's batch; ReplyBatch answers it.
 	BatchReceived struct{ Batch Batch }
-	// JobCancelled says that a job is cancelled, which may not have been observed yet: no
-	// task of it may be started from now on.
+	// JobCancelled reports that a job is cancelled, possibly before the core observes the
+	// change of its record. No task of the job may be started from now on.
 	JobCancelled struct{ Job protocol.JobID }
-	// Tick lets time pass.
+	// Tick triggers the work that is due by the clock.
 	Tick struct {
-		WallMS int64 // the time of day; 0: not known
+		WallMS int64 // the time of day; 0: unknown
 	}
-	// Shutdown says that the process is to end: its shards are handed over first.
+	// Shutdown requests the end of the process, which first hands over its shards.
 	Shutdown struct{}
-	// StoreRateUsed says what was requested of the key-value store in the last second,
-	// within this controller's allotment or not.
+	// StoreRateUsed reports the requests and writes to the key-value store that were
+	// attempted in the last second, including those beyond this controller's allotment.
 	StoreRateUsed struct{ Amount ratelimit.Amount }
 	// CommitDone answers a Commit.
 	CommitDone struct {
-		Tag     any
+		Tag     any // of the Commit
 		Outcome Outcome
-		// Revision is the store's after a transaction that was executed: the version of
-		// all that it wrote.
+		// Revision is the store's revision after an executed transaction, which is the
+		// version of every record that the transaction wrote.
 		Revision protocol.Revision
 	}
 	// BitmapLoaded answers a LoadBitmap.
 	BitmapLoaded struct {
 		Job    protocol.JobID
 		Chunks []protocol.Item
-		OK     bool
+		OK     bool // the bitmap was read
 	}
 	// CommandDone answers a Command.
 	CommandDone struct {
@@ -62,7 +62,7 @@
 		Executed   bool
 		Heartbeat  protocol.Heartbeat // if answered
 	}
-	// PeerLeads says that a peer holds its lease in a view without this controller.
+	// PeerLeads reports that a peer holds its lease in a view without this controller.
 	PeerLeads struct{ Peer protocol.NodeName }
 	// ProvisionDone answers a Provision.
 	ProvisionDone struct {
@@ -82,7 +82,7 @@
 	}
 )
 
-// Outcome is what is known of the execution of a request.
+// Outcome is the outcome of a request, as far as it is known.
 type Outcome uint8
 
 // The outcomes of requests.
@@ -90,5 +90,5 @@
 	OutcomeDone    Outcome = iota + 1
 	OutcomeFailed          // a condition does not hold, or there is no capacity
 	OutcomeRefused         // not executed
-	OutcomeUnknown         // may have been executed, or may still be
+	OutcomeUnknown         // may have been executed, or may still be executed
 )
--- a/internal/controller/message/validate.go
+++ b/internal/controller/message/validate.go
@@ -8,15 +8,15 @@
 	"damsonkeel/internal/controller/resource"
 )
 
-// Bounds of the values in a peer's message, far beyond those of any cluster. A message with
-// values out of bounds is broken, or of another version.
+// Bounds of the values in a peer's message, far above the values of any real cluster. A
+// message with a value out of bounds is corrupt, or its sender has another version.
 const (
 	maxAmount = 1e18
 	maxPieces = 1 << 16
 	maxCount  = 1 << 30
 )
 
-// OutOfRangeError is a value in a peer's message that is out of its bounds.
+// OutOfRangeError reports a value in a peer's message that is out of bounds.
 type OutOfRangeError struct {
 	Field string
 	Value any // a float64 or an int
@@ -25,8 +25,8 @@
 // Error implements error.
 func (e *OutOfRangeError) Error() string { return fmt.Sprintf("%s: %v", e.Field, e.Value) }
 
-// Check reports the values of a peer's message that are out of their bounds: the core
-// calculates with the others, and uses them as indexes.
+// Check reports the values of a peer's message that are out of bounds. The core
+// calculates with the values that pass, and uses them as indexes.
 func (m *PeerMessage) Check() error {
 	v := &validator{}
 	if m.Place != nil {
@@ -51,19 +51,19 @@
 	return errors.Join(v.errs...)
 }
 
-// validator collects the values of a message that are out of their bounds.
+// validator collects the values of a message that are out of bounds.
 type validator struct{ errs []error }
 
-// amounts checks decimal numbers that must not be below a bound.
-func (v *validator) amounts(field string, least float64, values ...float64) {
+// amounts checks decimal numbers, which must be at least minimum and at most maxAmount.
+func (v *validator) amounts(field string, minimum float64, values ...float64) {
 	for _, value := range values {
-		if math.IsNaN(value) || value < least || value > maxAmount {
+		if math.IsNaN(value) || value < minimum || value > maxAmount {
 			v.errs = append(v.errs, &OutOfRangeError{Field: field, Value: value})
 		}
 	}
 }
 
-// counts checks whole numbers, which must be at least 0 and below a bound.
+// counts checks integers, which must be at least 0 and below bound.
 func (v *validator) counts(field string, bound int, values ...int) {
 	for _, value := range values {
 		if value < 0 || value >= bound {
@@ -95,7 +95,7 @@
 	}
 }
 
-// uses checks what is in use of a machine.
+// uses checks the resources in use on a machine.
 func (v *validator) uses(uses []LevelUse) {
 	for _, use := range uses {
 		v.counts("level", resource.Levels, use.Level)
@@ -103,7 +103,7 @@
 	}
 }
 
-// stateUpdate checks a peer's regular message.
+// stateUpdate checks a state update.
 func (v *validator) stateUpdate(update *StateUpdate) {
 	for i := range update.States {
 		v.machineState(&update.States[i])
@@ -131,14 +131,14 @@
 	v.uses(state.Uses)
 }
 
-// inventory checks the attempts on a machine.
+// inventory checks the attempts in an inventory.
 func (v *validator) inventory(inventory *Inventory) {
 	for i := range inventory.Held {
 		v.need("held", inventory.Held[i].Need)
 	}
 }
 
-// handover checks a part of a shard that is handed over.
+// handover checks one piece of a handover.
 func (v *validator) handover(handover *Handover) {
 	v.counts("pieces", maxPieces, handover.Pieces, handover.Piece)
 	for i := range handover.Queues {
@@ -146,7 +146,7 @@
 	}
 }
 
-// handoverQueue checks the attempts of one machine.
+// handoverQueue checks the attempts of one machine in a handover.
 func (v *validator) handoverQueue(queue *HandoverQueue) {
 	for i := range queue.Entries {
 		entry := &queue.Entries[i]
--- a/internal/controller/message/validate_test.go
+++ b/internal/controller/message/validate_test.go
@@ -8,26 +8,26 @@
 	"damsonkeel/internal/controller/resource"
 )
 
-// TestCheck: a message with a value out of its bounds is refused, and the error names the
-// field; a message within them is not.
-func TestCheck(t *testing.T) {
+// TestOutOfRangeFieldIsReported checks that a message with a value out of bounds is refused
+// with an error that names the field, and that a valid message is accepted.
+func TestOutOfRangeFieldIsReported(t *testing.T) {
 	for name, tc := range map[string]struct {
 		message PeerMessage
 		field   string // empty: the message is valid
 	}{
-		"nothing is set": {},
+		"empty message": {},
 		"valid placement": {
 			message: PeerMessage{Place: &Place{Tasks: []Placement{{EstimateS: 10, CPUs: 1, Level: resource.Levels - 1}}}},
 		},
-		"placement of a level too high": {
+		"placement with too high a level": {
 			message: PeerMessage{Place: &Place{Tasks: []Placement{{Level: resource.Levels}}}},
 			field:   "level",
 		},
-		"placement of negative resources": {
+		"placement with negative resources": {
 			message: PeerMessage{Place: &Place{Tasks: []Placement{{CPUs: -1}}}},
 			field:   "placement",
 		},
-		"grace that is not a number": {
+		"grace period that is not a number": {
 			message: PeerMessage{Stop: &Stop{GraceS: math.NaN()}},
 			field:   "grace",
 		},
@@ -46,11 +46,11 @@
 			message: PeerMessage{Relay: &StateUpdate{States: []MachineState{{FreeCPUs: math.Inf(1)}}}},
 			field:   "free",
 		},
-		"queue of too many levels": {
+		"queue with too many levels": {
 			message: PeerMessage{Relay: &StateUpdate{States: []MachineState{{Queue: make([]float64, resource.Levels+1)}}}},
 			field:   "levels",
 		},
-		"negative use that ends": {
+		"negative resources of ending tasks": {
 			message: PeerMessage{Relay: &StateUpdate{States: []MachineState{{Ending: LevelUse{CPUs: -1}}}}},
 			field:   "use",
 		},
@@ -65,15 +65,15 @@
 			message: PeerMessage{Relay: &StateUpdate{Load: Load{LateMS: -1}}},
 			field:   "lateness",
 		},
-		"inventory of negative resources": {
+		"inventory with negative resources": {
 			message: PeerMessage{Inventory: &Inventory{Held: []HeldAttempt{{Need: resource.Amount{GPUs: -1}}}}},
 			field:   "held",
 		},
-		"handover of too many pieces": {
+		"handover with too many pieces": {
 			message: PeerMessage{Hand: &Handover{Pieces: maxPieces}},
 			field:   "pieces",
 		},
-		"handover of a negative grace": {
+		"handover with a negative grace period": {
 			message: PeerMessage{Hand: &Handover{Queues: []HandoverQueue{{Entries: []HandoverEntry{{GraceS: -1}}}}}},
 			field:   "attempt",
 		},
@@ -82,13 +82,13 @@
 			err := tc.message.Check()
 			if tc.field == "" {
 				if err != nil {
-					t.Fatalf("refused: %v", err)
+					t.Fatalf("valid message refused: %v", err)
 				}
 				return
 			}
 			var outOfRange *OutOfRangeError
 			if !errors.As(err, &outOfRange) || outOfRange.Field != tc.field {
-				t.Errorf("error %v, want one of field %s", err, tc.field)
+				t.Errorf("error %v, want an OutOfRangeError for field %s", err, tc.field)
 			}
 		})
 	}
