--- a/internal/controller/admission/cancellation_test.go
+++ b/internal/controller/admission/cancellation_test.go
@@ -20,7 +20,7 @@
 		members := []protocol.NodeName{"node-0", "node-1", "node-2"}
 		var unresponsive protocol.NodeName
 		var notified []protocol.NodeName
-		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: members} }
+		h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: members} }
 		h.get = func(g Get) any {
 			return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordCancelled, Tasks: 2}}
 		}
--- a/internal/controller/admission/forwarding_test.go
+++ b/internal/controller/admission/forwarding_test.go
@@ -32,7 +32,7 @@
 		forwards := 0
 		body := submission(t, "job-000001", nil)
 		h.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeRefused} }
-		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Leading: tc.leading} }
+		h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Leading: tc.leading} }
 		h.forward = func(p Forward) any {
 			if forwards++; p.To != "node-1" || string(p.Body) != string(body) {
 				t.Errorf("%s: unexpected forward %v", tc.name, p)
@@ -59,7 +59,7 @@
 	h := newHarness()
 	h.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeRefused} }
 	h.step(t, smallType)
-	h.step(t, Request{ID: 1, Operation: Submit, Body: submission(t, "job-000001", nil), Forwarded: true}) // would panic without queryOwners
+	h.step(t, Request{ID: 1, Operation: Submit, Body: submission(t, "job-000001", nil), Forwarded: true}) // would panic without queryCore
 	if h.answers[1].Status != 503 {
 		t.Error("a forwarded submission was forwarded again")
 	}
--- a/internal/controller/admission/harness_test.go
+++ b/internal/controller/admission/harness_test.go
@@ -13,15 +13,15 @@
 // harness executes the actions of an Admission. Each field of function type answers one
 // kind of action: at once, or not at all if the function returns nil.
 type harness struct {
-	admission   *Admission
-	now         clock.Time
-	answers     map[RequestID]Answer
-	get         func(Get) any
-	write       func(Write) any
-	queryOwners func(QueryOwners) any
-	compare     func(Compare) any
-	forward     func(Forward) any
-	announce    func(Announce) any
+	admission *Admission
+	now       clock.Time
+	answers   map[RequestID]Answer
+	get       func(Get) any
+	write     func(Write) any
+	queryCore func(QueryOwners) any
+	compare   func(Compare) any
+	forward   func(Forward) any
+	announce  func(Announce) any
 }
 
 // testingT is the common interface of *testing.T and *rapid.T that the tests use.
@@ -61,7 +61,7 @@
 			case Write:
 				next = h.write(a)
 			case QueryOwners:
-				next = h.queryOwners(a)
+				next = h.queryCore(a)
 			case Compare:
 				next = h.compare(a)
 			case Forward:
--- a/internal/controller/admission/jobrecord_test.go
+++ b/internal/controller/admission/jobrecord_test.go
@@ -22,7 +22,7 @@
 			if op == Submit {
 				stored = nil
 			}
-			h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: []protocol.NodeName{"node-0"}} }
+			h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: []protocol.NodeName{"node-0"}} }
 			h.announce = func(action Announce) any { return Announced{Job: action.Job, By: action.To} }
 			h.get = func(g Get) any {
 				if stored == nil {
--- a/internal/controller/admission/polling_test.go
+++ b/internal/controller/admission/polling_test.go
@@ -37,7 +37,7 @@
 		live := func(id protocol.JobID) bool { k, ok := followed[id]; return ok && k.Version == records[id] }
 		outage, namesAll := rapid.IntRange(0, 5).Draw(t, "outage") == 0, rapid.Bool().Draw(t, "names all")
 		requests, read := 0, map[protocol.JobID]bool{}
-		h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Jobs: followed} }
+		h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Jobs: followed} }
 		h.compare = func(c Compare) any {
 			requests++
 			out := Compared{Query: c.Query, Outcome: message.OutcomeDone}
--- a/internal/controller/admission/submission_test.go
+++ b/internal/controller/admission/submission_test.go
@@ -37,7 +37,7 @@
 			for _, outage := range []bool{false, true} {
 				h := newHarness()
 				h.step(t, smallType)
-				h.queryOwners = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query} }
+				h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query} }
 				h.get = func(g Get) any {
 					r := Read{ID: g.ID, Outcome: message.OutcomeFailed}
 					switch {
