--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -42,7 +42,7 @@
 		case message.ListMachines:
 			go n.listMachines(ctx)
 		case message.ConfigurationChanged:
-			n.frontend.Configure(a.Effective)
+			n.frontend.SetConfiguration(a.Effective)
 		case message.SetRateAllotment:
 			n.store.SetAllotment(kvstore.RateAllotment(a.Own), kvstore.RateAllotment(a.All), n.start.Add(time.Duration(a.Until)))
 		}
--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -99,21 +99,21 @@
 	switch m := msg.(type) {
 	case Request:
 		a.handleRequest(m)
-	case Read:
+	case RecordRead:
 		a.handleRecordRead(m)
 	case Written:
 		a.handleWritten(m)
-	case OwnersAnswered:
+	case CoreAnswered:
 		a.handleCoreAnswer(m)
 	case Compared:
 		a.handleCompared(m)
 	case Forwarded:
 		a.handleForwarded(m)
-	case Announced:
+	case AnnouncementAcknowledged:
 		a.handleAcknowledgement(m)
 	case TypesRead:
 		a.machineTypes = m.Types
-	case Configured:
+	case ConfigurationChanged:
 		a.applyConfiguration(m.Effective)
 	case Tick:
 		a.tick()
@@ -170,7 +170,7 @@
 		case r.recheckAt == 0:
 		case a.now >= r.recheckAt:
 			r.recheckAt = 0
-			a.emit(Get{r.ID, r.Job})
+			a.emit(GetRecord{r.ID, r.Job})
 		case next == 0 || r.recheckAt < next:
 			next = r.recheckAt
 		}
--- a/internal/controller/admission/cancellation.go
+++ b/internal/controller/admission/cancellation.go
@@ -55,7 +55,7 @@
 // announceQuery asks which controllers are members, in order to announce a cancellation.
 type announceQuery struct{ job protocol.JobID }
 
-func (q announceQuery) resume(a *Admission, _ QueryID, m OwnersAnswered) {
+func (q announceQuery) resume(a *Admission, _ QueryID, m CoreAnswered) {
 	a.announce(q.job, m.Members)
 }
 
@@ -81,7 +81,7 @@
 }
 
 // handleAcknowledgement records that a controller has acknowledged a cancellation.
-func (a *Admission) handleAcknowledgement(m Announced) {
+func (a *Admission) handleAcknowledgement(m AnnouncementAcknowledged) {
 	if current := a.announcements[m.Job]; current != nil {
 		delete(current.pending, m.By)
 		a.finishAnnouncement(m.Job, current)
--- a/internal/controller/admission/cancellation_test.go
+++ b/internal/controller/admission/cancellation_test.go
@@ -20,9 +20,9 @@
 		members := []protocol.NodeName{"node-0", "node-1", "node-2"}
 		var unresponsive protocol.NodeName
 		var notified []protocol.NodeName
-		h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: members} }
-		h.get = func(g Get) any {
-			return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordCancelled, Tasks: 2}}
+		h.queryCore = func(q QueryCore) any { return CoreAnswered{Query: q.Query, Members: members} }
+		h.get = func(g GetRecord) any {
+			return RecordRead{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordCancelled, Tasks: 2}}
 		}
 		h.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeFailed} }
 		h.announce = func(action Announce) any {
@@ -30,7 +30,7 @@
 			if action.To == unresponsive {
 				return nil
 			}
-			return Announced{Job: action.Job, By: action.To}
+			return AnnouncementAcknowledged{Job: action.Job, By: action.To}
 		}
 		h.step(t, smallType)
 		timeToAnswer := func(id RequestID, job string) time.Duration {
--- a/internal/controller/admission/configuration_test.go
+++ b/internal/controller/admission/configuration_test.go
@@ -96,7 +96,7 @@
 	ev := c.store.Change(controller.followedChanges)
 	controller.followedChanges++
 	if applyRecord(c.t, controller.followed, ev) {
-		c.step(controller, Configured{Effective: controller.followed.Effective()})
+		c.step(controller, ConfigurationChanged{Effective: controller.followed.Effective()})
 	}
 }
 
@@ -171,15 +171,15 @@
 			}
 		}
 		c.step(controller, Written{ID: a.ID, Outcome: outcome})
-	case Get:
+	case GetRecord:
 		it, ok := c.store.Get(record.JobKey(a.Job))
-		r := Read{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
+		r := RecordRead{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
 		if ok && protocol.Decode(it.Value, &r.Record) == nil {
 			r.Outcome = message.OutcomeDone
 		}
 		c.step(controller, r)
-	case QueryOwners:
-		c.step(controller, OwnersAnswered{Query: a.Query})
+	case QueryCore:
+		c.step(controller, CoreAnswered{Query: a.Query})
 	}
 }
 
--- a/internal/controller/admission/corequery.go
+++ b/internal/controller/admission/corequery.go
@@ -6,17 +6,17 @@
 // leading peers and the members.
 type coreQuery interface {
 	// resume continues the operation that issued the query.
-	resume(a *Admission, id QueryID, m OwnersAnswered)
+	resume(a *Admission, id QueryID, m CoreAnswered)
 }
 
 // queryCore sends a query to the core. The answer resumes it.
 func (a *Admission) queryCore(query coreQuery, jobs ...protocol.JobID) {
 	a.lastQuery++
 	a.queries[a.lastQuery] = query
-	a.emit(QueryOwners{a.lastQuery, jobs})
+	a.emit(QueryCore{a.lastQuery, jobs})
 }
 
-func (a *Admission) handleCoreAnswer(m OwnersAnswered) {
+func (a *Admission) handleCoreAnswer(m CoreAnswered) {
 	query := a.queries[m.Query]
 	if query == nil {
 		return
@@ -28,7 +28,7 @@
 // progressQuery asks for the progress of a live job, in order to answer a request for it.
 type progressQuery struct{ request *request }
 
-func (q progressQuery) resume(a *Admission, _ QueryID, m OwnersAnswered) {
+func (q progressQuery) resume(a *Admission, _ QueryID, m CoreAnswered) {
 	id := q.request.Job
 	a.reply(q.request, liveAnswer(id, m.Jobs[id].Progress))
 }
--- a/internal/controller/admission/forwarding.go
+++ b/internal/controller/admission/forwarding.go
@@ -27,7 +27,7 @@
 // forwardQuery asks for the leading peers, in order to forward a submission to one of them.
 type forwardQuery struct{ request *request }
 
-func (q forwardQuery) resume(a *Admission, _ QueryID, m OwnersAnswered) {
+func (q forwardQuery) resume(a *Admission, _ QueryID, m CoreAnswered) {
 	a.forward(q.request, m.Leading)
 }
 
--- a/internal/controller/admission/forwarding_test.go
+++ b/internal/controller/admission/forwarding_test.go
@@ -32,7 +32,7 @@
 		forwards := 0
 		body := submission(t, "job-000001", nil)
 		h.write = func(w Write) any { return Written{ID: w.ID, Outcome: message.OutcomeRefused} }
-		h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Leading: tc.leading} }
+		h.queryCore = func(q QueryCore) any { return CoreAnswered{Query: q.Query, Leading: tc.leading} }
 		h.forward = func(p Forward) any {
 			if forwards++; p.To != "node-1" || string(p.Body) != string(body) {
 				t.Errorf("%s: unexpected forward %v", tc.name, p)
--- a/internal/controller/admission/harness_test.go
+++ b/internal/controller/admission/harness_test.go
@@ -16,9 +16,9 @@
 	admission *Admission
 	now       clock.Time
 	answers   map[RequestID]Answer
-	get       func(Get) any
+	get       func(GetRecord) any
 	write     func(Write) any
-	queryCore func(QueryOwners) any
+	queryCore func(QueryCore) any
 	compare   func(Compare) any
 	forward   func(Forward) any
 	announce  func(Announce) any
@@ -56,11 +56,11 @@
 					t.Fatalf("request %d was answered twice", a.ID)
 				}
 				h.answers[a.ID] = a.Answer
-			case Get:
+			case GetRecord:
 				next = h.get(a)
 			case Write:
 				next = h.write(a)
-			case QueryOwners:
+			case QueryCore:
 				next = h.queryCore(a)
 			case Compare:
 				next = h.compare(a)
--- a/internal/controller/admission/jobrecord.go
+++ b/internal/controller/admission/jobrecord.go
@@ -42,11 +42,11 @@
 		a.answerFromRecord(r, rec)
 		return
 	}
-	a.emit(Get{r.ID, r.Job})
+	a.emit(GetRecord{r.ID, r.Job})
 }
 
 // handleRecordRead continues a request after the job's record has been read.
-func (a *Admission) handleRecordRead(m Read) {
+func (a *Admission) handleRecordRead(m RecordRead) {
 	r := a.requests[m.ID]
 	if r == nil {
 		return
--- a/internal/controller/admission/jobrecord_test.go
+++ b/internal/controller/admission/jobrecord_test.go
@@ -22,13 +22,13 @@
 			if op == Submit {
 				stored = nil
 			}
-			h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Members: []protocol.NodeName{"node-0"}} }
-			h.announce = func(action Announce) any { return Announced{Job: action.Job, By: action.To} }
-			h.get = func(g Get) any {
+			h.queryCore = func(q QueryCore) any { return CoreAnswered{Query: q.Query, Members: []protocol.NodeName{"node-0"}} }
+			h.announce = func(action Announce) any { return AnnouncementAcknowledged{Job: action.Job, By: action.To} }
+			h.get = func(g GetRecord) any {
 				if stored == nil {
-					return Read{ID: g.ID, Outcome: message.OutcomeFailed}
+					return RecordRead{ID: g.ID, Outcome: message.OutcomeFailed}
 				}
-				return Read{ID: g.ID, Outcome: message.OutcomeDone, Record: *stored, Version: 7}
+				return RecordRead{ID: g.ID, Outcome: message.OutcomeDone, Record: *stored, Version: 7}
 			}
 			h.write = func(w Write) any {
 				written = w.ID
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -35,8 +35,8 @@
 		Forwarded bool           // forwarded by a peer, and not to be forwarded again
 		WallMS    int64          // the time of day, in milliseconds of the Unix epoch
 	}
-	// Read answers a Get.
-	Read struct {
+	// RecordRead answers a Get.
+	RecordRead struct {
 		ID      RequestID
 		Outcome message.Outcome // OutcomeFailed: there is no such record
 		Record  record.JobRecord
@@ -47,8 +47,8 @@
 		ID      RequestID
 		Outcome message.Outcome
 	}
-	// OwnersAnswered answers a QueryOwners.
-	OwnersAnswered struct {
+	// CoreAnswered answers a QueryCore.
+	CoreAnswered struct {
 		Query   QueryID
 		Jobs    map[protocol.JobID]LiveJob // the requested jobs that are live in the core's state
 		Leading []protocol.NodeName        // peers that are known to hold their lease
@@ -66,13 +66,13 @@
 		ID     RequestID
 		Answer Answer
 	}
-	// Announced acknowledges an Announce.
-	Announced struct {
+	// AnnouncementAcknowledged acknowledges an Announce.
+	AnnouncementAcknowledged struct {
 		Job protocol.JobID
 		By  protocol.NodeName
 	}
-	// Configured carries the configuration in force, as observed by the core.
-	Configured struct{ Effective *dynamicconfig.Effective }
+	// ConfigurationChanged carries the configuration in force, as observed by the core.
+	ConfigurationChanged struct{ Effective *dynamicconfig.Effective }
 	// TypesRead carries the machine types of the catalogue.
 	TypesRead struct{ Types []protocol.TypeInfo }
 	// Tick triggers the work that is due by the clock.
@@ -103,8 +103,8 @@
 		ID     RequestID
 		Answer Answer
 	}
-	// Get reads a job's record.
-	Get struct {
+	// GetRecord reads a job's record.
+	GetRecord struct {
 		ID  RequestID
 		Job protocol.JobID
 	}
@@ -113,9 +113,9 @@
 		ID          RequestID
 		Transaction protocol.Transaction
 	}
-	// QueryOwners asks this controller's core for the state of jobs, the leading peers and
+	// QueryCore asks this controller's core for the state of jobs, the leading peers and
 	// the members.
-	QueryOwners struct {
+	QueryCore struct {
 		Query QueryID
 		Jobs  []protocol.JobID
 	}
--- a/internal/controller/admission/polling.go
+++ b/internal/controller/admission/polling.go
@@ -29,7 +29,7 @@
 }
 
 // resume starts the comparison once the core has returned the versions it has observed.
-func (c *pollComparison) resume(a *Admission, id QueryID, m OwnersAnswered) {
+func (c *pollComparison) resume(a *Admission, id QueryID, m CoreAnswered) {
 	c.jobs = m.Jobs
 	a.comparisons[id] = c
 	a.compare(id, c)
--- a/internal/controller/admission/polling_test.go
+++ b/internal/controller/admission/polling_test.go
@@ -37,7 +37,7 @@
 		live := func(id protocol.JobID) bool { k, ok := followed[id]; return ok && k.Version == records[id] }
 		outage, namesAll := rapid.IntRange(0, 5).Draw(t, "outage") == 0, rapid.Bool().Draw(t, "names all")
 		requests, read := 0, map[protocol.JobID]bool{}
-		h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query, Jobs: followed} }
+		h.queryCore = func(q QueryCore) any { return CoreAnswered{Query: q.Query, Jobs: followed} }
 		h.compare = func(c Compare) any {
 			requests++
 			out := Compared{Query: c.Query, Outcome: message.OutcomeDone}
@@ -55,14 +55,14 @@
 			}
 			return out
 		}
-		h.get = func(g Get) any {
+		h.get = func(g GetRecord) any {
 			read[g.Job] = true
-			r := Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordDone, Tasks: 1}}
+			r := RecordRead{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordDone, Tasks: 1}}
 			if live(g.Job) || followed[g.Job].Version == 0 {
 				r.Record.State = record.RecordLive
 			}
 			if outage {
-				r = Read{ID: g.ID, Outcome: message.OutcomeRefused}
+				r = RecordRead{ID: g.ID, Outcome: message.OutcomeRefused}
 			}
 			return r
 		}
--- a/internal/controller/admission/submission_test.go
+++ b/internal/controller/admission/submission_test.go
@@ -37,14 +37,14 @@
 			for _, outage := range []bool{false, true} {
 				h := newHarness()
 				h.step(t, smallType)
-				h.queryCore = func(q QueryOwners) any { return OwnersAnswered{Query: q.Query} }
-				h.get = func(g Get) any {
-					r := Read{ID: g.ID, Outcome: message.OutcomeFailed}
+				h.queryCore = func(q QueryCore) any { return CoreAnswered{Query: q.Query} }
+				h.get = func(g GetRecord) any {
+					r := RecordRead{ID: g.ID, Outcome: message.OutcomeFailed}
 					switch {
 					case outage:
 						r.Outcome = message.OutcomeRefused
 					case known:
-						r = Read{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordLive, Tasks: 2}}
+						r = RecordRead{ID: g.ID, Outcome: message.OutcomeDone, Record: record.JobRecord{State: record.RecordLive, Tasks: 2}}
 					}
 					return r
 				}
--- a/internal/controller/catalogue.go
+++ b/internal/controller/catalogue.go
@@ -22,7 +22,7 @@
 			delay = catalogueRetryDelay
 		} else {
 			n.typesKnown.Store(true)
-			n.frontend.SetTypes(ctx, catalogue.Types)
+			n.frontend.SetMachineTypes(ctx, catalogue.Types)
 			n.post(message.CatalogueRead{Types: catalogue.Types})
 		}
 		sleep(ctx, delay)
--- a/internal/controller/frontend/actor.go
+++ b/internal/controller/frontend/actor.go
@@ -34,7 +34,7 @@
 			}
 			f.step(ctx, msg)
 		case effective := <-f.configurations:
-			f.step(ctx, admission.Configured{Effective: effective})
+			f.step(ctx, admission.ConfigurationChanged{Effective: effective})
 		case <-ticker.C:
 			f.step(ctx, admission.Tick{})
 		case <-ctx.Done():
@@ -43,9 +43,9 @@
 	}
 }
 
-// Configure passes the configuration in force to Admission. It replaces one that Admission
+// SetConfiguration passes the configuration in force to Admission. It replaces one that Admission
 // has not received yet. Only one goroutine may call it: the core's actor.
-func (f *Frontend) Configure(effective *dynamicconfig.Effective) {
+func (f *Frontend) SetConfiguration(effective *dynamicconfig.Effective) {
 	select {
 	case <-f.configurations:
 	default:
@@ -53,9 +53,9 @@
 	f.configurations <- effective
 }
 
-// SetTypes passes the machine types as last read from the cloud to Admission. It blocks
+// SetMachineTypes passes the machine types as last read from the cloud to Admission. It blocks
 // while the mailbox is full.
-func (f *Frontend) SetTypes(ctx context.Context, types []protocol.TypeInfo) {
+func (f *Frontend) SetMachineTypes(ctx context.Context, types []protocol.TypeInfo) {
 	f.post(ctx, admission.TypesRead{Types: types})
 }
 
@@ -98,11 +98,11 @@
 	case admission.Reply:
 		f.replies[a.ID](response(a.Answer))
 		delete(f.replies, a.ID)
-	case admission.Get:
+	case admission.GetRecord:
 		go func() { f.post(ctx, f.readJob(ctx, a)) }()
 	case admission.Write:
 		go func() { f.post(ctx, f.write(ctx, a)) }()
-	case admission.QueryOwners:
+	case admission.QueryCore:
 		f.queryCore(ctx, a)
 	case admission.Compare:
 		go func() { f.post(ctx, f.compare(ctx, a)) }()
@@ -117,16 +117,16 @@
 
 // queryCore asks the core for the state of live jobs. If the core is too busy, Admission
 // gets an empty answer.
-func (f *Frontend) queryCore(ctx context.Context, query admission.QueryOwners) {
-	answer := func(answered admission.OwnersAnswered) { f.post(ctx, answered) }
-	if !f.controller.QueryOwners(query, answer) {
-		f.stepQueue = append(f.stepQueue, admission.OwnersAnswered{Query: query.Query})
+func (f *Frontend) queryCore(ctx context.Context, query admission.QueryCore) {
+	answer := func(answered admission.CoreAnswered) { f.post(ctx, answered) }
+	if !f.controller.QueryCore(query, answer) {
+		f.stepQueue = append(f.stepQueue, admission.CoreAnswered{Query: query.Query})
 	}
 }
 
 // announce notifies a controller, which may be this one, of a cancellation.
 func (f *Frontend) announce(ctx context.Context, a admission.Announce) {
-	announced := func() { f.post(ctx, admission.Announced{Job: a.Job, By: a.To}) }
+	announced := func() { f.post(ctx, admission.AnnouncementAcknowledged{Job: a.Job, By: a.To}) }
 	if a.To == f.settings.Name {
 		f.controller.CancelJob(a.Job, announced)
 		return
@@ -163,9 +163,9 @@
 }
 
 // readJob reads a job's record. OutcomeFailed means that the record does not exist.
-func (f *Frontend) readJob(ctx context.Context, a admission.Get) admission.Read {
+func (f *Frontend) readJob(ctx context.Context, a admission.GetRecord) admission.RecordRead {
 	item, err := f.store.Get(ctx, record.JobKey(a.Job))
-	read := admission.Read{ID: a.ID, Outcome: outcome.Of(err), Version: item.Version}
+	read := admission.RecordRead{ID: a.ID, Outcome: outcome.Of(err), Version: item.Version}
 	if err == nil {
 		err = protocol.Decode(item.Value, &read.Record)
 	}
--- a/internal/controller/frontend/frontend.go
+++ b/internal/controller/frontend/frontend.go
@@ -26,9 +26,9 @@
 	// QueueHeartbeat queues a worker's heartbeat for the core; reply receives the answer.
 	// It never blocks.
 	QueueHeartbeat(heartbeat protocol.Heartbeat, reply transport.Reply)
-	// QueryOwners asks the core for the state of live jobs. It never blocks. If the core
+	// QueryCore asks the core for the state of live jobs. It never blocks. If the core
 	// is too busy, it returns false and answer is not called.
-	QueryOwners(query admission.QueryOwners, answer func(admission.OwnersAnswered)) bool
+	QueryCore(query admission.QueryCore, answer func(admission.CoreAnswered)) bool
 	// CancelJob notifies the core of a cancelled job, unless the core is too busy. It
 	// calls done once the core has handled the notification, and never blocks.
 	CancelJob(job protocol.JobID, done func())
--- a/internal/controller/frontend/frontend_test.go
+++ b/internal/controller/frontend/frontend_test.go
@@ -42,7 +42,7 @@
 	reply(HeartbeatResponse(message.ReplyHeartbeat{Status: http.StatusMisdirectedRequest, Leader: "node-2"}))
 }
 
-func (*stubController) QueryOwners(admission.QueryOwners, func(admission.OwnersAnswered)) bool {
+func (*stubController) QueryCore(admission.QueryCore, func(admission.CoreAnswered)) bool {
 	return false
 }
 func (*stubController) CancelJob(protocol.JobID, func()) {}
--- a/internal/controller/frontendcontroller.go
+++ b/internal/controller/frontendcontroller.go
@@ -29,9 +29,9 @@
 	fc.node.heartbeats.add(fc.node.now(), pendingHeartbeat{heartbeat, reply})
 }
 
-// QueryOwners asks the core about live jobs, unless its mailbox is full.
-func (fc *frontendController) QueryOwners(query admission.QueryOwners, answer func(admission.OwnersAnswered)) bool {
-	return fc.node.offer(envelope{ask: func(c *Core) { answer(c.AnswerOwnerQuery(query)) }})
+// QueryCore asks the core about live jobs, unless its mailbox is full.
+func (fc *frontendController) QueryCore(query admission.QueryCore, answer func(admission.CoreAnswered)) bool {
+	return fc.node.offer(envelope{ask: func(c *Core) { answer(c.AnswerAdmissionQuery(query)) }})
 }
 
 // CancelJob tells the core of a cancelled job, unless its mailbox is full.
--- a/internal/controller/message/validate.go
+++ b/internal/controller/message/validate.go
@@ -25,9 +25,9 @@
 // Error implements error.
 func (e *OutOfRangeError) Error() string { return fmt.Sprintf("%s: %v", e.Field, e.Value) }
 
-// Check reports the values of a peer's message that are out of bounds. The core
+// Validate reports the values of a peer's message that are out of bounds. The core
 // calculates with the values that pass, and uses them as indexes.
-func (m *PeerMessage) Check() error {
+func (m *PeerMessage) Validate() error {
 	v := &validator{}
 	if m.Place != nil {
 		v.place(m.Place)
--- a/internal/controller/message/validate_test.go
+++ b/internal/controller/message/validate_test.go
@@ -79,7 +79,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			err := tc.message.Check()
+			err := tc.message.Validate()
 			if tc.field == "" {
 				if err != nil {
 					t.Fatalf("valid message refused: %v", err)
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -14,7 +14,7 @@
 // batchReceived handles those messages of a batch that have not been received before.
 func (c *Core) batchReceived(batch message.Batch) {
 	for _, received := range c.members.AcceptBatch(batch) {
-		if err := received.Check(); err != nil {
+		if err := received.Validate(); err != nil {
 			c.ignoreInvalid(batch.From, err)
 			continue
 		}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -95,8 +95,8 @@
 // CompletedMoves returns the moves of shards that ended here since the last call.
 func (c *Core) CompletedMoves() []dispatcher.CompletedMove { return c.dispatcher.TakeCompletedMoves() }
 
-// AnswerOwnerQuery answers a query of package admission about live jobs and their owners.
-func (c *Core) AnswerOwnerQuery(query admission.QueryOwners) admission.OwnersAnswered {
+// AnswerAdmissionQuery answers a query of package admission about live jobs and their owners.
+func (c *Core) AnswerAdmissionQuery(query admission.QueryCore) admission.CoreAnswered {
 	found := make(map[protocol.JobID]admission.LiveJob, len(query.Jobs))
 	for _, id := range query.Jobs {
 		if job := c.Live[id]; job != nil {
@@ -105,5 +105,5 @@
 		}
 	}
 	members := slices.Sorted(maps.Keys(c.View.Members))
-	return admission.OwnersAnswered{Query: query.Query, Jobs: found, Leading: c.members.PeersHoldingLease(), Members: members}
+	return admission.CoreAnswered{Query: query.Query, Jobs: found, Leading: c.members.PeersHoldingLease(), Members: members}
 }
--- a/internal/simulator/frontend_test.go
+++ b/internal/simulator/frontend_test.go
@@ -30,7 +30,7 @@
 		return true
 	}
 	f.incarnation, f.in, f.replies = f.n.incarnation, admission.New(f.n.settings(), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
-	f.step(admission.Configured{Effective: f.n.core.ConfigurationInForce()})
+	f.step(admission.ConfigurationChanged{Effective: f.n.core.ConfigurationInForce()})
 	if w.now > 0 { // some time passes before it knows the machine types
 		f.n.afterIfAlive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
 	} else {
@@ -78,10 +78,10 @@
 		delete(f.replies, a.ID)
 		f.u.recordAnswer(a.Answer)
 		w.after(w.delay(), func() { reply(a.Answer) })
-	case admission.Get:
+	case admission.GetRecord:
 		f.read(func() any {
 			it, ok := w.state.Get(record.JobKey(a.Job))
-			r := admission.Read{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
+			r := admission.RecordRead{ID: a.ID, Outcome: message.OutcomeFailed, Version: it.Version}
 			if ok {
 				r.Outcome = message.OutcomeDone
 				if err := protocol.Decode(it.Value, &r.Record); err != nil {
@@ -89,7 +89,7 @@
 				}
 			}
 			return r
-		}, func(out message.Outcome) any { return admission.Read{ID: a.ID, Outcome: out} })
+		}, func(out message.Outcome) any { return admission.RecordRead{ID: a.ID, Outcome: out} })
 	case admission.Compare:
 		f.read(func() any {
 			c := admission.Compared{Query: a.Query, Outcome: message.OutcomeDone}
@@ -102,8 +102,8 @@
 		}, func(out message.Outcome) any { return admission.Compared{Query: a.Query, Outcome: out} })
 	case admission.Write:
 		f.n.transact(a.Transaction, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
-	case admission.QueryOwners:
-		f.step(f.n.core.AnswerOwnerQuery(a))
+	case admission.QueryCore:
+		f.step(f.n.core.AnswerAdmissionQuery(a))
 	case admission.Forward:
 		p := f.u.front(a.To)
 		w.send(string(f.n.name), string(a.To), func() {
@@ -142,7 +142,7 @@
 func (u *users) halt(f *frontend, a admission.Announce) {
 	w := u.world
 	if u.dropCancellations {
-		f.deliver(0, admission.Announced{Job: a.Job, By: a.To})
+		f.deliver(0, admission.AnnouncementAcknowledged{Job: a.Job, By: a.To})
 		return
 	}
 	to := u.front(a.To).n
@@ -152,12 +152,12 @@
 		}
 		to.afterIfAlive(max(0, to.pausedUntil-w.now), func() {
 			to.step(message.JobCancelled{Job: a.Job})
-			w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.Announced{Job: a.Job, By: a.To}) })
+			w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.AnnouncementAcknowledged{Job: a.Job, By: a.To}) })
 		})
 	}
 	if to == f.n {
 		to.step(message.JobCancelled{Job: a.Job})
-		f.deliver(0, admission.Announced{Job: a.Job, By: a.To})
+		f.deliver(0, admission.AnnouncementAcknowledged{Job: a.Job, By: a.To})
 		return
 	}
 	w.send(string(f.n.name), string(a.To), heard)
