--- a/internal/controller/autoscaler/autoscaler.go
+++ b/internal/controller/autoscaler/autoscaler.go
@@ -14,21 +14,21 @@
 	"damsonkeel/internal/protocol"
 )
 
-// rendezvousKey chooses the member of the view that is the autoscaler. All controllers of
-// a cluster have to use the same key.
+// rendezvousKey is the rendezvous hashing key that selects the member of the view that is
+// the autoscaler. All controllers of a cluster have to use the same key.
 const rendezvousKey = "fleet"
 
-// These intervals follow from how long machines boot and how far the cloud's list lags.
+// These intervals follow from the boot time of machines and the lag of the cloud's list.
 const (
-	// PlanEvery is the time between two plans.
+	// PlanEvery is the interval between two plans.
 	PlanEvery = 2 * time.Second
-	// SettleTime is how long a view has to be in force before its autoscaler plans.
+	// SettleTime is how long a view has to be in force before its autoscaler makes plans.
 	SettleTime = 4 * time.Second
-	// listEvery is the time between two requests for the cloud's list of machines.
-	listEvery = 5 * time.Second
+	// listInterval is the interval between two requests for the cloud's list of machines.
+	listInterval = 5 * time.Second
 )
 
-// The cloud's states of a listed machine.
+// States of a machine in the cloud's list.
 const (
 	listedBooting = "booting"
 	listedRunning = "running"
@@ -48,54 +48,55 @@
 	plannedAt     clock.Time
 
 	// The cloud's list of machines.
-	listed     map[protocol.MachineID]protocol.ListedMachine
-	listedAt   clock.Time // when a request for the list last ended, failed or not
-	receivedAt clock.Time // when a list was last received
-	listing    bool       // a request is under way
-	HaveList   bool       // a list has been received in this session
-	// orphans are the listed machines that are not registered, with the time since when.
-	orphans    map[protocol.MachineID]clock.Time
-	seenUp     map[protocol.MachineID]bool       // listed as running at some time
-	deleting   map[protocol.MachineID]clock.Time // when their termination was last requested
-	terminated map[protocol.MachineID]clock.Time // the cloud has confirmed it; lists may still show them
-
-	// Machines requested, and how requests for each kind have ended.
-	provisionCalls map[string]*provisionCall // by the name of the request
-	provisionCount uint64                    // requests made in this session, part of their names
+	listed              map[protocol.MachineID]protocol.ListedMachine
+	listRequestEndedAt  clock.Time // when the last request for the list ended, whether or not it succeeded
+	listReceivedAt      clock.Time // when the last list was received
+	listRequestInFlight bool       // a request for the list has no answer yet
+	HaveList            bool       // a list has been received in this session
+	// unregisteredSince holds, for each listed machine without a registration, since when
+	// its worker could have registered it.
+	unregisteredSince      map[protocol.MachineID]clock.Time
+	seenRunning            map[protocol.MachineID]bool       // machines that the cloud has listed as running
+	terminationRequestedAt map[protocol.MachineID]clock.Time // when the termination of a machine was last requested
+	terminatedAt           map[protocol.MachineID]clock.Time // when the cloud confirmed a termination; lists may still contain the machine
+
+	// Requests to provision machines, and their results by kind of machine.
+	provisionCalls map[string]*provisionCall // by request name
+	provisionCount uint64                    // number of requests in this session; part of a request's name
 	booting        map[protocol.MachineID]bootingMachine
 	refusals       map[binpack.Kind]refusal
-	bootHistory    map[binpack.Kind]*bootRecord
+	bootHistories  map[binpack.Kind]*bootHistory
 }
 
-// New returns an autoscaler and the planner of reservations that works with it. Reset has
-// to be called on both before use.
-func New(module clusterstate.Module, table *waittable.Table, work *workload.Workload, held *holds.Holds, placer *placement.Placer) (*Autoscaler, *ReservationPlanner) {
-	a := &Autoscaler{Module: module, table: table, workload: work, reservations: held, placer: placer}
-	a.planner = &ReservationPlanner{Module: module, table: table, reservations: held, autoscaler: a}
+// New returns an autoscaler and its reservation planner. Reset has to be called on both
+// before use.
+func New(module clusterstate.Module, table *waittable.Table, work *workload.Workload, reservations *holds.Holds, placer *placement.Placer) (*Autoscaler, *ReservationPlanner) {
+	a := &Autoscaler{Module: module, table: table, workload: work, reservations: reservations, placer: placer}
+	a.planner = &ReservationPlanner{Module: module, table: table, reservations: reservations, autoscaler: a}
 	return a, a.planner
 }
 
-// Reset drops the state of the last session.
+// Reset drops the state of the previous session.
 func (a *Autoscaler) Reset() {
 	*a = Autoscaler{
 		Module: a.Module, table: a.table, workload: a.workload, reservations: a.reservations, placer: a.placer, planner: a.planner,
-		listed:         map[protocol.MachineID]protocol.ListedMachine{},
-		orphans:        map[protocol.MachineID]clock.Time{},
-		seenUp:         map[protocol.MachineID]bool{},
-		deleting:       map[protocol.MachineID]clock.Time{},
-		terminated:     map[protocol.MachineID]clock.Time{},
-		provisionCalls: map[string]*provisionCall{},
-		booting:        map[protocol.MachineID]bootingMachine{},
-		refusals:       map[binpack.Kind]refusal{},
-		bootHistory:    map[binpack.Kind]*bootRecord{},
+		listed:                 map[protocol.MachineID]protocol.ListedMachine{},
+		unregisteredSince:      map[protocol.MachineID]clock.Time{},
+		seenRunning:            map[protocol.MachineID]bool{},
+		terminationRequestedAt: map[protocol.MachineID]clock.Time{},
+		terminatedAt:           map[protocol.MachineID]clock.Time{},
+		provisionCalls:         map[string]*provisionCall{},
+		booting:                map[protocol.MachineID]bootingMachine{},
+		refusals:               map[binpack.Kind]refusal{},
+		bootHistories:          map[binpack.Kind]*bootHistory{},
 	}
 }
 
-// ViewAdopted notes when the present view was adopted: the controller chosen by it waits
-// for SettleTime before it plans.
+// ViewAdopted records when the current view was adopted: the autoscaler of a view makes its
+// first plan SettleTime later.
 func (a *Autoscaler) ViewAdopted(now clock.Time) { a.viewAdoptedAt = now }
 
-// Step scales out and in, if this controller is the autoscaler.
+// Step scales the cluster out and in if this controller is the autoscaler.
 func (a *Autoscaler) Step() {
 	if !a.isElected() {
 		return
@@ -107,50 +108,53 @@
 	}
 	a.plannedAt = a.Now
 	a.updateBooting()
-	a.planner.chooseReserved()
+	a.planner.planReservations()
 	a.PlanScaleOut()
 	a.scaleIn()
 }
 
-// isElected reports whether this controller is the view's autoscaler and may act.
+// isElected reports whether this controller is the autoscaler of the view, holds its lease
+// and has the catalogue of machine types.
 func (a *Autoscaler) isElected() bool {
 	return a.HoldsLease() && len(a.Types) > 0 && clusterstate.Rendezvous(a.View, rendezvousKey) == a.Self
 }
 
-// mayPlan reports whether this controller is the autoscaler and knows enough to plan.
+// mayPlan reports whether this controller is the autoscaler and may make plans: it has
+// received a list of machines, and the view has been in force for SettleTime.
 func (a *Autoscaler) mayPlan() bool {
 	return a.isElected() && a.HaveList && a.Since(a.viewAdoptedAt) >= SettleTime
 }
 
-// requestList requests the cloud's list of machines when the last one is old.
+// requestList requests the cloud's list of machines if none has been received yet or if
+// the last request ended more than listInterval ago.
 func (a *Autoscaler) requestList() {
-	if a.listing || a.HaveList && a.Since(a.listedAt) <= listEvery {
+	if a.listRequestInFlight || a.HaveList && a.Since(a.listRequestEndedAt) <= listInterval {
 		return
 	}
-	a.listing = true
+	a.listRequestInFlight = true
 	a.Emit(message.ListMachines{})
 }
 
-// terminatedRetention is how long a terminated machine is remembered after the last list
-// that shows it.
+// terminatedRetention is how long after its termination a machine is remembered at least.
+// It is remembered for as long as the cloud lists it.
 const terminatedRetention = 5 * time.Minute
 
-// MachinesListed adopts the cloud's list of machines.
+// MachinesListed handles the result of a request for the cloud's list of machines.
 func (a *Autoscaler) MachinesListed(m message.MachinesListed) {
-	a.listing = false
-	a.listedAt = a.Now
+	a.listRequestInFlight = false
+	a.listRequestEndedAt = a.Now
 	if !m.OK {
 		return
 	}
-	a.HaveList, a.receivedAt = true, a.Now
+	a.HaveList, a.listReceivedAt = true, a.Now
 	clear(a.listed)
 	for _, l := range m.Machines {
 		a.listed[l.ID] = l
 	}
-	for id, at := range a.terminated {
+	for id, at := range a.terminatedAt {
 		if _, ok := a.listed[id]; !ok && a.Since(at) > terminatedRetention {
-			delete(a.terminated, id)
-			delete(a.seenUp, id)
+			delete(a.terminatedAt, id)
+			delete(a.seenRunning, id)
 		}
 	}
 }
--- a/internal/controller/autoscaler/autoscaler_test.go
+++ b/internal/controller/autoscaler/autoscaler_test.go
@@ -20,11 +20,11 @@
 	"damsonkeel/internal/record"
 )
 
-// smallType is the type of the machines of these tests.
+// smallType is the machine type that these tests use.
 var smallType = protocol.TypeInfo{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 20}
 
-// newAutoscaler returns the autoscaler of a cluster with one controller, node-0, and
-// without machines. It has no placer: scaleIn can't be called.
+// newAutoscaler returns the autoscaler of a cluster with one controller, node-0, and no
+// machines. It has no placer, so scaleIn can't be called.
 func newAutoscaler(t *testing.T) *Autoscaler {
 	t.Helper()
 	settings := fake.Settings()
@@ -38,9 +38,9 @@
 	table.AdoptPeers(module.View)
 	work := workload.New(module, table)
 	work.Reset()
-	held := holds.New(module, table, nil, nil)
-	held.Reset()
-	a, planner := New(module, table, work, held, nil)
+	reservations := holds.New(module, table, nil, nil)
+	reservations.Reset()
+	a, planner := New(module, table, work, reservations, nil)
 	a.Reset()
 	planner.Reset()
 	return a
@@ -56,11 +56,11 @@
 	return m
 }
 
-// TestIdleTimeoutIsABootUntilArrivalsAreKnown: a controller that has just started does not
-// know what work is likely to arrive, and keeps idle machines for as long as another
-// would boot. So it does where no work arrives at all.
-func TestIdleTimeoutIsABootUntilArrivalsAreKnown(t *testing.T) {
-	known := time.Duration(forecast.KnownBoots*smallType.BootS+1) * time.Second
+// TestIdleTimeoutIsBootTimeUntilArrivalsAreObserved: a controller that has just started
+// can't forecast which work arrives, so it keeps an idle machine for as long as a
+// replacement takes to boot. The same holds if no work arrives at all.
+func TestIdleTimeoutIsBootTimeUntilArrivalsAreObserved(t *testing.T) {
+	observed := time.Duration(forecast.KnownBoots*smallType.BootS+1) * time.Second
 	for _, tc := range []struct {
 		name     string
 		session  time.Duration
@@ -68,8 +68,8 @@
 		want     float64
 	}{
 		{"just started", 0, 100, smallType.BootS},
-		{"arrivals known", known, 100, knownIdleTimeout.Seconds()},
-		{"no arrivals", known, math.Inf(1), smallType.BootS},
+		{"arrivals known", observed, 100, shortIdleTimeout.Seconds()},
+		{"no arrivals", observed, math.Inf(1), smallType.BootS},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			a := newAutoscaler(t)
@@ -81,31 +81,32 @@
 	}
 }
 
-// TestUnstartedTasksUseSpareProcessors: the processors that unstarted tasks need can't be
-// spared. A controller that came back after a zone had been partitioned once returned the
-// zone's machines while 30 jobs waited.
-func TestUnstartedTasksUseSpareProcessors(t *testing.T) {
+// TestUnstartedTasksReduceHeadroom: processors that unstarted tasks need are not headroom.
+// Otherwise a controller that restarts after the partition of a zone can terminate the
+// zone's machines while jobs are waiting; this happened with 30 waiting jobs.
+func TestUnstartedTasksReduceHeadroom(t *testing.T) {
 	a := newAutoscaler(t)
 	addMachine(a, "vm-1")
 	if headroom := a.headroomProcessors(); !math.IsInf(headroom, 1) {
-		t.Errorf("%v processors of headroom without any work, want no bound", headroom)
+		t.Errorf("%v processors of headroom without any work, want infinite headroom", headroom)
 	}
 	a.Live["job-1"] = &clusterstate.LiveJob{Job: protocol.Job{ID: "job-1", Priority: "best_effort", CPUs: 2}}
 	a.table.Peers["node-0"].Demand = []message.Demand{{Job: "job-1", Unstarted: 9}}
 	if headroom := a.headroomProcessors(); headroom != 4-18 {
-		t.Errorf("%v processors of headroom of 4 while tasks need 18", headroom)
+		t.Errorf("%v processors of headroom on a machine with 4 while unstarted tasks need 18, want -14", headroom)
 	}
 }
 
-// TestRefusalLeavesMachineReservable: a machine whose dispatcher refused a placement gets
-// no other until the dispatcher publishes why, but its holds stay. They were dropped once,
-// and the machine was filled by other work within a second.
-func TestRefusalLeavesMachineReservable(t *testing.T) {
+// TestRefusedPlacementKeepsMachineReservable: a machine whose dispatcher refused a
+// placement receives no other placement until the dispatcher publishes a new state, but
+// resources can still be held on it. Without this its holds were dropped, and other work
+// filled the machine within a second.
+func TestRefusedPlacementKeepsMachineReservable(t *testing.T) {
 	a := newAutoscaler(t)
 	m := addMachine(a, "vm-1")
 	m.Refused = true
 	reservable := len(a.planner.reservableMachines())
 	if a.table.Usable(m) || !m.Open() || reservable != 1 {
-		t.Errorf("usable %v, open %v, %d reservable machines", a.table.Usable(m), m.Open(), reservable)
+		t.Errorf("usable %v, open %v, %d reservable machines; want false, true, 1", a.table.Usable(m), m.Open(), reservable)
 	}
 }
--- a/internal/controller/autoscaler/offers.go
+++ b/internal/controller/autoscaler/offers.go
@@ -10,13 +10,13 @@
 	"damsonkeel/internal/protocol"
 )
 
-// openTypes returns the machine types, with the zones, in which the configuration allows
-// machines to be provisioned.
-func (a *Autoscaler) openTypes() map[protocol.MachineType]protocol.TypeInfo {
+// provisionableTypes returns the machine types with only those zones in which the
+// configuration allows machines of the type to be provisioned.
+func (a *Autoscaler) provisionableTypes() map[protocol.MachineType]protocol.TypeInfo {
 	if !a.Configuration.Effective().AnyPlaceCordoned() {
 		return a.Types
 	}
-	open := map[protocol.MachineType]protocol.TypeInfo{}
+	provisionable := map[protocol.MachineType]protocol.TypeInfo{}
 	for name, info := range a.Types {
 		zones := info.AllowZones
 		info.AllowZones = nil
@@ -25,26 +25,27 @@
 				info.AllowZones = append(info.AllowZones, zone)
 			}
 		}
-		open[name] = info
+		provisionable[name] = info
 	}
-	return open
+	return provisionable
 }
 
-// price is the price of a kind, for a processor and an hour.
-func (a *Autoscaler) price(kind binpack.Kind) float64 {
+// pricePerCPU is the price of a machine of a kind per processor and hour.
+func (a *Autoscaler) pricePerCPU(kind binpack.Kind) float64 {
 	return binpack.Price(a.Types[kind.Type], kind.Spot)
 }
 
-// offer is a kind that may be provisioned for a job, with its price for one task.
+// offer is a kind of machine that may be provisioned for a job, with its price per task.
 type offer struct {
 	binpack.Kind
-	price float64
+	pricePerTask float64
 }
 
-// offers lists the kinds that may be provisioned for a job, the cheapest per task first.
+// offers lists the kinds of machines that may be provisioned for a job, the cheapest per
+// task first.
 func (a *Autoscaler) offers(j *clusterstate.LiveJob) []binpack.Kind {
 	var offers []offer
-	stretch, avoidsSpot := a.workload.SpotStretch(&j.Job)*float64(j.Tasks), a.workload.AvoidsSpot(&j.Job)
+	spotSlowdown, avoidsSpot := a.workload.SpotStretch(&j.Job)*float64(j.Tasks), a.workload.AvoidsSpot(&j.Job)
 	for _, t := range a.Types {
 		tasksPerMachine := resource.Capacity(t).CountFitting(resource.Need(&j.Job))
 		if tasksPerMachine == 0 {
@@ -58,14 +59,14 @@
 				}
 				price := t.Price
 				if spot {
-					price = t.SpotPrice * (1 + stretch)
+					price = t.SpotPrice * (1 + spotSlowdown)
 				}
 				offers = append(offers, offer{kind, price / float64(tasksPerMachine)})
 			}
 		}
 	}
 	slices.SortFunc(offers, func(x, y offer) int {
-		return cmp.Or(cmp.Compare(x.price, y.price), cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone))
+		return cmp.Or(cmp.Compare(x.pricePerTask, y.pricePerTask), cmp.Compare(x.Type, y.Type), cmp.Compare(x.Zone, y.Zone))
 	})
 	kinds := make([]binpack.Kind, len(offers))
 	for i, o := range offers {
@@ -74,8 +75,8 @@
 	return kinds
 }
 
-// available reports whether machines of a kind may be requested now: the cloud has not
-// refused it lately, and no canary of the kind is under way.
+// available reports whether machines of a kind may be requested now: the kind is not in
+// backoff after a refusal by the cloud, and no canary of it is booting or requested.
 func (a *Autoscaler) available(kind binpack.Kind) bool {
-	return a.refusals[kind].until <= a.Now && !a.canaryUnderWay(kind)
+	return a.refusals[kind].until <= a.Now && !a.canaryInProgress(kind)
 }
--- a/internal/controller/autoscaler/provision.go
+++ b/internal/controller/autoscaler/provision.go
@@ -15,16 +15,17 @@
 
 const (
 	// provisionRetryAfter is the time after which a request without an answer is
-	// repeated, and maxProvisionTries how often that is done before it is given up.
+	// repeated, and maxProvisionTries the number of repetitions before it is dropped.
 	provisionRetryAfter = 2 * time.Second
 	maxProvisionTries   = 5
-	// minRefusalPause and maxRefusalPause bound the time for which a kind that the cloud
-	// has none of is not requested again.
+	// minRefusalPause and maxRefusalPause bound the backoff after which a kind that the
+	// cloud has refused is requested again.
 	minRefusalPause = 10 * time.Second
 	maxRefusalPause = time.Minute
 )
 
-// refusal is the exponential backoff of a kind of which the cloud has no machines.
+// refusal is the exponential backoff of a kind of which the cloud had too few machines for a
+// request.
 type refusal struct {
 	until clock.Time
 	pause time.Duration
@@ -33,24 +34,24 @@
 // provisionCall is a request to provision machines that has no final answer yet.
 type provisionCall struct {
 	request     protocol.ProvisionRequest
-	at          clock.Time       // when it was last sent
-	reservation reservation.Name // the reservation that it is for, if any
+	sentAt      clock.Time       // when it was last sent
+	reservation reservation.Name // the reservation that the machines are for, if any
 	tries       int
 	inFlight    bool
 }
 
-// kind is the kind of the requested machines.
+// kind returns the kind of the requested machines.
 func (c *provisionCall) kind() binpack.Kind {
 	return binpack.Kind{Type: c.request.Type, Zone: c.request.Zone, Spot: c.request.Spot}
 }
 
-// retryProvisionCalls repeats the requests that have no answer: their machines may have
-// been provisioned. Only a request of the same name can find that out without
-// provisioning more.
+// retryProvisionCalls repeats the requests that have no answer. Their machines may have been
+// provisioned, and only a request of the same name can find that out without provisioning
+// more.
 func (a *Autoscaler) retryProvisionCalls() {
 	for name, call := range ordered.Of(a.provisionCalls) {
 		switch {
-		case call.inFlight || a.Since(call.at) < provisionRetryAfter:
+		case call.inFlight || a.Since(call.sentAt) < provisionRetryAfter:
 		case call.tries > maxProvisionTries:
 			delete(a.provisionCalls, name)
 		default:
@@ -59,18 +60,18 @@
 	}
 }
 
-// provision sends a request, for the first time or again.
+// provision sends a request or repeats it.
 func (a *Autoscaler) provision(call *provisionCall) {
-	call.inFlight, call.at = true, a.Now
+	call.inFlight, call.sentAt = true, a.Now
 	call.tries++
 	r := call.request
 	a.Log.Debug("requested machines", "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count, "request", r.Name)
 	a.Emit(message.Provision{Request: r})
 }
 
-// provisionPlanned sends the plan's requests, as many at a time as the cloud answers in a
-// second; the next plan requests the rest.
-func (a *Autoscaler) provisionPlanned(plan *binpack.Plan) {
+// sendPlannedRequests sends the plan's requests to the cloud. The requests without an answer
+// are limited to as many as the cloud accepts in a second; the next plan requests the rest.
+func (a *Autoscaler) sendPlannedRequests(plan *binpack.Plan) {
 	for _, order := range plan.Orders() {
 		if float64(len(a.provisionCalls)) >= math.Max(1, a.Settings.Site.Cloud.RPS) {
 			return
@@ -89,9 +90,9 @@
 	}
 }
 
-// Provisioned handles the answer to a request. A request whose outcome is unknown is
-// repeated by its name later. A kind of which the cloud has fewer machines than requested
-// is not requested for a while, longer each time.
+// Provisioned handles the answer to a request to provision machines. A request with an
+// unknown outcome is repeated later under the same name. A kind of which the cloud has
+// fewer machines than requested is not requested until an exponential backoff has passed.
 func (a *Autoscaler) Provisioned(m message.ProvisionDone) {
 	call := a.provisionCalls[m.Request.Name]
 	if call == nil {
@@ -103,28 +104,29 @@
 	case message.OutcomeDone:
 		delete(a.provisionCalls, m.Request.Name)
 		for _, id := range m.Machines {
-			a.booting[id] = bootingMachine{Kind: kind, at: a.Now}
+			a.booting[id] = bootingMachine{Kind: kind, provisionedAt: a.Now}
 		}
-		a.planner.chooseReserved() // before the machines are used for other work
-		a.Log.Info("rented", "machines", m.Machines, "request", m.Request.Name)
+		a.planner.planReservations() // holds resources on the machines before they are used for other work
+		a.Log.Info("machines provisioned", "machines", m.Machines, "request", m.Request.Name)
 		delete(a.refusals, kind)
 		if len(m.Machines) != m.Request.Count {
-			a.refused(kind)
+			a.backOff(kind)
 		}
 	case message.OutcomeFailed, message.OutcomeRefused:
 		delete(a.provisionCalls, m.Request.Name)
 		a.Log.Debug("request for machines failed", "type", kind.Type, "zone", kind.Zone, "spot", kind.Spot)
-		a.refused(kind)
+		a.backOff(kind)
 	default:
 		return
 	}
 	if a.mayPlan() {
-		a.PlanScaleOut() // more of this kind, or the next best one, without waiting for the next plan
+		a.PlanScaleOut() // requests more of this kind or the next best kind before the next regular plan
 	}
 }
 
-// refused lets a kind pause for twice as long as the last time.
-func (a *Autoscaler) refused(kind binpack.Kind) {
+// backOff excludes a kind from requests for twice as long as the last time, between
+// minRefusalPause and maxRefusalPause.
+func (a *Autoscaler) backOff(kind binpack.Kind) {
 	pause := min(max(2*a.refusals[kind].pause, minRefusalPause), maxRefusalPause)
 	a.refusals[kind] = refusal{until: a.After(pause), pause: pause}
 }
--- a/internal/controller/autoscaler/reservabledemand.go
+++ b/internal/controller/autoscaler/reservationdemand.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	// holdAhead is how long before an occurrence resources are held for it on machines
-	// that are up: tasks that do not end until then start elsewhere.
-	holdAhead = 2 * time.Hour
-	// overrun is how much longer an attempt is expected to run that should have ended.
-	overrun = time.Minute
+	// holdLookahead is how long before an occurrence resources are held for it on running
+	// machines. Tasks that don't end before the occurrence then start on other machines.
+	holdLookahead = 2 * time.Hour
+	// expectedOverrun is how much longer an attempt is expected to run after its expected
+	// end has passed.
+	expectedOverrun = time.Minute
 )
 
-// jobOf returns a job as a reservation describes it, on on-demand machines.
-func jobOf(s *record.ReservationSpec) *clusterstate.LiveJob {
+// jobFromSpec returns the job that a reservation describes, for on-demand machines.
+func jobFromSpec(s *record.ReservationSpec) *clusterstate.LiveJob {
 	return &clusterstate.LiveJob{Job: protocol.Job{
 		Class: s.Class, Team: s.Team, Kind: protocol.KindJobArray, Priority: s.Priority, Tasks: uint32(s.Tasks),
 		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, EstimateS: s.LengthS,
 	}}
 }
 
-// reservationDemands lists the occurrences that resources are to be held for now, with
-// their tasks that have not started.
+// reservationDemands lists the occurrences for which resources have to be held now, with the
+// number of their tasks that have not started.
 func (p *ReservationPlanner) reservationDemands() []reservation.Demand {
 	now := p.WallTime()
 	var demands []reservation.Demand
-	for _, e := range p.reservations.Calendar.Due(now, reservation.After(now, holdAhead)) {
+	for _, e := range p.reservations.Calendar.Due(now, reservation.After(now, holdLookahead)) {
 		if !e.Active() {
 			continue
 		}
-		_, desired, started := p.reservations.JobsOf(e)
-		if left := desired - started; left > 0 {
-			clearFrom := reservation.After(e.StartMS, -p.NoticeBefore(&e.Reservation.Spec))
-			demands = append(demands, reservation.Demand{Reservation: e.Reservation, Remaining: left, ClearBy: clearFrom})
+		_, wanted, started := p.reservations.JobsOf(e)
+		if remaining := wanted - started; remaining > 0 {
+			clearBy := reservation.After(e.StartMS, -p.NoticeBefore(&e.Reservation.Spec))
+			demands = append(demands, reservation.Demand{Reservation: e.Reservation, Remaining: remaining, ClearBy: clearBy})
 		}
 	}
 	return demands
 }
 
-// reservableMachines lists the machines that resources can be held on: those that are up,
-// and those that are booting.
+// reservableMachines lists the machines on which resources can be held: registered ones, and
+// booting ones that are not overdue.
 func (p *ReservationPlanner) reservableMachines() []reservation.Machine {
 	now := p.WallTime()
 	var machines []reservation.Machine
@@ -63,9 +64,9 @@
 	}
 	for id, m := range ordered.Of(p.autoscaler.booting) {
 		info := p.Types[m.Type]
-		remaining := config.Seconds(p.reservations.Boots.Likely(info.BootS)) - p.Since(m.at)
+		remaining := config.Seconds(p.reservations.Boots.Likely(info.BootS)) - p.Since(m.provisionedAt)
 		if remaining < 0 || p.table.Machines[id] != nil {
-			continue // it is overdue and may never come up, or it is up
+			continue // it is overdue and may never register, or it has registered
 		}
 		machines = append(machines, reservation.Machine{
 			ID: id, Info: info, Zone: m.Zone, Spot: m.Spot, UpAt: reservation.After(now, remaining),
@@ -74,9 +75,9 @@
 	return machines
 }
 
-// isReservable reports whether resources can be held on a registered machine. Its state
-// has to be recent, unless there are holds on it already: while a controller is
-// unreachable, its machines would otherwise lose their holds and be filled by other work.
+// isReservable reports whether resources can be held on a registered machine. The machine's
+// state has to be recent unless there are holds on it already: otherwise the machines of an
+// unreachable controller would lose their holds, and other work would fill them.
 func (p *ReservationPlanner) isReservable(m *waittable.Machine) bool {
 	if !m.Open() || m.State.Epoch != m.Epoch {
 		return false
@@ -84,44 +85,44 @@
 	return p.table.Recent(m, 3*p.Op.ReplicationInterval) || len(p.reservations.Holds[m.ID]) > 0
 }
 
-// expectedRuns returns the attempts on a machine with the times when they are expected to
-// end, all of them in the future.
+// expectedRuns returns the attempts on a machine with their expected end times. End times in
+// the past are moved to the future by expectedOverrun.
 func (p *ReservationPlanner) expectedRuns(m *waittable.Machine, now reservation.Moment) []reservation.Run {
 	runs := slices.Clone(m.State.Runs)
 	for i := range runs {
 		run := &runs[i]
 		for _, h := range p.reservations.Holds[m.ID] {
 			if !run.Sure && run.For != h.For && h.Ends != 0 {
-				run.Ends = min(run.Ends, h.Ends) // as was known when the hold was chosen
+				run.Ends = min(run.Ends, h.Ends) // the end expected when the hold was chosen
 			}
 		}
 		if run.Ends < now {
-			run.Ends = reservation.After(now, overrun)
+			run.Ends = reservation.After(now, expectedOverrun)
 		}
 	}
 	return runs
 }
 
-// provisionReserved plans machines, one boot time ahead, for the reserved tasks that no
-// resources could be held for.
-func (p *ReservationPlanner) provisionReserved(plan *binpack.Plan) {
+// provisionForReservations plans machines, one boot time ahead, for the reserved tasks for
+// which no resources could be held.
+func (p *ReservationPlanner) provisionForReservations(plan *binpack.Plan) {
 	now := p.WallTime()
 	for _, d := range p.demands {
-		short := p.shortfall[d.Spec.Name] - p.requestedTasks(&d.Spec)
-		if short <= 0 || now < d.ClearBy {
+		unrequestedTasks := p.shortfall[d.Spec.Name] - p.requestedTasks(&d.Spec)
+		if unrequestedTasks <= 0 || now < d.ClearBy {
 			continue
 		}
-		j := jobOf(&d.Spec)
+		j := jobFromSpec(&d.Spec)
 		if zone := p.zones[d.Spec.Name]; zone != "" {
 			j.Zone = zone
 		}
-		work := p.autoscaler.work(j, resource.LevelOf(d.Spec.Priority, false), d.Spec.LengthS)
-		plan.Provision(work, short, string(d.Spec.Name))
+		work := p.autoscaler.workFor(j, resource.LevelOf(d.Spec.Priority, false), d.Spec.LengthS)
+		plan.Provision(work, unrequestedTasks, string(d.Spec.Name))
 	}
 }
 
-// requestedTasks is how many of a reservation's tasks fit the machines that are requested
-// for it.
+// requestedTasks returns how many tasks of a reservation fit on the machines that have been
+// requested for it.
 func (p *ReservationPlanner) requestedTasks(spec *record.ReservationSpec) (tasks int) {
 	for _, call := range p.autoscaler.provisionCalls {
 		if call.reservation == spec.Name {
--- a/internal/controller/autoscaler/scalein.go
+++ b/internal/controller/autoscaler/scalein.go
@@ -16,34 +16,37 @@
 )
 
 const (
-	// knownIdleTimeout is how long a machine is idle before that is more than the moment
-	// between two tasks.
-	knownIdleTimeout = 2 * PlanEvery
-	// maxStateAge is how old a machine's state may be for a decision to scale in.
+	// shortIdleTimeout is the idle timeout while arrivals can be forecast. It is longer
+	// than the gap between two tasks on a machine that is in use.
+	shortIdleTimeout = 2 * PlanEvery
+	// maxStateAge is the maximum age of a machine's state on which a decision to scale in
+	// may be based.
 	maxStateAge = 5 * time.Second
 	// terminateRetryAfter is the time after which a termination without an answer is
 	// requested again.
 	terminateRetryAfter = 8 * time.Second
-	// maxTerminations bounds the machines of one request to the cloud.
+	// maxTerminations is the maximum number of machines in one request to the cloud.
 	maxTerminations = 100
 )
 
-// scaleIn terminates the machines that are idle, failed or faulty or never came up. A
-// machine that may run tasks is drained first, or its worker's lease has expired.
+// scaleIn terminates the machines that are idle, failed, faulty or probably preempted, or
+// that have not registered in time. A machine that may run tasks is drained first, or is
+// terminated once its worker's lease has expired or the cloud has probably preempted it.
 func (a *Autoscaler) scaleIn() {
 	ids := append(a.scaleInRegistered(), a.scaleInUnregistered()...)
 	a.terminate(ids)
 }
 
-// scaleInRegistered returns the registered machines to terminate and drains the idle ones
-// that can be spared, the most expensive first.
+// scaleInRegistered returns the registered machines to terminate, and drains idle machines
+// that the headroom covers, the most expensive first.
 func (a *Autoscaler) scaleInRegistered() (ids []protocol.MachineID) {
 	claims, headroom := a.placer.NewClaims(), a.headroomProcessors()
 	for _, m := range a.mostExpensiveFirst() {
-		if a.terminated[m.ID] != 0 {
-			// The cloud has confirmed it, but its record could not be deleted then:
-			// owners would wait until the lease of its worker expires.
-			a.dropRecord(m)
+		if a.terminatedAt[m.ID] != 0 {
+			// The cloud has confirmed the termination, but the machine's record could
+			// not be deleted. While the record exists, job owners count the tasks as
+			// running until the lease of the machine's worker expires.
+			a.deleteRecord(m)
 			continue
 		}
 		if m.State.Epoch != m.Epoch || !a.table.Recent(m, maxStateAge) {
@@ -51,78 +54,83 @@
 		}
 		id := m.ID
 		listed, isListed := a.listed[id]
-		a.seenUp[id] = a.seenUp[id] || isListed && listed.State == listedRunning
+		a.seenRunning[id] = a.seenRunning[id] || isListed && listed.State == listedRunning
 		empty := isEmpty(m)
 		switch {
 		case a.seemsPreempted(m):
-			// The cloud's answer to the termination proves it, long before the
-			// worker's lease expires.
-			a.Log.Info("deleting a silent machine that seems taken", "machine", id)
+			// The cloud's answer to the termination confirms that the machine is gone,
+			// long before the worker's lease expires.
+			a.Log.Info("terminating a silent machine that was probably preempted", "machine", id)
 			ids = append(ids, id)
 		case empty && (m.State.Draining || m.State.Suspect):
 			ids = append(ids, id)
-		case a.planner.retainForReservation(m):
+		case a.planner.mustRetain(m):
 		case empty && a.mayDrain(m, headroom) && claims.ReleaseMachine(m):
 			headroom -= m.Info.CPUs
-			a.Log.Info("returning an idle machine", "machine", id, "idle_s", int(a.idleSeconds(m)))
+			a.Log.Info("draining an idle machine", "machine", id, "idle_s", int(a.idleSeconds(m)))
 			a.Send(a.DispatcherOf(id), message.PeerMessage{Drain: &id})
 		}
 	}
 	return ids
 }
 
-// isEmpty reports whether a machine is known to have no attempts, running, queued or
-// announced. One that its dispatcher has received no heartbeat from may have some.
+// isEmpty reports whether a machine certainly has no running, queued or announced attempts.
+// A machine may have some if its dispatcher has received no heartbeat from it.
 func isEmpty(m *waittable.Machine) bool {
 	return m.State.Heard && m.State.Held == 0 && m.PendingSum == 0
 }
 
-// mostExpensiveFirst lists the registered machines by price per processor, those of the
-// same price by ID.
+// mostExpensiveFirst lists the registered machines by descending price per processor, those
+// of the same price by ID.
 func (a *Autoscaler) mostExpensiveFirst() []*waittable.Machine {
 	machines := slices.Clone(a.table.InOrder())
 	slices.SortStableFunc(machines, func(x, y *waittable.Machine) int {
-		return cmp.Compare(a.price(y.Kind()), a.price(x.Kind()))
+		return cmp.Compare(a.pricePerCPU(y.Kind()), a.pricePerCPU(x.Kind()))
 	})
 	return machines
 }
 
-// seemsPreempted reports whether a machine whose worker is silent was probably preempted
-// by the cloud: the cloud announced it, or no longer lists the machine.
+// seemsPreempted reports whether the cloud has probably preempted a machine whose worker is
+// silent: the cloud announced the preemption, or has listed the machine as running and no
+// longer lists it.
 func (a *Autoscaler) seemsPreempted(m *waittable.Machine) bool {
 	if m.State.Silence != message.SilenceLong {
 		return false
 	}
 	_, isListed := a.listed[m.ID]
-	return m.State.Noticed || a.seenUp[m.ID] && !isListed
+	return m.State.Noticed || a.seenRunning[m.ID] && !isListed
 }
 
-// mayDrain reports whether an empty machine has been idle for long enough, and its
-// processors can be spared.
+// mayDrain reports whether an empty machine has been idle for long enough and the headroom
+// covers its processors.
 func (a *Autoscaler) mayDrain(m *waittable.Machine, headroom float64) bool {
 	return a.idleSeconds(m) > a.idleTimeout(m.Info, headroom) && headroom >= m.Info.CPUs
 }
 
-// idleSeconds is how long a machine has been idle, in seconds.
+// idleSeconds returns how long a machine has been idle, in seconds.
 func (a *Autoscaler) idleSeconds(m *waittable.Machine) float64 {
 	return m.State.IdleS + a.Since(m.StateReceivedAt).Seconds()
 }
 
-// idleTimeout is how long a machine of a type may be idle before it is drained, in
-// seconds: as long as another one takes to boot. It is shorter where the work that is
-// likely to arrive meanwhile is known, and there is headroom for it without the machine. A
-// controller that has just started knows that of no class.
+// idleTimeout returns how long a machine of a type may be idle before it is drained, in
+// seconds: as long as a replacement takes to boot, or the operator's idle timeout if that is
+// shorter. It is at most shortIdleTimeout if the work that is likely to arrive while a
+// machine boots can be forecast, since a machine is drained only if there is headroom for
+// this work without the machine. A controller that has just started can't forecast the work
+// of any class.
 func (a *Autoscaler) idleTimeout(t protocol.TypeInfo, headroom float64) float64 {
 	timeout := math.Min(t.BootS, a.Op.IdleTimeout.Seconds())
 	if !math.IsInf(headroom, 1) && a.Since(a.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
-		timeout = math.Min(timeout, knownIdleTimeout.Seconds())
+		timeout = math.Min(timeout, shortIdleTimeout.Seconds())
 	}
 	return timeout
 }
 
-// headroomProcessors is the number of processors beyond those of more urgent work, the
-// unstarted tasks, and the work that the classes without a start objective are likely to
-// bring while a machine boots; infinite if there is no such work.
+// headroomProcessors returns the number of processors on usable machines beyond those that
+// are needed by unstarted tasks, by the work that is likely to arrive, in classes without a
+// start objective, while a machine boots, and by running or queued work of a higher priority
+// than these classes. The headroom is infinite if there are no unstarted tasks and no such
+// work is expected.
 func (a *Autoscaler) headroomProcessors() float64 {
 	topRank, headroom, expected := 0, 0.0, false
 	for _, class := range ordered.Of(a.workload.Classes) {
@@ -144,8 +152,9 @@
 	return headroom
 }
 
-// unstartedProcessors is the processors needed by the unstarted tasks of a priority rank
-// or below. Those of higher ranks count as uses of the machines in whose queues they are.
+// unstartedProcessors returns the number of processors needed by the unstarted tasks of a
+// priority rank or below. Tasks of higher ranks count as used resources of the machines in
+// whose queues they are.
 func (a *Autoscaler) unstartedProcessors(rank int) (sum float64) {
 	for _, p := range ordered.Of(a.table.Peers) {
 		for _, d := range p.Demand {
@@ -157,78 +166,79 @@
 	return sum
 }
 
-// scaleInUnregistered returns the listed machines to terminate because they failed, or
-// because they do not register in time.
+// scaleInUnregistered returns the listed machines to terminate because they failed or did not
+// register in time.
 func (a *Autoscaler) scaleInUnregistered() (ids []protocol.MachineID) {
-	for id, l := range ordered.Of(a.listed) {
+	for id, listed := range ordered.Of(a.listed) {
 		registered := a.table.Machines[id] != nil
-		if registered || a.terminated[id] != 0 {
-			delete(a.orphans, id)
-			if l.State == listedFailed && a.terminated[id] == 0 {
-				ids = append(ids, id) // it stopped by itself: nothing runs on it
+		if registered || a.terminatedAt[id] != 0 {
+			delete(a.unregisteredSince, id)
+			if listed.State == listedFailed && a.terminatedAt[id] == 0 {
+				ids = append(ids, id) // registered, but failed according to the cloud: nothing runs on it
 			}
 			continue
 		}
-		if a.orphans[id] == 0 || l.State == listedBooting {
-			a.orphans[id] = a.Now // its worker can't register before the machine is up
+		if a.unregisteredSince[id] == 0 || listed.State == listedBooting {
+			a.unregisteredSince[id] = a.Now // its worker can't register while the machine boots
 		}
-		if a.isLost(l) {
-			a.Log.Info("returning a machine that does not report", "machine", id, "state", l.State)
+		if a.isFailedOrOverdue(listed) {
+			a.Log.Info("terminating an unregistered machine", "machine", id, "state", listed.State)
 			ids = append(ids, id)
 		}
 	}
-	for id := range a.orphans {
+	for id := range a.unregisteredSince {
 		if _, ok := a.listed[id]; !ok {
-			delete(a.orphans, id)
+			delete(a.unregisteredSince, id)
 		}
 	}
 	return ids
 }
 
-// isLost reports whether an unregistered machine has failed or is overdue. One that is up
-// gets as much time as another takes to boot: where a whole zone is partitioned, another
-// could not register either.
-func (a *Autoscaler) isLost(l protocol.ListedMachine) bool {
-	age := time.Duration(l.AgeS * float64(time.Second))
-	return l.State == listedFailed ||
-		l.State == listedBooting && age > a.bootDeadline(l.Type) ||
-		a.Since(a.orphans[l.ID]) > a.WorkerLeaseBound()+config.Seconds(a.Types[l.Type].BootS)
+// isFailedOrOverdue reports whether an unregistered machine has failed or should have
+// registered by now. A running machine has, beyond the bound of its worker's lease, as long
+// as a replacement would take to boot: if the whole zone is partitioned, a replacement could
+// not register either.
+func (a *Autoscaler) isFailedOrOverdue(listed protocol.ListedMachine) bool {
+	age := time.Duration(listed.AgeS * float64(time.Second))
+	return listed.State == listedFailed ||
+		listed.State == listedBooting && age > a.bootDeadline(listed.Type) ||
+		a.Since(a.unregisteredSince[listed.ID]) > a.WorkerLeaseBound()+config.Seconds(a.Types[listed.Type].BootS)
 }
 
-// terminate requests the termination of machines, but of those for which a recent
-// request has no answer yet.
+// terminate requests the termination of machines, except those whose termination was
+// requested recently and has no answer yet.
 func (a *Autoscaler) terminate(ids []protocol.MachineID) {
 	ids = slices.DeleteFunc(ids, func(id protocol.MachineID) bool {
-		return a.deleting[id] != 0 && a.Since(a.deleting[id]) < terminateRetryAfter
+		return a.terminationRequestedAt[id] != 0 && a.Since(a.terminationRequestedAt[id]) < terminateRetryAfter
 	})
 	ids = ids[:min(len(ids), maxTerminations)]
 	if len(ids) == 0 {
 		return
 	}
 	for _, id := range ids {
-		a.deleting[id] = a.Now
+		a.terminationRequestedAt[id] = a.Now
 	}
 	a.Emit(message.Terminate{Machines: ids})
 }
 
-// Terminated handles the cloud's answer to a termination. The records of the machines
-// that it has terminated are deleted, which tells every owner that their tasks ended.
+// Terminated handles the cloud's answer to a termination. It deletes the records of the
+// terminated machines, from which every job owner concludes that the tasks there have ended.
 func (a *Autoscaler) Terminated(m message.TerminateDone) {
 	for _, id := range m.Machines {
-		delete(a.deleting, id)
+		delete(a.terminationRequestedAt, id)
 		if !m.OK {
 			continue
 		}
-		a.terminated[id] = a.Now
+		a.terminatedAt[id] = a.Now
 		delete(a.booting, id)
-		a.Log.Info("machine returned", "machine", id)
+		a.Log.Info("machine terminated", "machine", id)
 		if registered := a.table.Machines[id]; registered != nil {
-			a.dropRecord(registered)
+			a.deleteRecord(registered)
 		}
 	}
 }
 
-// dropRecord deletes the record of a machine that the cloud has terminated.
-func (a *Autoscaler) dropRecord(m *waittable.Machine) {
+// deleteRecord requests the deletion of a terminated machine's record.
+func (a *Autoscaler) deleteRecord(m *waittable.Machine) {
 	a.ChangeRecord(dispatcher.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
 }
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -14,29 +14,30 @@
 	"damsonkeel/internal/protocol"
 )
 
-// estimateMargin is the multiple of a task's estimate that is reserved for its run before
-// the job's deadline: owners' estimates are often wrong by half.
+// estimateMargin is the multiple of a task's run time estimate that is allowed for its run
+// before the job's deadline: owners' estimates are often wrong by half.
 const estimateMargin = 1.5
 
-// minBootRemaining is the remaining boot time, in seconds, of a machine that is overdue.
-const minBootRemaining = 1
+// minBootRemainingS is the minimum of the remaining boot time that is assumed for a booting
+// machine, in seconds. It applies to machines that have exceeded their boot time.
+const minBootRemainingS = 1
 
-// PlanScaleOut requests the machines that the unstarted and the expected work needs beyond
-// those that are up, booting or requested.
+// PlanScaleOut requests the machines that unstarted and expected work needs in addition to
+// those that are registered, booting or requested.
 func (a *Autoscaler) PlanScaleOut() {
-	plan := binpack.New(a.openTypes(), a.slots(), a.requestedMachines())
-	// Tasks that should start within a time come first, then the resources reserved for
-	// more of their classes: the rest must not count on those.
+	plan := binpack.New(a.provisionableTypes(), a.slots(), a.requestedMachines())
+	// Tasks with a start objective come first, then the resources reserved for further
+	// tasks of their classes: the remaining work must not count on these resources.
 	rest := a.reserveForStartObjectives(plan, a.demands())
-	a.reserveForClasses(plan)
+	a.reserveForExpectedTasks(plan)
 	a.sortByUrgency(rest)
-	a.planner.provisionReserved(plan)
-	a.workOff(plan, rest)
-	a.workOffExpected(plan)
-	a.provisionPlanned(plan)
+	a.planner.provisionForReservations(plan)
+	a.planBacklog(plan, rest)
+	a.planExpectedWork(plan)
+	a.sendPlannedRequests(plan)
 }
 
-// requestedMachines counts, by kind, the machines of requests without an answer.
+// requestedMachines counts the machines of requests without an answer by kind.
 func (a *Autoscaler) requestedMachines() map[binpack.Kind]int {
 	counts := map[binpack.Kind]int{}
 	for _, call := range a.provisionCalls {
@@ -45,9 +46,11 @@
 	return counts
 }
 
-// slots lists the resources of all machines that are up, booting or requested.
+// slots lists the resources of all machines that are usable and in no open maintenance
+// window, booting or requested. It leaves out booting machines of kinds that recently failed
+// to register.
 func (a *Autoscaler) slots() []binpack.Slot {
-	var up binpack.Slots
+	var usable binpack.Slots
 	for _, m := range a.table.InOrder() {
 		if !a.table.Usable(m) || len(a.reservations.Windows) > 0 && a.InWindow(m.ID, m.Record.Type, m.Record.Zone, a.WallTime(), a.WallTime()) {
 			continue
@@ -56,15 +59,15 @@
 		for rank := range alike.Held {
 			alike.Held[rank] = alike.Held[rank].Plus(m.PendingUses[rank])
 		}
-		up.Add(alike, m.Info)
+		usable.Add(alike, m.Info)
 	}
-	slots := up.List
+	slots := usable.List
 	for id, m := range ordered.Of(a.booting) {
 		if a.canaryOnly(m.Kind) {
 			continue
 		}
 		slot := binpack.NewSlot(a.Types[m.Type], m.Kind, 1)
-		slot.ReadyInSeconds = math.Max(slot.Info.BootS-a.Since(m.at).Seconds(), minBootRemaining)
+		slot.ReadyInSeconds = math.Max(slot.Info.BootS-a.Since(m.provisionedAt).Seconds(), minBootRemainingS)
 		slot.Free = slot.Free.Minus(clusterstate.ReservedBy(a.reservations.Holds[id], a.WallTime()))
 		slots = append(slots, slot)
 	}
@@ -74,7 +77,7 @@
 	return slots
 }
 
-// demands lists the unstarted work of all owners, the oldest first.
+// demands lists the unstarted work of all job owners, the oldest first.
 func (a *Autoscaler) demands() []message.Demand {
 	var demands []message.Demand
 	for _, p := range a.table.Peers {
@@ -86,14 +89,14 @@
 	return demands
 }
 
-// reserveForStartObjectives plans machines for the tasks whose class has a start
+// reserveForStartObjectives plans machines for the demands whose class has a start
 // objective, and returns the other demands.
 func (a *Autoscaler) reserveForStartObjectives(plan *binpack.Plan, demands []message.Demand) (rest []message.Demand) {
 	for _, d := range demands {
-		switch j := a.demandedJob(d); {
+		switch j := a.jobOfDemand(d); {
 		case j == nil:
 		case a.HasStartObjective(&j.Job):
-			plan.Reserve(a.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted)
+			plan.Reserve(a.workFor(j, resource.Level(d.Level), d.EstimateS), d.Unstarted)
 		default:
 			rest = append(rest, d)
 		}
@@ -101,29 +104,30 @@
 	return rest
 }
 
-// reserveForClasses plans machines for the tasks that the classes with a start objective
-// are likely to bring while a machine boots.
-func (a *Autoscaler) reserveForClasses(plan *binpack.Plan) {
+// reserveForExpectedTasks plans machines for the tasks that are likely to arrive, in classes
+// with a start objective, while a machine boots.
+func (a *Autoscaler) reserveForExpectedTasks(plan *binpack.Plan) {
 	for _, class := range ordered.Of(a.workload.Classes) {
 		j := &clusterstate.LiveJob{Job: class.Job}
 		j.OneZone = false // the resources are reserved for several jobs
 		if n := a.workload.Reserve(class); n > 0 {
-			plan.Reserve(a.work(j, resource.LevelOf(j.Priority, false), 0), n)
+			plan.Reserve(a.workFor(j, resource.LevelOf(j.Priority, false), 0), n)
 		}
 	}
 }
 
-// sortByUrgency sorts demands by level, the highest first, and by the time left to start:
-// each job gets what those before it leave of the machines until its deadline.
+// sortByUrgency sorts demands by level, the highest first, and then by the time within which
+// they have to start. Each job uses the capacity until its deadline that the jobs before it
+// leave.
 func (a *Autoscaler) sortByUrgency(demands []message.Demand) {
 	slices.SortStableFunc(demands, func(x, y message.Demand) int {
 		jobX, jobY := a.Live[x.Job], a.Live[y.Job]
-		return cmp.Or(cmp.Compare(y.Level, x.Level), cmp.Compare(a.timeLeft(jobX, x), a.timeLeft(jobY, y)))
+		return cmp.Or(cmp.Compare(y.Level, x.Level), cmp.Compare(a.startSlackSeconds(jobX, x), a.startSlackSeconds(jobY, y)))
 	})
 }
 
-// workOff plans machines for the demands that those there can't finish in time.
-func (a *Autoscaler) workOff(plan *binpack.Plan, demands []message.Demand) {
+// planBacklog plans machines for the demands that the existing machines can't finish in time.
+func (a *Autoscaler) planBacklog(plan *binpack.Plan, demands []message.Demand) {
 	topRank, runS, tasks := 0, 0.0, 0.0
 	for _, d := range demands {
 		topRank = max(topRank, a.Live[d.Job].Priority.Rank())
@@ -132,26 +136,26 @@
 	}
 	plan.PoolCapacity(topRank, runS/math.Max(tasks, 1))
 	for _, d := range demands {
-		j := a.demandedJob(d)
-		plan.ReserveBefore(a.work(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, a.timeLeft(j, d))
+		j := a.jobOfDemand(d)
+		plan.ReserveBefore(a.workFor(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, a.startSlackSeconds(j, d))
 	}
 }
 
-// workOffExpected plans machines for the work that the classes without a start objective
-// are likely to bring while a machine boots. It has to start by then: otherwise each
-// burst would wait for the machines that the last one needed.
-func (a *Autoscaler) workOffExpected(plan *binpack.Plan) {
+// planExpectedWork plans machines for the work that is likely to arrive, in classes without a
+// start objective, while a machine boots. This work has to start within the boot time:
+// otherwise each burst would wait for machines that only the burst before it needed.
+func (a *Autoscaler) planExpectedWork(plan *binpack.Plan) {
 	for _, class := range ordered.Of(a.workload.Classes) {
 		if work := a.workload.ExpectedWork(class); work > 0 {
 			estimateS := a.Estimate(&class.Job)
 			n := int(work / (estimateS * math.Max(class.Job.CPUs, resource.Slack)))
-			plan.ReserveBefore(a.work(&clusterstate.LiveJob{Job: class.Job}, 0, estimateS), n, a.workload.BootSeconds(&class.Job))
+			plan.ReserveBefore(a.workFor(&clusterstate.LiveJob{Job: class.Job}, 0, estimateS), n, a.workload.BootSeconds(&class.Job))
 		}
 	}
 }
 
-// work describes tasks of a job to a plan.
-func (a *Autoscaler) work(j *clusterstate.LiveJob, level resource.Level, estimateS float64) binpack.Work {
+// workFor returns the tasks of a job in the form that a plan packs them.
+func (a *Autoscaler) workFor(j *clusterstate.LiveJob, level resource.Level, estimateS float64) binpack.Work {
 	return binpack.Work{
 		Need: resource.Need(&j.Job), Level: level, OneZone: j.OneZone && j.Zone == "", AvoidsSpot: a.workload.AvoidsSpot(&j.Job),
 		EstimateSeconds: estimateS, FetchSeconds: func(t protocol.TypeInfo) float64 { return clusterstate.FetchS(t, &j.Job) },
@@ -159,9 +163,9 @@
 	}
 }
 
-// demandedJob returns the job of a demand, in the zone that its owner has bound it to;
-// nil if the job is not known here.
-func (a *Autoscaler) demandedJob(d message.Demand) *clusterstate.LiveJob {
+// jobOfDemand returns the job of a demand, restricted to the demand's zone if it has one. It
+// returns nil if the job is not in the controller's list of live jobs.
+func (a *Autoscaler) jobOfDemand(d message.Demand) *clusterstate.LiveJob {
 	j := a.Live[d.Job]
 	if j == nil || d.Zone == "" {
 		return j
@@ -171,9 +175,10 @@
 	return &bound
 }
 
-// timeLeft is how long a job's tasks may still wait and finish by its deadline, in
-// seconds. A job without objectives should wait no longer than a machine takes to boot.
-func (a *Autoscaler) timeLeft(j *clusterstate.LiveJob, d message.Demand) float64 {
+// startSlackSeconds returns how long a job's tasks may wait and still finish by the job's
+// deadline, in seconds. It is 0 for a job without objectives, whose tasks should wait no
+// longer than a machine takes to boot.
+func (a *Autoscaler) startSlackSeconds(j *clusterstate.LiveJob, d message.Demand) float64 {
 	if len(a.ObjectiveTimes(&j.Job)) == 0 {
 		return 0
 	}
