--- a/internal/controller/binpack/plan.go
+++ b/internal/controller/binpack/plan.go
@@ -10,39 +10,40 @@
 	"damsonkeel/internal/protocol"
 )
 
-// MaxPerRequest is how many machines are requested at once.
+// MaxPerRequest is the maximum number of machines of a kind that are requested at once.
 const MaxPerRequest = 50
 
-// Kind is a kind of machine that the cloud offers.
+// Kind is a kind of machine that the cloud offers: a type in a zone, spot or on-demand.
 type Kind struct {
 	Type protocol.MachineType
 	Zone protocol.Zone
 	Spot bool
 }
 
-// Alike is what machines of a slot have in common.
+// Alike is what the machines of a slot have in common.
 type Alike struct {
 	Kind
-	Free           resource.Amount // now, or when they are up
-	Held           resource.Uses   // by attempts on each or in its queue
-	ReadyInSeconds float64         // when they are up, in seconds
+	Free           resource.Amount // free resources of each, now or once it is ready
+	Held           resource.Uses   // used on each by running and queued attempts
+	ReadyInSeconds float64         // time until they are ready; 0 if they are
 }
 
-// Slot is machines that are up or starting, and alike in all that a plan asks of
-// them. A fleet has far fewer slots than machines: those of a kind run the same
-// classes of tasks.
+// Slot is a group of running, booting or requested machines that are interchangeable for a
+// plan. A cluster has far fewer slots than machines, since the machines of a kind run the
+// same classes of tasks.
 type Slot struct {
 	Alike
 	Info     protocol.TypeInfo
-	Machines int // machines
+	Machines int // number of machines
 }
 
-// NewSlot is a slot of machines that were just requested.
+// NewSlot returns a slot of empty machines that have just been requested.
 func NewSlot(info protocol.TypeInfo, k Kind, count int) Slot {
 	return Slot{Alike: Alike{Kind: k, Free: resource.Capacity(info), ReadyInSeconds: info.BootS}, Info: info, Machines: count}
 }
 
-// withTasks is so many of a slot's machines once each has taken some tasks.
+// withTasks returns a slot of the given number of the slot's machines, each with the given
+// number of additional tasks.
 func (s Slot) withTasks(w *Work, tasks, machines int) Slot {
 	for range tasks {
 		s.Free = s.Free.Minus(w.Need)
@@ -52,49 +53,50 @@
 	return s
 }
 
-// Slots groups machines that are alike.
+// Slots groups machines into slots.
 type Slots struct {
 	List  []Slot
-	index map[Alike]int // in List
+	index map[Alike]int // index in List
 }
 
-// Add counts a machine.
-func (s *Slots) Add(a Alike, info protocol.TypeInfo) {
+// Add adds a machine to the slot of its profile.
+func (s *Slots) Add(profile Alike, info protocol.TypeInfo) {
 	if s.index == nil {
 		s.index = map[Alike]int{}
 	}
-	i, ok := s.index[a]
+	i, ok := s.index[profile]
 	if !ok {
 		i = len(s.List)
-		s.index[a] = i
-		s.List = append(s.List, Slot{Alike: a, Info: info})
+		s.index[profile] = i
+		s.List = append(s.List, Slot{Alike: profile, Info: info})
 	}
 	s.List[i].Machines++
 }
 
-// Work is tasks of one size that need resources.
+// Work describes tasks of one size that need resources.
 type Work struct {
 	Need    resource.Amount
 	Level   resource.Level
-	OneZone bool // all of them in the same one, whichever
-	// AvoidsSpot: they are not placed on spot machines that are there.
+	OneZone bool // all tasks have to run in the same zone, which may be any
+	// AvoidsSpot says that the tasks are not placed on existing spot machines.
 	AvoidsSpot bool
-	// EstimateSeconds is how long one runs, FetchSeconds how long its image takes to fetch on a
-	// machine of a type, in seconds.
+	// EstimateSeconds is the estimated run time of a task. FetchSeconds returns how long a
+	// machine of a type takes to fetch the task's image, in seconds.
 	EstimateSeconds float64
 	FetchSeconds    func(protocol.TypeInfo) float64
-	// Allows reports whether they may run on machines of a kind, Offers lists
-	// what may be provisioned for them, the cheapest per task first.
+	// Allows reports whether the tasks may run on machines of a type in a zone, spot or
+	// on-demand. Offers lists the kinds that may be provisioned for the tasks, the cheapest
+	// per task first.
 	Allows func(protocol.TypeInfo, protocol.Zone, bool) bool
 	Offers []Kind
 }
 
-// canUse reports whether the work may run on the machines of a slot.
+// canUse reports whether the tasks may run on the machines of a slot.
 func (w *Work) canUse(s *Slot) bool {
 	return (!w.AvoidsSpot || !s.Spot) && w.Allows(s.Info, s.Zone, s.Spot)
 }
 
-// inZone is the work bound to a zone.
+// inZone returns the work restricted to a zone.
 func (w Work) inZone(zone protocol.Zone) Work {
 	allows := w.Allows
 	w.Allows = func(t protocol.TypeInfo, z protocol.Zone, spot bool) bool { return z == zone && allows(t, z, spot) }
@@ -102,81 +104,82 @@
 	return w
 }
 
-// Order is machines of one kind to be requested from the cloud.
+// Order describes machines of one kind to be requested from the cloud.
 type Order struct {
 	Kind
 	Count   int
-	Purpose string // what they are for, if for one purpose alone
+	Purpose string // what the machines are dedicated to, empty if they may be used by all work
 }
 
-// Plan is the state of one plan.
+// Plan is the state of one round of planning.
 type Plan struct {
-	types     map[protocol.MachineType]protocol.TypeInfo
-	slots     []Slot
-	pools     map[Kind]*pool
-	requested map[Kind]int // machines that the plan requests
-	underWay  map[Kind]int // machines requested already
-	dedicated []Order      // for one purpose alone
+	types            map[protocol.MachineType]protocol.TypeInfo
+	slots            []Slot
+	pools            map[Kind]*pool
+	requested        map[Kind]int // number of machines that the plan requests for all work
+	alreadyRequested map[Kind]int // number of machines in the requests without an answer and in dedicated
+	dedicated        []Order      // orders for one purpose each
 }
 
-// New begins a plan with the machines that there are. Machines under way are requested
-// already; they are among the slots.
-func New(types map[protocol.MachineType]protocol.TypeInfo, slots []Slot, underWay map[Kind]int) *Plan {
-	return &Plan{types: types, slots: slots, pools: map[Kind]*pool{}, requested: map[Kind]int{}, underWay: underWay}
+// New returns a plan that starts with the existing machines. Machines that are already
+// requested are both counted in alreadyRequested and contained in slots.
+func New(types map[protocol.MachineType]protocol.TypeInfo, slots []Slot, alreadyRequested map[Kind]int) *Plan {
+	return &Plan{types: types, slots: slots, pools: map[Kind]*pool{}, requested: map[Kind]int{}, alreadyRequested: alreadyRequested}
 }
 
-// Fill packs tasks into the machines that are there, requesting nothing, and
-// returns how many are left without.
-func (p *Plan) Fill(w Work, tasks int) (left int) {
+// Fill packs tasks into the existing machines without requesting any, and returns the number
+// of tasks that do not fit.
+func (p *Plan) Fill(w Work, tasks int) (unplaced int) {
 	if tasks > 0 && w.OneZone {
 		w = w.inZone(p.bestZone(&w, tasks))
 	}
 	return p.fill(&w, tasks)
 }
 
-// Reserve packs tasks that are to start at once into the machines that are there, and
-// requests machines for those that are left without.
+// Reserve packs tasks that have to start at once into the existing machines, and requests
+// machines for the tasks that do not fit.
 func (p *Plan) Reserve(w Work, tasks int) {
 	if tasks > 0 && w.OneZone {
-		w = w.inZone(p.bestZone(&w, tasks)) // as if its user had named the zone
+		w = w.inZone(p.bestZone(&w, tasks)) // as if the user had specified the zone
 	}
-	left := p.fill(&w, tasks)
-	if left <= 0 {
+	unplaced := p.fill(&w, tasks)
+	if unplaced <= 0 {
 		return
 	}
 	for _, k := range w.Offers {
-		count := p.request(k, machinesFor(left, p.tasksPerMachine(k, &w)))
+		count := p.addRequest(k, machinesNeeded(unplaced, p.tasksPerMachine(k, &w)))
 		if count > 0 {
 			p.slots = append(p.slots, NewSlot(p.types[k.Type], k, count))
-			left = p.fill(&w, left)
+			unplaced = p.fill(&w, unplaced)
 		}
-		if left <= 0 {
+		if unplaced <= 0 {
 			return
 		}
 	}
 }
 
-// Provision requests machines for tasks, whatever is there, from the cheapest kinds
-// offered: they are for no other purpose. One request of each kind is under way at a
-// time, so its answer tells whether there are more.
+// Provision requests machines for tasks from the cheapest offered kinds, whether or not the
+// tasks fit on existing machines. The requested machines are dedicated to the purpose. Of
+// each kind no more than MaxPerRequest machines are in unanswered requests at a time: the
+// answer shows whether the cloud has more.
 func (p *Plan) Provision(w Work, tasks int, purpose string) {
 	for _, k := range w.Offers {
 		perMachine := p.tasksPerMachine(k, &w)
 		if tasks <= 0 || perMachine == 0 {
 			return
 		}
-		count := min(MaxPerRequest-p.underWay[k], machinesFor(tasks, perMachine))
+		count := min(MaxPerRequest-p.alreadyRequested[k], machinesNeeded(tasks, perMachine))
 		if count <= 0 {
 			continue
 		}
-		p.underWay[k] += count
+		p.alreadyRequested[k] += count
 		p.dedicated = append(p.dedicated, Order{k, count, purpose})
 		tasks -= count * perMachine
 	}
 }
 
-// Orders lists what the plan requests, the cheapest first, then what is dedicated to
-// one purpose.
+// Orders lists the machines that the plan requests: first those for all work, the cheapest
+// first, then those dedicated to one purpose.
 func (p *Plan) Orders() []Order {
 	var orders []Order
 	for _, k := range inPriceOrder(p, p.requested) {
@@ -185,17 +188,18 @@
 	return append(orders, p.dedicated...)
 }
 
-// fill packs tasks into the slots and returns how many are left without.
-func (p *Plan) fill(w *Work, tasks int) (left int) {
+// fill packs tasks into the slots and returns the number of tasks that do not fit.
+func (p *Plan) fill(w *Work, tasks int) (unplaced int) {
 	for i := 0; i < len(p.slots) && tasks > 0; i++ {
 		tasks -= p.fillSlot(i, w, tasks)
 	}
 	return tasks
 }
 
-// fillSlot packs up to so many tasks into a slot and returns how many it took. Whole
-// machines are filled first, then part of one more; both become slots of their own.
-func (p *Plan) fillSlot(i int, w *Work, tasks int) (taken int) {
+// fillSlot packs up to the given number of tasks into a slot and returns the number that it
+// has packed. It fills whole machines first, and then one more in part. The full machines
+// and the partially filled one become separate slots.
+func (p *Plan) fillSlot(i int, w *Work, tasks int) (placed int) {
 	s := &p.slots[i]
 	if s.Machines == 0 || !w.canUse(s) {
 		return 0
@@ -205,26 +209,27 @@
 		return 0
 	}
 	full := min(s.Machines, tasks/perMachine)
-	part := 0
+	partial := 0
 	if full < s.Machines {
-		part = min(tasks-full*perMachine, perMachine)
+		partial = min(tasks-full*perMachine, perMachine)
 	}
 	before := *s
 	s.Machines -= full
-	if part > 0 {
+	if partial > 0 {
 		s.Machines--
 	}
 	if full > 0 {
 		p.slots = append(p.slots, before.withTasks(w, perMachine, full))
 	}
-	if part > 0 {
-		p.slots = append(p.slots, before.withTasks(w, part, 1))
+	if partial > 0 {
+		p.slots = append(p.slots, before.withTasks(w, partial, 1))
 	}
-	return full*perMachine + part
+	return full*perMachine + partial
 }
 
-// bestZone is the zone that lacks least to run so many tasks, of those that lack
-// nothing or have machines on offer.
+// bestZone returns the zone whose slots fit the most of the given number of tasks. A zone
+// whose slots do not fit all of them qualifies only if machines are offered there. Of equal
+// zones the first by name is returned, and an empty name if no zone qualifies.
 func (p *Plan) bestZone(w *Work, tasks int) protocol.Zone {
 	fits, offered := map[protocol.Zone]int{}, map[protocol.Zone]bool{}
 	for i := range p.slots {
@@ -248,26 +253,26 @@
 	return best
 }
 
-// request notes machines to be requested, and returns how many of them the plan may
-// count on: no more of a kind at a time than one request, whose answer tells whether
-// there are more.
-func (p *Plan) request(k Kind, count int) int {
-	count = max(0, min(count, MaxPerRequest-p.requested[k]-p.underWay[k]))
+// addRequest adds machines to the plan's requests and returns the number added, on which the
+// plan may count. Of each kind no more than MaxPerRequest machines are in unanswered
+// requests at a time: the answer shows whether the cloud has more.
+func (p *Plan) addRequest(k Kind, count int) int {
+	count = max(0, min(count, MaxPerRequest-p.requested[k]-p.alreadyRequested[k]))
 	if count > 0 {
 		p.requested[k] += count
 	}
 	return count
 }
 
-// tasksPerMachine is how many tasks fit on an empty machine of a kind.
+// tasksPerMachine returns how many of the tasks fit on an empty machine of a kind.
 func (p *Plan) tasksPerMachine(k Kind, w *Work) int {
 	return resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
 }
 
-// machinesFor is how many machines so many tasks need.
-func machinesFor(tasks, perMachine int) int { return (tasks + perMachine - 1) / perMachine }
+// machinesNeeded returns the number of machines that the tasks need.
+func machinesNeeded(tasks, perMachine int) int { return (tasks + perMachine - 1) / perMachine }
 
-// inPriceOrder lists kinds in one order, the cheapest first.
+// inPriceOrder lists kinds by price per processor, then by type and zone.
 func inPriceOrder[V any](p *Plan, kinds map[Kind]V) []Kind {
 	return slices.SortedFunc(maps.Keys(kinds), func(a, b Kind) int {
 		return cmp.Or(
@@ -277,7 +282,7 @@
 	})
 }
 
-// Price is that of a machine of a type, for a processor and an hour.
+// Price returns the price of a machine of a type per processor and hour.
 func Price(t protocol.TypeInfo, spot bool) float64 {
 	if spot {
 		return t.SpotPrice / math.Max(t.CPUs, 1)
--- a/internal/controller/binpack/pools.go
+++ b/internal/controller/binpack/pools.go
@@ -7,72 +7,74 @@
 	"damsonkeel/internal/protocol"
 )
 
-// negligibleTasks is so little work that no machine is requested for it.
+// negligibleTasks is the number of tasks below which no machine is requested for them.
 const negligibleTasks = 0.5
 
-// pool is the machines of one kind, as far as they work off what need not
-// start at once.
+// pool combines the capacity of the machines of one kind for tasks that need not start at
+// once.
 type pool struct {
-	info           protocol.TypeInfo
-	capacity       resource.Amount // of all machines together
-	backlogSeconds float64         // processor seconds that they have to work off before
+	info              protocol.TypeInfo
+	capacity          resource.Amount // of all machines together
+	backlogCPUSeconds float64         // processor seconds of preceding work and of waiting for machines to be ready
 }
 
-// PoolCapacity pools what the slots have left for work of a rank or below that runs
-// for so long, and what of it runs already: half of its time, on average, is
-// still to come.
-func (p *Plan) PoolCapacity(rank int, runS float64) {
+// PoolCapacity adds to the pools the capacity that the slots have for work of a priority
+// rank or below, and the remaining time of such work that is running. A running task has, on
+// average, half of the given run time still to run.
+func (p *Plan) PoolCapacity(rank int, taskRunS float64) {
 	for _, s := range p.slots {
 		pooled := p.pool(s.Kind)
-		left, machines := resource.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.Machines)
-		if left.CPUs <= resource.Slack || s.Machines == 0 {
+		available, machines := resource.Capacity(s.Info).Minus(s.Held.Above(rank)), float64(s.Machines)
+		if available.CPUs <= resource.Slack || s.Machines == 0 {
 			continue
 		}
-		pooled.capacity = pooled.capacity.Plus(left.Times(machines))
-		pooled.backlogSeconds += machines * left.CPUs * s.ReadyInSeconds
+		pooled.capacity = pooled.capacity.Plus(available.Times(machines))
+		pooled.backlogCPUSeconds += machines * available.CPUs * s.ReadyInSeconds
 		if s.ReadyInSeconds == 0 {
-			busy := math.Max(0, left.CPUs-math.Max(0, s.Free.CPUs))
-			pooled.backlogSeconds += machines * busy * runS / 2
+			busy := math.Max(0, available.CPUs-math.Max(0, s.Free.CPUs))
+			pooled.backlogCPUSeconds += machines * busy * taskRunS / 2
 		}
 	}
 }
 
-// ReserveBefore has the pools begin tasks in the time that is left, in seconds, and
-// requests machines for those that they can't.
-func (p *Plan) ReserveBefore(w Work, tasks int, leftS float64) {
+// ReserveBefore assigns tasks that have to start within a time, in seconds, to the pools,
+// and requests machines for the tasks that the pools can't start in time.
+func (p *Plan) ReserveBefore(w Work, tasks int, startWithinS float64) {
 	remaining := float64(tasks)
 	if len(w.Offers) > 0 {
-		// A machine requested now brings nothing for what begins before it is up.
-		leftS = math.Max(leftS, p.readySeconds(w.Offers[0], &w))
+		// A machine requested now can't start any task before it is ready, so the plan
+		// doesn't aim for an earlier start.
+		startWithinS = math.Max(startWithinS, p.readySeconds(w.Offers[0], &w))
 	}
 	for _, k := range inPriceOrder(p, p.pools) {
 		pooled := p.pools[k]
 		if !w.Allows(pooled.info, k.Zone, k.Spot) {
 			continue
 		}
-		remaining -= pooled.take(remaining, w.Need, w.EstimateSeconds, leftS)
+		remaining -= pooled.assign(remaining, w.Need, w.EstimateSeconds, startWithinS)
 	}
 	for _, k := range w.Offers {
 		if remaining < negligibleTasks {
 			return
 		}
 		readySeconds := p.readySeconds(k, &w)
-		rounds := math.Max(0, leftS-readySeconds)/w.EstimateSeconds + 1
+		rounds := math.Max(0, startWithinS-readySeconds)/w.EstimateSeconds + 1
 		perMachine := float64(p.tasksPerMachine(k, &w)) * rounds
-		count := p.request(k, int(math.Ceil(remaining/perMachine)))
+		count := p.addRequest(k, int(math.Ceil(remaining/perMachine)))
 		pooled := p.pool(k)
 		pooled.addMachines(count, readySeconds)
-		remaining -= pooled.take(remaining, w.Need, w.EstimateSeconds, leftS)
+		remaining -= pooled.assign(remaining, w.Need, w.EstimateSeconds, startWithinS)
 	}
 }
 
-// readySeconds is how long a machine requested now takes until it runs a task.
+// readySeconds returns how long a machine of a kind that is requested now takes to boot and
+// to fetch the image of the tasks, in seconds.
 func (p *Plan) readySeconds(k Kind, w *Work) float64 {
 	info := p.types[k.Type]
 	return info.BootS + w.FetchSeconds(info)
 }
 
-// pool is that of a kind; it is made if there is none.
+// pool returns the pool of a kind. It creates the pool if there is none.
 func (p *Plan) pool(k Kind) *pool {
 	pooled := p.pools[k]
 	if pooled == nil {
@@ -82,25 +84,25 @@
 	return pooled
 }
 
-// addMachines adds machines that run tasks after so many seconds.
-func (l *pool) addMachines(count int, readySeconds float64) {
+// addMachines adds machines that are ready to run tasks after a time.
+func (pl *pool) addMachines(count int, readySeconds float64) {
 	for range count {
-		l.capacity = l.capacity.Plus(resource.Capacity(l.info))
+		pl.capacity = pl.capacity.Plus(resource.Capacity(pl.info))
 	}
-	l.backlogSeconds += float64(count) * l.info.CPUs * readySeconds
+	pl.backlogCPUSeconds += float64(count) * pl.info.CPUs * readySeconds
 }
 
-// take has a pool do as many of some tasks as it can begin in the time that is left, and
-// returns that number.
-func (l *pool) take(tasks float64, size resource.Amount, estimateS, leftS float64) float64 {
-	places := l.capacity.FractionalFit(size)
-	if places < 1 {
+// assign assigns to the pool as many of the tasks as it can start within a time, in seconds,
+// and returns their number.
+func (pl *pool) assign(tasks float64, need resource.Amount, estimateS, startWithinS float64) float64 {
+	parallelTasks := pl.capacity.FractionalFit(need)
+	if parallelTasks < 1 {
 		return 0
 	}
-	backlog := l.backlogSeconds / math.Max(l.capacity.CPUs, resource.Slack)
-	possible := math.Max(0, leftS+estimateS-backlog) / estimateS * places
-	taken := math.Min(tasks, possible)
-	// A task without processors takes its part of the machines, too.
-	l.backlogSeconds += taken * estimateS * l.capacity.CPUs / places
-	return taken
+	delayS := pl.backlogCPUSeconds / math.Max(pl.capacity.CPUs, resource.Slack)
+	startable := math.Max(0, startWithinS+estimateS-delayS) / estimateS * parallelTasks
+	assigned := math.Min(tasks, startable)
+	// A task without processors also uses a share of the machines.
+	pl.backlogCPUSeconds += assigned * estimateS * pl.capacity.CPUs / parallelTasks
+	return assigned
 }
