--- a/internal/controller/forecast/arrivals.go
+++ b/internal/controller/forecast/arrivals.go
@@ -9,61 +9,64 @@
 )
 
 const (
-	// maxArrivals bounds the arrivals of a class that are remembered.
+	// maxArrivals is the maximum number of arrivals of a class that are kept.
 	maxArrivals = 512
-	// simultaneous is how soon after another a job has to arrive to count as one arrival
-	// with it: no headroom is enough for jobs that arrive at once.
-	simultaneous = 250 * time.Millisecond
-	// windowBoots is for how many boots' time arrivals count: a rate can't be estimated
-	// from a time much shorter than several boots, and older arrivals say little.
+	// simultaneousWithin is the time after an arrival within which further jobs count as
+	// part of it: no headroom suffices for jobs that arrive at once.
+	simultaneousWithin = 250 * time.Millisecond
+	// windowBoots is the length, in boot times, of the window whose arrivals are counted. A
+	// rate can't be estimated from a time much shorter than several boot times, and older
+	// arrivals say little about the current rate.
 	windowBoots = 8
-	// KnownBoots is for how many boots' time arrivals have to be observed until they say
-	// what is likely to come.
+	// KnownBoots is the time, in boot times, for which arrivals have to be observed before
+	// a forecast from them is meaningful.
 	KnownBoots = 5
-	// unlikelySilence is a silence, in mean gaps between arrivals, that chance brings
-	// about once in twenty times.
-	unlikelySilence = 3
-	// sameSize is the relative variance up to which sizes count as equal.
-	sameSize = 1e-6
-	// halvings is how many times Beyond halves the time that it looks at.
-	halvings = 8
-	// maxPoisson bounds the quantiles of Poisson variables.
-	maxPoisson = 100
+	// unlikelySilenceGaps is the length, in mean gaps between arrivals, of a silence that
+	// occurs by chance with a probability of one in twenty.
+	unlikelySilenceGaps = 3
+	// equalSizeVariance is the relative variance below which sizes count as equal.
+	equalSizeVariance = 1e-6
+	// windowHalvings is the number of times, each half as long as the one before, for which
+	// Beyond calculates the excess.
+	windowHalvings = 8
+	// maxPoissonQuantile is the maximum of the calculated quantiles of Poisson variables.
+	maxPoissonQuantile = 100
 )
 
-// Arrival is one or more jobs that arrived at once.
+// Arrival is the arrival of a job. It also stands for the jobs that arrive simultaneously with
+// the job, whose tasks and work it does not include.
 type Arrival struct {
 	At    clock.Time
 	Tasks float64
-	Work  float64 // of all its tasks, in processor seconds
+	Work  float64 // work of all tasks, in processor seconds
 }
 
-// Arrivals are the latest arrivals of one class of jobs, in order of time.
+// Arrivals is a list of the latest arrivals of one class of jobs, in order of time.
 type Arrivals []Arrival
 
-// Note adds an arrival, unless it is simultaneous with the last.
-func (as *Arrivals) Note(a Arrival) {
-	if n := len(*as); n > 0 && a.At.Since((*as)[n-1].At) < simultaneous {
+// Note adds an arrival unless it is simultaneous with the last arrival that was added.
+func (as *Arrivals) Note(arrival Arrival) {
+	if n := len(*as); n > 0 && arrival.At.Since((*as)[n-1].At) < simultaneousWithin {
 		return
 	}
-	*as = append(*as, a)
+	*as = append(*as, arrival)
 	if len(*as) > maxArrivals {
 		*as = (*as)[1:]
 	}
 }
 
-// Arriving is how often jobs of a class arrive, and how large they are.
+// Arriving describes how often jobs of a class are expected to arrive and how large they are.
 type Arriving struct {
-	rate        float64 // arrivals a second
-	meanSize    float64
-	meanSquare  float64 // of the sizes
-	probability float64 // with which there should be resources for what arrives
-	largest     float64 // size that arrivals do not exceed with this probability
+	rate         float64 // arrivals per second
+	meanSize     float64
+	meanSquare   float64 // mean of the squared sizes
+	probability  float64 // probability with which there should be resources for the arrivals
+	sizeQuantile float64 // size that an arrival does not exceed with this probability
 }
 
-// Coming estimates from the arrivals until now how jobs arrive, by a measure of their size.
-// What is derived from it should be enough for a share of them; bootS is how long a machine
-// takes to be ready for them, in seconds.
+// Coming estimates from the arrivals until now how jobs arrive. Resources that are planned by
+// the result should suffice for the given share of the jobs. bootS is how long a machine takes
+// to be ready for them, in seconds, and size measures an arrival.
 func (as Arrivals) Coming(now clock.Time, bootS, share float64, size func(Arrival) float64) Arriving {
 	if math.IsInf(bootS, 1) {
 		return Arriving{}
@@ -71,7 +74,7 @@
 	window := windowBoots * bootS
 	sizes, first := as.sizesWithin(now, window, size)
 	if len(sizes) == 0 {
-		return Arriving{} // they have stopped arriving
+		return Arriving{} // jobs have stopped arriving
 	}
 	count := float64(len(sizes))
 	if as[0].At < first {
@@ -83,20 +86,21 @@
 		sum += s
 		squares += s * s
 	}
-	// There should be resources for half of the arrivals that the objective allows to miss.
+	// Resources should also suffice for half of the arrivals that the objective allows to
+	// miss.
 	probability := (1 + share) / 2
 	slices.Sort(sizes)
 	return Arriving{
-		rate:        as.slowedBySilence(now, count/span),
-		meanSize:    sum / count,
-		meanSquare:  squares / count,
-		probability: probability,
-		largest:     sizes[min(len(sizes)-1, int(probability*count))],
+		rate:         as.rateAfterSilence(now, count/span),
+		meanSize:     sum / count,
+		meanSquare:   squares / count,
+		probability:  probability,
+		sizeQuantile: sizes[min(len(sizes)-1, int(probability*count))],
 	}
 }
 
-// sizesWithin returns the sizes of the arrivals within some seconds until now, and the time
-// of the first of them.
+// sizesWithin returns the sizes of the arrivals in a window, in seconds, that ends now, and
+// the time of the first of them.
 func (as Arrivals) sizesWithin(now clock.Time, window float64, size func(Arrival) float64) (sizes []float64, first clock.Time) {
 	first = now
 	for _, a := range as {
@@ -108,53 +112,55 @@
 	return sizes, first
 }
 
-// slowedBySilence returns a lower rate after a silence that the rate makes unlikely: jobs
-// arrive less often now, or have stopped arriving.
-func (as Arrivals) slowedBySilence(now clock.Time, rate float64) float64 {
+// rateAfterSilence returns the rate, lowered if the time since the last arrival is unlikely at
+// this rate: jobs then arrive less often than before, or have stopped arriving.
+func (as Arrivals) rateAfterSilence(now clock.Time, rate float64) float64 {
 	silence := now.Since(as[len(as)-1].At).Seconds()
-	if rate*silence > unlikelySilence {
-		rate *= math.Exp(unlikelySilence - rate*silence)
+	if rate*silence > unlikelySilenceGaps {
+		rate *= math.Exp(unlikelySilenceGaps - rate*silence)
 	}
 	return rate
 }
 
-// Mean returns the size that arrives a second on average.
+// Mean returns the mean size that arrives per second.
 func (a Arriving) Mean() float64 { return a.rate * a.meanSize }
 
-// Within returns the size that, with the probability wanted, is not exceeded by what
-// arrives in a time: a quantile of a compound Poisson distribution with the sizes observed.
+// Within returns the total size that the arrivals in a time, in seconds, do not exceed with
+// the required probability. It is a quantile of a compound Poisson distribution with the
+// observed sizes.
 func (a Arriving) Within(seconds float64) float64 {
 	if a.rate == 0 {
 		return 0
 	}
-	arrivals := a.rate * seconds
-	if a.meanSquare-a.meanSize*a.meanSize < sameSize*a.meanSize*a.meanSize {
-		return float64(poissonQuantile(arrivals, a.probability)) * a.meanSize
+	expectedArrivals := a.rate * seconds
+	if a.meanSquare-a.meanSize*a.meanSize < equalSizeVariance*a.meanSize*a.meanSize {
+		return float64(poissonQuantile(expectedArrivals, a.probability)) * a.meanSize
 	}
-	return arrivals*a.meanSize + math.Sqrt2*math.Erfinv(2*a.probability-1)*math.Sqrt(arrivals*a.meanSquare)
+	return expectedArrivals*a.meanSize + math.Sqrt2*math.Erfinv(2*a.probability-1)*math.Sqrt(expectedArrivals*a.meanSquare)
 }
 
-// Beyond returns by how much, at any time within some seconds, what has arrived is likely to
-// exceed the resources that become free by themselves, at a rate.
-func (a Arriving) Beyond(seconds, rate float64) float64 {
-	most := 0.0
-	if rate > 0 && a.rate*seconds > 1-a.probability {
-		most = a.largest // it arrives at once
+// Beyond returns the largest amount by which, at any time within the given seconds, the total
+// size of the arrivals is likely to exceed the resources that have become free meanwhile at
+// freeingRate per second.
+func (a Arriving) Beyond(seconds, freeingRate float64) float64 {
+	excess := 0.0
+	if freeingRate > 0 && a.rate*seconds > 1-a.probability {
+		excess = a.sizeQuantile // a single arrival, before any resources become free
 	}
-	for range halvings {
-		most = math.Max(most, a.Within(seconds)-rate*seconds)
+	for range windowHalvings {
+		excess = math.Max(excess, a.Within(seconds)-freeingRate*seconds)
 		seconds /= 2
 	}
-	return most
+	return excess
 }
 
-// poissonQuantile returns the smallest number that a Poisson variable of a mean does not
-// exceed with a probability.
+// poissonQuantile returns the smallest number that a Poisson variable of the given mean does
+// not exceed with at least the given probability, or maxPoissonQuantile if that is smaller.
 func poissonQuantile(mean, probability float64) int {
 	p := math.Exp(-mean)
 	sum := p
 	k := 0
-	for sum < probability && k < maxPoisson {
+	for sum < probability && k < maxPoissonQuantile {
 		k++
 		p *= mean / float64(k)
 		sum += p
--- a/internal/controller/forecast/arrivals_test.go
+++ b/internal/controller/forecast/arrivals_test.go
@@ -7,8 +7,8 @@
 	"damsonkeel/internal/controller/clock"
 )
 
-// TestPoissonQuantile: quantiles are those of tables of the Poisson distribution.
-func TestPoissonQuantile(t *testing.T) {
+// TestPoissonQuantileMatchesTables compares quantiles with tables of the Poisson distribution.
+func TestPoissonQuantileMatchesTables(t *testing.T) {
 	for _, tc := range []struct {
 		mean, probability float64
 		want              int
@@ -24,9 +24,10 @@
 	}
 }
 
-// TestWithin: what is expected to arrive grows with how often jobs arrive and how different
-// their sizes are, is at least what arrives on average, and falls after a long silence.
-func TestWithin(t *testing.T) {
+// TestWithinGrowsWithRateAndVarianceAndFallsAfterSilence: the forecast size grows with the
+// rate of arrivals and the variance of their sizes, is at least the size that arrives on
+// average, and falls after a long silence.
+func TestWithinGrowsWithRateAndVarianceAndFallsAfterSilence(t *testing.T) {
 	now := clock.Time(time.Hour)
 	within := func(as Arrivals) float64 {
 		return as.Coming(now, 8, 0.8, func(a Arrival) float64 { return a.Tasks }).Within(8)
@@ -40,12 +41,12 @@
 	even := within(arrivals(0, 10, 10, 10, 10, 10, 10, 10, 10, 10, 10))
 	uneven := within(arrivals(0, 1, 19, 1, 19, 1, 19, 1, 19, 1, 19))
 	if even < 20 || uneven <= even {
-		t.Errorf("%v of even sizes, %v of uneven ones; 20 arrive in 8 s on average", even, uneven)
+		t.Errorf("forecast %v for equal sizes, %v for different ones, want at least 20, the mean in 8 s, and more for different ones", even, uneven)
 	}
 	if few := within(arrivals(0, 10, 10, 10)); few >= even {
-		t.Errorf("%v of three, %v of ten", few, even)
+		t.Errorf("forecast %v after three arrivals, %v after ten, want less after three", few, even)
 	}
 	if after := within(arrivals(16, 10, 10, 10, 10, 10, 10, 10, 10, 10, 10)); after >= even {
-		t.Errorf("%v after a long silence, %v before", after, even)
+		t.Errorf("forecast %v after a long silence, %v without, want less after the silence", after, even)
 	}
 }
--- a/internal/controller/forecast/boots.go
+++ b/internal/controller/forecast/boots.go
@@ -3,23 +3,25 @@
 import "time"
 
 const (
-	// usualBootFactor is how many times as long as in the catalogue a boot takes at the
-	// most, as a rule, and maxBootFactor bounds what is estimated.
-	usualBootFactor = 1.5
-	maxBootFactor   = 3.0
+	// minBootFactor is the multiple of the catalogue's boot time within which machines
+	// usually boot. It is the factor while too few boots have been observed, and the
+	// minimum of the estimated factor; maxBootFactor is the maximum.
+	minBootFactor = 1.5
+	maxBootFactor = 3.0
 )
 
-// Boots is how long machines take to boot compared to the catalogue. The zero value has
-// observed none.
+// Boots is a sample of how long machines take to boot compared to the catalogue. The zero
+// value is an empty sample.
 type Boots struct{ errors Errors }
 
-// Note adds a machine that has booted.
-func (b *Boots) Note(took time.Duration, bootS float64) { b.errors.Note(took, bootS) }
+// Note adds the boot time of a machine whose boot time in the catalogue is bootS seconds.
+func (b *Boots) Note(bootTime time.Duration, bootS float64) { b.errors.Note(bootTime, bootS) }
 
-// Likely returns after how many seconds most machines of a type have booted.
+// Likely returns the number of seconds within which most machines of a type boot, given the
+// type's boot time in the catalogue.
 func (b *Boots) Likely(bootS float64) float64 {
-	factor := usualBootFactor
-	if b.errors.known() {
+	factor := minBootFactor
+	if b.errors.hasEnough() {
 		factor = min(max(factor, b.errors.Factor()), maxBootFactor)
 	}
 	return factor * bootS
--- a/internal/controller/forecast/errors.go
+++ b/internal/controller/forecast/errors.go
@@ -7,41 +7,43 @@
 )
 
 const (
-	// maxErrors bounds the tasks that are remembered, and minErrors is how many say more
-	// than that estimates are often wrong by half, and sometimes by more.
+	// maxErrors is the maximum size of the sample. minErrors is the sample size from which
+	// on a factor is calculated: a smaller sample says no more than that estimates are
+	// often wrong by half, and sometimes by more.
 	maxErrors = 200
 	minErrors = 20
-	// errorQuantile of the tasks run no longer than the factor says.
+	// errorQuantile is the share of tasks that run no longer than their estimate times
+	// the factor.
 	errorQuantile = 0.98
-	// usualErrorFactor stands in while too few tasks were observed, and maxErrorFactor
-	// bounds what is estimated.
-	usualErrorFactor = 3.0
-	maxErrorFactor   = 5.0
+	// defaultErrorFactor is the factor while too few tasks have been observed, and
+	// maxErrorFactor is the maximum of the calculated factor.
+	defaultErrorFactor = 3.0
+	maxErrorFactor     = 5.0
 )
 
-// Errors is by how much the run time estimates of a class of tasks are wrong.
+// Errors is a sample of the errors of the run time estimates of a class of tasks.
 type Errors struct {
-	ratios []float64 // run time by estimate, the latest last
-	factor float64   // as last calculated; 0: to be calculated again
+	ratios []float64 // run time divided by the estimate, the latest last
+	factor float64   // 0 if it has to be calculated again
 }
 
-// Note adds a task that ran to its end.
-func (e *Errors) Note(ran time.Duration, estimateS float64) {
+// Note adds a task that ran to its end. A task without an estimate is ignored.
+func (e *Errors) Note(runTime time.Duration, estimateS float64) {
 	if estimateS <= 0 {
 		return
 	}
-	e.ratios = append(e.ratios[max(0, len(e.ratios)-maxErrors+1):], ran.Seconds()/estimateS)
+	e.ratios = append(e.ratios[max(0, len(e.ratios)-maxErrors+1):], runTime.Seconds()/estimateS)
 	e.factor = 0
 }
 
-// known reports whether enough tasks were observed.
-func (e *Errors) known() bool { return len(e.ratios) >= minErrors }
+// hasEnough reports whether enough tasks have been observed to calculate a factor.
+func (e *Errors) hasEnough() bool { return len(e.ratios) >= minErrors }
 
-// Factor returns by what estimates are to be multiplied so that tasks are very likely to
-// have ended by then; 1 at least. A nil Errors has observed none.
+// Factor returns the factor, at least 1, for which tasks are very likely to end within their
+// estimate times the factor. A nil Errors is an empty sample.
 func (e *Errors) Factor() float64 {
-	if e == nil || !e.known() {
-		return usualErrorFactor
+	if e == nil || !e.hasEnough() {
+		return defaultErrorFactor
 	}
 	if e.factor == 0 {
 		sorted := slices.Sorted(slices.Values(e.ratios))
--- a/internal/controller/forecast/spot.go
+++ b/internal/controller/forecast/spot.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	// priorUptimeS makes the rate assumed before anything was observed: one reclaim in so
-	// many machine seconds.
+	// priorUptimeS sets the rate that is assumed before anything has been observed: one
+	// preemption in this number of machine seconds.
 	priorUptimeS = 7200
-	// SpotMemory is after how long an observation counts half.
+	// SpotMemory is the time after which the weight of an observation has halved.
 	SpotMemory = 10 * time.Minute
 )
 
-// Spot is how often spot machines were reclaimed lately. The zero value has observed none.
+// Spot is a record of how often spot machines have recently been preempted. The zero value has
+// no observations.
 type Spot struct {
-	reclaimed float64 // machines, weighted by age
+	preempted float64 // number of preempted machines, weighted by age
 	uptimeS   float64 // machine seconds, weighted by age
 }
 
-// NoteUptime adds the uptime of some spot machines.
+// NoteUptime adds an uptime during which the given number of spot machines ran.
 func (s *Spot) NoteUptime(machines int, uptime time.Duration) {
 	decay := math.Exp2(-uptime.Seconds() / SpotMemory.Seconds())
-	s.reclaimed *= decay
+	s.preempted *= decay
 	s.uptimeS = s.uptimeS*decay + float64(machines)*uptime.Seconds()
 }
 
-// NoteReclaimed adds a machine that was reclaimed.
-func (s *Spot) NoteReclaimed() { s.reclaimed++ }
+// NoteReclaimed adds a machine that was preempted.
+func (s *Spot) NoteReclaimed() { s.preempted++ }
 
-// Reclaimed returns how many were reclaimed lately.
-func (s *Spot) Reclaimed() float64 { return s.reclaimed }
+// Reclaimed returns the number of preempted machines, weighted by age.
+func (s *Spot) Reclaimed() float64 { return s.preempted }
 
-// Rate returns how many times a second a spot machine is reclaimed.
-func (s *Spot) Rate() float64 { return (s.reclaimed + 1) / (s.uptimeS + priorUptimeS) }
+// Rate returns the expected number of preemptions per second of a spot machine.
+func (s *Spot) Rate() float64 { return (s.preempted + 1) / (s.uptimeS + priorUptimeS) }
