--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -143,7 +143,7 @@
 
 // planExpectedWork plans machines for the work that is likely to arrive, in classes without a
 // start objective, while a machine boots. This work has to start within the boot time:
-// otherwise each burst would wait for machines that only the burst before it needed.
+// otherwise each burst would wait for the machines that the previous burst needed.
 func (a *Autoscaler) planExpectedWork(plan *binpack.Plan) {
 	for _, class := range ordered.Of(a.workload.Classes) {
 		if work := a.workload.ExpectedWork(class); work > 0 {
