--- a/internal/controller/autoscaler/autoscaler.go
+++ b/internal/controller/autoscaler/autoscaler.go
@@ -20,8 +20,8 @@
 
 // These intervals follow from the boot time of machines and the lag of the cloud's list.
 const (
-	// PlanEvery is the interval between two plans.
-	PlanEvery = 2 * time.Second
+	// PlanInterval is the interval between two plans.
+	PlanInterval = 2 * time.Second
 	// SettleTime is how long a view has to be in force before its autoscaler makes plans.
 	SettleTime = 4 * time.Second
 	// listInterval is the interval between two requests for the cloud's list of machines.
@@ -52,7 +52,7 @@
 	listRequestEndedAt  clock.Time // when the last request for the list ended, whether or not it succeeded
 	listReceivedAt      clock.Time // when the last list was received
 	listRequestInFlight bool       // a request for the list has no answer yet
-	HaveList            bool       // a list has been received in this session
+	ListReceived        bool       // a list has been received in this session
 	// unregisteredSince holds, for each listed machine without a registration, since when
 	// its worker could have registered it.
 	unregisteredSince      map[protocol.MachineID]clock.Time
@@ -92,9 +92,9 @@
 	}
 }
 
-// ViewAdopted records when the current view was adopted: the autoscaler of a view makes its
+// RecordViewAdoption records when the current view was adopted: the autoscaler of a view makes its
 // first plan SettleTime later.
-func (a *Autoscaler) ViewAdopted(now clock.Time) { a.viewAdoptedAt = now }
+func (a *Autoscaler) RecordViewAdoption(now clock.Time) { a.viewAdoptedAt = now }
 
 // Step scales the cluster out and in if this controller is the autoscaler.
 func (a *Autoscaler) Step() {
@@ -103,7 +103,7 @@
 	}
 	a.requestList()
 	a.retryProvisionCalls()
-	if !a.mayPlan() || a.Since(a.plannedAt) < PlanEvery {
+	if !a.mayPlan() || a.Since(a.plannedAt) < PlanInterval {
 		return
 	}
 	a.plannedAt = a.Now
@@ -122,13 +122,13 @@
 // mayPlan reports whether this controller is the autoscaler and may make plans: it has
 // received a list of machines, and the view has been in force for SettleTime.
 func (a *Autoscaler) mayPlan() bool {
-	return a.isElected() && a.HaveList && a.Since(a.viewAdoptedAt) >= SettleTime
+	return a.isElected() && a.ListReceived && a.Since(a.viewAdoptedAt) >= SettleTime
 }
 
 // requestList requests the cloud's list of machines if none has been received yet or if
 // the last request ended more than listInterval ago.
 func (a *Autoscaler) requestList() {
-	if a.listRequestInFlight || a.HaveList && a.Since(a.listRequestEndedAt) <= listInterval {
+	if a.listRequestInFlight || a.ListReceived && a.Since(a.listRequestEndedAt) <= listInterval {
 		return
 	}
 	a.listRequestInFlight = true
@@ -139,14 +139,14 @@
 // It is remembered for as long as the cloud lists it.
 const terminatedRetention = 5 * time.Minute
 
-// MachinesListed handles the result of a request for the cloud's list of machines.
-func (a *Autoscaler) MachinesListed(m message.MachinesListed) {
+// HandleMachinesListed handles the result of a request for the cloud's list of machines.
+func (a *Autoscaler) HandleMachinesListed(m message.MachinesListed) {
 	a.listRequestInFlight = false
 	a.listRequestEndedAt = a.Now
 	if !m.OK {
 		return
 	}
-	a.HaveList, a.listReceivedAt = true, a.Now
+	a.ListReceived, a.listReceivedAt = true, a.Now
 	clear(a.listed)
 	for _, l := range m.Machines {
 		a.listed[l.ID] = l
--- a/internal/controller/autoscaler/autoscaler_test.go
+++ b/internal/controller/autoscaler/autoscaler_test.go
@@ -60,7 +60,7 @@
 // can't forecast which work arrives, so it keeps an idle machine for as long as a
 // replacement takes to boot. The same holds if no work arrives at all.
 func TestIdleTimeoutIsBootTimeUntilArrivalsAreObserved(t *testing.T) {
-	observed := time.Duration(forecast.KnownBoots*smallType.BootS+1) * time.Second
+	observed := time.Duration(forecast.MinObservedBoots*smallType.BootS+1) * time.Second
 	for _, tc := range []struct {
 		name     string
 		session  time.Duration
--- a/internal/controller/autoscaler/offers.go
+++ b/internal/controller/autoscaler/offers.go
@@ -32,7 +32,7 @@
 
 // pricePerCPU is the price of a machine of a kind per processor and hour.
 func (a *Autoscaler) pricePerCPU(kind binpack.Kind) float64 {
-	return binpack.Price(a.Types[kind.Type], kind.Spot)
+	return binpack.PricePerCPU(a.Types[kind.Type], kind.Spot)
 }
 
 // offer is a kind of machine that may be provisioned for a job, with its price per task.
--- a/internal/controller/autoscaler/provision.go
+++ b/internal/controller/autoscaler/provision.go
@@ -90,10 +90,10 @@
 	}
 }
 
-// Provisioned handles the answer to a request to provision machines. A request with an
+// HandleProvisionDone handles the answer to a request to provision machines. A request with an
 // unknown outcome is repeated later under the same name. A kind of which the cloud has
 // fewer machines than requested is not requested until an exponential backoff has passed.
-func (a *Autoscaler) Provisioned(m message.ProvisionDone) {
+func (a *Autoscaler) HandleProvisionDone(m message.ProvisionDone) {
 	call := a.provisionCalls[m.Request.Name]
 	if call == nil {
 		return
--- a/internal/controller/autoscaler/reservationdemand.go
+++ b/internal/controller/autoscaler/reservationdemand.go
@@ -64,7 +64,7 @@
 	}
 	for id, m := range ordered.ByKey(p.autoscaler.booting) {
 		info := p.Types[m.Type]
-		remaining := config.Seconds(p.reservations.Boots.Likely(info.BootS)) - p.Since(m.provisionedAt)
+		remaining := config.Seconds(p.reservations.Boots.LikelySeconds(info.BootS)) - p.Since(m.provisionedAt)
 		if remaining < 0 || p.table.Machines[id] != nil {
 			continue // it is overdue and may never register, or it has registered
 		}
@@ -117,7 +117,7 @@
 			j.Zone = zone
 		}
 		work := p.autoscaler.workFor(j, resource.LevelOf(d.Spec.Priority, false), d.Spec.LengthS)
-		plan.Provision(work, unrequestedTasks, string(d.Spec.Name))
+		plan.ProvisionDedicated(work, unrequestedTasks, string(d.Spec.Name))
 	}
 }
 
--- a/internal/controller/autoscaler/reservationplanner.go
+++ b/internal/controller/autoscaler/reservationplanner.go
@@ -51,9 +51,9 @@
 // ReservationTag identifies a transaction that advances a reservation.
 type ReservationTag struct{ name reservation.Name }
 
-// Written handles the end of a transaction on a reservation, whatever its outcome: the next
+// WriteCompleted handles the end of a transaction on a reservation, whatever its outcome: the next
 // plan repeats a transaction that failed.
-func (p *ReservationPlanner) Written(tag ReservationTag) { delete(p.pendingWrites, tag.name) }
+func (p *ReservationPlanner) WriteCompleted(tag ReservationTag) { delete(p.pendingWrites, tag.name) }
 
 // Reset drops the state of the previous session.
 func (p *ReservationPlanner) Reset() {
--- a/internal/controller/autoscaler/scalein.go
+++ b/internal/controller/autoscaler/scalein.go
@@ -18,7 +18,7 @@
 const (
 	// shortIdleTimeout is the idle timeout while arrivals can be forecast. It is longer
 	// than the gap between two tasks on a machine that is in use.
-	shortIdleTimeout = 2 * PlanEvery
+	shortIdleTimeout = 2 * PlanInterval
 	// maxStateAge is the maximum age of a machine's state on which a decision to scale in
 	// may be based.
 	maxStateAge = 5 * time.Second
@@ -120,7 +120,7 @@
 // of any class.
 func (a *Autoscaler) idleTimeout(t protocol.TypeInfo, headroom float64) float64 {
 	timeout := math.Min(t.BootS, a.Operator.IdleTimeout.Seconds())
-	if !math.IsInf(headroom, 1) && a.Since(a.SessionStart).Seconds() > forecast.KnownBoots*t.BootS {
+	if !math.IsInf(headroom, 1) && a.Since(a.SessionStart).Seconds() > forecast.MinObservedBoots*t.BootS {
 		timeout = math.Min(timeout, shortIdleTimeout.Seconds())
 	}
 	return timeout
@@ -221,9 +221,9 @@
 	a.Emit(message.Terminate{Machines: ids})
 }
 
-// Terminated handles the cloud's answer to a termination. It deletes the records of the
+// HandleTerminateDone handles the cloud's answer to a termination. It deletes the records of the
 // terminated machines, from which every job owner concludes that the tasks there have ended.
-func (a *Autoscaler) Terminated(m message.TerminateDone) {
+func (a *Autoscaler) HandleTerminateDone(m message.TerminateDone) {
 	for _, id := range m.Machines {
 		delete(a.terminationRequestedAt, id)
 		if !m.OK {
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -50,14 +50,14 @@
 // window, booting or requested. It leaves out booting machines of kinds that recently failed
 // to register.
 func (a *Autoscaler) slots() []binpack.Slot {
-	var usable binpack.Slots
+	var usable binpack.SlotGroups
 	for _, m := range a.table.InOrder() {
 		if !a.table.Usable(m) || len(a.reservations.Windows) > 0 && a.InWindow(m.ID, m.Record.Type, m.Record.Zone, a.WallTime(), a.WallTime()) {
 			continue
 		}
-		alike := binpack.Alike{Kind: m.Kind(), Free: m.Unreserved(), Held: m.AnnouncedUses}
-		for rank := range alike.Held {
-			alike.Held[rank] = alike.Held[rank].Plus(m.PendingUses[rank])
+		alike := binpack.MachineProfile{Kind: m.Kind(), Free: m.Unreserved(), Used: m.AnnouncedUses}
+		for rank := range alike.Used {
+			alike.Used[rank] = alike.Used[rank].Plus(m.PendingUses[rank])
 		}
 		usable.Add(alike, m.Info)
 	}
@@ -134,10 +134,10 @@
 		runS += d.EstimateS * float64(d.Unstarted)
 		tasks += float64(d.Unstarted)
 	}
-	plan.PoolCapacity(topRank, runS/math.Max(tasks, 1))
+	plan.BuildPools(topRank, runS/math.Max(tasks, 1))
 	for _, d := range demands {
 		j := a.jobOfDemand(d)
-		plan.ReserveBefore(a.workFor(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, a.startSlackSeconds(j, d))
+		plan.ReserveWithin(a.workFor(j, resource.Level(d.Level), d.EstimateS), d.Unstarted, a.startSlackSeconds(j, d))
 	}
 }
 
@@ -149,7 +149,7 @@
 		if work := a.workload.ExpectedWork(class); work > 0 {
 			estimateS := a.Estimate(&class.Job)
 			n := int(work / (estimateS * math.Max(class.Job.CPUs, resource.Tolerance)))
-			plan.ReserveBefore(a.workFor(&clusterstate.LiveJob{Job: class.Job}, 0, estimateS), n, a.workload.BootSeconds(&class.Job))
+			plan.ReserveWithin(a.workFor(&clusterstate.LiveJob{Job: class.Job}, 0, estimateS), n, a.workload.BootSeconds(&class.Job))
 		}
 	}
 }
--- a/internal/controller/binpack/plan.go
+++ b/internal/controller/binpack/plan.go
@@ -20,11 +20,11 @@
 	Spot bool
 }
 
-// Alike is what the machines of a slot have in common.
-type Alike struct {
+// MachineProfile is what the machines of a slot have in common.
+type MachineProfile struct {
 	Kind
 	Free           resource.Amount // free resources of each, now or once it is ready
-	Held           resource.Uses   // used on each by running and queued attempts
+	Used           resource.Uses   // used on each by running and queued attempts
 	ReadyInSeconds float64         // time until they are ready; 0 if they are
 }
 
@@ -32,14 +32,14 @@
 // plan. A cluster has far fewer slots than machines, since the machines of a kind run the
 // same classes of tasks.
 type Slot struct {
-	Alike
+	MachineProfile
 	Info     protocol.TypeInfo
 	Machines int // number of machines
 }
 
 // NewSlot returns a slot of empty machines that have just been requested.
 func NewSlot(info protocol.TypeInfo, k Kind, count int) Slot {
-	return Slot{Alike: Alike{Kind: k, Free: resource.Capacity(info), ReadyInSeconds: info.BootS}, Info: info, Machines: count}
+	return Slot{MachineProfile: MachineProfile{Kind: k, Free: resource.Capacity(info), ReadyInSeconds: info.BootS}, Info: info, Machines: count}
 }
 
 // withTasks returns a slot of the given number of the slot's machines, each with the given
@@ -47,28 +47,28 @@
 func (s Slot) withTasks(w *Work, tasks, machines int) Slot {
 	for range tasks {
 		s.Free = s.Free.Minus(w.Need)
-		s.Held.Add(w.Level, w.Need)
+		s.Used.Add(w.Level, w.Need)
 	}
 	s.Machines = machines
 	return s
 }
 
-// Slots groups machines into slots.
-type Slots struct {
+// SlotGroups groups machines into slots.
+type SlotGroups struct {
 	List  []Slot
-	index map[Alike]int // index in List
+	index map[MachineProfile]int // index in List
 }
 
 // Add adds a machine to the slot of its profile.
-func (s *Slots) Add(profile Alike, info protocol.TypeInfo) {
+func (s *SlotGroups) Add(profile MachineProfile, info protocol.TypeInfo) {
 	if s.index == nil {
-		s.index = map[Alike]int{}
+		s.index = map[MachineProfile]int{}
 	}
 	i, ok := s.index[profile]
 	if !ok {
 		i = len(s.List)
 		s.index[profile] = i
-		s.List = append(s.List, Slot{Alike: profile, Info: info})
+		s.List = append(s.List, Slot{MachineProfile: profile, Info: info})
 	}
 	s.List[i].Machines++
 }
@@ -158,11 +158,11 @@
 	}
 }
 
-// Provision requests machines for tasks from the cheapest offered kinds, whether or not the
+// ProvisionDedicated requests machines for tasks from the cheapest offered kinds, whether or not the
 // tasks fit on existing machines. The requested machines are dedicated to the purpose. Of
 // each kind no more than MaxPerRequest machines are in unanswered requests at a time: the
 // answer shows whether the cloud has more.
-func (p *Plan) Provision(w Work, tasks int, purpose string) {
+func (p *Plan) ProvisionDedicated(w Work, tasks int, purpose string) {
 	for _, k := range w.Offers {
 		perMachine := p.tasksPerMachine(k, &w)
 		if tasks <= 0 || perMachine == 0 {
@@ -276,14 +276,14 @@
 func inPriceOrder[V any](p *Plan, kinds map[Kind]V) []Kind {
 	return slices.SortedFunc(maps.Keys(kinds), func(a, b Kind) int {
 		return cmp.Or(
-			cmp.Compare(Price(p.types[a.Type], a.Spot), Price(p.types[b.Type], b.Spot)),
+			cmp.Compare(PricePerCPU(p.types[a.Type], a.Spot), PricePerCPU(p.types[b.Type], b.Spot)),
 			cmp.Compare(a.Type, b.Type),
 			cmp.Compare(a.Zone, b.Zone))
 	})
 }
 
-// Price returns the price of a machine of a type per processor and hour.
-func Price(t protocol.TypeInfo, spot bool) float64 {
+// PricePerCPU returns the price of a machine of a type per processor and hour.
+func PricePerCPU(t protocol.TypeInfo, spot bool) float64 {
 	if spot {
 		return t.SpotPrice / math.Max(t.CPUs, 1)
 	}
--- a/internal/controller/binpack/pools.go
+++ b/internal/controller/binpack/pools.go
@@ -18,13 +18,13 @@
 	backlogCPUSeconds float64         // processor seconds of preceding work and of waiting for machines to be ready
 }
 
-// PoolCapacity adds to the pools the capacity that the slots have for work of a priority
+// BuildPools adds to the pools the capacity that the slots have for work of a priority
 // rank or below, and the remaining time of such work that is running. A running task has, on
 // average, half of the given run time still to run.
-func (p *Plan) PoolCapacity(rank int, taskRunS float64) {
+func (p *Plan) BuildPools(rank int, taskRunS float64) {
 	for _, s := range p.slots {
 		pooled := p.pool(s.Kind)
-		available, machines := resource.Capacity(s.Info).Minus(s.Held.AboveRank(rank)), float64(s.Machines)
+		available, machines := resource.Capacity(s.Info).Minus(s.Used.AboveRank(rank)), float64(s.Machines)
 		if available.CPUs <= resource.Tolerance || s.Machines == 0 {
 			continue
 		}
@@ -37,9 +37,9 @@
 	}
 }
 
-// ReserveBefore assigns tasks that have to start within a time, in seconds, to the pools,
+// ReserveWithin assigns tasks that have to start within a time, in seconds, to the pools,
 // and requests machines for the tasks that the pools can't start in time.
-func (p *Plan) ReserveBefore(w Work, tasks int, startWithinS float64) {
+func (p *Plan) ReserveWithin(w Work, tasks int, startWithinS float64) {
 	remaining := float64(tasks)
 	if len(w.Offers) > 0 {
 		// A machine requested now can't start any task before it is ready, so the plan
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -47,8 +47,8 @@
 	HoldsListed bool               // List was received in this session
 	Windows     []OpenWindow       // windows that are open now or soon
 
-	Errors map[string]*forecast.Errors // errors of run time estimates, by class
-	Boots  forecast.Boots              // errors of boot time estimates
+	Errors map[string]*forecast.EstimateErrors // errors of run time estimates, by class
+	Boots  forecast.BootTimes                  // errors of boot time estimates
 }
 
 // forNewSession returns the state for a new session. The observed errors of run time and
@@ -57,7 +57,7 @@
 	next := &Reservations{
 		Calendar: reservation.NewCalendar(),
 		Holds:    map[protocol.MachineID][]reservation.Hold{},
-		Errors:   map[string]*forecast.Errors{},
+		Errors:   map[string]*forecast.EstimateErrors{},
 	}
 	if r != nil {
 		next.Boots = r.Boots
@@ -100,7 +100,7 @@
 	// change with their availability.
 	for _, machineType := range s.Types {
 		if reservation.FitsMachineType(spec, machineType, spec.Zone) {
-			bootS = max(bootS, s.Reservations.Boots.Likely(machineType.BootS))
+			bootS = max(bootS, s.Reservations.Boots.LikelySeconds(machineType.BootS))
 		}
 	}
 	return config.Seconds(leadBoots*bootS) + LeadSlack
--- a/internal/controller/commits.go
+++ b/internal/controller/commits.go
@@ -19,7 +19,7 @@
 	case membership.ViewTag:
 		c.members.ViewWritten(m.Outcome)
 	case autoscaler.ReservationTag:
-		c.planner.Written(tag)
+		c.planner.WriteCompleted(tag)
 	case dispatcher.RegisterTag:
 		c.dispatcher.RegistrationDone(tag, m.Outcome)
 	case jobs.FinishTag:
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -141,11 +141,11 @@
 	case message.PeerLeads:
 		c.members.NoteHoldsLease(m.Peer)
 	case message.ProvisionDone:
-		c.autoscaler.Provisioned(m)
+		c.autoscaler.HandleProvisionDone(m)
 	case message.TerminateDone:
-		c.autoscaler.Terminated(m)
+		c.autoscaler.HandleTerminateDone(m)
 	case message.MachinesListed:
-		c.autoscaler.MachinesListed(m)
+		c.autoscaler.HandleMachinesListed(m)
 	}
 }
 
--- a/internal/controller/cost_test.go
+++ b/internal/controller/cost_test.go
@@ -206,7 +206,7 @@
 	for _, s := range []struct{ machines, tasks int }{{900, 10000}, {15000, 150000}} {
 		b.Run(fmt.Sprintf("%d machines, 300 jobs", s.machines), func(b *testing.B) {
 			f := newBusyFleet(b, s.machines, s.tasks)
-			f.c.autoscaler.HaveList = true
+			f.c.autoscaler.ListReceived = true
 			f.c.Settings.Site.Objectives = append(f.c.Settings.Site.Objectives, config.Objective{Kind: "wait", Class: "soon", WithinS: 10, Share: 0.9})
 			f.c.Configuration.Reset() // read anew
 			var demand []message.Demand
--- a/internal/controller/dispatcher/estimates.go
+++ b/internal/controller/dispatcher/estimates.go
@@ -23,7 +23,7 @@
 	}
 	classErrors := q.Reservations.Errors[job.Class]
 	if classErrors == nil {
-		classErrors = &forecast.Errors{}
+		classErrors = &forecast.EstimateErrors{}
 		q.Reservations.Errors[job.Class] = classErrors
 	}
 	classErrors.Note(q.Since(e.runningSince), e.estimate)
--- a/internal/controller/forecast/arrivals.go
+++ b/internal/controller/forecast/arrivals.go
@@ -18,9 +18,9 @@
 	// rate can't be estimated from a time much shorter than several boot times, and older
 	// arrivals say little about the current rate.
 	windowBoots = 8
-	// KnownBoots is the time, in boot times, for which arrivals have to be observed before
+	// MinObservedBoots is the time, in boot times, for which arrivals have to be observed before
 	// a forecast from them is meaningful.
-	KnownBoots = 5
+	MinObservedBoots = 5
 	// unlikelySilenceGaps is the length, in mean gaps between arrivals, of a silence that
 	// occurs by chance with a probability of one in twenty.
 	unlikelySilenceGaps = 3
@@ -55,8 +55,8 @@
 	}
 }
 
-// Arriving describes how often jobs of a class are expected to arrive and how large they are.
-type Arriving struct {
+// ArrivalForecast describes how often jobs of a class are expected to arrive and how large they are.
+type ArrivalForecast struct {
 	rate         float64 // arrivals per second
 	meanSize     float64
 	meanSquare   float64 // mean of the squared sizes
@@ -64,23 +64,23 @@
 	sizeQuantile float64 // size that an arrival does not exceed with this probability
 }
 
-// Coming estimates from the arrivals until now how jobs arrive. Resources that are planned by
+// Forecast estimates from the arrivals until now how jobs arrive. Resources that are planned by
 // the result should suffice for the given share of the jobs. bootS is how long a machine takes
 // to be ready for them, in seconds, and size measures an arrival.
-func (as Arrivals) Coming(now clock.Time, bootS, share float64, size func(Arrival) float64) Arriving {
+func (as Arrivals) Forecast(now clock.Time, bootS, share float64, size func(Arrival) float64) ArrivalForecast {
 	if math.IsInf(bootS, 1) {
-		return Arriving{}
+		return ArrivalForecast{}
 	}
 	window := windowBoots * bootS
 	sizes, first := as.sizesWithin(now, window, size)
 	if len(sizes) == 0 {
-		return Arriving{} // jobs have stopped arriving
+		return ArrivalForecast{} // jobs have stopped arriving
 	}
 	count := float64(len(sizes))
 	if as[0].At < first {
 		first = now - clock.Time(window*float64(time.Second))
 	}
-	span := math.Min(window, math.Max(now.Since(first).Seconds(), KnownBoots*bootS))
+	span := math.Min(window, math.Max(now.Since(first).Seconds(), MinObservedBoots*bootS))
 	sum, squares := 0.0, 0.0
 	for _, s := range sizes {
 		sum += s
@@ -90,7 +90,7 @@
 	// miss.
 	probability := (1 + share) / 2
 	slices.Sort(sizes)
-	return Arriving{
+	return ArrivalForecast{
 		rate:         as.rateAfterSilence(now, count/span),
 		meanSize:     sum / count,
 		meanSquare:   squares / count,
@@ -122,13 +122,13 @@
 	return rate
 }
 
-// Mean returns the mean size that arrives per second.
-func (a Arriving) Mean() float64 { return a.rate * a.meanSize }
+// MeanPerSecond returns the mean size that arrives per second.
+func (a ArrivalForecast) MeanPerSecond() float64 { return a.rate * a.meanSize }
 
-// Within returns the total size that the arrivals in a time, in seconds, do not exceed with
+// SizeWithin returns the total size that the arrivals in a time, in seconds, do not exceed with
 // the required probability. It is a quantile of a compound Poisson distribution with the
 // observed sizes.
-func (a Arriving) Within(seconds float64) float64 {
+func (a ArrivalForecast) SizeWithin(seconds float64) float64 {
 	if a.rate == 0 {
 		return 0
 	}
@@ -139,16 +139,16 @@
 	return expectedArrivals*a.meanSize + math.Sqrt2*math.Erfinv(2*a.probability-1)*math.Sqrt(expectedArrivals*a.meanSquare)
 }
 
-// Beyond returns the largest amount by which, at any time within the given seconds, the total
+// ExcessWithin returns the largest amount by which, at any time within the given seconds, the total
 // size of the arrivals is likely to exceed the resources that have become free meanwhile at
 // freeingRate per second.
-func (a Arriving) Beyond(seconds, freeingRate float64) float64 {
+func (a ArrivalForecast) ExcessWithin(seconds, freeingRate float64) float64 {
 	excess := 0.0
 	if freeingRate > 0 && a.rate*seconds > 1-a.probability {
 		excess = a.sizeQuantile // a single arrival, before any resources become free
 	}
 	for range windowHalvings {
-		excess = math.Max(excess, a.Within(seconds)-freeingRate*seconds)
+		excess = math.Max(excess, a.SizeWithin(seconds)-freeingRate*seconds)
 		seconds /= 2
 	}
 	return excess
--- a/internal/controller/forecast/arrivals_test.go
+++ b/internal/controller/forecast/arrivals_test.go
@@ -30,7 +30,7 @@
 func TestWithinGrowsWithRateAndVarianceAndFallsAfterSilence(t *testing.T) {
 	now := clock.Time(time.Hour)
 	within := func(as Arrivals) float64 {
-		return as.Coming(now, 8, 0.8, func(a Arrival) float64 { return a.Tasks }).Within(8)
+		return as.Forecast(now, 8, 0.8, func(a Arrival) float64 { return a.Tasks }).SizeWithin(8)
 	}
 	arrivals := func(silenceS int, sizes ...float64) (as Arrivals) {
 		for i, s := range sizes {
--- a/internal/controller/forecast/boots.go
+++ b/internal/controller/forecast/boots.go
@@ -10,16 +10,16 @@
 	maxBootFactor = 3.0
 )
 
-// Boots is a sample of how long machines take to boot compared to the catalogue. The zero
+// BootTimes is a sample of how long machines take to boot compared to the catalogue. The zero
 // value is an empty sample.
-type Boots struct{ errors Errors }
+type BootTimes struct{ errors EstimateErrors }
 
 // Note adds the boot time of a machine whose boot time in the catalogue is bootS seconds.
-func (b *Boots) Note(bootTime time.Duration, bootS float64) { b.errors.Note(bootTime, bootS) }
+func (b *BootTimes) Note(bootTime time.Duration, bootS float64) { b.errors.Note(bootTime, bootS) }
 
-// Likely returns the number of seconds within which most machines of a type boot, given the
+// LikelySeconds returns the number of seconds within which most machines of a type boot, given the
 // type's boot time in the catalogue.
-func (b *Boots) Likely(bootS float64) float64 {
+func (b *BootTimes) LikelySeconds(bootS float64) float64 {
 	factor := minBootFactor
 	if b.errors.hasEnough() {
 		factor = min(max(factor, b.errors.Factor()), maxBootFactor)
--- a/internal/controller/forecast/errors.go
+++ b/internal/controller/forecast/errors.go
@@ -21,14 +21,14 @@
 	maxErrorFactor     = 5.0
 )
 
-// Errors is a sample of the errors of the run time estimates of a class of tasks.
-type Errors struct {
+// EstimateErrors is a sample of the errors of the run time estimates of a class of tasks.
+type EstimateErrors struct {
 	ratios []float64 // run time divided by the estimate, the latest last
 	factor float64   // 0 if it has to be calculated again
 }
 
 // Note adds a task that ran to its end. A task without an estimate is ignored.
-func (e *Errors) Note(runTime time.Duration, estimateS float64) {
+func (e *EstimateErrors) Note(runTime time.Duration, estimateS float64) {
 	if estimateS <= 0 {
 		return
 	}
@@ -37,11 +37,11 @@
 }
 
 // hasEnough reports whether enough tasks have been observed to calculate a factor.
-func (e *Errors) hasEnough() bool { return len(e.ratios) >= minErrors }
+func (e *EstimateErrors) hasEnough() bool { return len(e.ratios) >= minErrors }
 
 // Factor returns the factor, at least 1, for which tasks are very likely to end within their
 // estimate times the factor. A nil Errors is an empty sample.
-func (e *Errors) Factor() float64 {
+func (e *EstimateErrors) Factor() float64 {
 	if e == nil || !e.hasEnough() {
 		return defaultErrorFactor
 	}
--- a/internal/controller/forecast/runtimes.go
+++ b/internal/controller/forecast/runtimes.go
@@ -36,10 +36,10 @@
 	}
 }
 
-// Usual returns the median run time of a job's tasks. It returns false until enough tasks
+// Median returns the median run time of a job's tasks. It returns false until enough tasks
 // have ended, and while no more tasks have ended than are running: the tasks that end first
 // are the short ones.
-func (r *RunTimes) Usual(running int) (seconds float64, ok bool) {
+func (r *RunTimes) Median(running int) (seconds float64, ok bool) {
 	if r.observed < minRunTimes || r.observed <= running {
 		return 0, false
 	}
--- a/internal/controller/forecast/spot.go
+++ b/internal/controller/forecast/spot.go
@@ -9,29 +9,31 @@
 	// priorUptimeS sets the rate that is assumed before anything has been observed: one
 	// preemption in this number of machine seconds.
 	priorUptimeS = 7200
-	// SpotMemory is the time after which the weight of an observation has halved.
-	SpotMemory = 10 * time.Minute
+	// SpotHalfLife is the time after which the weight of an observation has halved.
+	SpotHalfLife = 10 * time.Minute
 )
 
-// Spot is a record of how often spot machines have recently been preempted. The zero value has
+// SpotPreemptions is a record of how often spot machines have recently been preempted. The zero value has
 // no observations.
-type Spot struct {
+type SpotPreemptions struct {
 	preempted float64 // number of preempted machines, weighted by age
 	uptimeS   float64 // machine seconds, weighted by age
 }
 
 // NoteUptime adds an uptime during which the given number of spot machines ran.
-func (s *Spot) NoteUptime(machines int, uptime time.Duration) {
-	decay := math.Exp2(-uptime.Seconds() / SpotMemory.Seconds())
+func (s *SpotPreemptions) NoteUptime(machines int, uptime time.Duration) {
+	decay := math.Exp2(-uptime.Seconds() / SpotHalfLife.Seconds())
 	s.preempted *= decay
 	s.uptimeS = s.uptimeS*decay + float64(machines)*uptime.Seconds()
 }
 
-// NoteReclaimed adds a machine that was preempted.
-func (s *Spot) NoteReclaimed() { s.preempted++ }
+// NotePreemption adds a machine that was preempted.
+func (s *SpotPreemptions) NotePreemption() { s.preempted++ }
 
-// Reclaimed returns the number of preempted machines, weighted by age.
-func (s *Spot) Reclaimed() float64 { return s.preempted }
+// RecentPreemptions returns the number of preempted machines, weighted by age.
+func (s *SpotPreemptions) RecentPreemptions() float64 { return s.preempted }
 
-// Rate returns the expected number of preemptions per second of a spot machine.
-func (s *Spot) Rate() float64 { return (s.preempted + 1) / (s.uptimeS + priorUptimeS) }
+// PreemptionRate returns the expected number of preemptions per second of a spot machine.
+func (s *SpotPreemptions) PreemptionRate() float64 {
+	return (s.preempted + 1) / (s.uptimeS + priorUptimeS)
+}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -123,8 +123,8 @@
 		m.State = message.MachineState{Draining: true, Noticed: true}
 		b.c.workload.RecordSpotLoss(m) // terminated by the autoscaler
 	}
-	if b.c.workload.SpotPreemptions.Reclaimed() != 40 {
-		t.Errorf("%v losses counted, want 40", b.c.workload.SpotPreemptions.Reclaimed())
+	if b.c.workload.SpotPreemptions.RecentPreemptions() != 40 {
+		t.Errorf("%v losses counted, want 40", b.c.workload.SpotPreemptions.RecentPreemptions())
 	}
 	if !b.c.workload.AvoidsSpot(&o.Job) {
 		t.Fatal("not avoided though they are lost all the time")
@@ -140,7 +140,7 @@
 			t.Error("placed on a spot machine rather than where something may be preempted")
 		}
 	}
-	b.c.workload.SpotPreemptions.NoteUptime(0, 10*forecast.SpotMemory)
+	b.c.workload.SpotPreemptions.NoteUptime(0, 10*forecast.SpotHalfLife)
 	if b.c.workload.AvoidsSpot(&o.Job) {
 		t.Error("avoided long after the last was lost")
 	}
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -155,7 +155,7 @@
 // MedianRunSeconds returns the median run time of the job's tasks, once enough tasks are done
 // to estimate it.
 func (j *Job) MedianRunSeconds() (seconds float64, ok bool) {
-	return j.runTimes.Usual(int(j.runningCount))
+	return j.runTimes.Median(int(j.runningCount))
 }
 
 // MaxPlaceable returns how many of n tasks of the job may be placed now: at most one while
--- a/internal/controller/placement/prices.go
+++ b/internal/controller/placement/prices.go
@@ -20,7 +20,7 @@
 		for _, zone := range machineType.AllowZones {
 			for _, spot := range []bool{true, false} {
 				kind := binpack.Kind{Type: machineType.Name, Zone: zone, Spot: spot}
-				premiums[kind] = binpack.Price(p.Types[kind.Type], kind.Spot)
+				premiums[kind] = binpack.PricePerCPU(p.Types[kind.Type], kind.Spot)
 				lowest = math.Min(lowest, premiums[kind])
 			}
 		}
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -23,7 +23,7 @@
 
 // nextPlan lets the time between two plans pass and plays one tick.
 func (b *bench) nextPlan() []message.Action {
-	b.now += Time(autoscaler.PlanEvery)
+	b.now += Time(autoscaler.PlanInterval)
 	return b.step(message.Tick{})
 }
 
@@ -75,7 +75,7 @@
 // machines of a partitioned zone were once terminated with all that they ran.
 func TestMachineWithoutHeartbeatIsNotIdle(t *testing.T) {
 	b := newAutoscalerBench(t)
-	b.c.workload.SpotPreemptions = forecast.Spot{}
+	b.c.workload.SpotPreemptions = forecast.SpotPreemptions{}
 	b.machine("vm-1", 1) // dispatched to from here, its worker is silent so far
 	for range 5 {
 		if ids := b.scaledIn(b.nextPlan()); len(ids) > 0 {
@@ -108,12 +108,12 @@
 		}
 	}
 	up := b.now
-	for b.now < up+Time(wait)-2*Time(autoscaler.PlanEvery) {
+	for b.now < up+Time(wait)-2*Time(autoscaler.PlanInterval) {
 		if ids := list("running"); len(ids) > 0 {
 			t.Fatalf("terminated %v after %v", ids, time.Duration(b.now-up))
 		}
 	}
-	b.now += Time(2 * autoscaler.PlanEvery)
+	b.now += Time(2 * autoscaler.PlanInterval)
 	if ids := append(list("running"), list("running")...); len(ids) == 0 {
 		t.Error("not terminated though it never registers")
 	}
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -36,7 +36,7 @@
 	if !wasMember {
 		c.waitTable.RequestCopy()
 	}
-	c.autoscaler.ViewAdopted(c.Now)
+	c.autoscaler.RecordViewAdoption(c.Now)
 }
 
 // dropWork drops the jobs and queues of a controller that is no member any more: the
--- a/internal/controller/workload/classes.go
+++ b/internal/controller/workload/classes.go
@@ -54,8 +54,8 @@
 
 // forecastArrivals forecasts the arrivals of a class, measured by size, from the observed
 // arrivals.
-func (w *Workload) forecastArrivals(class *Class, size func(forecast.Arrival) float64) forecast.Arriving {
-	return class.Arrivals.Coming(w.Now, w.BootSeconds(&class.Job), class.ObjectiveShare, size)
+func (w *Workload) forecastArrivals(class *Class, size func(forecast.Arrival) float64) forecast.ArrivalForecast {
+	return class.Arrivals.Forecast(w.Now, w.BootSeconds(&class.Job), class.ObjectiveShare, size)
 }
 
 // ExpectedWork returns the work in processor seconds that is likely to arrive in a class
@@ -64,7 +64,7 @@
 	if class.HasStartObjective {
 		return 0
 	}
-	return w.forecastArrivals(class, arrivalWork).Within(w.BootSeconds(&class.Job))
+	return w.forecastArrivals(class, arrivalWork).SizeWithin(w.BootSeconds(&class.Job))
 }
 
 // TasksToReserve returns the number of tasks of a class with a start objective for which resources
@@ -75,7 +75,7 @@
 	if !class.HasStartObjective {
 		return 0
 	}
-	tasks := w.forecastArrivals(class, arrivalTasks).Beyond(w.BootSeconds(&class.Job), w.freedTasksPerSecond(&class.Job))
+	tasks := w.forecastArrivals(class, arrivalTasks).ExcessWithin(w.BootSeconds(&class.Job), w.freedTasksPerSecond(&class.Job))
 	return int(math.Ceil(tasks))
 }
 
--- a/internal/controller/workload/objectives.go
+++ b/internal/controller/workload/objectives.go
@@ -66,15 +66,15 @@
 		if math.IsInf(bootS, 1) {
 			continue
 		}
-		if w.Since(w.SessionStart).Seconds() < forecast.KnownBoots*bootS {
+		if w.Since(w.SessionStart).Seconds() < forecast.MinObservedBoots*bootS {
 			minCPUs = usableCPUs
 		}
 		work := w.forecastArrivals(class, arrivalWork)
-		cpus += work.Mean()
+		cpus += work.MeanPerSecond()
 		excess := float64(w.TasksToReserve(class)) * class.Job.CPUs
 		if !class.HasStartObjective {
 			slack := w.slackSeconds(&class.Job, bootS)
-			excess = math.Max(0, work.Within(slack)/slack-work.Mean())
+			excess = math.Max(0, work.SizeWithin(slack)/slack-work.MeanPerSecond())
 		}
 		excessSquares += excess * excess
 	}
--- a/internal/controller/workload/spot.go
+++ b/internal/controller/workload/spot.go
@@ -16,7 +16,7 @@
 // seems to be a spot machine that was preempted.
 func (w *Workload) RecordSpotLoss(m *waittable.Machine) {
 	if m.Record.Spot && !m.State.Draining && (m.State.Noticed || m.State.Silence == message.SilenceLong) {
-		w.SpotPreemptions.NoteReclaimed()
+		w.SpotPreemptions.NotePreemption()
 	}
 }
 
@@ -41,7 +41,7 @@
 	if bootS := w.BootSeconds(j); !math.IsInf(bootS, 1) {
 		lostS += bootS
 	}
-	return w.SpotPreemptions.Rate() * lostS
+	return w.SpotPreemptions.PreemptionRate() * lostS
 }
 
 // AvoidsSpot reports whether a job should not run on spot machines, since they would slow it
--- a/internal/controller/workload/workload.go
+++ b/internal/controller/workload/workload.go
@@ -15,7 +15,7 @@
 	Classes map[string]*Class
 	// SpotPreemptions estimates the rate at which spot machines are preempted. It is kept when a new
 	// session begins.
-	SpotPreemptions forecast.Spot
+	SpotPreemptions forecast.SpotPreemptions
 }
 
 // New returns a workload without observations. Reset must be called before use.
