--- a/internal/controller/dynamicconfig/class.go
+++ b/internal/controller/dynamicconfig/class.go
@@ -7,13 +7,13 @@
 	"damsonkeel/internal/record"
 )
 
-// maxObjectives bounds the objectives of a class, so that its record stays small.
+// maxObjectives bounds the number of objectives of a class, so that its record stays small.
 const maxObjectives = 20
 
-// objectiveKinds are the kinds of objectives of the platform's file.
+// objectiveKinds lists the kinds of objectives that the platform's file defines.
 var objectiveKinds = []string{"wait", "finished", "deadline", "guarantee"}
 
-// classAfter is the entry of a class after a change.
+// classAfter returns the entry of a class after a change.
 func classAfter(c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	if c.Reset {
 		return record.ConfigurationEntry{Reset: true}, nil
@@ -30,6 +30,7 @@
 	return record.ConfigurationEntry{Class: &record.ClassEntry{Objectives: objectives}}, nil
 }
 
+// checkObjective refuses an objective of an unknown kind or with a number out of range.
 func checkObjective(o record.ObjectiveEntry) error {
 	inRange := func(v float64) bool { return v >= 0 && v <= maxAmount } // false for NaN
 	validShare := o.Share > 0 && o.Share <= 1
--- a/internal/controller/dynamicconfig/decide.go
+++ b/internal/controller/dynamicconfig/decide.go
@@ -13,40 +13,42 @@
 )
 
 const (
-	// headChanges is the number of changes of a transaction that are not entries: the
-	// records of the revision and of its history.
-	headChanges = 2
-	// maxEntries bounds the entries, so that the configuration does not grow without end.
+	// nonEntryChanges is the number of changes of a transaction that do not write entries:
+	// they write the record of the revision and the record of its history.
+	nonEntryChanges = 2
+	// maxEntries bounds the number of entries, so that the configuration does not grow
+	// without limit.
 	maxEntries = 2000
 )
 
-// validName matches the names of teams, classes, zones and types that can be in keys.
+// validName matches the names of teams, classes, zones and types that can be part of the
+// keys of records.
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,99}$`)
 
-// Facts is what a decision needs to know beside the configuration.
+// Facts holds the inputs of a decision other than the configuration.
 type Facts struct {
-	Zones []protocol.Zone
-	Types []protocol.MachineType
+	Zones []protocol.Zone        // all zones of the site
+	Types []protocol.MachineType // all machine types of the catalogue
 	// LiveJobs returns the number of a team's jobs that have not ended.
 	LiveJobs func(protocol.Team) int
-	// Processors is the number of processors that guarantees may count on; 0 if it is not
-	// known.
+	// Processors is the number of processors that is available for guarantees. If it is 0,
+	// the number is unknown and guarantees are not checked against it.
 	Processors float64
-	// MaxChanges is the largest number of changes of a transaction.
+	// MaxChanges is the largest number of changes that a transaction may have.
 	MaxChanges int
 }
 
-// Decide decides changes of the configuration in force. An error names all that is wrong,
-// and then nothing is changed. Without a difference to what is in force the plan has no
-// changes.
+// Decide decides on changes of the configuration in force, all of which are accepted or
+// refused together. The error lists every problem. If the changes make no difference to
+// the configuration in force, the plan has no changes.
 func (f *Followed) Decide(facts *Facts, changes []operatorapi.ConfigChange) (*Plan, error) {
 	if len(changes) == 0 {
 		return nil, refused("no entry is named")
 	}
-	if most := facts.MaxChanges - headChanges; len(changes) > most {
-		return nil, refused("%d entries in one change, at most %d fit into a transaction of the state service", len(changes), most)
+	if limit := facts.MaxChanges - nonEntryChanges; len(changes) > limit {
+		return nil, refused("%d entries in one change, at most %d fit into a transaction of the state service", len(changes), limit)
 	}
-	plan := &Plan{Revision: f.head.Revision + 1, head: f.head, version: f.version}
+	plan := &Plan{Revision: f.current.Revision + 1, base: f.current, baseVersion: f.currentVersion}
 	var problems []error
 	seen := map[record.EntryID]bool{}
 	for _, change := range changes {
@@ -71,7 +73,7 @@
 	return plan, f.checkGuarantees(facts, plan)
 }
 
-// entryAfter is an entry after a change.
+// entryAfter returns an entry after a change.
 func (f *Followed) entryAfter(facts *Facts, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	none := record.ConfigurationEntry{}
 	kind, name := c.Entry.Split()
@@ -96,9 +98,10 @@
 	return none, refused("%q is no kind of entry: team, class, zone, type or setting", kind)
 }
 
-// placeAfter is the entry of a zone or a machine type after a change; known: it exists.
-func placeAfter(c operatorapi.ConfigChange, known bool) (record.ConfigurationEntry, error) {
-	if !known {
+// placeAfter returns the entry of a zone or a machine type after a change. It refuses the
+// change unless the zone or the type exists.
+func placeAfter(c operatorapi.ConfigChange, exists bool) (record.ConfigurationEntry, error) {
+	if !exists {
 		return record.ConfigurationEntry{}, refused("there is none of this name")
 	}
 	if c.Reset || !*c.Closed {
@@ -107,8 +110,9 @@
 	return record.ConfigurationEntry{Place: &record.PlaceEntry{Closed: true}}, nil
 }
 
-// checkGuarantees refuses guarantees that exceed the processors to count on. If they do
-// already, a change that does not add to them is accepted.
+// checkGuarantees refuses a plan with which the guarantees of all teams together exceed
+// the available processors. If they exceed them already, a plan that does not increase
+// their sum is accepted.
 func (f *Followed) checkGuarantees(facts *Facts, plan *Plan) error {
 	if facts.Processors == 0 {
 		return nil
@@ -117,16 +121,16 @@
 	for _, c := range plan.Changes {
 		entries[c.Entry] = c.To
 	}
-	before := f.effective.guaranteed()
-	after := build(f.site, f.operator, entries, record.Configuration{}, 0).guaranteed()
+	before := f.effective.guaranteedCPUs()
+	after := buildEffective(f.site, f.operator, entries, record.Configuration{}, 0).guaranteedCPUs()
 	if after > facts.Processors && after > before {
 		return refused("the teams' guarantees would be %v processors in all, %v can be counted on (now %v are guaranteed)", after, facts.Processors, before)
 	}
 	return nil
 }
 
-// guaranteed is the number of processors that are guaranteed to all teams.
-func (e *Effective) guaranteed() float64 {
+// guaranteedCPUs returns the number of processors that are guaranteed to all teams together.
+func (e *Effective) guaranteedCPUs() float64 {
 	sum := 0.0
 	for _, t := range e.teams {
 		sum += t.CPUs
--- a/internal/controller/dynamicconfig/effective.go
+++ b/internal/controller/dynamicconfig/effective.go
@@ -9,37 +9,39 @@
 	"damsonkeel/internal/record"
 )
 
-// Revision counts the changes of the configuration.
+// Revision numbers the accepted changes of the configuration, starting from 1; the
+// platform's file alone is revision 0.
 type Revision = record.ConfigurationRevision
 
-// Team is a team's guarantee and limit in force.
+// Team is a team with its guarantee and its limit in force.
 type Team struct {
 	config.Team
-	Closed bool // to new jobs
-	// Lowered is the last revision that lowered the limit.
+	Closed bool // the team accepts no new jobs
+	// Lowered is the last revision that lowered the limit; 0 if none has.
 	Lowered Revision
 }
 
-// Effective is the configuration of one revision. It is immutable.
+// Effective is the configuration in force at one revision. It is immutable.
 type Effective struct {
 	Revision Revision
-	// Version is that of the revision's record; 0 if there is none.
+	// Version is the version of the revision's record in the key-value store; 0 if there is
+	// no record.
 	Version    protocol.Version
-	Objectives []config.Objective
-	Operator   config.Operator
+	Objectives []config.Objective // of all classes
+	Operator   config.Operator    // with the changed settings
 
 	teams       map[protocol.Team]Team
-	teamsEver   map[protocol.Team]bool
+	allTeams    map[protocol.Team]bool // with those that were removed
 	closedZones map[protocol.Zone]bool
 	closedTypes map[protocol.MachineType]bool
 }
 
-// Base is the configuration of the platform's file, without changes.
+// Base returns the configuration of the platform's file, without any changes.
 func Base(site *config.Site, operator config.Operator) *Effective {
-	return build(site, operator, nil, record.Configuration{}, 0)
+	return buildEffective(site, operator, nil, record.Configuration{}, 0)
 }
 
-// Team returns a team, if it exists.
+// Team returns a team, and whether it exists.
 func (e *Effective) Team(name protocol.Team) (Team, bool) {
 	t, ok := e.teams[name]
 	return t, ok
@@ -48,9 +50,9 @@
 // Teams returns the names of all teams, in order.
 func (e *Effective) Teams() []protocol.Team { return slices.Sorted(maps.Keys(e.teams)) }
 
-// TeamsEver returns the names of all teams, in order, with those that were removed: their
-// tasks may still be on machines.
-func (e *Effective) TeamsEver() []protocol.Team { return slices.Sorted(maps.Keys(e.teamsEver)) }
+// TeamsEver returns the names of all teams, in order, including removed teams: their tasks
+// may still be on machines.
+func (e *Effective) TeamsEver() []protocol.Team { return slices.Sorted(maps.Keys(e.allTeams)) }
 
 // PlaceCordoned reports whether a zone or a machine type is cordoned.
 func (e *Effective) PlaceCordoned(machineType protocol.MachineType, zone protocol.Zone) bool {
@@ -60,25 +62,26 @@
 // AnyPlaceCordoned reports whether any zone or machine type is cordoned.
 func (e *Effective) AnyPlaceCordoned() bool { return len(e.closedZones)+len(e.closedTypes) > 0 }
 
-// LimitLowered returns the last revision that lowered a team's limit.
+// LimitLowered returns the last revision that lowered a team's limit; 0 if none has.
 func (e *Effective) LimitLowered(name protocol.Team) Revision { return e.teams[name].Lowered }
 
-// build lays entries over the platform's file.
-func build(site *config.Site, operator config.Operator, entries map[record.EntryID]record.ConfigurationEntry, head record.Configuration, version protocol.Version) *Effective {
+// buildEffective returns the configuration that results from applying entries on top of the
+// platform's file.
+func buildEffective(site *config.Site, operator config.Operator, entries map[record.EntryID]record.ConfigurationEntry, current record.Configuration, version protocol.Version) *Effective {
 	e := &Effective{
-		Revision:    head.Revision,
+		Revision:    current.Revision,
 		Version:     version,
 		Operator:    operator,
 		teams:       map[protocol.Team]Team{},
-		teamsEver:   map[protocol.Team]bool{},
+		allTeams:    map[protocol.Team]bool{},
 		closedZones: map[protocol.Zone]bool{},
 		closedTypes: map[protocol.MachineType]bool{},
 	}
 	for _, t := range site.Teams {
 		e.teams[t.Name] = Team{Team: t}
-		e.teamsEver[t.Name] = true
+		e.allTeams[t.Name] = true
 	}
-	replaced := map[string]bool{} // classes with their own objectives
+	replaced := map[string]bool{} // classes whose objectives an entry replaces
 	for _, id := range slices.Sorted(maps.Keys(entries)) {
 		entry := entries[id]
 		e.overlay(id, entry)
@@ -94,11 +97,11 @@
 	return e
 }
 
-// overlay lays one entry over what is in force.
+// overlay applies one entry on top of e.
 func (e *Effective) overlay(id record.EntryID, entry record.ConfigurationEntry) {
 	kind, name := id.Split()
 	if kind == record.EntryTeam {
-		e.teamsEver[protocol.Team(name)] = true
+		e.allTeams[protocol.Team(name)] = true
 		e.setLowered(protocol.Team(name), entry.Lowered)
 	}
 	if entry.Reset {
@@ -115,8 +118,8 @@
 	case kind == record.EntryType && closed:
 		e.closedTypes[protocol.MachineType(name)] = true
 	case kind == record.EntrySetting && entry.Value != nil:
-		// Values were checked when they were set. One that only another version accepts
-		// leaves the setting as it is in the operators' file.
+		// Values are checked when they are set. A value that only another version of the
+		// program accepts is ignored: the setting keeps its value in the operators' file.
 		_ = setSetting(&e.Operator, name, *entry.Value)
 	}
 }
@@ -133,7 +136,8 @@
 	}
 }
 
-// setLowered sets the revision that last lowered the limit of a team that was reset.
+// setLowered sets the last revision that lowered the limit of a team that was reset; a
+// revision of 0 changes nothing.
 func (e *Effective) setLowered(name protocol.Team, revision Revision) {
 	if t, known := e.teams[name]; known && revision > 0 {
 		t.Lowered = revision
--- a/internal/controller/dynamicconfig/plan.go
+++ b/internal/controller/dynamicconfig/plan.go
@@ -8,18 +8,19 @@
 	"damsonkeel/internal/record"
 )
 
-// Plan is a change that was decided, and what its transaction writes.
+// Plan is an accepted change of the configuration, with the values that its transaction
+// writes.
 type Plan struct {
-	Revision Revision
-	Changes  []record.EntryChange
-	Request  string // idempotency key
-	By       string // name of the operator's key
-	AtMS     record.Moment
-	head     record.Configuration // that the change was decided on
-	version  protocol.Version     // of the record of head
+	Revision    Revision // that the change creates
+	Changes     []record.EntryChange
+	Request     string               // idempotency key
+	By          string               // name of the operator's key
+	AtMS        record.Moment        // time of the change
+	base        record.Configuration // revision that the decision is based on
+	baseVersion protocol.Version     // version of the record base
 }
 
-// add adds the change of an entry, unless it changes nothing.
+// add adds the change of an entry, unless the two values are the same.
 func (p *Plan) add(id record.EntryID, from, to record.ConfigurationEntry) {
 	if sameEntry(from, to) {
 		return
@@ -28,7 +29,7 @@
 	p.Changes = append(p.Changes, record.EntryChange{Entry: id, From: from, To: to})
 }
 
-// sameEntry reports whether two entries are equal but for their revisions.
+// sameEntry reports whether two entries are equal apart from their revisions.
 func sameEntry(a, b record.ConfigurationEntry) bool {
 	a.Revision, b.Revision = 0, 0
 	encodedA, errA := protocol.Encode(a)
@@ -36,31 +37,33 @@
 	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
 
-// Transaction returns the compare-and-swap that writes the entries, the history and, if
-// it has not changed since, the record of the revision.
+// Transaction returns the compare-and-swap transaction that writes the entries, the
+// history and the record of the revision. It fails if the record of the revision has
+// changed since the decision.
 func (p *Plan) Transaction() protocol.Transaction {
-	head := record.Configuration{Revision: p.Revision, Requests: slices.Clone(p.head.Requests)}
-	txn := protocol.Transaction{Conditions: []protocol.Condition{{Key: record.ConfigurationKey, Version: p.version}}}
+	next := record.Configuration{Revision: p.Revision, Requests: slices.Clone(p.base.Requests)}
+	txn := protocol.Transaction{Conditions: []protocol.Condition{{Key: record.ConfigurationKey, Version: p.baseVersion}}}
 	for _, c := range p.Changes {
-		head.Entries = append(head.Entries, c.Entry)
+		next.Entries = append(next.Entries, c.Entry)
 		put := protocol.Change{Put: record.ConfigurationEntryKey(c.Entry), Value: c.To}
 		txn.Changes = append(txn.Changes, put)
 	}
 	if p.Request != "" {
-		head.Requests = append(head.Requests, record.ConfigurationRequest{ID: p.Request, Revision: p.Revision})
-		oldest := max(0, len(head.Requests)-record.ConfigurationRequests)
-		head.Requests = head.Requests[oldest:]
+		next.Requests = append(next.Requests, record.ConfigurationRequest{ID: p.Request, Revision: p.Revision})
+		excess := max(0, len(next.Requests)-record.ConfigurationRequests)
+		next.Requests = next.Requests[excess:]
 	}
 	history := record.ConfigurationChange{Revision: p.Revision, By: p.By, AtMS: p.AtMS, Changes: p.Changes}
 	txn.Changes = append(txn.Changes,
 		protocol.Change{Put: record.ConfigurationHistoryKey(p.Revision), Value: history},
-		protocol.Change{Put: record.ConfigurationKey, Value: head})
+		protocol.Change{Put: record.ConfigurationKey, Value: next})
 	return txn
 }
 
-// AppliedBy returns the revision by which a request was already carried out, if it was.
+// AppliedBy returns the revision that a request created, and whether the request was
+// carried out. Only the latest requests are recorded.
 func (f *Followed) AppliedBy(request string) (Revision, bool) {
-	for _, r := range f.head.Requests {
+	for _, r := range f.current.Requests {
 		if request != "" && r.ID == request {
 			return r.Revision, true
 		}
--- a/internal/controller/dynamicconfig/settings.go
+++ b/internal/controller/dynamicconfig/settings.go
@@ -11,21 +11,21 @@
 	"damsonkeel/internal/record"
 )
 
-// settings are the operators' settings that may change while controllers run. The others
-// bound how long a controller may act, select the form of records, or must always be the
-// same on all controllers.
-var settings = map[string]func(*config.Operator) *time.Duration{
+// changeableSettings maps the name of each operators' setting that may change while
+// controllers run to its field. The other settings bound how long a controller may act,
+// select the format of records, or must always be the same on all controllers.
+var changeableSettings = map[string]func(*config.Operator) *time.Duration{
 	"defaultEstimate": func(o *config.Operator) *time.Duration { return &o.DefaultEstimate },
 	"idleReturn":      func(o *config.Operator) *time.Duration { return &o.IdleTimeout },
 }
 
 // Settings returns the names of the settings that may change, in order.
-func Settings() []string { return slices.Sorted(maps.Keys(settings)) }
+func Settings() []string { return slices.Sorted(maps.Keys(changeableSettings)) }
 
-// Setting returns the value of a setting that is in force; it is empty for a setting that
-// can't change.
+// Setting returns the value in force of a setting; it is empty for a setting that can't
+// change.
 func (e *Effective) Setting(name string) record.SettingText {
-	field := settings[name]
+	field := changeableSettings[name]
 	if field == nil {
 		return ""
 	}
@@ -34,24 +34,25 @@
 
 // setSetting parses the value of a setting into the operators' settings.
 func setSetting(operator *config.Operator, name string, text record.SettingText) error {
-	field := settings[name]
+	field := changeableSettings[name]
 	if field == nil {
 		return refused("setting %q can't be changed while controllers run; those that can: %s", name, strings.Join(Settings(), ", "))
 	}
 	return config.SetDuration(field(operator), string(text)) //nolint:wrapcheck // Decide wraps it with the name of the entry
 }
 
-// validDuration is a value that all settings accept, to check whether one exists.
+// validDuration is a value that all settings accept. It serves to check whether a setting
+// that is to be reset exists.
 const validDuration = record.SettingText("1s")
 
-// settingAfter is the entry of a setting after a change.
+// settingAfter returns the entry of a setting after a change.
 func (f *Followed) settingAfter(name string, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	value := validDuration
 	if !c.Reset {
 		value = *c.Value
 	}
-	discarded := f.operator
-	if err := setSetting(&discarded, name, value); err != nil {
+	scratch := f.operator // the value is only checked here
+	if err := setSetting(&scratch, name, value); err != nil {
 		return record.ConfigurationEntry{}, err
 	}
 	if c.Reset {
--- a/internal/controller/dynamicconfig/store_test.go
+++ b/internal/controller/dynamicconfig/store_test.go
@@ -8,34 +8,34 @@
 	"damsonkeel/internal/record"
 )
 
-func number(v float64) *float64 { return &v }
-func flag(v bool) *bool         { return &v }
-func setting(v string) *record.SettingText {
+func floatPtr(v float64) *float64 { return &v }
+func boolPtr(v bool) *bool        { return &v }
+func settingPtr(v string) *record.SettingText {
 	text := record.SettingText(v)
 	return &text
 }
 
-// site is a deployment with a team without a limit and two with one.
-func site() *config.Site {
+// testSite returns a deployment with a team without a limit and two teams with limits.
+func testSite() *config.Site {
 	s := fake.Settings().Site
 	s.Teams = append(s.Teams, config.Team{Name: "other", CPUs: 4, MaxCPUs: 20})
 	return &s
 }
 
-func facts() *Facts {
+func testFacts() *Facts {
 	return &Facts{Zones: []protocol.Zone{"a", "b"}, Types: []protocol.MachineType{"small"}, LiveJobs: func(protocol.Team) int { return 0 }, MaxChanges: 12}
 }
 
-// store is a key-value store with the records of the configuration, and one that follows
-// them.
+// store is a key-value store with the records of the configuration, together with the
+// configuration that results from them.
 type store struct {
-	state *fake.KeyValueStore
+	records *fake.KeyValueStore
 	*Followed
-	seen int
+	applied int // number of changes of records that were applied
 }
 
 func newStore() *store {
-	return &store{state: fake.NewKeyValueStore(), Followed: NewFollowed(site(), config.DefaultOperator())}
+	return &store{records: fake.NewKeyValueStore(), Followed: NewFollowed(testSite(), config.DefaultOperator())}
 }
 
 // fataler is a *testing.T or a *rapid.T.
@@ -44,35 +44,35 @@
 	Fatalf(format string, args ...any)
 }
 
-// write decides a change, writes it and follows it.
-func (s *store) write(t fataler, changes ...operatorapi.ConfigChange) *Plan {
+// commit decides on changes, writes them and applies the written records.
+func (s *store) commit(t fataler, changes ...operatorapi.ConfigChange) *Plan {
 	t.Helper()
-	plan, err := s.Decide(facts(), changes)
+	plan, err := s.Decide(testFacts(), changes)
 	if err != nil {
 		t.Fatalf("%+v: %v", changes, err)
 	}
-	if !s.state.Txn(plan.Transaction()) {
+	if !s.records.Txn(plan.Transaction()) {
 		t.Fatalf("%+v: not written", changes)
 	}
-	for ; s.seen < s.state.Changes(); s.seen++ {
-		take(t, s.Followed, s.state.Change(s.seen))
+	for ; s.applied < s.records.Changes(); s.applied++ {
+		applyEvent(t, s.Followed, s.records.Change(s.applied))
 	}
 	return plan
 }
 
-// take applies the record of an event, and reports whether the configuration has changed.
-func take(t fataler, f *Followed, e protocol.Event) bool {
+// applyEvent applies the record of an event, and reports whether the configuration has changed.
+func applyEvent(t fataler, f *Followed, e protocol.Event) bool {
 	t.Helper()
 	key, known := record.ParseFollowedKey(e.Put)
 	switch {
 	case !known: // the history
 		return false
 	case key.Configuration:
-		var head record.Configuration
-		if err := protocol.Decode(e.Value, &head); err != nil {
+		var revision record.Configuration
+		if err := protocol.Decode(e.Value, &revision); err != nil {
 			t.Fatalf("%v", err)
 		}
-		return f.ApplyRevision(head, e.Version)
+		return f.ApplyRevision(revision, e.Version)
 	}
 	var entry record.ConfigurationEntry
 	if err := protocol.Decode(e.Value, &entry); err != nil {
--- a/internal/controller/dynamicconfig/team.go
+++ b/internal/controller/dynamicconfig/team.go
@@ -10,15 +10,15 @@
 	"damsonkeel/internal/record"
 )
 
-// maxAmount bounds guarantees, limits and the numbers of objectives.
+// maxAmount bounds guarantees, limits and the times and factors of objectives.
 const maxAmount = 1e9
 
-// teamAfter is a team's entry after a change.
+// teamAfter returns a team's entry after a change.
 func (f *Followed) teamAfter(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	none := record.ConfigurationEntry{}
 	current, known := f.effective.Team(name)
 	if c.Reset || c.Remove {
-		if err := f.checkTeamEnds(facts, name, c); err != nil {
+		if err := f.checkRemoveOrReset(facts, name, c); err != nil {
 			return none, err
 		}
 	}
@@ -39,16 +39,16 @@
 	if c.Closed != nil {
 		team.Closed = *c.Closed
 	}
-	if err := f.checkTeam(name, &team); err != nil {
+	if err := f.checkLimits(name, &team); err != nil {
 		return none, err
 	}
-	if known && lowers(current, &team) {
-		team.Lowered = f.head.Revision + 1
+	if known && lowersLimit(current, &team) {
+		team.Lowered = f.current.Revision + 1
 	}
 	return record.ConfigurationEntry{Team: &team}, nil
 }
 
-// setAmounts sets the guarantees and limits that a change has.
+// setAmounts copies the guarantees and limits that a change sets to a team's entry.
 func setAmounts(team *record.TeamEntry, c operatorapi.ConfigChange) error {
 	for _, amount := range []struct {
 		name string
@@ -71,8 +71,9 @@
 	return nil
 }
 
-// lastLowered is the last revision that lowered a team's limit, even if it was reset or
-// removed since: what was placed before may still wait to be started.
+// lastLowered returns the last revision that lowered a team's limit, even if the team was
+// reset or removed since: tasks that were placed before that revision may not have started
+// yet.
 func (f *Followed) lastLowered(id record.EntryID) Revision {
 	entry := f.entries[id]
 	if entry.Team != nil {
@@ -81,14 +82,15 @@
 	return entry.Lowered
 }
 
-// lowers reports whether an entry lowers a limit of a team.
-func lowers(current Team, entry *record.TeamEntry) bool {
+// lowersLimit reports whether an entry lowers a limit of a team. A limit of 0 is none.
+func lowersLimit(current Team, entry *record.TeamEntry) bool {
 	less := func(to, from float64) bool { return to > 0 && (from == 0 || to < from) }
 	return less(entry.MaxCPUs, current.MaxCPUs) || less(entry.MaxGPUs, current.MaxGPUs)
 }
 
-// checkTeam checks the limits of a team.
-func (f *Followed) checkTeam(name protocol.Team, t *record.TeamEntry) error {
+// checkLimits checks that a team's limits are not below its guarantees, and that a team
+// with a limit has a single owner of its jobs, which can enforce it.
+func (f *Followed) checkLimits(name protocol.Team, t *record.TeamEntry) error {
 	if t.MaxCPUs > 0 && t.MaxCPUs < t.CPUs || t.MaxGPUs > 0 && t.MaxGPUs < t.GPUs {
 		return refused("the limit (cpus_max %v, gpus_max %v) is below the guarantee (cpus %v, gpus %v)", t.MaxCPUs, t.MaxGPUs, t.CPUs, t.GPUs)
 	}
@@ -99,17 +101,18 @@
 	return nil
 }
 
-// checkTeamEnds checks that a team can be removed or reset. A team that the platform's
-// file does not have must be closed and have no jobs: closed for some time, it has no job
-// that this controller does not follow.
-func (f *Followed) checkTeamEnds(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) error {
+// checkRemoveOrReset checks that a team can be removed or reset. A team that is not in the
+// platform's file must be closed to new jobs and have no live jobs. Some time after it was
+// closed, this controller tracks all jobs of the team that are left, so that the number of
+// its live jobs is complete.
+func (f *Followed) checkRemoveOrReset(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) error {
 	current, known := f.effective.Team(name)
 	inFile := slices.ContainsFunc(f.site.Teams, func(t config.Team) bool { return t.Name == name })
 	switch {
 	case !known && c.Remove:
 		return refused("there is no such team")
 	case c.Reset && inFile:
-		return f.checkResetLowers(name, current)
+		return f.checkResetKeepsLimit(name, current)
 	case !known:
 		return nil
 	case !current.Closed:
@@ -121,12 +124,12 @@
 	return nil
 }
 
-// checkResetLowers refuses to reset a team if that lowered its limit: the platform's file
-// has no revision that says since when.
-func (f *Followed) checkResetLowers(name protocol.Team, current Team) error {
+// checkResetKeepsLimit refuses to reset a team if the reset would lower its limit: a limit
+// from the platform's file has no revision that states since when it applies.
+func (f *Followed) checkResetKeepsLimit(name protocol.Team, current Team) error {
 	for _, t := range f.site.Teams {
 		inFile := record.TeamEntry{MaxCPUs: t.MaxCPUs, MaxGPUs: t.MaxGPUs}
-		if t.Name == name && current.Name != "" && lowers(current, &inFile) {
+		if t.Name == name && current.Name != "" && lowersLimit(current, &inFile) {
 			return refused("this would lower its limit to cpus_max %v, gpus_max %v: set that instead", t.MaxCPUs, t.MaxGPUs)
 		}
 	}
@@ -134,10 +137,11 @@
 }
 
 // HasSingleOwner reports whether all jobs of a team have the same owner, which enforces the
-// team's limit. It depends on the platform's file alone, which is the same everywhere: if
-// it changed with a revision, a job would have two owners while some controllers act on
-// the previous one. Teams that the file does not have get one owner with the layout whose
-// members all know that.
+// team's limit. The result depends only on the platform's file, which is the same on all
+// controllers, and on the layout: if it could change with a revision, a job would have two
+// owners while some controllers act on the previous revision. Teams that are not in the
+// file have a single owner from LayoutConfiguration on: in views of that layout, every
+// member implements this rule.
 func HasSingleOwner(site *config.Site, layout record.Layout, name protocol.Team) bool {
 	for _, t := range site.Teams {
 		if t.Name == name {
--- /dev/null
+++ b/internal/controller/dynamicconfig/tracker.go
@@ -0,0 +1,122 @@
+package dynamicconfig
+
+import (
+	"damsonkeel/internal/config"
+	"damsonkeel/internal/protocol"
+	"damsonkeel/internal/record"
+)
+
+// Followed maintains the configuration in force from the records that a controller reads.
+// It buffers the entries of a revision until all of them and the revision's own record have
+// been read, in any order, and then applies them in one step.
+type Followed struct {
+	site     *config.Site
+	operator config.Operator
+
+	current        record.Configuration                         // record of the revision in force
+	currentVersion protocol.Version                             // version of the record current
+	entries        map[record.EntryID]record.ConfigurationEntry // in force
+
+	pending        *record.Configuration                        // record of a later revision; nil if none has been read
+	pendingVersion protocol.Version                             // version of the record pending
+	pendingEntries map[record.EntryID]record.ConfigurationEntry // of later revisions
+
+	effective *Effective
+}
+
+// NewFollowed returns the configuration of the platform's and the operators' files, before
+// any records have been read.
+func NewFollowed(site *config.Site, operator config.Operator) *Followed {
+	f := &Followed{site: site, operator: operator}
+	f.Reset()
+	return f
+}
+
+// Reset discards all records. The caller then lists them again.
+func (f *Followed) Reset() {
+	*f = Followed{site: f.site, operator: f.operator}
+	f.entries = map[record.EntryID]record.ConfigurationEntry{}
+	f.pendingEntries = map[record.EntryID]record.ConfigurationEntry{}
+	f.effective = Base(f.site, f.operator)
+}
+
+// Effective returns the configuration in force.
+func (f *Followed) Effective() *Effective { return f.effective }
+
+// Entry returns an entry in force. For an entry that was never changed it returns the same
+// as for one that was reset.
+func (f *Followed) Entry(id record.EntryID) record.ConfigurationEntry {
+	if entry, ok := f.entries[id]; ok {
+		return entry
+	}
+	return record.ConfigurationEntry{Reset: true}
+}
+
+// Entries returns all entries that were ever changed, including those that were reset.
+func (f *Followed) Entries() map[record.EntryID]record.ConfigurationEntry { return f.entries }
+
+// ApplyEntry adds the record of an entry that was read from the key-value store, and
+// reports whether the configuration in force has changed.
+func (f *Followed) ApplyEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
+	if known, ok := f.pendingEntries[id]; ok && known.Revision >= entry.Revision {
+		return false
+	}
+	if known, ok := f.entries[id]; ok && known.Revision >= entry.Revision {
+		return false
+	}
+	if entry.Revision <= f.current.Revision {
+		// The record of the revision was read before this entry, since the pages of a list
+		// are read at different times. A controller does not act before it has read all
+		// pages.
+		f.entries[id] = entry
+		f.rebuild()
+		return true
+	}
+	f.pendingEntries[id] = entry
+	return f.applyPending()
+}
+
+// ApplyRevision adds the record of a revision that was read from the key-value store, and
+// reports whether the configuration in force has changed.
+func (f *Followed) ApplyRevision(revision record.Configuration, version protocol.Version) bool {
+	if version <= f.currentVersion || f.pending != nil && version <= f.pendingVersion {
+		return false
+	}
+	f.pending, f.pendingVersion = &revision, version
+	return f.applyPending()
+}
+
+// applyPending puts the pending revision in force if all of its entries have been read, and
+// reports whether it has.
+func (f *Followed) applyPending() bool {
+	if f.pending == nil {
+		return false
+	}
+	for _, id := range f.pending.Entries {
+		if f.revisionOf(id) < f.pending.Revision {
+			return false
+		}
+	}
+	for id, entry := range f.pendingEntries {
+		if entry.Revision <= f.pending.Revision {
+			f.entries[id] = entry
+			delete(f.pendingEntries, id)
+		}
+	}
+	f.current, f.currentVersion, f.pending = *f.pending, f.pendingVersion, nil
+	f.rebuild()
+	return true
+}
+
+// revisionOf returns the latest revision of an entry that has been read.
+func (f *Followed) revisionOf(id record.EntryID) Revision {
+	if entry, ok := f.pendingEntries[id]; ok {
+		return entry.Revision
+	}
+	return f.entries[id].Revision
+}
+
+// rebuild recomputes the effective configuration from the entries in force.
+func (f *Followed) rebuild() {
+	f.effective = buildEffective(f.site, f.operator, f.entries, f.current, f.currentVersion)
+}
