--- a/internal/controller/operatorrequest/calendar.go
+++ b/internal/controller/operatorrequest/calendar.go
@@ -8,8 +8,9 @@
 	"damsonkeel/internal/record"
 )
 
-// facts is what decisions on the calendar need to know of the site.
-func (h *Handler) facts() *reservation.Facts {
+// calendarFacts returns the inputs of decisions on reservations and windows other than the
+// calendar.
+func (h *Handler) calendarFacts() *reservation.Facts {
 	return &reservation.Facts{
 		Types: h.Types, MaxMachines: h.Op.Machines,
 		Team: func(name protocol.Team) (config.Team, bool) {
@@ -26,9 +27,10 @@
 	}
 }
 
-// addReservation decides whether a reservation can be kept, and puts it into the calendar.
-// A request that was accepted before gets the same answer.
-func (h *Handler) addReservation(by string, r *operatorapi.Request) Decision {
+// addReservation decides whether a reservation can be guaranteed, and if so, adds it to the
+// calendar. A repeated request that was accepted before is accepted again, without a
+// further change.
+func (h *Handler) addReservation(operator string, r *operatorapi.Request) Decision {
 	calendar, spec := h.reservations.Calendar, *r.Reservation
 	if err := reservation.CheckReservation(&spec); err != nil {
 		return refuse(operatorapi.Refused, err.Error())
@@ -43,31 +45,32 @@
 	if !calendar.Complete() {
 		return refuse(operatorapi.RetryLater, "the calendar is still being read, or is full")
 	}
-	a := calendar.DecideReservation(&spec, h.facts(), h.WallTime())
-	d := answered(a)
-	if !a.OK {
-		return d
+	answer := calendar.DecideReservation(&spec, h.calendarFacts(), h.WallTime())
+	decision := calendarDecision(answer)
+	if !answer.OK {
+		return decision
 	}
 	rec := record.Reservation{
-		Spec: spec, Request: r.ID, By: by, MadeMS: h.WallTime(), Order: h.reservations.Changes + 1, State: record.Accepted, StartMS: a.FirstTimes[0],
+		Spec: spec, Request: r.ID, By: operator, MadeMS: h.WallTime(), Order: h.reservations.Changes + 1, State: record.Accepted, StartMS: answer.FirstTimes[0],
 	}
 	if r.DryRun {
 		rec.State = record.Proposed
 	} else {
-		d.Transaction = h.changeCalendar(record.ReservationKey(spec.Name), versionOf(existing), rec)
+		decision.Transaction = h.changeCalendar(record.ReservationKey(spec.Name), versionOf(existing), rec)
 	}
-	d.Reply.Reservations = []operatorapi.Reservation{{Reservation: rec}}
-	return d
+	decision.Reply.Reservations = []operatorapi.Reservation{{Reservation: rec}}
+	return decision
 }
 
-// hasEnded reports whether a reservation keeps nothing any more.
+// hasEnded reports whether a reservation holds no resources any more and will hold none.
 func hasEnded(e *reservation.Entry) bool {
 	return e.State == record.Cancelled || e.State == record.Used || e.State == record.Expired
 }
 
-// addWindow decides whether a maintenance window leaves all reservations possible, and
-// puts it into the calendar. A request that was accepted before gets the same answer.
-func (h *Handler) addWindow(by string, r *operatorapi.Request) Decision {
+// addWindow decides whether all reservations can still be guaranteed with a maintenance
+// window, and if so, adds it to the calendar. A repeated request that was accepted before
+// is accepted again, without a further change.
+func (h *Handler) addWindow(operator string, r *operatorapi.Request) Decision {
 	calendar, spec := h.reservations.Calendar, *r.Spec
 	if err := reservation.CheckWindow(&spec); err != nil {
 		return refuse(operatorapi.Refused, err.Error())
@@ -82,29 +85,29 @@
 	if !calendar.Complete() {
 		return refuse(operatorapi.RetryLater, "the calendar is still being read, or is full")
 	}
-	a := calendar.DecideWindow(&spec, h.facts(), h.WallTime())
-	d := answered(a)
-	if !a.OK {
-		return d
+	answer := calendar.DecideWindow(&spec, h.calendarFacts(), h.WallTime())
+	decision := calendarDecision(answer)
+	if !answer.OK {
+		return decision
 	}
-	rec := record.Window{Spec: spec, Request: r.ID, By: by, MadeMS: h.WallTime()}
+	rec := record.Window{Spec: spec, Request: r.ID, By: operator, MadeMS: h.WallTime()}
 	if !r.DryRun {
-		d.Transaction = h.changeCalendar(record.WindowKey(spec.Name), versionOf(existing), rec)
+		decision.Transaction = h.changeCalendar(record.WindowKey(spec.Name), versionOf(existing), rec)
 	}
-	d.Reply.Windows = []operatorapi.Window{{Window: rec, NextMS: a.FirstTimes[0], Overruns: h.overruns(&spec, a.FirstTimes[0])}}
-	return d
+	decision.Reply.Windows = []operatorapi.Window{{Window: rec, NextMS: answer.FirstTimes[0], Overruns: h.overruns(&spec, answer.FirstTimes[0])}}
+	return decision
 }
 
-// answered is the decision for an answer of the calendar.
-func answered(a reservation.Answer) Decision {
+// calendarDecision converts an answer of the calendar to a decision without a transaction.
+func calendarDecision(answer reservation.Answer) Decision {
 	code := operatorapi.Done
-	if !a.OK {
+	if !answer.OK {
 		code = operatorapi.Refused
 	}
-	return Decision{Reply: operatorapi.Reply{Code: code, Reason: a.Reason, Conflicts: a.Conflicts, Overlapping: a.Overlapping, FirstMS: a.FirstTimes}}
+	return Decision{Reply: operatorapi.Reply{Code: code, Reason: answer.Reason, Conflicts: answer.Conflicts, Overlapping: answer.Overlapping, FirstMS: answer.FirstTimes}}
 }
 
-// versionOf is the version of an entry's record; 0 if there is none.
+// versionOf returns the version of an entry's record; 0 if there is no entry.
 func versionOf(e *reservation.Entry) protocol.Version {
 	if e == nil {
 		return 0
@@ -112,8 +115,9 @@
 	return e.Version
 }
 
-// changeCalendar puts a record of the calendar, on the condition that neither it nor any
-// other record of the calendar has changed since this was decided.
+// changeCalendar returns the transaction that writes a record of the calendar, on the
+// condition that neither this record nor any other record of the calendar has changed since
+// the decision.
 func (h *Handler) changeCalendar(key string, version protocol.Version, value any) *protocol.Transaction {
 	return &protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.CalendarKey, Version: h.reservations.Version}, {Key: key, Version: version}},
@@ -127,23 +131,23 @@
 // cancelEntry cancels a reservation or a window.
 func (h *Handler) cancelEntry(r *operatorapi.Request) Decision {
 	done := operatorapi.Reply{Code: operatorapi.Done, Reason: "cancelled"}
-	e, what := h.entry(r), "reservation"
+	entry, kind := h.entry(r), "reservation"
 	if r.Window {
-		what = "window"
+		kind = "window"
 	}
 	switch {
-	case e == nil:
-		return refuse(operatorapi.NotFound, "no "+what+" of this name")
-	case r.CreatedAt != 0 && e.CreatedAt() != r.CreatedAt:
+	case entry == nil:
+		return refuse(operatorapi.NotFound, "no "+kind+" of this name")
+	case r.CreatedAt != 0 && entry.CreatedAt() != r.CreatedAt:
 		return refuse(operatorapi.Refused, "it was made anew since")
-	case !e.Valid():
+	case !entry.Valid():
 		return Decision{Reply: done}
 	case r.Window:
-		rec := *e.Window
+		rec := *entry.Window
 		rec.Cancelled = true
-		return Decision{Reply: done, Transaction: h.changeCalendar(record.WindowKey(r.Name), e.Version, rec)}
+		return Decision{Reply: done, Transaction: h.changeCalendar(record.WindowKey(r.Name), entry.Version, rec)}
 	}
-	rec := *e.Reservation
+	rec := *entry.Reservation
 	rec.State, rec.Risk, rec.RiskMS = record.Cancelled, "", 0
-	return Decision{Reply: done, Transaction: h.changeCalendar(record.ReservationKey(r.Name), e.Version, rec)}
+	return Decision{Reply: done, Transaction: h.changeCalendar(record.ReservationKey(r.Name), entry.Version, rec)}
 }
--- a/internal/controller/operatorrequest/calendarview.go
+++ b/internal/controller/operatorrequest/calendarview.go
@@ -9,10 +9,10 @@
 	"damsonkeel/internal/record"
 )
 
-// Bounds of one answer, which may be no larger than a request.
+// Bounds of one reply, which may not be larger than a request.
 const (
-	maxListed   = 40 // reservations or windows
-	maxOverruns = 50 // machines of a window
+	maxCalendarEntries = 40 // reservations or windows
+	maxOverruns        = 50 // machines that overrun a window
 )
 
 // entry returns the reservation or window that a request names; nil if there is none.
@@ -23,85 +23,85 @@
 	return h.reservations.Calendar.Reservation(r.Name)
 }
 
-// showEntry shows one reservation or window with all that is known of it.
+// showEntry returns one reservation or window with all details.
 func (h *Handler) showEntry(r *operatorapi.Request) Decision {
 	reply := operatorapi.Reply{Code: operatorapi.Done}
-	switch e := h.entry(r); {
-	case e == nil:
+	switch entry := h.entry(r); {
+	case entry == nil:
 		return refuse(operatorapi.NotFound, "nothing of this name")
 	case r.Window:
-		reply.Windows = []operatorapi.Window{h.windowView(e)}
+		reply.Windows = []operatorapi.Window{h.windowView(entry)}
 	default:
-		reply.Reservations = []operatorapi.Reservation{h.reservationView(e)}
+		reply.Reservations = []operatorapi.Reservation{h.reservationView(entry)}
 	}
 	return Decision{Reply: reply}
 }
 
-// listCalendar lists the reservations or windows after the one that the request names,
-// without their machines.
+// listCalendar returns a page of the reservations or windows whose names follow the name in
+// the request, without their machines.
 func (h *Handler) listCalendar(r *operatorapi.Request) Decision {
 	reply := operatorapi.Reply{Code: operatorapi.Done}
 	entries := h.reservations.Calendar.Reservations()
 	if r.Window {
 		entries = h.reservations.Calendar.Windows()
 	}
-	for _, e := range entries {
-		if e.Name() <= r.Name {
-			continue // listed before
+	for _, entry := range entries {
+		if entry.Name() <= r.Name {
+			continue // on an earlier page
 		}
-		if len(reply.Reservations)+len(reply.Windows) >= maxListed {
+		if len(reply.Reservations)+len(reply.Windows) >= maxCalendarEntries {
 			reply.More = true
 			break
 		}
 		if r.Window {
-			v := h.windowView(e)
-			v.Overruns = nil
-			reply.Windows = append(reply.Windows, v)
+			view := h.windowView(entry)
+			view.Overruns = nil
+			reply.Windows = append(reply.Windows, view)
 		} else {
-			v := h.reservationView(e)
-			v.On, v.Past = nil, nil
-			reply.Reservations = append(reply.Reservations, v)
+			view := h.reservationView(entry)
+			view.On, view.Past = nil, nil
+			reply.Reservations = append(reply.Reservations, view)
 		}
 	}
 	return Decision{Reply: reply}
 }
 
-// reservationView is a reservation as operators see it: its record with the present holds,
-// risk and progress.
-func (h *Handler) reservationView(e *reservation.Entry) operatorapi.Reservation {
-	v := operatorapi.Reservation{Reservation: *e.Reservation}
+// reservationView returns a reservation as shown to operators: its record with its current
+// holds, risk and progress.
+func (h *Handler) reservationView(entry *reservation.Entry) operatorapi.Reservation {
+	view := operatorapi.Reservation{Reservation: *entry.Reservation}
 	for _, hold := range h.reservations.List {
-		if hold.For == e.Name() {
-			v.Held += hold.Tasks
-			v.On = append(v.On, hold.Machine)
+		if hold.For == entry.Name() {
+			view.Held += hold.Tasks
+			view.On = append(view.On, hold.Machine)
 		}
 	}
-	if risk, ok := h.planner.Risk(e.Name()); ok {
-		v.Risk = risk // newer than its record
+	if risk, ok := h.planner.Risk(entry.Name()); ok {
+		view.Risk = risk // newer than its record
 	}
-	_, _, v.Started = h.reservations.JobsOf(e)
-	return v
+	_, _, view.Started = h.reservations.JobsOf(entry)
+	return view
 }
 
-// windowView is a window as operators see it: its record with its present or next
+// windowView returns a window as shown to operators: its record with its current or next
 // occurrence.
-func (h *Handler) windowView(e *reservation.Entry) operatorapi.Window {
+func (h *Handler) windowView(entry *reservation.Entry) operatorapi.Window {
 	now := h.WallTime()
-	v := operatorapi.Window{Window: *e.Window}
-	if e.Cancelled {
-		return v
+	view := operatorapi.Window{Window: *entry.Window}
+	if entry.Cancelled {
+		return view
 	}
-	length := config.Seconds(e.Window.Spec.LengthS)
-	if times := e.Schedule.Occurrences(reservation.After(now, -length), reservation.After(now, reservation.Horizon)); len(times) > 0 {
-		v.NextMS, v.Open = times[0], times[0] <= now
-		v.Overruns = h.overruns(&e.Window.Spec, v.NextMS)
+	length := config.Seconds(entry.Window.Spec.LengthS)
+	if times := entry.Schedule.Occurrences(reservation.After(now, -length), reservation.After(now, reservation.Horizon)); len(times) > 0 {
+		view.NextMS, view.Open = times[0], times[0] <= now
+		view.Overruns = h.overruns(&entry.Window.Spec, view.NextMS)
 	}
-	return v
+	return view
 }
 
-// overruns lists the machines whose attempts are expected to run on after a window has
-// opened, the longest first.
-func (h *Handler) overruns(spec *record.WindowSpec, opens reservation.Moment) []operatorapi.Overrun {
+// overruns lists the machines with attempts that are expected to end only after a window
+// has opened, the longest overrun first.
+func (h *Handler) overruns(spec *record.WindowSpec, opening reservation.Moment) []operatorapi.Overrun {
 	var overruns []operatorapi.Overrun
 	for _, m := range h.table.InOrder() {
 		if !reservation.Covers(spec, m.ID, m.Record.Type, m.Record.Zone) {
@@ -111,8 +111,8 @@
 		for _, run := range m.State.Runs {
 			lastEnd = max(lastEnd, run.Ends)
 		}
-		if lastEnd > opens {
-			overruns = append(overruns, operatorapi.Overrun{Machine: m.ID, ByS: reservation.Between(opens, lastEnd).Seconds()})
+		if lastEnd > opening {
+			overruns = append(overruns, operatorapi.Overrun{Machine: m.ID, ByS: reservation.Between(opening, lastEnd).Seconds()})
 		}
 	}
 	slices.SortStableFunc(overruns, func(x, y operatorapi.Overrun) int { return int(y.ByS - x.ByS) })
--- a/internal/controller/operatorrequest/configuration.go
+++ b/internal/controller/operatorrequest/configuration.go
@@ -12,47 +12,49 @@
 	"damsonkeel/internal/record"
 )
 
-// configure decides a change of the configuration. A request that was carried out before
-// gets the same answer.
-func (h *Handler) configure(by string, r *operatorapi.Request) Decision {
-	followed := h.Configuration
-	if revision, done := followed.AppliedBy(r.ID); done {
-		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: h.configuredWithinS()}}
+// configure decides on a change of the configuration. A repeated request that was carried
+// out before gets the revision that it created, without a further change.
+func (h *Handler) configure(operator string, r *operatorapi.Request) Decision {
+	configuration := h.Configuration
+	if revision, done := configuration.AppliedBy(r.ID); done {
+		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: h.propagationLimitS()}}
 		return Decision{Reply: reply}
 	}
-	present := followed.Effective().Revision
+	current := configuration.Effective().Revision
 	switch {
 	case !h.HoldsLease():
 		return refuse(operatorapi.RetryLater, "may not act now")
 	case h.View.Layout < record.LayoutConfiguration:
 		return refuse(operatorapi.Refused, fmt.Sprintf("not taken while controllers take part that don't follow such changes, being of an earlier version or without operators' keys: %v", h.members.BlockingLayout(record.LayoutConfiguration)))
-	case r.Config.Revision != nil && *r.Config.Revision != present:
-		return refuse(operatorapi.Refused, fmt.Sprintf("revision %d is in force, not %d", present, *r.Config.Revision))
+	case r.Config.Revision != nil && *r.Config.Revision != current:
+		return refuse(operatorapi.Refused, fmt.Sprintf("revision %d is in force, not %d", current, *r.Config.Revision))
 	}
-	plan, err := followed.Decide(h.configurationFacts(), r.Config.Changes)
+	plan, err := configuration.Decide(h.configurationFacts(), r.Config.Changes)
 	if err != nil {
 		return refuse(operatorapi.Refused, err.Error())
 	}
-	plan.Request, plan.By, plan.AtMS = r.ID, by, h.WallTime()
-	d := Decision{Reply: operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: h.configuredWithinS()}}}
+	plan.Request, plan.By, plan.AtMS = r.ID, operator, h.WallTime()
+	decision := Decision{Reply: operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: plan.Revision, Changes: plan.Changes, WithinS: h.propagationLimitS()}}}
 	switch {
 	case len(plan.Changes) == 0:
-		d.Reply.Reason, d.Reply.Config.Revision = "nothing changes", present
+		decision.Reply.Reason, decision.Reply.Config.Revision = "nothing changes", current
 	case r.DryRun:
-		d.Reply.Reason = "nothing was changed: a dry run"
+		decision.Reply.Reason = "nothing was changed: a dry run"
 	default:
 		txn := plan.Transaction()
-		d.Transaction = &txn
+		decision.Transaction = &txn
 	}
-	return d
+	return decision
 }
 
-// configuredWithinS is how long a controller may act on an earlier revision, in seconds.
-func (h *Handler) configuredWithinS() float64 {
+// propagationLimitS returns the longest time for which a controller may act on an earlier
+// revision after a change, in seconds.
+func (h *Handler) propagationLimitS() float64 {
 	return config.MaxWatchStaleness(h.Op.NodeLease).Seconds()
 }
 
-// configurationFacts is what decisions on the configuration need to know of the site.
+// configurationFacts returns the inputs of decisions on the configuration other than the
+// configuration itself.
 func (h *Handler) configurationFacts() *dynamicconfig.Facts {
 	facts := &dynamicconfig.Facts{
 		Zones: h.Settings.Site.Zones, Types: slices.Sorted(maps.Keys(h.Types)), MaxChanges: h.Settings.Site.State.TxnOps,
--- a/internal/controller/operatorrequest/configurationview.go
+++ b/internal/controller/operatorrequest/configurationview.go
@@ -11,11 +11,11 @@
 	"damsonkeel/internal/record"
 )
 
-// maxConfigListed bounds the entries of one answer.
-const maxConfigListed = 200
+// maxConfigEntries bounds the number of entries in one reply.
+const maxConfigEntries = 200
 
-// showConfiguration lists entries as they are in force, from after the one that the
-// request names.
+// showConfiguration returns a page of the selected entries in force that follow the entry
+// named as After in the request.
 func (h *Handler) showConfiguration(r *operatorapi.Request) Decision {
 	effective := h.Configuration.Effective()
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: effective.Revision}}
@@ -23,7 +23,7 @@
 		if id <= r.Config.After || !r.Config.Selects(id) {
 			continue
 		}
-		if len(reply.Config.Entries) >= maxConfigListed {
+		if len(reply.Config.Entries) >= maxConfigEntries {
 			reply.More = true
 			break
 		}
@@ -35,8 +35,8 @@
 	return Decision{Reply: reply}
 }
 
-// configurationIDs lists all entries: those of the platform's file and those that were
-// changed.
+// configurationIDs lists the IDs of all entries, in order: those of the platform's file and
+// those that were ever changed.
 func (h *Handler) configurationIDs() []record.EntryID {
 	ids := map[record.EntryID]bool{}
 	for _, team := range h.Configuration.Effective().Teams() {
@@ -62,33 +62,35 @@
 	return slices.Sorted(maps.Keys(ids))
 }
 
-// configurationView is an entry as it is in force.
+// configurationView returns an entry in force as shown to operators.
 func (h *Handler) configurationView(id record.EntryID) operatorapi.ConfigEntry {
 	effective := h.Configuration.Effective()
-	v := operatorapi.ConfigEntry{Entry: id, Revision: h.Configuration.Entry(id).Revision}
+	view := operatorapi.ConfigEntry{Entry: id, Revision: h.Configuration.Entry(id).Revision}
 	switch kind, name := id.Split(); kind {
 	case record.EntryTeam:
 		t, known := effective.Team(protocol.Team(name))
-		v.Team = &record.TeamEntry{CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, GPUs: t.GPUs, MaxGPUs: t.MaxGPUs, Closed: t.Closed, Removed: !known, Lowered: t.Lowered}
+		view.Team = &record.TeamEntry{CPUs: t.CPUs, MaxCPUs: t.MaxCPUs, GPUs: t.GPUs, MaxGPUs: t.MaxGPUs, Closed: t.Closed, Removed: !known, Lowered: t.Lowered}
 	case record.EntryClass:
 		for _, o := range effective.Objectives {
 			if o.Class == name {
-				v.Objectives = append(v.Objectives, record.ObjectiveEntry{Kind: o.Kind, WithinS: o.WithinS, Share: o.Share, Times: o.Times})
+				view.Objectives = append(view.Objectives, record.ObjectiveEntry{Kind: o.Kind, WithinS: o.WithinS, Share: o.Share, Times: o.Times})
 			}
 		}
 	case record.EntryZone:
-		v.Closed = effective.PlaceCordoned("", protocol.Zone(name))
+		view.Closed = effective.PlaceCordoned("", protocol.Zone(name))
 	case record.EntryType:
-		v.Closed = effective.PlaceCordoned(protocol.MachineType(name), "")
+		view.Closed = effective.PlaceCordoned(protocol.MachineType(name), "")
 	case record.EntrySetting:
-		v.Value = effective.Setting(name)
+		view.Value = effective.Setting(name)
 	}
-	return v
+	return view
 }
 
-// configurationStatus lists the controllers with the revisions that they act on.
+// configurationStatus lists all controllers with the revisions that they act on: the
+// members of the view, the controllers that are excluded from it because they do not
+// support its layout, and those of the settings file.
 func (h *Handler) configurationStatus() Decision {
-	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: h.Configuration.Effective().Revision, WithinS: h.configuredWithinS()}}
+	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: h.Configuration.Effective().Revision, WithinS: h.propagationLimitS()}}
 	outdated := h.members.Outdated()
 	names := append(slices.Collect(maps.Keys(h.View.Members)), outdated...)
 	names = append(names, h.Self)
@@ -97,18 +99,18 @@
 	}
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
-		revision, ago := h.revisionOf(name)
+		revision, age := h.appliedRevision(name)
 		reply.Config.Controllers = append(reply.Config.Controllers, operatorapi.ConfigController{
-			Name: name, Revision: revision, Member: h.View.Members[name] != 0, Older: slices.Contains(outdated, name), LastContactS: ago.Seconds(),
+			Name: name, Revision: revision, Member: h.View.Members[name] != 0, Older: slices.Contains(outdated, name), LastContactS: age.Seconds(),
 			HoldsLease: name == h.Self && h.HoldsLease(),
 		})
 	}
 	return Decision{Reply: reply}
 }
 
-// revisionOf is the revision that a controller last reported as in force there, and how
-// long ago it did; 0 if it never has.
-func (h *Handler) revisionOf(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
+// appliedRevision returns the revision that a controller last reported to be in force on
+// it, and the time since that report. Both are 0 if it has never reported one.
+func (h *Handler) appliedRevision(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
 	if name == h.Self {
 		return h.Configuration.Effective().Revision, 0
 	}
--- a/internal/controller/operatorrequest/handler.go
+++ b/internal/controller/operatorrequest/handler.go
@@ -10,19 +10,19 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Decision is the answer to an operator's request, and the transaction that has to be
-// committed before the answer may be given, if any.
+// Decision is the reply to an operator's request and, if it is not nil, the transaction
+// that has to be committed before the reply may be sent.
 type Decision struct {
 	Reply       operatorapi.Reply
 	Transaction *protocol.Transaction
 }
 
-// refuse returns a decision that changes nothing, for a reason.
+// refuse returns a decision that changes nothing and gives a code and a reason.
 func refuse(code operatorapi.Code, reason string) Decision {
 	return Decision{Reply: operatorapi.Reply{Code: code, Reason: reason}}
 }
 
-// Handler decides operators' requests.
+// Handler decides on operators' requests.
 type Handler struct {
 	clusterstate.Module
 	members      *membership.Members
@@ -32,15 +32,17 @@
 }
 
 // New returns a handler of operators' requests.
-func New(module clusterstate.Module, members *membership.Members, table *waittable.Table, held *holds.Holds, planner *autoscaler.ReservationPlanner) *Handler {
-	return &Handler{Module: module, members: members, table: table, reservations: held, planner: planner}
+func New(module clusterstate.Module, members *membership.Members, table *waittable.Table, reservations *holds.Holds, planner *autoscaler.ReservationPlanner) *Handler {
+	return &Handler{Module: module, members: members, table: table, reservations: reservations, planner: planner}
 }
 
-// noSuchOperation is the reason for refusing a request that is not understood.
+// noSuchOperation is the reason for refusing a request whose operation is unknown or lacks
+// its arguments.
 const noSuchOperation = "no such operation"
 
-// Decide decides a request of the operator named by.
-func (h *Handler) Decide(by string, r *operatorapi.Request) Decision {
+// Decide decides on a request. The operator is identified by the name of the key that
+// sealed the request.
+func (h *Handler) Decide(operator string, r *operatorapi.Request) Decision {
 	if h.Session == 0 || len(h.Types) == 0 || h.WallMS == 0 {
 		return refuse(operatorapi.RetryLater, "not ready")
 	}
@@ -51,7 +53,7 @@
 	case operatorapi.OpConfig:
 		return h.showConfiguration(r)
 	case operatorapi.OpConfigure:
-		return h.configure(by, r)
+		return h.configure(operator, r)
 	case operatorapi.OpConfigStatus:
 		return h.configurationStatus()
 	case operatorapi.OpShares:
@@ -59,7 +61,7 @@
 	case operatorapi.OpMove:
 		return h.moveShards(r)
 	case operatorapi.OpAway:
-		return h.moveAllAway(r)
+		return h.cordonController(r)
 	case operatorapi.OpList:
 		return h.listCalendar(r)
 	case operatorapi.OpShow:
@@ -67,18 +69,18 @@
 	case operatorapi.OpCancel:
 		return h.cancelEntry(r)
 	case operatorapi.OpAdd:
-		return h.addEntry(by, r)
+		return h.addEntry(operator, r)
 	}
 	return refuse(operatorapi.Refused, noSuchOperation)
 }
 
-// addEntry adds a reservation or a window.
-func (h *Handler) addEntry(by string, r *operatorapi.Request) Decision {
+// addEntry decides on adding a reservation or a window.
+func (h *Handler) addEntry(operator string, r *operatorapi.Request) Decision {
 	switch {
 	case !r.Window && r.Reservation != nil:
-		return h.addReservation(by, r)
+		return h.addReservation(operator, r)
 	case r.Window && r.Spec != nil:
-		return h.addWindow(by, r)
+		return h.addWindow(operator, r)
 	}
 	return refuse(operatorapi.Refused, noSuchOperation)
 }
--- a/internal/controller/operatorrequest/handler_test.go
+++ b/internal/controller/operatorrequest/handler_test.go
@@ -21,7 +21,8 @@
 	"damsonkeel/internal/record"
 )
 
-// newHandler returns the handler of node-0, which holds its lease in a view with node-1.
+// newHandler returns the handler of node-0, which holds its lease and is in a view with
+// node-1.
 func newHandler(t *testing.T) *Handler {
 	t.Helper()
 	settings := fake.Settings()
@@ -33,23 +34,23 @@
 	table := waittable.New(module, rand.New(rand.NewPCG(1, 1)))
 	table.Reset()
 	progress := func(protocol.JobID) (message.Progress, bool) { return message.Progress{}, false }
-	held := holds.New(module, table, progress, func() {})
-	held.Reset()
-	_, planner := autoscaler.New(module, table, nil, held, nil)
+	reservations := holds.New(module, table, progress, func() {})
+	reservations.Reset()
+	_, planner := autoscaler.New(module, table, nil, reservations, nil)
 	planner.Reset()
 	members := membership.New(module)
 	members.Reset()
-	return New(module, members, table, held, planner)
+	return New(module, members, table, reservations, planner)
 }
 
-// shard gives the handler two shards in zone a, held by node-0 and node-1.
-func shard(h *Handler) {
+// addShards sets a shard table with two shards in zone a, held by node-0 and node-1.
+func addShards(h *Handler) {
 	h.View.Layout = record.LayoutShards
 	h.Shards = &record.ShardTable{Epoch: 2, Zones: []protocol.Zone{"a"}, Slots: 2, List: []record.ShardAssignment{{Holder: 100}, {Holder: 101}}}
 }
 
-// TestRefusedRequestsChangeNothing: a request that can't be carried out gets the code and
-// the reason that operators know, and no transaction.
+// TestRefusedRequestsChangeNothing checks that a request that can't be carried out gets its
+// documented code and reason, and has neither a transaction nor actions.
 func TestRefusedRequestsChangeNothing(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -63,33 +64,33 @@
 		{"unknown operation", nil, operatorapi.Request{Op: "unknown"}, operatorapi.Refused, "no such operation"},
 		{"add without a reservation", nil, operatorapi.Request{Op: operatorapi.OpAdd}, operatorapi.Refused, "no such operation"},
 		{"add without a window", nil, operatorapi.Request{Op: operatorapi.OpAdd, Window: true}, operatorapi.Refused, "no such operation"},
-		{"show of nothing", nil, operatorapi.Request{Op: operatorapi.OpShow, Name: "one"}, operatorapi.NotFound, "nothing of this name"},
-		{"cancel of no reservation", nil, operatorapi.Request{Op: operatorapi.OpCancel, Name: "one"}, operatorapi.NotFound, "no reservation of this name"},
-		{"cancel of no window", nil, operatorapi.Request{Op: operatorapi.OpCancel, Window: true, Name: "one"}, operatorapi.NotFound, "no window of this name"},
-		{"shards without shards", nil, operatorapi.Request{Op: operatorapi.OpShares}, operatorapi.Refused, "machines are not kept by shares here"},
+		{"show of a missing entry", nil, operatorapi.Request{Op: operatorapi.OpShow, Name: "one"}, operatorapi.NotFound, "nothing of this name"},
+		{"cancel of a missing reservation", nil, operatorapi.Request{Op: operatorapi.OpCancel, Name: "one"}, operatorapi.NotFound, "no reservation of this name"},
+		{"cancel of a missing window", nil, operatorapi.Request{Op: operatorapi.OpCancel, Window: true, Name: "one"}, operatorapi.NotFound, "no window of this name"},
+		{"list of shards without shards", nil, operatorapi.Request{Op: operatorapi.OpShares}, operatorapi.Refused, "machines are not kept by shares here"},
 		{"move without shards", nil, operatorapi.Request{Op: operatorapi.OpMove}, operatorapi.Refused, "machines are not kept by shares here"},
 		{
 			"move without a lease",
-			func(h *Handler) { shard(h); h.LeaseDeadline = 0 },
+			func(h *Handler) { addShards(h); h.LeaseDeadline = 0 },
 			operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1", Shares: []int{0}},
 			operatorapi.RetryLater, "may not act now",
 		},
-		{"move to no member", shard, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-9", Shares: []int{0}}, operatorapi.NotFound, "no such controller takes part"},
-		{"move of nothing", shard, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1"}, operatorapi.Refused, "no share is named"},
-		{"move of no shard", shard, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1", Shares: []int{2}}, operatorapi.NotFound, "no such share"},
+		{"move to a controller that is not a member", addShards, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-9", Shares: []int{0}}, operatorapi.NotFound, "no such controller takes part"},
+		{"move without shard numbers", addShards, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1"}, operatorapi.Refused, "no share is named"},
+		{"move of a missing shard", addShards, operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1", Shares: []int{2}}, operatorapi.NotFound, "no such share"},
 		{
-			"move to an excluded controller",
-			func(h *Handler) { shard(h); h.Shards.Away = []protocol.NodeName{"node-1"} },
+			"move to a cordoned controller",
+			func(h *Handler) { addShards(h); h.Shards.Away = []protocol.NodeName{"node-1"} },
 			operatorapi.Request{Op: operatorapi.OpMove, Controller: "node-1", Shares: []int{0}},
 			operatorapi.Refused, "it is to keep none",
 		},
 		{
-			"exclusion of the last controller",
-			func(h *Handler) { shard(h); h.Shards.Away = []protocol.NodeName{"node-1"} },
+			"cordon of the last controller",
+			func(h *Handler) { addShards(h); h.Shards.Away = []protocol.NodeName{"node-1"} },
 			operatorapi.Request{Op: operatorapi.OpAway, Controller: "node-0"},
 			operatorapi.Refused, "no controller would be left to keep machines",
 		},
-		{"no such entry", nil, operatorapi.Request{Op: operatorapi.OpConfig, Config: &operatorapi.ConfigRequest{Entry: "team/nobody"}}, operatorapi.NotFound, "there is no such entry"},
+		{"missing entry of the configuration", nil, operatorapi.Request{Op: operatorapi.OpConfig, Config: &operatorapi.ConfigRequest{Entry: "team/nobody"}}, operatorapi.NotFound, "there is no such entry"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHandler(t)
@@ -104,10 +105,11 @@
 	}
 }
 
-// TestListContinuesAfterNamedEntry: a list has a bounded size, says whether there are more
-// entries, and goes on after the entry that the next request names.
+// TestListContinuesAfterNamedEntry checks that a list has a bounded size and reports
+// whether there are more entries, and that the next page begins after the entry named in
+// its request.
 func TestListContinuesAfterNamedEntry(t *testing.T) {
-	const windows = maxListed + 2
+	const windows = maxCalendarEntries + 2
 	h := newHandler(t)
 	for i := range windows {
 		w := record.Window{Spec: record.WindowSpec{Name: record.EntryName(fmt.Sprintf("w-%02d", i)), When: "daily at 04:00", LengthS: 600, Zone: "a"}}
@@ -116,22 +118,22 @@
 		}
 	}
 	first := h.Decide("ops", &operatorapi.Request{Op: operatorapi.OpList, Window: true}).Reply
-	if len(first.Windows) != maxListed || !first.More {
+	if len(first.Windows) != maxCalendarEntries || !first.More {
 		t.Fatalf("%d windows, more: %v", len(first.Windows), first.More)
 	}
-	last := first.Windows[maxListed-1].Spec.Name
+	last := first.Windows[maxCalendarEntries-1].Spec.Name
 	rest := h.Decide("ops", &operatorapi.Request{Op: operatorapi.OpList, Window: true, Name: last}).Reply
-	if len(rest.Windows) != windows-maxListed || rest.More || rest.Windows[0].Spec.Name <= last {
+	if len(rest.Windows) != windows-maxCalendarEntries || rest.More || rest.Windows[0].Spec.Name <= last {
 		t.Errorf("%d more windows after %s, more: %v", len(rest.Windows), last, rest.More)
 	}
 }
 
-// TestExclusionOfControllerIsOneTransaction: excluding a controller from holding shards
-// changes the shard table on the condition that it is the one decided on; repeating it
-// changes nothing.
-func TestExclusionOfControllerIsOneTransaction(t *testing.T) {
+// TestCordonIsOneConditionalTransaction checks that cordoning a controller changes the
+// shard table on the condition that the table has the version that the decision is based
+// on, and that repeating the request changes nothing.
+func TestCordonIsOneConditionalTransaction(t *testing.T) {
 	h := newHandler(t)
-	shard(h)
+	addShards(h)
 	h.ShardsVersion = 7
 	d := h.Decide("ops", &operatorapi.Request{Op: operatorapi.OpAway, Controller: "node-1"})
 	if d.Reply.Code != operatorapi.Done || d.Transaction == nil {
--- a/internal/controller/operatorrequest/shards.go
+++ b/internal/controller/operatorrequest/shards.go
@@ -9,10 +9,10 @@
 	"damsonkeel/internal/record"
 )
 
-// notSharded is the decision where machines are dispatched to without shards.
+// notSharded refuses requests on shards where the machines are not divided into shards.
 var notSharded = refuse(operatorapi.Refused, "machines are not kept by shares here")
 
-// listShards lists the shards with their holders, and the controllers with the numbers of
+// listShards lists the shards with their holders and the controllers with the numbers of
 // their shards and machines.
 func (h *Handler) listShards() Decision {
 	if !h.Sharded() {
@@ -23,7 +23,7 @@
 	for id, m := range h.Records {
 		machines[sharding.ShardOf(h.Shards, id, m.Record.Zone)]++
 	}
-	index := map[protocol.NodeName]int{} // in reply.Controllers
+	index := map[protocol.NodeName]int{} // of a controller in reply.Controllers
 	for i := range reply.Controllers {
 		index[reply.Controllers[i].Name] = i
 	}
@@ -40,16 +40,16 @@
 	return Decision{Reply: reply}
 }
 
-// moveShards requests shards to be moved to a controller. Their holders carry it out: the
-// list of shards shows how far they are.
+// moveShards requests the handover of shards to a controller. Their current holders carry
+// out the moves; the list of shards shows the progress.
 func (h *Handler) moveShards(r *operatorapi.Request) Decision {
-	session := h.View.Members[r.Controller]
+	lease := h.View.Members[r.Controller]
 	switch {
 	case !h.Sharded():
 		return notSharded
 	case !h.HoldsLease():
 		return refuse(operatorapi.RetryLater, "may not act now")
-	case session == 0:
+	case lease == 0:
 		return refuse(operatorapi.NotFound, "no such controller takes part")
 	case slices.Contains(h.Shards.Away, r.Controller):
 		return refuse(operatorapi.Refused, "it is to keep none")
@@ -61,28 +61,29 @@
 		if id < 0 || id >= len(h.Shards.List) {
 			return refuse(operatorapi.NotFound, "no such share")
 		}
-		if h.Shards.List[id].Holder != session {
-			moves = append(moves, sharding.Move{ID: sharding.ID(id), To: session, Cause: "operator"})
+		if h.Shards.List[id].Holder != lease {
+			moves = append(moves, sharding.Move{ID: sharding.ID(id), To: lease, Cause: "operator"})
 		}
 	}
 	h.members.RequestMoves(moves)
 	return Decision{Reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "asked of their keepers"}}
 }
 
-// moveAllAway excludes a controller from holding shards, or ends that.
-func (h *Handler) moveAllAway(r *operatorapi.Request) Decision {
+// cordonController cordons a controller, which excludes it from holding shards, or ends the
+// cordon.
+func (h *Handler) cordonController(r *operatorapi.Request) Decision {
 	switch {
 	case !h.Sharded():
 		return notSharded
 	case h.View.Members[r.Controller] == 0 && !r.End:
 		return refuse(operatorapi.NotFound, "no such controller takes part")
 	}
-	away := slices.Contains(h.Shards.Away, r.Controller)
+	cordoned := slices.Contains(h.Shards.Away, r.Controller)
 	done := operatorapi.Reply{Code: operatorapi.Done, Reason: "its shares move away"}
 	if r.End {
 		done.Reason = "shares move to it again"
 	}
-	if away != r.End {
+	if cordoned != r.End {
 		return Decision{Reply: done}
 	}
 	next := sharding.Copy(h.Shards)
