--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// attemptTimeout bounds a request to one controller.
+	// attemptTimeout bounds one attempt to send a request to one controller.
 	attemptTimeout = 4 * time.Second
-	// retryInterval is the pause after all controllers have been asked.
+	// retryInterval is the pause after a request has been sent to all controllers.
 	retryInterval = 500 * time.Millisecond
 )
 
 var (
-	errNotSettled = errors.New("no controller settled it: nothing is known of a change; the same request can be repeated")
-	errNoRequests = errors.New("takes no operators' requests")
-	errStatus     = errors.New("status")
+	errNotSettled       = errors.New("no controller settled it: nothing is known of a change; the same request can be repeated")
+	errRequestsDisabled = errors.New("takes no operators' requests")
+	errStatus           = errors.New("status")
 )
 
-// LaterError is returned by a controller that can't decide a request now.
+// LaterError is the error for a reply that the controller can't decide the request now.
 type LaterError struct{ Reason string }
 
 // Error implements error.
 func (e *LaterError) Error() string { return e.Reason }
 
-// Client sends requests to controllers, one after the other, until one settles them.
+// Client sends each request to the controllers, one after the other, until one of them
+// settles it.
 type Client struct {
 	key         Key
 	controllers []*transport.Client
 }
 
-// NewClient makes a client of the controllers at addrs.
+// NewClient returns a client of the controllers at addrs.
 func NewClient(key Key, addrs []string) *Client {
 	c := &Client{key: key}
 	for _, addr := range addrs {
@@ -45,26 +46,26 @@
 	return c
 }
 
-// Do sends a request until a controller settles it or the context ends. The ID of a change
-// makes it idempotent, so that it can be sent again.
+// Do sends a request until a controller settles it or the context ends. Retries are safe,
+// since the ID of a change makes it idempotent.
 func (c *Client) Do(ctx context.Context, r Request) (Reply, error) {
-	var last error
+	var lastErr error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
-		next := attempt % len(c.controllers)
-		reply, err := c.ask(ctx, c.controllers[next], r)
+		index := attempt % len(c.controllers)
+		reply, err := c.sendTo(ctx, c.controllers[index], r)
 		if err == nil {
 			return reply, nil
 		}
-		last = err
-		if next == len(c.controllers)-1 {
-			pause(ctx)
+		lastErr = err
+		if index == len(c.controllers)-1 {
+			waitRetryInterval(ctx)
 		}
 	}
-	return Reply{}, fmt.Errorf("%w: %w", errNotSettled, last)
+	return Reply{}, fmt.Errorf("%w: %w", errNotSettled, lastErr)
 }
 
-// pause waits for the retry interval or the end of the context.
-func pause(ctx context.Context) {
+// waitRetryInterval waits for the end of the retry interval or of the context.
+func waitRetryInterval(ctx context.Context) {
 	timer := time.NewTimer(retryInterval)
 	defer timer.Stop()
 	select {
@@ -73,8 +74,8 @@
 	}
 }
 
-// ask sends a request to one controller.
-func (c *Client) ask(ctx context.Context, controller *transport.Client, r Request) (Reply, error) {
+// sendTo sends a request to one controller.
+func (c *Client) sendTo(ctx context.Context, controller *transport.Client, r Request) (Reply, error) {
 	body, err := Seal(c.key, time.Now(), r)
 	if err != nil {
 		return Reply{}, err
@@ -83,17 +84,17 @@
 	defer cancel()
 	response, err := controller.Do(ctx, http.MethodPost, Path, body)
 	if err != nil {
-		return Reply{}, err //nolint:wrapcheck // it names the request and the controller
+		return Reply{}, err //nolint:wrapcheck // the error names the request and the controller
 	}
 	return parseReply(response)
 }
 
-// parseReply turns a response into a reply that settles the request, or an error.
+// parseReply returns the reply in a response if it settles the request, or an error.
 func parseReply(response *transport.Message) (Reply, error) {
 	if response.Status == http.StatusNotFound && len(response.Body) > 0 {
 		var e protocol.ErrorBody
 		if err := protocol.Decode(response.Body, &e); err == nil && e.Error != "" {
-			return Reply{}, fmt.Errorf("%w: %s", errNoRequests, e.Error)
+			return Reply{}, fmt.Errorf("%w: %s", errRequestsDisabled, e.Error)
 		}
 	}
 	var reply Reply
--- a/internal/operatorapi/config.go
+++ b/internal/operatorapi/config.go
@@ -35,7 +35,7 @@
 // ConfigChange changes one entry. Fields that are nil stay as they are.
 type ConfigChange struct {
 	Entry record.EntryID `cbor:"entry"`
-	// Reset restores the entry of the platform's file; Remove removes a team.
+	// Reset restores the entry as in the platform's file; Remove removes a team.
 	Reset      bool                     `cbor:"reset,omitempty"`
 	Remove     bool                     `cbor:"remove,omitempty"`
 	CPUs       *float64                 `cbor:"cpus,omitempty"`
@@ -49,11 +49,12 @@
 
 // ConfigReply is the part of a Reply about the configuration.
 type ConfigReply struct {
-	// Revision is that of the change, or the one in force on the controller that replies.
+	// Revision is the revision that a change creates; in other replies it is the revision
+	// in force on the controller that replies.
 	Revision    record.ConfigurationRevision `cbor:"revision" json:"revision"`
 	Entries     []ConfigEntry                `cbor:"entries,omitempty" json:"entries,omitempty"`
-	Changes     []record.EntryChange         `cbor:"changes,omitempty" json:"changes,omitempty"` // of a change, or a dry run
-	History     []record.ConfigurationChange `cbor:"history,omitempty" json:"history,omitempty"` // the latest first
+	Changes     []record.EntryChange         `cbor:"changes,omitempty" json:"changes,omitempty"` // that are made, or would be in a dry run
+	History     []record.ConfigurationChange `cbor:"history,omitempty" json:"history,omitempty"` // latest first
 	Controllers []ConfigController           `cbor:"controllers,omitempty" json:"controllers,omitempty"`
 	// WithinS is the longest time for which a controller may act on an earlier revision
 	// after a change, in seconds.
@@ -63,7 +64,7 @@
 // ConfigEntry is an entry in force.
 type ConfigEntry struct {
 	Entry      record.EntryID               `cbor:"entry" json:"entry"`
-	Revision   record.ConfigurationRevision `cbor:"revision" json:"revision"` // that changed it last; 0 if the platform's file applies
+	Revision   record.ConfigurationRevision `cbor:"revision" json:"revision"` // last revision that changed the entry; 0 if none has, so that the platform's file applies
 	Team       *record.TeamEntry            `cbor:"team,omitempty" json:"team,omitempty"`
 	Objectives []record.ObjectiveEntry      `cbor:"objectives,omitempty" json:"objectives,omitempty"`
 	Closed     bool                         `cbor:"closed,omitempty" json:"closed,omitempty"`
@@ -76,16 +77,18 @@
 	Revision record.ConfigurationRevision `cbor:"revision" json:"revision"`
 	// Member is whether the controller is a member of the view.
 	Member bool `cbor:"member" json:"member"`
-	// HoldsLease is whether it holds its lease, known only of the controller that replies.
+	// HoldsLease is whether the controller holds its lease. It is set only for the
+	// controller that replies.
 	HoldsLease bool `cbor:"acting,omitempty" json:"acting,omitempty"`
-	// Older is whether its version or its settings don't support the dynamic
-	// configuration, so that it is excluded from the view.
+	// Older is whether the controller's version or settings don't support the dynamic
+	// configuration, so that the controller is excluded from the view.
 	Older bool `cbor:"older,omitempty" json:"older,omitempty"`
-	// LastContactS is the time since its last contact, in seconds.
+	// LastContactS is the time since the controller last reported its revision to the
+	// controller that replies, in seconds.
 	LastContactS float64 `cbor:"heard_s" json:"heard_s"`
 }
 
-// configFields is a set of kinds of fields of a ConfigChange.
+// configFields is a set of groups of fields of a ConfigChange.
 type configFields uint8
 
 const (
@@ -95,7 +98,7 @@
 	valueField
 )
 
-// fieldsOfKind has the fields that each kind of entry has.
+// fieldsOfKind maps each kind of entry to the fields that its changes may set.
 var fieldsOfKind = map[record.EntryKind]configFields{
 	record.EntryTeam:    amountFields | closedField,
 	record.EntryClass:   objectivesField,
@@ -104,11 +107,11 @@
 	record.EntrySetting: valueField,
 }
 
-// errFieldsMismatch is returned for a change with fields that its kind of entry has not.
+// errFieldsMismatch is returned for a change whose fields don't match its kind of entry.
 var errFieldsMismatch = errors.New("the fields don't fit this kind of entry")
 
 // CheckFields checks that a change either resets or removes its entry, or sets fields of
-// its kind of entry. It accepts all kinds that don't exist: the caller rejects them.
+// its kind of entry. It accepts unknown kinds, which the caller rejects.
 func (c *ConfigChange) CheckFields(kind record.EntryKind) error {
 	if c.Remove && (c.Reset || kind != record.EntryTeam) {
 		return errFieldsMismatch
@@ -118,14 +121,14 @@
 		return nil
 	}
 	fields := c.fields()
-	ends := c.Reset || c.Remove
-	if fields&^allowed != 0 || ends == (fields != 0) {
+	resetsOrRemoves := c.Reset || c.Remove
+	if fields&^allowed != 0 || resetsOrRemoves == (fields != 0) {
 		return errFieldsMismatch
 	}
 	return nil
 }
 
-// fields is the set of fields that the change sets.
+// fields returns the set of fields that the change sets.
 func (c *ConfigChange) fields() configFields {
 	var fields configFields
 	if c.CPUs != nil || c.MaxCPUs != nil || c.GPUs != nil || c.MaxGPUs != nil {
--- a/internal/operatorapi/config_test.go
+++ b/internal/operatorapi/config_test.go
@@ -8,10 +8,10 @@
 	"damsonkeel/internal/record"
 )
 
-// TestFieldsFitTheirKindOfEntry: a change has fields of its kind of entry, or resets or
-// removes it, and not both.
-func TestFieldsFitTheirKindOfEntry(t *testing.T) {
-	set := map[string]func(*ConfigChange){
+// TestCheckFieldsMatchesKindOfEntry checks that a change either sets fields that its kind of
+// entry has, or resets or removes the entry, but not both.
+func TestCheckFieldsMatchesKindOfEntry(t *testing.T) {
+	setField := map[string]func(*ConfigChange){
 		"amount":     func(c *ConfigChange) { c.GPUs = new(float64) },
 		"closed":     func(c *ConfigChange) { c.Closed = new(bool) },
 		"objectives": func(c *ConfigChange) { c.Objectives = &[]record.ObjectiveEntry{} },
@@ -20,37 +20,37 @@
 		"remove":     func(c *ConfigChange) { c.Remove = true },
 	}
 	names := []string{"amount", "closed", "objectives", "value", "reset", "remove"}
-	fits := map[record.EntryKind][]string{
+	allowed := map[record.EntryKind][]string{
 		record.EntryTeam:    {"amount", "closed", "amount closed", "reset", "remove"},
 		record.EntryClass:   {"objectives", "reset"},
 		record.EntryZone:    {"closed", "reset"},
 		record.EntryType:    {"closed", "reset"},
 		record.EntrySetting: {"value", "reset"},
 	}
-	for kind, good := range fits {
+	for kind, combinations := range allowed {
 		for bits := range 1 << len(names) {
 			var change ConfigChange
-			var given strings.Builder
+			var combination strings.Builder
 			for i, name := range names {
 				if bits&(1<<i) != 0 {
-					set[name](&change)
-					given.WriteString(" " + name)
+					setField[name](&change)
+					combination.WriteString(" " + name)
 				}
 			}
-			want := slices.Contains(good, strings.TrimSpace(given.String()))
+			want := slices.Contains(combinations, strings.TrimSpace(combination.String()))
 			err := change.CheckFields(kind)
 			if (err == nil) != want {
-				t.Errorf("%s with%s: %v", kind, given.String(), err)
+				t.Errorf("%s with%s: %v", kind, combination.String(), err)
 			}
 			if err != nil && err.Error() != "the fields don't fit this kind of entry" {
-				t.Errorf("%s with%s: %v", kind, given.String(), err)
+				t.Errorf("%s with%s: %v", kind, combination.String(), err)
 			}
 		}
 	}
 	if err := (&ConfigChange{Reset: true}).CheckFields("other"); err != nil {
-		t.Errorf("another kind is rejected by name, not by its fields: %v", err)
+		t.Errorf("an unknown kind was rejected, which is left to the caller: %v", err)
 	}
 	if err := (&ConfigChange{Remove: true}).CheckFields("other"); err == nil {
-		t.Error("removal of another kind than a team was accepted")
+		t.Error("removal of an entry that is not a team was accepted")
 	}
 }
--- a/internal/operatorapi/configfile.go
+++ b/internal/operatorapi/configfile.go
@@ -8,8 +8,8 @@
 	"damsonkeel/internal/record"
 )
 
-// ConfigFile is a file of changes of the configuration, which are made atomically. The
-// names of these types are part of the texts of parse errors.
+// ConfigFile is a file of configuration changes, which are made atomically. The names of
+// this type and of the types of its fields are part of the texts of parse errors.
 type ConfigFile struct {
 	// Revision, if not nil, is the revision that must be in force.
 	Revision *uint64                       `toml:"revision"`
@@ -20,7 +20,7 @@
 	Settings map[string]record.SettingText `toml:"settings"`
 }
 
-// ConfigFileTeam is the changes of a team. Fields that are left out stay as they are.
+// ConfigFileTeam has the changes of a team. Fields that are left out stay as they are.
 type ConfigFileTeam struct {
 	Name    string   `toml:"name"`
 	CPUs    *float64 `toml:"cpus"`
@@ -39,14 +39,14 @@
 	Reset      bool                    `toml:"reset"`
 }
 
-// ConfigFilePlace is the changes of a zone or a machine type.
+// ConfigFilePlace has the changes of a zone or a machine type.
 type ConfigFilePlace struct {
 	Name   string `toml:"name"`
 	Closed *bool  `toml:"closed"`
 	Reset  bool   `toml:"reset"`
 }
 
-// ParseConfigFile parses a file of changes. Its errors show unknown fields.
+// ParseConfigFile parses a file of changes. Its errors name unknown fields.
 func ParseConfigFile(b []byte) (*ConfigFile, error) {
 	f := &ConfigFile{}
 	if err := config.DecodeStrict(b, f); err != nil {
--- a/internal/operatorapi/doc.go
+++ b/internal/operatorapi/doc.go
@@ -1,7 +1,8 @@
-// Package operatorapi has the requests of operators' commands to controllers and the
-// replies, the seal that authenticates requests, and the client that sends them.
+// Package operatorapi defines the requests that operators' commands send to controllers,
+// the replies, the seal that authenticates requests, and the client that sends them.
 //
-// The package is the same on both sides and has no state but the client's connections.
-// Requests are decided elsewhere. Tags of fields and values of Op and Code are wire
-// format and keys of the command line's JSON output, so they never change.
+// Controllers and the command line both use the package. It has no state except the
+// client's connections, and does not decide on requests. Field tags and the values of Op
+// and Code are the wire format and the keys of the command line's JSON output, so they
+// never change.
 package operatorapi
--- a/internal/operatorapi/errortext_test.go
+++ b/internal/operatorapi/errortext_test.go
@@ -16,8 +16,8 @@
 	"damsonkeel/internal/transport"
 )
 
-// TestKeyErrorTexts: operators see these texts on the command line, so that they stay as
-// they are.
+// TestKeyErrorTexts checks the exact texts of errors about keys: operators see them on the
+// command line, so they must not change.
 func TestKeyErrorTexts(t *testing.T) {
 	secret := strings.Repeat("0a", 32)
 	for _, tc := range []struct{ name, text, want string }{
@@ -55,7 +55,8 @@
 	}
 }
 
-// TestClientErrorTexts: the same where no controller settles a request.
+// TestClientErrorTexts checks the exact texts of the client's errors when no controller
+// settles a request.
 func TestClientErrorTexts(t *testing.T) {
 	key, err := NewKey("ops")
 	if err != nil {
@@ -81,7 +82,7 @@
 	} {
 		addr := serveResponse(t, tc.response)
 		client := NewClient(key, []string{addr})
-		_, err := client.ask(context.Background(), client.controllers[0], Request{Op: OpList})
+		_, err := client.sendTo(context.Background(), client.controllers[0], Request{Op: OpList})
 		if err == nil || err.Error() != tc.want {
 			t.Errorf("%s: %v, want %s", tc.name, err, tc.want)
 		}
@@ -94,7 +95,8 @@
 	}
 }
 
-// serveResponse serves every request with the same response.
+// serveResponse starts a server that answers every request with the same response, and
+// returns its address.
 func serveResponse(t *testing.T, response *transport.Message) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -113,7 +115,8 @@
 	return addr
 }
 
-// TestConfigFileErrorTexts: the same for files of changes of the configuration.
+// TestConfigFileErrorTexts checks the exact texts of errors in files of configuration
+// changes.
 func TestConfigFileErrorTexts(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
 		{"malformed", "=", "toml: invalid character at start of key: U+003D '='"},
--- a/internal/operatorapi/key.go
+++ b/internal/operatorapi/key.go
@@ -9,30 +9,30 @@
 	"strings"
 )
 
-// Key is an operator's key. Several keys may have the same name while one replaces
-// another.
+// Key is an operator's key, a secret shared with the controllers. Two keys may have the
+// same name while one replaces the other.
 type Key struct {
 	Name   string
 	Secret []byte
 }
 
 const (
-	// minSecretSize is the size of the shortest secret, in bytes.
+	// minSecretSize is the size in bytes of the shortest accepted secret, and of new ones.
 	minSecretSize    = 32
 	maxKeyNameLength = 60
-	// othersPermissions are the permissions of a file for others than its owner.
+	// othersPermissions are the permission bits of a file for its group and all others.
 	othersPermissions = 0o077
 )
 
 var (
-	errKeyName      = errors.New("is no name of 1 to 60 characters without spaces")
-	errKeyLine      = errors.New("want a name and a secret")
-	errSecret       = fmt.Errorf("the secret is not %d hexadecimal digits or more", hex.EncodedLen(minSecretSize))
-	errNoKeys       = errors.New("operators' keys: none")
-	errKeysReadable = errors.New("may be read by others")
+	errKeyName     = errors.New("is no name of 1 to 60 characters without spaces")
+	errKeyLine     = errors.New("want a name and a secret")
+	errSecret      = fmt.Errorf("the secret is not %d hexadecimal digits or more", hex.EncodedLen(minSecretSize))
+	errNoKeys      = errors.New("operators' keys: none")
+	errKeysExposed = errors.New("may be read by others")
 )
 
-// NewKey makes a key with a random secret.
+// NewKey returns a key with a random secret.
 func NewKey(name string) (Key, error) {
 	k := Key{Name: name, Secret: make([]byte, minSecretSize)}
 	if _, err := rand.Read(k.Secret); err != nil {
@@ -41,6 +41,7 @@
 	return k, checkKeyName(name)
 }
 
+// checkKeyName checks that a name is valid in a keys file.
 func checkKeyName(name string) error {
 	if name == "" || len(name) > maxKeyNameLength || strings.ContainsAny(name, " \t\n#") {
 		return fmt.Errorf("operator's key: %q %w", name, errKeyName)
@@ -48,10 +49,10 @@
 	return nil
 }
 
-// String formats the key as a line of a file of keys: its name and its secret.
+// String formats the key as a line of a keys file: its name and its secret.
 func (k Key) String() string { return k.Name + " " + hex.EncodeToString(k.Secret) }
 
-// ParseKeys parses the text of a file of keys, with one on each line; "#" begins a
+// ParseKeys parses the text of a keys file, which has one key on each line; "#" begins a
 // comment.
 func ParseKeys(text string) ([]Key, error) {
 	var keys []Key
@@ -80,14 +81,14 @@
 	return keys, nil
 }
 
-// ReadKeys reads a file of keys, which only its owner may have access to.
+// ReadKeys reads a keys file. It rejects a file that anyone but its owner has access to.
 func ReadKeys(path string) ([]Key, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("operators' keys: %w", err)
 	}
 	if mode := info.Mode().Perm(); mode&othersPermissions != 0 {
-		return nil, fmt.Errorf("operators' keys: %s %w (mode %v): chmod 600", path, errKeysReadable, mode)
+		return nil, fmt.Errorf("operators' keys: %s %w (mode %v): chmod 600", path, errKeysExposed, mode)
 	}
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/operatorapi/key_test.go
+++ b/internal/operatorapi/key_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestReadKeysNeedsAPrivateFile: a file of keys that others may read is rejected; one that
-// only its owner may read can have several keys of the same name.
-func TestReadKeysNeedsAPrivateFile(t *testing.T) {
+// TestReadKeysRequiresPrivateFile checks that a keys file that others may read is rejected,
+// and that a file that only its owner may read can have several keys of the same name.
+func TestReadKeysRequiresPrivateFile(t *testing.T) {
 	key, err := NewKey("ops")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operatorapi/reply.go
+++ b/internal/operatorapi/reply.go
@@ -11,10 +11,10 @@
 // The codes of replies.
 const (
 	Done       Code = "done"
-	Refused    Code = "refused" // can't be fulfilled, or is malformed
+	Refused    Code = "refused" // the request can't be fulfilled, or is malformed
 	NotFound   Code = "not_found"
 	Denied     Code = "denied" // the seal is invalid or expired
-	RetryLater Code = "later"  // can't be decided now: retry
+	RetryLater Code = "later"  // the request can't be decided now: retry
 )
 
 // Reply is the reply to a request.
@@ -22,15 +22,16 @@
 	Code   Code   `cbor:"code" json:"code"`
 	Reason string `cbor:"reason,omitempty" json:"reason,omitempty"`
 
-	// Conflicts are the entries that conflict with what was requested, and Beside those
-	// that overlap without a conflict. FirstMS are the first occurrences.
+	// Conflicts lists the reservations and windows that conflict with the requested one;
+	// Overlapping lists those that overlap it without a conflict. FirstMS has the times of
+	// its first occurrences.
 	Conflicts   []record.EntryName `cbor:"in_the_way,omitempty" json:"in_the_way,omitempty"`
 	Overlapping []record.EntryName `cbor:"beside,omitempty" json:"beside,omitempty"`
 	FirstMS     []record.Moment    `cbor:"first_ms,omitempty" json:"first_ms,omitempty"`
 
 	Reservations []Reservation `cbor:"reservations,omitempty" json:"reservations,omitempty"`
 	Windows      []Window      `cbor:"windows,omitempty" json:"windows,omitempty"`
-	More         bool          `cbor:"more,omitempty" json:"more,omitempty"` // whether another page follows after the last name
+	More         bool          `cbor:"more,omitempty" json:"more,omitempty"` // another page follows after the last name
 
 	Controllers []Controller `cbor:"controllers,omitempty" json:"controllers,omitempty"`
 	Shares      []Share      `cbor:"shares,omitempty" json:"shares,omitempty"`
@@ -41,9 +42,9 @@
 // Reservation is a reservation and its current state.
 type Reservation struct {
 	record.Reservation
-	Held    int                  `cbor:"held" json:"held"` // tasks that resources are held for
-	On      []protocol.MachineID `cbor:"on,omitempty" json:"on,omitempty"`
-	Started int                  `cbor:"started" json:"started"` // number of its job's tasks
+	Held    int                  `cbor:"held" json:"held"`                 // number of tasks for which resources are held
+	On      []protocol.MachineID `cbor:"on,omitempty" json:"on,omitempty"` // machines on which resources are held
+	Started int                  `cbor:"started" json:"started"`           // number of its tasks that have started
 }
 
 // Window is a maintenance window and its current state.
@@ -54,10 +55,10 @@
 	Overruns []Overrun     `cbor:"overruns,omitempty" json:"overruns,omitempty"`
 }
 
-// Overrun is a machine whose tasks are expected to run into a window, and for how long.
+// Overrun is a machine whose tasks are expected to run on after the start of a window.
 type Overrun struct {
 	Machine protocol.MachineID `cbor:"machine" json:"machine"`
-	ByS     float64            `cbor:"by_s" json:"by_s"`
+	ByS     float64            `cbor:"by_s" json:"by_s"` // seconds after the start of the window
 }
 
 // Controller is the state of a controller.
@@ -66,9 +67,9 @@
 	Zone        protocol.Zone     `cbor:"zone,omitempty" json:"zone,omitempty"`
 	Shares      int               `cbor:"shares" json:"shares"`
 	Machines    int               `cbor:"machines" json:"machines"`
-	LateMS      float64           `cbor:"late_ms" json:"late_ms"`                     // delay of its ticks
+	LateMS      float64           `cbor:"late_ms" json:"late_ms"`                     // delay of its ticks, in milliseconds
 	Unreachable bool              `cbor:"deaf,omitempty" json:"deaf,omitempty"`       // workers can't reach it
-	Cordoned    bool              `cbor:"away,omitempty" json:"away,omitempty"`       // cordoned
+	Cordoned    bool              `cbor:"away,omitempty" json:"away,omitempty"`       // it may hold no shards
 	Leaving     bool              `cbor:"leaving,omitempty" json:"leaving,omitempty"` // shutting down
 }
 
@@ -77,7 +78,7 @@
 	Number   int               `cbor:"number" json:"number"`
 	Zone     protocol.Zone     `cbor:"zone" json:"zone"`
 	Machines int               `cbor:"machines" json:"machines"`
-	Holder   protocol.NodeName `cbor:"holder" json:"holder"`
-	Since    protocol.Term     `cbor:"since" json:"since"`
-	Epoch    protocol.Term     `cbor:"epoch" json:"epoch"`
+	Holder   protocol.NodeName `cbor:"holder" json:"holder"` // controller that holds the shard
+	Since    protocol.Term     `cbor:"since" json:"since"`   // epoch at which the holder took the shard over
+	Epoch    protocol.Term     `cbor:"epoch" json:"epoch"`   // fencing token of commands to the shard's machines
 }
--- a/internal/operatorapi/request.go
+++ b/internal/operatorapi/request.go
@@ -5,14 +5,14 @@
 	"damsonkeel/internal/record"
 )
 
-// Path is the path of operators' requests, sent by POST.
+// Path is the HTTP path of operators' requests, which are sent by POST.
 const Path = "/operator/v1"
 
 // Op is the operation of a request.
 type Op string
 
-// Operations on reservations, windows and shards. Request.Window distinguishes
-// reservations and windows.
+// Operations on reservations, maintenance windows and shards. The first four concern a
+// window if Request.Window is set, otherwise a reservation.
 const (
 	OpAdd    Op = "add"
 	OpList   Op = "list"
@@ -20,10 +20,10 @@
 	OpCancel Op = "cancel"
 	OpShares Op = "shares" // lists the shards of the machines
 	OpMove   Op = "move"   // moves shards to a controller
-	OpAway   Op = "away"   // cordons a controller, which then leads no shards, or ends that
+	OpAway   Op = "away"   // cordons a controller, which then holds no shards, or ends the cordon
 )
 
-// Request is a request of an operator. On the wire it is part of a Sealed.
+// Request is a request of an operator. It is sent as part of a Sealed.
 type Request struct {
 	Op     Op               `cbor:"op"`
 	Window bool             `cbor:"window,omitempty"`
@@ -31,20 +31,20 @@
 	// ID is the idempotency key: a repeated request for a change gets the same reply and
 	// changes nothing more.
 	ID string `cbor:"id,omitempty"`
-	// DryRun decides a change without making it.
+	// DryRun requests the decision on a change without making the change.
 	DryRun bool `cbor:"dry_run,omitempty"`
 	// Replace lets OpAdd replace the entry of the same name.
 	Replace bool `cbor:"replace,omitempty"`
 	// CreatedAt is the creation time of the entry to be cancelled. An entry of the same name
-	// that was made at another time is not cancelled.
+	// that was created at another time is not cancelled.
 	CreatedAt record.Moment `cbor:"made_ms,omitempty"`
 
 	Reservation *record.ReservationSpec `cbor:"reservation,omitempty"`
 	Spec        *record.WindowSpec      `cbor:"spec,omitempty"` // the window of OpAdd
 
-	Shares     []int             `cbor:"shares,omitempty"`     // to move
-	Controller protocol.NodeName `cbor:"controller,omitempty"` // that the shards move to, or that is cordoned
-	End        bool              `cbor:"end,omitempty"`        // of the cordon
+	Shares     []int             `cbor:"shares,omitempty"`     // numbers of the shards to move
+	Controller protocol.NodeName `cbor:"controller,omitempty"` // target of the moves, or controller to cordon
+	End        bool              `cbor:"end,omitempty"`        // ends the cordon
 
 	Config *ConfigRequest `cbor:"config,omitempty"`
 }
--- a/internal/operatorapi/seal.go
+++ b/internal/operatorapi/seal.go
@@ -15,12 +15,13 @@
 )
 
 // Sealed is an authenticated request. Its seal is an HMAC-SHA256 of the key's name, the
-// time and the request. Bodies have no binary values.
+// time and the request. The request and the seal are encoded as text, since message bodies
+// have no binary values.
 type Sealed struct {
-	Key     string `cbor:"key"`
-	AtMS    int64  `cbor:"at_ms"`
-	Request string `cbor:"request"` // base64 of its CBOR form
-	Seal    string `cbor:"seal"`    // hex
+	Key     string `cbor:"key"`     // name of the key
+	AtMS    int64  `cbor:"at_ms"`   // time of the seal, as Unix time in milliseconds
+	Request string `cbor:"request"` // base64 of the request's CBOR encoding
+	Seal    string `cbor:"seal"`    // hexadecimal
 }
 
 // sealDomain separates seals from other uses of the same secret.
@@ -50,16 +51,18 @@
 	return body, nil
 }
 
-// SealLifetime is how old a sealed request may be, and how far ahead of the receiver's
-// clock, beyond the error of clocks. Within that time whoever has seen it can replay it;
-// a replayed change does nothing more because of its id.
+// SealLifetime is the largest difference between the time of a seal and the receiver's
+// clock, in either direction, beyond the error of both clocks. Within that time, anyone
+// who has seen the request can replay it; a replayed change has no further effect because
+// of its idempotency key.
 const SealLifetime = 30 * time.Second
 
-// ErrSeal is returned for a request that no valid seal authenticates.
+// ErrSeal is returned for a request without a valid and recent seal.
 var ErrSeal = errors.New("not sealed by an operator's key, or too long ago")
 
 // Open authenticates and decodes a sealed request, and returns it with the name of its
-// key. The sender can't distinguish the reasons of a failure.
+// key. Every error wraps ErrSeal, so that the sender can't distinguish an unknown key from
+// a wrong or expired seal.
 func Open(body []byte, keys []Key, now time.Time, clockError time.Duration) (Request, string, error) {
 	var s Sealed
 	if err := protocol.Decode(body, &s); err != nil {
--- a/internal/operatorapi/seal_test.go
+++ b/internal/operatorapi/seal_test.go
@@ -7,8 +7,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestOpenAcceptsOnlyFreshSealedRequests: a request is accepted from the owner of a key
-// if it is fresh and unchanged.
+// TestOpenAcceptsOnlyFreshSealedRequests checks that a request is accepted only with a
+// recent seal by a known key, and only if it is unchanged.
 func TestOpenAcceptsOnlyFreshSealedRequests(t *testing.T) {
 	key, err := NewKey("ops")
 	if err != nil {
@@ -20,12 +20,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	change := func(do func(*Sealed)) []byte {
+	tampered := func(modify func(*Sealed)) []byte {
 		var s Sealed
 		if err := protocol.Decode(body, &s); err != nil {
 			t.Fatal(err)
 		}
-		do(&s)
+		modify(&s)
 		b, _ := protocol.Encode(s)
 		return b
 	}
@@ -37,17 +37,17 @@
 		ok   bool
 	}{
 		{"as sealed", body, []Key{key}, time.Second, true},
-		{"while the key is changed", body, []Key{other, key}, 0, true},
-		{"by another key of its name", body, []Key{other}, 0, false},
-		{"too old", body, []Key{key}, 2 * SealLifetime, false},
+		{"during key rotation", body, []Key{other, key}, 0, true},
+		{"another key of the same name", body, []Key{other}, 0, false},
+		{"expired", body, []Key{key}, 2 * SealLifetime, false},
 		{"from the future", body, []Key{key}, -2 * SealLifetime, false},
-		{"another request", change(func(s *Sealed) { s.Request = "oA==" }), []Key{key}, 0, false},
-		{"another time", change(func(s *Sealed) { s.AtMS++ }), []Key{key}, 0, false},
-		{"another name", change(func(s *Sealed) { s.Key = "op" }), []Key{key, {"op", key.Secret}}, 0, false},
-		{"nothing", nil, []Key{key}, 0, false},
+		{"another request", tampered(func(s *Sealed) { s.Request = "oA==" }), []Key{key}, 0, false},
+		{"another time", tampered(func(s *Sealed) { s.AtMS++ }), []Key{key}, 0, false},
+		{"another name", tampered(func(s *Sealed) { s.Key = "op" }), []Key{key, {"op", key.Secret}}, 0, false},
+		{"empty body", nil, []Key{key}, 0, false},
 	} {
-		r, by, err := Open(tc.body, tc.keys, now.Add(tc.at), time.Second)
-		if (err == nil) != tc.ok || tc.ok && (r.Name != "one" || by != "ops") {
+		r, keyName, err := Open(tc.body, tc.keys, now.Add(tc.at), time.Second)
+		if (err == nil) != tc.ok || tc.ok && (r.Name != "one" || keyName != "ops") {
 			t.Errorf("%s: %v", tc.name, err)
 		}
 	}
