--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,10 +6,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// maxAmount bounds all numbers of the settings.
+// maxAmount is the upper bound of the settings that have to be positive.
 const maxAmount = 1e9
 
-// check checks the settings and sets the number of controllers if it is not given.
+// check checks the settings, and sets the number of controllers if it is missing.
 func (s *Settings) check() error {
 	if s.Name == "" {
 		return badField("host_name", "missing")
@@ -28,7 +28,7 @@
 	return s.Site.checkTeams()
 }
 
-// checkMembers checks that all controllers have different names.
+// checkMembers checks that all controllers have names and that these are unique.
 func (s *Settings) checkMembers() error {
 	seen := map[protocol.NodeName]bool{s.Name: true}
 	for _, member := range s.Members {
@@ -40,6 +40,7 @@
 	return nil
 }
 
+// checkAddresses checks that all addresses have a port.
 func (s *Settings) checkAddresses() error {
 	type address struct{ field, value string }
 	addresses := []address{
@@ -59,7 +60,8 @@
 	return nil
 }
 
-// checkAmounts checks the numbers that have to be positive.
+// checkAmounts checks the numbers that have to be positive, and that cancel_s is above
+// lease_s.
 func (s *Site) checkAmounts() error {
 	for _, amount := range []struct {
 		field string
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// checkTeams checks that teams have different names and no negative amounts.
+// checkTeams checks that all teams have unique names and no negative amounts.
 func (s *Site) checkTeams() error {
 	seen := map[protocol.Team]bool{}
 	for _, team := range s.Teams {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-const good = `
+const validSettings = `
 host_name = "keelhand-0"
 domain = "a"
 serve_on = "10.0.0.1:8080"
@@ -44,9 +44,10 @@
 max_connections = 2000
 `
 
-// TestParseReadsAllSections: a good file is accepted, and unknown fields are ignored.
+// TestParseReadsAllSections checks that a valid file is accepted and that unknown fields are
+// ignored.
 func TestParseReadsAllSections(t *testing.T) {
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +56,7 @@
 	}
 }
 
-// TestParseNamesBadSettings: a bad setting is rejected by name.
+// TestParseNamesBadSettings checks that the error for an invalid setting names the setting.
 func TestParseNamesBadSettings(t *testing.T) {
 	cases := []struct{ old, new, field string }{
 		{`host_name = "keelhand-0"`, ``, "host_name"},
@@ -72,8 +73,8 @@
 		{`rps = 200.0`, `rps = "many"`, "settings"},
 	}
 	for _, tc := range cases {
-		text := strings.Replace(good, tc.old, tc.new, 1)
-		if text == good {
+		text := strings.Replace(validSettings, tc.old, tc.new, 1)
+		if text == validSettings {
 			t.Fatalf("%q is not in the settings", tc.old)
 		}
 		if _, err := Parse([]byte(text)); err == nil || !strings.Contains(err.Error(), tc.field) {
@@ -82,7 +83,7 @@
 	}
 }
 
-// TestParseOperatorReadsElements: elements that are given replace the defaults.
+// TestParseOperatorReadsElements checks that elements in the file replace the defaults.
 func TestParseOperatorReadsElements(t *testing.T) {
 	op, err := ParseOperator(strings.NewReader(`<damsonkeel><!-- ours --><nodeLease> 9s </nodeLease></damsonkeel>`))
 	if err != nil || op.NodeLease != 9*time.Second || op.ReplicationInterval != DefaultOperator().ReplicationInterval {
@@ -94,19 +95,20 @@
 	}
 }
 
-// TestFitChoosesNodeLease: a node lease that fits is used as it is, one that is too long
-// is rejected, and without one the longest that fits any platform is chosen.
+// TestFitChoosesNodeLease checks that a node lease that fits the platform is used
+// unchanged, that one that is too long is rejected, and that without one, Fit chooses a
+// lease that fits.
 func TestFitChoosesNodeLease(t *testing.T) {
 	op := DefaultOperator()
 	op.NodeLease = 9 * time.Second
-	s, err := Parse([]byte(good))
+	s, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if fit, err := op.Fit(s); err != nil || fit.NodeLease != 9*time.Second {
 		t.Errorf("%v, %v", fit.NodeLease, err)
 	}
-	op.NodeLease = 18 * time.Second // of 40 s less 20 s
+	op.NodeLease = 18 * time.Second // cancel_s (40 s) less lease_s (20 s) leaves too little for it
 	if _, err := op.Fit(s); err == nil || !strings.Contains(err.Error(), "nodeLease") {
 		t.Errorf("a lease too long: %v", err)
 	}
@@ -121,9 +123,10 @@
 	}
 }
 
-// TestParseOperatorNamesBadElements: a bad element or value is rejected by name.
+// TestParseOperatorNamesBadElements checks that the error for an invalid element or value
+// names it.
 func TestParseOperatorNamesBadElements(t *testing.T) {
-	for text, named := range map[string]string{
+	for text, want := range map[string]string{
 		`<damsonkeel><machineShares>some</machineShares></damsonkeel>`:   "some",
 		`<damsonkeel><machineRecords>both</machineRecords></damsonkeel>`: "both",
 		`<damsonkeel><nodeLeese>9s</nodeLeese></damsonkeel>`:             "nodeLeese",
@@ -134,14 +137,14 @@
 		`<damsonkeel><nodeLease>9s`: "operator settings",
 		``:                          "empty",
 	} {
-		if _, err := ParseOperator(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), named) {
-			t.Errorf("%s: %v, want %s named", text, err, named)
+		if _, err := ParseOperator(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %s named", text, err, want)
 		}
 	}
 }
 
-// TestFitLeavesMarginOfCancelS: settings that fit leave a margin of cancel_s above the
-// longest time for which a cancelled job's tasks may run.
+// TestFitLeavesMarginOfCancelS checks that with settings that fit, cancel_s exceeds the
+// longest time for which a cancelled job's tasks may run by a margin.
 func TestFitLeavesMarginOfCancelS(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Settings{}
@@ -159,16 +162,16 @@
 			}
 			return
 		}
-		if stays := fit.NodeLease.Seconds() + 2 + w.LeaseS*1.0005; stays+0.999 > w.CancelS {
-			t.Fatalf("stays for %v s of %v s", stays, w.CancelS)
+		if delay := fit.NodeLease.Seconds() + 2 + w.LeaseS*1.0005; delay+0.999 > w.CancelS {
+			t.Fatalf("cancelled tasks may run for %v s, cancel_s is %v s", delay, w.CancelS)
 		}
 	})
 }
 
-// TestFitLeavesMarginOfConfiguredWithin: where the configuration may change, settings
-// that fit leave a margin of the time within which a change is in force everywhere;
-// elsewhere there is no such condition.
-func TestFitLeavesMarginOfConfiguredWithin(t *testing.T) {
+// TestFitLeavesMarginOfPropagationLimit checks that where the configuration may change,
+// settings that fit leave a margin within the time in which a change must be in force on
+// all controllers, and that there is no such condition where it may not change.
+func TestFitLeavesMarginOfPropagationLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &Settings{}
 		s.Site.Workers.LeaseS, s.Site.Workers.CancelS = 20, 200
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// FieldError is a field of the platform's settings that is missing or has a bad value.
+// FieldError is the error for a field of the platform's settings that is missing or has an
+// invalid value.
 type FieldError struct {
 	Field   string
 	Problem string
@@ -14,12 +15,12 @@
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// badField makes a FieldError with a formatted problem.
+// badField returns a FieldError with a formatted problem.
 func badField(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// ValueError is the text of a setting that can't be parsed.
+// ValueError is the error for a setting whose text can't be parsed.
 type ValueError struct {
 	Text    string
 	Problem string
--- a/internal/config/errortext_test.go
+++ b/internal/config/errortext_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// TestSettingsErrorTexts: operators see these texts on the command line, so that they
-// stay as they are.
+// TestSettingsErrorTexts checks the exact texts of errors in the platform's settings:
+// operators see them on the command line, so they must not change.
 func TestSettingsErrorTexts(t *testing.T) {
 	replaced := func(from, to string) string {
-		text := strings.Replace(good, from, to, 1)
-		if text == good {
+		text := strings.Replace(validSettings, from, to, 1)
+		if text == validSettings {
 			t.Fatalf("%q is not in the settings", from)
 		}
 		return text
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestOperatorErrorTexts: the same for the operators' own settings.
+// TestOperatorErrorTexts checks the exact texts of errors in the operators' own settings.
 func TestOperatorErrorTexts(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
 		{"empty", ``, "operator settings: empty"},
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestFitErrorTexts: the same where the operators' settings don't fit the platform's.
+// TestFitErrorTexts checks the exact texts of errors for operators' settings that are
+// incompatible with the platform's.
 func TestFitErrorTexts(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -107,7 +108,8 @@
 	}
 }
 
-// TestFileErrorTexts: the same of files that can't be read, and of strict TOML.
+// TestFileErrorTexts checks the exact texts of errors for files that can't be read and for
+// strictly parsed TOML.
 func TestFileErrorTexts(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	cause := "open " + missing + ": no such file or directory"
@@ -125,10 +127,10 @@
 		{"malformed", "=", "toml: invalid character at start of key: U+003D '='"},
 		{"another type", "name = 1", "toml: cannot decode TOML integer into struct field struct { Name string \"toml:\\\"name\\\"\" }.Name of type string"},
 	} {
-		var into struct {
+		var target struct {
 			Name string `toml:"name"`
 		}
-		err := DecodeStrict([]byte(tc.text), &into)
+		err := DecodeStrict([]byte(tc.text), &target)
 		if err == nil || err.Error() != tc.want {
 			t.Errorf("%s: %v, want %s", tc.name, err, tc.want)
 		}
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -15,7 +15,7 @@
 
 const (
 	rootElement = "damsonkeel"
-	// settingDepth is the depth of the elements of settings, below the root.
+	// settingDepth is the nesting depth of the elements of settings; the root has depth 1.
 	settingDepth = 2
 
 	minDuration = 100 * time.Millisecond
@@ -24,7 +24,8 @@
 	maxMachines = 1_000_000
 )
 
-// LoadOperator reads the file at path; an empty path gives the defaults.
+// LoadOperator reads the operators' settings file at path. For an empty path it returns the
+// defaults.
 func LoadOperator(path string) (Operator, error) {
 	if path == "" {
 		return DefaultOperator(), nil
@@ -40,19 +41,19 @@
 // elementParser parses the text of an element into its setting.
 type elementParser func(text string) error
 
-// elements has the parsers of all elements.
+// elements returns the parsers of all elements, which set the fields of op.
 func (op *Operator) elements() map[string]elementParser {
 	return map[string]elementParser{
-		"relayEvery":      durationInto(&op.ReplicationInterval),
-		"copyWait":        durationInto(&op.CopyWait),
-		"defaultEstimate": durationInto(&op.DefaultEstimate),
-		"nodeLease":       durationInto(&op.NodeLease),
-		"idleReturn":      durationInto(&op.IdleTimeout),
-		"operatorKeys":    pathInto(&op.OperatorKeys),
-		"machines":        machinesInto(op),
-		"configuration":   choiceInto(&op.DisableDynamicConfig, "off", "on"),
-		"machineShares":   choiceInto(&op.DisableShards, "off", "on"),
-		"machineRecords":  choiceInto(&op.SingleRecords, "single", "blocks"),
+		"relayEvery":      durationParser(&op.ReplicationInterval),
+		"copyWait":        durationParser(&op.CopyWait),
+		"defaultEstimate": durationParser(&op.DefaultEstimate),
+		"nodeLease":       durationParser(&op.NodeLease),
+		"idleReturn":      durationParser(&op.IdleTimeout),
+		"operatorKeys":    pathParser(&op.OperatorKeys),
+		"machines":        machinesParser(op),
+		"configuration":   choiceParser(&op.DisableDynamicConfig, "off", "on"),
+		"machineShares":   choiceParser(&op.DisableShards, "off", "on"),
+		"machineRecords":  choiceParser(&op.SingleRecords, "single", "blocks"),
 	}
 }
 
@@ -70,18 +71,19 @@
 	decoder  *xml.Decoder
 	elements map[string]elementParser
 	depth    int
-	name     string // of the last element that was opened
-	text     string // since the last tag
+	name     string // name of the last element that was opened
+	text     string // text since the last tag
 }
 
+// parse parses the whole file.
 func (p *operatorParser) parse() error {
 	for {
 		token, err := p.decoder.Token()
 		if errors.Is(err, io.EOF) {
-			return p.checkEnd()
+			return p.checkComplete()
 		}
 		if err == nil {
-			err = p.token(token)
+			err = p.handleToken(token)
 		}
 		if err != nil {
 			return fmt.Errorf("operator settings: %w", err)
@@ -89,15 +91,18 @@
 	}
 }
 
-// checkEnd checks, at the end of the file, that there was anything in it.
-func (p *operatorParser) checkEnd() error {
+// checkComplete checks, at the end of the file, that the file was not empty and that all
+// elements are closed.
+func (p *operatorParser) checkComplete() error {
 	if p.depth != 0 || p.name == "" && p.text == "" && p.decoder.InputOffset() == 0 {
 		return errEmpty
 	}
 	return nil
 }
 
-func (p *operatorParser) token(token xml.Token) error {
+// handleToken processes one token. At the end of a setting's element it parses the
+// setting.
+func (p *operatorParser) handleToken(token xml.Token) error {
 	switch t := token.(type) {
 	case xml.StartElement:
 		p.depth++
@@ -119,7 +124,8 @@
 	return nil
 }
 
-// checkElement checks that an element is known and at its depth.
+// checkElement checks that an element is known, at the expected depth and without
+// attributes.
 func (p *operatorParser) checkElement(t xml.StartElement) error {
 	known := p.elements[p.name] != nil
 	switch {
@@ -133,10 +139,10 @@
 	return nil
 }
 
-// pathInto parses the name of a file.
-func pathInto(into *string) elementParser {
+// pathParser returns a parser for the path of a file.
+func pathParser(target *string) elementParser {
 	return func(text string) error {
-		*into = text
+		*target = text
 		if text == "" {
 			return errNoFile
 		}
@@ -144,33 +150,36 @@
 	}
 }
 
-// choiceInto parses a setting with two values, the first of which is true.
-func choiceInto(into *bool, whenTrue, whenFalse string) elementParser {
+// choiceParser returns a parser for a setting with two values, whenTrue and whenFalse.
+func choiceParser(target *bool, whenTrue, whenFalse string) elementParser {
 	return func(text string) error {
-		*into = text == whenTrue
-		if !*into && text != whenFalse {
+		*target = text == whenTrue
+		if !*target && text != whenFalse {
 			return &ValueError{text, "is none of its values"}
 		}
 		return nil
 	}
 }
 
-func durationInto(into *time.Duration) elementParser {
-	return func(text string) error { return SetDuration(into, text) }
+// durationParser returns a parser for a duration.
+func durationParser(target *time.Duration) elementParser {
+	return func(text string) error { return SetDuration(target, text) }
 }
 
-// SetDuration parses the text of a setting that is a duration.
-func SetDuration(into *time.Duration, text string) error {
+// SetDuration parses the text of a setting that is a duration, and sets target to it if it
+// is within the allowed range.
+func SetDuration(target *time.Duration, text string) error {
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration < minDuration || duration > maxDuration {
 		return &ValueError{text, "is no duration from 100ms to 1h"}
 	}
-	*into = duration
+	*target = duration
 	return nil
 }
 
-// machinesInto parses the number of machines of each type, "TYPE NUMBER, ...".
-func machinesInto(op *Operator) elementParser {
+// machinesParser returns a parser for the largest number of machines of each type, in the
+// form "TYPE NUMBER, ...".
+func machinesParser(op *Operator) elementParser {
 	return func(text string) error {
 		op.Machines = map[protocol.MachineType]int{}
 		for part := range strings.SplitSeq(text, ",") {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,13 +10,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is the platform's settings file. Unknown fields are ignored.
+// Settings is the platform's settings file of one controller. Unknown fields are ignored.
 type Settings struct {
-	Name     protocol.NodeName `toml:"host_name"`
-	Zone     protocol.Zone     `toml:"domain"`
-	Listen   string            `toml:"serve_on"`
-	PeerBind string            `toml:"peer_bind"`
-	Members  []Member          `toml:"members"`
+	Name     protocol.NodeName `toml:"host_name"` // of this controller
+	Zone     protocol.Zone     `toml:"domain"`    // availability zone of this controller
+	Listen   string            `toml:"serve_on"`  // address for workers, users and operators
+	PeerBind string            `toml:"peer_bind"` // address for other controllers
+	Members  []Member          `toml:"members"`   // the other controllers
 	Services Services          `toml:"services"`
 	Site     Site              `toml:"settings"`
 }
@@ -25,20 +25,20 @@
 type Member struct {
 	Name protocol.NodeName `toml:"host_name"`
 	Zone protocol.Zone     `toml:"domain"`
-	Peer string            `toml:"peer_addr"`
+	Peer string            `toml:"peer_addr"` // address for other controllers
 }
 
 // Services has the addresses of the platform's services.
 type Services struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	State string `toml:"state"` // the key-value store
 }
 
-// Site describes the deployment.
+// Site has the settings of the deployment, which are the same for all controllers.
 type Site struct {
-	Count        int             `toml:"count"`
+	Count        int             `toml:"count"` // number of controllers
 	Zones        []protocol.Zone `toml:"zones"`
-	ClockErrorMS float64         `toml:"clock_error_ms"`
+	ClockErrorMS float64         `toml:"clock_error_ms"` // largest error of a controller's clock
 	Teams        []Team          `toml:"teams"`
 	Objectives   []Objective     `toml:"objectives"`
 	Workers      Workers         `toml:"workers"`
@@ -63,37 +63,37 @@
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
+	WithinS float64 `toml:"within_s"` // time limit of all kinds except deadline
+	Share   float64 `toml:"share"`    // fraction that has to meet the objective
+	Times   float64 `toml:"times"`    // factor of the kind deadline
 }
 
-// Workers has the timing of the workers.
+// Workers has the timing of the workers, in seconds.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	ReportS   float64 `toml:"report_s"`    // interval of heartbeats
+	LeaseS    float64 `toml:"lease_s"`     // time for which tasks may run without a response to a heartbeat
+	GangWaitS float64 `toml:"gang_wait_s"` // time for which a task waits for the other tasks of its gang
+	GangPeerS float64 `toml:"gang_peer_s"` // time after which the other tasks of a running gang end when one was stopped
+	CancelS   float64 `toml:"cancel_s"`    // time within which the tasks of a cancelled job have to end
 }
 
 // State has the limits of the key-value store.
 type State struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // writes per second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value
+	TxnOps   int     `toml:"txn_ops"`   // number of changes of a transaction
 }
 
 // Cloud has the limits of the cloud.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`
-	ListLagS float64 `toml:"list_lag_s"`
+	RPS      float64 `toml:"rps"`        // requests per second
+	ListLagS float64 `toml:"list_lag_s"` // largest delay until a change shows in the list of machines
 }
 
 // Limits has the resources that a controller may use.
 type Limits struct {
-	CPU      float64 `toml:"cpu"`
+	CPU      float64 `toml:"cpu"` // cores
 	MemoryMB float64 `toml:"ram_mb"`
 	MaxConns int     `toml:"max_connections"`
 }
@@ -107,7 +107,7 @@
 	return Parse(b)
 }
 
-// Parse parses and checks settings. Its errors name the field.
+// Parse parses and checks settings. Its errors name the invalid field.
 func Parse(b []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(b, s); err != nil {
@@ -119,7 +119,7 @@
 	return s, nil
 }
 
-// Team finds a team.
+// Team returns the team of the given name, and whether it is in the settings.
 func (s *Settings) Team(name protocol.Team) (Team, bool) {
 	for _, t := range s.Site.Teams {
 		if t.Name == name {
@@ -129,7 +129,7 @@
 	return Team{}, false
 }
 
-// ClockError is the largest error of a controller's clock.
+// ClockError returns the largest error of a controller's clock.
 func (s *Site) ClockError() time.Duration {
 	return time.Duration(s.ClockErrorMS * float64(time.Millisecond))
 }
--- a/internal/config/strict.go
+++ b/internal/config/strict.go
@@ -8,10 +8,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// DecodeStrict decodes TOML into a value. A field that the value does not have is an
-// error that shows its place.
-func DecodeStrict(b []byte, into any) error {
-	err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(into)
+// DecodeStrict decodes TOML into target. For a field that target does not have, it returns
+// an error that shows the field's position in the text.
+func DecodeStrict(b []byte, target any) error {
+	err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(target)
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
 		return fmt.Errorf("%w:\n%s", errUnknownField, strict.String())
