--- a/cmd/damsonkeel/client.go
+++ b/cmd/damsonkeel/client.go
@@ -11,7 +11,7 @@
 	"damsonkeel/internal/operatorapi"
 )
 
-// clientFlags are the flags of commands that send requests to controllers.
+// clientFlags has the flags of commands that send requests to controllers.
 type clientFlags struct {
 	Controller []string      `help:"Addresses of controllers, one or more." env:"DAMSONKEEL_CONTROLLERS" required:"" placeholder:"HOST:PORT"`
 	Key        string        `help:"File with an operator's key; the first in it is used." env:"DAMSONKEEL_KEY" required:"" type:"path" placeholder:"FILE"`
@@ -19,7 +19,7 @@
 	Timeout    time.Duration `help:"How long to try." default:"30s"`
 }
 
-// exitCodes are the exit codes of replies to requests that were not fulfilled.
+// exitCodes maps the codes of replies to requests that were not fulfilled to exit codes.
 var exitCodes = map[operatorapi.Code]int{
 	operatorapi.Refused:  exitRefused,
 	operatorapi.NotFound: exitNotFound,
@@ -40,7 +40,7 @@
 func (f *clientFlags) send(r operatorapi.Request) (operatorapi.Reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
 	defer cancel()
-	reply, err := f.sendUntil(ctx, r)
+	reply, err := f.sendWithContext(ctx, r)
 	if err != nil {
 		return operatorapi.Reply{}, err
 	}
@@ -50,10 +50,10 @@
 	return reply, nil
 }
 
-// sendUntil sends a request until the context ends.
+// sendWithContext sends a request until a controller settles it or the context ends.
 //
-//nolint:wrapcheck // the texts of both errors are complete, and fixed output
-func (f *clientFlags) sendUntil(ctx context.Context, r operatorapi.Request) (operatorapi.Reply, error) {
+//nolint:wrapcheck // the texts of both errors are complete and must not change
+func (f *clientFlags) sendWithContext(ctx context.Context, r operatorapi.Request) (operatorapi.Reply, error) {
 	keys, err := operatorapi.ReadKeys(f.Key)
 	if err != nil {
 		return operatorapi.Reply{}, err
@@ -61,6 +61,7 @@
 	return operatorapi.NewClient(keys[0], f.Controller).Do(ctx, r)
 }
 
+// print prints a reply in the requested form.
 func (f *clientFlags) print(reply operatorapi.Reply) error {
 	if f.Output == outputJSON {
 		return printJSON(reply)
@@ -96,5 +97,5 @@
 func printJSON(value any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
-	return encoder.Encode(value) //nolint:wrapcheck // only writing can fail, and the error says so
+	return encoder.Encode(value) //nolint:wrapcheck // only writing can fail, which the error text states
 }
--- a/cmd/damsonkeel/cluster_test.go
+++ b/cmd/damsonkeel/cluster_test.go
@@ -19,17 +19,18 @@
 	"damsonkeel/internal/transport"
 )
 
-// cluster is three controllers as processes of their own, on loopback, with fakes of the
-// services and the workers.
+// cluster runs three controllers as separate processes on loopback, with fakes of the
+// platform's services and of the workers.
 type cluster struct {
-	t        *testing.T
-	dir, bin string
-	p        *server.Platform
-	nodes    map[protocol.NodeName]string
-	settings map[protocol.NodeName]string
-	running  map[protocol.NodeName]*exec.Cmd
+	t             *testing.T
+	dir, bin      string
+	platform      *server.Platform
+	addrs         map[protocol.NodeName]string
+	settingsFiles map[protocol.NodeName]string // paths
+	running       map[protocol.NodeName]*exec.Cmd
 }
 
+// freeAddr returns an unused address on loopback.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,9 +41,11 @@
 	return l.Addr().String()
 }
 
+// newCluster builds the program and starts the controllers, with the given number of
+// machines in the cloud.
 func newCluster(t *testing.T, machines int) *cluster {
 	t.Helper()
-	c := &cluster{t: t, dir: t.TempDir(), nodes: map[protocol.NodeName]string{}, settings: map[protocol.NodeName]string{}, running: map[protocol.NodeName]*exec.Cmd{}}
+	c := &cluster{t: t, dir: t.TempDir(), addrs: map[protocol.NodeName]string{}, settingsFiles: map[protocol.NodeName]string{}, running: map[protocol.NodeName]*exec.Cmd{}}
 	c.bin = filepath.Join(c.dir, "damsonkeel")
 	if out, err := exec.Command("go", "build", "-o", c.bin, ".").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
@@ -50,23 +53,23 @@
 	peers := map[protocol.NodeName]string{}
 	names := []protocol.NodeName{"node-0", "node-1", "node-2"}
 	for _, n := range names {
-		c.nodes[n], peers[n] = freeAddr(t), freeAddr(t)
+		c.addrs[n], peers[n] = freeAddr(t), freeAddr(t)
 	}
 	types := []protocol.TypeInfo{{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 50, FetchGBPS: 1, Price: 1, SpotPrice: 0.5, BootS: 2, AllowZones: []protocol.Zone{"a", "b"}}}
 	var err error
-	if c.p, err = server.New(types, machines, c.nodes); err != nil {
+	if c.platform, err = server.New(types, machines, c.addrs); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.p.Close)
-	c.write("operator.xml", "<damsonkeel><operatorKeys>"+filepath.Join(c.dir, "keys")+"</operatorKeys></damsonkeel>")
+	t.Cleanup(c.platform.Close)
+	c.writeFile("operator.xml", "<damsonkeel><operatorKeys>"+filepath.Join(c.dir, "keys")+"</operatorKeys></damsonkeel>")
 	for _, n := range names {
-		text := fmt.Sprintf("host_name = %q\ndomain = \"a\"\nserve_on = %q\npeer_bind = %q\n", n, c.nodes[n], peers[n])
+		text := fmt.Sprintf("host_name = %q\ndomain = \"a\"\nserve_on = %q\npeer_bind = %q\n", n, c.addrs[n], peers[n])
 		for _, m := range names {
 			if m != n {
 				text += fmt.Sprintf("[[members]]\nhost_name = %q\ndomain = \"a\"\npeer_addr = %q\n", m, peers[m])
 			}
 		}
-		text += fmt.Sprintf("[services]\ncloud = %q\nstate = %q\n", c.p.Cloud, c.p.State) + fmt.Sprintf(`[settings]
+		text += fmt.Sprintf("[services]\ncloud = %q\nstate = %q\n", c.platform.Cloud, c.platform.State) + fmt.Sprintf(`[settings]
 count = 3
 zones = ["a", "b"]
 clock_error_ms = 50
@@ -91,7 +94,7 @@
 ram_mb = 512
 max_connections = 400
 `, server.HeartbeatSeconds, server.LeaseSeconds)
-		c.settings[n] = c.write(string(n)+".toml", text)
+		c.settingsFiles[n] = c.writeFile(string(n)+".toml", text)
 		c.start(n)
 	}
 	t.Cleanup(func() {
@@ -102,7 +105,8 @@
 	return c
 }
 
-func (c *cluster) write(name, text string) string {
+// writeFile writes a file in the cluster's directory and returns its path.
+func (c *cluster) writeFile(name, text string) string {
 	path := filepath.Join(c.dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
@@ -110,17 +114,18 @@
 	return path
 }
 
-// newKey makes the operator's key.
+// newKey writes a keys file with a new operator's key.
 func (c *cluster) newKey() {
 	key, err := exec.Command(c.bin, "key", "ops").Output()
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.write("keys", string(key))
+	c.writeFile("keys", string(key))
 }
 
+// start starts the process of a controller.
 func (c *cluster) start(n protocol.NodeName) {
-	cmd := exec.Command(c.bin, "--config", c.settings[n], "--operator", filepath.Join(c.dir, "operator.xml"))
+	cmd := exec.Command(c.bin, "--config", c.settingsFiles[n], "--operator", filepath.Join(c.dir, "operator.xml"))
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
@@ -129,20 +134,21 @@
 	c.running[n] = cmd
 }
 
+// kill terminates the process of a controller by SIGKILL.
 func (c *cluster) kill(n protocol.NodeName) {
 	cmd := c.running[n]
 	delete(c.running, n)
 	_ = cmd.Process.Kill()
-	_ = cmd.Wait() // it says that it was killed
+	_ = cmd.Wait() // the error only reports the kill
 }
 
-// command runs an operators' command and returns what it prints and its exit code.
+// command runs an operators' command and returns the printed reply and the exit code.
 func (c *cluster) command(args ...string) (operatorapi.Reply, int) {
-	var addrs []string
-	for _, a := range c.nodes {
-		addrs = append(addrs, a)
+	var controllers []string
+	for _, a := range c.addrs {
+		controllers = append(controllers, a)
 	}
-	cmd := exec.Command(c.bin, append(args, "--output", "json", "--controller", strings.Join(addrs, ","), "--key", filepath.Join(c.dir, "keys"))...)
+	cmd := exec.Command(c.bin, append(args, "--output", "json", "--controller", strings.Join(controllers, ","), "--key", filepath.Join(c.dir, "keys"))...)
 	out, err := cmd.Output()
 	code := 0
 	var exit *exec.ExitError
@@ -156,15 +162,15 @@
 	return reply, code
 }
 
-// submit submits a job until it is accepted.
+// submit submits a job, with retries until a controller accepts it.
 func (c *cluster) submit(j protocol.Job) {
-	c.p.Submitted(j)
+	c.platform.Submitted(j)
 	body, err := protocol.EncodeSubmission(j)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	for range 60 {
-		for _, addr := range c.nodes {
+		for _, addr := range c.addrs {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			m, err := transport.NewClient(addr).Do(ctx, "POST", "/work", body)
 			cancel()
@@ -177,7 +183,7 @@
 	c.t.Fatalf("job %s was not accepted", j.ID)
 }
 
-// controllers lists the controllers with their shards, by the command.
+// controllers returns the controllers by name, as listed by the shares command.
 func (c *cluster) controllers() map[protocol.NodeName]operatorapi.Controller {
 	c.t.Helper()
 	reply, code := c.command("shares", "list")
@@ -191,10 +197,10 @@
 	return byName
 }
 
-// waitUntil waits until a condition holds.
-func (c *cluster) waitUntil(condition string, timeout time.Duration, holds func() bool) {
+// waitUntil waits until a condition is met, and fails the test after the timeout.
+func (c *cluster) waitUntil(condition string, timeout time.Duration, isMet func() bool) {
 	c.t.Helper()
-	for deadline := time.Now().Add(timeout); !holds(); time.Sleep(300 * time.Millisecond) {
+	for deadline := time.Now().Add(timeout); !isMet(); time.Sleep(300 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			c.t.Fatalf("not within %v: %s", timeout, condition)
 		}
--- a/cmd/damsonkeel/config.go
+++ b/cmd/damsonkeel/config.go
@@ -23,7 +23,7 @@
 	Entry string `arg:"" optional:"" help:"Entry, as team/NAME, class/NAME, zone/NAME, type/NAME or setting/NAME; or the kind alone. All if none is named."`
 }
 
-// configChangeFlags are the flags of commands that change the configuration.
+// configChangeFlags has the flags of commands that change the configuration.
 type configChangeFlags struct {
 	DryRun   bool    `help:"Tell what would change, and change nothing."`
 	Revision *uint64 `help:"Change only if this revision is in force."`
@@ -53,7 +53,7 @@
 	configStatus  struct{ clientFlags }
 )
 
-// Run prints the entries in force, which it reads page by page.
+// Run reads the entries in force page by page and prints them.
 func (g *configGet) Run() error {
 	var entries []operatorapi.ConfigEntry
 	request := &operatorapi.ConfigRequest{Entry: record.EntryID(g.Entry)}
@@ -92,7 +92,7 @@
 func (a *configApply) Run() error {
 	b, err := os.ReadFile(a.File)
 	if err != nil {
-		return err //nolint:wrapcheck // it names the file
+		return err //nolint:wrapcheck // the error names the file
 	}
 	file, err := operatorapi.ParseConfigFile(b)
 	if err != nil {
@@ -114,7 +114,8 @@
 	return s.sendAndPrint(operatorapi.Request{Op: operatorapi.OpConfigStatus})
 }
 
-// change sends a change and, with Wait, waits until it is in force.
+// change sends changes and prints the reply. With Wait it first waits until the changes are
+// in force on all controllers.
 func (f *configChangeFlags) change(client *clientFlags, changes []operatorapi.ConfigChange) error {
 	request := &operatorapi.ConfigRequest{Changes: changes}
 	if f.Revision != nil {
--- a/cmd/damsonkeel/config_test.go
+++ b/cmd/damsonkeel/config_test.go
@@ -9,9 +9,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestConfigurationChangesAcrossProcesses: three controllers as processes on loopback,
-// whose configuration is changed through the command line while one of them is killed.
-// What is wrong is refused by name, and with its exit code.
+// TestConfigurationChangesAcrossProcesses runs three controllers as processes on loopback
+// and changes their configuration through the command line, also while one of them is
+// killed. It checks that changes come into force on all controllers, and that an invalid
+// change is refused with a reason and the exit code for it.
 func TestConfigurationChangesAcrossProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes about 40 seconds")
@@ -45,7 +46,7 @@
 	}
 	job := protocol.Job{ID: "job-extra-1", Class: "c", Team: "extra", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 3}
 	c.submit(job)
-	c.waitUntil("the new team's job runs", 60*time.Second, func() bool { return len(c.p.Started(job.ID)) == 6 })
+	c.waitUntil("the new team's job runs", 60*time.Second, func() bool { return len(c.platform.Started(job.ID)) == 6 })
 
 	if reply := run(exitRefused, "set", "team/free", "cpus_max=3"); !strings.Contains(reply.Reason, "several owners") {
 		t.Errorf("%+v", reply)
@@ -53,23 +54,23 @@
 	if reply := run(exitRefused, "set", "team/extra", "cpus_max=4", "--revision", "7"); !strings.Contains(reply.Reason, "revision 1 is in force") {
 		t.Errorf("%+v", reply)
 	}
-	file := c.write("half.toml", "[[teams]]\nname = \"extra\"\ncpus_max = 9\n[[zones]]\nname = \"nowhere\"\nclosed = true\n")
-	if reply := run(exitRefused, "apply", file); !strings.Contains(reply.Reason, "zone/nowhere") {
+	invalidFile := c.writeFile("half.toml", "[[teams]]\nname = \"extra\"\ncpus_max = 9\n[[zones]]\nname = \"nowhere\"\nclosed = true\n")
+	if reply := run(exitRefused, "apply", invalidFile); !strings.Contains(reply.Reason, "zone/nowhere") {
 		t.Errorf("%+v", reply)
 	}
-	good := c.write("good.toml", "revision = 1\n[[teams]]\nname = \"extra\"\nclosed = true\n[[classes]]\nname = \"c\"\n[[classes.objectives]]\nkind = \"wait\"\nwithin_s = 2.4\nshare = 0.9\n[settings]\nidleReturn = \"50s\"\n")
-	if reply := run(0, "apply", good, "--dry-run"); len(reply.Config.Changes) != 3 {
+	validFile := c.writeFile("good.toml", "revision = 1\n[[teams]]\nname = \"extra\"\nclosed = true\n[[classes]]\nname = \"c\"\n[[classes.objectives]]\nkind = \"wait\"\nwithin_s = 2.4\nshare = 0.9\n[settings]\nidleReturn = \"50s\"\n")
+	if reply := run(0, "apply", validFile, "--dry-run"); len(reply.Config.Changes) != 3 {
 		t.Errorf("%+v", reply.Config)
 	}
 	c.kill("node-1")
-	began := time.Now()
-	reply := run(0, "apply", good, "--wait")
-	if reply.Config.Revision != 2 || time.Since(began) > 12*time.Second {
-		t.Errorf("%+v after %v", reply, time.Since(began))
+	start := time.Now()
+	reply := run(0, "apply", validFile, "--wait")
+	if reply.Config.Revision != 2 || time.Since(start) > 12*time.Second {
+		t.Errorf("%+v after %v", reply, time.Since(start))
 	}
 	t.Log(reply.Reason)
 	c.start("node-1")
-	c.waitUntil("all act by it", 30*time.Second, func() bool {
+	c.waitUntil("all controllers act on revision 2", 30*time.Second, func() bool {
 		reply := run(0, "status")
 		for _, c := range reply.Config.Controllers {
 			if !c.Member || c.Revision != 2 {
--- a/cmd/damsonkeel/configfield.go
+++ b/cmd/damsonkeel/configfield.go
@@ -16,11 +16,11 @@
 	errNoObjectivePair = errors.New("is no NUMBER:SHARE")
 )
 
-// setField parses the value of a field of a change.
+// setField parses the value of the named field and sets the field of a change.
 //
 //nolint:wrapcheck // the caller wraps all errors with the name of the field
-func setField(c *operatorapi.ConfigChange, name, text string) error {
-	amounts := map[string]**float64{"cpus": &c.CPUs, "cpus_max": &c.MaxCPUs, "gpus": &c.GPUs, "gpus_max": &c.MaxGPUs}
+func setField(change *operatorapi.ConfigChange, name, text string) error {
+	amounts := map[string]**float64{"cpus": &change.CPUs, "cpus_max": &change.MaxCPUs, "gpus": &change.GPUs, "gpus_max": &change.MaxGPUs}
 	if amount := amounts[name]; amount != nil {
 		value, err := strconv.ParseFloat(text, 64)
 		*amount = &value
@@ -29,28 +29,28 @@
 	switch name {
 	case "closed":
 		closed, err := strconv.ParseBool(text)
-		c.Closed = &closed
+		change.Closed = &closed
 		return err
 	case "value":
 		value := record.SettingText(text)
-		c.Value = &value
+		change.Value = &value
 		return nil
 	}
 	objective, err := parseObjective(name, text)
 	if err != nil {
 		return err
 	}
-	if c.Objectives == nil {
-		c.Objectives = &[]record.ObjectiveEntry{}
+	if change.Objectives == nil {
+		change.Objectives = &[]record.ObjectiveEntry{}
 	}
-	*c.Objectives = append(*c.Objectives, objective)
+	*change.Objectives = append(*change.Objectives, objective)
 	return nil
 }
 
-// objectiveDeadline is the kind of objectives whose number is a factor, not a time.
+// objectiveDeadline is the kind of objective whose number is a factor instead of a time.
 const objectiveDeadline = "deadline"
 
-// parseObjective parses the number and the share of an objective.
+// parseObjective parses an objective of a kind from its text, NUMBER:SHARE.
 //
 //nolint:wrapcheck // the caller of setField wraps all errors with the name of the field
 func parseObjective(kind, text string) (record.ObjectiveEntry, error) {
@@ -63,14 +63,14 @@
 	default:
 		return objective, errNoSuchField
 	}
-	first, second, ok := strings.Cut(text, ":")
+	numberText, shareText, ok := strings.Cut(text, ":")
 	if !ok {
 		return objective, fmt.Errorf("%q %w", text, errNoObjectivePair)
 	}
 	var err error
-	if *number, err = strconv.ParseFloat(first, 64); err != nil {
+	if *number, err = strconv.ParseFloat(numberText, 64); err != nil {
 		return objective, err
 	}
-	objective.Share, err = strconv.ParseFloat(second, 64)
+	objective.Share, err = strconv.ParseFloat(shareText, 64)
 	return objective, err
 }
--- a/cmd/damsonkeel/configprint.go
+++ b/cmd/damsonkeel/configprint.go
@@ -10,7 +10,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// printConfig prints what a reply has about the configuration.
+// printConfig prints the part of a reply about the configuration.
 func printConfig(c *operatorapi.ConfigReply) {
 	fmt.Println("revision:", c.Revision)
 	if len(c.Entries) > 0 {
@@ -30,6 +30,8 @@
 	}
 }
 
+// printAppliedRevisions prints a table of the controllers with the revisions that they act
+// on.
 func printAppliedRevisions(controllers []operatorapi.ConfigController) {
 	t := newTable("controller", "acts by revision", "said s ago", "state")
 	for _, c := range controllers {
@@ -45,7 +47,7 @@
 	t.Render()
 }
 
-// revisionText formats the revision that changed an entry last.
+// revisionText formats the last revision that changed an entry.
 func revisionText(r record.ConfigurationRevision) string {
 	if r == 0 {
 		return "platform's file"
@@ -53,6 +55,7 @@
 	return fmt.Sprint(r)
 }
 
+// printChanges prints a table of changes of entries, if there are any.
 func printChanges(changes []record.EntryChange) {
 	if len(changes) == 0 {
 		return
@@ -106,7 +109,7 @@
 	return text
 }
 
-// limitText formats a limit; 0 is none.
+// limitText formats a limit; 0 means no limit.
 func limitText(v float64) string {
 	if v == 0 {
 		return "any"
--- a/cmd/damsonkeel/configwait.go
+++ b/cmd/damsonkeel/configwait.go
@@ -10,11 +10,13 @@
 	"damsonkeel/internal/record"
 )
 
-// statusInterval is how often the applied revisions are read while waiting for a change.
+// statusInterval is the pause between reads of the applied revisions while waiting for a
+// change to be in force.
 const statusInterval = 300 * time.Millisecond
 
-// awaitInForce waits until no controller acts on a revision before a change, and returns
-// why none does.
+// awaitInForce waits until no controller acts on a revision before the change any more, and
+// returns a text that says why: all members have applied the change, or the time for which
+// a controller may act on an earlier revision is over.
 func awaitInForce(client *clientFlags, change *operatorapi.ConfigReply) string {
 	start := time.Now()
 	limit := config.Seconds(change.WithinS)
@@ -27,11 +29,12 @@
 	return fmt.Sprintf("in force: after %.1f s no controller can act by an earlier revision any more", limit.Seconds())
 }
 
-// allApplied asks a controller whether all members have applied a revision or a later one.
+// allApplied reports whether all members have applied a revision or a later one, according
+// to a controller. It returns false if no controller replies within the timeout.
 func allApplied(client *clientFlags, revision record.ConfigurationRevision, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	reply, err := client.sendUntil(ctx, operatorapi.Request{Op: operatorapi.OpConfigStatus})
+	reply, err := client.sendWithContext(ctx, operatorapi.Request{Op: operatorapi.OpConfigStatus})
 	if err != nil || reply.Config == nil {
 		return false
 	}
--- a/cmd/damsonkeel/emulate.go
+++ b/cmd/damsonkeel/emulate.go
@@ -23,7 +23,7 @@
 	Quiet   bool          `help:"Show no progress."`
 }
 
-// simulationGCPercent trades memory for speed: simulations are short.
+// simulationGCPercent trades memory for speed, since simulations are short.
 const simulationGCPercent = 800
 
 var (
@@ -37,7 +37,7 @@
 	debug.SetGCPercent(simulationGCPercent)
 	site, err := simulator.LoadSite(e.Site)
 	if err != nil {
-		return err //nolint:wrapcheck // its text is complete, and fixed output
+		return err //nolint:wrapcheck // the error text is complete and must not change
 	}
 	results := e.simulate(site)
 	if e.Output == outputJSON {
@@ -50,7 +50,7 @@
 	return e.check(results)
 }
 
-// simulate runs the simulations of all seeds in parallel.
+// simulate runs one simulation for each seed, all in parallel.
 func (e *emulateCommand) simulate(site *simulator.Site) []*simulator.Result {
 	bar := e.progressBar()
 	results := make([]*simulator.Result, e.Seeds)
@@ -66,10 +66,12 @@
 		})
 	}
 	simulations.Wait()
-	_ = bar.Finish() // an error only concerns the display
+	_ = bar.Finish() // an error affects only the display
 	return results
 }
 
+// progressBar returns a progress bar that counts the simulated minutes of all simulations,
+// or one without output if Quiet is set.
 func (e *emulateCommand) progressBar() *progressbar.ProgressBar {
 	if e.Quiet {
 		return progressbar.DefaultSilent(-1)
@@ -83,7 +85,8 @@
 	)
 }
 
-// check prints the rules that were broken and returns the error that ends the command.
+// check prints the rules that were broken. It returns an error if there are any, or if
+// reserved jobs were late although reservations were not left out.
 func (e *emulateCommand) check(results []*simulator.Result) error {
 	late, broken := 0, 0
 	for _, r := range results {
--- a/cmd/damsonkeel/emulateprint.go
+++ b/cmd/damsonkeel/emulateprint.go
@@ -11,7 +11,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// noticeableDelayS is the delay of a reserved job above which it is listed, in seconds.
+// noticeableDelayS is the delay in seconds above which a reserved job is listed.
 const noticeableDelayS = 60
 
 // printResults prints the results of all seeds as tables.
@@ -22,6 +22,7 @@
 	printClasses(results)
 }
 
+// printReservedJobs prints a table of the reserved jobs and their punctuality.
 func printReservedJobs(results []*simulator.Result) {
 	t := newTable("seed", "days", "reserved jobs", "in time", "late", "late, at risk", "median delay s", "worst s", "starts in windows", "starts", "cost", "refused")
 	for _, r := range results {
@@ -34,6 +35,7 @@
 	t.Render()
 }
 
+// printShardMoves prints a table of the moves of shards between controllers.
 func printShardMoves(results []*simulator.Result) {
 	t := newTable("seed", "moves of shares", "given up", "pause p99 s", "stopped by moves", "lost by moves", "rules broken")
 	for _, r := range results {
@@ -45,7 +47,8 @@
 	t.Render()
 }
 
-// printExceptions prints the reserved jobs that were late and the refused requests.
+// printExceptions prints the reserved jobs that were noticeably late and the refused
+// requests.
 func printExceptions(results []*simulator.Result) {
 	for _, r := range results {
 		for _, o := range r.Occurrences {
@@ -59,20 +62,21 @@
 	}
 }
 
-// printClasses prints the waits of the classes that are load in any of the simulations.
+// printClasses prints a table of the wait and completion times of the classes that are
+// frequent in any of the simulations.
 func printClasses(results []*simulator.Result) {
-	load := map[string]bool{}
+	frequent := map[string]bool{}
 	for _, r := range results {
 		for name, class := range r.Classes {
-			if isLoad(r, class) {
-				load[name] = true
+			if isFrequent(r, class) {
+				frequent[name] = true
 			}
 		}
 	}
 	t := newTable("seed", "class", "jobs", "done", "tasks wait s", "95% of them", "jobs take s", "95% of them")
 	for _, r := range results {
 		for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
-			if !load[name] {
+			if !frequent[name] {
 				continue
 			}
 			c := r.Classes[name]
@@ -86,7 +90,8 @@
 	t.Render()
 }
 
-// isLoad reports whether a class has more than two jobs a day: others are single jobs.
-func isLoad(r *simulator.Result, class *simulator.Class) bool {
+// isFrequent reports whether a class has more than two jobs a day. Jobs of other classes are
+// single jobs, not part of the load.
+func isFrequent(r *simulator.Result, class *simulator.Class) bool {
 	return class.Jobs > 2*int(r.Days)
 }
--- a/cmd/damsonkeel/entry.go
+++ b/cmd/damsonkeel/entry.go
@@ -7,25 +7,25 @@
 	"damsonkeel/internal/record"
 )
 
-// changeFlags are the flags of commands that add an entry.
+// changeFlags has the flags of commands that add an entry.
 type changeFlags struct {
 	DryRun  bool   `help:"Tell what would be answered, and change nothing."`
 	Replace bool   `help:"Take the place of what has the name."`
 	ID      string `help:"Id of the request: repeated with it, it changes nothing more. Made up if not given."`
 }
 
-// whenHelp describes the times of reservations and windows.
+// whenHelp is the help text for the times of reservations and windows.
 const whenHelp = `"2026-12-24 at 04:00 in Europe/Berlin", "daily at 04:00 in Europe/Berlin" or "weekly on mon, thu at 23:30", with "from DATE" and "until DATE" if it recurs; UTC if no zone is named.`
 
-// requestID returns the idempotency key of a request: the given one, or a new one.
-func requestID(given string) string {
-	if given == "" {
+// requestID returns the idempotency key of a request: id, or a random one if id is empty.
+func requestID(id string) string {
+	if id == "" {
 		return rand.Text()
 	}
-	return given
+	return id
 }
 
-// entryCommand is a command about one reservation or window.
+// entryCommand has the flags of a command about one reservation or window.
 type entryCommand struct {
 	clientFlags `embed:""`
 	Name        string `arg:"" help:"Its name."`
@@ -39,8 +39,8 @@
 	return c.sendAndPrint(c.request(operatorapi.OpShow, window))
 }
 
-// cancel cancels the current entry: one of the same name that is added after it was read
-// here is not cancelled.
+// cancel reads the current entry and cancels it. An entry of the same name that is created
+// after that read is not cancelled.
 func (c *entryCommand) cancel(window bool) error {
 	current, err := c.send(c.request(operatorapi.OpShow, window))
 	if err != nil {
@@ -56,7 +56,7 @@
 	return c.sendAndPrint(r)
 }
 
-// listEntries prints all reservations or all windows, which it reads page by page.
+// listEntries reads all reservations or all windows page by page and prints them.
 func (f *clientFlags) listEntries(window bool) error {
 	var all operatorapi.Reply
 	r := operatorapi.Request{Op: operatorapi.OpList, Window: window}
--- a/cmd/damsonkeel/key.go
+++ b/cmd/damsonkeel/key.go
@@ -10,11 +10,11 @@
 	Name string `arg:"" help:"Whose key it is."`
 }
 
-// Run prints a new key as a line of a file of keys.
+// Run prints a new key as a line of a keys file.
 func (k *keyCommand) Run() error {
 	key, err := operatorapi.NewKey(k.Name)
 	if err != nil {
-		return err //nolint:wrapcheck // its text is complete, and fixed output
+		return err //nolint:wrapcheck // the error text is complete and must not change
 	}
 	fmt.Println(key)
 	return nil
--- a/cmd/damsonkeel/main.go
+++ b/cmd/damsonkeel/main.go
@@ -1,5 +1,5 @@
-// Command damsonkeel is a cluster scheduler: one daemon, the same on every
-// controller, and the commands of its operators.
+// Command damsonkeel is a cluster scheduler. It contains the daemon, which is the same on
+// every controller, and the operators' commands.
 package main
 
 import (
@@ -12,7 +12,7 @@
 
 const version = "0.2.0"
 
-// commandLine has the commands. Names and help texts are fixed output.
+// commandLine defines the commands. Their names and help texts must not change.
 type commandLine struct {
 	Run     runCommand     `cmd:"" default:"withargs" help:"Run a controller; the command if none is named."`
 	Reserve reserveCommand `cmd:"" help:"Reservations: room for a job at a time."`
@@ -25,7 +25,7 @@
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// Exit codes, beside those of kong for a wrong command line.
+// Exit codes, in addition to kong's for an invalid command line.
 const (
 	exitFailed   = 1
 	exitRefused  = 3
@@ -33,7 +33,8 @@
 	exitDenied   = 5
 )
 
-// exitError is a reply that ends the command with an exit code of its own.
+// exitError is the error for a reply to a request that was not fulfilled. It ends the
+// command with the exit code for the reply's code.
 type exitError struct {
 	code   int
 	reason string
@@ -54,7 +55,7 @@
 	}
 }
 
-// exitCode is the exit code of a command that failed.
+// exitCode returns the exit code of a command that failed with an error.
 func exitCode(err error) int {
 	var exit *exitError
 	if errors.As(err, &exit) {
--- a/cmd/damsonkeel/output.go
+++ b/cmd/damsonkeel/output.go
@@ -10,10 +10,10 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// outputJSON is the value of the flags of output for JSON; the other one is a table.
+// outputJSON is the value of --output that selects JSON instead of tables.
 const outputJSON = "json"
 
-// newTable makes a table that is printed to the standard output.
+// newTable returns a table that is printed to the standard output.
 func newTable(header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(os.Stdout)
@@ -31,7 +31,8 @@
 	return strings.Join(names, ", ")
 }
 
-// formatTime formats a time in the local zone; none is empty.
+// formatTime formats a time in the local time zone. For 0, which means no time, it returns
+// an empty text.
 func formatTime(m record.Moment) string {
 	if m == 0 {
 		return ""
--- a/cmd/damsonkeel/reserve.go
+++ b/cmd/damsonkeel/reserve.go
@@ -82,7 +82,8 @@
 // Run cancels a reservation.
 func (c *reserveCancel) Run() error { return c.cancel(false) }
 
-// printReservations prints a table of reservations; a single one with its occurrences.
+// printReservations prints a table of reservations. For a single one it also prints its
+// times and its past occurrences.
 func printReservations(reservations []operatorapi.Reservation) {
 	t := newTable("name", "for", "state", "time", "tasks", "held", "started", "at risk", "since")
 	for _, r := range reservations {
--- a/cmd/damsonkeel/run.go
+++ b/cmd/damsonkeel/run.go
@@ -21,15 +21,15 @@
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// memoryLimitPart is the part of a controller's memory at which garbage collection becomes
-// more frequent.
-const memoryLimitPart = 0.6
+// memoryLimitFraction is the fraction of a controller's memory that is set as the soft
+// memory limit of the Go runtime, above which garbage collection becomes more frequent.
+const memoryLimitFraction = 0.6
 
 var errLogLevel = errors.New("is none of error, info, debug")
 
 // Run runs a controller until it is terminated.
 //
-//nolint:wrapcheck // the texts of all errors are complete, and fixed output
+//nolint:wrapcheck // the texts of all errors are complete and must not change
 func (c *runCommand) Run() error {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -50,17 +50,17 @@
 	if c.Check {
 		return nil
 	}
-	runtime.GOMAXPROCS(1) // a controller gets a part of one core: more threads would only compete
-	debug.SetMemoryLimit(int64(settings.Site.Limits.MemoryMB * memoryLimitPart * (1 << 20)))
+	runtime.GOMAXPROCS(1) // a controller has a fraction of one core: more threads would only compete for it
+	debug.SetMemoryLimit(int64(settings.Site.Limits.MemoryMB * memoryLimitFraction * (1 << 20)))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	node := controller.NewNode(settings, operator, log)
-	go leaveOnSignal(node)
+	go shutDownOnSignal(node)
 	return node.Run(context.Background())
 }
 
-// leaveOnSignal has a controller hand its shards over and end after a signal; a second one
-// terminates it at once.
-func leaveOnSignal(node *controller.Node) {
+// shutDownOnSignal waits for a signal and then makes the controller hand its shards over and
+// terminate. A second signal terminates it at once.
+func shutDownOnSignal(node *controller.Node) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	<-signals
--- a/cmd/damsonkeel/shares.go
+++ b/cmd/damsonkeel/shares.go
@@ -39,7 +39,7 @@
 	return m.sendAndPrint(operatorapi.Request{Op: operatorapi.OpMove, Controller: protocol.NodeName(m.Controller), Shares: m.Share})
 }
 
-// Run cordons a controller, or ends that.
+// Run cordons a controller, or ends its cordon.
 func (a *sharesAway) Run() error {
 	return a.sendAndPrint(operatorapi.Request{Op: operatorapi.OpAway, Controller: protocol.NodeName(a.Controller), End: a.End})
 }
@@ -58,6 +58,7 @@
 	t.Render()
 }
 
+// controllerState formats the state of a controller; empty if it is an ordinary member.
 func controllerState(c *operatorapi.Controller) string {
 	switch {
 	case c.Leaving:
--- a/cmd/damsonkeel/shares_test.go
+++ b/cmd/damsonkeel/shares_test.go
@@ -9,10 +9,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestShardsMoveBetweenProcesses: three controllers as processes with fake workers, on
-// loopback in real time. Shards are moved and a controller is cordoned by the command
-// line, then all are restarted one after the other by SIGTERM, while jobs run: each ends
-// by itself in time, and every task is started once.
+// TestShardsMoveBetweenProcesses runs three controllers as processes with fake workers on
+// loopback in real time. While jobs run, it moves shards and cordons a controller through
+// the command line, and then restarts the controllers one after the other by SIGTERM. It
+// checks that each controller terminates by itself in time and that every task is started
+// exactly once.
 func TestShardsMoveBetweenProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes about a minute")
@@ -23,36 +24,36 @@
 	job := func(i int) protocol.Job {
 		return protocol.Job{ID: protocol.JobID(fmt.Sprintf("job-%06d", i)), Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 12, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 3}
 	}
-	jobs := 0
-	work := func(d time.Duration) {
+	submitted := 0
+	submitJobsFor := func(d time.Duration) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(time.Second) {
-			c.submit(job(jobs))
-			jobs++
+			c.submit(job(submitted))
+			submitted++
 		}
 	}
-	work(4 * time.Second)
-	c.waitUntil("all three keep shares", 30*time.Second, func() bool {
-		by := c.controllers()
-		return len(by) == 3 && by["node-0"].Shares > 5 && by["node-1"].Shares > 5 && by["node-2"].Shares > 5
+	submitJobsFor(4 * time.Second)
+	c.waitUntil("all three controllers hold shards", 30*time.Second, func() bool {
+		controllers := c.controllers()
+		return len(controllers) == 3 && controllers["node-0"].Shares > 5 && controllers["node-1"].Shares > 5 && controllers["node-2"].Shares > 5
 	})
 	reply, _ := c.command("shares", "list")
-	var theirs []string
+	var movedShards []string
 	for _, s := range reply.Shares {
-		if s.Holder == "node-2" && len(theirs) < 3 {
-			theirs = append(theirs, fmt.Sprint(s.Number))
+		if s.Holder == "node-2" && len(movedShards) < 3 {
+			movedShards = append(movedShards, fmt.Sprint(s.Number))
 		}
 	}
-	if reply, code := c.command(append([]string{"shares", "move", "node-0"}, theirs...)...); code != 0 {
+	if reply, code := c.command(append([]string{"shares", "move", "node-0"}, movedShards...)...); code != 0 {
 		t.Fatalf("move: exit %d, %+v", code, reply)
 	}
 	if _, code := c.command("shares", "move", "node-7", "1"); code != exitNotFound {
-		t.Errorf("move to nobody: exit %d", code)
+		t.Errorf("move to an unknown controller: exit %d", code)
 	}
 	if _, code := c.command("shares", "away", "node-1"); code != 0 {
 		t.Errorf("away: exit %d", code)
 	}
-	work(3 * time.Second)
-	c.waitUntil("node-1 keeps nothing", 30*time.Second, func() bool { return c.controllers()["node-1"].Shares == 0 })
+	submitJobsFor(3 * time.Second)
+	c.waitUntil("node-1 holds no shards", 30*time.Second, func() bool { return c.controllers()["node-1"].Shares == 0 })
 	if _, code := c.command("shares", "away", "node-1", "--end"); code != 0 {
 		t.Errorf("away --end: exit %d", code)
 	}
@@ -67,15 +68,15 @@
 			t.Errorf("%s ended after %v: %v", n, time.Since(signalled), err)
 		}
 		t.Logf("%s ended after %v", n, time.Since(signalled).Round(10*time.Millisecond))
-		work(2 * time.Second)
+		submitJobsFor(2 * time.Second)
 		c.start(n)
-		work(4 * time.Second)
-		c.waitUntil("it has its part again", 60*time.Second, func() bool { return c.controllers()[n].Shares > 5 })
+		submitJobsFor(4 * time.Second)
+		c.waitUntil("the restarted controller holds shards again", 60*time.Second, func() bool { return c.controllers()[n].Shares > 5 })
 	}
-	for i := range jobs {
+	for i := range submitted {
 		id := job(i).ID
-		c.waitUntil(fmt.Sprint(id, " has run"), 60*time.Second, func() bool { return len(c.p.Started(id)) >= 12 })
-		if n := c.p.Starts(id); n != 12 {
+		c.waitUntil(fmt.Sprint(id, " has run"), 60*time.Second, func() bool { return len(c.platform.Started(id)) >= 12 })
+		if n := c.platform.Starts(id); n != 12 {
 			t.Errorf("%s: %d starts of 12 tasks", id, n)
 		}
 	}
--- a/cmd/damsonkeel/window.go
+++ b/cmd/damsonkeel/window.go
@@ -64,7 +64,8 @@
 // Run cancels a window.
 func (c *windowCancel) Run() error { return c.cancel(true) }
 
-// printWindows prints a table of windows; a single one with the machines that overrun it.
+// printWindows prints a table of windows. For a single one it also prints the machines that
+// overrun it.
 func printWindows(windows []operatorapi.Window) {
 	t := newTable("name", "covers", "next", "lasts", "state")
 	for _, w := range windows {
@@ -81,6 +82,7 @@
 	t.Render()
 }
 
+// windowState formats the state of a window.
 func windowState(w *operatorapi.Window) string {
 	switch {
 	case w.Cancelled:
@@ -93,7 +95,7 @@
 	return "waiting"
 }
 
-// coverage formats what a window covers.
+// coverage formats the machines, type or zone that a window covers.
 func coverage(s *record.WindowSpec) string {
 	switch {
 	case len(s.Machines) > 0:
