--- a/cmd/damsonkeel-scale/main.go
+++ b/cmd/damsonkeel-scale/main.go
@@ -1,6 +1,6 @@
-// Command damsonkeel-scale runs a cluster of many machines in real time on this machine,
-// with real controllers, measures what each role uses and checks the rules of the protocol
-// as seen by users and workers.
+// Command damsonkeel-scale runs a cluster of many simulated machines in real time on one
+// machine, with real controllers. It measures the resources that each role uses, and checks
+// the rules of the protocol as observed by users and workers.
 package main
 
 import (
@@ -21,20 +21,20 @@
 	"github.com/alecthomas/kong"
 )
 
-// errRulesBroken says that a run broke rules of the protocol.
+// errRulesBroken is returned if a run broke rules of the protocol.
 var errRulesBroken = errors.New("times a rule was broken")
 
-// errInvalidFactor says that a scale is out of its range.
+// errInvalidFactor is returned for a scale that is out of range.
 var errInvalidFactor = errors.New("--scale")
 
-// commandLine holds the commands.
+// commandLine defines the commands.
 type commandLine struct {
 	Play playCommand `cmd:"" default:"withargs" help:"Play a site; the command if none is named."`
 	Fit  fitCommand  `cmd:"" help:"Fit the figures of results of several sizes over the number of workers."`
 	Role roleCommand `cmd:"" hidden:"" help:"A process of a run; started by play."`
 }
 
-// playCommand runs a site.
+// playCommand runs a site at one or more scales.
 type playCommand struct {
 	Site   string    `help:"Site to play (TOML, see deploy/scale-small.toml)." required:"" type:"path" placeholder:"FILE"`
 	Seed   uint64    `help:"Seed of what comes and happens." default:"1"`
@@ -44,13 +44,13 @@
 	Root   string    `help:"Checkout whose deploy file says how the service is built." default:"." type:"path"`
 }
 
-// fitCommand fits results.
+// fitCommand fits the metrics of results over the number of workers.
 type fitCommand struct {
 	Results []string `arg:"" help:"Files of results, as --keep writes them." type:"existingfile"`
 	Output  string   `help:"Form of the slopes: ${enum}." enum:"table,json" default:"table"`
 }
 
-// roleCommand plays a role of a run.
+// roleCommand runs one role of a run in a process of its own.
 type roleCommand struct{}
 
 // Run fits the metrics of results and prints them.
@@ -61,7 +61,7 @@
 	}
 	slopes, err := results.Fit(runs)
 	if err != nil {
-		return err //nolint:wrapcheck // the error says what is missing
+		return err //nolint:wrapcheck // the error names what is missing
 	}
 	if f.Output == "json" {
 		return encodeJSON(os.Stdout, slopes)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Run plays a role of a run, as its standard input says.
+// Run runs the role that is described on the standard input.
 func (*roleCommand) Run() error {
 	return scale.RunRole(os.Stdin, os.Stdout, scale.Logger(slog.LevelError)) //nolint:wrapcheck // the error names the role
 }
@@ -81,7 +81,7 @@
 	defer stop()
 	site, err := siteconfig.LoadSite(p.Site)
 	if err != nil {
-		return err //nolint:wrapcheck // the error says that it is the site's
+		return err //nolint:wrapcheck // the error states that it concerns the site
 	}
 	program, err := os.Executable()
 	if err != nil {
@@ -97,7 +97,7 @@
 			Root: p.Root, Program: []string{program, "role"}, Seed: p.Seed, Factor: factor, Progress: os.Stderr,
 		})
 		if err != nil {
-			return err //nolint:wrapcheck // the error says what failed
+			return err //nolint:wrapcheck // the error names what failed
 		}
 		runs = append(runs, result)
 		violations += len(result.Rules)
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// write writes the results to the file and to standard output.
+// write writes the results to the file given by --keep, if any, and to the standard output.
 func (p *playCommand) write(runs []*results.Result) error {
 	if p.Keep != "" {
 		if err := writeFile(p.Keep, runs); err != nil {
@@ -134,7 +134,7 @@
 	return errors.Join(writeJSON(f, runs), f.Close())
 }
 
-// writeJSON writes one result as an object, several as a list.
+// writeJSON writes a single result as a JSON object, and several as a list.
 func writeJSON(out io.Writer, runs []*results.Result) error {
 	if len(runs) == 1 {
 		return encodeJSON(out, runs[0])
--- a/cmd/damsonkeel-scale/main_test.go
+++ b/cmd/damsonkeel-scale/main_test.go
@@ -15,8 +15,8 @@
 	"damsonkeel/internal/scale/results"
 )
 
-// buildTool builds this program.
-func buildTool(t *testing.T) string {
+// buildProgram builds this program and returns its path.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "damsonkeel-scale")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -25,14 +25,15 @@
 	return bin
 }
 
-// TestSmallSite: a small site with real controllers breaks no rule while one of them is
-// killed, machines are killed and a region is partitioned. Times are not checked.
+// TestSmallSite checks that a small site with real controllers breaks no rule while a
+// controller is killed, machines are killed and a region is partitioned. It does not check
+// latencies.
 func TestSmallSite(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes about 40 seconds")
 	}
 	var out, progress bytes.Buffer
-	cmd := exec.Command(buildTool(t), "--site", "../../deploy/scale-small.toml", "--root", "../..", "--output", "json")
+	cmd := exec.Command(buildProgram(t), "--site", "../../deploy/scale-small.toml", "--root", "../..", "--output", "json")
 	cmd.Stdout, cmd.Stderr = &out, &progress
 	if err := cmd.Run(); err != nil {
 		t.Fatalf("%v\n%s", err, progress.String())
@@ -58,30 +59,30 @@
 	}
 }
 
-// TestInterruptCleansUp: a run that is interrupted ends all of its processes and
-// removes its files.
+// TestInterruptCleansUp checks that an interrupted run ends all of its processes and removes
+// its files.
 func TestInterruptCleansUp(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes about ten seconds")
 	}
 	dir := t.TempDir()
-	cmd := exec.Command(buildTool(t), "--site", "../../deploy/scale-small.toml", "--root", "../..")
+	cmd := exec.Command(buildProgram(t), "--site", "../../deploy/scale-small.toml", "--root", "../..")
 	cmd.Env = append(os.Environ(), "TMPDIR="+dir)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	const running = 10 // processes at least, of 16
-	for deadline := time.Now().Add(60 * time.Second); len(children(t, cmd.Process.Pid)) < running; time.Sleep(100 * time.Millisecond) {
+	const minProcesses = 10 // of 16
+	for deadline := time.Now().Add(60 * time.Second); len(childProcesses(t, cmd.Process.Pid)) < minProcesses; time.Sleep(100 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the run does not begin")
+			t.Fatal("the run has not started its processes within a minute")
 		}
 	}
-	pids := children(t, cmd.Process.Pid)
+	pids := childProcesses(t, cmd.Process.Pid)
 	if err := cmd.Process.Signal(syscall.SIGINT); err != nil {
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err == nil {
-		t.Error("an interrupted run exits with 0")
+		t.Error("an interrupted run exited with 0")
 	}
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 		remaining := 0
@@ -102,8 +103,8 @@
 	}
 }
 
-// children lists the processes that a process has started.
-func children(t *testing.T, pid int) []int {
+// childProcesses lists the processes that a process has started.
+func childProcesses(t *testing.T, pid int) []int {
 	t.Helper()
 	var pids []int
 	tasks, err := filepath.Glob(filepath.Join("/proc", strconv.Itoa(pid), "task", "*", "children"))
