--- a/internal/controller/admission/configuration_test.go
+++ b/internal/controller/admission/configuration_test.go
@@ -21,7 +21,7 @@
 // actions.
 type testController struct {
 	admission       *Admission
-	followed        *dynamicconfig.Followed
+	followed        *dynamicconfig.Tracker
 	followedChanges int      // number of the store's changes that were followed
 	pending         []Action // not executed yet
 }
@@ -31,7 +31,7 @@
 type closingTeamTest struct {
 	t             *rapid.T
 	store         *fake.KeyValueStore
-	operator      *dynamicconfig.Followed // the state of the operator's controller, which has no lag
+	operator      *dynamicconfig.Tracker // the state of the operator's controller, which has no lag
 	controllers   []*testController
 	now           clock.Time
 	submissions   int
@@ -47,11 +47,11 @@
 	op := config.DefaultOperator()
 	op.OperatorKeys = "keys"
 	c := &closingTeamTest{
-		t: t, store: fake.NewKeyValueStore(), operator: dynamicconfig.NewFollowed(&s.Site, op), now: 1,
+		t: t, store: fake.NewKeyValueStore(), operator: dynamicconfig.NewTracker(&s.Site, op), now: 1,
 		changesBefore: map[RequestID]int{}, closedAfter: []bool{false},
 	}
 	for range 2 {
-		controller := &testController{admission: New(s, op, slog.New(slog.DiscardHandler)), followed: dynamicconfig.NewFollowed(&s.Site, op)}
+		controller := &testController{admission: New(s, op, slog.New(slog.DiscardHandler)), followed: dynamicconfig.NewTracker(&s.Site, op)}
 		controller.admission.Step(c.now, TypesRead{Types: []protocol.TypeInfo{{Name: "m", CPUs: 4, MemoryGB: 8, AllowZones: []protocol.Zone{"a"}}}})
 		c.controllers = append(c.controllers, controller)
 	}
@@ -102,7 +102,7 @@
 
 // applyRecord applies a changed record, and reports whether the configuration in force has
 // changed.
-func applyRecord(t *rapid.T, followed *dynamicconfig.Followed, ev protocol.Event) bool {
+func applyRecord(t *rapid.T, followed *dynamicconfig.Tracker, ev protocol.Event) bool {
 	t.Helper()
 	key, known := record.ParseFollowedKey(ev.Put)
 	var head record.Configuration
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -46,7 +46,7 @@
 	Records       map[protocol.MachineID]*Machine
 	Reservations  *Reservations
 	// Configuration holds the settings with the changes that operators have made.
-	Configuration *dynamicconfig.Followed
+	Configuration *dynamicconfig.Tracker
 }
 
 // NewState returns a state that has nothing but the settings.
@@ -57,7 +57,7 @@
 		Operator:      op,
 		Log:           log,
 		Types:         map[protocol.MachineType]protocol.TypeInfo{},
-		Configuration: dynamicconfig.NewFollowed(&settings.Site, op),
+		Configuration: dynamicconfig.NewTracker(&settings.Site, op),
 	}
 	s.Reset()
 	return s
--- a/internal/controller/dynamicconfig/decide.go
+++ b/internal/controller/dynamicconfig/decide.go
@@ -41,7 +41,7 @@
 // Decide decides on changes of the configuration in force, all of which are accepted or
 // refused together. The error lists every problem. If the changes make no difference to
 // the configuration in force, the plan has no changes.
-func (f *Followed) Decide(facts *Facts, changes []operatorapi.ConfigChange) (*Plan, error) {
+func (f *Tracker) Decide(facts *Facts, changes []operatorapi.ConfigChange) (*Plan, error) {
 	if len(changes) == 0 {
 		return nil, refused("no entry is named")
 	}
@@ -74,7 +74,7 @@
 }
 
 // entryAfter returns an entry after a change.
-func (f *Followed) entryAfter(facts *Facts, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
+func (f *Tracker) entryAfter(facts *Facts, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	none := record.ConfigurationEntry{}
 	kind, name := c.Entry.Split()
 	if !validName.MatchString(name) {
@@ -113,7 +113,7 @@
 // checkGuarantees refuses a plan with which the guarantees of all teams together exceed
 // the available processors. If they exceed them already, a plan that does not increase
 // their sum is accepted.
-func (f *Followed) checkGuarantees(facts *Facts, plan *Plan) error {
+func (f *Tracker) checkGuarantees(facts *Facts, plan *Plan) error {
 	if facts.Processors == 0 {
 		return nil
 	}
--- a/internal/controller/dynamicconfig/decide_test.go
+++ b/internal/controller/dynamicconfig/decide_test.go
@@ -113,13 +113,13 @@
 			t.Fatal("not written")
 		}
 		for ; s.applied < s.records.Changes(); s.applied++ {
-			applyEvent(t, s.Followed, s.records.Change(s.applied))
+			applyEvent(t, s.Tracker, s.records.Change(s.applied))
 		}
 	}
-	if r, done := s.AppliedBy(fmt.Sprint("request-", record.ConfigurationRequests+4)); !done || r != record.ConfigurationRequests+5 {
+	if r, done := s.RevisionOfRequest(fmt.Sprint("request-", record.ConfigurationRequests+4)); !done || r != record.ConfigurationRequests+5 {
 		t.Errorf("the last request: %v, %v", r, done)
 	}
-	if _, done := s.AppliedBy("request-0"); done || len(s.current.Requests) != record.ConfigurationRequests {
+	if _, done := s.RevisionOfRequest("request-0"); done || len(s.current.Requests) != record.ConfigurationRequests {
 		t.Errorf("%d requests are kept", len(s.current.Requests))
 	}
 	plan, err := s.Decide(testFacts(), []operatorapi.ConfigChange{{Entry: "team/other", MaxCPUs: floatPtr(float64(44 + record.ConfigurationRequests))}})
--- a/internal/controller/dynamicconfig/effective.go
+++ b/internal/controller/dynamicconfig/effective.go
@@ -50,9 +50,11 @@
 // Teams returns the names of all teams, in order.
 func (e *Effective) Teams() []protocol.Team { return slices.Sorted(maps.Keys(e.teams)) }
 
-// TeamsEver returns the names of all teams, in order, including removed teams: their tasks
+// TeamsIncludingRemoved returns the names of all teams, in order, including removed teams: their tasks
 // may still be on machines.
-func (e *Effective) TeamsEver() []protocol.Team { return slices.Sorted(maps.Keys(e.allTeams)) }
+func (e *Effective) TeamsIncludingRemoved() []protocol.Team {
+	return slices.Sorted(maps.Keys(e.allTeams))
+}
 
 // PlaceCordoned reports whether a zone or a machine type is cordoned.
 func (e *Effective) PlaceCordoned(machineType protocol.MachineType, zone protocol.Zone) bool {
--- a/internal/controller/dynamicconfig/errortext_test.go
+++ b/internal/controller/dynamicconfig/errortext_test.go
@@ -73,7 +73,7 @@
 // TestEntriesAreBounded checks that a change that would add entries beyond the limit is
 // refused.
 func TestEntriesAreBounded(t *testing.T) {
-	f := NewFollowed(testSite(), config.DefaultOperator())
+	f := NewTracker(testSite(), config.DefaultOperator())
 	for i := range 2000 {
 		f.entries[record.NewEntryID(record.EntryClass, strings.Repeat("a", 1+i%90)+string(rune('a'+i/90)))] = record.ConfigurationEntry{Reset: true}
 	}
--- a/internal/controller/dynamicconfig/plan.go
+++ b/internal/controller/dynamicconfig/plan.go
@@ -60,9 +60,9 @@
 	return txn
 }
 
-// AppliedBy returns the revision that a request created, and whether the request was
+// RevisionOfRequest returns the revision that a request created, and whether the request was
 // carried out. Only the latest requests are recorded.
-func (f *Followed) AppliedBy(request string) (Revision, bool) {
+func (f *Tracker) RevisionOfRequest(request string) (Revision, bool) {
 	for _, r := range f.current.Requests {
 		if request != "" && r.ID == request {
 			return r.Revision, true
--- a/internal/controller/dynamicconfig/settings.go
+++ b/internal/controller/dynamicconfig/settings.go
@@ -19,8 +19,8 @@
 	"idleReturn":      func(o *config.Operator) *time.Duration { return &o.IdleTimeout },
 }
 
-// Settings returns the names of the settings that may change, in order.
-func Settings() []string { return slices.Sorted(maps.Keys(changeableSettings)) }
+// ChangeableSettings returns the names of the settings that may change, in order.
+func ChangeableSettings() []string { return slices.Sorted(maps.Keys(changeableSettings)) }
 
 // Setting returns the value in force of a setting; it is empty for a setting that can't
 // change.
@@ -36,7 +36,7 @@
 func setSetting(operator *config.Operator, name string, text record.SettingText) error {
 	field := changeableSettings[name]
 	if field == nil {
-		return refused("setting %q can't be changed while controllers run; those that can: %s", name, strings.Join(Settings(), ", "))
+		return refused("setting %q can't be changed while controllers run; those that can: %s", name, strings.Join(ChangeableSettings(), ", "))
 	}
 	return config.SetDuration(field(operator), string(text)) //nolint:wrapcheck // Decide wraps it with the name of the entry
 }
@@ -46,7 +46,7 @@
 const validDuration = record.SettingText("1s")
 
 // settingAfter returns the entry of a setting after a change.
-func (f *Followed) settingAfter(name string, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
+func (f *Tracker) settingAfter(name string, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	value := validDuration
 	if !c.Reset {
 		value = *c.Value
--- a/internal/controller/dynamicconfig/store_test.go
+++ b/internal/controller/dynamicconfig/store_test.go
@@ -30,12 +30,12 @@
 // configuration that results from them.
 type store struct {
 	records *fake.KeyValueStore
-	*Followed
+	*Tracker
 	applied int // number of changes of records that were applied
 }
 
 func newStore() *store {
-	return &store{records: fake.NewKeyValueStore(), Followed: NewFollowed(testSite(), config.DefaultOperator())}
+	return &store{records: fake.NewKeyValueStore(), Tracker: NewTracker(testSite(), config.DefaultOperator())}
 }
 
 // fataler is a *testing.T or a *rapid.T.
@@ -55,13 +55,13 @@
 		t.Fatalf("%+v: not written", changes)
 	}
 	for ; s.applied < s.records.Changes(); s.applied++ {
-		applyEvent(t, s.Followed, s.records.Change(s.applied))
+		applyEvent(t, s.Tracker, s.records.Change(s.applied))
 	}
 	return plan
 }
 
 // applyEvent applies the record of an event, and reports whether the configuration has changed.
-func applyEvent(t fataler, f *Followed, e protocol.Event) bool {
+func applyEvent(t fataler, f *Tracker, e protocol.Event) bool {
 	t.Helper()
 	key, known := record.ParseFollowedKey(e.Put)
 	switch {
--- a/internal/controller/dynamicconfig/team.go
+++ b/internal/controller/dynamicconfig/team.go
@@ -14,7 +14,7 @@
 const maxAmount = 1e9
 
 // teamAfter returns a team's entry after a change.
-func (f *Followed) teamAfter(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
+func (f *Tracker) teamAfter(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	none := record.ConfigurationEntry{}
 	current, known := f.effective.Team(name)
 	if c.Reset || c.Remove {
@@ -74,7 +74,7 @@
 // lastLowered returns the last revision that lowered a team's limit, even if the team was
 // reset or removed since: tasks that were placed before that revision may not have started
 // yet.
-func (f *Followed) lastLowered(id record.EntryID) Revision {
+func (f *Tracker) lastLowered(id record.EntryID) Revision {
 	entry := f.entries[id]
 	if entry.Team != nil {
 		return entry.Team.Lowered
@@ -90,7 +90,7 @@
 
 // checkLimits checks that a team's limits are not below its guarantees, and that a team
 // with a limit has a single owner of its jobs, which can enforce it.
-func (f *Followed) checkLimits(name protocol.Team, t *record.TeamEntry) error {
+func (f *Tracker) checkLimits(name protocol.Team, t *record.TeamEntry) error {
 	if t.MaxCPUs > 0 && t.MaxCPUs < t.CPUs || t.MaxGPUs > 0 && t.MaxGPUs < t.GPUs {
 		return refused("the limit (cpus_max %v, gpus_max %v) is below the guarantee (cpus %v, gpus %v)", t.MaxCPUs, t.MaxGPUs, t.CPUs, t.GPUs)
 	}
@@ -105,7 +105,7 @@
 // platform's file must be closed to new jobs and have no live jobs. Some time after it was
 // closed, this controller tracks all jobs of the team that are left, so that the number of
 // its live jobs is complete.
-func (f *Followed) checkRemoveOrReset(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) error {
+func (f *Tracker) checkRemoveOrReset(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) error {
 	current, known := f.effective.Team(name)
 	inFile := slices.ContainsFunc(f.site.Teams, func(t config.Team) bool { return t.Name == name })
 	switch {
@@ -126,7 +126,7 @@
 
 // checkResetKeepsLimit refuses to reset a team if the reset would lower its limit: a limit
 // from the platform's file has no revision that states since when it applies.
-func (f *Followed) checkResetKeepsLimit(name protocol.Team, current Team) error {
+func (f *Tracker) checkResetKeepsLimit(name protocol.Team, current Team) error {
 	for _, t := range f.site.Teams {
 		inFile := record.TeamEntry{MaxCPUs: t.MaxCPUs, MaxGPUs: t.MaxGPUs}
 		if t.Name == name && current.Name != "" && lowersLimit(current, &inFile) {
--- a/internal/controller/dynamicconfig/tracker.go
+++ b/internal/controller/dynamicconfig/tracker.go
@@ -6,10 +6,10 @@
 	"damsonkeel/internal/record"
 )
 
-// Followed maintains the configuration in force from the records that a controller reads.
+// Tracker maintains the configuration in force from the records that a controller reads.
 // It buffers the entries of a revision until all of them and the revision's own record have
 // been read, in any order, and then applies them in one step.
-type Followed struct {
+type Tracker struct {
 	site     *config.Site
 	operator config.Operator
 
@@ -24,28 +24,28 @@
 	effective *Effective
 }
 
-// NewFollowed returns the configuration of the platform's and the operators' files, before
+// NewTracker returns the configuration of the platform's and the operators' files, before
 // any records have been read.
-func NewFollowed(site *config.Site, operator config.Operator) *Followed {
-	f := &Followed{site: site, operator: operator}
+func NewTracker(site *config.Site, operator config.Operator) *Tracker {
+	f := &Tracker{site: site, operator: operator}
 	f.Reset()
 	return f
 }
 
 // Reset discards all records. The caller then lists them again.
-func (f *Followed) Reset() {
-	*f = Followed{site: f.site, operator: f.operator}
+func (f *Tracker) Reset() {
+	*f = Tracker{site: f.site, operator: f.operator}
 	f.entries = map[record.EntryID]record.ConfigurationEntry{}
 	f.pendingEntries = map[record.EntryID]record.ConfigurationEntry{}
 	f.effective = Base(f.site, f.operator)
 }
 
 // Effective returns the configuration in force.
-func (f *Followed) Effective() *Effective { return f.effective }
+func (f *Tracker) Effective() *Effective { return f.effective }
 
 // Entry returns an entry in force. For an entry that was never changed it returns the same
 // as for one that was reset.
-func (f *Followed) Entry(id record.EntryID) record.ConfigurationEntry {
+func (f *Tracker) Entry(id record.EntryID) record.ConfigurationEntry {
 	if entry, ok := f.entries[id]; ok {
 		return entry
 	}
@@ -53,11 +53,11 @@
 }
 
 // Entries returns all entries that were ever changed, including those that were reset.
-func (f *Followed) Entries() map[record.EntryID]record.ConfigurationEntry { return f.entries }
+func (f *Tracker) Entries() map[record.EntryID]record.ConfigurationEntry { return f.entries }
 
 // ApplyEntry adds the record of an entry that was read from the key-value store, and
 // reports whether the configuration in force has changed.
-func (f *Followed) ApplyEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
+func (f *Tracker) ApplyEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
 	if known, ok := f.pendingEntries[id]; ok && known.Revision >= entry.Revision {
 		return false
 	}
@@ -78,7 +78,7 @@
 
 // ApplyRevision adds the record of a revision that was read from the key-value store, and
 // reports whether the configuration in force has changed.
-func (f *Followed) ApplyRevision(revision record.Configuration, version protocol.Version) bool {
+func (f *Tracker) ApplyRevision(revision record.Configuration, version protocol.Version) bool {
 	if version <= f.currentVersion || f.pending != nil && version <= f.pendingVersion {
 		return false
 	}
@@ -88,7 +88,7 @@
 
 // applyPending puts the pending revision in force if all of its entries have been read, and
 // reports whether it has.
-func (f *Followed) applyPending() bool {
+func (f *Tracker) applyPending() bool {
 	if f.pending == nil {
 		return false
 	}
@@ -109,7 +109,7 @@
 }
 
 // revisionOf returns the latest revision of an entry that has been read.
-func (f *Followed) revisionOf(id record.EntryID) Revision {
+func (f *Tracker) revisionOf(id record.EntryID) Revision {
 	if entry, ok := f.pendingEntries[id]; ok {
 		return entry.Revision
 	}
@@ -117,6 +117,6 @@
 }
 
 // rebuild recomputes the effective configuration from the entries in force.
-func (f *Followed) rebuild() {
+func (f *Tracker) rebuild() {
 	f.effective = buildEffective(f.site, f.operator, f.entries, f.current, f.currentVersion)
 }
--- a/internal/controller/dynamicconfig/tracker_test.go
+++ b/internal/controller/dynamicconfig/tracker_test.go
@@ -17,7 +17,7 @@
 // whole revision is in force afterwards.
 func TestRevisionIsAppliedAtomically(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, other := newStore(), NewFollowed(testSite(), config.DefaultOperator())
+		s, other := newStore(), NewTracker(testSite(), config.DefaultOperator())
 		for range rapid.IntRange(1, 6).Draw(t, "revisions") {
 			var changes []operatorapi.ConfigChange
 			for i := range rapid.IntRange(1, 4).Draw(t, "entries") {
@@ -64,7 +64,7 @@
 		for i := range rapid.IntRange(1, 8).Draw(t, "before") {
 			s.commit(t, operatorapi.ConfigChange{Entry: "team/bound", MaxCPUs: floatPtr(float64(30 + i))}, operatorapi.ConfigChange{Entry: "team/other", MaxCPUs: floatPtr(float64(50 + i))})
 		}
-		listed, from := NewFollowed(testSite(), config.DefaultOperator()), s.applied
+		listed, from := NewTracker(testSite(), config.DefaultOperator()), s.applied
 		for _, prefix := range []string{"c/config/entry/team/b", "c/config/entry/team/o", "c/config/r"} { // pages
 			for _, it := range s.records.List(prefix) {
 				applyEvent(t, listed, protocol.Event{Put: it.Key, Value: it.Value, Version: it.Version})
--- a/internal/controller/jobs/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -45,7 +45,7 @@
 
 // unverifyTeams marks the limited teams whose jobs this controller has just taken over.
 func (o *Owned) unverifyTeams(oldView record.View, continuous bool) {
-	for _, team := range o.Configuration.Effective().TeamsEver() {
+	for _, team := range o.Configuration.Effective().TeamsIncludingRemoved() {
 		job := &protocol.Job{Team: team}
 		if o.MayHaveLimit(team) && o.JobOwner(o.View, job) == o.Self && (!continuous || o.JobOwner(oldView, job) != o.Self) {
 			o.UnverifiedTeams[team] = true
--- a/internal/controller/operatorrequest/configuration.go
+++ b/internal/controller/operatorrequest/configuration.go
@@ -16,7 +16,7 @@
 // out before gets the revision that it created, without a further change.
 func (h *Handler) configure(operator string, r *operatorapi.Request) Decision {
 	configuration := h.Configuration
-	if revision, done := configuration.AppliedBy(r.ID); done {
+	if revision, done := configuration.RevisionOfRequest(r.ID); done {
 		reply := operatorapi.Reply{Code: operatorapi.Done, Reason: "was carried out already", Config: &operatorapi.ConfigReply{Revision: revision, WithinS: h.propagationLimitS()}}
 		return Decision{Reply: reply}
 	}
--- a/internal/controller/operatorrequest/configurationview.go
+++ b/internal/controller/operatorrequest/configurationview.go
@@ -53,7 +53,7 @@
 	for name := range h.Types {
 		ids[record.NewEntryID(record.EntryType, string(name))] = true
 	}
-	for _, name := range dynamicconfig.Settings() {
+	for _, name := range dynamicconfig.ChangeableSettings() {
 		ids[record.NewEntryID(record.EntrySetting, name)] = true
 	}
 	for id := range h.Configuration.Entries() {
--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -24,11 +24,11 @@
 	errStatus           = errors.New("status")
 )
 
-// LaterError is the error for a reply that the controller can't decide the request now.
-type LaterError struct{ Reason string }
+// RetryLaterError is the error for a reply that the controller can't decide the request now.
+type RetryLaterError struct{ Reason string }
 
 // Error implements error.
-func (e *LaterError) Error() string { return e.Reason }
+func (e *RetryLaterError) Error() string { return e.Reason }
 
 // Client sends each request to the controllers, one after the other, until one of them
 // settles it.
@@ -102,7 +102,7 @@
 		return Reply{}, fmt.Errorf("%w %d", errStatus, response.Status)
 	}
 	if reply.Code == RetryLater {
-		return Reply{}, &LaterError{Reason: reply.Reason}
+		return Reply{}, &RetryLaterError{Reason: reply.Reason}
 	}
 	return reply, nil
 }
