--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,8 +1,8 @@
-// Package fixedseed runs a package's tests with a fixed seed of generated inputs, so that
-// the same sources always have the same result.
+// Package fixedseed runs the tests of a package with a fixed seed for generated inputs, so
+// that the same sources always give the same result.
 //
-// It sets the flag -rapid.seed before the command line is parsed, so a value given there
-// still overrides it. It owns no state; only TestMain functions use it.
+// It sets the flag -rapid.seed before the command line is parsed, so a value on the command
+// line still overrides it. It owns no state; only TestMain functions use it.
 package fixedseed
 
 import (
--- a/internal/simulator/actions.go
+++ b/internal/simulator/actions.go
@@ -12,18 +12,18 @@
 	"damsonkeel/internal/record"
 )
 
-// States of machines as the cloud lists them.
+// States of machines in the cloud's list.
 const (
 	machineBooting = "booting"
 	machineRunning = "running"
 )
 
-// isWatched reports whether controllers watch the record that a change concerns.
+// isWatched reports whether controllers watch the record that was changed.
 func isWatched(ev protocol.Event) bool {
 	return strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix)
 }
 
-// execute executes the actions of the core.
+// execute executes actions that the core has returned.
 func (n *node) execute(actions []message.Action) {
 	w := n.world
 	for _, a := range actions {
@@ -53,15 +53,15 @@
 // isCloudSilent reports whether the cloud does not answer.
 func (w *world) isCloudSilent() bool { return w.cloudSilentUntil > w.now }
 
-// provision has the cloud provision machines, which boot after a while.
+// provision requests machines from the cloud. Each new machine boots after its boot time.
 func (n *node) provision(a message.Provision) {
 	w := n.world
 	if w.isCloudSilent() {
 		n.deliver(message.ProvisionDone{Request: a.Request, Outcome: message.OutcomeUnknown})
 		return
 	}
-	all, added := w.cloud.Provision(a.Request)
-	for _, id := range added {
+	machines, newMachines := w.cloud.Provision(a.Request)
+	for _, id := range newMachines {
 		w.onProvisioned(id, a.Request)
 		w.after(w.bootTime(a.Request), func() {
 			if _, ok := w.cloud.Machines[id]; ok {
@@ -69,14 +69,14 @@
 			}
 		})
 	}
-	out := message.OutcomeDone
-	if len(all) == 0 {
-		out = message.OutcomeFailed
+	outcome := message.OutcomeDone
+	if len(machines) == 0 {
+		outcome = message.OutcomeFailed
 	}
-	n.deliver(message.ProvisionDone{Request: a.Request, Machines: all, Outcome: out})
+	n.deliver(message.ProvisionDone{Request: a.Request, Machines: machines, Outcome: outcome})
 }
 
-// terminate has the cloud terminate machines.
+// terminate requests that the cloud terminate machines.
 func (n *node) terminate(a message.Terminate) {
 	w := n.world
 	if w.isCloudSilent() {
@@ -90,7 +90,7 @@
 	n.deliver(message.TerminateDone{Machines: a.Machines, OK: true})
 }
 
-// listMachines has the cloud list its machines.
+// listMachines requests the list of machines from the cloud.
 func (n *node) listMachines() {
 	w := n.world
 	if w.isCloudSilent() {
@@ -109,14 +109,15 @@
 	n.deliver(message.MachinesListed{Machines: list, OK: true})
 }
 
-// commandExchange is a command on its way to a worker, until it is answered or times out.
+// commandExchange is a command in flight to a worker, until the reply arrives or the command
+// times out.
 type commandExchange struct {
 	node        *node
-	incarnation int // of the node that sent it
+	incarnation int // incarnation of the node that sent the command
 	worker      *worker
 	commands    protocol.Commands
 	done        message.CommandDone
-	over        bool
+	finished    bool
 }
 
 // sendCommands sends commands to a worker.
@@ -136,13 +137,13 @@
 	})
 }
 
-// execute has the worker execute the commands and answer.
+// execute makes the worker execute the commands and reply.
 func (x *commandExchange) execute() {
 	m, w := x.worker, x.node.world
 	if m.Dead || w.now < m.inboundLostUntil {
 		return
 	}
-	if w.now < m.pausedUntil { // executed later, before or after what else has arrived
+	if w.now < m.pausedUntil { // executed on resume, in any order with the other messages received
 		w.after(m.pausedUntil-w.now+w.delay(), x.execute)
 		return
 	}
@@ -152,17 +153,17 @@
 	x.done.Heartbeat = m.Heartbeat()
 	x.done.Answered = true
 	if w.rng.IntN(30) == 0 {
-		x.done.Answered = false // the answer is lost
+		x.done.Answered = false // the reply is lost
 		return
 	}
 	w.after(w.workerDelay(), x.finish)
 }
 
-// finish passes the outcome to the core, once, unless the process that sent the commands
-// has ended.
+// finish passes the outcome to the core, at most once, unless the process that sent the
+// commands has ended.
 func (x *commandExchange) finish() {
-	if !x.over && x.node.incarnation == x.incarnation {
-		x.over = true
+	if !x.finished && x.node.incarnation == x.incarnation {
+		x.finished = true
 		x.node.step(x.done)
 	}
 }
--- a/internal/simulator/boot_test.go
+++ b/internal/simulator/boot_test.go
@@ -14,13 +14,13 @@
 func TestMachinesThatNeverBoot(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 41, fake.Settings(), 40, 6)
-	rentedAt, asked, booting, most := map[protocol.MachineID]time.Duration{}, 0, map[protocol.MachineID]bool{}, 0
-	w.ageS = func(id protocol.MachineID) float64 { return (w.now - rentedAt[id]).Seconds() }
+	provisionedAt, requested, neverBooting, maxPaidFor := map[protocol.MachineID]time.Duration{}, 0, map[protocol.MachineID]bool{}, 0
+	w.ageS = func(id protocol.MachineID) float64 { return (w.now - provisionedAt[id]).Seconds() }
 	w.onProvisioned = func(id protocol.MachineID, r protocol.ProvisionRequest) {
-		rentedAt[id] = w.now
+		provisionedAt[id] = w.now
 		if r.Type == "large" {
-			asked++
-			booting[id] = true
+			requested++
+			neverBooting[id] = true
 		}
 	}
 	w.bootTime = func(r protocol.ProvisionRequest) time.Duration {
@@ -33,27 +33,27 @@
 	for range 120 {
 		w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 40, CPUs: 2, EstimateS: 5, Spot: true})
 		w.run(w.now + 3*time.Second)
-		up := 0
-		for id := range booting {
-			if _, there := w.cloud.Machines[id]; there {
-				up++
+		paidFor := 0
+		for id := range neverBooting {
+			if _, exists := w.cloud.Machines[id]; exists {
+				paidFor++
 			}
 		}
-		most = max(most, up)
+		maxPaidFor = max(maxPaidFor, paidFor)
 	}
 	w.expectAllFinished(t, 400*time.Second)
 	w.run(w.now + 120*time.Second)
-	left := 0
-	for id := range booting {
-		if _, there := w.cloud.Machines[id]; there {
-			left++
+	remaining := 0
+	for id := range neverBooting {
+		if _, exists := w.cloud.Machines[id]; exists {
+			remaining++
 		}
 	}
-	t.Logf("%d of the type that never comes were asked for, at most %d at a time; %d are left", asked, most, left)
-	if left > 0 {
-		t.Errorf("%d machines that never came up are still paid for two minutes after all work is over", left)
+	t.Logf("%d of the type that never comes were asked for, at most %d at a time; %d are left", requested, maxPaidFor, remaining)
+	if remaining > 0 {
+		t.Errorf("%d machines that never came up are still paid for two minutes after all work is over", remaining)
 	}
-	if asked > 6*40 {
-		t.Errorf("%d machines of a type that never comes up were asked for in eight minutes, with room for 46", asked)
+	if requested > 6*40 {
+		t.Errorf("%d machines of a type that never comes up were asked for in eight minutes, with room for 46", requested)
 	}
 }
--- a/internal/simulator/checks.go
+++ b/internal/simulator/checks.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// cpuTolerance is the rounding error allowed in sums of processors.
+	// cpuTolerance is the allowed rounding error in sums of processors.
 	cpuTolerance = 1e-9
-	// maxMisplacedMachines bounds the size of worlds whose controllers' machines are
-	// checked, as that takes long.
-	maxMisplacedMachines = 1000
+	// maxMachinesForMisplacedCheck is the largest number of machines for which checkMisplaced
+	// runs, because the check is slow.
+	maxMachinesForMisplacedCheck = 1000
 )
 
-// checkStart checks the rules for a task that starts on a machine.
+// checkStart checks the rules for a task that is starting on a machine.
 func (w *world) checkStart(m *fake.Worker, id protocol.TaskID, _ protocol.Attempt) {
 	w.starts++
 	w.onTaskStarted(m.ID, id)
@@ -33,27 +33,27 @@
 	if m.Spot && !j.Spot || j.Zone != "" && j.Zone != m.Zone || len(j.Types) > 0 && j.Types[0] != m.Info.Name {
 		w.fail("%v wrong_place: %v on %s", w.now, id, m.ID)
 	}
-	w.checkRunning(m, j)
+	w.checkQuotaAndZones(m, j)
 }
 
-// isOverdue reports whether the tasks of a job had to be stopped by now, as it is
-// cancelled.
+// isOverdue reports whether a job was cancelled so long ago that all of its tasks must have
+// been stopped by now.
 func (w *world) isOverdue(id protocol.JobID) bool {
 	at, cancelled := w.cancelled[id]
 	return cancelled && (w.now-at).Seconds() > w.settings.Site.Workers.CancelS
 }
 
-// checkRunning checks the rules for all running tasks of a job and its team, of which one
-// has started on a machine.
-func (w *world) checkRunning(m *fake.Worker, j protocol.Job) {
+// checkQuotaAndZones checks, after a task of the job has started on a machine, the limit of
+// the job's team and the zones of the job's running tasks.
+func (w *world) checkQuotaAndZones(m *fake.Worker, j protocol.Job) {
 	var used float64
 	zones := map[protocol.Zone]int{}
-	for t, on := range w.onMachine {
+	for t, machine := range w.onMachine {
 		if other := w.jobs[t.Job]; other.Team == j.Team {
 			used += other.CPUs
 		}
 		if t.Job == j.ID {
-			zones[on.Zone]++
+			zones[machine.Zone]++
 		}
 	}
 	if limit := w.teamLimit(j.Team); limit > 0 && used > limit+cpuTolerance {
@@ -66,7 +66,7 @@
 
 // checkRules checks the rules after a step.
 func (w *world) checkRules() {
-	if w.now%time.Second == 0 && len(w.machineOrder) <= maxMisplacedMachines {
+	if w.now%time.Second == 0 && len(w.machineOrder) <= maxMachinesForMisplacedCheck {
 		w.checkMisplaced()
 	}
 	for t := range w.onMachine {
@@ -79,7 +79,7 @@
 	}
 }
 
-// checkMisplaced checks that controllers have no machines of shards that they don't hold.
+// checkMisplaced checks that no controller manages machines of shards that it does not hold.
 func (w *world) checkMisplaced() {
 	for _, n := range w.nodes {
 		if n.core == nil {
@@ -91,8 +91,8 @@
 	}
 }
 
-// checkChange checks a change of the state service: jobs are not forgotten, keep their
-// final state, and are done only if their tasks are.
+// checkChange checks a change in the state service: a job record is never deleted, a final
+// state never changes, and a job is done only if all of its tasks have completed.
 func (w *world) checkChange(ev protocol.Event) {
 	key, isJob := strings.CutPrefix(ev.Put+ev.Delete, record.JobKey(""))
 	if !isJob {
@@ -118,8 +118,8 @@
 	}
 }
 
-// checkDone checks that all tasks of a job have completed. The tasks of a gang complete
-// together.
+// checkDone checks that all tasks of a job have completed. A gang completes as a whole, so
+// the result of its first task counts for all of them.
 func (w *world) checkDone(id protocol.JobID) {
 	j := w.jobs[id]
 	for i := range j.Tasks {
--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -51,15 +51,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				w := newConfigured(t, 900+seed, 40)
+				w := newConfiguredWorld(t, 900+seed, 40)
 				if used := w.usedCPUs("bound"); used < 50 {
 					t.Fatalf("the team uses %v processors of 60", used)
 				}
-				w.limit(0, "bound", 24)
+				w.requestLimit(0, "bound", 24)
 				w.after(time.Duration(seed)*10*time.Millisecond, func() { fault(w, w.nodes[0]) })
 				w.runAtLimits(75 * time.Second)
 				w.run(w.now + 5*time.Second)
-				w.expectInForce(t, 1)
+				w.expectRevisionInForce(t, 1)
 				if used := w.usedCPUs("bound"); used > 24 {
 					t.Errorf("the team uses %v processors of 24 in the end", used)
 				}
@@ -73,11 +73,11 @@
 func TestConfigurationChangeSurvivesCrashAtEachStep(t *testing.T) {
 	t.Parallel()
 	for at := time.Duration(0); at < 200*time.Millisecond; at += 10 * time.Millisecond {
-		w := newConfigured(t, 930+uint64(at/time.Millisecond), 12)
-		w.limit(0, "bound", 24)
+		w := newConfiguredWorld(t, 930+uint64(at/time.Millisecond), 12)
+		w.requestLimit(0, "bound", 24)
 		w.after(at, func() { w.nodes[0].crash() })
 		w.run(w.now + 30*time.Second)
-		w.expectInForce(t, 1)
+		w.expectRevisionInForce(t, 1)
 	}
 }
 
@@ -86,12 +86,12 @@
 func TestConcurrentConfigurationChanges(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		w := newConfigured(t, 960+seed, 12)
-		w.limit(0, "bound", 30)
-		w.limit(1, "bound", 40)
-		w.limit(2, "other", 50)
+		w := newConfiguredWorld(t, 960+seed, 12)
+		w.requestLimit(0, "bound", 30)
+		w.requestLimit(1, "bound", 40)
+		w.requestLimit(2, "other", 50)
 		w.run(w.now + 10*time.Second)
-		w.expectInForce(t, 3)
+		w.expectRevisionInForce(t, 3)
 		first, _ := w.nodes[0].core.ConfigurationInForce().Team("bound")
 		for _, n := range w.nodes {
 			if team, _ := n.core.ConfigurationInForce().Team("bound"); team != first {
@@ -101,15 +101,15 @@
 	}
 }
 
-// TestManyChangesUnderLoad: 200 changes within a minute, under full load, while a
+// TestManyConfigurationChangesUnderLoad: 200 changes within a minute, under full load, while a
 // controller is paused and another one restarts. Who can follow acts by each within
 // seconds.
-func TestManyChangesUnderLoad(t *testing.T) {
+func TestManyConfigurationChangesUnderLoad(t *testing.T) {
 	t.Parallel()
-	w := newConfigured(t, 990, 40)
+	w := newConfiguredWorld(t, 990, 40)
 	for i := range 200 {
 		w.after(time.Duration(i)*300*time.Millisecond, func() {
-			w.limit(i%3, []string{"bound", "other"}[i%2], float64(40+w.rng.IntN(20)))
+			w.requestLimit(i%3, []string{"bound", "other"}[i%2], float64(40+w.rng.IntN(20)))
 		})
 	}
 	w.after(20*time.Second, func() { w.nodes[1].pausedUntil = w.now + 15*time.Second })
@@ -120,54 +120,54 @@
 	if w.unsettled > 0 || len(w.commits) < 150 { // now and then a limit is what it was
 		t.Errorf("%d requests are not settled, %d revisions", w.unsettled, len(w.commits))
 	}
-	w.expectInForce(t, dynamicconfig.Revision(len(w.commits)))
-	if w.worst == 0 || w.worst > 3*time.Second {
-		t.Errorf("a controller took %v to apply a revision", w.worst)
+	w.expectRevisionInForce(t, dynamicconfig.Revision(len(w.commits)))
+	if w.maxApplyDelay == 0 || w.maxApplyDelay > 3*time.Second {
+		t.Errorf("a controller took %v to apply a revision", w.maxApplyDelay)
 	}
 }
 
-// TestClosedZones: nothing is started in a zone that is closed, what waits there goes
+// TestNoStartsInClosedZone: nothing is started in a zone that is closed, what waits there goes
 // elsewhere, and it is used again when it is open.
-func TestClosedZones(t *testing.T) {
+func TestNoStartsInClosedZone(t *testing.T) {
 	t.Parallel()
-	w := newConfigured(t, 995, 40)
+	w := newConfiguredWorld(t, 995, 40)
 	closed, starts := false, 0
 	w.onTaskStarted = func(id protocol.MachineID, _ protocol.TaskID) {
 		if w.workers[id].Zone == "a" {
 			starts++
 		}
 	}
-	set := func(to bool) {
-		w.put(0, func(reply operatorapi.Reply) {
+	setClosed := func(to bool) {
+		w.requestChange(0, func(reply operatorapi.Reply) {
 			if reply.Code != operatorapi.Done {
 				t.Errorf("%+v", reply)
 			}
 		}, operatorapi.ConfigChange{Entry: "zone/a", Closed: &to})
 		closed = to
 	}
-	set(true)
+	setClosed(true)
 	w.runAtLimits(5 * time.Second)
 	starts = 0
 	w.runAtLimits(20 * time.Second)
 	if closed && starts > 0 {
 		t.Errorf("%d tasks started in a closed zone", starts)
 	}
-	set(false)
+	setClosed(false)
 	w.runAtLimits(20 * time.Second)
 	if starts == 0 {
 		t.Error("nothing starts in the zone after it was opened")
 	}
 }
 
-// TestOlderControllers: changes are refused while a controller takes part that doesn't
+// TestConfigurationChangesNeedAllControllersUpgraded: changes are refused while a controller takes part that doesn't
 // follow them, and one that joins later gets no lease.
-func TestOlderControllers(t *testing.T) {
+func TestConfigurationChangesNeedAllControllersUpgraded(t *testing.T) {
 	t.Parallel()
-	w := newConfigured(t, 996, 12)
+	w := newConfiguredWorld(t, 996, 12)
 	if layout := w.nodes[0].core.View.Layout; layout != record.LayoutConfiguration {
 		t.Fatalf("layout %d", layout)
 	}
-	w.limit(0, "bound", 24)
+	w.requestLimit(0, "bound", 24)
 	older := w.nodes[2]
 	older.crash()
 	w.after(100*time.Millisecond, func() { older.layout = record.LayoutShards })
@@ -181,7 +181,7 @@
 		t.Errorf("it is not named: %+v", reply.Config)
 	}
 
-	mixed := newConfigured(t, 997, 12, 2)
+	mixed := newConfiguredWorld(t, 997, 12, 2)
 	limit := 24.0
 	reply, txn := mixed.nodes[0].core.Decide("ops", &operatorapi.Request{Op: operatorapi.OpConfigure, Config: &operatorapi.ConfigRequest{
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
@@ -207,7 +207,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				w := newConfigured(t, 1020+seed, 12)
+				w := newConfiguredWorld(t, 1020+seed, 12)
 				w.runTime = func(protocol.TaskID) time.Duration { return 30 * time.Second }
 				for range 4 { // first fill the machines
 					w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 20, Spot: true})
@@ -215,10 +215,10 @@
 				w.run(w.now + 2*time.Second)
 				w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 60, CPUs: 1, EstimateS: 20, Spot: true})
 				w.run(w.now + 2*time.Second)
-				w.limit(0, "bound", 12)
+				w.requestLimit(0, "bound", 12)
 				w.after(100*time.Millisecond, func() { fault(w) })
 				w.run(w.now + 120*time.Second)
-				w.expectInForce(t, 1)
+				w.expectRevisionInForce(t, 1)
 			}
 		})
 	}
@@ -228,7 +228,7 @@
 // changed the same again gets its first answer, and changes nothing.
 func TestRepeatedConfigurationRequestIsIdempotent(t *testing.T) {
 	t.Parallel()
-	w := newConfigured(t, 1040, 12)
+	w := newConfiguredWorld(t, 1040, 12)
 	limit := 24.0
 	first := operatorapi.Request{Op: operatorapi.OpConfigure, ID: "first", Config: &operatorapi.ConfigRequest{
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
@@ -237,11 +237,11 @@
 		t.Fatal("not written") // its answer is lost
 	}
 	w.run(w.now + time.Second)
-	w.limit(1, "bound", 40)
+	w.requestLimit(1, "bound", 40)
 	w.run(w.now + 2*time.Second)
 	reply, txn := w.nodes[2].core.Decide("ops", &first)
 	if txn != nil || reply.Code != operatorapi.Done || reply.Config.Revision != 1 {
 		t.Errorf("the repetition: %+v, %v", reply, txn)
 	}
-	w.expectInForce(t, 2)
+	w.expectRevisionInForce(t, 2)
 }
--- a/internal/simulator/configuredworld_test.go
+++ b/internal/simulator/configuredworld_test.go
@@ -15,22 +15,22 @@
 	"damsonkeel/internal/record"
 )
 
-// startWithin is how long after its command a task may come onto its machine: its
+// maxStartDelay is how long after its command a task may come onto its machine: its
 // image takes a second, messages a part of one.
-const startWithin = 1500 * time.Millisecond
+const maxStartDelay = 1500 * time.Millisecond
 
 // configuredWorld is a world whose configuration changes while it runs. Starts are held
 // against the limits that were in force, by what workers see.
 type configuredWorld struct {
 	*world
-	commits map[dynamicconfig.Revision]time.Duration
-	limits  map[protocol.Team][]limitSince
-	scanned int // changes of the state service
-	// worst is the longest that a controller which neither restarted nor was paused took
+	commits        map[dynamicconfig.Revision]time.Duration
+	limits         map[protocol.Team][]limitSince
+	scannedChanges int // changes of the state service
+	// maxApplyDelay is the longest that a controller which neither restarted nor was paused took
 	// to apply a revision.
-	worst     time.Duration
-	requests  int
-	unsettled int
+	maxApplyDelay time.Duration
+	requests      int
+	unsettled     int
 }
 
 // limitSince is a limit and when it came into force.
@@ -39,10 +39,10 @@
 	cpus float64
 }
 
-// newConfigured is a busy world of controllers that follow the configuration, but for
+// newConfiguredWorld is a busy world of controllers that follow the configuration, but for
 // some of an earlier version, with two teams that are always at their limits of 60
 // processors.
-func newConfigured(t *testing.T, seed uint64, machines int, older ...int) *configuredWorld {
+func newConfiguredWorld(t *testing.T, seed uint64, machines int, olderNodes ...int) *configuredWorld {
 	t.Helper()
 	const controllers = 3
 	s := fake.Settings()
@@ -55,17 +55,17 @@
 	w.operator.OperatorKeys = "keys"
 	w.layout = record.LayoutConfiguration
 	for i, n := range w.nodes {
-		if !slices.Contains(older, i) {
+		if !slices.Contains(olderNodes, i) {
 			n.layout = w.layout
 		}
 	}
 	w.runTime = func(protocol.TaskID) time.Duration { return time.Duration(8000+w.rng.IntN(8000)) * time.Millisecond }
-	w.teamLimit = w.limitInForce
+	w.teamLimit = w.highestLimitInForce
 	w.onOrders = w.checkOrders
 	w.onConfiguration = func(n *node, e *dynamicconfig.Effective) {
 		w.recordCommits()
 		if at, known := w.commits[e.Revision]; known && n.startedAt < at && n.pausedUntil < at {
-			w.worst = max(w.worst, w.now-at)
+			w.maxApplyDelay = max(w.maxApplyDelay, w.now-at)
 		}
 	}
 	w.run(3 * time.Second)
@@ -85,10 +85,10 @@
 
 // recordCommits records the revisions that the state service has taken, and their limits.
 func (w *configuredWorld) recordCommits() {
-	for ; w.scanned < w.state.Changes(); w.scanned++ {
-		e := w.state.Change(w.scanned)
+	for ; w.scannedChanges < w.state.Changes(); w.scannedChanges++ {
+		e := w.state.Change(w.scannedChanges)
 		at := w.now
-		if i := w.scanned - w.state.Before; i < len(w.changeTimes) {
+		if i := w.scannedChanges - w.state.Before; i < len(w.changeTimes) {
 			at = w.changeTimes[i]
 		}
 		followed, _ := record.ParseFollowedKey(e.Put)
@@ -103,33 +103,33 @@
 	}
 }
 
-// limitInForce is the highest limit of a team that may have been acted by for a task
+// highestLimitInForce is the highest limit of a team that may have been acted by for a task
 // that comes onto its machine now.
-func (w *configuredWorld) limitInForce(team protocol.Team) float64 {
+func (w *configuredWorld) highestLimitInForce(team protocol.Team) float64 {
 	w.recordCommits()
-	since := w.now - config.ConfigPropagationLimit - startWithin
-	most := 0.0
+	since := w.now - config.ConfigPropagationLimit - maxStartDelay
+	highest := 0.0
 	for i, l := range w.limits[team] {
 		if i+1 < len(w.limits[team]) && w.limits[team][i+1].at < since {
 			continue // replaced before that
 		}
-		most = max(most, l.cpus)
+		highest = max(highest, l.cpus)
 	}
-	return most
+	return highest
 }
 
 // checkOrders: who sends commands acts by no revision that was replaced too long ago.
 func (w *configuredWorld) checkOrders(n *node, orders []protocol.Order) {
 	w.recordCommits()
-	acts := n.core.ConfigurationInForce().Revision
-	if at, replaced := w.commits[acts+1]; replaced && w.now-at > config.ConfigPropagationLimit && len(orders) > 0 {
-		w.fail("%v %s acts by revision %d, replaced %v ago", w.now, n.name, acts, w.now-at)
+	revision := n.core.ConfigurationInForce().Revision
+	if at, replaced := w.commits[revision+1]; replaced && w.now-at > config.ConfigPropagationLimit && len(orders) > 0 {
+		w.fail("%v %s acts by revision %d, replaced %v ago", w.now, n.name, revision, w.now-at)
 	}
 }
 
-// put has an operator request a change, first at one controller, until it is done:
+// requestChange has an operator request a change, first at one controller, until it is done:
 // as the command does, with one id. Done hears how it ended.
-func (w *configuredWorld) put(first int, done func(operatorapi.Reply), changes ...operatorapi.ConfigChange) {
+func (w *configuredWorld) requestChange(first int, done func(operatorapi.Reply), changes ...operatorapi.ConfigChange) {
 	w.requests++
 	w.unsettled++
 	r := operatorapi.Request{Op: operatorapi.OpConfigure, ID: fmt.Sprint("request-", w.requests), Config: &operatorapi.ConfigRequest{Changes: changes}}
@@ -137,12 +137,12 @@
 	var try func(at int)
 	try = func(at int) {
 		n := w.nodes[at%len(w.nodes)]
-		turn, next := 0, func(at int, after time.Duration) { w.after(after, func() { try(at) }) }
+		concluded, retry := 0, func(at int, after time.Duration) { w.after(after, func() { try(at) }) }
 		if settled {
 			return
 		}
 		if n.core == nil || w.now < n.pausedUntil {
-			next(at+1, 300*time.Millisecond)
+			retry(at+1, 300*time.Millisecond)
 			return
 		}
 		settle := func(reply operatorapi.Reply) {
@@ -156,24 +156,24 @@
 		reply, txn := n.core.Decide("ops", &request)
 		switch {
 		case txn == nil && reply.Code == operatorapi.RetryLater:
-			next(at+1, 300*time.Millisecond)
+			retry(at+1, 300*time.Millisecond)
 			return
 		case txn == nil:
 			settle(reply)
 			return
 		}
 		n.transact(*txn, func(out message.Outcome, _ protocol.Revision) {
-			if turn++; out == message.OutcomeDone {
+			if concluded++; out == message.OutcomeDone {
 				settle(reply)
 				return
 			}
-			if turn == 1 {
-				next(at, 100*time.Millisecond)
+			if concluded == 1 {
+				retry(at, 100*time.Millisecond)
 			}
 		})
 		w.after(4*time.Second, func() {
-			if turn == 0 { // the controller has ended, or is paused
-				turn++
+			if concluded == 0 { // the controller has ended, or is paused
+				concluded++
 				try(at + 1)
 			}
 		})
@@ -181,18 +181,18 @@
 	try(first)
 }
 
-// limit changes a team's limit.
-func (w *configuredWorld) limit(first int, team string, cpus float64) {
-	w.put(first, func(reply operatorapi.Reply) {
+// requestLimit changes a team's limit.
+func (w *configuredWorld) requestLimit(first int, team string, cpus float64) {
+	w.requestChange(first, func(reply operatorapi.Reply) {
 		if reply.Code != operatorapi.Done {
 			w.fail("%v limit of %s to %v: %+v", w.now, team, cpus, reply)
 		}
 	}, operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntryTeam, team), MaxCPUs: &cpus})
 }
 
-// expectInForce fails unless every running controller applies the last revision, and
+// expectRevisionInForce fails unless every running controller applies the last revision, and
 // each request was carried out once.
-func (w *configuredWorld) expectInForce(t *testing.T, revision dynamicconfig.Revision) {
+func (w *configuredWorld) expectRevisionInForce(t *testing.T, revision dynamicconfig.Revision) {
 	t.Helper()
 	w.recordCommits()
 	if len(w.commits) != int(revision) || w.unsettled > 0 {
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -27,10 +27,10 @@
 
 // digestRun is a site file to emulate, and for how long by which seed.
 type digestRun struct {
-	name string
-	site string
-	play time.Duration
-	seed uint64
+	name     string
+	site     string
+	duration time.Duration
+	seed     uint64
 }
 
 // digestRuns are the runs whose results are compared. Those of the deployed sites are the
@@ -39,13 +39,13 @@
 // began with 8216dde14c5af28b (emulate-week.toml, 6h, seed 3) and 7433982937dd30ca
 // (emulate-shares.toml, 2m, seed 7).
 var digestRuns = []digestRun{
-	{name: "spot-seed-1", site: "testdata/digests/spot.toml", play: time.Hour, seed: 1},
-	{name: "spot-seed-2", site: "testdata/digests/spot.toml", play: time.Hour, seed: 2},
-	{name: "reservations-seed-1", site: "testdata/digests/reservations.toml", play: 125 * time.Minute, seed: 1},
-	{name: "reservations-seed-2", site: "testdata/digests/reservations.toml", play: 125 * time.Minute, seed: 2},
-	{name: "shares-seed-1", site: "testdata/digests/shares.toml", play: 30 * time.Minute, seed: 1},
-	{name: "shares-seed-2", site: "testdata/digests/shares.toml", play: 30 * time.Minute, seed: 2},
-	{name: "deployed-week-10m-seed-3", site: "../../deploy/emulate-week.toml", play: 10 * time.Minute, seed: 3},
+	{name: "spot-seed-1", site: "testdata/digests/spot.toml", duration: time.Hour, seed: 1},
+	{name: "spot-seed-2", site: "testdata/digests/spot.toml", duration: time.Hour, seed: 2},
+	{name: "reservations-seed-1", site: "testdata/digests/reservations.toml", duration: 125 * time.Minute, seed: 1},
+	{name: "reservations-seed-2", site: "testdata/digests/reservations.toml", duration: 125 * time.Minute, seed: 2},
+	{name: "shares-seed-1", site: "testdata/digests/shares.toml", duration: 30 * time.Minute, seed: 1},
+	{name: "shares-seed-2", site: "testdata/digests/shares.toml", duration: 30 * time.Minute, seed: 2},
+	{name: "deployed-week-10m-seed-3", site: "../../deploy/emulate-week.toml", duration: 10 * time.Minute, seed: 3},
 }
 
 // configurationDigest is the name of the digest of a configuration change.
@@ -58,11 +58,11 @@
 	golden := readDigests(t)
 	got := make([]string, len(digestRuns)+1)
 	t.Run("plays", func(t *testing.T) { // returns when all parallel subtests have ended
-		for i, play := range digestRuns {
-			t.Run(play.name, func(t *testing.T) {
+		for i, run := range digestRuns {
+			t.Run(run.name, func(t *testing.T) {
 				t.Parallel()
-				got[i] = digestOf(resultJSON(t, play))
-				checkDigest(t, golden, play.name, got[i])
+				got[i] = digestOf(resultJSON(t, run))
+				checkDigest(t, golden, run.name, got[i])
 			})
 		}
 		t.Run(configurationDigest, func(t *testing.T) {
@@ -73,9 +73,9 @@
 	})
 	if *updateDigests && !t.Failed() {
 		golden[configurationDigest] = got[len(digestRuns)]
-		for i, play := range digestRuns {
+		for i, run := range digestRuns {
 			if got[i] != "" { // else it was left out, and its digest stays
-				golden[play.name] = got[i]
+				golden[run.name] = got[i]
 			}
 		}
 		writeDigests(t, golden)
@@ -85,17 +85,17 @@
 // TestDigestSitesHaveAllFaults fails if a kind of fault happens in none of the small
 // sites whose digests are compared.
 func TestDigestSitesHaveAllFaults(t *testing.T) {
-	had := map[string]bool{}
-	for _, play := range digestRuns {
-		faults := reflect.ValueOf(loadSite(t, play.site).Faults)
+	injected := map[string]bool{}
+	for _, run := range digestRuns {
+		faults := reflect.ValueOf(loadSite(t, run.site).Faults)
 		for i := range faults.NumField() {
-			if faults.Field(i).Float()*play.play.Hours()/24 >= 1 {
-				had[faults.Type().Field(i).Name] = true
+			if faults.Field(i).Float()*run.duration.Hours()/24 >= 1 {
+				injected[faults.Type().Field(i).Name] = true
 			}
 		}
 	}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[FaultRates]()) {
-		if !had[field.Name] {
+		if !injected[field.Name] {
 			t.Errorf("no site has the trouble %s", field.Name)
 		}
 	}
@@ -113,9 +113,9 @@
 
 // resultJSON plays a site and returns its result as the command prints it. Broken rules
 // are part of the result.
-func resultJSON(t *testing.T, play digestRun) []byte {
+func resultJSON(t *testing.T, run digestRun) []byte {
 	t.Helper()
-	result := Run(loadSite(t, play.site), Options{For: play.play, Seed: play.seed})
+	result := Run(loadSite(t, run.site), Options{For: run.duration, Seed: run.seed})
 	return indentedJSON(t, []*Result{result})
 }
 
@@ -124,23 +124,23 @@
 // with all records of the state service.
 func configurationChangeJSON(t *testing.T) []byte {
 	t.Helper()
-	w := newConfigured(t, 1100, 20)
-	w.limit(0, "bound", 24)
+	w := newConfiguredWorld(t, 1100, 20)
+	w.requestLimit(0, "bound", 24)
 	w.after(2*time.Second, func() { w.moveRandomShards(8) })
 	w.after(5*time.Second, func() { w.nodes[1].crash() })
 	w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 3, CPUs: 4, EstimateS: 10})
 	w.runAtLimits(15 * time.Second)
-	w.limit(2, "other", 30)
-	w.limit(0, "bound", 50)
+	w.requestLimit(2, "other", 30)
+	w.requestLimit(0, "bound", 50)
 	w.runAtLimits(15 * time.Second)
 	w.run(w.now + 30*time.Second)
-	w.expectInForce(t, 3)
+	w.expectRevisionInForce(t, 3)
 	return indentedJSON(t, struct {
 		Starts, Submitted, Moves, GivenUp, Revisions, Changes int
 		Worst                                                 time.Duration
 		Final                                                 map[protocol.JobID]string
 		Records                                               []protocol.Item
-	}{w.starts, w.submissions, len(w.movePauses), w.abortedMoves, len(w.commits), w.state.Changes(), w.worst, w.finalState, w.state.List("")})
+	}{w.starts, w.submissions, len(w.movePauses), w.abortedMoves, len(w.commits), w.state.Changes(), w.maxApplyDelay, w.finalState, w.state.List("")})
 }
 
 // indentedJSON encodes a value as "damsonkeel emulate --output json" does.
@@ -180,8 +180,8 @@
 	}
 	for lines := bufio.NewScanner(bytes.NewReader(file)); lines.Scan(); {
 		name, digest, _ := strings.Cut(lines.Text(), " ")
-		isPlay := slices.ContainsFunc(digestRuns, func(play digestRun) bool { return play.name == name })
-		if !isPlay && name != configurationDigest {
+		isRun := slices.ContainsFunc(digestRuns, func(run digestRun) bool { return run.name == name })
+		if !isRun && name != configurationDigest {
 			t.Errorf("%s: %q is not played", digestsFile, name)
 		}
 		digests[name] = digest
--- a/internal/simulator/driver.go
+++ b/internal/simulator/driver.go
@@ -15,75 +15,77 @@
 )
 
 const (
-	// warmUpTime is how long the load comes before anything is measured.
+	// warmUpTime is how long the load runs before the measured part of a run begins.
 	warmUpTime = time.Hour
-	// maxViolations is how many violations of a run are listed.
+	// maxViolations is how many violations the result of a run lists.
 	maxViolations = 50
-	// maxFinishedJobs is how many finished jobs are remembered, as late heartbeats may
-	// still name them.
+	// maxFinishedJobs is how many finished jobs are retained, because late heartbeats may
+	// still refer to them.
 	maxFinishedJobs = 500
-	// minForgottenChanges is how many changes of the state service are forgotten at once.
-	minForgottenChanges = 1000
+	// minDiscardedChanges is the smallest number of changes of the state service that are
+	// discarded at once.
+	minDiscardedChanges = 1000
 )
 
 // Options are the options of a run.
 type Options struct {
-	For  time.Duration
+	For  time.Duration // simulated time to run for, after the warm-up
 	Seed uint64
-	// Without leaves out the reservations; their jobs are submitted all the same.
+	// Without omits the reservations; their jobs are still submitted.
 	Without bool
-	// Progress, if set, is called from time to time with the simulated time.
+	// Progress, if set, is called after each simulated minute with the simulated time.
 	Progress func(time.Duration)
 
-	onStart, onEnd func(*driver) // for tests
+	onStart, onEnd func(*driver) // called by tests before and after the run
 }
 
-// driver drives a world by the description of a site.
+// driver drives a world as the description of a site specifies.
 type driver struct {
 	*world
 	site   *Site
 	opts   Options
-	rng    *rand.Rand // for load and faults, apart from that of the world
+	rng    *rand.Rand // for load and faults; separate from the world's generator
 	result *Result
 
 	machineInfo      map[protocol.MachineType]protocol.TypeInfo
-	remaining        map[protocol.TaskID]time.Duration // run time of tasks with a checkpoint
+	remainingRunTime map[protocol.TaskID]time.Duration // of tasks that have saved a checkpoint
 	jobState         map[protocol.JobID]*jobState
 	provisioned      map[protocol.MachineID]provisionedMachine
 	reservationTimes []time.Duration
-	windows          []openWindow
+	windows          []scheduledWindow
 	taskEndings      map[protocol.TaskID]taskEnding
-	// stoppedByMoves and lostByMoves count tasks that had to start again after a move of
-	// their machine's shard: stopped, or completed without that being known.
+	// stoppedByMoves and lostByMoves count tasks that were started again after their machine's
+	// shard moved: tasks that had been stopped, and tasks that had completed but whose
+	// completion was lost.
 	stoppedByMoves, lostByMoves int
-	finishedJobs                []protocol.JobID // not forgotten yet
+	finishedJobs                []protocol.JobID // whose data has not been discarded yet
 }
 
-// provisionedMachine is a machine that is being paid for.
+// provisionedMachine is a machine that the site is paying for.
 type provisionedMachine struct {
-	at    time.Duration
+	since time.Duration
 	price float64
 }
 
-// openWindow is a maintenance window with its times.
-type openWindow struct {
-	spec *record.WindowSpec
-	when reservation.Schedule
+// scheduledWindow is a maintenance window with its parsed schedule.
+type scheduledWindow struct {
+	spec     *record.WindowSpec
+	schedule reservation.Schedule
 }
 
-// jobState is what the result needs to know of a job.
+// jobState holds the data of a job that the result is computed from.
 type jobState struct {
-	class      *Class
-	submitted  time.Duration
-	started    map[uint32]bool
-	tasks      int
-	occurrence *Occurrence // of the reservation that the job is for; nil: there is none
-	reserved   int         // tasks
-	factor     float64     // true run time by estimate
-	estimateS  float64
+	class         *Class
+	submitted     time.Duration
+	started       map[uint32]bool
+	tasks         int
+	occurrence    *Occurrence // of the reservation that the job is for; nil if there is none
+	reservedTasks int         // tasks
+	runTimeFactor float64     // actual run time divided by the estimate
+	estimateS     float64
 }
 
-// Run runs a site and returns the result, with the violations of rules.
+// Run simulates a site and returns the result, including rule violations.
 func Run(s *Site, o Options) *Result {
 	result := &Result{Seed: o.Seed, Without: o.Without, Days: o.For.Hours() / 24, Classes: map[string]*Class{}, Rules: []string{}}
 	addViolation := func(format string, args ...any) {
@@ -95,17 +97,17 @@
 		world: newWorld(addViolation, o.Seed, s.settings(), s.Machines, 0),
 		site:  s, opts: o, rng: rand.New(rand.NewPCG(o.Seed, 3)),
 		result:      result,
-		machineInfo: map[protocol.MachineType]protocol.TypeInfo{}, remaining: map[protocol.TaskID]time.Duration{},
+		machineInfo: map[protocol.MachineType]protocol.TypeInfo{}, remainingRunTime: map[protocol.TaskID]time.Duration{},
 		jobState: map[protocol.JobID]*jobState{}, taskEndings: map[protocol.TaskID]taskEnding{}, provisioned: map[protocol.MachineID]provisionedMachine{},
 	}
-	d.prepare()
+	d.setUpWorld()
 	d.scheduleAll()
 	if o.onStart != nil {
 		o.onStart(d)
 	}
 	for end := warmUpTime + o.For; d.now < end; {
 		d.run(min(end, d.now+time.Minute))
-		d.forgetFinished()
+		d.discardFinished()
 		if o.Progress != nil {
 			o.Progress(d.now)
 		}
@@ -117,8 +119,8 @@
 	return d.result
 }
 
-// prepare sets the world up as the site describes it.
-func (d *driver) prepare() {
+// setUpWorld configures the world as the site describes it.
+func (d *driver) setUpWorld() {
 	w := d.world
 	w.step, w.eventDriven = time.Duration(d.site.StepMS)*time.Millisecond, true
 	w.startMS = d.site.Start.Add(-warmUpTime).UnixMilli()
@@ -133,17 +135,18 @@
 		w.operator.Machines[t.Name] = d.site.Machines / len(d.site.Types)
 	}
 	w.runTime, w.bootTime = d.drawRunTime, d.drawBootTime
-	w.onCheckpoint = func(id protocol.TaskID, remaining time.Duration) { d.remaining[id] = remaining }
+	w.onCheckpoint = func(id protocol.TaskID, remaining time.Duration) { d.remainingRunTime[id] = remaining }
 	w.onProvisioned, w.onTerminated = d.machineProvisioned, d.machineTerminated
-	w.ageS = func(id protocol.MachineID) float64 { return (w.now - d.provisioned[id].at).Seconds() }
+	w.ageS = func(id protocol.MachineID) float64 { return (w.now - d.provisioned[id].since).Seconds() }
 	w.onTaskStarted, w.onTaskEnded = d.taskStarted, d.taskEnded
-	for _, n := range w.nodes { // again, with the site's settings
+	for _, n := range w.nodes { // restart with the site's settings
 		n.start()
 	}
 }
 
-// drawBootTime draws how long a machine boots: usually 0.6 to 1.5 times as long as the
-// catalogue says, one in thirty three times as long, and one in a hundred forever.
+// drawBootTime draws how long a machine takes to boot: usually 0.6 to 1.5 times the boot
+// time in the catalogue; for one machine in thirty, three times; and one machine in a
+// hundred never boots.
 func (d *driver) drawBootTime(r protocol.ProvisionRequest) time.Duration {
 	const forever = 1e6
 	factor := 0.6 + 0.9*d.world.rng.Float64()
@@ -156,20 +159,20 @@
 	return config.Seconds(factor * d.machineInfo[r.Type].BootS)
 }
 
-// drawRunTime draws how long a task runs, or returns what remains after its checkpoint.
-// The tasks of a job have similar run times.
+// drawRunTime draws how long a task runs, or returns the remaining run time if the task has
+// saved a checkpoint. The tasks of a job have similar run times.
 func (d *driver) drawRunTime(id protocol.TaskID) time.Duration {
-	if remaining, ok := d.remaining[id]; ok {
+	if remaining, ok := d.remainingRunTime[id]; ok {
 		return remaining
 	}
 	j := d.jobState[id.Job]
 	if j == nil {
 		return time.Second
 	}
-	return config.Seconds(j.estimateS * j.factor * (0.85 + 0.3*d.world.rng.Float64()))
+	return config.Seconds(j.estimateS * j.runTimeFactor * (0.85 + 0.3*d.world.rng.Float64()))
 }
 
-// machineProvisioned starts to count the cost of a machine.
+// machineProvisioned starts to account for the cost of a machine.
 func (d *driver) machineProvisioned(id protocol.MachineID, r protocol.ProvisionRequest) {
 	info := d.machineInfo[r.Type]
 	price := info.Price
@@ -179,15 +182,17 @@
 	d.provisioned[id] = provisionedMachine{d.now, price}
 }
 
-// machineTerminated adds the cost of a machine.
+// machineTerminated adds the cost of a machine to the result.
 func (d *driver) machineTerminated(id protocol.MachineID) {
 	if m, ok := d.provisioned[id]; ok {
 		delete(d.provisioned, id)
-		d.result.Cost += m.price * (d.now - m.at).Hours()
+		d.result.Cost += m.price * (d.now - m.since).Hours()
 	}
 }
 
-// taskStarted records a start of a task.
+// taskStarted records that a task has started. The delay of an occurrence is the time until
+// all reserved tasks have started, from the start of the occurrence or from the submission
+// of the job, whichever is later.
 func (d *driver) taskStarted(m protocol.MachineID, id protocol.TaskID) {
 	d.checkWindows(m)
 	j := d.jobState[id.Job]
@@ -200,28 +205,28 @@
 	}
 	j.started[id.Index] = true
 	j.class.waits = append(j.class.waits, (d.now - j.submitted).Seconds())
-	if o := j.occurrence; o != nil && len(j.started) == min(j.reserved, j.tasks) {
+	if o := j.occurrence; o != nil && len(j.started) == min(j.reservedTasks, j.tasks) {
 		due := max(j.submitted, warmUpTime+o.Start.Sub(d.site.Start))
 		o.DelayS, o.Started = math.Max(0, (d.now-due).Seconds()), true
 	}
 }
 
-// checkWindows counts starts on machines that are under maintenance.
+// checkWindows counts the start if the machine is in a maintenance window.
 func (d *driver) checkWindows(id protocol.MachineID) {
 	m := d.workers[id]
 	now := reservation.Moment(d.wallMS())
 	for _, w := range d.windows {
-		if reservation.Covers(w.spec, id, m.Info.Name, m.Zone) && len(w.when.Occurrences(reservation.After(now, -config.Seconds(w.spec.LengthS)+1), now)) > 0 {
+		if reservation.Covers(w.spec, id, m.Info.Name, m.Zone) && len(w.schedule.Occurrences(reservation.After(now, -config.Seconds(w.spec.LengthS)+1), now)) > 0 {
 			d.result.InWindow++
 		}
 	}
 }
 
-// forgetFinished drops jobs, machines and changes that are not needed any more.
-func (d *driver) forgetFinished() {
+// discardFinished discards jobs, machines and changes that are no longer needed.
+func (d *driver) discardFinished() {
 	d.collectFinishedJobs()
 	for len(d.finishedJobs) > maxFinishedJobs {
-		d.forgetJob(d.finishedJobs[0])
+		d.discardJob(d.finishedJobs[0])
 		d.finishedJobs = d.finishedJobs[1:]
 	}
 	d.machineOrder = slices.DeleteFunc(d.machineOrder, func(id protocol.MachineID) bool {
@@ -231,56 +236,58 @@
 		}
 		return false
 	})
-	d.forgetChanges()
+	d.discardChanges()
 }
 
-// collectFinishedJobs moves finished jobs out of the order of jobs, and counts them.
+// collectFinishedJobs moves finished jobs from jobOrder to finishedJobs and adds them to the
+// result.
 func (d *driver) collectFinishedJobs() {
-	var open []protocol.JobID
+	var unfinished []protocol.JobID
 	for _, id := range d.jobOrder {
 		if d.finalState[id] == "" {
-			open = append(open, id)
+			unfinished = append(unfinished, id)
 			continue
 		}
 		if j := d.jobState[id]; j != nil {
 			j.class.Done++
-			j.class.times = append(j.class.times, (d.now - j.submitted).Seconds())
+			j.class.completionTimes = append(j.class.completionTimes, (d.now - j.submitted).Seconds())
 			delete(d.jobState, id)
 		}
 		d.finishedJobs = append(d.finishedJobs, id)
 	}
-	d.jobOrder = open
+	d.jobOrder = unfinished
 }
 
-// forgetJob drops what is known of a job.
-func (d *driver) forgetJob(id protocol.JobID) {
+// discardJob discards the data of a job.
+func (d *driver) discardJob(id protocol.JobID) {
 	for i := range d.jobs[id].Tasks {
 		task := protocol.TaskID{Job: id, Index: i}
 		delete(d.results, task)
-		delete(d.remaining, task)
+		delete(d.remainingRunTime, task)
 		delete(d.taskEndings, task)
 	}
 	delete(d.jobs, id)
 	delete(d.cancelled, id)
 }
 
-// forgetChanges drops changes of the state service that all nodes and checks have seen.
-func (d *driver) forgetChanges() {
+// discardChanges discards changes of the state service that all nodes and checks have
+// processed.
+func (d *driver) discardChanges() {
 	seen := d.state.Changes()
 	for _, n := range d.nodes {
 		if n.session != 0 {
-			seen = min(seen, n.watched)
+			seen = min(seen, n.watchedChanges)
 		}
 	}
-	if n := min(min(seen, d.checkedChanges)-d.state.Before, len(d.changeTimes)); n > minForgottenChanges {
+	if n := min(min(seen, d.checkedChanges)-d.state.Before, len(d.changeTimes)); n > minDiscardedChanges {
 		d.changeTimes = slices.Clone(d.changeTimes[n:])
 		d.state.Forget(d.state.Before + n)
 	}
 }
 
-// finish computes the result.
+// finish completes the result.
 func (d *driver) finish() {
-	for _, id := range slices.Sorted(maps.Keys(d.provisioned)) { // sorted, as float sums depend on their order
+	for _, id := range slices.Sorted(maps.Keys(d.provisioned)) { // sorted: float sums depend on the order
 		d.machineTerminated(id)
 	}
 	d.result.Starts = d.starts
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -6,10 +6,11 @@
 )
 
 const (
-	// maxMovedShards bounds how many shards a fault moves.
+	// maxMovedShards is the largest number of shards that one fault moves.
 	maxMovedShards = 16
-	// faultLead bounds how long before a reservation every second fault happens.
-	faultLead = 600
+	// maxFaultLeadSeconds bounds how long before the start of a reservation a fault is
+	// injected, for every second fault.
+	maxFaultLeadSeconds = 600
 )
 
 // faultType is a type of fault that happens at random.
@@ -19,14 +20,14 @@
 	inject func()
 }
 
-// faultTypes lists the types of faults with the site's rates. Their order is that of the
-// random draws.
+// faultTypes lists the types of faults with the site's rates. Faults are drawn in this
+// order, so reordering the list changes the result of a seed.
 func (d *driver) faultTypes() []faultType {
 	rates := &d.site.Faults
 	return []faultType{
 		{"controller ends", rates.Crash, func() { d.randomNode().crash() }},
 		{"all controllers end", rates.CrashAll, d.crashAll},
-		{"controller cut off from the state service", rates.StatePartition, func() { d.partitionRandomNode(stateEnd, 30*time.Second) }},
+		{"controller cut off from the state service", rates.StatePartition, func() { d.partitionRandomNode(stateEndpoint, 30*time.Second) }},
 		{"state service out", rates.StateOutage, func() { d.outageUntil = d.now + time.Duration(5+d.rng.IntN(15))*time.Second }},
 		{"cloud silent", rates.CloudSilent, func() { d.cloudSilentUntil = d.now + 10*time.Minute }},
 		{"spot machines taken", rates.SpotPreemption, d.preemptSpotMachines},
@@ -34,29 +35,29 @@
 		{"roll of all controllers by signal", rates.RollingShutdown, d.rollingShutdown},
 		{"controller slowed five times", rates.Slowdown, d.slowRandomNode},
 		{"controller stands still for 40 s", rates.Pause, func() { d.randomNode().pausedUntil = d.now + 40*time.Second }},
-		{"controller cut off from the workers", rates.WorkerPartition, func() { d.partitionRandomNode(workersEnd, time.Minute) }},
+		{"controller cut off from the workers", rates.WorkerPartition, func() { d.partitionRandomNode(workersEndpoint, time.Minute) }},
 		{"shares moved", rates.MoveShards, func() { d.moveRandomShards(maxMovedShards) }},
 		{"machine lost", rates.MachineLost, func() { d.killMachine(d.machineOrder[d.rng.IntN(len(d.machineOrder))]) }},
 	}
 }
 
-// scheduleFaults draws the times of faults; every second one happens in the minutes before
-// a reservation's time.
+// scheduleFaults draws the times of faults. Half of the faults, at random, are injected in
+// the minutes before a reservation starts.
 func (d *driver) scheduleFaults() {
 	for _, fault := range d.faultTypes() {
 		for range int(fault.perDay*d.opts.For.Hours()/24 + 0.5) {
 			at := warmUpTime + time.Duration(d.rng.Float64()*float64(d.opts.For))
 			if len(d.reservationTimes) > 0 && d.rng.IntN(2) == 0 {
-				at = d.reservationTimes[d.rng.IntN(len(d.reservationTimes))] - time.Duration(d.rng.IntN(faultLead))*time.Second
+				at = d.reservationTimes[d.rng.IntN(len(d.reservationTimes))] - time.Duration(d.rng.IntN(maxFaultLeadSeconds))*time.Second
 			}
 			d.result.Faults = append(d.result.Faults, Fault{At: d.site.Start.Add(at - warmUpTime), Description: fault.name})
-			d.at(at, fault.inject)
+			d.scheduleAt(at, fault.inject)
 		}
 	}
 	slices.SortFunc(d.result.Faults, func(a, b Fault) int { return a.At.Compare(b.At) })
 }
 
-// randomNode draws a node.
+// randomNode draws a random node.
 func (d *driver) randomNode() *node { return d.nodes[d.rng.IntN(3)] }
 
 // crashAll crashes all nodes.
@@ -66,19 +67,19 @@
 	}
 }
 
-// partitionRandomNode partitions a random node from another end.
-func (d *driver) partitionRandomNode(from string, length time.Duration) {
+// partitionRandomNode partitions a random node from another endpoint.
+func (d *driver) partitionRandomNode(endpoint string, duration time.Duration) {
 	n := d.randomNode()
-	d.partition(string(n.name), from, length, d.rng.IntN(2) == 0)
+	d.partition(string(n.name), endpoint, duration, d.rng.IntN(2) == 0)
 }
 
-// slowRandomNode makes a random node five times slower for two minutes.
+// slowRandomNode makes a random node run five times slower for two minutes.
 func (d *driver) slowRandomNode() {
 	n := d.randomNode()
 	n.slowdown, n.slowdownUntil = 5, d.now+2*time.Minute
 }
 
-// preemptSpotMachines has the cloud take back about a third of the spot machines.
+// preemptSpotMachines preempts about a third of the spot machines.
 func (d *driver) preemptSpotMachines() {
 	for _, id := range slices.Clone(d.machineOrder) {
 		if m := d.workers[id]; m.Spot && !m.Dead && d.rng.IntN(3) == 0 {
--- a/internal/simulator/faultyjobs_test.go
+++ b/internal/simulator/faultyjobs_test.go
@@ -8,22 +8,22 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestFaultyJobs: a third of the jobs fail wherever they run, arrays of hundreds and
+// TestFaultyJobsDoNotCordonHealthyMachines: a third of the jobs fail wherever they run, arrays of hundreds and
 // gangs too, while three machines fail everything. No good machine is set aside for
 // long, each bad one is; what fails everywhere is tried ever less often and takes
 // nothing from the rest; one whose mistake is mended runs to its end.
-func TestFaultyJobs(t *testing.T) {
+func TestFaultyJobsDoNotCordonHealthyMachines(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 31, fake.Settings(), 60, 60)
 	w.run(3 * time.Second)
-	faulty := map[protocol.MachineID]bool{}
+	faultyMachines := map[protocol.MachineID]bool{}
 	for _, i := range []int{5, 25, 45} {
-		faulty[w.machineOrder[i]] = true
+		faultyMachines[w.machineOrder[i]] = true
 		w.workers[w.machineOrder[i]].Faulty = true
 	}
 	starts := map[protocol.JobID]int{}
 	w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) { starts[id.Job]++ }
-	aside, good := map[protocol.MachineID]bool{}, 0
+	cordoned, healthyCordonSeconds := map[protocol.MachineID]bool{}, 0
 	for i := range 80 {
 		j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true}
 		switch i % 4 {
@@ -41,22 +41,22 @@
 		w.run(w.now + time.Second)
 		for _, n := range w.nodes {
 			for _, id := range n.core.Status().Cordoned {
-				if aside[id] = true; !faulty[id] {
-					good++
+				if cordoned[id] = true; !faultyMachines[id] {
+					healthyCordonSeconds++
 				}
 			}
 		}
 	}
-	for id := range faulty {
-		if !aside[id] {
+	for id := range faultyMachines {
+		if !cordoned[id] {
 			t.Errorf("%s fails everything and is not set aside", id)
 		}
 	}
-	if good > 60 { // of 80 s times 57 machines
-		t.Errorf("good machines are set aside for %d s in all", good)
+	if healthyCordonSeconds > 60 { // of 80 s times 57 machines
+		t.Errorf("good machines are set aside for %d s in all", healthyCordonSeconds)
 	}
-	mended := w.jobOrder[0]
-	if !w.faultyJobs[mended] {
+	repaired := w.jobOrder[0]
+	if !w.faultyJobs[repaired] {
 		t.Fatal("the first job has no mistake")
 	}
 	for _, id := range w.jobOrder {
@@ -64,8 +64,8 @@
 			t.Errorf("%s of %d tasks, which fail everywhere, was started %d times", id, j.Tasks, starts[id])
 		}
 	}
-	delete(w.faultyJobs, mended)
-	for end := w.now + 400*time.Second; w.finalState[mended] == "" && w.now < end; {
+	delete(w.faultyJobs, repaired)
+	for end := w.now + 400*time.Second; w.finalState[repaired] == "" && w.now < end; {
 		w.run(w.now + time.Second)
 	}
 	w.run(w.now + 60*time.Second)
@@ -81,5 +81,5 @@
 	if len(w.onMachine) > 0 {
 		t.Errorf("%d tasks are on machines after all were cancelled", len(w.onMachine))
 	}
-	t.Logf("good machines set aside for %d s in all; starts %v", good, starts)
+	t.Logf("good machines set aside for %d s in all; starts %v", healthyCordonSeconds, starts)
 }
--- a/internal/simulator/fleet_test.go
+++ b/internal/simulator/fleet_test.go
@@ -34,7 +34,7 @@
 	w := newWorld(t.Fatalf, seed, fake.Settings(), fleetSize, fleetSize)
 	w.run(3 * time.Second)
 	w.submitEvery(500*time.Millisecond, 8*time.Second)
-	if n := w.registered(); n < fleetSize*9/10 {
+	if n := w.registeredMachines(); n < fleetSize*9/10 {
 		t.Fatalf("%d of %d machines kept after %v", n, fleetSize, w.now)
 	}
 	return w
@@ -48,9 +48,9 @@
 	}
 }
 
-// registered returns how many machines have a live heartbeat at the controllers that hold
+// registeredMachines returns how many machines have a live heartbeat at the controllers that hold
 // their shards.
-func (w *world) registered() int {
+func (w *world) registeredMachines() int {
 	n := 0
 	for _, node := range w.nodes {
 		if node.core != nil {
@@ -88,7 +88,7 @@
 	}
 	writes := w.blockWrites
 	w.submitEvery(170*time.Millisecond, 10*time.Second)
-	if n := w.registered(); n < fleetSize*9/10 {
+	if n := w.registeredMachines(); n < fleetSize*9/10 {
 		t.Errorf("%d machines kept 10 s later", n)
 	}
 	// Each worker comes when it is its time, over several seconds, and not all
@@ -114,17 +114,17 @@
 	w.expectAllFinished(t, 120*time.Second)
 }
 
-// TestPausedControllerResumes: a controller is paused for 40 s while its clocks run
+// TestResumedControllerChangesNothing: a controller is paused for 40 s while its clocks run
 // on. Others take over; then it goes on with all it had still to send, its lease
 // long expired. What it sends changes nothing: rules hold, and no table has
 // anything of it.
-func TestPausedControllerResumes(t *testing.T) {
+func TestResumedControllerChangesNothing(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 3)
-	frozen := w.nodes[1]
+	paused := w.nodes[1]
 	w.submit(fleetJob(w))
 	w.run(w.now + 100*time.Millisecond)
-	frozen.pausedUntil = w.now + 40*time.Second
+	paused.pausedUntil = w.now + 40*time.Second
 	term := w.nodes[0].core.Status().Term
 	w.submitEvery(2*time.Second, 39*time.Second)
 	if w.nodes[0].core.Status().Term == term {
@@ -148,7 +148,7 @@
 	w.submitEvery(time.Second, 6*time.Second)
 	w.nodes[2].crashFor(30 * time.Second)
 	w.submitEvery(time.Second, 28*time.Second)
-	if n := w.registered(); n < fleetSize*8/10 {
+	if n := w.registeredMachines(); n < fleetSize*8/10 {
 		t.Errorf("%d machines kept by the two that are left", n)
 	}
 	w.stateLatency = 0
@@ -164,13 +164,13 @@
 	w.nodes[0].crashFor(60 * time.Second)
 	w.nodes[1].crashFor(60 * time.Second)
 	w.submitEvery(time.Second, 18*time.Second)
-	lapsed, starts := w.expiredLeases, w.starts
+	expiredLeases, starts := w.expiredLeases, w.starts
 	w.submitEvery(time.Second, 30*time.Second)
 	if n := w.nodes[2].core.Status().Queues; n < fleetSize/2 {
 		t.Errorf("%d machines kept", n)
 	}
-	if w.expiredLeases > lapsed {
-		t.Errorf("%d leases ran out while one controller kept all machines", w.expiredLeases-lapsed)
+	if w.expiredLeases > expiredLeases {
+		t.Errorf("%d leases ran out while one controller kept all machines", w.expiredLeases-expiredLeases)
 	}
 	if w.starts == starts {
 		t.Error("nothing was started")
--- a/internal/simulator/frontend_test.go
+++ b/internal/simulator/frontend_test.go
@@ -12,27 +12,27 @@
 
 // frontend plays the actor around a controller's intake, as coordination.Node does.
 type frontend struct {
-	u           *users
-	n           *node
+	users       *users
+	node        *node
 	incarnation int // of the process that it belongs to
-	in          *admission.Admission
+	admission   *admission.Admission
 	lastID      admission.RequestID
 	replies     map[admission.RequestID]func(admission.Answer)
 }
 
-// begin makes the intake of a process that has begun, and says whether one is there.
-func (f *frontend) begin() bool {
-	w := f.u.world
-	if f.n.core == nil {
+// ensureAdmission makes the intake of a process that has begun, and says whether one is there.
+func (f *frontend) ensureAdmission() bool {
+	w := f.users.world
+	if f.node.core == nil {
 		return false
 	}
-	if f.in != nil && f.incarnation == f.n.incarnation {
+	if f.admission != nil && f.incarnation == f.node.incarnation {
 		return true
 	}
-	f.incarnation, f.in, f.replies = f.n.incarnation, admission.New(f.n.settings(), w.operator, quiet), map[admission.RequestID]func(admission.Answer){}
-	f.step(admission.Configured{Effective: f.n.core.ConfigurationInForce()})
+	f.incarnation, f.admission, f.replies = f.node.incarnation, admission.New(f.node.settings(), w.operator, discardLogger), map[admission.RequestID]func(admission.Answer){}
+	f.step(admission.Configured{Effective: f.node.core.ConfigurationInForce()})
 	if w.now > 0 { // some time passes before it knows the machine types
-		f.n.afterIfAlive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
+		f.node.afterIfAlive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
 	} else {
 		f.step(admission.TypesRead{Types: w.types})
 	}
@@ -41,42 +41,42 @@
 
 // requestUntilDone gives the process a request; nobody answers if there is none.
 func (f *frontend) request(a admission.Request, reply func(admission.Answer)) {
-	if !f.begin() {
+	if !f.ensureAdmission() {
 		return
 	}
 	f.lastID++
-	a.ID, a.WallMS = f.lastID, f.u.wallMS()
+	a.ID, a.WallMS = f.lastID, f.users.wallMS()
 	f.replies[a.ID] = reply
 	f.step(a)
 }
 
 // step has the process handle a message, when it goes on if it is paused.
 func (f *frontend) step(msg any) {
-	w := f.u.world
-	if !f.begin() {
+	w := f.users.world
+	if !f.ensureAdmission() {
 		return
 	}
-	if w.now < f.n.pausedUntil {
-		f.n.afterIfAlive(f.n.pausedUntil-w.now, func() { f.step(msg) })
+	if w.now < f.node.pausedUntil {
+		f.node.afterIfAlive(f.node.pausedUntil-w.now, func() { f.step(msg) })
 		return
 	}
-	for _, a := range f.in.Step(f.n.clock(), msg) {
+	for _, a := range f.admission.Step(f.node.clock(), msg) {
 		f.execute(a)
 	}
 }
 
 // deliver gives the process a message after a while, unless it has ended by then.
 func (f *frontend) deliver(d time.Duration, msg any) {
-	f.n.afterIfAlive(d, func() { f.step(msg) })
+	f.node.afterIfAlive(d, func() { f.step(msg) })
 }
 
 func (f *frontend) execute(a admission.Action) {
-	w := f.u.world
+	w := f.users.world
 	switch a := a.(type) {
 	case admission.Reply:
 		reply := f.replies[a.ID]
 		delete(f.replies, a.ID)
-		f.u.recordAnswer(a.Answer)
+		f.users.recordAnswer(a.Answer)
 		w.after(w.delay(), func() { reply(a.Answer) })
 	case admission.Get:
 		f.read(func() any {
@@ -101,36 +101,36 @@
 			return c
 		}, func(out message.Outcome) any { return admission.Compared{Query: a.Query, Outcome: out} })
 	case admission.Write:
-		f.n.transact(a.Transaction, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
+		f.node.transact(a.Transaction, func(out message.Outcome, _ protocol.Revision) { f.step(admission.Written{ID: a.ID, Outcome: out}) })
 	case admission.QueryOwners:
-		f.step(f.n.core.AnswerOwnerQuery(a))
+		f.step(f.node.core.AnswerOwnerQuery(a))
 	case admission.Forward:
-		p := f.u.front(a.To)
-		w.send(string(f.n.name), string(a.To), func() {
+		p := f.users.frontendOf(a.To)
+		w.send(string(f.node.name), string(a.To), func() {
 			p.request(admission.Request{Operation: admission.Submit, Body: a.Body, Forwarded: true}, func(answer admission.Answer) {
-				w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.Forwarded{ID: a.ID, Answer: answer}) })
+				w.send(string(a.To), string(f.node.name), func() { f.deliver(0, admission.Forwarded{ID: a.ID, Answer: answer}) })
 			})
 		})
 	case admission.Announce:
-		f.u.halt(f, a)
+		f.users.announceCancellation(f, a)
 	case admission.Wake:
-		f.deliver(time.Duration(a.At-f.n.clock()), admission.Tick{})
+		f.deliver(time.Duration(a.At-f.node.clock()), admission.Tick{})
 	}
 }
 
 // read reads from the state service.
-func (f *frontend) read(answer func() any, without func(message.Outcome) any) {
-	w := f.u.world
+func (f *frontend) read(query func() any, failed func(message.Outcome) any) {
+	w := f.users.world
 	switch {
-	case w.outageUntil <= w.now && !f.n.stateReachable() && w.partitions[string(f.n.name)+">state"].delayed:
-		f.deliver(1500*time.Millisecond, without(message.OutcomeUnknown))
-	case !f.n.stateReachable():
-		f.deliver(w.delay(), without(message.OutcomeRefused))
+	case w.outageUntil <= w.now && !f.node.stateReachable() && w.partitions[string(f.node.name)+">state"].delayed:
+		f.deliver(1500*time.Millisecond, failed(message.OutcomeUnknown))
+	case !f.node.stateReachable():
+		f.deliver(w.delay(), failed(message.OutcomeRefused))
 	default:
-		f.n.afterIfAlive(w.delay()+w.stateLatency/2, func() {
-			got := answer()
+		f.node.afterIfAlive(w.delay()+w.stateLatency/2, func() {
+			got := query()
 			if w.rng.IntN(30) == 0 {
-				f.deliver(1500*time.Millisecond, without(message.OutcomeUnknown))
+				f.deliver(1500*time.Millisecond, failed(message.OutcomeUnknown))
 				return
 			}
 			f.deliver(w.delay()+w.stateLatency/2, got)
@@ -138,31 +138,31 @@
 	}
 }
 
-// halt notifies a controller's core that a job is cancelled.
-func (u *users) halt(f *frontend, a admission.Announce) {
+// announceCancellation notifies a controller's core that a job is cancelled.
+func (u *users) announceCancellation(f *frontend, a admission.Announce) {
 	w := u.world
 	if u.dropCancellations {
 		f.deliver(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
-	to := u.front(a.To).n
-	heard := func() {
+	to := u.frontendOf(a.To).node
+	deliver := func() {
 		if to.core == nil {
 			return
 		}
 		to.afterIfAlive(max(0, to.pausedUntil-w.now), func() {
 			to.step(message.JobCancelled{Job: a.Job})
-			w.send(string(a.To), string(f.n.name), func() { f.deliver(0, admission.Announced{Job: a.Job, By: a.To}) })
+			w.send(string(a.To), string(f.node.name), func() { f.deliver(0, admission.Announced{Job: a.Job, By: a.To}) })
 		})
 	}
-	if to == f.n {
+	if to == f.node {
 		to.step(message.JobCancelled{Job: a.Job})
 		f.deliver(0, admission.Announced{Job: a.Job, By: a.To})
 		return
 	}
-	w.send(string(f.n.name), string(a.To), heard)
+	w.send(string(f.node.name), string(a.To), deliver)
 }
 
-func (u *users) front(name protocol.NodeName) *frontend {
-	return u.fronts[slices.IndexFunc(u.fronts, func(f *frontend) bool { return f.n.name == name })]
+func (u *users) frontendOf(name protocol.NodeName) *frontend {
+	return u.frontends[slices.IndexFunc(u.frontends, func(f *frontend) bool { return f.node.name == name })]
 }
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -10,7 +10,8 @@
 	state   protocol.TaskState
 }
 
-// advanceGangs starts gangs of which all tasks wait, and stops those that have lost some.
+// advanceGangs starts gangs whose tasks are all waiting, and stops gangs of which only some
+// tasks are still running.
 func (w *world) advanceGangs() {
 	for _, id := range w.jobOrder {
 		j := w.jobs[id]
--- a/internal/simulator/heartbeat.go
+++ b/internal/simulator/heartbeat.go
@@ -12,26 +12,29 @@
 )
 
 const (
-	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
 	// heartbeatRetryDelay is how long a worker waits before it tries the next node.
 	heartbeatRetryDelay = time.Second
-	// changedHeartbeatDelay is the time to the next heartbeat after an answer with orders.
+	// changedHeartbeatDelay is the time until the next heartbeat after a reply that carried
+	// orders or another term.
 	changedHeartbeatDelay = 500 * time.Millisecond
-	// maxKeptHeartbeats bounds the heartbeats that are kept for a new view.
-	maxKeptHeartbeats = 200
+	// maxRecordedHeartbeats bounds the number of heartbeats recorded for replay after the
+	// next view change.
+	maxRecordedHeartbeats = 200
 )
 
-// heartbeatExchange is a heartbeat that is on its way, until it is answered or given up.
+// heartbeatExchange is a heartbeat in flight, until the reply arrives or the worker abandons
+// the exchange.
 type heartbeatExchange struct {
 	worker    *worker
 	node      *node
 	heartbeat protocol.Heartbeat
 	sent      time.Duration
-	over      bool
+	finished  bool
 }
 
-// sendHeartbeat sends a heartbeat to the worker's present node.
+// sendHeartbeat sends a heartbeat to the worker's target node.
 func (m *worker) sendHeartbeat() {
 	w := m.world
 	if w.now < m.pausedUntil {
@@ -42,65 +45,66 @@
 		m.tryNextNode()
 		return
 	}
-	m.awaitsAnswer = true
+	m.awaitsReply = true
 	m.advanceBeforeMessage()
-	x := &heartbeatExchange{worker: m, node: w.nodes[m.target], sent: w.now, heartbeat: m.Heartbeat()}
-	if w.keepHeartbeats && len(w.keptHeartbeats) < maxKeptHeartbeats {
-		w.keptHeartbeats = append(w.keptHeartbeats, x.heartbeat)
+	x := &heartbeatExchange{worker: m, node: w.nodes[m.targetNode], sent: w.now, heartbeat: m.Heartbeat()}
+	if w.recordHeartbeats && len(w.recordedHeartbeats) < maxRecordedHeartbeats {
+		w.recordedHeartbeats = append(w.recordedHeartbeats, x.heartbeat)
 	}
-	w.after(heartbeatTimeout, x.giveUp)
+	w.after(heartbeatTimeout, x.abandon)
 	if w.duplicateHeartbeatFraction > 0 && w.rng.Float64() < w.duplicateHeartbeatFraction {
-		// Its answer goes to nobody, but the controller acts on the copy.
+		// The reply to the duplicate is dropped, but the controller acts on the duplicate.
 		w.after(2*time.Second+time.Duration(w.rng.Float64()*2*w.settings.Site.Workers.LeaseS*float64(time.Second)), func() {
 			x.node.step(message.HeartbeatReceived{Heartbeat: x.heartbeat})
 		})
 	}
-	x.node.sendToZone(m.Zone, x.deliver)
+	x.node.sendToZone(m.Zone, x.deliverHeartbeat)
 }
 
-// tryNextNode has the worker try the next node after a while.
+// tryNextNode makes the worker send its next heartbeat to the next node, after a delay.
 func (m *worker) tryNextNode() {
-	m.target = (m.target + 1) % len(m.world.nodes)
+	m.targetNode = (m.targetNode + 1) % len(m.world.nodes)
 	m.nextHeartbeat = m.world.now + heartbeatRetryDelay
 }
 
-// finish ends the exchange; the next heartbeat follows after a time.
+// finish ends the exchange and schedules the next heartbeat after the duration next.
 func (x *heartbeatExchange) finish(next time.Duration) {
-	x.over, x.worker.awaitsAnswer = true, false
+	x.finished, x.worker.awaitsReply = true, false
 	x.worker.nextHeartbeat = x.worker.world.now + next
 }
 
-// giveUp ends an exchange that failed, unless it is over.
-func (x *heartbeatExchange) giveUp() {
-	if !x.over {
+// abandon ends an exchange that failed, unless it has already finished, and selects the next
+// node.
+func (x *heartbeatExchange) abandon() {
+	if !x.finished {
 		x.finish(heartbeatRetryDelay)
 		x.worker.tryNextNode()
 	}
 }
 
-// deliver delivers the heartbeat to its node.
-func (x *heartbeatExchange) deliver() {
+// deliverHeartbeat delivers the heartbeat to the node.
+func (x *heartbeatExchange) deliverHeartbeat() {
 	if x.node.core == nil {
-		x.giveUp()
+		x.abandon()
 		return
 	}
 	for _, a := range x.node.step(message.HeartbeatReceived{Heartbeat: x.heartbeat}) {
 		if reply, ok := a.(message.ReplyHeartbeat); ok {
 			w := x.worker.world
 			w.onOrders(x.node, reply.Reply.Orders)
-			w.after(w.workerDelay(), func() { x.answer(reply) })
+			w.after(w.workerDelay(), func() { x.deliverReply(reply) })
 		}
 	}
 }
 
-// answer delivers the answer to the worker.
-func (x *heartbeatExchange) answer(reply message.ReplyHeartbeat) {
+// deliverReply delivers the reply to the worker.
+func (x *heartbeatExchange) deliverReply(reply message.ReplyHeartbeat) {
 	m, w := x.worker, x.worker.world
-	if x.over || w.now < m.inboundLostUntil || w.now < m.outboundLostUntil {
+	if x.finished || w.now < m.inboundLostUntil || w.now < m.outboundLostUntil {
 		return
 	}
 	if w.now < m.pausedUntil {
-		w.after(m.pausedUntil-w.now+w.delay(), func() { x.answer(reply) })
+		w.after(m.pausedUntil-w.now+w.delay(), func() { x.deliverReply(reply) })
 		return
 	}
 	switch reply.Status {
@@ -114,14 +118,14 @@
 			m.nextHeartbeat = w.now + changedHeartbeatDelay
 		}
 	case http.StatusMisdirectedRequest:
-		m.target = nodeIndex(reply.Leader)
+		m.targetNode = nodeIndex(reply.Leader)
 		x.finish(w.delay())
 	default:
-		x.giveUp()
+		x.abandon()
 	}
 }
 
-// nodeIndex returns the index of a node by its name; 0 if it is unknown.
+// nodeIndex returns the index of the node with a name; 0 if there is no such node.
 func nodeIndex(name protocol.NodeName) int {
 	i, err := strconv.Atoi(strings.TrimPrefix(string(name), nodePrefix))
 	if err != nil {
@@ -130,18 +134,18 @@
 	return i
 }
 
-// deliverKeptHeartbeats delivers the kept heartbeats to every controller within half a
-// second, once a new view is written.
-func (w *world) deliverKeptHeartbeats() {
+// replayHeartbeats delivers the recorded heartbeats again to every controller within half a
+// second, whenever a new view has been written.
+func (w *world) replayHeartbeats() {
 	it, _ := w.state.Get(record.ViewKey)
 	if it.Version == w.viewVersion {
 		return
 	}
 	w.viewVersion = it.Version
-	for _, heartbeat := range w.keptHeartbeats {
+	for _, heartbeat := range w.recordedHeartbeats {
 		for _, n := range w.nodes {
 			w.after(time.Duration(w.rng.IntN(500))*time.Millisecond, func() { n.step(message.HeartbeatReceived{Heartbeat: heartbeat}) })
 		}
 	}
-	w.keptHeartbeats = nil
+	w.recordedHeartbeats = nil
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -7,45 +7,46 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Ends of messages, beside the names of nodes.
+// Endpoints of messages, in addition to the names of nodes.
 const (
-	stateEnd   = "state"
-	workersEnd = "workers"
+	stateEndpoint   = "state"
+	workersEndpoint = "workers"
 )
 
-// zoneEnd is the end of messages to and from a zone's workers.
-func zoneEnd(zone protocol.Zone) string { return "zone " + string(zone) }
+// zoneEndpoint returns the endpoint of the workers in a zone.
+func zoneEndpoint(zone protocol.Zone) string { return "zone " + string(zone) }
 
-// network carries messages between two ends, with delays and partitions.
+// network carries messages between endpoints, with delays and partitions.
 type network struct {
 	*timeline
 	rng        *rand.Rand
-	partitions map[string]partition // by the two ends
-	// slowMessageFraction is the fraction of commands, heartbeats and their answers that
-	// take seconds.
+	partitions map[string]partition // by partitionKey
+	// slowMessageFraction is the fraction of commands, heartbeats and their replies that are
+	// delayed by up to seven seconds.
 	slowMessageFraction float64
 }
 
-// partition is a partition of two ends.
+// partition is a network partition between two endpoints.
 type partition struct {
 	until   time.Duration
-	delayed bool // messages are delivered once it ends, otherwise lost
+	delayed bool // messages are delivered when the partition ends, otherwise lost
 }
 
-// partitionKey is the key of a partition, which is that of the first end.
+// partitionKey returns the key of the partition that was created with these endpoints in
+// this order.
 func partitionKey(from, to string) string { return from + ">" + to }
 
-// partition partitions two ends for a while.
+// partition creates a partition between two endpoints for the duration d.
 func (n *network) partition(a, b string, d time.Duration, delayed bool) {
 	n.partitions[partitionKey(a, b)] = partition{n.now + d, delayed}
 }
 
-// delay draws the time that a message takes.
+// delay draws the delivery time of a message.
 func (n *network) delay() time.Duration {
 	return time.Duration(1+n.rng.IntN(30)) * time.Millisecond
 }
 
-// workerDelay draws the time that a message from or to a worker takes.
+// workerDelay draws the delivery time of a message from or to a worker.
 func (n *network) workerDelay() time.Duration {
 	if n.slowMessageFraction > 0 && n.rng.Float64() < n.slowMessageFraction {
 		return time.Duration(100+n.rng.IntN(7000)) * time.Millisecond
@@ -53,7 +54,7 @@
 	return n.delay()
 }
 
-// send carries a message between two ends: it is delivered, delayed or lost.
+// send carries a message between two endpoints: the message is delivered, delayed or lost.
 func (n *network) send(from, to string, deliver func()) {
 	for _, key := range []string{partitionKey(from, to), partitionKey(to, from)} {
 		if p, ok := n.partitions[key]; ok && p.until > n.now {
@@ -66,38 +67,38 @@
 	n.after(n.delay(), deliver)
 }
 
-// sendToZone carries a message between a controller and a worker, whose zone may be
+// sendToZone carries a message between the controller and a worker in a zone, which may be
 // partitioned from the controller.
 func (n *node) sendToZone(zone protocol.Zone, deliver func()) {
 	w := n.world
 	if w.slowMessageFraction > 0 {
-		inTime := deliver
-		deliver = func() { w.after(w.workerDelay(), inTime) }
+		deliverNow := deliver
+		deliver = func() { w.after(w.workerDelay(), deliverNow) }
 	}
-	w.send(string(n.name), zoneEnd(zone), func() { w.send(string(n.name), workersEnd, deliver) })
+	w.send(string(n.name), zoneEndpoint(zone), func() { w.send(string(n.name), workersEndpoint, deliver) })
 }
 
-// zoneOf returns the zone of a controller.
-func (w *world) zoneOf(i int) protocol.Zone {
+// nodeZone returns the zone of the node with an index.
+func (w *world) nodeZone(i int) protocol.Zone {
 	zones := w.types[0].AllowZones
 	return zones[i%len(zones)]
 }
 
-// partitionZone partitions a zone, with its controllers and machines, from the others. One
-// that is partitioned from everything does not reach the state service either.
-func (w *world) partitionZone(zone protocol.Zone, everything bool, d time.Duration, delayed bool) {
+// partitionZone partitions a zone, with its controllers and machines, from the other zones.
+// With includeState, the zone's controllers are also partitioned from the state service.
+func (w *world) partitionZone(zone protocol.Zone, includeState bool, d time.Duration, delayed bool) {
 	for i, n := range w.nodes {
-		inside := w.zoneOf(i) == zone
-		if inside && everything {
-			w.partition(string(n.name), stateEnd, d, delayed)
+		inside := w.nodeZone(i) == zone
+		if inside && includeState {
+			w.partition(string(n.name), stateEndpoint, d, delayed)
 		}
 		for _, other := range w.types[0].AllowZones {
 			if (other == zone) != inside {
-				w.partition(string(n.name), zoneEnd(other), d, delayed)
+				w.partition(string(n.name), zoneEndpoint(other), d, delayed)
 			}
 		}
 		for k, peer := range w.nodes {
-			if inside && w.zoneOf(k) != zone {
+			if inside && w.nodeZone(k) != zone {
 				w.partition(string(n.name), string(peer.name), d, delayed)
 			}
 		}
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -17,40 +17,40 @@
 )
 
 const (
-	// nodePrefix begins the names of nodes, which end with their index.
+	// nodePrefix is the prefix of node names; the index of the node follows.
 	nodePrefix = "node-"
 	// restartDelay is how long a crashed process is down.
 	restartDelay = 6 * time.Second
 	// sessionRetryDelay is the time between two attempts to open a session.
 	sessionRetryDelay = 300 * time.Millisecond
-	// renewInterval is the time between two renewals of a session's lease.
+	// renewInterval is the interval at which a session's lease is renewed.
 	renewInterval = time.Second
-	// logVariable is the environment variable that turns on the logs of controllers.
-	logVariable = "WORLD_LOG"
+	// logEnvVar is the environment variable that enables the logs of controllers.
+	logEnvVar = "WORLD_LOG"
 )
 
-// node is a simulated node that runs a controller's core.
+// node is a simulated node that runs the core of a controller.
 type node struct {
-	world       *world
-	name        protocol.NodeName
-	core        *controller.Core // nil: the process is down
-	incarnation int              // counts processes: answers to earlier ones are lost
-	startedAt   time.Duration
-	outboxes    map[protocol.NodeName]*outbox
-	session     protocol.LeaseID // of the state service; 0: there is none
-	renewAt     time.Duration    // when the session's lease is renewed next
-	watched     int              // changes of the state service that it has seen
-	layout      record.Layout
-	pausedUntil time.Duration // its process stands still while clocks run on
-	// slowdown is how many times slower its process ticks until slowdownUntil.
+	world          *world
+	name           protocol.NodeName
+	core           *controller.Core // nil while the process is down
+	incarnation    int              // number of the process; replies to earlier processes are lost
+	startedAt      time.Duration
+	outboxes       map[protocol.NodeName]*outbox
+	session        protocol.LeaseID // session of the state service; 0 if there is none
+	renewAt        time.Duration    // when the session's lease is next renewed
+	watchedChanges int              // number of changes of the state service delivered so far
+	layout         record.Layout
+	pausedUntil    time.Duration // the process is paused until then, while its clocks run on
+	// slowdown is the factor by which the process ticks less often, until slowdownUntil.
 	slowdown      int
 	slowdownUntil time.Duration
 }
 
-// outbox holds a node's messages to a peer.
+// outbox holds the messages of a node to a peer.
 type outbox struct {
 	*controller.Outbox
-	busyUntil time.Duration // a batch is on its way
+	busyUntil time.Duration // a batch is in flight until then
 }
 
 // settings returns the node's own settings.
@@ -60,18 +60,18 @@
 	s.Name, s.Members = n.name, nil
 	for i, other := range w.nodes {
 		if other == n {
-			s.Zone = w.zoneOf(i)
+			s.Zone = w.nodeZone(i)
 		} else {
-			s.Members = append(s.Members, config.Member{Name: other.name, Zone: w.zoneOf(i)})
+			s.Members = append(s.Members, config.Member{Name: other.name, Zone: w.nodeZone(i)})
 		}
 	}
 	return &s
 }
 
-// logger returns the logger of the node's controller, with simulated times.
+// logger returns the logger of the node's controller, which logs simulated time.
 func (n *node) logger() *slog.Logger {
 	level := slog.LevelError + 1
-	if os.Getenv(logVariable) != "" {
+	if os.Getenv(logEnvVar) != "" {
 		level = slog.LevelDebug
 	}
 	simulatedTime := func(_ []string, a slog.Attr) slog.Attr {
@@ -102,10 +102,10 @@
 	w.after(w.delay(), func() { n.openSession(incarnation) })
 }
 
-// crash ends the node's process and restarts it after a while.
+// crash ends the node's process and restarts it after restartDelay.
 func (n *node) crash() { n.crashFor(restartDelay) }
 
-// crashFor ends the node's process and restarts it after a time.
+// crashFor ends the node's process and restarts it after the duration d.
 func (n *node) crashFor(d time.Duration) {
 	w := n.world
 	n.incarnation++
@@ -116,8 +116,8 @@
 	})
 }
 
-// openSession opens a session of the state service and reads what the core watches, as the
-// controller's node does.
+// openSession opens a session of the state service and reads the watched records, as the
+// controller's real node does.
 func (n *node) openSession(incarnation int) {
 	w := n.world
 	if n.incarnation != incarnation {
@@ -135,14 +135,15 @@
 		Conditions: []protocol.Condition{{Key: key, Version: it.Version}},
 		Changes:    []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout}, Lease: &lease}},
 	})
-	n.session, n.watched, n.renewAt = lease, at, w.now
+	n.session, n.watchedChanges, n.renewAt = lease, at, w.now
 	n.step(message.Snapshot{Session: lease, Items: items, WallMS: w.wallMS()})
 }
 
-// clock returns the time of the node's own clock.
+// clock returns the time of the node's monotonic clock.
 func (n *node) clock() controller.Time { return controller.Time(n.world.now-n.startedAt) + 1 }
 
-// afterIfAlive does something after a time, unless the node's process has ended by then.
+// afterIfAlive schedules do to run after the duration d, unless the node's process has ended
+// by then.
 func (n *node) afterIfAlive(d time.Duration, do func()) {
 	incarnation := n.incarnation
 	n.world.after(d, func() {
@@ -158,7 +159,7 @@
 	if n.core == nil {
 		return nil
 	}
-	if w.now < n.pausedUntil { // handled later; whoever waits for the answer has given up
+	if w.now < n.pausedUntil { // handled on resume; whoever waits for the reply has timed out by then
 		n.afterIfAlive(n.pausedUntil-w.now, func() { n.step(msg) })
 		return nil
 	}
@@ -171,25 +172,27 @@
 	return actions
 }
 
-// deliver passes a message to the core after a while, unless the process has ended.
+// deliver passes a message to the core after a network delay, unless the process has ended
+// by then.
 func (n *node) deliver(msg any) {
 	n.afterIfAlive(n.world.delay(), func() { n.step(msg) })
 }
 
-// tick lets a step pass on the node: it sees changes, renews its session and ticks.
+// tick advances the node by one step: it delivers watched changes, renews the session and
+// ticks the core.
 func (n *node) tick() {
 	w := n.world
 	if n.core == nil || w.now < n.pausedUntil {
 		return
 	}
 	if n.session != 0 && n.stateReachable() {
-		n.watch()
+		n.deliverWatchedChanges()
 		if w.now >= n.renewAt && !n.renewSession() {
 			return
 		}
 	}
 	if n.slowdown > 1 && w.now < n.slowdownUntil && int(w.now/w.step)%n.slowdown != 0 {
-		return // a slow process misses most ticks
+		return // a slowed process misses most ticks
 	}
 	if w.eventDriven || w.now%(2*w.step) == 0 {
 		n.step(message.Tick{WallMS: w.tickMS()})
@@ -197,8 +200,8 @@
 	n.flushAll()
 }
 
-// renewSession renews the session's lease. If that has expired, it opens another session
-// and returns false.
+// renewSession renews the session's lease. If the lease has expired, it schedules the opening
+// of another session and returns false.
 func (n *node) renewSession() bool {
 	w := n.world
 	n.renewAt = w.now + renewInterval
@@ -216,8 +219,9 @@
 	return false
 }
 
-// tickMS returns the time of day that ticks carry. In worlds that are not event-driven,
-// which last a few minutes, that of the session is enough.
+// tickMS returns the time of day that ticks carry. Worlds that are not event-driven last
+// only a few minutes, so there the time of day from the session's snapshot is enough and
+// ticks carry 0.
 func (w *world) tickMS() int64 {
 	if !w.eventDriven {
 		return 0
@@ -225,40 +229,42 @@
 	return w.wallMS()
 }
 
-// watch passes changes of the state service to the core that are old enough to be seen.
-func (n *node) watch() {
+// deliverWatchedChanges passes changes of the state service to the core once they are older
+// than the latency of the state service and the lag of the watch.
+func (n *node) deliverWatchedChanges() {
 	w := n.world
-	for n.watched < w.state.Changes() && w.changeAge(n.watched) >= w.stateLatency+w.watchLag {
-		ev := w.state.Change(n.watched)
-		n.watched++
+	for n.watchedChanges < w.state.Changes() && w.changeAge(n.watchedChanges) >= w.stateLatency+w.watchLag {
+		ev := w.state.Change(n.watchedChanges)
+		n.watchedChanges++
 		if isWatched(ev) {
 			n.step(message.RecordChanged{Event: ev})
 		}
 	}
 }
 
-// watchSoon has all nodes see the latest changes after a while, in an event-driven world.
-func (w *world) watchSoon() {
+// scheduleWatch makes all nodes deliver the latest changes after a network delay, in an
+// event-driven world.
+func (w *world) scheduleWatch() {
 	if !w.eventDriven {
 		return
 	}
 	for _, n := range w.nodes {
 		n.afterIfAlive(w.delay(), func() {
 			if n.core != nil && n.session != 0 && w.now >= n.pausedUntil && n.stateReachable() {
-				n.watch()
+				n.deliverWatchedChanges()
 			}
 		})
 	}
 }
 
-// flushAll sends what waits for each peer, in order of their names.
+// flushAll sends the queued messages to each peer, in order of the peers' names.
 func (n *node) flushAll() {
 	for _, to := range slices.Sorted(maps.Keys(n.outboxes)) {
 		n.flush(to, n.outboxes[to])
 	}
 }
 
-// flush sends the next batch to a peer unless one is on its way.
+// flush sends the next batch to a peer unless one is in flight.
 func (n *node) flush(to protocol.NodeName, o *outbox) {
 	w := n.world
 	if w.now < o.busyUntil {
@@ -285,7 +291,7 @@
 	})
 }
 
-// nodeByName returns a node by its name.
+// nodeByName returns the node with a name, or nil.
 func (w *world) nodeByName(name protocol.NodeName) *node {
 	i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == name })
 	if i < 0 {
--- a/internal/simulator/reservations_test.go
+++ b/internal/simulator/reservations_test.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	due     = 90 * time.Minute // of the small site's reservation
-	playFor = 105 * time.Minute
+	reservationOffset    = 90 * time.Minute // of the small site's reservation
+	reservationRunLength = 105 * time.Minute
 )
 
 // TestReservationsAreMet: a reserved job starts within a minute of its time, on a
@@ -79,9 +79,9 @@
 			if tc.change != nil {
 				tc.change(s)
 			}
-			o := Options{For: playFor, Seed: 1}
+			o := Options{For: reservationRunLength, Seed: 1}
 			if tc.do != nil {
-				o.onStart = func(p *driver) { p.at(warmUpTime+due-tc.before, func() { tc.do(p) }) }
+				o.onStart = func(p *driver) { p.scheduleAt(warmUpTime+reservationOffset-tc.before, func() { tc.do(p) }) }
 			}
 			var state record.ReservationState
 			o.onEnd = func(p *driver) {
@@ -105,7 +105,7 @@
 				if state != record.Expired && state != record.Cancelled {
 					t.Errorf("it is %s", state)
 				}
-			case !got.Started || got.DelayS > maxDelayS:
+			case !got.Started || got.DelayS > maxInTimeDelayS:
 				t.Errorf("started %v, %.0f s late, at risk %q", got.Started, got.DelayS, got.Risk)
 			case state != record.Used:
 				t.Errorf("it is %s after its job started", state)
@@ -114,17 +114,17 @@
 	}
 }
 
-// TestWithoutReservation: the same job on the same site waits where no room is
+// TestUnreservedJobStartsLate: the same job on the same site waits where no room is
 // reserved for it, so the test above could fail; and nothing starts in a window.
-func TestWithoutReservation(t *testing.T) {
+func TestUnreservedJobStartsLate(t *testing.T) {
 	t.Parallel()
 	s := smallSite()
 	s.Windows = []Window{{Name: "w", When: "daily at 00:50", LengthS: 300, Zone: "a"}}
-	r := Run(s, Options{For: playFor, Seed: 1, Without: true})
+	r := Run(s, Options{For: reservationRunLength, Seed: 1, Without: true})
 	if len(r.Rules) > 0 {
 		t.Fatal(r.Rules)
 	}
-	if got := r.Occurrences[0]; got.Started && got.DelayS <= maxDelayS {
+	if got := r.Occurrences[0]; got.Started && got.DelayS <= maxInTimeDelayS {
 		t.Errorf("%.0f s late", got.DelayS)
 	}
 	if r.InWindow > 0 {
--- a/internal/simulator/result.go
+++ b/internal/simulator/result.go
@@ -8,23 +8,24 @@
 	"damsonkeel/internal/record"
 )
 
-// Result is the result of a run with simulated machines.
+// Result is the result of a run. Times are in seconds; the JSON names are those of the
+// command's output.
 type Result struct {
 	Seed    uint64  `json:"seed"`
 	Without bool    `json:"without_reservations,omitempty"`
 	Days    float64 `json:"days"`
 
-	Started  int     `json:"due"`       // occurrences whose job started
-	InTime   int     `json:"in_time"`   // of these, started within a minute
-	Late     int     `json:"late"`      // of the rest, not reported as at risk at their time
-	AtRisk   int     `json:"at_risk"`   // of the rest, reported
-	WorstS   float64 `json:"worst_s"`   // longest delay
-	MedianS  float64 `json:"median_s"`  // delay
-	InWindow int     `json:"in_window"` // starts on machines under maintenance
+	Started  int     `json:"due"`       // occurrences of reservations whose job has started
+	InTime   int     `json:"in_time"`   // of Started, with a delay of at most a minute
+	Late     int     `json:"late"`      // of the others, not reported as at risk when due
+	AtRisk   int     `json:"at_risk"`   // of the others, reported as at risk when due
+	WorstS   float64 `json:"worst_s"`   // longest delay of an occurrence
+	MedianS  float64 `json:"median_s"`  // median delay of the occurrences
+	InWindow int     `json:"in_window"` // starts of tasks on machines in a maintenance window
 	Starts   int     `json:"starts"`
 	Cost     float64 `json:"cost"`
 
-	Rules      []string         `json:"rules"` // violations
+	Rules      []string         `json:"rules"` // violations of rules, at most maxViolations
 	ShardMoves ShardMovesResult `json:"shares"`
 
 	Classes     map[string]*Class `json:"classes"`
@@ -33,41 +34,41 @@
 	Faults      []Fault           `json:"troubles,omitempty"`
 }
 
-// ShardMovesResult describes moves of shards. Tasks that had to start again after they ended
-// within ten seconds of a move of their machine's shard are counted whatever the cause, so
-// that what merely coincides with a move counts as well.
+// ShardMovesResult describes moves of shards. StoppedByMoves and LostByMoves count each task
+// that ended within ten seconds after a move of its machine's shard and was started again,
+// whatever the cause, so they include endings that merely coincide with a move.
 type ShardMovesResult struct {
 	Moves          int     `json:"moves"`
 	Aborted        int     `json:"given_up"`
-	PauseP99S      float64 `json:"pause_p99_s"` // of starts on a moving shard
+	PauseP99S      float64 `json:"pause_p99_s"` // 99th percentile of the pause of starts on a moving shard
 	StoppedByMoves int     `json:"stopped_by_moves"`
-	LostByMoves    int     `json:"lost_by_moves"` // completed, and started again
+	LostByMoves    int     `json:"lost_by_moves"` // tasks that had completed and were started again
 }
 
-// Class describes the jobs of a class; times are in seconds.
+// Class summarizes the jobs of a class; times are in seconds.
 type Class struct {
-	Jobs     int     `json:"jobs"`
-	Done     int     `json:"done"`
-	WaitMean float64 `json:"wait_mean_s"` // of tasks, until their first start
-	Wait95   float64 `json:"wait_p95_s"`
-	DoneMean float64 `json:"done_mean_s"` // of jobs, until they are done
-	Done95   float64 `json:"done_p95_s"`
-	waits    []float64
-	times    []float64
+	Jobs            int     `json:"jobs"`
+	Done            int     `json:"done"`
+	WaitMean        float64 `json:"wait_mean_s"` // of tasks, from submission to their first start
+	Wait95          float64 `json:"wait_p95_s"`
+	DoneMean        float64 `json:"done_mean_s"` // of jobs, from submission to completion
+	Done95          float64 `json:"done_p95_s"`
+	waits           []float64
+	completionTimes []float64
 }
 
-// Occurrence is one time of a reservation.
+// Occurrence is one occurrence of a reservation.
 type Occurrence struct {
 	Name    record.EntryName        `json:"name"`
 	Start   time.Time               `json:"start"`
 	Tasks   int                     `json:"tasks"`
 	Started bool                    `json:"started"`
-	DelayS  float64                 `json:"delay_s"` // until all reserved tasks had started
+	DelayS  float64                 `json:"delay_s"` // until all reserved tasks had started; see taskStarted
 	State   record.ReservationState `json:"state,omitempty"`
-	Risk    string                  `json:"risk,omitempty"` // as reported at its time
+	Risk    string                  `json:"risk,omitempty"` // risk reported when the occurrence was due
 }
 
-// Refusal is a request for a reservation or window that was rejected.
+// Refusal is a rejected request for a reservation or a maintenance window.
 type Refusal struct {
 	Name      record.EntryName   `json:"name"`
 	Reason    string             `json:"reason"`
@@ -80,10 +81,11 @@
 	Description string    `json:"what"`
 }
 
-// maxDelayS is the largest delay of a reserved job that counts as in time.
-const maxDelayS = 60.0
+// maxInTimeDelayS is the largest delay, in seconds, with which a reserved job counts as in
+// time.
+const maxInTimeDelayS = 60.0
 
-// class returns the entry of a class, which is added if necessary.
+// class returns the entry of a class and adds it if necessary.
 func (r *Result) class(name string) *Class {
 	if r.Classes[name] == nil {
 		r.Classes[name] = &Class{}
@@ -91,7 +93,7 @@
 	return r.Classes[name]
 }
 
-// summarize computes the summary of occurrences and classes.
+// summarize computes the summaries of the occurrences and classes.
 func (r *Result) summarize() {
 	var delays []float64
 	for _, o := range r.Occurrences {
@@ -101,7 +103,7 @@
 		r.Started++
 		delays = append(delays, o.DelayS)
 		switch {
-		case o.DelayS <= maxDelayS:
+		case o.DelayS <= maxInTimeDelayS:
 			r.InTime++
 		case o.Risk != "":
 			r.AtRisk++
@@ -112,11 +114,11 @@
 	r.WorstS, r.MedianS = quantileOf(delays, 1), quantileOf(delays, 0.5)
 	for _, c := range r.Classes {
 		c.WaitMean, c.Wait95 = meanOf(c.waits), quantileOf(c.waits, 0.95)
-		c.DoneMean, c.Done95 = meanOf(c.times), quantileOf(c.times, 0.95)
+		c.DoneMean, c.Done95 = meanOf(c.completionTimes), quantileOf(c.completionTimes, 0.95)
 	}
 }
 
-// meanOf returns the mean of values; 0 of none.
+// meanOf returns the mean of values; 0 if there are none.
 func meanOf(xs []float64) float64 {
 	sum := 0.0
 	for _, x := range xs {
@@ -125,7 +127,7 @@
 	return sum / math.Max(1, float64(len(xs)))
 }
 
-// quantileOf returns a quantile of values; 0 of none.
+// quantileOf returns the quantile q, from 0 to 1, of values; 0 if there are none.
 func quantileOf(xs []float64, q float64) float64 {
 	if len(xs) == 0 {
 		return 0
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -32,7 +32,7 @@
 // TestRunsAreReproducible: a scenario gives the same result each time it is run with its seed, to
 // the last change of the state service: else what a search finds can't be traced.
 func TestRunsAreReproducible(t *testing.T) {
-	for seed := range seeds(2) {
+	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			var first []protocol.Event
@@ -60,7 +60,7 @@
 	fault := func(w *world) {
 		d := time.Duration(10+w.rng.IntN(30)) * time.Second
 		if w.rng.IntN(3) > 0 {
-			w.partitionZone(w.zoneOf(w.rng.IntN(2)), w.rng.IntN(2) == 0, d, w.rng.IntN(2) == 0)
+			w.partitionZone(w.nodeZone(w.rng.IntN(2)), w.rng.IntN(2) == 0, d, w.rng.IntN(2) == 0)
 			return
 		}
 		for _, n := range w.nodes { // longer than the leases, which last 15 s
@@ -90,9 +90,9 @@
 		d := time.Duration(5+w.rng.IntN(50)) * time.Second // leases last 15 s, cancellations 35 s
 		switch w.rng.IntN(4) {
 		case 0:
-			w.partitionZone(w.zoneOf(w.rng.IntN(2)), true, d, w.rng.IntN(2) == 0)
+			w.partitionZone(w.nodeZone(w.rng.IntN(2)), true, d, w.rng.IntN(2) == 0)
 		case 1:
-			w.partitionZone(w.zoneOf(w.rng.IntN(2)), false, d, w.rng.IntN(2) == 0)
+			w.partitionZone(w.nodeZone(w.rng.IntN(2)), false, d, w.rng.IntN(2) == 0)
 		case 2:
 			w.partition(string(w.nodes[w.rng.IntN(3)].name), "state", d, false)
 		case 3:
@@ -108,27 +108,27 @@
 // the view, moves, takeovers and registrations, while the state service takes long,
 // so that requests of an earlier process take effect for the next one to see.
 func TestRulesHoldWithFastRestarts(t *testing.T) {
-	back := func(w *world, n *node) { n.crashFor(time.Duration(100+w.rng.IntN(400)) * time.Millisecond) }
+	crashBriefly := func(w *world, n *node) { n.crashFor(time.Duration(100+w.rng.IntN(400)) * time.Millisecond) }
 	fault := func(w *world) {
 		n := w.nodes[w.rng.IntN(3)]
 		switch w.rng.IntN(8) {
 		case 0, 1, 2:
-			back(w, n)
+			crashBriefly(w, n)
 		case 3:
 			for _, n := range w.nodes {
-				back(w, n)
+				crashBriefly(w, n)
 			}
 		case 4: // one after the other, the next while the one before takes part again
 			for i, n := range w.nodes {
-				w.after(time.Duration(i)*700*time.Millisecond, func() { back(w, n) })
+				w.after(time.Duration(i)*700*time.Millisecond, func() { crashBriefly(w, n) })
 			}
 		case 5:
 			for i := range 1 + w.rng.IntN(30) {
-				w.after(time.Duration(i)*time.Second, func() { back(w, n) })
+				w.after(time.Duration(i)*time.Second, func() { crashBriefly(w, n) })
 			}
 		case 6: // while its shards move
 			w.moveRandomShards(16)
-			w.after(time.Duration(w.rng.IntN(400))*time.Millisecond, func() { back(w, n) })
+			w.after(time.Duration(w.rng.IntN(400))*time.Millisecond, func() { crashBriefly(w, n) })
 		case 7:
 			w.stateLatency = time.Duration(w.rng.IntN(3)) * 200 * time.Millisecond
 			w.after(5*time.Second, func() { w.stateLatency = 0 })
@@ -137,20 +137,20 @@
 	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true}.runSeeds(t, 40, 500_000)
 }
 
-// partitionSilently cuts a controller off from everything, or from one side.
-func (n *node) partitionSilently(d time.Duration, hold bool) {
+// partitionFromOneOrAll cuts a controller off from everything, or from one side.
+func (n *node) partitionFromOneOrAll(d time.Duration, delayed bool) {
 	w := n.world
-	sides := []string{"state", "workers"}
+	endpoints := []string{"state", "workers"}
 	for _, peer := range w.nodes {
 		if peer != n {
-			sides = append(sides, string(peer.name))
+			endpoints = append(endpoints, string(peer.name))
 		}
 	}
-	if one := w.rng.IntN(2 * len(sides)); one < len(sides) {
-		sides = sides[one : one+1]
+	if chosen := w.rng.IntN(2 * len(endpoints)); chosen < len(endpoints) {
+		endpoints = endpoints[chosen : chosen+1]
 	}
-	for _, side := range sides {
-		w.partition(string(n.name), side, d, hold)
+	for _, endpoint := range endpoints {
+		w.partition(string(n.name), endpoint, d, delayed)
 	}
 }
 
@@ -163,24 +163,24 @@
 	fault := func(w *world) {
 		i := w.rng.IntN(3)
 		n, next := w.nodes[i], w.nodes[(i+1)%3]
-		long := time.Duration(60+w.rng.IntN(60)) * time.Second
-		still := time.Duration(3+w.rng.IntN(37)) * time.Second
-		hold := w.rng.IntN(2) == 0
+		partitionLength := time.Duration(60+w.rng.IntN(60)) * time.Second
+		pauseLength := time.Duration(3+w.rng.IntN(37)) * time.Second
+		delayed := w.rng.IntN(2) == 0
 		switch w.rng.IntN(5) {
 		case 0:
-			n.partitionSilently(long, hold)
+			n.partitionFromOneOrAll(partitionLength, delayed)
 		case 1:
-			n.partitionSilently(long, hold)
-			w.after(long/2, func() { next.partitionSilently(long, hold) })
+			n.partitionFromOneOrAll(partitionLength, delayed)
+			w.after(partitionLength/2, func() { next.partitionFromOneOrAll(partitionLength, delayed) })
 		case 2:
 			w.rollingRestart()
-			n.partitionSilently(long, hold)
+			n.partitionFromOneOrAll(partitionLength, delayed)
 		case 3:
 			w.moveRandomShards(16)
-			w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { n.pausedUntil = max(n.pausedUntil, w.now+still) })
+			w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { n.pausedUntil = max(n.pausedUntil, w.now+pauseLength) })
 		case 4:
-			n.pausedUntil = max(n.pausedUntil, w.now+still)
-			w.after(still/2, func() { next.pausedUntil = max(next.pausedUntil, w.now+still) })
+			n.pausedUntil = max(n.pausedUntil, w.now+pauseLength)
+			w.after(pauseLength/2, func() { next.pausedUntil = max(next.pausedUntil, w.now+pauseLength) })
 		}
 	}
 	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, fault: fault}.runSeeds(t, 40, 600_000)
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -32,14 +32,14 @@
 // its end.
 func (d scenario) run(t *testing.T, seed int) *world {
 	t.Helper()
-	settings, up := fake.Settings(), d.machines
+	settings, initialMachines := fake.Settings(), d.machines
 	if d.teams != nil {
 		settings.Site.Teams = d.teams
 	}
 	if d.startEmpty {
-		up = 0
+		initialMachines = 0
 	}
-	w := newWorld(t.Fatalf, uint64(seed), settings, d.machines, up)
+	w := newWorld(t.Fatalf, uint64(seed), settings, d.machines, initialMachines)
 	for _, n := range w.nodes { // of an earlier version until they are restarted
 		n.layout = record.Layout(1 + seed%3)
 	}
@@ -64,7 +64,7 @@
 			w.nodes[w.rng.IntN(3)].shutDown()
 		}
 		if d.reservations && w.rng.IntN(4) == 0 {
-			w.makeRandomReservation()
+			w.changeCalendarRandomly()
 		}
 		if d.faultEveryStep {
 			d.fault(w)
@@ -107,35 +107,35 @@
 	if w.starts == 0 {
 		t.Error("nothing ran")
 	}
-	t.Logf("%d machines at first, %d jobs, %d starts, at most %d tasks on machines, %d writes of blocks, %d changes of the calendar", up, len(w.jobOrder), w.starts, w.peakRunning, w.blockWrites, w.reservationChanges)
+	t.Logf("%d machines at first, %d jobs, %d starts, at most %d tasks on machines, %d writes of blocks, %d changes of the calendar", initialMachines, len(w.jobOrder), w.starts, w.peakRunning, w.blockWrites, w.reservationChanges)
 	return w
 }
 
 // runSeeds runs a scenario with so many seeds, from the first on.
-func (d scenario) runSeeds(t *testing.T, usual, first int) {
+func (d scenario) runSeeds(t *testing.T, defaultCount, firstSeed int) {
 	t.Helper()
-	for seed := range seeds(usual) {
+	for seed := range seedCount(defaultCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d.run(t, first+seed)
+			d.run(t, firstSeed+seed)
 		})
 	}
 }
 
-// seeds returns how many scenarios are run; WORLD_SEEDS sets another number.
-func seeds(usual int) int {
+// seedCount returns how many scenarios are run; WORLD_SEEDS sets another number.
+func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("WORLD_SEEDS")); err == nil {
 		return n
 	}
-	return usual
+	return defaultCount
 }
 
 // requestedMachines returns the size of a fleet; WORLD_MACHINES sets another one.
-func requestedMachines(usual int) int {
+func requestedMachines(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("WORLD_MACHINES")); err == nil {
 		return n
 	}
-	return usual
+	return defaultCount
 }
 
 // randomJob makes a job that the world's machines can run.
@@ -170,15 +170,15 @@
 
 // largeJob is a random job with gangs of up to so many tasks more than two, and
 // arrays so many times as large.
-func largeJob(gang int, array uint32) func(*world) protocol.Job {
+func largeJob(maxGangTasks int, arrayFactor uint32) func(*world) protocol.Job {
 	return func(w *world) protocol.Job {
 		j := w.randomJob()
 		switch {
 		case j.Team == "bound": // its limit is for the few
 		case j.Kind == protocol.KindGang:
-			j.Tasks = uint32(2 + w.rng.IntN(gang))
+			j.Tasks = uint32(2 + w.rng.IntN(maxGangTasks))
 		case j.Kind == protocol.KindJobArray:
-			j.Tasks *= array
+			j.Tasks *= arrayFactor
 		}
 		return j
 	}
@@ -188,7 +188,7 @@
 func (w *world) injectRandomFault() {
 	n := w.nodes[w.rng.IntN(3)]
 	d := time.Duration(2+w.rng.IntN(25)) * time.Second
-	hold := w.rng.IntN(2) == 0
+	delayed := w.rng.IntN(2) == 0
 	if len(w.machineOrder) == 0 {
 		n.crash()
 		return
@@ -202,32 +202,32 @@
 			n.crash()
 		}
 	case 3, 4:
-		w.partition(string(n.name), "state", d, hold)
+		w.partition(string(n.name), "state", d, delayed)
 	case 5:
 		w.outageUntil = w.now + d
 	case 6, 7:
-		w.partition(string(n.name), "workers", d, hold)
+		w.partition(string(n.name), "workers", d, delayed)
 	case 8:
-		w.partition(string(n.name), fmt.Sprint("node-", w.rng.IntN(3)), d, hold)
+		w.partition(string(n.name), fmt.Sprint("node-", w.rng.IntN(3)), d, delayed)
 	case 9:
 		w.killMachine(machine)
 	case 10:
 		notice := 8.0
-		sw := w.workers[machine]
-		sw.Notice = &notice
+		m := w.workers[machine]
+		m.Notice = &notice
 		w.after(8*time.Second, func() { w.killMachine(machine) })
 	case 11:
-		sw := w.workers[machine]
-		sw.Faulty = true
-		w.after(d, func() { sw.Faulty = false })
+		m := w.workers[machine]
+		m.Faulty = true
+		w.after(d, func() { m.Faulty = false })
 	}
 }
 
 // preemptSpotMachines preempts a third of the spot machines at once, some with a notice.
 func (w *world) preemptSpotMachines() {
 	for _, id := range w.machineOrder {
-		sw := w.workers[id]
-		if !sw.Spot || sw.Dead || w.rng.IntN(3) > 0 {
+		m := w.workers[id]
+		if !m.Spot || m.Dead || w.rng.IntN(3) > 0 {
 			continue
 		}
 		if w.rng.IntN(2) == 0 {
@@ -235,7 +235,7 @@
 			continue
 		}
 		notice := 6.0
-		sw.Notice = &notice
+		m.Notice = &notice
 		w.after(6*time.Second, func() { w.killMachine(id) })
 	}
 }
@@ -247,8 +247,8 @@
 	}
 }
 
-// makeRandomReservation has an operator add a reservation or a window, or cancel one.
-func (w *world) makeRandomReservation() {
+// changeCalendarRandomly has an operator add a reservation or a window, or cancel one.
+func (w *world) changeCalendarRandomly() {
 	n := w.nodes[w.rng.IntN(3)]
 	if n.core == nil || !n.stateReachable() {
 		return
--- a/internal/simulator/schedule.go
+++ b/internal/simulator/schedule.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// operatorDelay is when operators make their requests.
+	// operatorDelay is the simulated time at which operators make their requests.
 	operatorDelay = 20 * time.Second
-	// requestRetryDelay is the time between two attempts of an operator's request.
+	// requestRetryDelay is the delay before an operator's request is retried.
 	requestRetryDelay = time.Second
-	// submitRetryDelay is the time between two attempts of a submission.
+	// submitRetryDelay is the delay before a submission is retried.
 	submitRetryDelay = 2 * time.Second
-	// reservedRunTimeFactor is the true run time of reserved jobs, by their length.
+	// reservedRunTimeFactor is the actual run time of reserved jobs, as a fraction of the
+	// reservation's length.
 	reservedRunTimeFactor = 0.8
-	// maxTasksFactor bounds the size of a job, as a factor of the load's average.
+	// maxTasksFactor bounds the tasks of a job, as a multiple of the load's average.
 	maxTasksFactor = 20
 	// simulatorOperator is the name of the operator who makes the site's requests.
 	simulatorOperator = "emulator"
 )
 
-// at does something at a time of the simulation, unless it has passed.
-func (d *driver) at(t time.Duration, do func()) {
+// scheduleAt schedules do to run at the simulated time t, unless t has passed.
+func (d *driver) scheduleAt(t time.Duration, do func()) {
 	if t > d.now {
 		d.after(t-d.now, do)
 	}
 }
 
 // scheduleAll schedules the load, the operators' requests, the reservations and the
-// faults. The order determines the random draws and that of events of the same time.
+// faults. The order matters: it determines the random draws and the order of simultaneous
+// events.
 func (d *driver) scheduleAll() {
 	for i := range d.site.Load {
 		d.scheduleArrival(&d.site.Load[i])
 	}
-	d.at(operatorDelay, func() { d.requestAll() })
+	d.scheduleAt(operatorDelay, func() { d.requestWindowsAndReservations() })
 	for i := range d.site.Windows {
 		x := &d.site.Windows[i]
-		if w, err := reservation.ParseSchedule(x.When); err == nil { // otherwise its request is rejected
-			d.windows = append(d.windows, openWindow{x.spec(), w})
+		if w, err := reservation.ParseSchedule(x.When); err == nil { // otherwise the request is rejected
+			d.windows = append(d.windows, scheduledWindow{x.spec(), w})
 		}
 	}
 	for i := range d.site.Reservations {
@@ -52,11 +54,12 @@
 	d.scheduleFaults()
 }
 
-// scheduleReservation schedules the jobs of a reservation.
+// scheduleReservation schedules, for each occurrence of a reservation, the submission of its
+// job and the query of its state.
 func (d *driver) scheduleReservation(r *Reservation) {
 	when, err := reservation.ParseSchedule(r.When)
 	if err != nil {
-		return // its request is rejected
+		return // the request for the reservation is rejected
 	}
 	from := reservation.Moment(d.site.Start.UnixMilli())
 	for _, moment := range when.Occurrences(from, reservation.After(from, d.opts.For)) {
@@ -65,20 +68,20 @@
 		d.result.Occurrences = append(d.result.Occurrences, o)
 		d.reservationTimes = append(d.reservationTimes, at)
 		if !r.NeverSubmitted {
-			d.at(at+config.Seconds(r.SubmitAfterS), func() { d.submitReserved(r, o) })
+			d.scheduleAt(at+config.Seconds(r.SubmitAfterS), func() { d.submitReserved(r, o) })
 		}
-		d.at(at+time.Second, func() { d.queryOccurrence(o) })
+		d.scheduleAt(at+time.Second, func() { d.queryOccurrence(o) })
 	}
 }
 
-// scheduleArrival schedules the next job of a load.
+// scheduleArrival schedules the next arrival of a job of a load.
 func (d *driver) scheduleArrival(l *Load) {
 	d.after(config.Seconds(d.rng.ExpFloat64()*l.EveryS), func() {
 		tasks := 1 + int(d.rng.ExpFloat64()*float64(l.Tasks-1)+0.5)
 		d.submitUntilAccepted(protocol.Job{
 			Class: l.Class, Team: l.Team, Kind: protocol.KindJobArray, Priority: l.Priority, Tasks: uint32(min(tasks, maxTasksFactor*l.Tasks)),
 			CPUs: l.CPUs, EstimateS: l.EstimateS, CheckpointS: l.CheckpointS, CheckpointDurationS: l.SaveS, Spot: l.Spot,
-		}, jobState{factor: l.Factor})
+		}, jobState{runTimeFactor: l.Factor})
 		d.scheduleArrival(l)
 	})
 }
@@ -92,11 +95,11 @@
 	d.submitUntilAccepted(protocol.Job{
 		Class: r.Class, Team: r.Team, Kind: kind, Priority: r.Priority, Tasks: uint32(r.Tasks + r.ExtraTasks),
 		CPUs: r.CPUs, EstimateS: r.LengthS, OneZone: r.OneZone, Zone: r.Zone,
-	}, jobState{factor: reservedRunTimeFactor, occurrence: o, reserved: r.Tasks})
+	}, jobState{runTimeFactor: reservedRunTimeFactor, occurrence: o, reservedTasks: r.Tasks})
 }
 
-// submitUntilAccepted submits a job until it is accepted. State has what is known of it
-// beforehand.
+// submitUntilAccepted submits a job and retries until it is accepted. The caller sets the
+// fields of state that are not derived from the job.
 func (d *driver) submitUntilAccepted(j protocol.Job, state jobState) {
 	state.submitted, state.tasks, state.estimateS, state.started = d.now, int(j.Tasks), j.EstimateS, map[uint32]bool{}
 	var try func()
@@ -114,8 +117,8 @@
 	try()
 }
 
-// requestAll makes the requests for all windows and reservations, as operators do.
-func (d *driver) requestAll() {
+// requestWindowsAndReservations requests all windows and reservations, as operators do.
+func (d *driver) requestWindowsAndReservations() {
 	for i := range d.site.Windows {
 		x := &d.site.Windows[i]
 		d.requestUntilDone(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "window " + string(x.Name), Spec: x.spec()})
@@ -129,7 +132,7 @@
 	}
 }
 
-// requestUntilDone sends a request to controllers until it is done or rejected.
+// requestUntilDone sends a request to random controllers until it is done or rejected.
 func (d *driver) requestUntilDone(r operatorapi.Request) {
 	n := d.nodes[d.rng.IntN(3)]
 	retry := func() { d.after(requestRetryDelay, func() { d.requestUntilDone(r) }) }
@@ -152,7 +155,7 @@
 	}
 }
 
-// queryOccurrence records what is known of an occurrence at its time.
+// queryOccurrence records the state and risk that a controller reports for an occurrence.
 func (d *driver) queryOccurrence(o *Occurrence) {
 	for _, n := range d.nodes {
 		if n.core == nil || n.session == 0 {
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -9,7 +9,7 @@
 	"damsonkeel/internal/record"
 )
 
-// settings returns the settings of the controllers.
+// settings returns the controllers' settings for the site.
 func (s *Site) settings() *config.Settings {
 	c := &config.Settings{}
 	c.Site.Count = 3
@@ -35,7 +35,7 @@
 	return zones
 }
 
-// machineTypes returns the cloud's catalogue.
+// machineTypes returns the catalogue of the cloud.
 func (s *Site) machineTypes() []protocol.TypeInfo {
 	var ts []protocol.TypeInfo
 	for _, t := range s.Types {
--- a/internal/simulator/shards.go
+++ b/internal/simulator/shards.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// handoverTimeout bounds the time for which a node hands over its shards before it
-	// ends, as the controller's node does.
+	// handoverTimeout bounds the time that a node spends on handing over its shards before
+	// it exits, as in the controller's real node.
 	handoverTimeout = 10 * time.Second
-	// handoverPoll is how often a node that ends checks whether it has done so.
-	handoverPoll = 100 * time.Millisecond
-	// rollInterval is the time between the ends of two nodes of a rolling shutdown.
-	rollInterval = 30 * time.Second
-	// moveAftermath is how long after a move of its machine's shard the end of a task may
-	// be due to the move.
-	moveAftermath = 10 * time.Second
+	// handoverPollInterval is how often a node that is shutting down checks whether the
+	// handover is complete.
+	handoverPollInterval = 100 * time.Millisecond
+	// rollingShutdownInterval is the time between the shutdowns of two nodes in a rolling
+	// shutdown.
+	rollingShutdownInterval = 30 * time.Second
+	// moveAttributionWindow is how long after a move of its machine's shard the ending of a
+	// task is attributed to the move.
+	moveAttributionWindow = 10 * time.Second
 )
 
 // operatorName is the name of the operator who moves shards.
 const operatorName = "ops"
 
-// shardTable returns the record of the shards, if there is one.
+// shardTable returns the shard table in the state service, if there is one.
 func (w *world) shardTable() (s record.ShardTable, ok bool) {
 	it, found := w.state.Get(record.ShardTableKey)
 	if !found {
@@ -39,8 +41,9 @@
 	return s, true
 }
 
-// shards lists the shards that the node's session holds by the record.
-func (n *node) shards() (ids []int) {
+// heldShards returns the indexes of the shards whose holder in the shard table is the node's
+// session.
+func (n *node) heldShards() (ids []int) {
 	table, _ := n.world.shardTable()
 	for i, shard := range table.List {
 		if n.session != 0 && shard.Holder == n.session {
@@ -50,8 +53,8 @@
 	return ids
 }
 
-// moveShards has an operator move shards to a node. It reports whether a controller has
-// accepted the request.
+// moveShards makes an operator request a move of shards to a node. It reports whether a
+// controller accepted the request.
 func (w *world) moveShards(ids []int, to *node) bool {
 	for _, n := range w.nodes {
 		if n.core == nil || w.now < n.pausedUntil {
@@ -64,30 +67,31 @@
 	return false
 }
 
-// moveRandomShards moves some shards, at most a number, from a random node to another.
-func (w *world) moveRandomShards(most int) {
+// moveRandomShards moves one to maxShards random shards from one random node to another. It
+// does nothing if both are the same node, or if the first one holds no shards.
+func (w *world) moveRandomShards(maxShards int) {
 	from, to := w.nodes[w.rng.IntN(3)], w.nodes[w.rng.IntN(3)]
-	ids := from.shards()
+	ids := from.heldShards()
 	w.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	if n := min(len(ids), 1+w.rng.IntN(most)); n > 0 && from != to {
+	if n := min(len(ids), 1+w.rng.IntN(maxShards)); n > 0 && from != to {
 		w.moveShards(ids[:n], to)
 	}
 }
 
-// shutDown ends the node's process by a signal: it hands over its shards, releases its
-// session and is restarted after a while.
+// shutDown shuts the node's process down as a signal does: the process hands over its shards,
+// releases its session and exits, and is restarted after a while.
 func (n *node) shutDown() {
 	w := n.world
-	end := w.now + handoverTimeout
+	deadline := w.now + handoverTimeout
 	incarnation := n.incarnation
 	n.step(message.Shutdown{})
-	var wait func()
-	wait = func() {
+	var pollHandover func()
+	pollHandover = func() {
 		if n.incarnation != incarnation || n.core == nil {
 			return
 		}
-		if n.session != 0 && !n.core.HandedOver() && w.now < end {
-			w.after(handoverPoll, wait)
+		if n.session != 0 && !n.core.HandedOver() && w.now < deadline {
+			w.after(handoverPollInterval, pollHandover)
 			return
 		}
 		if n.session != 0 && n.stateReachable() {
@@ -95,13 +99,13 @@
 		}
 		n.crash()
 	}
-	w.after(handoverPoll, wait)
+	w.after(handoverPollInterval, pollHandover)
 }
 
-// rollingShutdown shuts all nodes down, one after the other.
+// rollingShutdown shuts down all nodes, one after the other.
 func (w *world) rollingShutdown() {
 	for i, n := range w.nodes {
-		w.after(time.Duration(i)*rollInterval, func() {
+		w.after(time.Duration(i)*rollingShutdownInterval, func() {
 			if n.core != nil {
 				n.shutDown()
 			}
@@ -109,7 +113,7 @@
 	}
 }
 
-// recordMoves records the moves of shards that the core has completed.
+// recordMoves records the shard moves that the core has completed.
 func (n *node) recordMoves() {
 	w := n.world
 	for _, m := range n.core.CompletedMoves() {
@@ -121,7 +125,7 @@
 	}
 }
 
-// movePauseP99 returns the 99th percentile of the time for which moves pause starts.
+// movePauseP99 returns the 99th percentile of the time for which a shard move pauses starts.
 func (w *world) movePauseP99() time.Duration {
 	if len(w.movePauses) == 0 {
 		return 0
@@ -133,7 +137,7 @@
 // taskEnding is how an attempt of a task ended.
 type taskEnding struct {
 	cause     protocol.EndCause
-	afterMove bool // shortly after a move of its machine's shard
+	afterMove bool // within moveAttributionWindow of a move of the machine's shard
 }
 
 // taskEnded records how a task ended.
@@ -144,11 +148,11 @@
 		return
 	}
 	at, moved := d.movedAt[sharding.ShardOf(&table, id, m.Zone)]
-	d.taskEndings[t] = taskEnding{cause, moved && d.now-at < moveAftermath}
+	d.taskEndings[t] = taskEnding{cause, moved && d.now-at < moveAttributionWindow}
 }
 
-// countRestart counts a task that starts once more after a move, which may merely coincide
-// with it.
+// countRestart counts a restart of a task whose previous attempt ended shortly after a shard
+// move. The move need not be the cause of that ending.
 func (d *driver) countRestart(t protocol.TaskID) {
 	switch ending := d.taskEndings[t]; {
 	case !ending.afterMove:
--- a/internal/simulator/shards_test.go
+++ b/internal/simulator/shards_test.go
@@ -22,7 +22,7 @@
 		w.submit(busyJob(w, machines))
 		w.run(w.now + 500*time.Millisecond)
 	}
-	if n := w.registered(); n < machines*9/10 {
+	if n := w.registeredMachines(); n < machines*9/10 {
 		t.Fatalf("%d of %d machines kept after %v", n, machines, w.now)
 	}
 	return w
@@ -38,23 +38,23 @@
 	return j
 }
 
-// runningTasks is how many tasks have been accepted.
-func (w *world) runningTasks() (n int) {
+// acceptedTasks is how many tasks have been accepted.
+func (w *world) acceptedTasks() (n int) {
 	for _, j := range w.jobs {
 		n += int(j.Tasks)
 	}
 	return n
 }
 
-// shardsByNode returns how many shards each controller holds by the records.
-func (w *world) shardsByNode() map[protocol.NodeName]int {
-	by := map[protocol.NodeName]int{}
+// shardCounts returns how many shards each controller holds by the records.
+func (w *world) shardCounts() map[protocol.NodeName]int {
+	counts := map[protocol.NodeName]int{}
 	for _, n := range w.nodes {
-		if k := len(n.shards()); k > 0 {
-			by[n.name] = k
+		if k := len(n.heldShards()); k > 0 {
+			counts[n.name] = k
 		}
 	}
-	return by
+	return counts
 }
 
 // runWithLoad submits a job a second for a while.
@@ -65,33 +65,33 @@
 	}
 }
 
-// TestShardMovesDisruptNothing: a third of a busy fleet's shards, then all of one
+// TestShardMovesDoNotDisruptTasks: a third of a busy fleet's shards, then all of one
 // controller's, then one shard back and forth, move while jobs run. Nothing is
 // stopped, started twice or lost by that, no lease runs out, and moves take no
 // longer than stated.
-func TestShardMovesDisruptNothing(t *testing.T) {
+func TestShardMovesDoNotDisruptTasks(t *testing.T) {
 	t.Parallel()
 	w := newShardedWorld(t, 11, 3, 300)
-	epoch := w.tokens()
+	epochs := w.shardEpochs()
 	for i := range 3 {
 		from, to := w.nodes[i], w.nodes[(i+1)%3]
-		if ids := from.shards(); !w.moveShards(ids[:len(ids)/2], to) {
+		if ids := from.heldShards(); !w.moveShards(ids[:len(ids)/2], to) {
 			t.Fatal("nobody takes the request")
 		}
 		w.runWithLoad(4 * time.Second)
 	}
-	one := w.nodes[0].shards()[:1]
+	single := w.nodes[0].heldShards()[:1]
 	for i := range 60 {
-		w.moveShards(one, w.nodes[i%3])
+		w.moveShards(single, w.nodes[i%3])
 		w.submit(busyJob(w, 100))
 		w.run(w.now + 700*time.Millisecond)
 	}
 	moved := 0
-	for id, e := range w.tokens() {
-		if e < epoch[id] {
-			t.Errorf("the epoch of share %d fell from %d to %d", id, epoch[id], e)
+	for id, epoch := range w.shardEpochs() {
+		if epoch < epochs[id] {
+			t.Errorf("the epoch of share %d fell from %d to %d", id, epochs[id], epoch)
 		}
-		if e > epoch[id] {
+		if epoch > epochs[id] {
 			moved++
 		}
 	}
@@ -99,8 +99,8 @@
 		t.Errorf("%d shares moved", moved)
 	}
 	w.expectAllFinished(t, 120*time.Second)
-	if w.expiredLeases > 0 || w.starts != w.runningTasks() {
-		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.runningTasks())
+	if w.expiredLeases > 0 || w.starts != w.acceptedTasks() {
+		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.acceptedTasks())
 	}
 	w.expectTerm(t, 1)
 	if p := w.movePauseP99(); len(w.movePauses) < moved || p > 500*time.Millisecond {
@@ -108,10 +108,10 @@
 	}
 }
 
-// TestThirdOfShardsMove: a third of the shards of 1,300 machines full of work moves
+// TestThirdOfShardsMoveWithoutDisruption: a third of the shards of 1,300 machines full of work moves
 // at once. No task is stopped, started again or lost, no move is given up, and no
 // other shard or the term changes.
-func TestThirdOfShardsMove(t *testing.T) {
+func TestThirdOfShardsMoveWithoutDisruption(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 18, fake.Settings(), 1300, 1300)
 	w.run(3 * time.Second)
@@ -120,34 +120,34 @@
 		w.run(w.now + 500*time.Millisecond)
 	}
 	before, _ := w.shardTable()
-	asked := map[int]bool{}
+	requested := map[int]bool{}
 	for i, n := range w.nodes {
-		ids := n.shards()
+		ids := n.heldShards()
 		ids = ids[:(len(ids)+2)/3]
 		for _, id := range ids {
-			asked[id] = true
+			requested[id] = true
 		}
 		w.moveShards(ids, w.nodes[(i+1)%3])
 	}
 	w.run(w.now + 4*time.Second)
 	after, _ := w.shardTable()
-	for i, st := range after.List {
-		if moved := st != before.List[i]; moved != asked[i] {
-			t.Errorf("share %d moved %v, asked for %v", i, moved, asked[i])
+	for i, shard := range after.List {
+		if moved := shard != before.List[i]; moved != requested[i] {
+			t.Errorf("share %d moved %v, asked for %v", i, moved, requested[i])
 		}
 	}
 	w.expectAllFinished(t, 200*time.Second)
-	if p := w.movePauseP99(); len(asked) < 20 || w.abortedMoves > 0 || p > 500*time.Millisecond || w.expiredLeases > 0 || w.starts != w.runningTasks() {
-		t.Errorf("%d moves, %d given up, pause %v at the 99th percentile; %d starts for %d tasks, %d leases out", len(asked), w.abortedMoves, p, w.starts, w.runningTasks(), w.expiredLeases)
+	if p := w.movePauseP99(); len(requested) < 20 || w.abortedMoves > 0 || p > 500*time.Millisecond || w.expiredLeases > 0 || w.starts != w.acceptedTasks() {
+		t.Errorf("%d moves, %d given up, pause %v at the 99th percentile; %d starts for %d tasks, %d leases out", len(requested), w.abortedMoves, p, w.starts, w.acceptedTasks(), w.expiredLeases)
 	}
 	w.expectTerm(t, 1)
 }
 
-// tokens are the epochs of the shards.
-func (w *world) tokens() (epochs []protocol.Term) {
-	s, _ := w.shardTable()
-	for _, st := range s.List {
-		epochs = append(epochs, st.Epoch)
+// shardEpochs are the epochs of the shards.
+func (w *world) shardEpochs() (epochs []protocol.Term) {
+	table, _ := w.shardTable()
+	for _, shard := range table.List {
+		epochs = append(epochs, shard.Epoch)
 	}
 	return epochs
 }
@@ -176,12 +176,12 @@
 		w.runWithLoad(12 * time.Second)
 	}
 	w.run(w.now + 20*time.Second)
-	if by := w.shardsByNode(); len(by) != 3 {
-		t.Errorf("shares are kept by %v", by)
+	if counts := w.shardCounts(); len(counts) != 3 {
+		t.Errorf("shares are kept by %v", counts)
 	}
 	w.expectAllFinished(t, 120*time.Second)
-	if w.expiredLeases > 0 || w.starts != w.runningTasks() {
-		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.runningTasks())
+	if w.expiredLeases > 0 || w.starts != w.acceptedTasks() {
+		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.acceptedTasks())
 	}
 }
 
@@ -191,28 +191,28 @@
 	t.Parallel()
 	w := newShardedWorld(t, 13, 3, 300)
 	before, _ := w.shardTable()
-	gone := w.nodes[1]
-	session := gone.session
-	gone.crashFor(40 * time.Second)
+	crashed := w.nodes[1]
+	session := crashed.session
+	crashed.crashFor(40 * time.Second)
 	w.runWithLoad(20 * time.Second)
 	after, _ := w.shardTable()
 	moved := 0
-	for i, st := range before.List {
+	for i, shard := range before.List {
 		switch {
-		case st.Holder == session && after.List[i].Holder == session:
+		case shard.Holder == session && after.List[i].Holder == session:
 			t.Errorf("share %d has no keeper", i)
-		case st.Holder == session:
+		case shard.Holder == session:
 			moved++
-		case st.Holder != after.List[i].Holder || st.Since != after.List[i].Since:
-			t.Errorf("share %d of one that stayed: %+v, was %+v", i, after.List[i], st)
+		case shard.Holder != after.List[i].Holder || shard.Since != after.List[i].Since:
+			t.Errorf("share %d of one that stayed: %+v, was %+v", i, after.List[i], shard)
 		}
 	}
-	if by := w.shardsByNode(); moved == 0 || len(by) != 2 || by["node-0"] > 2*by["node-2"] || by["node-2"] > 2*by["node-0"] {
-		t.Errorf("%d shares taken over, kept by %v", moved, by)
+	if counts := w.shardCounts(); moved == 0 || len(counts) != 2 || counts["node-0"] > 2*counts["node-2"] || counts["node-2"] > 2*counts["node-0"] {
+		t.Errorf("%d shares taken over, kept by %v", moved, counts)
 	}
 	w.runWithLoad(40 * time.Second)
-	if by := w.shardsByNode(); len(by) != 3 {
-		t.Errorf("shares are kept by %v after it came back", by)
+	if counts := w.shardCounts(); len(counts) != 3 {
+		t.Errorf("shares are kept by %v after it came back", counts)
 	}
 	w.expectAllFinished(t, 120*time.Second)
 }
@@ -220,15 +220,15 @@
 // TestCrashAtEachStepOfShardMove: source, target, both or all controllers crash at each step of a
 // move, some milliseconds apart.
 func TestCrashAtEachStepOfShardMove(t *testing.T) {
-	for name, who := range map[string][]int{"source": {0}, "target": {1}, "both": {0, 1}, "all": {0, 1, 2}} {
+	for name, crashed := range map[string][]int{"source": {0}, "target": {1}, "both": {0, 1}, "all": {0, 1, 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for at := 5 * time.Millisecond; at < 320*time.Millisecond; at += 15 * time.Millisecond {
 				w := newShardedWorld(t, uint64(at), 3, 40)
-				ids := w.nodes[0].shards()
+				ids := w.nodes[0].heldShards()
 				w.moveShards(ids[:min(len(ids), 8)], w.nodes[1])
 				w.after(at, func() {
-					for _, i := range who {
+					for _, i := range crashed {
 						w.nodes[i].crash()
 					}
 				})
@@ -274,14 +274,14 @@
 			w.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Delete: record.ShardTableKey}}})
 		},
 		"a third controller ends": func(w *world, _, _ *node) { w.nodes[2].crash() },
-		"the move goes back":      func(w *world, a, b *node) { w.moveShards(b.shards(), a) },
+		"the move goes back":      func(w *world, a, b *node) { w.moveShards(b.heldShards(), a) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, at := range []time.Duration{1, 40, 75, 110, 160, 230} {
 				w := newShardedWorld(t, 100+uint64(at), 3, 40)
 				a, b := w.nodes[0], w.nodes[1]
-				w.moveShards(a.shards(), b)
+				w.moveShards(a.heldShards(), b)
 				w.after(at*time.Millisecond, func() { fault(w, a, b) })
 				w.runWithLoad(4 * time.Second)
 				w.run(w.now + 45*time.Second)
@@ -291,50 +291,50 @@
 	}
 }
 
-// TestGangDuringShardMoves: a gang whose machines are of several shards of which
+// TestGangIsNotSplitByShardMoves: a gang whose machines are of several shards of which
 // most move while it waits and runs is neither split nor started again, and a team
 // at its limit stays within it.
-func TestGangDuringShardMoves(t *testing.T) {
+func TestGangIsNotSplitByShardMoves(t *testing.T) {
 	for _, seed := range []uint64{14, 41, 42} { // with the last two, all that a gang lacks is refused for a while
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { gangOverMovingShares(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { testGangDuringShardMoves(t, seed) })
 	}
 }
 
-func gangOverMovingShares(t *testing.T, seed uint64) {
+func testGangDuringShardMoves(t *testing.T, seed uint64) {
 	t.Helper()
 	t.Parallel()
 	w := newShardedWorld(t, seed, 3, 60)
 	w.expectAllFinished(t, 60*time.Second)
-	starts, tasks := w.starts, w.runningTasks()
+	starts, tasks := w.starts, w.acceptedTasks()
 	for range 3 {
 		w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "standard", Tasks: 9, CPUs: 4, EstimateS: 5, Spot: true})
 		w.submit(protocol.Job{Class: "array", Team: "bound", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true})
 		for i := range 12 {
 			w.run(w.now + 250*time.Millisecond)
 			w.moveRandomShards(12)
-			w.moveShards(w.nodes[i%3].shards(), w.nodes[(i+1)%3])
+			w.moveShards(w.nodes[i%3].heldShards(), w.nodes[(i+1)%3])
 		}
 	}
 	w.expectAllFinished(t, 240*time.Second) // a team at its limit takes long
-	if again := w.starts - starts - (w.runningTasks() - tasks); again != 0 {
-		t.Errorf("%d tasks started again", again)
+	if restarts := w.starts - starts - (w.acceptedTasks() - tasks); restarts != 0 {
+		t.Errorf("%d tasks started again", restarts)
 	}
 }
 
-// TestFiveControllersAndOne: five controllers share the machines evenly and go on when two crash;
+// TestShardsWithFiveControllersAndWithOne: five controllers share the machines evenly and go on when two crash;
 // one alone holds all.
-func TestFiveControllersAndOne(t *testing.T) {
+func TestShardsWithFiveControllersAndWithOne(t *testing.T) {
 	t.Parallel()
 	w := newShardedWorld(t, 15, 5, 200)
 	w.run(w.now + 20*time.Second)
-	if by := w.shardsByNode(); len(by) != 5 {
-		t.Errorf("shares are kept by %v", by)
+	if counts := w.shardCounts(); len(counts) != 5 {
+		t.Errorf("shares are kept by %v", counts)
 	}
 	w.nodes[1].crashFor(30 * time.Second)
 	w.nodes[3].crashFor(30 * time.Second)
 	w.runWithLoad(20 * time.Second)
-	if by := w.shardsByNode(); len(by) != 3 {
-		t.Errorf("shares are kept by %v without two", by)
+	if counts := w.shardCounts(); len(counts) != 3 {
+		t.Errorf("shares are kept by %v without two", counts)
 	}
 	w.expectAllFinished(t, 150*time.Second)
 
@@ -373,8 +373,8 @@
 		n.crash()
 		w.runWithLoad(15 * time.Second)
 	}
-	if by := w.shardsByNode(); len(by) != 3 {
-		t.Errorf("shares are kept by %v", by)
+	if counts := w.shardCounts(); len(counts) != 3 {
+		t.Errorf("shares are kept by %v", counts)
 	}
 	w.expectAllFinished(t, 150*time.Second)
 }
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -7,16 +7,16 @@
 	"damsonkeel/internal/record"
 )
 
-// Site describes a run: the cluster, its load and the faults injected into it. Amounts
-// have the units of the protocol; durations are in seconds.
+// Site describes a run: the cluster, its load and the faults to inject. Amounts have the
+// units of the protocol; durations are in seconds.
 type Site struct {
-	// Start is the date and time at which the measured part begins.
+	// Start is the date and time at which the measured part of the run begins.
 	Start time.Time `toml:"start"`
-	// Machines is how many machines the cloud has, evenly over the zones.
+	// Machines is how many machines the cloud has, spread evenly over the zones.
 	Machines int    `toml:"machines"`
 	Types    []Type `toml:"types"`
 	Teams    []Team `toml:"teams"`
-	// HeartbeatSeconds is the interval of workers' heartbeats, and LeaseSeconds the length of their leases.
+	// ReportS is the interval of workers' heartbeats, and LeaseS the length of their leases.
 	ReportS float64 `toml:"report_s"`
 	LeaseS  float64 `toml:"lease_s"`
 
@@ -24,7 +24,7 @@
 	Reservations []Reservation `toml:"reservations"`
 	Windows      []Window      `toml:"windows"`
 	Faults       FaultRates    `toml:"troubles"`
-	StepMS       int           `toml:"step_ms"` // between the ticks of controllers and watches
+	StepMS       int           `toml:"step_ms"` // milliseconds between the ticks of controllers and watches
 }
 
 // Type is a machine type.
@@ -40,7 +40,7 @@
 	Zones     []protocol.Zone      `toml:"zones"`
 }
 
-// Team is a team with its guaranteed and its highest number of processors.
+// Team is a team with its guaranteed processors (CPUs) and its limit (MaxCPUs).
 type Team struct {
 	Name    protocol.Team `toml:"name"`
 	CPUs    float64       `toml:"cpus"`
@@ -52,11 +52,11 @@
 	Class       string            `toml:"class"`
 	Team        protocol.Team     `toml:"team"`
 	Priority    protocol.Priority `toml:"priority"`
-	EveryS      float64           `toml:"every_s"` // between arrivals, on average
-	Tasks       int               `toml:"tasks"`   // on average
+	EveryS      float64           `toml:"every_s"` // mean time between arrivals
+	Tasks       int               `toml:"tasks"`   // mean tasks per job
 	CPUs        float64           `toml:"cpus"`
 	EstimateS   float64           `toml:"estimate_s"`
-	Factor      float64           `toml:"factor"` // true run time by estimate
+	Factor      float64           `toml:"factor"` // actual run time divided by the estimate
 	CheckpointS float64           `toml:"checkpoint_s"`
 	SaveS       float64           `toml:"save_s"`
 	Spot        bool              `toml:"spot"`
@@ -77,11 +77,12 @@
 	Zone     protocol.Zone     `toml:"zone"`
 	OneZone  bool              `toml:"one_zone"`
 	Gang     bool              `toml:"gang"`
-	// SubmitAfterS is how long after its time the job is submitted; negative: before.
+	// SubmitAfterS is how long after the start of an occurrence its job is submitted; it is
+	// negative if the job is submitted before the start.
 	SubmitAfterS float64 `toml:"comes_s"`
-	// NeverSubmitted is set if no job is submitted for it.
+	// NeverSubmitted is set if no job is submitted for the reservation.
 	NeverSubmitted bool `toml:"never"`
-	// ExtraTasks is how many tasks the job has beyond the reserved ones.
+	// ExtraTasks is how many tasks the job has in addition to the reserved ones.
 	ExtraTasks int `toml:"more"`
 }
 
@@ -94,8 +95,8 @@
 	Zone    protocol.Zone        `toml:"zone"`
 }
 
-// FaultRates are how often each fault happens, on average per day, at times drawn by the
-// seed. Every second one happens in the minutes before a reservation's time.
+// FaultRates is how often each fault is injected per day, at times drawn from the seed. Half
+// of the faults, at random, are injected in the minutes before a reservation starts.
 type FaultRates struct {
 	Crash           float64 `toml:"crash"`        // a controller crashes
 	CrashAll        float64 `toml:"all_crash"`    // all controllers crash
@@ -105,7 +106,7 @@
 	SpotPreemption  float64 `toml:"spot_wave"`    // a third of the spot machines are preempted
 	MachineLost     float64 `toml:"lost"`         // a machine is lost
 	Slowdown        float64 `toml:"slow"`         // a controller is five times slower for two minutes
-	Pause           float64 `toml:"frozen"`       // a controller is paused for 40 s while clocks run on
+	Pause           float64 `toml:"frozen"`       // a controller is paused for 40 s while its clocks run on
 	WorkerPartition float64 `toml:"deaf"`         // a controller is partitioned from the workers for a minute
 	Shutdown        float64 `toml:"leave"`        // a controller is shut down by a signal
 	RollingShutdown float64 `toml:"roll"`         // all controllers are shut down, one after the other
--- a/internal/simulator/sparecapacity_test.go
+++ b/internal/simulator/sparecapacity_test.go
@@ -24,38 +24,38 @@
 // starts nearly as soon as without them; they get a good part of what it leaves.
 func TestLowPriorityTeamUsesSpareCapacity(t *testing.T) {
 	t.Parallel()
-	play := func(seed uint64, guests bool) (waits []time.Duration, most int) {
+	run := func(seed uint64, withGuests bool) (waits []time.Duration, maxGuestTasks int) {
 		w := newWorld(t.Fatalf, seed, spareCapacitySettings(), 60, 60)
-		for _, sw := range w.workers { // else every task would take a second more than anybody can know of
-			sw.CachesImages = true
+		for _, m := range w.workers { // else every task would take a second more than anybody can know of
+			m.CachesImages = true
 		}
-		came, begun, on := map[protocol.JobID]time.Duration{}, map[protocol.TaskID]bool{}, 0
+		submittedAt, started, guestTasks := map[protocol.JobID]time.Duration{}, map[protocol.TaskID]bool{}, 0
 		w.runTime = func(id protocol.TaskID) time.Duration {
 			return config.Seconds(w.jobs[id.Job].EstimateS)
 		}
 		w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) {
 			switch j := w.jobs[id.Job]; {
 			case j.Class == "idle":
-				if on++; on > most {
-					most = on
+				if guestTasks++; guestTasks > maxGuestTasks {
+					maxGuestTasks = guestTasks
 				}
-			case !begun[id]:
-				begun[id] = true
-				waits = append(waits, w.now-came[id.Job])
+			case !started[id]:
+				started[id] = true
+				waits = append(waits, w.now-submittedAt[id.Job])
 			}
 		}
 		w.onTaskEnded = func(_ protocol.MachineID, id protocol.TaskID, _ protocol.EndCause) {
 			if w.jobs[id.Job].Class == "idle" {
-				on--
+				guestTasks--
 			}
 		}
 		w.run(3 * time.Second)
 		for i := range 80 {
 			if i%2 == 0 {
 				w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindJobArray, Priority: "low", Tasks: uint32(20 + i%3*20), CPUs: 2, EstimateS: 5, Spot: true, DeadlineS: 20})
-				came[w.jobOrder[len(w.jobOrder)-1]] = w.now
+				submittedAt[w.jobOrder[len(w.jobOrder)-1]] = w.now
 			}
-			if guests && i%10 == 5 {
+			if withGuests && i%10 == 5 {
 				w.submit(protocol.Job{Class: "idle", Team: "guest", Kind: protocol.KindJobArray, Priority: "low", Tasks: 150, CPUs: 1, EstimateS: 90, Spot: true})
 			}
 			if i == 45 {
@@ -64,19 +64,19 @@
 			w.run(w.now + time.Second)
 		}
 		slices.Sort(waits)
-		return waits, most
+		return waits, maxGuestTasks
 	}
 	for seed := uint64(21); seed < 24; seed++ {
-		alone, _ := play(seed, false)
-		beside, most := play(seed, true)
-		late := func(waits []time.Duration) time.Duration { return waits[len(waits)*9/10] }
-		if len(beside) < len(alone)*9/10 || late(beside) > late(alone)+3*time.Second {
-			t.Errorf("%d tasks of the class with a deadline wait up to %v at the 90th percentile, %d and %v without guests", len(beside), late(beside), len(alone), late(alone))
+		waitsAlone, _ := run(seed, false)
+		waitsWithGuests, maxGuestTasks := run(seed, true)
+		p90 := func(waits []time.Duration) time.Duration { return waits[len(waits)*9/10] }
+		if len(waitsWithGuests) < len(waitsAlone)*9/10 || p90(waitsWithGuests) > p90(waitsAlone)+3*time.Second {
+			t.Errorf("%d tasks of the class with a deadline wait up to %v at the 90th percentile, %d and %v without guests", len(waitsWithGuests), p90(waitsWithGuests), len(waitsAlone), p90(waitsAlone))
 		}
-		if most < 60 {
-			t.Errorf("guests have at most %d of 360 processors, where the others use 100 on average", most)
+		if maxGuestTasks < 60 {
+			t.Errorf("guests have at most %d of 360 processors, where the others use 100 on average", maxGuestTasks)
 		}
-		t.Logf("%v and %v at the 90th percentile, guests up to %d", late(alone), late(beside), most)
+		t.Logf("%v and %v at the 90th percentile, guests up to %d", p90(waitsAlone), p90(waitsWithGuests), maxGuestTasks)
 	}
 }
 
@@ -87,28 +87,28 @@
 	waits     []time.Duration
 }
 
-// comes records that the job submitted last has to start.
-func (b *startTracker) comes(w *world) { b.submitted[w.jobOrder[len(w.jobOrder)-1]] = w.now }
+// trackLastJob records that the job submitted last has to start.
+func (b *startTracker) trackLastJob(w *world) { b.submitted[w.jobOrder[len(w.jobOrder)-1]] = w.now }
 
-// late reports that some have not begun, or not soon enough.
-func (b *startTracker) late(most time.Duration) bool {
-	return len(b.submitted) > 0 || slices.Max(b.waits) > most
+// hasLateJobs reports that some have not begun, or not soon enough.
+func (b *startTracker) hasLateJobs(maxWait time.Duration) bool {
+	return len(b.submitted) > 0 || slices.Max(b.waits) > maxWait
 }
 
 // newStartTracker returns a fleet of 20 machines, and no more, that records when jobs start.
 func newStartTracker(t *testing.T, seed uint64) (*world, *startTracker) {
 	t.Helper()
-	w, b := newWorld(t.Fatalf, seed, spareCapacitySettings(), 20, 20), &startTracker{submitted: map[protocol.JobID]time.Duration{}}
+	w, tracker := newWorld(t.Fatalf, seed, spareCapacitySettings(), 20, 20), &startTracker{submitted: map[protocol.JobID]time.Duration{}}
 	w.cloud.Capacity = 20
 	w.runTime = func(id protocol.TaskID) time.Duration { return config.Seconds(w.jobs[id.Job].EstimateS) }
 	w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) {
-		if at, awaited := b.submitted[id.Job]; awaited {
-			b.waits = append(b.waits, w.now-at)
-			delete(b.submitted, id.Job)
+		if at, awaited := tracker.submitted[id.Job]; awaited {
+			tracker.waits = append(tracker.waits, w.now-at)
+			delete(tracker.submitted, id.Job)
 		}
 	}
 	w.run(3 * time.Second)
-	return w, b
+	return w, tracker
 }
 
 // TestUrgentJobsAreNotLimitedToSpareCapacity: jobs that no objective names, more urgent than all that
@@ -117,37 +117,37 @@
 // had what was left, in small pieces: nothing.
 func TestUrgentJobsAreNotLimitedToSpareCapacity(t *testing.T) {
 	t.Parallel()
-	w, b := newStartTracker(t, 22)
+	w, tracker := newStartTracker(t, 22)
 	for i := range 200 {
 		w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindJobArray, Priority: "low", Tasks: 12, CPUs: 2, EstimateS: 12, Spot: true, DeadlineS: 60})
 		if i%20 == 10 {
 			w.submit(protocol.Job{Class: "urgent", Team: "home", Kind: protocol.KindGang, Priority: "high", Tasks: 1, CPUs: 8, EstimateS: 60, Spot: true})
-			b.comes(w)
+			tracker.trackLastJob(w)
 		}
 		w.run(w.now + time.Second)
 	}
 	w.run(w.now + 30*time.Second)
-	if b.late(60 * time.Second) {
-		t.Errorf("%d of 10 have not begun, the others waited up to %v", len(b.submitted), slices.Max(append(b.waits, 0)))
+	if tracker.hasLateJobs(60 * time.Second) {
+		t.Errorf("%d of 10 have not begun, the others waited up to %v", len(tracker.submitted), slices.Max(append(tracker.waits, 0)))
 	}
-	t.Log(b.waits)
+	t.Log(tracker.waits)
 }
 
 // TestJobsWithoutObjectiveStart: beside a class with an objective that could use all there is,
 // every job without one begins within two minutes, however large.
 func TestJobsWithoutObjectiveStart(t *testing.T) {
 	t.Parallel()
-	w, b := newStartTracker(t, 23)
+	w, tracker := newStartTracker(t, 23)
 	for i := range 240 {
 		w.submit(protocol.Job{Class: "sheet", Team: "home", Kind: protocol.KindJobArray, Priority: "low", Tasks: uint32(4 + i%2), CPUs: 2, EstimateS: 12, Spot: true, DeadlineS: 60})
 		if i%10 == 5 && i < 120 {
 			w.submit(protocol.Job{Class: "idle", Team: "guest", Kind: protocol.KindJobArray, Priority: "low", Tasks: uint32(20 + i), CPUs: 2, EstimateS: 90, Spot: true})
-			b.comes(w)
+			tracker.trackLastJob(w)
 		}
 		w.run(w.now + time.Second)
 	}
-	if b.late(2 * time.Minute) {
-		t.Errorf("%d of 12 have not begun, the others waited up to %v", len(b.submitted), slices.Max(append(b.waits, 0)))
+	if tracker.hasLateJobs(2 * time.Minute) {
+		t.Errorf("%d of 12 have not begun, the others waited up to %v", len(tracker.submitted), slices.Max(append(tracker.waits, 0)))
 	}
-	t.Log(b.waits)
+	t.Log(tracker.waits)
 }
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// transactionTimeout is how long a process waits for the answer to a transaction.
+	// transactionTimeout is how long a process waits for the outcome of a transaction.
 	transactionTimeout = 1500 * time.Millisecond
-	// maxTransactionBytes bounds the values of a transaction.
+	// maxTransactionBytes bounds the total size of the values of a transaction.
 	maxTransactionBytes = 64 << 10
 )
 
-// stateService is the model of the state service, with its faults.
+// stateService models the state service and its faults.
 type stateService struct {
 	*timeline
 	state          *fake.KeyValueStore
 	outageUntil    time.Duration
-	wasUnavailable bool          // at the last step
-	stateLatency   time.Duration // of a transaction
-	watchLag       time.Duration // by which controllers see changes later
-	// lateWriteFraction is the fraction of the transactions that get no answer and are
-	// applied seconds later, after newer ones.
+	wasUnavailable bool          // whether it was unavailable at the last step
+	stateLatency   time.Duration // added latency of a transaction and of the watch
+	watchLag       time.Duration // additional delay until controllers see changes
+	// lateWriteFraction is the fraction of the transactions that get no reply and are applied
+	// 2 to 12 seconds later, possibly after newer transactions.
 	lateWriteFraction float64
-	// lostAnswerFraction is the fraction of the transactions of which only the answer is
-	// lost, beside those that always are.
+	// lostAnswerFraction is the fraction of the transactions that are applied but whose reply
+	// is lost, in addition to the one in twenty whose reply is always lost.
 	lostAnswerFraction float64
-	changeTimes        []time.Duration // when its changes happened
+	changeTimes        []time.Duration // times of the changes, from index state.Before on
 }
 
-// isUnavailable reports whether the state service is out.
+// isUnavailable reports whether the state service has an outage.
 func (s *stateService) isUnavailable() bool { return s.outageUntil > s.now }
 
 // advanceStateService ends outages and expires leases.
@@ -49,32 +49,33 @@
 	}
 }
 
-// recordChangeTimes records the time of changes that have happened since the last step.
+// recordChangeTimes records the times of the changes that happened since the last step.
 func (s *stateService) recordChangeTimes() {
 	for s.state.Before+len(s.changeTimes) < s.state.Changes() {
 		s.changeTimes = append(s.changeTimes, s.now)
 	}
 }
 
-// changeAge returns how long ago a change happened.
+// changeAge returns how long ago the change with index i happened.
 func (s *stateService) changeAge(i int) time.Duration {
 	if i -= s.state.Before; i >= len(s.changeTimes) {
-		return 0 // in this step
+		return 0 // happened in this step
 	}
 	return s.now - s.changeTimes[i]
 }
 
-// transactionDone is called with the outcome of a transaction.
-type transactionDone func(message.Outcome, protocol.Revision)
+// transactionCallback is called with the outcome of a transaction and the resulting revision
+// of the state service.
+type transactionCallback func(message.Outcome, protocol.Revision)
 
-// stateReachable reports whether a node reaches the state service.
+// stateReachable reports whether the node can reach the state service.
 func (n *node) stateReachable() bool {
 	w := n.world
-	p, ok := w.partitions[partitionKey(string(n.name), stateEnd)]
+	p, ok := w.partitions[partitionKey(string(n.name), stateEndpoint)]
 	return !w.isUnavailable() && (!ok || p.until <= w.now)
 }
 
-// commit applies a core's transaction.
+// commit applies a transaction that the core has returned.
 func (n *node) commit(a message.Commit) {
 	n.world.checkTransactionSize(a)
 	n.transact(a.Transaction, func(out message.Outcome, at protocol.Revision) {
@@ -82,12 +83,13 @@
 	})
 }
 
-// transact applies a transaction of a process, which gets the outcome unless it has ended.
-// Behind a partition it may be applied late, without an answer.
-func (n *node) transact(txn protocol.Transaction, done transactionDone) {
+// transact applies a transaction and reports the outcome to done, unless the node's process
+// has ended by then. During a partition that delays messages, the transaction is applied when
+// the partition ends and gets no reply.
+func (n *node) transact(txn protocol.Transaction, done transactionCallback) {
 	w := n.world
 	if !n.stateReachable() {
-		p := w.partitions[partitionKey(string(n.name), stateEnd)]
+		p := w.partitions[partitionKey(string(n.name), stateEndpoint)]
 		if p.delayed && !w.isUnavailable() {
 			w.after(p.until-w.now+w.delay(), func() { w.state.Txn(txn) })
 			n.loseAnswer(done)
@@ -108,22 +110,22 @@
 	n.apply(txn, done)
 }
 
-// loseAnswer lets a transaction of a process time out.
-func (n *node) loseAnswer(done transactionDone) {
+// loseAnswer makes a transaction time out with an unknown outcome.
+func (n *node) loseAnswer(done transactionCallback) {
 	n.afterIfAlive(transactionTimeout, func() { done(message.OutcomeUnknown, 0) })
 }
 
-// apply applies a transaction at the state service and answers it.
-func (n *node) apply(txn protocol.Transaction, done transactionDone) {
+// apply applies a transaction to the state service and replies with the outcome.
+func (n *node) apply(txn protocol.Transaction, done transactionCallback) {
 	w := n.world
 	out := message.OutcomeFailed
 	if w.state.Txn(txn) {
 		out = message.OutcomeDone
-		w.watchSoon()
+		w.scheduleWatch()
 	}
 	at := w.state.Revision
 	if w.rng.IntN(20) == 0 || w.lostAnswerFraction > 0 && w.rng.Float64() < w.lostAnswerFraction {
-		out = message.OutcomeUnknown // the answer is lost
+		out = message.OutcomeUnknown // the reply is lost
 	}
 	n.afterIfAlive(w.stateLatency/2, func() {
 		n.afterIfAlive(w.delay(), func() { done(out, at) })
--- a/internal/simulator/timeline.go
+++ b/internal/simulator/timeline.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// timeline holds the simulated time and the events that are to come.
+// timeline holds the simulated time and the pending events.
 type timeline struct {
 	now      time.Duration
-	sequence int // of the last event
+	sequence int // sequence number of the last event added
 	queue    eventQueue
 }
 
-// event is something that happens at a time. Events of the same time happen in the order
+// event is a function to run at a simulated time. Events with the same time run in the order
 // in which they were added.
 type event struct {
 	at       time.Duration
@@ -26,7 +26,7 @@
 // Len returns the number of events.
 func (q eventQueue) Len() int { return len(q) }
 
-// Less reports whether an event is before another.
+// Less reports whether event i runs before event j.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
@@ -34,10 +34,10 @@
 // Swap swaps two events.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push appends an event; for package heap only.
+// Push appends an event; called only by package heap.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop removes the last event; for package heap only.
+// Pop removes the last event; called only by package heap.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -45,13 +45,13 @@
 	return last
 }
 
-// after does something after a time.
+// after schedules do to run after the duration d.
 func (t *timeline) after(d time.Duration, do func()) {
 	t.sequence++
 	heap.Push(&t.queue, event{t.now + d, t.sequence, do})
 }
 
-// runEvents runs all events until a time, which may add others.
+// runEvents runs all events up to and including a time. Events may add further events.
 func (t *timeline) runEvents(until time.Duration) {
 	for len(t.queue) > 0 && t.queue[0].at <= until {
 		e := heap.Pop(&t.queue).(event)
--- a/internal/simulator/usercheckfaults_test.go
+++ b/internal/simulator/usercheckfaults_test.go
@@ -15,7 +15,7 @@
 // the fault that is injected for it.
 func TestUserChecksDetectInjectedFaults(t *testing.T) {
 	second := time.Second
-	long := func(u *users) { u.runTime = u.drawSpreadRunTime }
+	useSpreadRunTimes := func(u *users) { u.runTime = u.drawSpreadRunTime }
 	status := func(s protocol.JobState) func(id protocol.JobID) admission.Answer {
 		return func(id protocol.JobID) admission.Answer {
 			body, err := protocol.Encode(protocol.JobStatus{ID: id, State: s})
@@ -25,9 +25,9 @@
 			return admission.Answer{Status: 200, Body: body}
 		}
 	}
-	says := func(answer func(protocol.JobID) admission.Answer, when func(*userJob) bool) func(*users) {
+	changeAnswers := func(answer func(protocol.JobID) admission.Answer, when func(*userJob) bool) func(*users) {
 		return func(u *users) {
-			long(u)
+			useSpreadRunTimes(u)
 			u.changeAnswer = func(j *userJob, a admission.Answer) admission.Answer {
 				if when(j) && u.rng.IntN(5) == 0 {
 					return answer(j.id)
@@ -39,20 +39,20 @@
 	refusal := func(status int) func(protocol.JobID) admission.Answer {
 		return func(protocol.JobID) admission.Answer { return admission.Failure(status, "no") }
 	}
-	live := func(j *userJob) bool { return j.accepted && j.rejectStatus == 0 && j.rank < over }
-	ended := func(j *userJob) bool { return j.rank == over }
+	isLive := func(j *userJob) bool { return j.accepted && j.rejectStatus == 0 && j.rank < rankFinal }
+	isFinal := func(j *userJob) bool { return j.rank == rankFinal }
 	for name, injected := range map[string]struct {
 		scenario userScenario
 		want     string
 	}{
-		"live after it was over":      {userScenario{prepare: says(status(protocol.JobQueued), ended), closely: true}, "went_back"},
-		"cancelled by nobody":         {userScenario{prepare: says(status(protocol.JobCancelled), live)}, "went_back"},
-		"done before its tasks are":   {userScenario{prepare: says(status(protocol.JobDone), live)}, "not_done"},
-		"not known though accepted":   {userScenario{prepare: says(refusal(404), live)}, "forgotten"},
-		"refused though accepted":     {userScenario{prepare: says(refusal(422), live), closely: true}, "forgotten"},
-		"malformed though accepted":   {userScenario{prepare: says(refusal(400), live), closely: true}, "forgotten"},
-		"accepted though it can't be": {userScenario{prepare: says(status(protocol.JobQueued), func(j *userJob) bool { return j.rejectStatus != 0 })}, "invented"},
-		"no word when to come back":   {userScenario{prepare: says(func(protocol.JobID) admission.Answer { return admission.Answer{Status: 503} }, live)}, "no Retry-After"},
+		"live after it was over":      {userScenario{prepare: changeAnswers(status(protocol.JobQueued), isFinal), requestOften: true}, "went_back"},
+		"cancelled by nobody":         {userScenario{prepare: changeAnswers(status(protocol.JobCancelled), isLive)}, "went_back"},
+		"done before its tasks are":   {userScenario{prepare: changeAnswers(status(protocol.JobDone), isLive)}, "not_done"},
+		"not known though accepted":   {userScenario{prepare: changeAnswers(refusal(404), isLive)}, "forgotten"},
+		"refused though accepted":     {userScenario{prepare: changeAnswers(refusal(422), isLive), requestOften: true}, "forgotten"},
+		"malformed though accepted":   {userScenario{prepare: changeAnswers(refusal(400), isLive), requestOften: true}, "forgotten"},
+		"accepted though it can't be": {userScenario{prepare: changeAnswers(status(protocol.JobQueued), func(j *userJob) bool { return j.rejectStatus != 0 })}, "invented"},
+		"no word when to come back":   {userScenario{prepare: changeAnswers(func(protocol.JobID) admission.Answer { return admission.Answer{Status: 503} }, isLive)}, "no Retry-After"},
 		"never answered once all is well": {userScenario{prepare: func(u *users) {
 			u.runTime = func(protocol.TaskID) time.Duration { return 5 * time.Minute }
 			u.changeAnswer = func(_ *userJob, a admission.Answer) admission.Answer {
@@ -82,30 +82,30 @@
 				u.world.jobs[j.ID], u.jobs[j.ID] = j, &userJob{id: j.ID, job: j, accepted: true}
 			})
 		}}, "left waiting"},
-		"starts after a confirmed cancellation": {userScenario{cancels: 0.6, prepare: func(u *users) {
+		"starts after a confirmed cancellation": {userScenario{cancelFraction: 0.6, prepare: func(u *users) {
 			u.dropCancellations, u.requestOften = true, true
 			u.watchLag = second
 		}, atEnd: func(u *users) {
-			if u.startsAfter > u.startsByPartitioned {
+			if u.startsAfterCancellation > u.startsByPartitionedNodes {
 				u.fail("started after the confirmation")
 			}
 		}}, "started after"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var seen []string
-			for seed := 0; seed < 6 && len(seen) == 0; seed++ {
+			var violations []string
+			for seed := 0; seed < 6 && len(violations) == 0; seed++ {
 				d := injected.scenario
-				d.machines, d.duration, d.job, d.every = 9, 60*second, (*world).randomJob, second/2
-				d.cancels = max(d.cancels, 0.2)
+				d.machines, d.duration, d.job, d.interval = 9, 60*second, (*world).randomJob, second/2
+				d.cancelFraction = max(d.cancelFraction, 0.2)
 				d.fail = func(format string, args ...any) {
-					if what := fmt.Sprintf(format, args...); strings.Contains(what, injected.want) {
-						seen = append(seen, what)
+					if violation := fmt.Sprintf(format, args...); strings.Contains(violation, injected.want) {
+						violations = append(violations, violation)
 					}
 				}
 				d.run(t, 1_400_000+seed)
 			}
-			if len(seen) == 0 {
+			if len(violations) == 0 {
 				t.Errorf("nobody has seen %q", injected.want)
 			}
 		})
--- a/internal/simulator/userchecks_test.go
+++ b/internal/simulator/userchecks_test.go
@@ -11,72 +11,72 @@
 )
 
 // checkAnswer checks an answer against the rules.
-func (u *users) checkAnswer(f *frontend, j, begun *userJob, op admission.Operation, a admission.Answer) {
-	says := func(what string) {
-		u.fail("%v %s: %s says %d %s of %s (operation %d, cancelled by its user %v, told before %q, bad %d)", u.now, what, f.n.name, a.Status, bodyOf(a), j.id, op, begun.cancelRequested, begun.finalAnswer, j.rejectStatus)
+func (u *users) checkAnswer(f *frontend, j, before *userJob, op admission.Operation, a admission.Answer) {
+	fail := func(rule string) {
+		u.fail("%v %s: %s says %d %s of %s (operation %d, cancelled by its user %v, told before %q, bad %d)", u.now, rule, f.node.name, a.Status, describeBody(a), j.id, op, before.cancelRequested, before.finalAnswer, j.rejectStatus)
 	}
 	switch a.Status {
 	case 200, 201:
 	case 404:
-		if begun.rank > unknown {
-			says("forgotten")
+		if before.rank > rankUnknown {
+			fail("forgotten")
 		}
 		j.lastAnswer = u.now
 		return
 	case 400, 422:
 		if j.rejectStatus != a.Status {
-			says("forgotten")
+			fail("forgotten")
 		}
 		return
 	case 503:
-		u.refused++
+		u.unavailable++
 		if a.RetryAfterS == 0 {
-			says("no Retry-After")
+			fail("no Retry-After")
 		}
 		return
 	default:
-		says("unexpected")
+		fail("unexpected")
 		return
 	}
 	j.lastAnswer = u.now
 	var s protocol.JobStatus
 	if err := protocol.Decode(a.Body, &s); err != nil || s.ID != j.id {
-		says("unreadable")
+		fail("unreadable")
 		return
 	}
 	if j.rejectStatus != 0 {
-		says("invented")
+		fail("invented")
 		return
 	}
-	r := accepted
+	rank := rankAccepted
 	switch s.State {
 	case protocol.JobDone:
-		r = over
+		rank = rankFinal
 		u.checkDone(j)
 		if j.finalAnswer == protocol.JobCancelled {
-			says("went_back")
+			fail("went_back")
 		}
 	case protocol.JobCancelled:
-		r = over
+		rank = rankFinal
 		if !j.cancelRequested || j.finalAnswer == protocol.JobDone {
-			says("went_back")
+			fail("went_back")
 		}
 		if _, already := u.cancelled[j.id]; !already {
 			u.cancelled[j.id] = u.now
 		}
 	default:
-		if begun.endedAt != 0 && op == admission.Poll && begun.endedAt+3*time.Second < u.now-pollTimeout {
-			u.late++
+		if before.endedAt != 0 && op == admission.Poll && before.endedAt+3*time.Second < u.now-pollTimeout {
+			u.lateEnds++
 		}
 	}
-	if r < begun.rank {
-		says("went_back")
+	if rank < before.rank {
+		fail("went_back")
 	}
-	if r == over {
+	if rank == rankFinal {
 		j.finalAnswer = s.State
 	}
-	newer := r > j.rank
-	j.rank = max(j.rank, r)
+	isNewer := rank > j.rank
+	j.rank = max(j.rank, rank)
 	if !j.accepted {
 		j.accepted = true
 		u.jobOrder = append(u.jobOrder, j.id)
@@ -85,12 +85,12 @@
 			u.after(time.Duration(u.rng.IntN(5))*time.Millisecond, func() { u.cancelJob(j) })
 		}
 	}
-	if newer && u.requestOften {
+	if isNewer && u.requestOften {
 		u.requestEverywhere(j)
 	}
 }
 
-func bodyOf(a admission.Answer) string {
+func describeBody(a admission.Answer) string {
 	var s protocol.JobStatus
 	if protocol.Decode(a.Body, &s) == nil && s.ID != "" {
 		return string(s.State)
@@ -111,7 +111,7 @@
 // checkForgotten: once all faults are over, no job goes without an answer for 75 s.
 func (u *users) checkForgotten() {
 	for _, j := range ordered.Of(u.jobs) {
-		if j.polled && j.rank < over && u.faultFreeSince != 0 && u.now-max(j.lastAnswer, u.faultFreeSince) > maxUnanswered {
+		if j.polled && j.rank < rankFinal && u.faultFreeSince != 0 && u.now-max(j.lastAnswer, u.faultFreeSince) > maxUnanswered {
 			u.fail("%v forgotten: no question about %s has been answered for %v", u.now, j.id, u.now-max(j.lastAnswer, u.faultFreeSince))
 		}
 	}
--- a/internal/simulator/userhandover_test.go
+++ b/internal/simulator/userhandover_test.go
@@ -17,11 +17,11 @@
 // a share's move, a controller's leave, its end and its loss of the records; its tasks
 // are stopped in time, and none is started after the confirmation.
 func TestCancellationAtEachStepOfHandover(t *testing.T) {
-	for name, hand := range map[string]struct {
+	for name, handover := range map[string]struct {
 		do   func(*world, *node)
 		over time.Duration
 	}{
-		"shares move":     {func(w *world, n *node) { w.moveShards(n.shards(), w.nodes[0]) }, time.Second},
+		"shares move":     {func(w *world, n *node) { w.moveShards(n.heldShards(), w.nodes[0]) }, time.Second},
 		"told to end":     {func(w *world, n *node) { n.shutDown() }, 1500 * time.Millisecond},
 		"ends":            {func(w *world, n *node) { n.crashFor(200 * time.Millisecond) }, 1500 * time.Millisecond},
 		"ends for longer": {func(w *world, n *node) { n.crashFor(12 * time.Second) }, 12 * time.Second},
@@ -30,10 +30,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			step := 20 * time.Millisecond
-			if hand.over > 2*time.Second {
+			if handover.over > 2*time.Second {
 				step = 200 * time.Millisecond
 			}
-			for at := time.Duration(0); at < hand.over; at += step {
+			for at := time.Duration(0); at < handover.over; at += step {
 				w := newWorld(t.Fatalf, 77, fake.Settings(), 6, 6)
 				w.eventDriven = true
 				w.runTime = func(protocol.TaskID) time.Duration { return 5 * time.Minute }
@@ -51,7 +51,7 @@
 				for _, j := range ordered.Of(u.jobs) {
 					w.after(at, func() { u.cancelJob(j) })
 				}
-				hand.do(w, n)
+				handover.do(w, n)
 				w.run(w.now + at + time.Duration(w.settings.Site.Workers.CancelS)*time.Second + 10*time.Second)
 				for id, j := range ordered.Of(u.jobs) {
 					if j.finalAnswer != protocol.JobCancelled {
@@ -61,40 +61,40 @@
 				if len(w.onMachine) > 0 {
 					t.Errorf("after %v: %d tasks are still on machines", at, len(w.onMachine))
 				}
-				if u.startsAfter > u.startsByPartitioned {
-					t.Errorf("after %v: %d starts sent after the confirmation, %d by one cut off", at, u.startsAfter, u.startsByPartitioned)
+				if u.startsAfterCancellation > u.startsByPartitionedNodes {
+					t.Errorf("after %v: %d starts sent after the confirmation, %d by one cut off", at, u.startsAfterCancellation, u.startsByPartitionedNodes)
 				}
 			}
 		})
 	}
 }
 
-// TestSmallJobsStayWithinRates: one-task jobs that come four a second for two minutes, a
+// TestSmallJobsStayWithinStateServiceLimits: one-task jobs that come four a second for two minutes, a
 // quarter of them cancelled, send no more requests to the state service than its limits allow, and leave
 // nothing but their states behind.
-func TestSmallJobsStayWithinRates(t *testing.T) {
-	d := userScenario{machines: 9, duration: 120 * time.Second, job: smallJob, every: time.Second / 4, cancels: 0.25, prepare: func(u *users) { u.wellFormed = true }}
+func TestSmallJobsStayWithinStateServiceLimits(t *testing.T) {
+	d := userScenario{machines: 9, duration: 120 * time.Second, job: smallJob, interval: time.Second / 4, cancelFraction: 0.25, prepare: func(u *users) { u.wellFormed = true }}
 	u := d.run(t, 1_300_000)
-	most, from := 0, 0
+	maxPerSecond, from := 0, 0
 	for at := range u.changeTimes {
 		for u.changeTimes[at]-u.changeTimes[from] > time.Second {
 			from++
 		}
-		most = max(most, at-from+1)
+		maxPerSecond = max(maxPerSecond, at-from+1)
 	}
-	if rate := u.settings.Site.State.WriteRPS; float64(most) > rate {
-		t.Errorf("%d changes within a second, of %v", most, rate)
+	if rate := u.settings.Site.State.WriteRPS; float64(maxPerSecond) > rate {
+		t.Errorf("%d changes within a second, of %v", maxPerSecond, rate)
 	}
-	left := 0
+	remaining := 0
 	for _, it := range u.state.List("") {
 		if strings.HasPrefix(it.Key, record.LiveKey("")) || strings.HasPrefix(it.Key, "bits/") {
-			left++
+			remaining++
 		}
 	}
-	if left > 0 {
-		t.Errorf("%d records are left of jobs that are over", left)
+	if remaining > 0 {
+		t.Errorf("%d records are left of jobs that are over", remaining)
 	}
-	t.Logf("%d changes within a second at the most, of %v", most, u.settings.Site.State.WriteRPS)
+	t.Logf("%d changes within a second at the most, of %v", maxPerSecond, u.settings.Site.State.WriteRPS)
 }
 
 // TestLeaderCrashAtEachStep: the controller that writes records ends at each moment, 20 ms
@@ -109,7 +109,7 @@
 			u.bootMachine(ids[0], r)
 		},
 		"of an election":            func(u *users) { u.leader().crashFor(9 * time.Second) },
-		"of an election, back soon": func(u *users) { u.leader().restore() },
+		"of an election, back soon": func(u *users) { u.leader().crashBriefly() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -130,7 +130,7 @@
 				w.after(at+600*time.Millisecond, func() { u.leader().crashFor(300 * time.Millisecond) })
 				w.run(w.now + 15*time.Second)
 				w.stateLatency, w.lateWriteFraction = 0, 0
-				for end := w.now + 2*time.Minute; w.now < end && slices.ContainsFunc(slices.Collect(maps.Values(u.jobs)), func(j *userJob) bool { return j.rank < over }); {
+				for end := w.now + 2*time.Minute; w.now < end && slices.ContainsFunc(slices.Collect(maps.Values(u.jobs)), func(j *userJob) bool { return j.rank < rankFinal }); {
 					w.run(w.now + time.Second)
 				}
 				for id, j := range ordered.Of(u.jobs) {
--- a/internal/simulator/useroverlaps_test.go
+++ b/internal/simulator/useroverlaps_test.go
@@ -9,8 +9,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// restore ends a controller's process, which is back within a second.
-func (n *node) restore() {
+// crashBriefly ends a controller's process, which is back within a second.
+func (n *node) crashBriefly() {
 	w := n.world
 	n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 }
@@ -25,14 +25,14 @@
 	return w.nodes[w.rng.IntN(len(w.nodes))]
 }
 
-// callOff has users cancel up to so many jobs that run, within a fifth of a second, and
+// cancelRunningJobs has users cancel up to so many jobs that run, within a fifth of a second, and
 // some of their machines hang for a while, or be partitioned from all controllers.
-func (u *users) callOff(most int, hang time.Duration) {
+func (u *users) cancelRunningJobs(maxJobs int, hang time.Duration) {
 	machines := map[protocol.MachineID]bool{}
 	n := 0
 	for _, id := range slices.Backward(u.jobOrder) {
 		j := u.jobs[id]
-		if j == nil || j.cancelRequested || j.rank == over || n >= most {
+		if j == nil || j.cancelRequested || j.rank == rankFinal || n >= maxJobs {
 			continue
 		}
 		runs := false
@@ -50,26 +50,26 @@
 		return
 	}
 	for _, id := range u.machineOrder {
-		if sw := u.workers[id]; machines[id] && u.rng.IntN(3) > 0 {
+		if m := u.workers[id]; machines[id] && u.rng.IntN(3) > 0 {
 			switch u.rng.IntN(3) {
 			case 0:
-				sw.pausedUntil = max(sw.pausedUntil, u.now+hang)
+				m.pausedUntil = max(m.pausedUntil, u.now+hang)
 			case 1:
-				sw.inboundLostUntil = max(sw.inboundLostUntil, u.now+hang)
+				m.inboundLostUntil = max(m.inboundLostUntil, u.now+hang)
 			case 2:
-				sw.outboundLostUntil = max(sw.outboundLostUntil, u.now+hang)
+				m.outboundLostUntil = max(m.outboundLostUntil, u.now+hang)
 			}
 		}
 	}
 }
 
-// boundTeams are teams that all have limits, lower than what their jobs need.
-var boundTeams = []config.Team{{Name: "cold", CPUs: 8, MaxCPUs: 16}, {Name: "desk", CPUs: 6, MaxCPUs: 10}, {Name: "yield", MaxCPUs: 8}}
+// limitedTeams are teams that all have limits, lower than what their jobs need.
+var limitedTeams = []config.Team{{Name: "cold", CPUs: 8, MaxCPUs: 16}, {Name: "desk", CPUs: 6, MaxCPUs: 10}, {Name: "yield", MaxCPUs: 8}}
 
-// boundJob is a job of one of these.
-func boundJob(w *world) protocol.Job {
+// limitedTeamJob is a job of one of these.
+func limitedTeamJob(w *world) protocol.Job {
 	j := w.randomJob()
-	j.Team = boundTeams[w.rng.IntN(len(boundTeams))].Name
+	j.Team = limitedTeams[w.rng.IntN(len(limitedTeams))].Name
 	if j.Kind != protocol.KindJobArray {
 		j.Tasks = min(j.Tasks, uint32(8/j.CPUs))
 	}
@@ -92,26 +92,26 @@
 	return protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 3, Spot: true}
 }
 
-// userOverlaps are the operators' overlapping faults, each by itself, with users at all
+// overlappingFaultScenarios are the operators' overlapping faults, each by itself, with users at all
 // controllers.
-func userOverlaps() map[string]userScenario {
+func overlappingFaultScenarios() map[string]userScenario {
 	second := time.Second
-	base := userScenario{machines: 9, duration: 100 * second, job: (*world).randomJob, every: second, cancels: 0.3, after: 30 * second}
+	base := userScenario{machines: 9, duration: 100 * second, job: (*world).randomJob, interval: second, cancelFraction: 0.3, settleTime: 30 * second}
 	with := func(change func(*userScenario)) userScenario {
 		d := base
 		change(&d)
 		return d
 	}
-	long := func(u *users) { u.runTime = u.drawSpreadRunTime }
-	closely := func(u *users) { u.requestOften, u.cancelAtEndFraction, u.cancelAtOnceFraction = true, 0.2, 0.2 }
+	useSpreadRunTimes := func(u *users) { u.runTime = u.drawSpreadRunTime }
+	requestOften := func(u *users) { u.requestOften, u.cancelAtEndFraction, u.cancelAtOnceFraction = true, 0.2, 0.2 }
 	return map[string]userScenario{
 		"users ask at all nodes within milliseconds": with(func(d *userScenario) {
-			d.prepare = closely
+			d.prepare = requestOften
 			d.fault = func(u *users) {
 				u.watchLag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
 				n := u.nodes[u.rng.IntN(3)]
 				for end := u.now + 3*second; u.now < end; { // some start as requests arrive
-					u.after(time.Duration(u.rng.IntN(2000))*time.Millisecond, func() { n.restore() })
+					u.after(time.Duration(u.rng.IntN(2000))*time.Millisecond, func() { n.crashBriefly() })
 					u.run(u.now + second)
 				}
 				u.stateLatency = time.Duration(u.rng.IntN(3)) * 150 * time.Millisecond
@@ -121,12 +121,12 @@
 			}
 		}),
 		"only the answer of a transaction is lost": with(func(d *userScenario) {
-			d.prepare = closely
+			d.prepare = requestOften
 			d.fault = func(u *users) {
 				u.lostAnswerFraction = 0.5
 				switch u.rng.IntN(4) {
 				case 0:
-					u.nodes[u.rng.IntN(3)].restore()
+					u.nodes[u.rng.IntN(3)].crashBriefly()
 				case 1:
 					u.moveRandomShards(16)
 				case 2:
@@ -135,18 +135,18 @@
 			}
 		}),
 		"teams at their limits, machines cut off or hanging, a new leader": with(func(d *userScenario) {
-			d.teams, d.job, d.waits = boundTeams, boundJob, true
-			d.prepare = long
+			d.teams, d.job, d.allowLongWaits = limitedTeams, limitedTeamJob, true
+			d.prepare = useSpreadRunTimes
 			d.fault = func(u *users) {
 				n := u.nodes[u.rng.IntN(3)]
 				u.watchLag = time.Duration(u.rng.IntN(4)) * 500 * time.Millisecond
 				if u.rng.IntN(2) == 0 {
 					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(7))*second, true) // follows late
 				}
-				u.callOff(4, time.Duration(1+u.rng.IntN(20))*second)
+				u.cancelRunningJobs(4, time.Duration(1+u.rng.IntN(20))*second)
 				switch u.rng.IntN(4) {
 				case 0, 1:
-					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { n.restore() })
+					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { n.crashBriefly() })
 				case 2:
 					u.moveRandomShards(24)
 				case 3: // a keeper takes over, and then follows late what is cancelled
@@ -154,13 +154,13 @@
 					after := time.Duration(u.rng.IntN(1500)) * time.Millisecond
 					u.after(after, func() {
 						u.partition(string(n.name), "state", time.Duration(4+u.rng.IntN(4))*second, true)
-						u.callOff(8, 0)
+						u.cancelRunningJobs(8, 0)
 					})
 				}
 			}
 		}),
 		"jobs are cancelled while work changes hands": with(func(d *userScenario) {
-			d.prepare = closely
+			d.prepare = requestOften
 			d.fault = func(u *users) {
 				n := u.nodes[u.rng.IntN(3)]
 				u.watchLag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
@@ -170,7 +170,7 @@
 				case 1:
 					n.shutDown()
 				case 2:
-					n.restore()
+					n.crashBriefly()
 				case 3:
 					u.partition(string(n.name), "state", 10*second, u.rng.IntN(2) == 0)
 				}
@@ -178,17 +178,17 @@
 			}
 		}),
 		"new machines within two seconds, late writes, the leader ends": with(func(d *userScenario) {
-			d.machines, d.every = 3, second/2
+			d.machines, d.interval = 3, second/2
 			d.prepare = func(u *users) {
 				u.cloud.Capacity = 14
 				u.bootTime = func(protocol.ProvisionRequest) time.Duration {
 					return time.Duration(100+u.rng.IntN(1900)) * time.Millisecond
 				}
-				rented := u.onProvisioned
+				onProvisioned := u.onProvisioned
 				u.onProvisioned = func(id protocol.MachineID, r protocol.ProvisionRequest) {
-					rented(id, r)
+					onProvisioned(id, r)
 					if u.rng.IntN(3) == 0 && u.now < 100*second {
-						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.leader().restore() })
+						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.leader().crashBriefly() })
 					}
 				}
 			}
@@ -201,31 +201,31 @@
 		}),
 		"an old report reaches every controller as a new leader begins": with(func(d *userScenario) {
 			d.fault = func(u *users) {
-				u.keepHeartbeats, u.duplicateHeartbeatFraction = true, 0.3
-				u.eachOf(0.2, func(sw *worker) { sw.pausedUntil = u.now + time.Duration(u.rng.IntN(20))*second })
+				u.recordHeartbeats, u.duplicateHeartbeatFraction = true, 0.3
+				u.forRandomWorkers(0.2, func(m *worker) { m.pausedUntil = u.now + time.Duration(u.rng.IntN(20))*second })
 				switch u.rng.IntN(3) {
 				case 0:
-					u.leader().restore()
+					u.leader().crashBriefly()
 				case 1:
 					u.leader().crashFor(9 * second)
 				}
 			}
 		}),
 		"one-task jobs come four a second": with(func(d *userScenario) {
-			d.job, d.every, d.cancels, d.machines = smallJob, second/4, 0.25, 9
+			d.job, d.interval, d.cancelFraction, d.machines = smallJob, second/4, 0.25, 9
 			d.fault = func(u *users) {
 				if u.rng.IntN(6) == 0 {
-					u.nodes[u.rng.IntN(3)].restore()
+					u.nodes[u.rng.IntN(3)].crashBriefly()
 				}
 			}
 		}),
 		"jobs bound to one zone lose machines": with(func(d *userScenario) {
 			d.job = oneZoneJob
 			d.fault = func(u *users) {
-				u.eachOf(0.15, func(sw *worker) { u.killMachine(sw.ID) })
-				u.eachOf(0.15, func(sw *worker) { sw.inboundLostUntil = u.now + time.Duration(u.rng.IntN(25))*second })
+				u.forRandomWorkers(0.15, func(m *worker) { u.killMachine(m.ID) })
+				u.forRandomWorkers(0.15, func(m *worker) { m.inboundLostUntil = u.now + time.Duration(u.rng.IntN(25))*second })
 				if u.rng.IntN(3) == 0 {
-					u.nodes[u.rng.IntN(3)].restore()
+					u.nodes[u.rng.IntN(3)].crashBriefly()
 				}
 			}
 		}),
@@ -241,49 +241,49 @@
 			}
 		}),
 		"workers reach no controller, commands reach them": with(func(d *userScenario) {
-			d.prepare = long
+			d.prepare = useSpreadRunTimes
 			d.fault = func(u *users) {
-				u.eachOf(0.3, func(sw *worker) { sw.outboundLostUntil = u.now + time.Duration(u.rng.IntN(30))*second })
+				u.forRandomWorkers(0.3, func(m *worker) { m.outboundLostUntil = u.now + time.Duration(u.rng.IntN(30))*second })
 				u.cancelRandomJobs(2, 5*second)
 				if u.rng.IntN(4) == 0 {
-					u.nodes[u.rng.IntN(3)].restore()
+					u.nodes[u.rng.IntN(3)].crashBriefly()
 				}
 			}
 		}),
 		"a zone with a controller cut off for longer than leases": with(func(d *userScenario) {
-			d.duration, d.prepare = 150*second, long
+			d.duration, d.prepare = 150*second, useSpreadRunTimes
 			d.fault = func(u *users) {
 				if u.rng.IntN(3) == 0 {
-					u.partitionZone(u.zoneOf(u.rng.IntN(2)), u.rng.IntN(2) == 0, time.Duration(16+u.rng.IntN(30))*second, u.rng.IntN(2) == 0)
+					u.partitionZone(u.nodeZone(u.rng.IntN(2)), u.rng.IntN(2) == 0, time.Duration(16+u.rng.IntN(30))*second, u.rng.IntN(2) == 0)
 				}
 				u.cancelRandomJobs(2, 5*second)
 			}
 		}),
 		"cancelled at the moment of the lone refusal, then out for all": with(func(d *userScenario) {
-			d.duration, d.prepare, d.after = 200*second, long, 90*second
+			d.duration, d.prepare, d.settleTime = 200*second, useSpreadRunTimes, 90*second
 			d.fault = func(u *users) {
 				if u.now < 25*second || u.outageUntil > u.now || u.rng.IntN(3) > 0 {
 					return
 				}
-				out := time.Duration(36+u.rng.IntN(15)) * second
-				u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", second+out, u.rng.IntN(2) == 0)
-				u.callOff(6, time.Duration(u.rng.IntN(2)*10)*second)
-				u.after(second, func() { u.outageUntil = u.now + out })
+				outage := time.Duration(36+u.rng.IntN(15)) * second
+				u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", second+outage, u.rng.IntN(2) == 0)
+				u.cancelRunningJobs(6, time.Duration(u.rng.IntN(2)*10)*second)
+				u.after(second, func() { u.outageUntil = u.now + outage })
 			}
 		}),
 		"all controllers are away for longer than leases": with(func(d *userScenario) {
-			d.duration, d.prepare = 150*second, long
+			d.duration, d.prepare = 150*second, useSpreadRunTimes
 			d.fault = func(u *users) {
 				if u.rng.IntN(6) == 0 {
-					away := time.Duration(16+u.rng.IntN(20)) * second
+					downFor := time.Duration(16+u.rng.IntN(20)) * second
 					for _, n := range u.nodes {
-						n.crashFor(away + time.Duration(u.rng.IntN(1500))*time.Millisecond)
+						n.crashFor(downFor + time.Duration(u.rng.IntN(1500))*time.Millisecond)
 					}
 				}
 			}
 		}),
 		"more work than room, over slow links": with(func(d *userScenario) {
-			d.machines, d.every, d.waits = 5, second/3, true
+			d.machines, d.interval, d.allowLongWaits = 5, second/3, true
 			d.job = func(w *world) protocol.Job {
 				j := w.randomJob()
 				j.Types = nil // the cloud has no more of a type
@@ -295,31 +295,31 @@
 			d.fault = func(u *users) { u.stateLatency, u.slowMessageFraction = 300*time.Millisecond, 0.3 }
 		}),
 		"two troubles at once": with(func(d *userScenario) {
-			d.prepare = func(u *users) { closely(u); long(u) }
+			d.prepare = func(u *users) { requestOften(u); useSpreadRunTimes(u) }
 			d.fault = func(u *users) {
 				if u.rng.IntN(2) == 0 {
 					u.injectOverlappingFault()
 					u.injectOverlappingFault()
 				}
-				u.callOff(u.rng.IntN(3), time.Duration(u.rng.IntN(15))*second)
+				u.cancelRunningJobs(u.rng.IntN(3), time.Duration(u.rng.IntN(15))*second)
 				switch u.rng.IntN(5) {
 				case 0:
 					u.lostAnswerFraction = u.rng.Float64() / 2
 				case 1:
-					u.keepHeartbeats = !u.keepHeartbeats
+					u.recordHeartbeats = !u.recordHeartbeats
 				case 2:
-					u.eachOf(0.2, func(sw *worker) { sw.outboundLostUntil = u.now + time.Duration(u.rng.IntN(20))*second })
+					u.forRandomWorkers(0.2, func(m *worker) { m.outboundLostUntil = u.now + time.Duration(u.rng.IntN(20))*second })
 				}
 			}
 		}),
 	}
 }
 
-// TestUsersInEachOverlap plays the operators' overlapping faults with users at all controllers.
+// TestUserAnswersUnderEachOverlappingFault plays the operators' overlapping faults with users at all controllers.
 // Every rule is checked at every step, and every answer against all that arrived before
 // its question.
-func TestUsersInEachOverlap(t *testing.T) {
-	for name, d := range userOverlaps() {
+func TestUserAnswersUnderEachOverlappingFault(t *testing.T) {
+	for name, d := range overlappingFaultScenarios() {
 		t.Run(name, func(t *testing.T) { d.runSeeds(t, 5, 1_200_000) })
 	}
 }
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -10,21 +10,21 @@
 	"damsonkeel/internal/protocol"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
 const (
-	submitTimeout = 5 * time.Second
-	pollTimeout   = 2 * time.Second
-	pollInterval  = 5 * time.Second
-	submitPeriod  = 60 * time.Second
-	maxUnanswered = 75 * time.Second
+	submitTimeout     = 5 * time.Second
+	pollTimeout       = 2 * time.Second
+	pollInterval      = 5 * time.Second
+	submitRetryPeriod = 60 * time.Second
+	maxUnanswered     = 75 * time.Second
 )
 
 // users submit, poll and cancel jobs at any of the controllers, and check the answers.
 type users struct {
 	*world
-	fronts []*frontend
-	jobs   map[protocol.JobID]*userJob
+	frontends []*frontend
+	jobs      map[protocol.JobID]*userJob
 	// requestOften has users send requests to all controllers within milliseconds after each answer,
 	// again and again, and repeat the submission.
 	requestOften bool
@@ -41,10 +41,10 @@
 
 	faultFreeSince time.Duration // since when there are no faults; 0: there are some
 
-	requests, answered, refused, late int
-	tasks, startsAfter                int // starts sent in all, and after a confirmed cancellation
-	startsByPartitioned               int // of these, by a controller that was partitioned from another or from the records since
-	cancelWaits                       []time.Duration
+	requests, answered, unavailable, lateEnds int
+	startsSent, startsAfterCancellation       int // starts sent in all, and after a confirmed cancellation
+	startsByPartitionedNodes                  int // of these, by a controller that was partitioned from another or from the records since
+	cancelWaits                               []time.Duration
 }
 
 // userJob is what the users know of a job.
@@ -67,25 +67,25 @@
 type answerRank int
 
 const (
-	unknown answerRank = iota
-	accepted
-	over
+	rankUnknown answerRank = iota
+	rankAccepted
+	rankFinal
 )
 
 func (w *world) withUsers() *users {
 	u := &users{world: w, jobs: map[protocol.JobID]*userJob{}}
 	for _, n := range w.nodes {
-		u.fronts = append(u.fronts, &frontend{u: u, n: n})
+		u.frontends = append(u.frontends, &frontend{users: u, node: n})
 	}
 	var tick func()
 	tick = func() {
-		for _, f := range u.fronts {
+		for _, f := range u.frontends {
 			f.step(admission.Tick{})
 		}
 		w.after(100*time.Millisecond, tick)
 	}
 	tick()
-	w.onOrders = u.orders
+	w.onOrders = u.countStarts
 	w.cancelVia = func(id protocol.JobID) { u.cancelJob(u.jobs[id]) }
 	ended := w.onTaskEnded
 	w.onTaskEnded = func(m protocol.MachineID, id protocol.TaskID, why protocol.EndCause) {
@@ -95,18 +95,18 @@
 	return u
 }
 
-// orders counts starts that are sent after a user was answered that the job is cancelled.
-func (u *users) orders(n *node, orders []protocol.Order) {
+// countStarts counts starts that are sent after a user was answered that the job is cancelled.
+func (u *users) countStarts(n *node, orders []protocol.Order) {
 	for _, o := range orders {
 		if o.Op != protocol.OpStart {
 			continue
 		}
-		u.tasks++
+		u.startsSent++
 		if j := u.jobs[o.Task.Job]; j != nil && j.cancelConfirmedAt != 0 {
-			u.startsAfter++
+			u.startsAfterCancellation++
 			for key, c := range u.partitions {
 				if c.until > j.cancelConfirmedAt && strings.Contains(key, string(n.name)) && !strings.Contains(key, "zone") && !strings.Contains(key, "workers") {
-					u.startsByPartitioned++
+					u.startsByPartitionedNodes++
 					break
 				}
 			}
@@ -147,8 +147,8 @@
 	}
 }
 
-// wire is a job as its user sends it.
-func wire(j *protocol.Job) map[string]any {
+// wireJob is a job as its user sends it.
+func wireJob(j *protocol.Job) map[string]any {
 	m := map[string]any{
 		"id": j.ID, "berth": j.Class, "crew": j.Team, "rig": j.Kind, "tide": j.Priority, "hauls": j.Tasks, "cores": j.CPUs, "gpus": j.GPUs,
 		"memory_gb": j.MemoryGB, "hullcast": j.Image, "image_gb": j.ImageGB, "hulls": nil, "quay": nil, "together": j.OneZone, "scatter": j.Spread,
@@ -168,8 +168,8 @@
 	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", u.submissions))
 	u.submissions++
 	j.Image, j.ImageGB, j.MemoryGB = "img", 1, 1
-	m := wire(&j)
-	uj := &userJob{id: j.ID, job: j}
+	m := wireJob(&j)
+	submitted := &userJob{id: j.ID, job: j}
 	kind := u.rng.IntN(20)
 	if u.wellFormed {
 		kind = -1
@@ -177,21 +177,21 @@
 	switch kind { // some lack a field, or fit nothing
 	case 0:
 		delete(m, []string{"berth", "hauls", "cores", "scatter", "hullcast"}[u.rng.IntN(5)])
-		uj.rejectStatus = 400
+		submitted.rejectStatus = 400
 	case 1:
-		m["cores"], uj.rejectStatus = 99.0, 422
+		m["cores"], submitted.rejectStatus = 99.0, 422
 	}
 	body, err := protocol.Encode(m)
 	if err != nil {
 		u.fail("%v", err)
 	}
-	uj.body = body
-	u.jobs[j.ID] = uj
-	if uj.rejectStatus == 0 {
+	submitted.body = body
+	u.jobs[j.ID] = submitted
+	if submitted.rejectStatus == 0 {
 		u.world.jobs[j.ID] = j
 	}
-	u.trySubmit(uj, u.now+submitPeriod)
-	return uj
+	u.trySubmit(submitted, u.now+submitRetryPeriod)
+	return submitted
 }
 
 func (u *users) trySubmit(j *userJob, until time.Duration) {
@@ -229,20 +229,20 @@
 		return
 	}
 	j.polled, j.lastAnswer = true, u.now
-	var again func()
-	again = func() {
-		if j.rank < over {
+	var pollOnce func()
+	pollOnce = func() {
+		if j.rank < rankFinal {
 			u.request(j, admission.Poll, pollTimeout, nil)
-			u.after(pollInterval, again)
+			u.after(pollInterval, pollOnce)
 		}
 	}
-	u.after(pollInterval, again)
+	u.after(pollInterval, pollOnce)
 }
 
 // requestEverywhere polls a job at all controllers within milliseconds, several times, and
 // repeats its submission.
 func (u *users) requestEverywhere(j *userJob) {
-	for _, f := range u.fronts {
+	for _, f := range u.frontends {
 		for range 1 + u.rng.IntN(3) {
 			op := admission.Poll
 			if u.rng.IntN(3) == 0 {
@@ -253,32 +253,32 @@
 	}
 }
 
-func (u *users) request(j *userJob, op admission.Operation, wait time.Duration, then func(status int)) {
-	u.requestAt(u.fronts[u.rng.IntN(len(u.fronts))], j, op, wait, then)
+func (u *users) request(j *userJob, op admission.Operation, timeout time.Duration, then func(status int)) {
+	u.requestAt(u.frontends[u.rng.IntN(len(u.frontends))], j, op, timeout, then)
 }
 
 // requestAt sends a request to a controller and checks the answer against all that was
 // answered before the request began.
-func (u *users) requestAt(f *frontend, j *userJob, op admission.Operation, wait time.Duration, then func(status int)) {
-	begun := *j
+func (u *users) requestAt(f *frontend, j *userJob, op admission.Operation, timeout time.Duration, then func(status int)) {
+	before := *j
 	u.requests++
-	given := false
+	finished := false
 	finish := func(a admission.Answer) {
-		if given {
+		if finished {
 			return // given up: nobody has read it
 		}
-		given = true
+		finished = true
 		if a.Status != 0 && u.changeAnswer != nil {
 			a = u.changeAnswer(j, a)
 		}
 		if a.Status != 0 {
 			u.answered++
-			u.checkAnswer(f, j, &begun, op, a)
+			u.checkAnswer(f, j, &before, op, a)
 		}
 		if then != nil {
 			then(a.Status)
 		}
 	}
-	u.after(wait, func() { finish(admission.Answer{}) })
+	u.after(timeout, func() { finish(admission.Answer{}) })
 	u.after(u.delay()/4, func() { f.request(admission.Request{Operation: op, Job: j.id, Body: j.body}, finish) })
 }
