--- a/internal/simulator/userscenario_test.go
+++ b/internal/simulator/userscenario_test.go
@@ -14,23 +14,23 @@
 
 // userScenario describes a generated run on which users send all kinds of requests.
 type userScenario struct {
-	machines int
-	duration time.Duration
-	job      func(*world) protocol.Job
-	every    time.Duration // between submissions
-	cancels  float64       // share of the jobs that are cancelled at a random moment
-	teams    []config.Team
-	prepare  func(*users)
-	fault    func(*users)  // at each step of a second to six
-	after    time.Duration // for which the last faults may last
-	fail     func(string, ...any)
-	closely  bool         // users send requests to all controllers after each answer
-	atEnd    func(*users) // when all is over
-	waits    bool         // jobs may be left waiting longer: there is more work than room
+	machines       int
+	duration       time.Duration
+	job            func(*world) protocol.Job
+	interval       time.Duration // between submissions
+	cancelFraction float64       // share of the jobs that are cancelled at a random moment
+	teams          []config.Team
+	prepare        func(*users)
+	fault          func(*users)  // at each step of a second to six
+	settleTime     time.Duration // for which the last faults may last
+	fail           func(string, ...any)
+	requestOften   bool         // users send requests to all controllers after each answer
+	atEnd          func(*users) // when all is over
+	allowLongWaits bool         // jobs may be left waiting longer: there is more work than room
 }
 
-// leftWaiting is how long a job may wait, once all is well, beside a machine that fits.
-const leftWaiting = 90 * time.Second
+// maxWaitBesideFreeMachine is how long a job may wait, once all is well, beside a machine that fits.
+const maxWaitBesideFreeMachine = 90 * time.Second
 
 func (d userScenario) run(t *testing.T, seed int) *users {
 	t.Helper()
@@ -45,7 +45,7 @@
 	w := newWorld(fail, uint64(seed), settings, d.machines, d.machines)
 	w.eventDriven = true // requests arrive within milliseconds
 	u := w.withUsers()
-	u.requestOften = d.closely
+	u.requestOften = d.requestOften
 	if d.prepare != nil {
 		d.prepare(u)
 	}
@@ -56,10 +56,10 @@
 			return
 		}
 		j := u.submit(d.job(w))
-		if w.rng.Float64() < d.cancels {
+		if w.rng.Float64() < d.cancelFraction {
 			w.after(time.Duration(w.rng.IntN(20_000))*time.Millisecond, func() { u.cancelJob(j) })
 		}
-		w.after(time.Duration(w.rng.Int64N(int64(2*d.every))), submit)
+		w.after(time.Duration(w.rng.Int64N(int64(2*d.interval))), submit)
 	}
 	submit()
 	for w.now < d.duration {
@@ -68,39 +68,39 @@
 		}
 		w.run(w.now + time.Duration(1000+w.rng.IntN(5000))*time.Millisecond)
 	}
-	w.run(w.now + d.after)
-	w.outageUntil, w.stateLatency, w.lateWriteFraction, w.duplicateHeartbeatFraction, w.slowMessageFraction, w.lostAnswerFraction, w.watchLag, w.keepHeartbeats = 0, 0, 0, 0, 0, 0, 0, false
+	w.run(w.now + d.settleTime)
+	w.outageUntil, w.stateLatency, w.lateWriteFraction, w.duplicateHeartbeatFraction, w.slowMessageFraction, w.lostAnswerFraction, w.watchLag, w.recordHeartbeats = 0, 0, 0, 0, 0, 0, 0, false
 	clear(w.partitions)
 	for _, id := range w.machineOrder {
-		sw := w.workers[id]
-		sw.pausedUntil, sw.inboundLostUntil, sw.outboundLostUntil = min(sw.pausedUntil, w.now), min(sw.inboundLostUntil, w.now), min(sw.outboundLostUntil, w.now)
+		m := w.workers[id]
+		m.pausedUntil, m.inboundLostUntil, m.outboundLostUntil = min(m.pausedUntil, w.now), min(m.inboundLostUntil, w.now), min(m.outboundLostUntil, w.now)
 	}
 	w.run(w.now + 40*time.Second)
 	u.faultFreeSince = w.now
-	since := map[protocol.JobID]time.Duration{}
-	open := func() (n int) {
+	waitingSince := map[protocol.JobID]time.Duration{}
+	openJobs := func() (n int) {
 		for _, j := range u.jobs {
-			if j.accepted && j.rank < over {
+			if j.accepted && j.rank < rankFinal {
 				n++
 			}
 		}
 		return n
 	}
-	for end := w.now + 900*time.Second; w.now < end && (open() > 0 || w.now < u.faultFreeSince+10*time.Second); {
+	for end := w.now + 900*time.Second; w.now < end && (openJobs() > 0 || w.now < u.faultFreeSince+10*time.Second); {
 		w.run(w.now + 5*time.Second)
 		u.checkRecords()
 		u.checkForgotten()
 		for _, j := range ordered.Of(u.jobs) {
-			if j.accepted && j.rank < over && (j.job.Kind == protocol.KindService || w.faultyJobs[j.id]) {
+			if j.accepted && j.rank < rankFinal && (j.job.Kind == protocol.KindService || w.faultyJobs[j.id]) {
 				u.cancelJob(j)
 			}
 		}
-		if !d.waits {
-			u.checkLeftWaiting(since)
+		if !d.allowLongWaits {
+			u.checkWaitsBesideFreeMachines(waitingSince)
 		}
 	}
 	for _, j := range ordered.Of(u.jobs) {
-		if j.accepted && j.rank < over {
+		if j.accepted && j.rank < rankFinal {
 			fail("the user of %s was never told of its end; record %q, cancelled %v, %+v\n%s", j.id, w.finalState[j.id], j.cancelRequested, j.job, w.describeJob(j.id))
 		}
 	}
@@ -115,13 +115,13 @@
 	if n := len(u.cancelWaits); n > 0 {
 		median = u.cancelWaits[n/2]
 	}
-	t.Logf("%d jobs, %d questions, %d answered, %d of these 503, %d late ends; %d starts sent, %d after a confirmed cancellation, %d of these by one cut off; %d cancellations, median %v", len(u.jobs), u.requests, u.answered, u.refused, u.late, u.tasks, u.startsAfter, u.startsByPartitioned, len(u.cancelWaits), median)
+	t.Logf("%d jobs, %d questions, %d answered, %d of these 503, %d late ends; %d starts sent, %d after a confirmed cancellation, %d of these by one cut off; %d cancellations, median %v", len(u.jobs), u.requests, u.answered, u.unavailable, u.lateEnds, u.startsSent, u.startsAfterCancellation, u.startsByPartitionedNodes, len(u.cancelWaits), median)
 	return u
 }
 
-// waitsBeside is a machine beside which a job waits, with no task on any machine, though
+// freeMachineFor is a machine beside which a job waits, with no task on any machine, though
 // it fits, has room and the job's team is under its limit.
-func (u *users) waitsBeside(j *userJob) (protocol.MachineID, bool) {
+func (u *users) freeMachineFor(j *userJob) (protocol.MachineID, bool) {
 	if j.job.Kind == protocol.KindGang {
 		return "", false
 	}
@@ -129,17 +129,17 @@
 	free := map[protocol.MachineID]float64{}
 	placed := map[protocol.TaskID]bool{}
 	for _, id := range u.machineOrder {
-		sw := u.workers[id]
-		free[id] = sw.Info.CPUs
-		for _, task := range sw.Tasks() {
-			k := u.world.jobs[task.Job]
-			free[id] -= k.CPUs
-			if k.Team == j.job.Team {
-				used += k.CPUs
+		m := u.workers[id]
+		free[id] = m.Info.CPUs
+		for _, task := range m.Tasks() {
+			other := u.world.jobs[task.Job]
+			free[id] -= other.CPUs
+			if other.Team == j.job.Team {
+				used += other.CPUs
 			}
 			if task.Job == j.id {
 				placed[task] = true
-				zones[sw.Zone]++
+				zones[m.Zone]++
 			}
 		}
 	}
@@ -152,10 +152,10 @@
 		return "", false
 	}
 	for _, id := range u.machineOrder {
-		sw := u.workers[id]
-		fits := !sw.Dead && !sw.Faulty && sw.Notice == nil && free[id] >= j.job.CPUs && (j.job.Spot || !sw.Spot) && (j.job.Zone == "" || j.job.Zone == sw.Zone) &&
-			(len(j.job.Types) == 0 || slices.Contains(j.job.Types, sw.Info.Name))
-		if j.job.OneZone && len(zones) > 0 && zones[sw.Zone] == 0 || j.job.Spread && zones[sw.Zone] >= int(j.job.Tasks+1)/2 {
+		m := u.workers[id]
+		fits := !m.Dead && !m.Faulty && m.Notice == nil && free[id] >= j.job.CPUs && (j.job.Spot || !m.Spot) && (j.job.Zone == "" || j.job.Zone == m.Zone) &&
+			(len(j.job.Types) == 0 || slices.Contains(j.job.Types, m.Info.Name))
+		if j.job.OneZone && len(zones) > 0 && zones[m.Zone] == 0 || j.job.Spread && zones[m.Zone] >= int(j.job.Tasks+1)/2 {
 			fits = false
 		}
 		if fits {
@@ -165,52 +165,52 @@
 	return "", false
 }
 
-// checkLeftWaiting: no job waits so long beside a machine for it, once all is well.
-func (u *users) checkLeftWaiting(since map[protocol.JobID]time.Duration) {
+// checkWaitsBesideFreeMachines: no job waits so long beside a machine for it, once all is well.
+func (u *users) checkWaitsBesideFreeMachines(waitingSince map[protocol.JobID]time.Duration) {
 	for _, j := range ordered.Of(u.jobs) {
 		m, waits := protocol.MachineID(""), false
 		if j.accepted && u.finalState[j.id] == "" && !u.faultyJobs[j.id] {
-			m, waits = u.waitsBeside(j)
+			m, waits = u.freeMachineFor(j)
 		}
 		switch {
 		case !waits:
-			delete(since, j.id)
-		case since[j.id] == 0:
-			since[j.id] = u.now
-		case u.now-since[j.id] > leftWaiting:
-			u.fail("%v left waiting: %s for %v, beside %s\n%s", u.now, j.id, u.now-since[j.id], m, u.describeJob(j.id))
+			delete(waitingSince, j.id)
+		case waitingSince[j.id] == 0:
+			waitingSince[j.id] = u.now
+		case u.now-waitingSince[j.id] > maxWaitBesideFreeMachine:
+			u.fail("%v left waiting: %s for %v, beside %s\n%s", u.now, j.id, u.now-waitingSince[j.id], m, u.describeJob(j.id))
 		}
 	}
 }
 
 // runSeeds runs a scenario with so many seeds. No start may be sent after a confirmed
 // cancellation by a controller that the others can reach.
-func (d userScenario) runSeeds(t *testing.T, usual, first int) {
+func (d userScenario) runSeeds(t *testing.T, defaultCount, firstSeed int) {
 	t.Helper()
-	for seed := range seeds(usual) {
+	for seed := range seedCount(defaultCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			if u := d.run(t, first+seed); u.startsAfter > u.startsByPartitioned {
-				t.Errorf("%d starts were sent after a confirmed cancellation, %d of these by one cut off", u.startsAfter, u.startsByPartitioned)
+			if u := d.run(t, firstSeed+seed); u.startsAfterCancellation > u.startsByPartitionedNodes {
+				t.Errorf("%d starts were sent after a confirmed cancellation, %d of these by one cut off", u.startsAfterCancellation, u.startsByPartitionedNodes)
 			}
 		})
 	}
 }
 
-// TestUsersWithoutFaults: what users are answered holds, and no start is sent after
+// TestUserAnswersWithoutFaults: what users are answered holds, and no start is sent after
 // a confirmed cancellation, where nothing else goes wrong; jobs are cancelled, polled
 // and submitted again at the moment at which their last task ends, too.
-func TestUsersWithoutFaults(t *testing.T) {
+func TestUserAnswersWithoutFaults(t *testing.T) {
 	d := userScenario{
-		machines: 9, duration: 60 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4,
+		machines: 9, duration: 60 * time.Second, job: (*world).randomJob, interval: time.Second, cancelFraction: 0.4,
 		prepare: func(u *users) { u.requestOften, u.cancelAtEndFraction = true, 0.5 },
 	}
 	d.runSeeds(t, 6, 1_000_000)
 }
 
-// TestUsersWithFaults: the same while the faults of the other generated scenarios
+// TestUserAnswersWithFaults: the same while the faults of the other generated scenarios
 // come, alone and two or three at once.
-func TestUsersWithFaults(t *testing.T) {
+func TestUserAnswersWithFaults(t *testing.T) {
 	fault := func(u *users) {
 		u.runTime = u.drawSpreadRunTime
 		switch u.rng.IntN(6) {
@@ -224,7 +224,7 @@
 		}
 	}
 	userScenario{
-		machines: 9, duration: 120 * time.Second, job: (*world).randomJob, every: time.Second, cancels: 0.4, after: 30 * time.Second,
+		machines: 9, duration: 120 * time.Second, job: (*world).randomJob, interval: time.Second, cancelFraction: 0.4, settleTime: 30 * time.Second,
 		prepare: func(u *users) { u.requestOften, u.cancelAtEndFraction = true, 0.2 }, fault: fault,
 	}.runSeeds(t, 20, 1_100_000)
 }
--- a/internal/simulator/validate.go
+++ b/internal/simulator/validate.go
@@ -29,16 +29,16 @@
 	return s, nil
 }
 
-// FieldError says that a field of a site is invalid.
+// FieldError reports that a field of a site is invalid.
 type FieldError struct {
 	Field   string
 	Problem string
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// invalid returns the error of an invalid field.
+// invalid returns a FieldError for an invalid field.
 func invalid(field, format string, args ...any) error {
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
@@ -50,7 +50,7 @@
 	maxStepMS   = 1000
 )
 
-// validate returns an error that names an invalid field.
+// validate returns an error that names the first invalid field.
 func (s *Site) validate() error {
 	switch {
 	case s.Start.IsZero():
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// isValid reports whether a machine type has all that it needs.
+// isValid reports whether all required fields of a machine type are set.
 func (t *Type) isValid() bool {
 	return t.Name != "" && t.CPUs > 0 && t.MemoryGB > 0 && t.BootS > 0 && len(t.Zones) > 0
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -7,23 +7,24 @@
 	"damsonkeel/internal/protocol"
 )
 
-// worker is a simulated worker with its connection to the controllers.
+// worker is a simulated worker and its connection to the controllers.
 type worker struct {
 	*fake.Worker
 	world         *world
-	target        int // index of the node that gets the heartbeats
+	targetNode    int // index of the node that the heartbeats are sent to
 	nextHeartbeat time.Duration
-	awaitsAnswer  bool
-	nextEvent     time.Duration // when time next changes something on it, in an event-driven world
+	awaitsReply   bool
+	nextEvent     time.Duration // when the state of the worker next changes, in an event-driven world
 	pausedUntil   time.Duration
-	// inboundLostUntil is until when its heartbeats arrive, but it gets neither answers nor
-	// commands.
+	// inboundLostUntil is the time until which the worker's heartbeats arrive, but replies and
+	// commands to it are lost.
 	inboundLostUntil time.Duration
-	// outboundLostUntil is until when it reaches no controller, but commands reach it.
+	// outboundLostUntil is the time until which the worker's heartbeats and the replies to them
+	// are lost, but commands reach it.
 	outboundLostUntil time.Duration
 }
 
-// bootMachine adds a machine that has booted, with its worker.
+// bootMachine adds a booted machine and starts its worker.
 func (w *world) bootMachine(id protocol.MachineID, r protocol.ProvisionRequest) {
 	var info protocol.TypeInfo
 	for _, t := range w.types {
@@ -31,11 +32,11 @@
 			info = t
 		}
 	}
-	added := &worker{world: w, target: w.rng.IntN(w.settings.Site.Count), Worker: &fake.Worker{
+	added := &worker{world: w, targetNode: w.rng.IntN(w.settings.Site.Count), Worker: &fake.Worker{
 		ID: id, Info: info, Zone: r.Zone, Spot: r.Spot, LeaseS: w.settings.Site.Workers.LeaseS, Results: w.results,
 		GangWait:     time.Duration(w.settings.Site.Workers.GangWaitS) * time.Second,
 		Jobs:         func(j protocol.JobID) (protocol.Job, bool) { job, ok := w.jobs[j]; return job, ok },
-		RunTime:      func(t protocol.TaskID) time.Duration { return w.runTime(t) }, // as it is when the task starts
+		RunTime:      func(t protocol.TaskID) time.Duration { return w.runTime(t) }, // the hook as set when the task starts
 		OnCheckpoint: w.onCheckpoint,
 		IsFaulty:     func(j protocol.JobID) bool { return w.faultyJobs[j] },
 		Started:      w.checkStart,
@@ -52,7 +53,7 @@
 	w.machineOrder = append(w.machineOrder, id)
 }
 
-// killMachine removes a machine with all that runs on it.
+// killMachine terminates a machine and all tasks on it.
 func (w *world) killMachine(id protocol.MachineID) {
 	if killed := w.workers[id]; killed != nil && !killed.Dead {
 		for _, t := range killed.Tasks() {
@@ -66,7 +67,7 @@
 	}
 }
 
-// step lets a step pass on a worker, which sends a heartbeat if it is time.
+// step advances the worker by one step and sends a heartbeat if one is due.
 func (m *worker) step() {
 	w := m.world
 	switch {
@@ -74,16 +75,16 @@
 		m.advance()
 	case w.now >= m.nextEvent && !m.Dead:
 		m.advance()
-		if m.nextEvent = max(m.NextChange(), w.now+1); !m.awaitsAnswer {
-			m.nextHeartbeat = min(m.nextHeartbeat, w.now+w.step) // something changed
+		if m.nextEvent = max(m.NextChange(), w.now+1); !m.awaitsReply {
+			m.nextHeartbeat = min(m.nextHeartbeat, w.now+w.step) // report the change
 		}
 	}
-	if !m.Dead && !m.awaitsAnswer && w.now >= m.nextHeartbeat {
+	if !m.Dead && !m.awaitsReply && w.now >= m.nextHeartbeat {
 		m.sendHeartbeat()
 	}
 }
 
-// advance lets the time until now pass on a worker.
+// advance advances the worker to the current time.
 func (m *worker) advance() {
 	epoch := m.Epoch
 	if m.world.now < m.pausedUntil {
@@ -96,8 +97,8 @@
 	}
 }
 
-// advanceBeforeMessage lets time pass on a worker before it gets a message, in an
-// event-driven world; otherwise time passes for all at each step.
+// advanceBeforeMessage advances the worker before it handles a message, in an event-driven
+// world. In other worlds all workers are advanced at each step.
 func (m *worker) advanceBeforeMessage() {
 	if m.world.eventDriven {
 		m.advance()
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -17,101 +17,102 @@
 const (
 	// defaultStep is the time between two steps of a world.
 	defaultStep = 50 * time.Millisecond
-	// nodeLeaseDuration is the length of a controller's lease.
+	// nodeLeaseDuration is the length of the lease of a controller's session.
 	nodeLeaseDuration = 8 * time.Second
-	// spareMachines is how many machines the cloud has beyond those of the start.
+	// spareMachines is how many machines the cloud has in addition to the initial capacity.
 	spareMachines = 6
 )
 
-// world simulates controllers' cores against models of their surroundings, and checks the
-// rules after every step.
+// world simulates the cores of controllers against models of their environment, and checks
+// the rules after every step.
 type world struct {
 	*timeline
 	network
 	stateService
 	hooks
 
-	fail     func(format string, args ...any) // called for each violation of a rule
+	fail     func(format string, args ...any) // reports a violation of a rule
 	rng      *rand.Rand
 	settings *config.Settings
 	types    []protocol.TypeInfo
 
 	cloud            *fake.Cloud
-	cloudSilentUntil time.Duration // until when the cloud does not answer
+	cloudSilentUntil time.Duration // the cloud does not reply until then
 	workers          map[protocol.MachineID]*worker
 	machineOrder     []protocol.MachineID
 	nodes            []*node
 
 	jobs        map[protocol.JobID]protocol.Job
 	jobOrder    []protocol.JobID
-	submissions int // jobs, ever
-	cancelled   map[protocol.JobID]time.Duration
-	faultyJobs  map[protocol.JobID]bool // whose tasks fail everywhere
+	submissions int                              // number of the next job
+	cancelled   map[protocol.JobID]time.Duration // when the cancellation was confirmed
+	faultyJobs  map[protocol.JobID]bool          // jobs whose tasks fail on every machine
 	finalState  map[protocol.JobID]string
-	results     map[protocol.TaskID]bool
+	results     map[protocol.TaskID]bool // tasks that have completed
 	onMachine   map[protocol.TaskID]*fake.Worker
 
-	layout      record.Layout // that controllers know
-	step        time.Duration // between the ticks of the controllers' watches
-	eventDriven bool          // events happen at their own times, not with the steps
-	startMS     int64         // the time of day at the start
+	layout      record.Layout // record layout that restarted controllers support
+	step        time.Duration // between the ticks of controllers and watches
+	eventDriven bool          // events run at their exact times, not at the end of a step
+	startMS     int64         // wall-clock time at the start, in Unix milliseconds
 	operator    config.Operator
-	nodeLease   time.Duration // of the controllers, by their own clocks
+	nodeLease   time.Duration // length of the lease that controllers assume by their own clocks
 
-	// duplicateHeartbeatFraction is the fraction of the heartbeats of which a copy arrives
-	// again, up to two leases later.
+	// duplicateHeartbeatFraction is the fraction of the heartbeats that arrive a second time,
+	// between two seconds and two leases and two seconds later.
 	duplicateHeartbeatFraction float64
-	// keepHeartbeats has copies of some heartbeats kept until a new view is written, and
-	// then delivered to every controller.
-	keepHeartbeats bool
-	keptHeartbeats []protocol.Heartbeat
-	viewVersion    protocol.Version // as last seen
-
-	checkedChanges int // of the state service, against the rules
-	movedAt        map[sharding.ID]time.Duration
+	// recordHeartbeats makes the world record heartbeats until a new view is written, and then
+	// replay them to every controller.
+	recordHeartbeats   bool
+	recordedHeartbeats []protocol.Heartbeat
+	viewVersion        protocol.Version // version of the view at the last step
+
+	checkedChanges int                           // changes of the state service that were checked against the rules
+	movedAt        map[sharding.ID]time.Duration // when each shard last moved
 	counters
 }
 
-// counters count what has happened in a world.
+// counters counts events in a world.
 type counters struct {
-	starts             int // of tasks
-	peakRunning        int // tasks on machines at a time
-	expiredLeases      int // of workers
+	starts             int // starts of tasks
+	peakRunning        int // most tasks on machines at the same time
+	expiredLeases      int // leases of workers that have expired
 	blockWrites        int
 	reservationChanges int
-	movePauses         []time.Duration // of moves of shards
+	movePauses         []time.Duration // for how long each shard move paused starts
 	abortedMoves       int
 }
 
-// hooks are called by a world for what the driver or a test decides or observes.
+// hooks are functions that a world calls, so that a driver or a test can make decisions and
+// observe events.
 type hooks struct {
 	runTime       func(protocol.TaskID) time.Duration
 	bootTime      func(protocol.ProvisionRequest) time.Duration
-	ageS          func(protocol.MachineID) float64 // since a machine was provisioned
+	ageS          func(protocol.MachineID) float64 // seconds since a machine was provisioned
 	onCheckpoint  func(protocol.TaskID, time.Duration)
 	onProvisioned func(protocol.MachineID, protocol.ProvisionRequest)
 	onTerminated  func(protocol.MachineID)
 	onTaskStarted func(protocol.MachineID, protocol.TaskID)
 	onTaskEnded   func(protocol.MachineID, protocol.TaskID, protocol.EndCause)
-	// onOrders is called when a process has sent orders to a worker, directly or in an
-	// answer.
+	// onOrders is called when a controller sends orders to a worker, in a command or in the
+	// reply to a heartbeat.
 	onOrders func(*node, []protocol.Order)
-	// onConfiguration is called when another configuration is in force at a controller.
+	// onConfiguration is called when another configuration takes effect at a controller.
 	onConfiguration func(*node, *dynamicconfig.Effective)
 	// cancelVia, if set, cancels jobs through the controllers instead of by a transaction.
 	cancelVia func(protocol.JobID)
-	// teamLimit returns a team's limit in processors; 0 means no limit.
+	// teamLimit returns the limit of a team in processors; 0 means no limit.
 	teamLimit func(protocol.Team) float64
 }
 
-// newWorld returns a world with as many controllers as the settings say, some machines
-// that are up, and a cloud with some more machines.
-func newWorld(fail func(string, ...any), seed uint64, settings *config.Settings, machines, up int) *world {
+// newWorld returns a world with as many controllers as the settings specify, a number of
+// running machines, and a cloud with a capacity of some more machines.
+func newWorld(fail func(string, ...any), seed uint64, settings *config.Settings, capacity, initialMachines int) *world {
 	rng, t := rand.New(rand.NewPCG(seed, 1)), &timeline{}
 	w := &world{
 		timeline: t, network: newNetwork(t, rng), stateService: newStateService(t),
 		fail: fail, rng: rng, settings: settings, types: defaultMachineTypes(),
-		cloud: fake.NewCloud(machines + spareMachines), workers: map[protocol.MachineID]*worker{},
+		cloud: fake.NewCloud(capacity + spareMachines), workers: map[protocol.MachineID]*worker{},
 		jobs: map[protocol.JobID]protocol.Job{}, cancelled: map[protocol.JobID]time.Duration{},
 		faultyJobs: map[protocol.JobID]bool{}, finalState: map[protocol.JobID]string{},
 		results: map[protocol.TaskID]bool{}, onMachine: map[protocol.TaskID]*fake.Worker{},
@@ -119,7 +120,7 @@
 		nodeLease: nodeLeaseDuration, movedAt: map[sharding.ID]time.Duration{},
 	}
 	w.hooks = w.defaultHooks()
-	for i := range up {
+	for i := range initialMachines {
 		r := protocol.ProvisionRequest{Name: fmt.Sprint("first", i), Type: w.types[i%2].Name, Zone: w.types[0].AllowZones[i/2%2], Spot: i%3 == 0, Count: 1}
 		_, ids := w.cloud.Provision(r)
 		w.bootMachine(ids[0], r)
@@ -140,7 +141,7 @@
 	}
 }
 
-// defaultHooks returns hooks that draw short run and boot times, and observe nothing.
+// defaultHooks returns hooks that draw short run and boot times and ignore events.
 func (w *world) defaultHooks() hooks {
 	return hooks{
 		runTime:         func(protocol.TaskID) time.Duration { return time.Duration(1000+w.rng.IntN(9000)) * time.Millisecond },
@@ -159,11 +160,11 @@
 	}
 }
 
-// wallMS returns the time of day.
+// wallMS returns the simulated wall-clock time in Unix milliseconds.
 func (w *world) wallMS() int64 { return w.startMS + w.now.Milliseconds() }
 
-// submit accepts a job as the admission of a controller does, if the state service is
-// available.
+// submit writes the records of a new job as a controller's admission does, if the state
+// service is available.
 func (w *world) submit(j protocol.Job) {
 	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", w.submissions))
 	j.SubmittedMS = w.wallMS()
@@ -188,7 +189,7 @@
 	}
 }
 
-// run simulates until a time.
+// run simulates up to a time.
 func (w *world) run(until time.Duration) {
 	for w.now < until {
 		end := w.now + w.step
@@ -198,7 +199,7 @@
 		w.runEvents(end)
 		w.now = end
 		w.advanceStateService()
-		w.deliverKeptHeartbeats()
+		w.replayHeartbeats()
 		w.recordChangeTimes()
 		for _, id := range w.machineOrder {
 			w.workers[id].step()
