--- a/internal/simulator/boot_test.go
+++ b/internal/simulator/boot_test.go
@@ -8,9 +8,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestMachinesThatNeverBoot: from some moment on no machine of one type comes up, and
-// those of the other take five times as long. Work goes on on the other type; what
-// does not come up is terminated, and neither requested nor paid for without bound.
+// TestMachinesThatNeverBoot tests that jobs finish although no machine of one type boots
+// and machines of the other type take five times as long to boot as the catalogue says.
+// Machines that do not boot must be terminated, and must not be requested or paid for
+// without bound.
 func TestMachinesThatNeverBoot(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 41, fake.Settings(), 40, 6)
@@ -27,7 +28,7 @@
 		if r.Type == "large" {
 			return 24 * time.Hour
 		}
-		return 40 * time.Second // the catalogue says 8
+		return 40 * time.Second // the catalogue says 8 s
 	}
 	w.run(3 * time.Second)
 	for range 120 {
@@ -49,11 +50,11 @@
 			remaining++
 		}
 	}
-	t.Logf("%d of the type that never comes were asked for, at most %d at a time; %d are left", requested, maxPaidFor, remaining)
+	t.Logf("%d machines of the type that never boots were requested, at most %d at a time; %d remain", requested, maxPaidFor, remaining)
 	if remaining > 0 {
-		t.Errorf("%d machines that never came up are still paid for two minutes after all work is over", remaining)
+		t.Errorf("%d machines that never booted are still paid for two minutes after all jobs have finished", remaining)
 	}
 	if requested > 6*40 {
-		t.Errorf("%d machines of a type that never comes up were asked for in eight minutes, with room for 46", requested)
+		t.Errorf("%d machines of a type that never boots were requested in eight minutes, with a cloud capacity of 46", requested)
 	}
 }
--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -10,40 +10,41 @@
 	"damsonkeel/internal/record"
 )
 
-// TestLimitLoweredDuringFaults: a team that is at its limit has it lowered while each
-// failure that it must tolerate goes on. No start puts the team over a limit that was
-// in force, the request is carried out once, and in the end all act by it.
+// TestLimitLoweredDuringFaults lowers the limit of a team that is at its limit, during each
+// fault that the change must tolerate. No start may put the team over a limit that was in
+// force, the request must be executed once, and in the end all controllers must apply the
+// new limit.
 func TestLimitLoweredDuringFaults(t *testing.T) {
 	for name, fault := range map[string]func(w *configuredWorld, first *node){
 		"none": func(*configuredWorld, *node) {},
-		"one stands still for 40 s and wakes": func(w *configuredWorld, _ *node) {
+		"one controller is paused for 40 s and resumes": func(w *configuredWorld, _ *node) {
 			w.nodes[1].pausedUntil = w.now + 40*time.Second
 		},
-		"the state service is out": func(w *configuredWorld, _ *node) {
+		"the state service has an outage": func(w *configuredWorld, _ *node) {
 			w.after(20*time.Millisecond, func() { w.outageUntil = w.now + 15*time.Second })
 		},
-		"one is cut off from the state service, not from workers": func(w *configuredWorld, _ *node) {
+		"one controller is partitioned from the state service, not from workers": func(w *configuredWorld, _ *node) {
 			w.partition(string(w.nodes[1].name), "state", 40*time.Second, true)
 		},
-		"one hears the records, but reaches neither its peers nor the state service": func(w *configuredWorld, _ *node) {
+		"one controller can reach neither its peers nor the state service": func(w *configuredWorld, _ *node) {
 			w.partition(string(w.nodes[2].name), "state", 30*time.Second, false)
 			w.nodes[2].partitionFromPeers(30*time.Second, true)
 		},
-		"a zone with a controller is apart": func(w *configuredWorld, _ *node) {
+		"a zone with a controller is partitioned": func(w *configuredWorld, _ *node) {
 			w.partitionZone("b", true, 60*time.Second, true)
 		},
-		"one restarts meanwhile": func(w *configuredWorld, _ *node) { w.nodes[1].crashFor(200 * time.Millisecond) },
-		"all restart":            func(w *configuredWorld, _ *node) { w.rollingShutdown() },
-		"shares move": func(w *configuredWorld, _ *node) {
+		"one controller restarts": func(w *configuredWorld, _ *node) { w.nodes[1].crashFor(200 * time.Millisecond) },
+		"all controllers restart": func(w *configuredWorld, _ *node) { w.rollingShutdown() },
+		"shards move": func(w *configuredWorld, _ *node) {
 			for i := range 20 {
 				w.after(time.Duration(i)*300*time.Millisecond, func() { w.moveRandomShards(8) })
 			}
 		},
-		"the records are followed far too late": func(w *configuredWorld, _ *node) {
+		"the watch lags by 20 s": func(w *configuredWorld, _ *node) {
 			w.watchLag = 20 * time.Second
 			w.after(30*time.Second, func() { w.watchLag = 0 })
 		},
-		"transactions are late, or only their answers are lost": func(w *configuredWorld, _ *node) {
+		"transactions are applied late, or only their replies are lost": func(w *configuredWorld, _ *node) {
 			w.lateWriteFraction, w.lostAnswerFraction = 0.4, 0.4
 			w.after(10*time.Second, func() { w.lateWriteFraction, w.lostAnswerFraction = 0, 0 })
 		},
@@ -68,8 +69,9 @@
 	}
 }
 
-// TestConfigurationChangeSurvivesCrashAtEachStep: the controller that makes a change ends some milliseconds
-// after the request. The same request, sent to others, is executed once.
+// TestConfigurationChangeSurvivesCrashAtEachStep crashes the controller that makes a
+// change, from 0 to 190 ms after the request. The operator retries the same request at the
+// other controllers; it must be executed once.
 func TestConfigurationChangeSurvivesCrashAtEachStep(t *testing.T) {
 	t.Parallel()
 	for at := time.Duration(0); at < 200*time.Millisecond; at += 10 * time.Millisecond {
@@ -81,8 +83,9 @@
 	}
 }
 
-// TestConcurrentConfigurationChanges: two operators change the same team at two controllers in the
-// same moment. One after the other is carried out, and all end with the same.
+// TestConcurrentConfigurationChanges requests two changes of the same team, and one of
+// another team, at different controllers at the same time. The changes must be executed one
+// after the other, and all controllers must end with the same configuration.
 func TestConcurrentConfigurationChanges(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
@@ -101,9 +104,9 @@
 	}
 }
 
-// TestManyConfigurationChangesUnderLoad: 200 changes within a minute, under full load, while a
-// controller is paused and another one restarts. Who can follow acts by each within
-// seconds.
+// TestManyConfigurationChangesUnderLoad makes 200 changes within a minute, under full load,
+// while one controller is paused and another one restarts. Each controller that runs
+// throughout must apply each revision within three seconds.
 func TestManyConfigurationChangesUnderLoad(t *testing.T) {
 	t.Parallel()
 	w := newConfiguredWorld(t, 990, 40)
@@ -117,7 +120,7 @@
 	w.runAtLimits(70 * time.Second)
 	w.run(w.now + 20*time.Second)
 	w.recordCommits()
-	if w.unsettled > 0 || len(w.commits) < 150 { // now and then a limit is what it was
+	if w.unsettled > 0 || len(w.commits) < 150 { // some requests set the limit that is already in force
 		t.Errorf("%d requests are not settled, %d revisions", w.unsettled, len(w.commits))
 	}
 	w.expectRevisionInForce(t, dynamicconfig.Revision(len(w.commits)))
@@ -126,8 +129,8 @@
 	}
 }
 
-// TestNoStartsInClosedZone: nothing is started in a zone that is closed, what waits there goes
-// elsewhere, and it is used again when it is open.
+// TestNoStartsInClosedZone tests that no task starts in a zone that is closed, so that tasks
+// queued there are placed elsewhere, and that the zone is used again after it was opened.
 func TestNoStartsInClosedZone(t *testing.T) {
 	t.Parallel()
 	w := newConfiguredWorld(t, 995, 40)
@@ -155,12 +158,13 @@
 	setClosed(false)
 	w.runAtLimits(20 * time.Second)
 	if starts == 0 {
-		t.Error("nothing starts in the zone after it was opened")
+		t.Error("no task starts in the zone after it was opened")
 	}
 }
 
-// TestConfigurationChangesNeedAllControllersUpgraded: changes are refused while a controller takes part that doesn't
-// follow them, and one that joins later gets no lease.
+// TestConfigurationChangesNeedAllControllersUpgraded tests that changes are refused while a
+// controller of an earlier version, which does not follow configuration changes, is a
+// member, and that such a controller gets no lease if it joins after a change.
 func TestConfigurationChangesNeedAllControllersUpgraded(t *testing.T) {
 	t.Parallel()
 	w := newConfiguredWorld(t, 996, 12)
@@ -174,11 +178,11 @@
 	w.layout = record.LayoutShards
 	w.run(w.now + 25*time.Second)
 	if older.core == nil || older.core.Member() {
-		t.Error("an older controller is a member")
+		t.Error("a controller of an earlier version is a member")
 	}
 	reply, _ := w.nodes[0].core.Decide("ops", &operatorapi.Request{Op: operatorapi.OpConfigStatus})
 	if len(reply.Config.Controllers) != 3 || !reply.Config.Controllers[2].Older {
-		t.Errorf("it is not named: %+v", reply.Config)
+		t.Errorf("the controller of an earlier version is not listed: %+v", reply.Config)
 	}
 
 	mixed := newConfiguredWorld(t, 997, 12, 2)
@@ -187,29 +191,29 @@
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}})
 	if txn != nil || reply.Code != operatorapi.Refused {
-		t.Errorf("a change is taken beside an older controller: %+v", reply)
+		t.Errorf("a change is accepted while a controller of an earlier version is a member: %+v", reply)
 	}
 }
 
-// TestQueuedTasksRespectLoweredLimit: tasks that wait in machines' queues when their team's limit
-// is lowered are not started by the limit that they were placed by, however long they
-// wait, also where their shard moves or a controller that placed them was partitioned.
+// TestQueuedTasksRespectLoweredLimit tests that tasks which are queued on machines when the
+// limit of their team is lowered start only within the lowered limit, however long they are
+// queued, also if their shard moves or a controller that placed them was partitioned.
 func TestQueuedTasksRespectLoweredLimit(t *testing.T) {
 	for name, fault := range map[string]func(*configuredWorld){
 		"none": func(*configuredWorld) {},
-		"shares move": func(w *configuredWorld) {
+		"shards move": func(w *configuredWorld) {
 			for i := range 12 {
 				w.after(time.Duration(i)*700*time.Millisecond, func() { w.moveRandomShards(8) })
 			}
 		},
-		"one is cut off from its peers": func(w *configuredWorld) { w.nodes[1].partitionFromPeers(25*time.Second, true) },
+		"one controller is partitioned from its peers": func(w *configuredWorld) { w.nodes[1].partitionFromPeers(25*time.Second, true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
 				w := newConfiguredWorld(t, 1020+seed, 12)
 				w.runTime = func(protocol.TaskID) time.Duration { return 30 * time.Second }
-				for range 4 { // first fill the machines
+				for range 4 { // fill the machines first
 					w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 20, CPUs: 1, EstimateS: 20, Spot: true})
 				}
 				w.run(w.now + 2*time.Second)
@@ -224,8 +228,9 @@
 	}
 }
 
-// TestRepeatedConfigurationRequestIsIdempotent: a request that is repeated after another one has
-// changed the same again gets its first answer, and changes nothing.
+// TestRepeatedConfigurationRequestIsIdempotent tests that a request which is repeated after
+// another request has changed the same entry again gets its original reply and changes
+// nothing.
 func TestRepeatedConfigurationRequestIsIdempotent(t *testing.T) {
 	t.Parallel()
 	w := newConfiguredWorld(t, 1040, 12)
@@ -234,14 +239,14 @@
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}}
 	if _, txn := w.nodes[0].core.Decide("ops", &first); txn == nil || !w.state.Txn(*txn) {
-		t.Fatal("not written") // its answer is lost
+		t.Fatal("the first request was not written") // its reply is lost
 	}
 	w.run(w.now + time.Second)
 	w.requestLimit(1, "bound", 40)
 	w.run(w.now + 2*time.Second)
 	reply, txn := w.nodes[2].core.Decide("ops", &first)
 	if txn != nil || reply.Code != operatorapi.Done || reply.Config.Revision != 1 {
-		t.Errorf("the repetition: %+v, %v", reply, txn)
+		t.Errorf("repeated request: reply %+v, transaction %v", reply, txn)
 	}
 	w.expectRevisionInForce(t, 2)
 }
--- a/internal/simulator/configuredworld_test.go
+++ b/internal/simulator/configuredworld_test.go
@@ -15,33 +15,33 @@
 	"damsonkeel/internal/record"
 )
 
-// maxStartDelay is how long after its command a task may come onto its machine: its
-// image takes a second, messages a part of one.
+// maxStartDelay is how long after the command a task may start on its machine: fetching its
+// image takes a second, and messages take a fraction of a second.
 const maxStartDelay = 1500 * time.Millisecond
 
-// configuredWorld is a world whose configuration changes while it runs. Starts are held
-// against the limits that were in force, by what workers see.
+// configuredWorld is a world whose configuration changes while it runs. Starts on workers
+// are checked against the limits that were in force.
 type configuredWorld struct {
 	*world
-	commits        map[dynamicconfig.Revision]time.Duration
+	commits        map[dynamicconfig.Revision]time.Duration // when each revision was committed
 	limits         map[protocol.Team][]limitSince
-	scannedChanges int // changes of the state service
-	// maxApplyDelay is the longest that a controller which neither restarted nor was paused took
-	// to apply a revision.
+	scannedChanges int // changes of the state service scanned by recordCommits
+	// maxApplyDelay is the longest time that a controller took to apply a revision, apart
+	// from controllers that restarted or were paused since the revision was committed.
 	maxApplyDelay time.Duration
 	requests      int
-	unsettled     int
+	unsettled     int // requests without an outcome
 }
 
-// limitSince is a limit and when it came into force.
+// limitSince is a limit and the time at which it was committed.
 type limitSince struct {
 	at   time.Duration
 	cpus float64
 }
 
-// newConfiguredWorld is a busy world of controllers that follow the configuration, but for
-// some of an earlier version, with two teams that are always at their limits of 60
-// processors.
+// newConfiguredWorld returns a busy world with two teams that are always at their limits of
+// 60 processors. The controllers follow configuration changes, except for olderNodes, which
+// are of an earlier version.
 func newConfiguredWorld(t *testing.T, seed uint64, machines int, olderNodes ...int) *configuredWorld {
 	t.Helper()
 	const controllers = 3
@@ -73,7 +73,8 @@
 	return w
 }
 
-// runAtLimits keeps both teams at their limits for a while, in addition to other work.
+// runAtLimits runs for the duration d and submits enough jobs to keep both teams at their
+// limits, in addition to jobs of another team.
 func (w *configuredWorld) runAtLimits(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		for _, team := range []protocol.Team{"bound", "other", "free"} {
@@ -83,7 +84,8 @@
 	}
 }
 
-// recordCommits records the revisions that the state service has taken, and their limits.
+// recordCommits records the revisions that were committed to the state service, and the
+// limits of teams in them.
 func (w *configuredWorld) recordCommits() {
 	for ; w.scannedChanges < w.state.Changes(); w.scannedChanges++ {
 		e := w.state.Change(w.scannedChanges)
@@ -103,32 +105,34 @@
 	}
 }
 
-// highestLimitInForce is the highest limit of a team that may have been acted by for a task
-// that comes onto its machine now.
+// highestLimitInForce returns the highest limit of a team that a controller may have applied
+// to a task that starts on its machine now.
 func (w *configuredWorld) highestLimitInForce(team protocol.Team) float64 {
 	w.recordCommits()
 	since := w.now - config.ConfigPropagationLimit - maxStartDelay
 	highest := 0.0
 	for i, l := range w.limits[team] {
 		if i+1 < len(w.limits[team]) && w.limits[team][i+1].at < since {
-			continue // replaced before that
+			continue // replaced earlier
 		}
 		highest = max(highest, l.cpus)
 	}
 	return highest
 }
 
-// checkOrders: who sends commands acts by no revision that was replaced too long ago.
+// checkOrders checks that a controller that sends orders does not apply a revision that was
+// replaced more than config.ConfigPropagationLimit ago.
 func (w *configuredWorld) checkOrders(n *node, orders []protocol.Order) {
 	w.recordCommits()
 	revision := n.core.ConfigurationInForce().Revision
 	if at, replaced := w.commits[revision+1]; replaced && w.now-at > config.ConfigPropagationLimit && len(orders) > 0 {
-		w.fail("%v %s acts by revision %d, replaced %v ago", w.now, n.name, revision, w.now-at)
+		w.fail("%v %s sends orders by revision %d, replaced %v ago", w.now, n.name, revision, w.now-at)
 	}
 }
 
-// requestChange has an operator request a change, first at one controller, until it is done:
-// as the command does, with one id. Done hears how it ended.
+// requestChange requests a configuration change as the operators' command does: it tries one
+// controller first and then the others, with the same request id, until the request has an
+// outcome, which it passes to done.
 func (w *configuredWorld) requestChange(first int, done func(operatorapi.Reply), changes ...operatorapi.ConfigChange) {
 	w.requests++
 	w.unsettled++
@@ -172,7 +176,7 @@
 			}
 		})
 		w.after(4*time.Second, func() {
-			if concluded == 0 { // the controller has ended, or is paused
+			if concluded == 0 { // the controller has crashed or is paused
 				concluded++
 				try(at + 1)
 			}
@@ -181,7 +185,8 @@
 	try(first)
 }
 
-// requestLimit changes a team's limit.
+// requestLimit requests a change of a team's limit. Any outcome other than success is a
+// violation.
 func (w *configuredWorld) requestLimit(first int, team string, cpus float64) {
 	w.requestChange(first, func(reply operatorapi.Reply) {
 		if reply.Code != operatorapi.Done {
@@ -190,8 +195,8 @@
 	}, operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntryTeam, team), MaxCPUs: &cpus})
 }
 
-// expectRevisionInForce fails unless every running controller applies the last revision, and
-// each request was carried out once.
+// expectRevisionInForce reports an error unless every running controller applies the
+// revision, and each request was executed once.
 func (w *configuredWorld) expectRevisionInForce(t *testing.T, revision dynamicconfig.Revision) {
 	t.Helper()
 	w.recordCommits()
@@ -203,12 +208,12 @@
 			continue
 		}
 		if got := n.core.ConfigurationInForce().Revision; got != revision {
-			t.Errorf("%s acts by revision %d, want %d", n.name, got, revision)
+			t.Errorf("%s applies revision %d, want %d", n.name, got, revision)
 		}
 	}
 }
 
-// usedCPUs is what a team's tasks take.
+// usedCPUs returns the processors that the tasks of a team use.
 func (w *configuredWorld) usedCPUs(team protocol.Team) (cpus float64) {
 	for task := range w.onMachine {
 		if j := w.jobs[task.Job]; j.Team == team {
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -19,13 +19,14 @@
 	"damsonkeel/internal/protocol"
 )
 
-// updateDigests writes digestsFile anew: go test ./internal/simulator -run TestDigests -update
-var updateDigests = flag.Bool("update", false, "write the golden digests anew")
+// updateDigests makes TestDigests rewrite digestsFile:
+// go test ./internal/simulator -run TestDigests -update
+var updateDigests = flag.Bool("update", false, "rewrite the golden digests")
 
 // digestsFile holds a name and a SHA-256 digest per line, sorted by name.
 const digestsFile = "testdata/digests.txt"
 
-// digestRun is a site file to emulate, and for how long by which seed.
+// digestRun is a run of a site file, with its duration and seed.
 type digestRun struct {
 	name     string
 	site     string
@@ -33,9 +34,10 @@
 	seed     uint64
 }
 
-// digestRuns are the runs whose results are compared. Those of the deployed sites are the
-// same bytes as "damsonkeel emulate --site SITE --for PLAY --seed SEED --output json"
-// prints. Longer runs take too long for every test run; at the time of writing their digests
+// digestRuns lists the runs whose results are compared. The result of a run of a deployed
+// site has the same bytes as the output of
+// "damsonkeel emulate --site SITE --for DURATION --seed SEED --output json".
+// Longer runs take too long for every test run; at the time of writing their digests
 // began with 8216dde14c5af28b (emulate-week.toml, 6h, seed 3) and 7433982937dd30ca
 // (emulate-shares.toml, 2m, seed 7).
 var digestRuns = []digestRun{
@@ -51,13 +53,14 @@
 // configurationDigest is the name of the digest of a configuration change.
 const configurationDigest = "configuration-change"
 
-// TestDigests compares the results of emulated sites, byte by byte, with those of the
-// version that wrote the golden digests. A change that is meant to change no behaviour
-// leaves all of them as they are; one that is meant to writes them anew by -update.
+// TestDigests compares the results of simulated sites, byte by byte, with the results of the
+// version that wrote the golden digests. A commit that is not meant to change behaviour must
+// leave all digests as they are; a commit that is meant to change it rewrites them with
+// -update.
 func TestDigests(t *testing.T) {
 	golden := readDigests(t)
 	got := make([]string, len(digestRuns)+1)
-	t.Run("plays", func(t *testing.T) { // returns when all parallel subtests have ended
+	t.Run("runs", func(t *testing.T) { // returns when all parallel subtests have ended
 		for i, run := range digestRuns {
 			t.Run(run.name, func(t *testing.T) {
 				t.Parallel()
@@ -74,7 +77,7 @@
 	if *updateDigests && !t.Failed() {
 		golden[configurationDigest] = got[len(digestRuns)]
 		for i, run := range digestRuns {
-			if got[i] != "" { // else it was left out, and its digest stays
+			if got[i] != "" { // empty if -run excluded it; its digest stays
 				golden[run.name] = got[i]
 			}
 		}
@@ -82,8 +85,8 @@
 	}
 }
 
-// TestDigestSitesHaveAllFaults fails if a kind of fault happens in none of the small
-// sites whose digests are compared.
+// TestDigestSitesHaveAllFaults tests that each type of fault happens in at least one of the
+// runs whose digests are compared.
 func TestDigestSitesHaveAllFaults(t *testing.T) {
 	injected := map[string]bool{}
 	for _, run := range digestRuns {
@@ -96,12 +99,12 @@
 	}
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[FaultRates]()) {
 		if !injected[field.Name] {
-			t.Errorf("no site has the trouble %s", field.Name)
+			t.Errorf("no run has the fault %s", field.Name)
 		}
 	}
 }
 
-// loadSite reads a site's file.
+// loadSite reads a site file.
 func loadSite(t *testing.T, path string) *Site {
 	t.Helper()
 	site, err := LoadSite(path)
@@ -111,17 +114,17 @@
 	return site
 }
 
-// resultJSON plays a site and returns its result as the command prints it. Broken rules
-// are part of the result.
+// resultJSON runs a site and returns its result as the command prints it. Violations of
+// rules are part of the result.
 func resultJSON(t *testing.T, run digestRun) []byte {
 	t.Helper()
 	result := Run(loadSite(t, run.site), Options{For: run.duration, Seed: run.seed})
 	return indentedJSON(t, []*Result{result})
 }
 
-// configurationChangeJSON lowers and raises teams' limits on a busy site of arrays and
-// a gang, and has shards move and a controller end meanwhile. It returns the outcome
-// with all records of the state service.
+// configurationChangeJSON lowers and raises teams' limits in a busy world with job arrays and
+// a gang, while shards move and a controller crashes. It returns the outcome with all
+// records of the state service.
 func configurationChangeJSON(t *testing.T) []byte {
 	t.Helper()
 	w := newConfiguredWorld(t, 1100, 20)
@@ -155,22 +158,23 @@
 	return b.Bytes()
 }
 
-// digestOf is a SHA-256 digest in hexadecimal digits.
+// digestOf returns a SHA-256 digest in hexadecimal digits.
 func digestOf(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:])
 }
 
-// checkDigest compares a digest with the golden one, unless those are written anew.
+// checkDigest compares a digest with the golden one, unless the golden digests are being
+// rewritten.
 func checkDigest(t *testing.T, golden map[string]string, name, got string) {
 	t.Helper()
 	if want := golden[name]; !*updateDigests && got != want {
-		t.Errorf("digest %s, want %q: the emulator's result has changed", got, want)
+		t.Errorf("digest %s, want %q: the result of the simulation has changed", got, want)
 	}
 }
 
-// readDigests reads the golden digests by name. It fails if one is listed that no play
-// has.
+// readDigests reads the golden digests by name. It reports an error if a digest belongs to no
+// run.
 func readDigests(t *testing.T) map[string]string {
 	t.Helper()
 	digests := map[string]string{}
@@ -182,7 +186,7 @@
 		name, digest, _ := strings.Cut(lines.Text(), " ")
 		isRun := slices.ContainsFunc(digestRuns, func(run digestRun) bool { return run.name == name })
 		if !isRun && name != configurationDigest {
-			t.Errorf("%s: %q is not played", digestsFile, name)
+			t.Errorf("%s: there is no run %q", digestsFile, name)
 		}
 		digests[name] = digest
 	}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -21,7 +21,8 @@
 }
 
 // faultTypes lists the types of faults with the site's rates. Faults are drawn in this
-// order, so reordering the list changes the result of a seed.
+// order, so reordering the list changes the result of a seed. The names are written to the
+// result.
 func (d *driver) faultTypes() []faultType {
 	rates := &d.site.Faults
 	return []faultType{
--- a/internal/simulator/faultyjobs_test.go
+++ b/internal/simulator/faultyjobs_test.go
@@ -8,10 +8,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestFaultyJobsDoNotCordonHealthyMachines: a third of the jobs fail wherever they run, arrays of hundreds and
-// gangs too, while three machines fail everything. No good machine is set aside for
-// long, each bad one is; what fails everywhere is tried ever less often and takes
-// nothing from the rest; one whose mistake is mended runs to its end.
+// TestFaultyJobsDoNotCordonHealthyMachines tests a load in which a third of the jobs fail on
+// every machine, including arrays of hundreds of tasks and gangs, while three machines fail
+// every task. The faulty machines must be cordoned, and healthy machines must not be for
+// long. Faulty jobs must be retried less and less often and must not keep the other jobs from
+// finishing, and a faulty job that is repaired must finish.
 func TestFaultyJobsDoNotCordonHealthyMachines(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 31, fake.Settings(), 60, 60)
@@ -49,19 +50,19 @@
 	}
 	for id := range faultyMachines {
 		if !cordoned[id] {
-			t.Errorf("%s fails everything and is not set aside", id)
+			t.Errorf("%s fails every task and was not cordoned", id)
 		}
 	}
 	if healthyCordonSeconds > 60 { // of 80 s times 57 machines
-		t.Errorf("good machines are set aside for %d s in all", healthyCordonSeconds)
+		t.Errorf("healthy machines were cordoned for %d s in all", healthyCordonSeconds)
 	}
 	repaired := w.jobOrder[0]
 	if !w.faultyJobs[repaired] {
-		t.Fatal("the first job has no mistake")
+		t.Fatal("the first job is not faulty")
 	}
 	for _, id := range w.jobOrder {
 		if j := w.jobs[id]; w.faultyJobs[id] && starts[id] > 3*int(j.Tasks)+30 {
-			t.Errorf("%s of %d tasks, which fail everywhere, was started %d times", id, j.Tasks, starts[id])
+			t.Errorf("tasks of %s, which has %d tasks that fail on every machine, were started %d times", id, j.Tasks, starts[id])
 		}
 	}
 	delete(w.faultyJobs, repaired)
@@ -71,7 +72,7 @@
 	w.run(w.now + 60*time.Second)
 	for _, id := range w.jobOrder {
 		if w.finalState[id] == "" != w.faultyJobs[id] {
-			t.Errorf("%s, with a mistake: %v, is %q", id, w.faultyJobs[id], w.finalState[id])
+			t.Errorf("final state of %s, faulty: %v, is %q", id, w.faultyJobs[id], w.finalState[id])
 		}
 		if w.faultyJobs[id] {
 			w.cancel(id)
@@ -81,5 +82,5 @@
 	if len(w.onMachine) > 0 {
 		t.Errorf("%d tasks are on machines after all were cancelled", len(w.onMachine))
 	}
-	t.Logf("good machines set aside for %d s in all; starts %v", healthyCordonSeconds, starts)
+	t.Logf("healthy machines were cordoned for %d s in all; starts %v", healthyCordonSeconds, starts)
 }
--- a/internal/simulator/fleet_test.go
+++ b/internal/simulator/fleet_test.go
@@ -8,14 +8,14 @@
 	"damsonkeel/internal/protocol"
 )
 
-// fleetSize is how many machines the hard cases of a fleet have; WORLD_MACHINES
-// asks for another number, a multiple of that.
+// fleetSize is how many machines the tests of a fleet have. WORLD_MACHINES sets another
+// number, which must be a multiple of defaultFleetSize.
 var fleetSize = requestedMachines(defaultFleetSize)
 
 const defaultFleetSize = 1300
 
-// fleetJob is an array of some hundred tasks of half a machine or a whole one, now and
-// then a gang.
+// fleetJob returns a random job: an array of some hundred tasks that each take half of a
+// machine or a whole one, or, for one job in four, a gang.
 func fleetJob(w *world) protocol.Job {
 	j := protocol.Job{
 		Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(200+w.rng.IntN(200)) * uint32(fleetSize/defaultFleetSize), CPUs: 4, EstimateS: 5,
@@ -27,20 +27,20 @@
 	return j
 }
 
-// newFleet is a world whose machines are all up and registered, and so busy that
-// none is returned as idle.
+// newFleet returns a world whose machines are all running and registered, and so busy that
+// none is terminated as idle.
 func newFleet(t *testing.T, seed uint64) *world {
 	t.Helper()
 	w := newWorld(t.Fatalf, seed, fake.Settings(), fleetSize, fleetSize)
 	w.run(3 * time.Second)
 	w.submitEvery(500*time.Millisecond, 8*time.Second)
 	if n := w.registeredMachines(); n < fleetSize*9/10 {
-		t.Fatalf("%d of %d machines kept after %v", n, fleetSize, w.now)
+		t.Fatalf("%d of %d machines registered after %v", n, fleetSize, w.now)
 	}
 	return w
 }
 
-// submitEvery submits a job at each of so many times until a while has passed.
+// submitEvery runs for the duration d and submits a job at each interval.
 func (w *world) submitEvery(every, d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.submit(fleetJob(w))
@@ -48,8 +48,8 @@
 	}
 }
 
-// registeredMachines returns how many machines have a live heartbeat at the controllers that hold
-// their shards.
+// registeredMachines returns how many machines have a live heartbeat at the controllers that
+// hold their shards.
 func (w *world) registeredMachines() int {
 	n := 0
 	for _, node := range w.nodes {
@@ -60,7 +60,8 @@
 	return n
 }
 
-// expectAllFinished reports an error if jobs have not ended after a while.
+// expectAllFinished runs until all jobs have finished, for at most the duration d, and
+// reports an error if some have not.
 func (w *world) expectAllFinished(t *testing.T, d time.Duration) {
 	t.Helper()
 	for end := w.now + d; w.unfinished() > 0 && w.now < end; {
@@ -68,14 +69,14 @@
 	}
 	w.run(w.now + 5*time.Second)
 	if n := w.unfinished(); n > 0 {
-		t.Errorf("%d of %d jobs have not ended", n, len(w.jobOrder))
+		t.Errorf("%d of %d jobs have not finished", n, len(w.jobOrder))
 	}
 }
 
-// TestAllWorkersRegisterAfterFullOutage: all controllers are down for longer than the
-// workers' leases. Then 1,300 workers come with new sessions at once, while jobs
-// come three times as often: they are registered within seconds, by a few
-// changes, and everything ends.
+// TestAllWorkersRegisterAfterFullOutage stops all controllers for longer than the workers'
+// leases. Then 1,300 workers register with new sessions at once, while jobs arrive three
+// times as often. The workers must be registered within seconds, with few changes of the
+// records, and all jobs must finish.
 func TestAllWorkersRegisterAfterFullOutage(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 1)
@@ -84,24 +85,24 @@
 	}
 	w.run(w.now + 25*time.Second)
 	if w.expiredLeases < fleetSize*9/10 {
-		t.Fatalf("%d leases have run out", w.expiredLeases)
+		t.Fatalf("%d leases have expired", w.expiredLeases)
 	}
 	writes := w.blockWrites
 	w.submitEvery(170*time.Millisecond, 10*time.Second)
 	if n := w.registeredMachines(); n < fleetSize*9/10 {
-		t.Errorf("%d machines kept 10 s later", n)
+		t.Errorf("%d machines registered 10 s later", n)
 	}
-	// Each worker comes when it is its time, over several seconds, and not all
-	// of a block at once; still far fewer changes than machines.
+	// The workers send their heartbeats over several seconds, and the workers of a block not
+	// all at once; still there are far fewer changes than machines.
 	if n := w.blockWrites - writes; n > fleetSize/3 {
 		t.Errorf("%d changes for %d machines", n, fleetSize)
 	}
 	w.expectAllFinished(t, 100*time.Second)
 }
 
-// TestZonePartitionDuringRollingRestart: a zone with its controllers and half of the machines
-// is partitioned from everything for 70 s, far longer than leases and cancellations
-// last, and comes back while the controllers are restarted one after the other.
+// TestZonePartitionDuringRollingRestart partitions a zone, with its controllers and half of
+// the machines, from everything else for 70 s, far longer than leases and cancellations last.
+// The partition ends while the controllers are restarted one after the other.
 func TestZonePartitionDuringRollingRestart(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 2)
@@ -114,10 +115,10 @@
 	w.expectAllFinished(t, 120*time.Second)
 }
 
-// TestResumedControllerChangesNothing: a controller is paused for 40 s while its clocks run
-// on. Others take over; then it goes on with all it had still to send, its lease
-// long expired. What it sends changes nothing: rules hold, and no table has
-// anything of it.
+// TestResumedControllerChangesNothing pauses a controller for 40 s while its clocks run on,
+// so that others take over. Then the controller resumes with an expired lease and sends all
+// of its pending messages. These must have no effect: the rules hold, and no entry is
+// left in any controller's wait table.
 func TestResumedControllerChangesNothing(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 3)
@@ -128,19 +129,19 @@
 	term := w.nodes[0].core.Status().Term
 	w.submitEvery(2*time.Second, 39*time.Second)
 	if w.nodes[0].core.Status().Term == term {
-		t.Error("nobody took over")
+		t.Error("no controller took over")
 	}
 	w.submitEvery(2*time.Second, 10*time.Second)
 	w.expectAllFinished(t, 100*time.Second)
 	for _, n := range w.nodes {
 		if waits := n.core.Status().Waits; len(waits) > 0 {
-			t.Fatalf("%s: %v have waits with nothing left to run", n.name, waits)
+			t.Fatalf("%s: the wait table has entries for %v although all jobs have finished", n.name, waits)
 		}
 	}
 }
 
-// TestFailoverWithSlowStateService: a controller crashes while the state service
-// takes 15 times as long, for writes and for what the watch brings.
+// TestFailoverWithSlowStateService crashes a controller while the state service is 15 times
+// slower, for writes and for watched changes.
 func TestFailoverWithSlowStateService(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 4)
@@ -149,15 +150,15 @@
 	w.nodes[2].crashFor(30 * time.Second)
 	w.submitEvery(time.Second, 28*time.Second)
 	if n := w.registeredMachines(); n < fleetSize*8/10 {
-		t.Errorf("%d machines kept by the two that are left", n)
+		t.Errorf("%d machines registered at the two remaining controllers", n)
 	}
 	w.stateLatency = 0
 	w.expectAllFinished(t, 120*time.Second)
 }
 
-// TestOneControllerHoldsAllShards: two of three controllers are down for a minute. The third
-// holds all shards, no worker's lease runs out once it has taken them over, and
-// work goes on.
+// TestOneControllerHoldsAllShards stops two of three controllers for a minute. The third must
+// hold all shards, no worker's lease may expire after the takeover, and tasks must continue
+// to start.
 func TestOneControllerHoldsAllShards(t *testing.T) {
 	t.Parallel()
 	w := newFleet(t, 5)
@@ -167,13 +168,13 @@
 	expiredLeases, starts := w.expiredLeases, w.starts
 	w.submitEvery(time.Second, 30*time.Second)
 	if n := w.nodes[2].core.Status().Queues; n < fleetSize/2 {
-		t.Errorf("%d machines kept", n)
+		t.Errorf("%d machines have queues at the remaining controller", n)
 	}
 	if w.expiredLeases > expiredLeases {
-		t.Errorf("%d leases ran out while one controller kept all machines", w.expiredLeases-expiredLeases)
+		t.Errorf("%d leases expired while one controller held all shards", w.expiredLeases-expiredLeases)
 	}
 	if w.starts == starts {
-		t.Error("nothing was started")
+		t.Error("no task was started")
 	}
 	w.expectAllFinished(t, 120*time.Second)
 }
--- a/internal/simulator/frontend_test.go
+++ b/internal/simulator/frontend_test.go
@@ -10,17 +10,19 @@
 	"damsonkeel/internal/record"
 )
 
-// frontend plays the actor around a controller's intake, as coordination.Node does.
+// frontend runs the admission core of a node's process and executes its actions, as
+// coordination.Node does.
 type frontend struct {
 	users       *users
 	node        *node
-	incarnation int // of the process that it belongs to
+	incarnation int // incarnation of the process that admission belongs to
 	admission   *admission.Admission
 	lastID      admission.RequestID
 	replies     map[admission.RequestID]func(admission.Answer)
 }
 
-// ensureAdmission makes the intake of a process that has begun, and says whether one is there.
+// ensureAdmission creates the admission core if the node's process is new. It reports whether
+// the process is running.
 func (f *frontend) ensureAdmission() bool {
 	w := f.users.world
 	if f.node.core == nil {
@@ -31,7 +33,7 @@
 	}
 	f.incarnation, f.admission, f.replies = f.node.incarnation, admission.New(f.node.settings(), w.operator, discardLogger), map[admission.RequestID]func(admission.Answer){}
 	f.step(admission.Configured{Effective: f.node.core.ConfigurationInForce()})
-	if w.now > 0 { // some time passes before it knows the machine types
+	if w.now > 0 { // a restarted process reads the machine types after a delay
 		f.node.afterIfAlive(time.Duration(w.rng.IntN(1500))*time.Millisecond, func() { f.step(admission.TypesRead{Types: w.types}) })
 	} else {
 		f.step(admission.TypesRead{Types: w.types})
@@ -39,7 +41,7 @@
 	return true
 }
 
-// requestUntilDone gives the process a request; nobody answers if there is none.
+// request passes a request to the process. If the process is down, reply is never called.
 func (f *frontend) request(a admission.Request, reply func(admission.Answer)) {
 	if !f.ensureAdmission() {
 		return
@@ -50,7 +52,8 @@
 	f.step(a)
 }
 
-// step has the process handle a message, when it goes on if it is paused.
+// step passes a message to the admission core and executes its actions. If the process is
+// paused, this happens when it resumes.
 func (f *frontend) step(msg any) {
 	w := f.users.world
 	if !f.ensureAdmission() {
@@ -65,11 +68,13 @@
 	}
 }
 
-// deliver gives the process a message after a while, unless it has ended by then.
+// deliver passes a message to the process after the duration d, unless the process has ended
+// by then.
 func (f *frontend) deliver(d time.Duration, msg any) {
 	f.node.afterIfAlive(d, func() { f.step(msg) })
 }
 
+// execute executes an action that the admission core has returned.
 func (f *frontend) execute(a admission.Action) {
 	w := f.users.world
 	switch a := a.(type) {
@@ -118,7 +123,8 @@
 	}
 }
 
-// read reads from the state service.
+// read reads from the state service and delivers the result of query. If the read fails or
+// its reply is lost, it delivers the result of failed with the outcome instead.
 func (f *frontend) read(query func() any, failed func(message.Outcome) any) {
 	w := f.users.world
 	switch {
@@ -138,7 +144,8 @@
 	}
 }
 
-// announceCancellation notifies a controller's core that a job is cancelled.
+// announceCancellation notifies a controller's core that a job is cancelled, and acknowledges
+// this to the controller that sent the announcement.
 func (u *users) announceCancellation(f *frontend, a admission.Announce) {
 	w := u.world
 	if u.dropCancellations {
@@ -163,6 +170,7 @@
 	w.send(string(f.node.name), string(a.To), deliver)
 }
 
+// frontendOf returns the frontend of the node with a name.
 func (u *users) frontendOf(name protocol.NodeName) *frontend {
 	return u.frontends[slices.IndexFunc(u.frontends, func(f *frontend) bool { return f.node.name == name })]
 }
--- a/internal/simulator/overlaps_test.go
+++ b/internal/simulator/overlaps_test.go
@@ -11,7 +11,7 @@
 	"damsonkeel/internal/protocol"
 )
 
-// cancelRandomJobs cancels live jobs at random moments of a while.
+// cancelRandomJobs cancels up to n unfinished jobs at random times within the duration d.
 func (w *world) cancelRandomJobs(n int, d time.Duration) {
 	for range n {
 		w.after(time.Duration(w.rng.Int64N(int64(d)+1)), func() {
@@ -25,7 +25,7 @@
 	}
 }
 
-// partitionFromPeers cuts a controller from all others.
+// partitionFromPeers partitions a controller from all others.
 func (n *node) partitionFromPeers(d time.Duration, delayed bool) {
 	w := n.world
 	for _, p := range w.nodes {
@@ -33,7 +33,7 @@
 	}
 }
 
-// forRandomWorkers calls do with a random fraction of the machines.
+// forRandomWorkers calls do for a random fraction of the workers.
 func (w *world) forRandomWorkers(fraction float64, do func(*worker)) {
 	for _, id := range w.machineOrder {
 		if m := w.workers[id]; !m.Dead && w.rng.Float64() < fraction {
@@ -42,12 +42,13 @@
 	}
 }
 
-// partitionThenOutage: the state service refuses a controller alone, jobs are cancelled
-// through the others meanwhile, then it is out for all, longer than cancel_s.
+// partitionThenOutage partitions one controller from the state service, cancels jobs through
+// the other controllers meanwhile, and then starts an outage of the state service for all
+// that lasts at least cancel_s.
 func (n *node) partitionThenOutage() {
 	w := n.world
 	if w.now < 25*time.Second || w.outageUntil > w.now {
-		return // there has to be something that runs
+		return // jobs have to be running
 	}
 	rejectedFor := time.Duration(1000+w.rng.IntN(15_000)) * time.Millisecond
 	outage := time.Duration(w.settings.Site.Workers.CancelS+float64(w.rng.IntN(20))) * time.Second
@@ -69,8 +70,8 @@
 	}
 }
 
-// injectOverlappingFault injects one of the faults that the operators name; two or three
-// at a time overlap.
+// injectOverlappingFault injects one of the faults that the operators have specified. Called
+// two or three times in a row, it injects overlapping faults.
 func (w *world) injectOverlappingFault() {
 	n := w.nodes[w.rng.IntN(3)]
 	d := time.Duration(2+w.rng.IntN(25)) * time.Second
@@ -83,7 +84,7 @@
 		if w.rng.IntN(6) == 0 {
 			n.partitionThenOutage()
 		}
-	case 1: // cut from the records and from its peers, not from workers
+	case 1: // partitioned from the state service and its peers, not from workers
 		w.partition(string(n.name), "state", d, delayed)
 		n.partitionFromPeers(d, delayed)
 		w.cancelRandomJobs(3, d)
@@ -95,7 +96,7 @@
 		w.after(d, func() { w.duplicateHeartbeatFraction = 0 })
 	case 6:
 		w.forRandomWorkers(0.3, func(m *worker) { m.inboundLostUntil = w.now + d })
-	case 7, 8: // most within their lease
+	case 7, 8: // most pauses are shorter than the lease
 		w.forRandomWorkers(0.4, func(m *worker) { m.pausedUntil = w.now + time.Duration(300+w.rng.IntN(17_000))*time.Millisecond })
 	case 9:
 		n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
@@ -111,7 +112,8 @@
 	}
 }
 
-// drawSpreadRunTime draws run times that differ widely, some longer than most faults last.
+// drawSpreadRunTime draws run times that differ widely. Some are longer than most faults
+// last.
 func (w *world) drawSpreadRunTime(protocol.TaskID) time.Duration {
 	if w.rng.IntN(4) == 0 {
 		return time.Duration(20+w.rng.IntN(40)) * time.Second
@@ -120,8 +122,8 @@
 }
 
 // TestRulesHoldUnderOverlappingFaults runs scenarios in which two or three of the operators'
-// faults come at once, again and again, with long tasks, jobs of a few tasks that
-// end far apart, and many cancellations.
+// faults overlap repeatedly, with long tasks, jobs of a few tasks that end at very different
+// times, and many cancellations.
 func TestRulesHoldUnderOverlappingFaults(t *testing.T) {
 	fault := func(w *world) {
 		w.runTime = w.drawSpreadRunTime
@@ -136,10 +138,10 @@
 	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, fault: fault, faultEveryStep: true, settleTime: 30 * time.Second}.runSeeds(t, 40, 700_000)
 }
 
-// TestRulesHoldWithDelayedCommands runs scenarios in which a good part of all commands,
-// heartbeats and their answers takes seconds and arrives in any order, machines are
-// paused and resume, while fencing tokens rise, shards move, machines are given notice, and now
-// and then all controllers crash.
+// TestRulesHoldWithDelayedCommands runs scenarios in which a large fraction of all commands,
+// heartbeats and their replies takes seconds and arrives in any order, and workers are
+// paused and resume, while fencing tokens rise, shards move, machines get preemption notices,
+// and occasionally all controllers crash.
 func TestRulesHoldWithDelayedCommands(t *testing.T) {
 	fault := func(w *world) {
 		w.slowMessageFraction = 0.2 + w.rng.Float64()/2
@@ -152,7 +154,7 @@
 			w.forRandomWorkers(0.2, func(m *worker) {
 				notice := 12.0
 				m.Notice = &notice
-				w.after(12*time.Second, func() { m.Notice = nil }) // not taken after all
+				w.after(12*time.Second, func() { m.Notice = nil }) // not preempted after all
 			})
 		case 3:
 			w.forRandomWorkers(0.2, func(m *worker) {
@@ -170,25 +172,25 @@
 	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true, settleTime: 15 * time.Second}.runSeeds(t, 20, 800_000)
 }
 
-// partitionOutage is one way in which the state service refuses a controller alone, others
-// confirm cancellations, and it is then out for all.
+// partitionOutage is a case in which one controller is partitioned from the state service
+// while others confirm cancellations, and the state service then has an outage for all.
 type partitionOutage struct {
-	rejectedFor    time.Duration // alone, before the outage
-	delayed        bool          // delayed rather than refused
-	partitionPeers bool          // cut from the other controllers too
+	rejectedFor    time.Duration // how long the partition lasts before the outage
+	delayed        bool          // transactions are delayed rather than refused
+	partitionPeers bool          // partition the controller from its peers as well
 	extraFault     func(*world, *node)
 }
 
-// run plays it on machines full of long tasks, with jobs cancelled during the time of
-// being refused and in its last moment. It returns how many tasks of cancelled
-// jobs were on machines when their users were answered, and how long the last stayed.
-func (m partitionOutage) run(fail func(string, ...any), seed uint64, nodeLease time.Duration) (overdueTasks int, longestStay time.Duration) {
+// run runs the case on machines full of long tasks, and cancels jobs during the partition and
+// right before the outage. It returns how many tasks of cancelled jobs were on machines when
+// the cancellation was confirmed, and the longest time that such a task stayed.
+func (m partitionOutage) run(fail func(string, ...any), seed uint64, nodeLease time.Duration) (tasksOnMachines int, longestStay time.Duration) {
 	const machines = 24
 	w := newWorld(fail, seed, fake.Settings(), machines, machines)
 	w.nodeLease = nodeLease
 	w.runTime = func(protocol.TaskID) time.Duration { return 10 * time.Minute }
 	w.run(3 * time.Second)
-	for range 40 { // some still fetch their images, or wait, when it begins
+	for range 40 { // some tasks are still fetching images or queued when the partition starts
 		w.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, CheckpointDurationS: 2})
 		w.submit(protocol.Job{Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 2, CPUs: 1, EstimateS: 600, Spot: true, CheckpointS: 2, CheckpointDurationS: 2})
 		w.run(w.now + 250*time.Millisecond)
@@ -211,14 +213,14 @@
 		w.cancel(id)
 		for t := range w.onMachine {
 			if t.Job == id {
-				overdueTasks++
+				tasksOnMachines++
 			}
 		}
 	}
 	for at := time.Duration(0); at < m.rejectedFor; at += 300 * time.Millisecond {
 		w.after(at, cancel)
 	}
-	w.after(m.rejectedFor, func() { // some that nobody follows any more
+	w.after(m.rejectedFor, func() { // the controllers cannot see these cancellations before the outage
 		for range 12 {
 			cancel()
 		}
@@ -232,10 +234,10 @@
 			}
 		}
 	}
-	return overdueTasks, longestStay
+	return tasksOnMachines, longestStay
 }
 
-// partitionOutages are the ways that are played.
+// partitionOutages returns the cases by name.
 func partitionOutages() map[string]partitionOutage {
 	pause := func(d time.Duration) func(*world, *node) {
 		return func(w *world, n *node) {
@@ -243,50 +245,51 @@
 		}
 	}
 	return map[string]partitionOutage{
-		"its session survives":           {rejectedFor: 3 * time.Second},
-		"the outage comes at once":       {rejectedFor: 200 * time.Millisecond},
-		"before anybody notices":         {rejectedFor: 7 * time.Second},
-		"a new view, nobody heard of it": {rejectedFor: 8500 * time.Millisecond},
-		"shares handed on":               {rejectedFor: 14 * time.Second},
-		"held back":                      {rejectedFor: 9 * time.Second, delayed: true},
-		"cut from its peers too":         {rejectedFor: 9 * time.Second, partitionPeers: true},
-		"all held back, peers too":       {rejectedFor: 5 * time.Second, partitionPeers: true, delayed: true},
-		"it stands still for a moment":   {rejectedFor: 6 * time.Second, extraFault: pause(3 * time.Second)},
-		"it stands still for long":       {rejectedFor: 6 * time.Second, extraFault: pause(40 * time.Second)},
-		"it ends and is back at once":    {rejectedFor: 6 * time.Second, extraFault: func(w *world, n *node) { w.after(2*time.Second, func() { n.crashFor(200 * time.Millisecond) }) }},
-		"shares move from and to it":     {rejectedFor: 4 * time.Second, extraFault: func(w *world, _ *node) { w.moveRandomShards(60) }},
-		"commands are held up":           {rejectedFor: 9 * time.Second, extraFault: func(w *world, _ *node) { w.slowMessageFraction = 0.4 }},
-		"machines stand still": {rejectedFor: 9 * time.Second, extraFault: func(w *world, _ *node) {
+		"the session survives":                   {rejectedFor: 3 * time.Second},
+		"the outage starts at once":              {rejectedFor: 200 * time.Millisecond},
+		"before the lease expires":               {rejectedFor: 7 * time.Second},
+		"a new view that no controller has seen": {rejectedFor: 8500 * time.Millisecond},
+		"shards taken over":                      {rejectedFor: 14 * time.Second},
+		"transactions are delayed":               {rejectedFor: 9 * time.Second, delayed: true},
+		"partitioned from peers too":             {rejectedFor: 9 * time.Second, partitionPeers: true},
+		"all messages delayed, peers too":        {rejectedFor: 5 * time.Second, partitionPeers: true, delayed: true},
+		"paused for 3 s":                         {rejectedFor: 6 * time.Second, extraFault: pause(3 * time.Second)},
+		"paused for 40 s":                        {rejectedFor: 6 * time.Second, extraFault: pause(40 * time.Second)},
+		"crash and restart at once":              {rejectedFor: 6 * time.Second, extraFault: func(w *world, n *node) { w.after(2*time.Second, func() { n.crashFor(200 * time.Millisecond) }) }},
+		"shards move":                            {rejectedFor: 4 * time.Second, extraFault: func(w *world, _ *node) { w.moveRandomShards(60) }},
+		"commands are delayed":                   {rejectedFor: 9 * time.Second, extraFault: func(w *world, _ *node) { w.slowMessageFraction = 0.4 }},
+		"workers are paused": {rejectedFor: 9 * time.Second, extraFault: func(w *world, _ *node) {
 			w.forRandomWorkers(0.5, func(sw *worker) { sw.pausedUntil = w.now + 12*time.Second })
 		}},
-		"transactions are carried out late": {rejectedFor: 9 * time.Second, extraFault: func(w *world, _ *node) { w.lateWriteFraction = 0.3 }},
+		"transactions are applied late": {rejectedFor: 9 * time.Second, extraFault: func(w *world, _ *node) { w.lateWriteFraction = 0.3 }},
 	}
 }
 
-// TestCancelledTasksStopDuringPartitionThenOutage: each way with each controller as the partitioned one: the tasks of cancelled jobs
-// are stopped within the bound of
+// TestCancelledTasksStopDuringPartitionThenOutage runs each case with each controller as the
+// partitioned one. The tasks of cancelled jobs must be stopped within the bound of
 // docs/design.md.
 func TestCancelledTasksStopDuringPartitionThenOutage(t *testing.T) {
 	for name, m := range partitionOutages() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seedCount(3)) {
-				overdueTasks, longestStay := m.run(t.Fatalf, 900+seed, nodeLeaseDuration)
-				if overdueTasks == 0 {
-					t.Error("no cancelled task was on a machine: nothing is shown")
+				tasksOnMachines, longestStay := m.run(t.Fatalf, 900+seed, nodeLeaseDuration)
+				if tasksOnMachines == 0 {
+					t.Error("no task of a cancelled job was on a machine, so the test checks nothing")
 				}
 				w := fake.Settings().Site.Workers
 				if bound := config.MaxCancellationDelay(nodeLeaseDuration, w) + defaultStep; longestStay > bound {
-					t.Errorf("seed %d: stayed for %v, the bound is %v", seed, longestStay, bound)
+					t.Errorf("seed %d: a task of a cancelled job stayed on its machine for %v, the bound is %v", seed, longestStay, bound)
 				}
-				t.Logf("%d tasks of cancelled jobs on machines, the last for %v", overdueTasks, longestStay)
+				t.Logf("%d tasks of cancelled jobs on machines, for at most %v", tasksOnMachines, longestStay)
 			}
 		})
 	}
 }
 
-// TestExpiredLeaseViolationIsDetected: with a controller that answers workers far longer than it
-// may, the same play breaks the rule: the check works.
+// TestExpiredLeaseViolationIsDetected runs the same case with controllers that continue to
+// renew workers' leases long after their own lease has expired. This must violate the rule,
+// which shows that the check works.
 func TestExpiredLeaseViolationIsDetected(t *testing.T) {
 	detected := false
 	fail := func(format string, args ...any) {
@@ -296,11 +299,11 @@
 		partitionOutage{rejectedFor: 3 * time.Second}.run(fail, 900+seed, time.Minute)
 	}
 	if !detected {
-		t.Error("a cancelled task stayed too long, and no rule was broken")
+		t.Error("tasks of cancelled jobs stayed on machines too long, and no violation was reported")
 	}
 }
 
-// smallRandomJob is a job of one to three tasks, now and then of a limited team.
+// smallRandomJob returns a random job of one to three tasks, often of a limited team.
 func smallRandomJob(w *world) protocol.Job {
 	j := w.randomJob()
 	if j.Tasks = min(j.Tasks, 3); j.Kind != protocol.KindGang && w.rng.IntN(2) == 0 {
@@ -309,15 +312,16 @@
 	return j
 }
 
-// TestRulesHoldUnderEachOverlappingFault plays each of the operators' overlapping faults by itself, over and
-// over, with jobs of a few tasks that end far apart.
+// TestRulesHoldUnderEachOverlappingFault runs scenarios for each combination of overlapping
+// faults that the operators have specified, with jobs of a few tasks that end at very
+// different times.
 func TestRulesHoldUnderEachOverlappingFault(t *testing.T) {
 	crashBriefly := func(w *world, maxDown time.Duration) {
 		w.nodes[w.rng.IntN(3)].crashFor(100*time.Millisecond + time.Duration(w.rng.Int64N(int64(maxDown))))
 	}
 	for name, fault := range map[string]func(*world){
-		"jobs end across changes of leader": func(w *world) { crashBriefly(w, 9*time.Second) },
-		"cut from the records and all peers": func(w *world) {
+		"jobs end during leader changes": func(w *world) { crashBriefly(w, 9*time.Second) },
+		"partitioned from the state service and all peers": func(w *world) {
 			if n, d := w.nodes[w.rng.IntN(3)], time.Duration(4+w.rng.IntN(70))*time.Second; w.rng.IntN(6) == 0 {
 				delayed := w.rng.IntN(2) == 0
 				w.partition(string(n.name), "state", d, delayed)
@@ -325,13 +329,13 @@
 				w.cancelRandomJobs(4, d)
 			}
 		},
-		"transactions are carried out late": func(w *world) {
+		"transactions are applied late": func(w *world) {
 			w.lateWriteFraction = 0.35
 			if w.rng.IntN(3) == 0 {
 				crashBriefly(w, time.Second)
 			}
 		},
-		"a leader ends while machines are deaf or away": func(w *world) {
+		"a leader crashes while workers are paused or lose messages": func(w *world) {
 			d := time.Duration(2+w.rng.IntN(30)) * time.Second
 			w.forRandomWorkers(0.3, func(sw *worker) {
 				if w.rng.IntN(2) == 0 {
@@ -344,18 +348,18 @@
 				crashBriefly(w, 9*time.Second)
 			}
 		},
-		"handed over and back, within a second": func(w *world) {
+		"shards move and move back within a second": func(w *world) {
 			w.moveRandomShards(24)
 			w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, func() { crashBriefly(w, 900*time.Millisecond) })
 			w.after(time.Duration(300+w.rng.IntN(900))*time.Millisecond, func() { w.moveRandomShards(24) })
 		},
-		"slow, refused alone, out for all": func(w *world) {
+		"slow state service, then partition, then outage": func(w *world) {
 			w.stateLatency = time.Duration(w.rng.IntN(4)) * 200 * time.Millisecond
 			if w.rng.IntN(8) == 0 {
 				w.nodes[w.rng.IntN(3)].partitionThenOutage()
 			}
 		},
-		"old reports come after newer ones": func(w *world) {
+		"old heartbeats arrive after newer ones": func(w *world) {
 			w.duplicateHeartbeatFraction = 0.6
 			switch w.rng.IntN(5) {
 			case 0:
--- a/internal/simulator/reservations_test.go
+++ b/internal/simulator/reservations_test.go
@@ -9,8 +9,8 @@
 	"damsonkeel/internal/record"
 )
 
-// smallSite is twelve machines kept busy by work whose estimates are half of the
-// truth, and one reservation an hour and a half after the start.
+// smallSite returns a site of twelve machines kept busy by jobs, some of which run for twice
+// their estimates, with one reservation an hour and a half after the start.
 func smallSite() *Site {
 	return &Site{
 		Start: time.Date(2026, 3, 28, 23, 0, 0, 0, time.UTC), Machines: 12, ReportS: 5, LeaseS: 25, StepMS: 1000,
@@ -26,36 +26,36 @@
 }
 
 const (
-	reservationOffset    = 90 * time.Minute // of the small site's reservation
+	reservationOffset    = 90 * time.Minute // from the start of smallSite to the start of its reservation
 	reservationRunLength = 105 * time.Minute
 )
 
-// TestReservationsAreMet: a reserved job starts within a minute of its time, on a
-// full fleet of equally urgent work that runs twice as long as its owners say,
-// whatever happens right before: what each of the issue's hard cases names.
+// TestReservationsAreMet tests that a reserved job starts within a minute of its time on a
+// full fleet of jobs of the same priority, some of which run twice as long as estimated,
+// whichever of the faults listed in the issue happens right before.
 func TestReservationsAreMet(t *testing.T) {
 	for name, tc := range map[string]struct {
-		change func(*Site)
-		before time.Duration // how long before its time it happens
-		do     func(*driver)
-		never  bool // no job is expected to start
+		change        func(*Site)
+		before        time.Duration // how long before the start of the reservation do is called
+		do            func(*driver)
+		expectNoStart bool
 	}{
-		"nothing happens": {},
-		"all controllers end a second before": {before: time.Second, do: func(p *driver) {
+		"no fault": {},
+		"all controllers crash a second before": {before: time.Second, do: func(p *driver) {
 			for _, n := range p.nodes {
 				n.crash()
 			}
 		}},
-		"all controllers end while it turns to holding": {before: 81 * time.Second, do: func(p *driver) {
+		"all controllers crash when holding starts": {before: 81 * time.Second, do: func(p *driver) {
 			for _, n := range p.nodes {
 				n.crash()
 			}
 		}},
-		"the controller that rents ends":                 {before: 2 * time.Minute, do: func(p *driver) { p.nodes[2].crash() }},
-		"the state service is out over the moment":       {before: 10 * time.Second, do: func(p *driver) { p.outageUntil = p.now + 25*time.Second }},
-		"the cloud is silent for the ten minutes before": {before: 10 * time.Minute, do: func(p *driver) { p.cloudSilentUntil = p.now + 10*time.Minute }},
-		"spot machines are taken 30 s before":            {before: 30 * time.Second, do: (*driver).preemptSpotMachines},
-		"a machine that is held for it is lost": {before: 20 * time.Second, do: func(p *driver) {
+		"the controller that provisions crashes":          {before: 2 * time.Minute, do: func(p *driver) { p.nodes[2].crash() }},
+		"the state service has an outage at the start":    {before: 10 * time.Second, do: func(p *driver) { p.outageUntil = p.now + 25*time.Second }},
+		"the cloud does not reply for ten minutes before": {before: 10 * time.Minute, do: func(p *driver) { p.cloudSilentUntil = p.now + 10*time.Minute }},
+		"spot machines are preempted 30 s before":         {before: 30 * time.Second, do: (*driver).preemptSpotMachines},
+		"a machine held for the reservation is lost": {before: 20 * time.Second, do: func(p *driver) {
 			for _, n := range p.nodes {
 				if n.core != nil && len(n.core.Status().Holds) > 0 {
 					p.killMachine(n.core.Status().Holds[0].Machine)
@@ -63,12 +63,12 @@
 				}
 			}
 		}},
-		"its job comes four minutes late":  {change: func(s *Site) { s.Reservations[0].SubmitAfterS = 240 }},
-		"its job comes five minutes early": {change: func(s *Site) { s.Reservations[0].SubmitAfterS = -300 }},
-		"it has more tasks than reserved":  {change: func(s *Site) { s.Reservations[0].ExtraTasks = 6 }},
-		"a gang in one zone":               {change: func(s *Site) { s.Reservations[0].Gang, s.Reservations[0].OneZone = true, true }},
-		"no job ever comes":                {change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, never: true},
-		"it is cancelled while one is away": {never: true, change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, before: 5 * time.Minute, do: func(p *driver) {
+		"its job is submitted four minutes late":  {change: func(s *Site) { s.Reservations[0].SubmitAfterS = 240 }},
+		"its job is submitted five minutes early": {change: func(s *Site) { s.Reservations[0].SubmitAfterS = -300 }},
+		"its job has more tasks than reserved":    {change: func(s *Site) { s.Reservations[0].ExtraTasks = 6 }},
+		"a gang in one zone":                      {change: func(s *Site) { s.Reservations[0].Gang, s.Reservations[0].OneZone = true, true }},
+		"its job is never submitted":              {change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, expectNoStart: true},
+		"it is cancelled while a controller is partitioned": {expectNoStart: true, change: func(s *Site) { s.Reservations[0].NeverSubmitted = true }, before: 5 * time.Minute, do: func(p *driver) {
 			p.partition("node-1", "state", 4*time.Second, false)
 			p.requestUntilDone(operatorapi.Request{Op: operatorapi.OpCancel, Name: "one"})
 		}},
@@ -97,25 +97,26 @@
 				t.Fatal(r.Rules)
 			}
 			if len(r.Refused) > 0 || len(r.Occurrences) != 1 {
-				t.Fatalf("refused %v, %d due", r.Refused, len(r.Occurrences))
+				t.Fatalf("refused requests %v, %d occurrences", r.Refused, len(r.Occurrences))
 			}
 			got := r.Occurrences[0]
 			switch {
-			case tc.never:
+			case tc.expectNoStart:
 				if state != record.Expired && state != record.Cancelled {
-					t.Errorf("it is %s", state)
+					t.Errorf("state %s, want expired or cancelled", state)
 				}
 			case !got.Started || got.DelayS > maxInTimeDelayS:
 				t.Errorf("started %v, %.0f s late, at risk %q", got.Started, got.DelayS, got.Risk)
 			case state != record.Used:
-				t.Errorf("it is %s after its job started", state)
+				t.Errorf("state %s after the job started", state)
 			}
 		})
 	}
 }
 
-// TestUnreservedJobStartsLate: the same job on the same site waits where no room is
-// reserved for it, so the test above could fail; and nothing starts in a window.
+// TestUnreservedJobStartsLate tests that the same job starts late on the same site without
+// the reservation, which shows that TestReservationsAreMet can fail. It also tests that no
+// task starts in a maintenance window.
 func TestUnreservedJobStartsLate(t *testing.T) {
 	t.Parallel()
 	s := smallSite()
@@ -125,9 +126,9 @@
 		t.Fatal(r.Rules)
 	}
 	if got := r.Occurrences[0]; got.Started && got.DelayS <= maxInTimeDelayS {
-		t.Errorf("%.0f s late", got.DelayS)
+		t.Errorf("the job started only %.0f s late without a reservation", got.DelayS)
 	}
 	if r.InWindow > 0 {
-		t.Errorf("%d starts in an open window", r.InWindow)
+		t.Errorf("%d starts in a maintenance window", r.InWindow)
 	}
 }
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -10,27 +10,26 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestRulesHold runs generated scenarios of crashes, partitions, delayed messages, late
-// transactions, outages, lost machines and restarts in turn. Every rule is
-// checked at every step.
+// TestRulesHold runs generated scenarios with crashes, partitions, delayed messages, late
+// transactions, outages, lost machines and restarts. Every rule is checked at every step.
 func TestRulesHold(t *testing.T) {
 	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second}.runSeeds(t, 60, 0)
 }
 
-// TestRulesHoldWithReservations plays the same with reservations and windows that
-// come, change and go at any moment, due within a minute.
+// TestRulesHoldWithReservations runs the same scenarios with reservations and windows that
+// start within a minute and are added, changed and cancelled at random times.
 func TestRulesHoldWithReservations(t *testing.T) {
 	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, reservations: true}.runSeeds(t, 25, 400_000)
 }
 
-// TestRulesHoldAtSize runs scenarios of many machines that all register at once,
-// gangs of up to ten tasks, often in one zone, and arrays of hundreds.
+// TestRulesHoldAtSize runs scenarios with many machines that all register at once, gangs of
+// up to ten tasks, often in one zone, and arrays of hundreds of tasks.
 func TestRulesHoldAtSize(t *testing.T) {
 	scenario{machines: 150, job: largeJob(9, 20), duration: 80 * time.Second}.runSeeds(t, 4, 100_000)
 }
 
-// TestRunsAreReproducible: a scenario gives the same result each time it is run with its seed, to
-// the last change of the state service: else what a search finds can't be traced.
+// TestRunsAreReproducible tests that two runs of a scenario with the same seed make the same
+// changes in the state service. Otherwise a failing seed could not be debugged.
 func TestRunsAreReproducible(t *testing.T) {
 	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -53,9 +52,9 @@
 	}
 }
 
-// TestRulesHoldForAFleet runs scenarios of thousands of machines, that all register
-// at once, with arrays of thousands of tasks, zones partitioned, and all controllers
-// down for longer than the workers' leases.
+// TestRulesHoldForAFleet runs scenarios with thousands of machines that all register at once,
+// arrays of thousands of tasks, partitions of zones, and crashes of all controllers for longer
+// than the workers' leases.
 func TestRulesHoldForAFleet(t *testing.T) {
 	fault := func(w *world) {
 		d := time.Duration(10+w.rng.IntN(30)) * time.Second
@@ -63,17 +62,16 @@
 			w.partitionZone(w.nodeZone(w.rng.IntN(2)), w.rng.IntN(2) == 0, d, w.rng.IntN(2) == 0)
 			return
 		}
-		for _, n := range w.nodes { // longer than the leases, which last 15 s
+		for _, n := range w.nodes { // longer than the workers' leases of 15 s
 			n.crashFor(20 * time.Second)
 		}
 	}
 	scenario{machines: requestedMachines(3000), job: largeJob(23, 500), duration: 50 * time.Second, fault: fault}.runSeeds(t, 1, 300_000)
 }
 
-// TestRulesHoldForLimitedTeams runs scenarios that begin without a machine, with teams
-// that all have limits, zones partitioned from everything or from one another for
-// longer than leases and cancellations last, and a cloud that has fewer machines
-// for a while.
+// TestRulesHoldForLimitedTeams runs scenarios that start without machines, with limits for
+// all teams, zones that are partitioned from everything or from one another for longer than
+// leases and cancellations last, and a temporarily reduced capacity of the cloud.
 func TestRulesHoldForLimitedTeams(t *testing.T) {
 	const machines = 9
 	teams := []config.Team{{Name: "cold", CPUs: 8, MaxCPUs: 24}, {Name: "desk", CPUs: 6, MaxCPUs: 12}, {Name: "yield", MaxCPUs: 8}}
@@ -103,10 +101,10 @@
 	scenario{machines: machines, job: job, duration: 150 * time.Second, startEmpty: true, teams: teams, fault: fault}.runSeeds(t, 40, 200_000)
 }
 
-// TestRulesHoldWithFastRestarts runs scenarios in which processes that end are back within
-// half a second: one, all, the same one again and again, in the middle of changes of
-// the view, moves, takeovers and registrations, while the state service takes long,
-// so that requests of an earlier process take effect for the next one to see.
+// TestRulesHoldWithFastRestarts runs scenarios in which crashed processes restart within half
+// a second: one, all, or the same one repeatedly, during view changes, shard moves, takeovers
+// and registrations. The state service is slow at times, so that requests of an earlier
+// process take effect while the next one is running.
 func TestRulesHoldWithFastRestarts(t *testing.T) {
 	crashBriefly := func(w *world, n *node) { n.crashFor(time.Duration(100+w.rng.IntN(400)) * time.Millisecond) }
 	fault := func(w *world) {
@@ -118,7 +116,7 @@
 			for _, n := range w.nodes {
 				crashBriefly(w, n)
 			}
-		case 4: // one after the other, the next while the one before takes part again
+		case 4: // one after the other, each while the previous one rejoins
 			for i, n := range w.nodes {
 				w.after(time.Duration(i)*700*time.Millisecond, func() { crashBriefly(w, n) })
 			}
@@ -126,7 +124,7 @@
 			for i := range 1 + w.rng.IntN(30) {
 				w.after(time.Duration(i)*time.Second, func() { crashBriefly(w, n) })
 			}
-		case 6: // while its shards move
+		case 6: // while shards move
 			w.moveRandomShards(16)
 			w.after(time.Duration(w.rng.IntN(400))*time.Millisecond, func() { crashBriefly(w, n) })
 		case 7:
@@ -137,7 +135,7 @@
 	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true}.runSeeds(t, 40, 500_000)
 }
 
-// partitionFromOneOrAll cuts a controller off from everything, or from one side.
+// partitionFromOneOrAll partitions a controller from all other endpoints, or from one of them.
 func (n *node) partitionFromOneOrAll(d time.Duration, delayed bool) {
 	w := n.world
 	endpoints := []string{"state", "workers"}
@@ -154,11 +152,11 @@
 	}
 }
 
-// TestRulesHoldWithLongPartitions runs scenarios in which controllers are silent for up to two
-// minutes and come back with expired leases, to everybody or to one side, messages
-// lost or delayed until then, two one after the other, during rolls and while
-// shards move; and on which they are paused for 3 to 40 s with their clocks running
-// on, at any moment, with all messages handled when they resume.
+// TestRulesHoldWithLongPartitions runs scenarios in which controllers are partitioned for up
+// to two minutes, from all endpoints or from one, and return with expired leases. Messages are
+// lost or are delayed until the partition ends. Two partitions may overlap, and partitions
+// happen during rolling restarts. Controllers are also paused for 3 to 40 s at any time,
+// including while shards move; their clocks run on, and they handle all messages on resume.
 func TestRulesHoldWithLongPartitions(t *testing.T) {
 	fault := func(w *world) {
 		i := w.rng.IntN(3)
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -20,16 +20,16 @@
 	machines       int
 	job            func(*world) protocol.Job
 	duration       time.Duration
-	startEmpty     bool // no machine is up at the start
+	startEmpty     bool // no machine is running at the start
 	teams          []config.Team
-	fault          func(*world)  // beside those that every scenario has
-	faultEveryStep bool          // faults are injected at each step
+	fault          func(*world)  // injected in addition to the faults that every scenario has
+	faultEveryStep bool          // fault is called at each step
 	reservations   bool          // reservations and windows are added and cancelled
-	settleTime     time.Duration // for which the last faults may last
+	settleTime     time.Duration // for the last faults to end
 }
 
-// run runs a scenario of faults; when all is well again, every job must come to
-// its end.
+// run runs the scenario with a seed. After all faults have ended, every job must reach a final
+// state.
 func (d scenario) run(t *testing.T, seed int) *world {
 	t.Helper()
 	settings, initialMachines := fake.Settings(), d.machines
@@ -40,7 +40,7 @@
 		initialMachines = 0
 	}
 	w := newWorld(t.Fatalf, uint64(seed), settings, d.machines, initialMachines)
-	for _, n := range w.nodes { // of an earlier version until they are restarted
+	for _, n := range w.nodes { // some run an earlier version until they are restarted
 		n.layout = record.Layout(1 + seed%3)
 	}
 	w.run(3 * time.Second)
@@ -94,24 +94,24 @@
 			w.cancel(id)
 		}
 	}
-	// A team may have so much waiting that its limit takes minutes for it.
+	// A team may have so many queued tasks that running them within its limit takes minutes.
 	for end := w.now + 300*time.Second; w.unfinished() > 0 && w.now < end; {
 		w.run(w.now + 5*time.Second)
 	}
 	w.run(w.now + 5*time.Second)
 	for _, id := range w.jobOrder {
 		if w.finalState[id] == "" {
-			t.Errorf("job %s never came to its end: %+v\n%s", id, w.jobs[id], w.describeJob(id))
+			t.Errorf("job %s did not reach a final state: %+v\n%s", id, w.jobs[id], w.describeJob(id))
 		}
 	}
 	if w.starts == 0 {
-		t.Error("nothing ran")
+		t.Error("no task was started")
 	}
-	t.Logf("%d machines at first, %d jobs, %d starts, at most %d tasks on machines, %d writes of blocks, %d changes of the calendar", initialMachines, len(w.jobOrder), w.starts, w.peakRunning, w.blockWrites, w.reservationChanges)
+	t.Logf("%d machines at the start, %d jobs, %d starts, at most %d tasks on machines, %d block writes, %d calendar changes", initialMachines, len(w.jobOrder), w.starts, w.peakRunning, w.blockWrites, w.reservationChanges)
 	return w
 }
 
-// runSeeds runs a scenario with so many seeds, from the first on.
+// runSeeds runs the scenario with consecutive seeds, starting at firstSeed.
 func (d scenario) runSeeds(t *testing.T, defaultCount, firstSeed int) {
 	t.Helper()
 	for seed := range seedCount(defaultCount) {
@@ -122,7 +122,8 @@
 	}
 }
 
-// seedCount returns how many scenarios are run; WORLD_SEEDS sets another number.
+// seedCount returns how many seeds a scenario is run with: defaultCount, or WORLD_SEEDS if it
+// is set.
 func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("WORLD_SEEDS")); err == nil {
 		return n
@@ -130,7 +131,7 @@
 	return defaultCount
 }
 
-// requestedMachines returns the size of a fleet; WORLD_MACHINES sets another one.
+// requestedMachines returns the size of a fleet: defaultCount, or WORLD_MACHINES if it is set.
 func requestedMachines(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("WORLD_MACHINES")); err == nil {
 		return n
@@ -138,7 +139,7 @@
 	return defaultCount
 }
 
-// randomJob makes a job that the world's machines can run.
+// randomJob returns a random job that the world's machines can run.
 func (w *world) randomJob() protocol.Job {
 	j := protocol.Job{
 		Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(1 + w.rng.IntN(12)),
@@ -168,13 +169,13 @@
 	return j
 }
 
-// largeJob is a random job with gangs of up to so many tasks more than two, and
-// arrays so many times as large.
+// largeJob returns a generator of random jobs with gangs of 2 to maxGangTasks+1 tasks and
+// arrays that are arrayFactor times as large as those of randomJob.
 func largeJob(maxGangTasks int, arrayFactor uint32) func(*world) protocol.Job {
 	return func(w *world) protocol.Job {
 		j := w.randomJob()
 		switch {
-		case j.Team == "bound": // its limit is for the few
+		case j.Team == "bound": // its limit only admits small jobs
 		case j.Kind == protocol.KindGang:
 			j.Tasks = uint32(2 + w.rng.IntN(maxGangTasks))
 		case j.Kind == protocol.KindJobArray:
@@ -223,7 +224,8 @@
 	}
 }
 
-// preemptSpotMachines preempts a third of the spot machines at once, some with a notice.
+// preemptSpotMachines preempts about a third of the spot machines, half of them with a notice
+// of 6 s.
 func (w *world) preemptSpotMachines() {
 	for _, id := range w.machineOrder {
 		m := w.workers[id]
@@ -240,14 +242,15 @@
 	}
 }
 
-// rollingRestart restarts all controllers, one after the other.
+// rollingRestart crashes all controllers, one after the other; each restarts.
 func (w *world) rollingRestart() {
 	for i, n := range w.nodes {
 		w.after(time.Duration(i)*9*time.Second, func() { n.crash() })
 	}
 }
 
-// changeCalendarRandomly has an operator add a reservation or a window, or cancel one.
+// changeCalendarRandomly makes an operator add, replace or cancel a random reservation or
+// window.
 func (w *world) changeCalendarRandomly() {
 	n := w.nodes[w.rng.IntN(3)]
 	if n.core == nil || !n.stateReachable() {
@@ -273,7 +276,7 @@
 	}
 }
 
-// unfinished returns how many jobs have not ended.
+// unfinished returns how many jobs have not finished.
 func (w *world) unfinished() int {
 	n := 0
 	for _, id := range w.jobOrder {
@@ -284,7 +287,7 @@
 	return n
 }
 
-// describeJob returns what the controllers know of a job that does not end.
+// describeJob returns the state of a job at all controllers, for failure messages.
 func (w *world) describeJob(id protocol.JobID) string {
 	var b strings.Builder
 	for _, n := range w.nodes {
--- a/internal/simulator/shards_test.go
+++ b/internal/simulator/shards_test.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/record"
 )
 
-// newShardedWorld returns a world of machines that are all up, registered and busy, held by
-// shards.
+// newShardedWorld returns a world of machines that are all running, registered and busy, with
+// sharded machine management.
 func newShardedWorld(t *testing.T, seed uint64, controllers, machines int) *world {
 	t.Helper()
 	s := fake.Settings()
@@ -23,13 +23,13 @@
 		w.run(w.now + 500*time.Millisecond)
 	}
 	if n := w.registeredMachines(); n < machines*9/10 {
-		t.Fatalf("%d of %d machines kept after %v", n, machines, w.now)
+		t.Fatalf("%d of %d machines registered after %v", n, machines, w.now)
 	}
 	return w
 }
 
-// busyJob is an array that fills a third of the machines, now and then a gang, all
-// of one priority: nothing is stopped for anything else.
+// busyJob returns an array with about a third as many tasks as there are machines, or, for one
+// job in four, a gang. All jobs have the same priority, so that none is preempted.
 func busyJob(w *world, machines int) protocol.Job {
 	j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(machines/3 + w.rng.IntN(10)), CPUs: 2, EstimateS: 5, Spot: true}
 	if w.rng.IntN(4) == 0 {
@@ -38,7 +38,7 @@
 	return j
 }
 
-// acceptedTasks is how many tasks have been accepted.
+// acceptedTasks returns how many tasks the accepted jobs have.
 func (w *world) acceptedTasks() (n int) {
 	for _, j := range w.jobs {
 		n += int(j.Tasks)
@@ -46,7 +46,8 @@
 	return n
 }
 
-// shardCounts returns how many shards each controller holds by the records.
+// shardCounts returns how many shards each controller holds by the shard table. Controllers
+// without shards are not included.
 func (w *world) shardCounts() map[protocol.NodeName]int {
 	counts := map[protocol.NodeName]int{}
 	for _, n := range w.nodes {
@@ -57,7 +58,7 @@
 	return counts
 }
 
-// runWithLoad submits a job a second for a while.
+// runWithLoad runs for the duration d and submits a job each second.
 func (w *world) runWithLoad(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.submit(busyJob(w, len(w.machineOrder)))
@@ -65,10 +66,10 @@
 	}
 }
 
-// TestShardMovesDoNotDisruptTasks: a third of a busy fleet's shards, then all of one
-// controller's, then one shard back and forth, move while jobs run. Nothing is
-// stopped, started twice or lost by that, no lease runs out, and moves take no
-// longer than stated.
+// TestShardMovesDoNotDisruptTasks moves half of each controller's shards of a busy fleet, and
+// then one shard back and forth, while jobs run. No task may be stopped, started again or
+// lost, no lease may expire, and the 99th percentile of the pause of starts must be at most
+// 500 ms.
 func TestShardMovesDoNotDisruptTasks(t *testing.T) {
 	t.Parallel()
 	w := newShardedWorld(t, 11, 3, 300)
@@ -76,7 +77,7 @@
 	for i := range 3 {
 		from, to := w.nodes[i], w.nodes[(i+1)%3]
 		if ids := from.heldShards(); !w.moveShards(ids[:len(ids)/2], to) {
-			t.Fatal("nobody takes the request")
+			t.Fatal("no controller accepts the request")
 		}
 		w.runWithLoad(4 * time.Second)
 	}
@@ -89,18 +90,18 @@
 	moved := 0
 	for id, epoch := range w.shardEpochs() {
 		if epoch < epochs[id] {
-			t.Errorf("the epoch of share %d fell from %d to %d", id, epochs[id], epoch)
+			t.Errorf("the epoch of shard %d decreased from %d to %d", id, epochs[id], epoch)
 		}
 		if epoch > epochs[id] {
 			moved++
 		}
 	}
 	if moved < 16 {
-		t.Errorf("%d shares moved", moved)
+		t.Errorf("%d shards moved, want at least 16", moved)
 	}
 	w.expectAllFinished(t, 120*time.Second)
 	if w.expiredLeases > 0 || w.starts != w.acceptedTasks() {
-		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.acceptedTasks())
+		t.Errorf("%d leases expired; %d starts for %d tasks", w.expiredLeases, w.starts, w.acceptedTasks())
 	}
 	w.expectTerm(t, 1)
 	if p := w.movePauseP99(); len(w.movePauses) < moved || p > 500*time.Millisecond {
@@ -108,9 +109,9 @@
 	}
 }
 
-// TestThirdOfShardsMoveWithoutDisruption: a third of the shards of 1,300 machines full of work moves
-// at once. No task is stopped, started again or lost, no move is given up, and no
-// other shard or the term changes.
+// TestThirdOfShardsMoveWithoutDisruption moves a third of the shards of 1,300 busy machines at
+// once. No task may be stopped, started again or lost, no move may be aborted, and neither the
+// other shards nor the term may change.
 func TestThirdOfShardsMoveWithoutDisruption(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 18, fake.Settings(), 1300, 1300)
@@ -133,17 +134,17 @@
 	after, _ := w.shardTable()
 	for i, shard := range after.List {
 		if moved := shard != before.List[i]; moved != requested[i] {
-			t.Errorf("share %d moved %v, asked for %v", i, moved, requested[i])
+			t.Errorf("shard %d: moved %v, move requested %v", i, moved, requested[i])
 		}
 	}
 	w.expectAllFinished(t, 200*time.Second)
 	if p := w.movePauseP99(); len(requested) < 20 || w.abortedMoves > 0 || p > 500*time.Millisecond || w.expiredLeases > 0 || w.starts != w.acceptedTasks() {
-		t.Errorf("%d moves, %d given up, pause %v at the 99th percentile; %d starts for %d tasks, %d leases out", len(requested), w.abortedMoves, p, w.starts, w.acceptedTasks(), w.expiredLeases)
+		t.Errorf("%d moves, %d aborted, pause %v at the 99th percentile; %d starts for %d tasks, %d leases expired", len(requested), w.abortedMoves, p, w.starts, w.acceptedTasks(), w.expiredLeases)
 	}
 	w.expectTerm(t, 1)
 }
 
-// shardEpochs are the epochs of the shards.
+// shardEpochs returns the epochs of the shards.
 func (w *world) shardEpochs() (epochs []protocol.Term) {
 	table, _ := w.shardTable()
 	for _, shard := range table.List {
@@ -152,7 +153,7 @@
 	return epochs
 }
 
-// expectTerm reports an error if the term has changed.
+// expectTerm reports an error if a running controller is in another term.
 func (w *world) expectTerm(t *testing.T, term protocol.Term) {
 	t.Helper()
 	for _, n := range w.nodes {
@@ -162,8 +163,8 @@
 	}
 }
 
-// TestRollingShutdown: all controllers are shut down, one after the other. Each hands
-// over everything first; no task is stopped, started again or lost by it.
+// TestRollingShutdown shuts down all controllers, one after the other. Each must hand over all
+// of its shards first, and no task may be stopped, started again or lost.
 func TestRollingShutdown(t *testing.T) {
 	t.Parallel()
 	w := newShardedWorld(t, 12, 3, 300)
@@ -171,22 +172,22 @@
 		n.shutDown()
 		w.runWithLoad(6 * time.Second)
 		if n.core != nil && n.core.Status().Queues > 0 {
-			t.Fatalf("%s keeps %d machines though it was told to end", n.name, n.core.Status().Queues)
+			t.Fatalf("%s still has the queues of %d machines after its shutdown was requested", n.name, n.core.Status().Queues)
 		}
 		w.runWithLoad(12 * time.Second)
 	}
 	w.run(w.now + 20*time.Second)
 	if counts := w.shardCounts(); len(counts) != 3 {
-		t.Errorf("shares are kept by %v", counts)
+		t.Errorf("shards by controller: %v", counts)
 	}
 	w.expectAllFinished(t, 120*time.Second)
 	if w.expiredLeases > 0 || w.starts != w.acceptedTasks() {
-		t.Errorf("%d leases ran out; %d starts for %d tasks", w.expiredLeases, w.starts, w.acceptedTasks())
+		t.Errorf("%d leases expired; %d starts for %d tasks", w.expiredLeases, w.starts, w.acceptedTasks())
 	}
 }
 
-// TestOneCrashLeavesOtherShardsAlone: a controller crashes. The shards of the others
-// notice nothing: their holders, epochs and fencing tokens stay.
+// TestOneCrashLeavesOtherShardsAlone crashes one controller. The shards of the other
+// controllers must not be affected: their holders, epochs and fencing tokens must not change.
 func TestOneCrashLeavesOtherShardsAlone(t *testing.T) {
 	t.Parallel()
 	w := newShardedWorld(t, 13, 3, 300)
@@ -200,25 +201,25 @@
 	for i, shard := range before.List {
 		switch {
 		case shard.Holder == session && after.List[i].Holder == session:
-			t.Errorf("share %d has no keeper", i)
+			t.Errorf("shard %d is still held by the crashed controller", i)
 		case shard.Holder == session:
 			moved++
 		case shard.Holder != after.List[i].Holder || shard.Since != after.List[i].Since:
-			t.Errorf("share %d of one that stayed: %+v, was %+v", i, after.List[i], shard)
+			t.Errorf("shard %d of another controller changed: %+v, was %+v", i, after.List[i], shard)
 		}
 	}
 	if counts := w.shardCounts(); moved == 0 || len(counts) != 2 || counts["node-0"] > 2*counts["node-2"] || counts["node-2"] > 2*counts["node-0"] {
-		t.Errorf("%d shares taken over, kept by %v", moved, counts)
+		t.Errorf("%d shards taken over; shards by controller: %v", moved, counts)
 	}
 	w.runWithLoad(40 * time.Second)
 	if counts := w.shardCounts(); len(counts) != 3 {
-		t.Errorf("shares are kept by %v after it came back", counts)
+		t.Errorf("shards by controller after the restart: %v, want three controllers", counts)
 	}
 	w.expectAllFinished(t, 120*time.Second)
 }
 
-// TestCrashAtEachStepOfShardMove: source, target, both or all controllers crash at each step of a
-// move, some milliseconds apart.
+// TestCrashAtEachStepOfShardMove crashes the source, the target, both, or all controllers at
+// each step of a move, 15 ms apart. All jobs must finish.
 func TestCrashAtEachStepOfShardMove(t *testing.T) {
 	for name, crashed := range map[string][]int{"source": {0}, "target": {1}, "both": {0, 1}, "all": {0, 1, 2}} {
 		t.Run(name, func(t *testing.T) {
@@ -239,18 +240,18 @@
 	}
 }
 
-// TestShardMoveDuringFaults: a move meets each other failure that it must tolerate, at each
-// of some moments; everything goes on and ends.
+// TestShardMoveDuringFaults injects each fault that a move must tolerate at several times after
+// the start of the move. All jobs must finish.
 func TestShardMoveDuringFaults(t *testing.T) {
 	for name, fault := range map[string]func(w *world, source, target *node){
 		"the target's transaction is lost":          func(w *world, _, b *node) { w.partition(string(b.name), "state", 5*time.Second, false) },
 		"the target's transaction is late":          func(w *world, _, b *node) { w.partition(string(b.name), "state", 5*time.Second, true) },
-		"the source hears nothing of the records":   func(w *world, a, _ *node) { w.partition(string(a.name), "state", 5*time.Second, true) },
-		"the state service is out":                  func(w *world, _, _ *node) { w.outageUntil = w.now + 12*time.Second },
+		"the source sees no changes of the records": func(w *world, a, _ *node) { w.partition(string(a.name), "state", 5*time.Second, true) },
+		"the state service has an outage":           func(w *world, _, _ *node) { w.outageUntil = w.now + 12*time.Second },
 		"source and target can't reach one another": func(w *world, a, b *node) { w.partition(string(a.name), string(b.name), 6*time.Second, true) },
-		"the source stands still for 40 s":          func(w *world, a, _ *node) { a.pausedUntil = w.now + 40*time.Second },
-		"the target stands still for 40 s":          func(w *world, _, b *node) { b.pausedUntil = w.now + 40*time.Second },
-		"workers' reports to the source are held back": func(w *world, a, _ *node) {
+		"the source is paused for 40 s":             func(w *world, a, _ *node) { a.pausedUntil = w.now + 40*time.Second },
+		"the target is paused for 40 s":             func(w *world, _, b *node) { b.pausedUntil = w.now + 40*time.Second },
+		"workers' heartbeats to the source are delayed": func(w *world, a, _ *node) {
 			w.partition(string(a.name), "workers", 9*time.Second, true)
 		},
 		"jobs are cancelled": func(w *world, _, _ *node) {
@@ -265,16 +266,16 @@
 				w.killMachine(id)
 			}
 		},
-		"workers begin new sessions": func(w *world, _, _ *node) {
+		"workers start new sessions": func(w *world, _, _ *node) {
 			for _, id := range w.machineOrder[5:12] {
 				w.workers[id].Restart(w.now)
 			}
 		},
-		"the record of the shares is lost": func(w *world, _, _ *node) {
+		"the shard table is lost": func(w *world, _, _ *node) {
 			w.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Delete: record.ShardTableKey}}})
 		},
-		"a third controller ends": func(w *world, _, _ *node) { w.nodes[2].crash() },
-		"the move goes back":      func(w *world, a, b *node) { w.moveShards(b.heldShards(), a) },
+		"a third controller crashes": func(w *world, _, _ *node) { w.nodes[2].crash() },
+		"the move is reversed":       func(w *world, a, b *node) { w.moveShards(b.heldShards(), a) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -291,15 +292,17 @@
 	}
 }
 
-// TestGangIsNotSplitByShardMoves: a gang whose machines are of several shards of which
-// most move while it waits and runs is neither split nor started again, and a team
-// at its limit stays within it.
+// TestGangIsNotSplitByShardMoves tests gangs on machines of several shards, most of which move
+// while the gangs are queued and running. No task may be started again, and a team at its
+// limit must stay within it.
 func TestGangIsNotSplitByShardMoves(t *testing.T) {
-	for _, seed := range []uint64{14, 41, 42} { // with the last two, all that a gang lacks is refused for a while
+	// With seeds 41 and 42, the starts of all missing tasks of a gang are refused for a while.
+	for _, seed := range []uint64{14, 41, 42} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { testGangDuringShardMoves(t, seed) })
 	}
 }
 
+// testGangDuringShardMoves runs TestGangIsNotSplitByShardMoves with a seed.
 func testGangDuringShardMoves(t *testing.T, seed uint64) {
 	t.Helper()
 	t.Parallel()
@@ -315,39 +318,40 @@
 			w.moveShards(w.nodes[i%3].heldShards(), w.nodes[(i+1)%3])
 		}
 	}
-	w.expectAllFinished(t, 240*time.Second) // a team at its limit takes long
+	w.expectAllFinished(t, 240*time.Second) // the jobs of the team at its limit take long
 	if restarts := w.starts - starts - (w.acceptedTasks() - tasks); restarts != 0 {
-		t.Errorf("%d tasks started again", restarts)
+		t.Errorf("%d tasks were started again", restarts)
 	}
 }
 
-// TestShardsWithFiveControllersAndWithOne: five controllers share the machines evenly and go on when two crash;
-// one alone holds all.
+// TestShardsWithFiveControllersAndWithOne tests that all of five controllers hold shards, that
+// the other three take over when two crash, and that a single controller can restart and
+// finish all jobs.
 func TestShardsWithFiveControllersAndWithOne(t *testing.T) {
 	t.Parallel()
 	w := newShardedWorld(t, 15, 5, 200)
 	w.run(w.now + 20*time.Second)
 	if counts := w.shardCounts(); len(counts) != 5 {
-		t.Errorf("shares are kept by %v", counts)
+		t.Errorf("shards by controller: %v", counts)
 	}
 	w.nodes[1].crashFor(30 * time.Second)
 	w.nodes[3].crashFor(30 * time.Second)
 	w.runWithLoad(20 * time.Second)
 	if counts := w.shardCounts(); len(counts) != 3 {
-		t.Errorf("shares are kept by %v without two", counts)
+		t.Errorf("shards by controller after two crashes: %v, want three controllers", counts)
 	}
 	w.expectAllFinished(t, 150*time.Second)
 
 	w = newShardedWorld(t, 16, 1, 30)
-	w.nodes[0].shutDown() // to nobody
+	w.nodes[0].shutDown() // there is no controller to hand over to
 	w.runWithLoad(3 * time.Second)
 	w.run(w.now + 30*time.Second)
 	w.expectAllFinished(t, 150*time.Second)
 }
 
-// TestRollingUpgrade: controllers of a version that knows no shards are
-// replaced one after the other; after two of three one goes back, and the roll is
-// done again. Shares begin with the last, and fencing tokens only rise.
+// TestRollingUpgrade upgrades controllers from a version without shards, one after the other.
+// After two of three it downgrades one again and then repeats the upgrade. The shard table
+// must not exist before the last controller is upgraded, and fencing tokens only increase.
 func TestRollingUpgrade(t *testing.T) {
 	t.Parallel()
 	s := fake.Settings()
@@ -362,10 +366,10 @@
 		n.crash()
 		w.runWithLoad(15 * time.Second)
 		if _, there := w.shardTable(); there {
-			t.Fatalf("shares with %d of 3 controllers that know them", i+1)
+			t.Fatalf("the shard table exists after the upgrade of %d of 3 controllers", i+1)
 		}
 	}
-	w.layout = record.LayoutBlocks // back
+	w.layout = record.LayoutBlocks // downgrade
 	w.nodes[0].crash()
 	w.runWithLoad(15 * time.Second)
 	w.layout = record.LayoutShards
@@ -374,13 +378,13 @@
 		w.runWithLoad(15 * time.Second)
 	}
 	if counts := w.shardCounts(); len(counts) != 3 {
-		t.Errorf("shares are kept by %v", counts)
+		t.Errorf("shards by controller: %v", counts)
 	}
 	w.expectAllFinished(t, 150*time.Second)
 }
 
-// TestRulesHoldDuringShardMoves runs generated scenarios in which shards move all the
-// time, to and fro, with all the faults of other scenarios.
+// TestRulesHoldDuringShardMoves runs generated scenarios in which shards move all the time, in
+// all directions, with all the faults of other scenarios.
 func TestRulesHoldDuringShardMoves(t *testing.T) {
 	fault := func(w *world) {
 		for range 1 + w.rng.IntN(4) {
--- a/internal/simulator/sparecapacity_test.go
+++ b/internal/simulator/sparecapacity_test.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// spareCapacitySettings is a site with a team whose class has a deadline, and a low-priority team
-// without a guarantee.
+// spareCapacitySettings returns the settings of a site with a team whose class has a deadline
+// objective, and a low-priority team without a guarantee.
 func spareCapacitySettings() *config.Settings {
 	s := fake.Settings()
 	s.Site.Teams = []config.Team{{Name: "home"}, {Name: "guest"}}
@@ -19,14 +19,16 @@
 	return s
 }
 
-// TestLowPriorityTeamUsesSpareCapacity: low-priority teams' long tasks of the same priority, far more than
-// a fleet holds, come beside a class with a deadline, while controllers crash. It
-// starts nearly as soon as without them; they get a good part of what it leaves.
+// TestLowPriorityTeamUsesSpareCapacity submits long tasks of a guest team, which has no
+// guarantee, together with jobs of a class with a deadline. The tasks have the same priority,
+// there are far more than fit on the fleet, and a controller crashes meanwhile. The class must
+// wait at most three seconds longer than without the guests, at the 90th percentile, and the
+// guests must use a large part of the remaining capacity.
 func TestLowPriorityTeamUsesSpareCapacity(t *testing.T) {
 	t.Parallel()
 	run := func(seed uint64, withGuests bool) (waits []time.Duration, maxGuestTasks int) {
 		w := newWorld(t.Fatalf, seed, spareCapacitySettings(), 60, 60)
-		for _, m := range w.workers { // else every task would take a second more than anybody can know of
+		for _, m := range w.workers { // otherwise every task would take a second longer than its estimate
 			m.CachesImages = true
 		}
 		submittedAt, started, guestTasks := map[protocol.JobID]time.Duration{}, map[protocol.TaskID]bool{}, 0
@@ -80,22 +82,23 @@
 	}
 }
 
-// startTracker records which jobs have not started, since when, and how long the others
-// waited.
+// startTracker records the tracked jobs that have not started, with the times of their
+// submission, and how long the others waited.
 type startTracker struct {
 	submitted map[protocol.JobID]time.Duration
 	waits     []time.Duration
 }
 
-// trackLastJob records that the job submitted last has to start.
+// trackLastJob tracks the job that was submitted last.
 func (b *startTracker) trackLastJob(w *world) { b.submitted[w.jobOrder[len(w.jobOrder)-1]] = w.now }
 
-// hasLateJobs reports that some have not begun, or not soon enough.
+// hasLateJobs reports whether a tracked job has not started, or waited longer than maxWait.
 func (b *startTracker) hasLateJobs(maxWait time.Duration) bool {
 	return len(b.submitted) > 0 || slices.Max(b.waits) > maxWait
 }
 
-// newStartTracker returns a fleet of 20 machines, and no more, that records when jobs start.
+// newStartTracker returns a world with exactly 20 machines and a tracker of the starts of its
+// jobs.
 func newStartTracker(t *testing.T, seed uint64) (*world, *startTracker) {
 	t.Helper()
 	w, tracker := newWorld(t.Fatalf, seed, spareCapacitySettings(), 20, 20), &startTracker{submitted: map[protocol.JobID]time.Duration{}}
@@ -111,10 +114,11 @@
 	return w, tracker
 }
 
-// TestUrgentJobsAreNotLimitedToSpareCapacity: jobs that no objective names, more urgent than all that
-// have one, do not count as low-priority: on a fleet that is full of less urgent work their tasks,
-// each as large as a machine, begin once what runs there ends. If they counted so, they
-// had what was left, in small pieces: nothing.
+// TestUrgentJobsAreNotLimitedToSpareCapacity tests that jobs without an objective that have a
+// higher priority than all jobs with an objective do not count as low-priority. On a fleet
+// full of jobs of lower priority, their tasks, each as large as a machine, must start as
+// running tasks end. If they counted as low-priority, they would only get the spare capacity,
+// which is too fragmented for a task of that size.
 func TestUrgentJobsAreNotLimitedToSpareCapacity(t *testing.T) {
 	t.Parallel()
 	w, tracker := newStartTracker(t, 22)
@@ -128,13 +132,13 @@
 	}
 	w.run(w.now + 30*time.Second)
 	if tracker.hasLateJobs(60 * time.Second) {
-		t.Errorf("%d of 10 have not begun, the others waited up to %v", len(tracker.submitted), slices.Max(append(tracker.waits, 0)))
+		t.Errorf("%d of 10 jobs have not started, the others waited up to %v", len(tracker.submitted), slices.Max(append(tracker.waits, 0)))
 	}
 	t.Log(tracker.waits)
 }
 
-// TestJobsWithoutObjectiveStart: beside a class with an objective that could use all there is,
-// every job without one begins within two minutes, however large.
+// TestJobsWithoutObjectiveStart tests that every job without an objective starts within two
+// minutes, whatever its size, although a class with an objective could use the whole fleet.
 func TestJobsWithoutObjectiveStart(t *testing.T) {
 	t.Parallel()
 	w, tracker := newStartTracker(t, 23)
@@ -147,7 +151,7 @@
 		w.run(w.now + time.Second)
 	}
 	if tracker.hasLateJobs(2 * time.Minute) {
-		t.Errorf("%d of 12 have not begun, the others waited up to %v", len(tracker.submitted), slices.Max(append(tracker.waits, 0)))
+		t.Errorf("%d of 12 jobs have not started, the others waited up to %v", len(tracker.submitted), slices.Max(append(tracker.waits, 0)))
 	}
 	t.Log(tracker.waits)
 }
--- a/internal/simulator/usercheckfaults_test.go
+++ b/internal/simulator/usercheckfaults_test.go
@@ -11,8 +11,8 @@
 	"damsonkeel/internal/record"
 )
 
-// TestUserChecksDetectInjectedFaults: each check on what users are answered, and on what is left waiting, finds
-// the fault that is injected for it.
+// TestUserChecksDetectInjectedFaults tests that each check of the answers to users and of
+// waiting jobs detects the fault that is injected for it.
 func TestUserChecksDetectInjectedFaults(t *testing.T) {
 	second := time.Second
 	useSpreadRunTimes := func(u *users) { u.runTime = u.drawSpreadRunTime }
@@ -45,15 +45,15 @@
 		scenario userScenario
 		want     string
 	}{
-		"live after it was over":      {userScenario{prepare: changeAnswers(status(protocol.JobQueued), isFinal), requestOften: true}, "went_back"},
-		"cancelled by nobody":         {userScenario{prepare: changeAnswers(status(protocol.JobCancelled), isLive)}, "went_back"},
+		"live after a final answer":   {userScenario{prepare: changeAnswers(status(protocol.JobQueued), isFinal), requestOften: true}, "went_back"},
+		"cancelled without a request": {userScenario{prepare: changeAnswers(status(protocol.JobCancelled), isLive)}, "went_back"},
 		"done before its tasks are":   {userScenario{prepare: changeAnswers(status(protocol.JobDone), isLive)}, "not_done"},
-		"not known though accepted":   {userScenario{prepare: changeAnswers(refusal(404), isLive)}, "forgotten"},
-		"refused though accepted":     {userScenario{prepare: changeAnswers(refusal(422), isLive), requestOften: true}, "forgotten"},
-		"malformed though accepted":   {userScenario{prepare: changeAnswers(refusal(400), isLive), requestOften: true}, "forgotten"},
-		"accepted though it can't be": {userScenario{prepare: changeAnswers(status(protocol.JobQueued), func(j *userJob) bool { return j.rejectStatus != 0 })}, "invented"},
-		"no word when to come back":   {userScenario{prepare: changeAnswers(func(protocol.JobID) admission.Answer { return admission.Answer{Status: 503} }, isLive)}, "no Retry-After"},
-		"never answered once all is well": {userScenario{prepare: func(u *users) {
+		"unknown although accepted":   {userScenario{prepare: changeAnswers(refusal(404), isLive)}, "forgotten"},
+		"refused although accepted":   {userScenario{prepare: changeAnswers(refusal(422), isLive), requestOften: true}, "forgotten"},
+		"malformed although accepted": {userScenario{prepare: changeAnswers(refusal(400), isLive), requestOften: true}, "forgotten"},
+		"accepted although invalid":   {userScenario{prepare: changeAnswers(status(protocol.JobQueued), func(j *userJob) bool { return j.rejectStatus != 0 })}, "invented"},
+		"503 without Retry-After":     {userScenario{prepare: changeAnswers(func(protocol.JobID) admission.Answer { return admission.Answer{Status: 503} }, isLive)}, "no Retry-After"},
+		"no answer after all faults have ended": {userScenario{prepare: func(u *users) {
 			u.runTime = func(protocol.TaskID) time.Duration { return 5 * time.Minute }
 			u.changeAnswer = func(_ *userJob, a admission.Answer) admission.Answer {
 				if u.faultFreeSince != 0 {
@@ -61,8 +61,8 @@
 				}
 				return a
 			}
-		}}, "forgotten: no question"},
-		"in the records though it can't run": {userScenario{prepare: func(u *users) {
+		}}, "forgotten: no request"},
+		"in the records although invalid": {userScenario{prepare: func(u *users) {
 			u.after(10*second, func() {
 				for _, j := range u.jobs {
 					if j.rejectStatus != 0 {
@@ -71,9 +71,9 @@
 					}
 				}
 			})
-		}}, "accepted though"},
-		"left waiting": {userScenario{prepare: func(u *users) {
-			// From the end of the scenario on nobody owns anything: jobs just accepted wait.
+		}}, "record of an invalid"},
+		"left waiting beside a free machine": {userScenario{prepare: func(u *users) {
+			// From the end of the scenario on no controller runs, so a job that was just accepted waits.
 			u.after(59*second, func() {
 				for _, n := range u.nodes {
 					n.crashFor(time.Hour)
@@ -87,7 +87,7 @@
 			u.watchLag = second
 		}, atEnd: func(u *users) {
 			if u.startsAfterCancellation > u.startsByPartitionedNodes {
-				u.fail("started after the confirmation")
+				u.fail("started after a confirmed cancellation")
 			}
 		}}, "started after"},
 	} {
@@ -106,7 +106,7 @@
 				d.run(t, 1_400_000+seed)
 			}
 			if len(violations) == 0 {
-				t.Errorf("nobody has seen %q", injected.want)
+				t.Errorf("no check has reported %q", injected.want)
 			}
 		})
 	}
--- a/internal/simulator/userchecks_test.go
+++ b/internal/simulator/userchecks_test.go
@@ -10,10 +10,12 @@
 	"damsonkeel/internal/record"
 )
 
-// checkAnswer checks an answer against the rules.
+// checkAnswer checks the answer to a request for a job against the rules. The parameter before
+// is the job as it was when the request was sent: an answer must not contradict answers that
+// had arrived by then.
 func (u *users) checkAnswer(f *frontend, j, before *userJob, op admission.Operation, a admission.Answer) {
 	fail := func(rule string) {
-		u.fail("%v %s: %s says %d %s of %s (operation %d, cancelled by its user %v, told before %q, bad %d)", u.now, rule, f.node.name, a.Status, describeBody(a), j.id, op, before.cancelRequested, before.finalAnswer, j.rejectStatus)
+		u.fail("%v %s: %s answers %d %s for %s (operation %d, cancelled by its user %v, earlier final answer %q, expected rejection %d)", u.now, rule, f.node.name, a.Status, describeBody(a), j.id, op, before.cancelRequested, before.finalAnswer, j.rejectStatus)
 	}
 	switch a.Status {
 	case 200, 201:
@@ -90,6 +92,7 @@
 	}
 }
 
+// describeBody returns the state in the body of an answer, or else the body.
 func describeBody(a admission.Answer) string {
 	var s protocol.JobStatus
 	if protocol.Decode(a.Body, &s) == nil && s.ID != "" {
@@ -98,36 +101,38 @@
 	return string(a.Body)
 }
 
-// checkDone: all tasks of a job that is called done are.
+// checkDone checks that all tasks of a job that is reported as done have completed.
 func (u *users) checkDone(j *userJob) {
 	for i := range j.job.Tasks {
 		if u.results[protocol.TaskID{Job: j.id, Index: i}] || j.job.Kind == protocol.KindGang && u.results[protocol.TaskID{Job: j.id}] {
 			continue
 		}
-		u.fail("%v not_done: %v/%d, as its user is told", u.now, j.id, i)
+		u.fail("%v not_done: %v/%d, although its user got the answer done", u.now, j.id, i)
 	}
 }
 
-// checkForgotten: once all faults are over, no job goes without an answer for 75 s.
+// checkForgotten checks that, once all faults have ended, no unfinished job is without an
+// answer for longer than maxUnanswered.
 func (u *users) checkForgotten() {
 	for _, j := range ordered.Of(u.jobs) {
 		if j.polled && j.rank < rankFinal && u.faultFreeSince != 0 && u.now-max(j.lastAnswer, u.faultFreeSince) > maxUnanswered {
-			u.fail("%v forgotten: no question about %s has been answered for %v", u.now, j.id, u.now-max(j.lastAnswer, u.faultFreeSince))
+			u.fail("%v forgotten: no request for %s has been answered for %v", u.now, j.id, u.now-max(j.lastAnswer, u.faultFreeSince))
 		}
 	}
 }
 
-// checkRecords checks that every accepted job, answered or not, reaches its end, and nothing
-// else is there.
+// checkRecords checks that there are records only of valid jobs that a user submitted. It has
+// each job whose submission was accepted but never answered polled, so that the job is
+// checked to its end.
 func (u *users) checkRecords() {
 	for _, it := range u.state.List(record.JobKey("")) {
 		id := protocol.JobID(strings.TrimPrefix(it.Key, record.JobKey("")))
 		j := u.jobs[id]
 		if j == nil || j.rejectStatus != 0 {
-			u.fail("%v accepted though it can't run, or nobody's: %s", u.now, id)
+			u.fail("%v record of an invalid job, or of one that no user submitted: %s", u.now, id)
 			continue
 		}
-		if !j.accepted { // its user has given it up
+		if !j.accepted { // no answer to its submission has arrived
 			j.accepted = true
 			u.jobOrder = append(u.jobOrder, id)
 			u.poll(j)
--- a/internal/simulator/userhandover_test.go
+++ b/internal/simulator/userhandover_test.go
@@ -13,34 +13,35 @@
 	"damsonkeel/internal/record"
 )
 
-// TestCancellationAtEachStepOfHandover: a job is cancelled at each moment, 20 ms apart, of
-// a share's move, a controller's leave, its end and its loss of the records; its tasks
-// are stopped in time, and none is started after the confirmation.
+// TestCancellationAtEachStepOfHandover cancels all jobs at each time, 20 or 200 ms apart, of a
+// shard move, a controller's shutdown, its crash and its partition from the state service. The
+// tasks of the jobs must be stopped in time, and none may be started after the confirmation
+// by a controller that was not partitioned.
 func TestCancellationAtEachStepOfHandover(t *testing.T) {
 	for name, handover := range map[string]struct {
-		do   func(*world, *node)
-		over time.Duration
+		do       func(*world, *node)
+		duration time.Duration
 	}{
-		"shares move":     {func(w *world, n *node) { w.moveShards(n.heldShards(), w.nodes[0]) }, time.Second},
-		"told to end":     {func(w *world, n *node) { n.shutDown() }, 1500 * time.Millisecond},
-		"ends":            {func(w *world, n *node) { n.crashFor(200 * time.Millisecond) }, 1500 * time.Millisecond},
-		"ends for longer": {func(w *world, n *node) { n.crashFor(12 * time.Second) }, 12 * time.Second},
-		"refused alone":   {func(w *world, n *node) { w.partition(string(n.name), "state", 12*time.Second, false) }, 12 * time.Second},
+		"shards move":              {func(w *world, n *node) { w.moveShards(n.heldShards(), w.nodes[0]) }, time.Second},
+		"shutdown":                 {func(w *world, n *node) { n.shutDown() }, 1500 * time.Millisecond},
+		"crash":                    {func(w *world, n *node) { n.crashFor(200 * time.Millisecond) }, 1500 * time.Millisecond},
+		"crash for longer":         {func(w *world, n *node) { n.crashFor(12 * time.Second) }, 12 * time.Second},
+		"partitioned from records": {func(w *world, n *node) { w.partition(string(n.name), "state", 12*time.Second, false) }, 12 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			step := 20 * time.Millisecond
-			if handover.over > 2*time.Second {
+			if handover.duration > 2*time.Second {
 				step = 200 * time.Millisecond
 			}
-			for at := time.Duration(0); at < handover.over; at += step {
+			for at := time.Duration(0); at < handover.duration; at += step {
 				w := newWorld(t.Fatalf, 77, fake.Settings(), 6, 6)
 				w.eventDriven = true
 				w.runTime = func(protocol.TaskID) time.Duration { return 5 * time.Minute }
 				u := w.withUsers()
 				u.wellFormed = true
 				w.run(4 * time.Second)
-				for range 12 { // more than fit: some tasks wait, some fetch, some run
+				for range 12 { // more than fit: some tasks are queued, some fetch images, some run
 					u.submit(protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, EstimateS: 300, Spot: true})
 					w.run(w.now + 400*time.Millisecond)
 				}
@@ -55,23 +56,23 @@
 				w.run(w.now + at + time.Duration(w.settings.Site.Workers.CancelS)*time.Second + 10*time.Second)
 				for id, j := range ordered.Of(u.jobs) {
 					if j.finalAnswer != protocol.JobCancelled {
-						t.Errorf("after %v: the user of %s was not told: %+v, record %q", at, id, *j, w.finalState[id])
+						t.Errorf("cancelled after %v: the user of %s got no confirmation: %+v, record %q", at, id, *j, w.finalState[id])
 					}
 				}
 				if len(w.onMachine) > 0 {
-					t.Errorf("after %v: %d tasks are still on machines", at, len(w.onMachine))
+					t.Errorf("cancelled after %v: %d tasks are still on machines", at, len(w.onMachine))
 				}
 				if u.startsAfterCancellation > u.startsByPartitionedNodes {
-					t.Errorf("after %v: %d starts sent after the confirmation, %d by one cut off", at, u.startsAfterCancellation, u.startsByPartitionedNodes)
+					t.Errorf("cancelled after %v: %d starts sent after the confirmation, %d of these by partitioned controllers", at, u.startsAfterCancellation, u.startsByPartitionedNodes)
 				}
 			}
 		})
 	}
 }
 
-// TestSmallJobsStayWithinStateServiceLimits: one-task jobs that come four a second for two minutes, a
-// quarter of them cancelled, send no more requests to the state service than its limits allow, and leave
-// nothing but their states behind.
+// TestSmallJobsStayWithinStateServiceLimits submits one-task jobs, four per second for two
+// minutes, and cancels a quarter of them. The write rate at the state service must stay within
+// its limit, and of each finished job only the job record may remain.
 func TestSmallJobsStayWithinStateServiceLimits(t *testing.T) {
 	d := userScenario{machines: 9, duration: 120 * time.Second, job: smallJob, interval: time.Second / 4, cancelFraction: 0.25, prepare: func(u *users) { u.wellFormed = true }}
 	u := d.run(t, 1_300_000)
@@ -83,7 +84,7 @@
 		maxPerSecond = max(maxPerSecond, at-from+1)
 	}
 	if rate := u.settings.Site.State.WriteRPS; float64(maxPerSecond) > rate {
-		t.Errorf("%d changes within a second, of %v", maxPerSecond, rate)
+		t.Errorf("%d changes within a second, the limit is %v", maxPerSecond, rate)
 	}
 	remaining := 0
 	for _, it := range u.state.List("") {
@@ -92,24 +93,24 @@
 		}
 	}
 	if remaining > 0 {
-		t.Errorf("%d records are left of jobs that are over", remaining)
+		t.Errorf("%d records of finished jobs remain", remaining)
 	}
-	t.Logf("%d changes within a second at the most, of %v", maxPerSecond, u.settings.Site.State.WriteRPS)
+	t.Logf("at most %d changes within a second, the limit is %v", maxPerSecond, u.settings.Site.State.WriteRPS)
 }
 
-// TestLeaderCrashAtEachStep: the controller that writes records ends at each moment, 20 ms
-// apart, of a new machine's first seconds, and of the election that follows when another
-// has ended; the state service takes long, and carries out some transactions late. What
-// waits for the machine runs, once; every job comes to its end.
+// TestLeaderCrashAtEachStep crashes the controller that writes the machine records at each
+// time, 20 ms apart, of the first 2.5 s of a new machine, and of the election after another
+// leader has crashed. The state service is slow and applies some transactions late. Tasks
+// that wait for the machine must run exactly once, and every job must finish.
 func TestLeaderCrashAtEachStep(t *testing.T) {
 	for name, first := range map[string]func(*users){
-		"of a registration": func(u *users) {
+		"during a registration": func(u *users) {
 			r := protocol.ProvisionRequest{Name: "new", Type: "large", Zone: "a", Count: 1}
 			_, ids := u.cloud.Provision(r)
 			u.bootMachine(ids[0], r)
 		},
-		"of an election":            func(u *users) { u.leader().crashFor(9 * time.Second) },
-		"of an election, back soon": func(u *users) { u.leader().crashBriefly() },
+		"during an election":                          func(u *users) { u.leader().crashFor(9 * time.Second) },
+		"during an election, restart within a second": func(u *users) { u.leader().crashBriefly() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -135,7 +136,7 @@
 				}
 				for id, j := range ordered.Of(u.jobs) {
 					if j.finalAnswer != protocol.JobDone {
-						t.Errorf("after %v: the user of %s was not told that it is done", at, id)
+						t.Errorf("crash after %v: the user of %s did not get the answer done", at, id)
 					}
 				}
 			}
--- a/internal/simulator/useroverlaps_test.go
+++ b/internal/simulator/useroverlaps_test.go
@@ -9,13 +9,14 @@
 	"damsonkeel/internal/protocol"
 )
 
-// crashBriefly ends a controller's process, which is back within a second.
+// crashBriefly crashes a controller's process and restarts it within a second.
 func (n *node) crashBriefly() {
 	w := n.world
 	n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 }
 
-// leader is the controller that writes machines' records, as far as anybody knows.
+// leader returns a controller that considers itself the one that writes the machine records,
+// or a random one if there is none.
 func (w *world) leader() *node {
 	for _, n := range w.nodes {
 		if n.core != nil && n.core.Status().Registers {
@@ -25,8 +26,9 @@
 	return w.nodes[w.rng.IntN(len(w.nodes))]
 }
 
-// cancelRunningJobs has users cancel up to so many jobs that run, within a fifth of a second, and
-// some of their machines hang for a while, or be partitioned from all controllers.
+// cancelRunningJobs makes users cancel up to maxJobs running jobs within 200 ms. If hang is not
+// 0, some of the machines of these jobs are paused for that time, or their messages to or
+// from the controllers are lost.
 func (u *users) cancelRunningJobs(maxJobs int, hang time.Duration) {
 	machines := map[protocol.MachineID]bool{}
 	n := 0
@@ -63,10 +65,10 @@
 	}
 }
 
-// limitedTeams are teams that all have limits, lower than what their jobs need.
+// limitedTeams are teams with limits that are lower than what their jobs need.
 var limitedTeams = []config.Team{{Name: "cold", CPUs: 8, MaxCPUs: 16}, {Name: "desk", CPUs: 6, MaxCPUs: 10}, {Name: "yield", MaxCPUs: 8}}
 
-// limitedTeamJob is a job of one of these.
+// limitedTeamJob returns a random job of one of limitedTeams.
 func limitedTeamJob(w *world) protocol.Job {
 	j := w.randomJob()
 	j.Team = limitedTeams[w.rng.IntN(len(limitedTeams))].Name
@@ -76,7 +78,8 @@
 	return j
 }
 
-// oneZoneJob is bound to a zone, or has to have all of its tasks in one.
+// oneZoneJob returns a random job that must run in a given zone, or whose tasks must all run in
+// the same zone.
 func oneZoneJob(w *world) protocol.Job {
 	j := w.randomJob()
 	if j.Spread = false; w.rng.IntN(2) == 0 {
@@ -87,13 +90,13 @@
 	return j
 }
 
-// smallJob has one task.
+// smallJob returns a job with one task.
 func smallJob(w *world) protocol.Job {
 	return protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 1, CPUs: 1, EstimateS: 3, Spot: true}
 }
 
-// overlappingFaultScenarios are the operators' overlapping faults, each by itself, with users at all
-// controllers.
+// overlappingFaultScenarios returns a scenario for each combination of overlapping faults that
+// the operators have specified, with users at all controllers.
 func overlappingFaultScenarios() map[string]userScenario {
 	second := time.Second
 	base := userScenario{machines: 9, duration: 100 * second, job: (*world).randomJob, interval: second, cancelFraction: 0.3, settleTime: 30 * second}
@@ -105,12 +108,12 @@
 	useSpreadRunTimes := func(u *users) { u.runTime = u.drawSpreadRunTime }
 	requestOften := func(u *users) { u.requestOften, u.cancelAtEndFraction, u.cancelAtOnceFraction = true, 0.2, 0.2 }
 	return map[string]userScenario{
-		"users ask at all nodes within milliseconds": with(func(d *userScenario) {
+		"users send requests to all nodes within milliseconds": with(func(d *userScenario) {
 			d.prepare = requestOften
 			d.fault = func(u *users) {
 				u.watchLag = time.Duration(u.rng.IntN(4)) * 300 * time.Millisecond
 				n := u.nodes[u.rng.IntN(3)]
-				for end := u.now + 3*second; u.now < end; { // some start as requests arrive
+				for end := u.now + 3*second; u.now < end; { // some processes start while requests arrive
 					u.after(time.Duration(u.rng.IntN(2000))*time.Millisecond, func() { n.crashBriefly() })
 					u.run(u.now + second)
 				}
@@ -120,7 +123,7 @@
 				}
 			}
 		}),
-		"only the answer of a transaction is lost": with(func(d *userScenario) {
+		"only the replies of transactions are lost": with(func(d *userScenario) {
 			d.prepare = requestOften
 			d.fault = func(u *users) {
 				u.lostAnswerFraction = 0.5
@@ -134,14 +137,14 @@
 				}
 			}
 		}),
-		"teams at their limits, machines cut off or hanging, a new leader": with(func(d *userScenario) {
+		"teams at their limits, machines partitioned or paused, a new leader": with(func(d *userScenario) {
 			d.teams, d.job, d.allowLongWaits = limitedTeams, limitedTeamJob, true
 			d.prepare = useSpreadRunTimes
 			d.fault = func(u *users) {
 				n := u.nodes[u.rng.IntN(3)]
 				u.watchLag = time.Duration(u.rng.IntN(4)) * 500 * time.Millisecond
 				if u.rng.IntN(2) == 0 {
-					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(7))*second, true) // follows late
+					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(7))*second, true) // sees changes late
 				}
 				u.cancelRunningJobs(4, time.Duration(1+u.rng.IntN(20))*second)
 				switch u.rng.IntN(4) {
@@ -149,7 +152,7 @@
 					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { n.crashBriefly() })
 				case 2:
 					u.moveRandomShards(24)
-				case 3: // a keeper takes over, and then follows late what is cancelled
+				case 3: // a controller takes over shards, and then sees cancellations late
 					u.moveRandomShards(60)
 					after := time.Duration(u.rng.IntN(1500)) * time.Millisecond
 					u.after(after, func() {
@@ -159,7 +162,7 @@
 				}
 			}
 		}),
-		"jobs are cancelled while work changes hands": with(func(d *userScenario) {
+		"jobs are cancelled while shards move": with(func(d *userScenario) {
 			d.prepare = requestOften
 			d.fault = func(u *users) {
 				n := u.nodes[u.rng.IntN(3)]
@@ -177,7 +180,7 @@
 				u.cancelRandomJobs(4, 2*second)
 			}
 		}),
-		"new machines within two seconds, late writes, the leader ends": with(func(d *userScenario) {
+		"new machines within two seconds, late writes, leader crashes": with(func(d *userScenario) {
 			d.machines, d.interval = 3, second/2
 			d.prepare = func(u *users) {
 				u.cloud.Capacity = 14
@@ -199,7 +202,7 @@
 				}
 			}
 		}),
-		"an old report reaches every controller as a new leader begins": with(func(d *userScenario) {
+		"old heartbeats reach every controller when a new leader starts": with(func(d *userScenario) {
 			d.fault = func(u *users) {
 				u.recordHeartbeats, u.duplicateHeartbeatFraction = true, 0.3
 				u.forRandomWorkers(0.2, func(m *worker) { m.pausedUntil = u.now + time.Duration(u.rng.IntN(20))*second })
@@ -211,7 +214,7 @@
 				}
 			}
 		}),
-		"one-task jobs come four a second": with(func(d *userScenario) {
+		"four one-task jobs per second": with(func(d *userScenario) {
 			d.job, d.interval, d.cancelFraction, d.machines = smallJob, second/4, 0.25, 9
 			d.fault = func(u *users) {
 				if u.rng.IntN(6) == 0 {
@@ -219,7 +222,7 @@
 				}
 			}
 		}),
-		"jobs bound to one zone lose machines": with(func(d *userScenario) {
+		"jobs restricted to one zone lose machines": with(func(d *userScenario) {
 			d.job = oneZoneJob
 			d.fault = func(u *users) {
 				u.forRandomWorkers(0.15, func(m *worker) { u.killMachine(m.ID) })
@@ -229,7 +232,7 @@
 				}
 			}
 		}),
-		"leaders change ten times in two minutes, also in an outage": with(func(d *userScenario) {
+		"leaders change ten times in two minutes, also during an outage": with(func(d *userScenario) {
 			d.duration = 120 * second
 			d.fault = func(u *users) {
 				if u.rng.IntN(2) == 0 {
@@ -240,7 +243,7 @@
 				}
 			}
 		}),
-		"workers reach no controller, commands reach them": with(func(d *userScenario) {
+		"workers reach no controller, but commands reach them": with(func(d *userScenario) {
 			d.prepare = useSpreadRunTimes
 			d.fault = func(u *users) {
 				u.forRandomWorkers(0.3, func(m *worker) { m.outboundLostUntil = u.now + time.Duration(u.rng.IntN(30))*second })
@@ -250,7 +253,7 @@
 				}
 			}
 		}),
-		"a zone with a controller cut off for longer than leases": with(func(d *userScenario) {
+		"a zone with a controller partitioned for longer than leases": with(func(d *userScenario) {
 			d.duration, d.prepare = 150*second, useSpreadRunTimes
 			d.fault = func(u *users) {
 				if u.rng.IntN(3) == 0 {
@@ -259,7 +262,7 @@
 				u.cancelRandomJobs(2, 5*second)
 			}
 		}),
-		"cancelled at the moment of the lone refusal, then out for all": with(func(d *userScenario) {
+		"cancellations during a short partition, then an outage": with(func(d *userScenario) {
 			d.duration, d.prepare, d.settleTime = 200*second, useSpreadRunTimes, 90*second
 			d.fault = func(u *users) {
 				if u.now < 25*second || u.outageUntil > u.now || u.rng.IntN(3) > 0 {
@@ -271,7 +274,7 @@
 				u.after(second, func() { u.outageUntil = u.now + outage })
 			}
 		}),
-		"all controllers are away for longer than leases": with(func(d *userScenario) {
+		"all controllers down for longer than leases": with(func(d *userScenario) {
 			d.duration, d.prepare = 150*second, useSpreadRunTimes
 			d.fault = func(u *users) {
 				if u.rng.IntN(6) == 0 {
@@ -282,11 +285,11 @@
 				}
 			}
 		}),
-		"more work than room, over slow links": with(func(d *userScenario) {
+		"more jobs than capacity, with slow messages": with(func(d *userScenario) {
 			d.machines, d.interval, d.allowLongWaits = 5, second/3, true
 			d.job = func(w *world) protocol.Job {
 				j := w.randomJob()
-				j.Types = nil // the cloud has no more of a type
+				j.Types = nil // the cloud has no more machines of some type
 				j.Priority = []protocol.Priority{"production", "high", "standard", "best_effort"}[w.rng.IntN(4)]
 				return j
 			}
@@ -294,7 +297,7 @@
 			d.prepare = func(u *users) { u.cloud.Capacity = 6 }
 			d.fault = func(u *users) { u.stateLatency, u.slowMessageFraction = 300*time.Millisecond, 0.3 }
 		}),
-		"two troubles at once": with(func(d *userScenario) {
+		"two faults at once": with(func(d *userScenario) {
 			d.prepare = func(u *users) { requestOften(u); useSpreadRunTimes(u) }
 			d.fault = func(u *users) {
 				if u.rng.IntN(2) == 0 {
@@ -315,9 +318,9 @@
 	}
 }
 
-// TestUserAnswersUnderEachOverlappingFault plays the operators' overlapping faults with users at all controllers.
-// Every rule is checked at every step, and every answer against all that arrived before
-// its question.
+// TestUserAnswersUnderEachOverlappingFault runs the scenarios of overlapping faults with users
+// at all controllers. Every rule is checked at every step, and every answer against all
+// answers that arrived before its request was sent.
 func TestUserAnswersUnderEachOverlappingFault(t *testing.T) {
 	for name, d := range overlappingFaultScenarios() {
 		t.Run(name, func(t *testing.T) { d.runSeeds(t, 5, 1_200_000) })
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -10,6 +10,7 @@
 	"damsonkeel/internal/protocol"
 )
 
+// discardLogger is the logger of the admission cores.
 var discardLogger = slog.New(slog.DiscardHandler)
 
 const (
@@ -20,50 +21,57 @@
 	maxUnanswered     = 75 * time.Second
 )
 
-// users submit, poll and cancel jobs at any of the controllers, and check the answers.
+// users simulates users who submit, poll and cancel jobs at random controllers, and checks the
+// answers.
 type users struct {
 	*world
 	frontends []*frontend
 	jobs      map[protocol.JobID]*userJob
-	// requestOften has users send requests to all controllers within milliseconds after each answer,
-	// again and again, and repeat the submission.
+	// requestOften makes users send several polls and repeated submissions to all controllers
+	// within milliseconds, whenever an answer advances the state of a job or its last task
+	// ends.
 	requestOften bool
-	// cancelAtEndFraction is the fraction of jobs that are cancelled as their last task ends.
+	// cancelAtEndFraction is the fraction of jobs that are cancelled within 300 ms after their
+	// last task ends.
 	cancelAtEndFraction float64
-	// cancelAtOnceFraction is the fraction of jobs that are cancelled as soon as they are accepted.
+	// cancelAtOnceFraction is the fraction of jobs that are cancelled within 5 ms after they
+	// are accepted.
 	cancelAtOnceFraction float64
-	wellFormed           bool // all submissions are
-	// dropCancellations has controllers notified of cancellations only through the records: an
-	// injected fault.
+	wellFormed           bool // all submissions are valid
+	// dropCancellations drops the announcements of cancellations, so that controllers only see
+	// them in the records: an injected fault.
 	dropCancellations bool
-	// changeAnswer, if set, changes what users are answered: an injected fault.
+	// changeAnswer, if set, replaces the answers to users: an injected fault.
 	changeAnswer func(*userJob, admission.Answer) admission.Answer
 
-	faultFreeSince time.Duration // since when there are no faults; 0: there are some
+	faultFreeSince time.Duration // time at which the last fault ended; 0 while there are faults
 
+	// requests counts the requests sent, answered those with an answer, unavailable the answers
+	// with status 503, and lateEnds the polls that were answered as unfinished although the
+	// job's last task had ended more than 3 s plus pollTimeout before.
 	requests, answered, unavailable, lateEnds int
-	startsSent, startsAfterCancellation       int // starts sent in all, and after a confirmed cancellation
-	startsByPartitionedNodes                  int // of these, by a controller that was partitioned from another or from the records since
-	cancelWaits                               []time.Duration
+	startsSent, startsAfterCancellation       int             // starts sent, and of these, after a confirmed cancellation
+	startsByPartitionedNodes                  int             // of the latter, by controllers partitioned from a peer or the state service since
+	cancelWaits                               []time.Duration // from the request to the confirmation of a cancellation
 }
 
-// userJob is what the users know of a job.
+// userJob is a job from the view of its users.
 type userJob struct {
 	id                protocol.JobID
 	job               protocol.Job
 	body              []byte
-	rejectStatus      int // the status that its submission has to get, of one that can't be taken
+	rejectStatus      int // status with which its invalid submission must be rejected; 0 if it is valid
 	accepted          bool
-	cancelRequested   bool // a user has requested its cancellation
+	cancelRequested   bool // a user has requested the cancellation
 	finalAnswer       protocol.JobState
-	rank              answerRank    // the highest of all answers
+	rank              answerRank    // highest rank of all answers
 	cancelConfirmedAt time.Duration // when a controller first confirmed the cancellation
-	lastAnswer        time.Duration // when a request was last answered
+	lastAnswer        time.Duration // when a request for the job was last answered
 	endedAt           time.Duration // when its last task ended
-	polled            bool          // it is polled
+	polled            bool          // it is being polled
 }
 
-// answerRank orders the answers of a job: a later answer never has a lower rank.
+// answerRank orders the answers about a job: a later answer must never have a lower rank.
 type answerRank int
 
 const (
@@ -72,6 +80,7 @@
 	rankFinal
 )
 
+// withUsers adds users, and the frontends of the controllers, to the world.
 func (w *world) withUsers() *users {
 	u := &users{world: w, jobs: map[protocol.JobID]*userJob{}}
 	for _, n := range w.nodes {
@@ -95,7 +104,8 @@
 	return u
 }
 
-// countStarts counts starts that are sent after a user was answered that the job is cancelled.
+// countStarts counts the starts that a controller sends, and those of jobs whose cancellation
+// was already confirmed to a user.
 func (u *users) countStarts(n *node, orders []protocol.Order) {
 	for _, o := range orders {
 		if o.Op != protocol.OpStart {
@@ -114,7 +124,8 @@
 	}
 }
 
-// recordAnswer records the first confirmation of a cancellation, when it is sent.
+// recordAnswer records the time at which a controller first sends the confirmation of a
+// cancellation.
 func (u *users) recordAnswer(a admission.Answer) {
 	var s protocol.JobStatus
 	if a.Status != 200 || protocol.Decode(a.Body, &s) != nil || s.State != protocol.JobCancelled {
@@ -125,7 +136,7 @@
 	}
 }
 
-// taskEnded has jobs cancelled, polled and submitted again as their last task ends.
+// taskEnded makes users cancel, poll and submit again a job whose last task has ended.
 func (u *users) taskEnded(id protocol.TaskID, why protocol.EndCause) {
 	j := u.jobs[id.Job]
 	if j == nil || why != protocol.EndDone {
@@ -147,7 +158,7 @@
 	}
 }
 
-// wireJob is a job as its user sends it.
+// wireJob returns a job in the format in which its user sends it.
 func wireJob(j *protocol.Job) map[string]any {
 	m := map[string]any{
 		"id": j.ID, "berth": j.Class, "crew": j.Team, "rig": j.Kind, "tide": j.Priority, "hauls": j.Tasks, "cores": j.CPUs, "gpus": j.GPUs,
@@ -163,7 +174,8 @@
 	return m
 }
 
-// submit has a user submit a job until it is taken or a minute has passed.
+// submit makes a user submit a job and retry until it is accepted or rejected, or a minute has
+// passed. Unless u.wellFormed is set, some submissions are invalid.
 func (u *users) submit(j protocol.Job) *userJob {
 	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", u.submissions))
 	u.submissions++
@@ -174,7 +186,7 @@
 	if u.wellFormed {
 		kind = -1
 	}
-	switch kind { // some lack a field, or fit nothing
+	switch kind { // some submissions lack a field, or need more than any machine has
 	case 0:
 		delete(m, []string{"berth", "hauls", "cores", "scatter", "hullcast"}[u.rng.IntN(5)])
 		submitted.rejectStatus = 400
@@ -194,6 +206,7 @@
 	return submitted
 }
 
+// trySubmit sends the submission of a job and retries until the time until.
 func (u *users) trySubmit(j *userJob, until time.Duration) {
 	u.request(j, admission.Submit, submitTimeout, func(status int) {
 		if status == 200 || status == 201 || status == 400 || status == 422 || u.now > until {
@@ -203,7 +216,8 @@
 	})
 }
 
-// cancelJob has a user cancel a job until that is confirmed, or it is done.
+// cancelJob makes a user cancel an accepted job and retry until the request gets a final
+// answer: the job is cancelled or done.
 func (u *users) cancelJob(j *userJob) {
 	if j.cancelRequested || !j.accepted {
 		return
@@ -223,7 +237,7 @@
 	try()
 }
 
-// poll polls a job every 5 s until it is over.
+// poll polls a job every 5 s until a final answer arrives.
 func (u *users) poll(j *userJob) {
 	if j.polled {
 		return
@@ -253,19 +267,21 @@
 	}
 }
 
+// request sends a request to a random controller.
 func (u *users) request(j *userJob, op admission.Operation, timeout time.Duration, then func(status int)) {
 	u.requestAt(u.frontends[u.rng.IntN(len(u.frontends))], j, op, timeout, then)
 }
 
-// requestAt sends a request to a controller and checks the answer against all that was
-// answered before the request began.
+// requestAt sends a request to a controller and checks the answer against all answers that
+// arrived before the request was sent. It calls then with the status, which is 0 after the
+// timeout.
 func (u *users) requestAt(f *frontend, j *userJob, op admission.Operation, timeout time.Duration, then func(status int)) {
 	before := *j
 	u.requests++
 	finished := false
 	finish := func(a admission.Answer) {
 		if finished {
-			return // given up: nobody has read it
+			return // the user has stopped waiting
 		}
 		finished = true
 		if a.Status != 0 && u.changeAnswer != nil {
--- a/internal/simulator/userscenario_test.go
+++ b/internal/simulator/userscenario_test.go
@@ -12,26 +12,29 @@
 	"damsonkeel/internal/protocol"
 )
 
-// userScenario describes a generated run on which users send all kinds of requests.
+// userScenario describes a generated run in which users send all kinds of requests.
 type userScenario struct {
 	machines       int
 	duration       time.Duration
 	job            func(*world) protocol.Job
 	interval       time.Duration // between submissions
-	cancelFraction float64       // share of the jobs that are cancelled at a random moment
+	cancelFraction float64       // fraction of the jobs that are cancelled at a random time
 	teams          []config.Team
 	prepare        func(*users)
-	fault          func(*users)  // at each step of a second to six
-	settleTime     time.Duration // for which the last faults may last
+	fault          func(*users)  // called at each step of one to six seconds
+	settleTime     time.Duration // for the last faults to end
 	fail           func(string, ...any)
-	requestOften   bool         // users send requests to all controllers after each answer
-	atEnd          func(*users) // when all is over
-	allowLongWaits bool         // jobs may be left waiting longer: there is more work than room
+	requestOften   bool         // see users.requestOften
+	atEnd          func(*users) // called after all jobs have finished
+	allowLongWaits bool         // jobs may wait for longer, as there are more jobs than capacity
 }
 
-// maxWaitBesideFreeMachine is how long a job may wait, once all is well, beside a machine that fits.
+// maxWaitBesideFreeMachine is how long a job may wait, once all faults have ended, although a
+// machine has room for it.
 const maxWaitBesideFreeMachine = 90 * time.Second
 
+// run runs the scenario with a seed. After all faults have ended, every accepted job must reach
+// a final state and its user must get the answer.
 func (d userScenario) run(t *testing.T, seed int) *users {
 	t.Helper()
 	fail := d.fail
@@ -101,11 +104,11 @@
 	}
 	for _, j := range ordered.Of(u.jobs) {
 		if j.accepted && j.rank < rankFinal {
-			fail("the user of %s was never told of its end; record %q, cancelled %v, %+v\n%s", j.id, w.finalState[j.id], j.cancelRequested, j.job, w.describeJob(j.id))
+			fail("the user of %s got no final answer; record %q, cancelled %v, %+v\n%s", j.id, w.finalState[j.id], j.cancelRequested, j.job, w.describeJob(j.id))
 		}
 	}
 	if w.starts == 0 {
-		t.Error("nothing ran")
+		t.Error("no task was started")
 	}
 	if d.atEnd != nil {
 		d.atEnd(u)
@@ -115,12 +118,13 @@
 	if n := len(u.cancelWaits); n > 0 {
 		median = u.cancelWaits[n/2]
 	}
-	t.Logf("%d jobs, %d questions, %d answered, %d of these 503, %d late ends; %d starts sent, %d after a confirmed cancellation, %d of these by one cut off; %d cancellations, median %v", len(u.jobs), u.requests, u.answered, u.unavailable, u.lateEnds, u.startsSent, u.startsAfterCancellation, u.startsByPartitionedNodes, len(u.cancelWaits), median)
+	t.Logf("%d jobs, %d requests, %d answered, %d of these 503, %d late ends; %d starts sent, %d after a confirmed cancellation, %d of these by partitioned controllers; %d cancellations, median %v", len(u.jobs), u.requests, u.answered, u.unavailable, u.lateEnds, u.startsSent, u.startsAfterCancellation, u.startsByPartitionedNodes, len(u.cancelWaits), median)
 	return u
 }
 
-// freeMachineFor is a machine beside which a job waits, with no task on any machine, though
-// it fits, has room and the job's team is under its limit.
+// freeMachineFor returns a machine on which a task of a job fits and has room. It returns false
+// if there is none, if a task of the job is on a machine, if all have completed, if the job's
+// team would exceed its limit, or if the job is a gang.
 func (u *users) freeMachineFor(j *userJob) (protocol.MachineID, bool) {
 	if j.job.Kind == protocol.KindGang {
 		return "", false
@@ -165,7 +169,9 @@
 	return "", false
 }
 
-// checkWaitsBesideFreeMachines: no job waits so long beside a machine for it, once all is well.
+// checkWaitsBesideFreeMachines checks that no job waits longer than maxWaitBesideFreeMachine
+// although a machine has room for it. It keeps the time since which each such job waits in
+// waitingSince.
 func (u *users) checkWaitsBesideFreeMachines(waitingSince map[protocol.JobID]time.Duration) {
 	for _, j := range ordered.Of(u.jobs) {
 		m, waits := protocol.MachineID(""), false
@@ -178,28 +184,28 @@
 		case waitingSince[j.id] == 0:
 			waitingSince[j.id] = u.now
 		case u.now-waitingSince[j.id] > maxWaitBesideFreeMachine:
-			u.fail("%v left waiting: %s for %v, beside %s\n%s", u.now, j.id, u.now-waitingSince[j.id], m, u.describeJob(j.id))
+			u.fail("%v left waiting: %s for %v, although %s has room\n%s", u.now, j.id, u.now-waitingSince[j.id], m, u.describeJob(j.id))
 		}
 	}
 }
 
-// runSeeds runs a scenario with so many seeds. No start may be sent after a confirmed
-// cancellation by a controller that the others can reach.
+// runSeeds runs the scenario with consecutive seeds, starting at firstSeed. No start may be
+// sent after a confirmed cancellation, except by a controller that was partitioned.
 func (d userScenario) runSeeds(t *testing.T, defaultCount, firstSeed int) {
 	t.Helper()
 	for seed := range seedCount(defaultCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			if u := d.run(t, firstSeed+seed); u.startsAfterCancellation > u.startsByPartitionedNodes {
-				t.Errorf("%d starts were sent after a confirmed cancellation, %d of these by one cut off", u.startsAfterCancellation, u.startsByPartitionedNodes)
+				t.Errorf("%d starts were sent after a confirmed cancellation, %d of these by partitioned controllers", u.startsAfterCancellation, u.startsByPartitionedNodes)
 			}
 		})
 	}
 }
 
-// TestUserAnswersWithoutFaults: what users are answered holds, and no start is sent after
-// a confirmed cancellation, where nothing else goes wrong; jobs are cancelled, polled
-// and submitted again at the moment at which their last task ends, too.
+// TestUserAnswersWithoutFaults tests, without faults, that answers to users do not contradict
+// each other and that no start is sent after a confirmed cancellation. Jobs are also
+// cancelled, polled and submitted again when their last task ends.
 func TestUserAnswersWithoutFaults(t *testing.T) {
 	d := userScenario{
 		machines: 9, duration: 60 * time.Second, job: (*world).randomJob, interval: time.Second, cancelFraction: 0.4,
@@ -208,8 +214,8 @@
 	d.runSeeds(t, 6, 1_000_000)
 }
 
-// TestUserAnswersWithFaults: the same while the faults of the other generated scenarios
-// come, alone and two or three at once.
+// TestUserAnswersWithFaults tests the same with the faults of the other generated scenarios,
+// alone and two at once.
 func TestUserAnswersWithFaults(t *testing.T) {
 	fault := func(u *users) {
 		u.runTime = u.drawSpreadRunTime
