--- a/internal/simulator/faultyjobs_test.go
+++ b/internal/simulator/faultyjobs_test.go
@@ -8,22 +8,23 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestFaultyJobs: a third of the jobs fail wherever they run, arrays of hundreds and
-// gangs too, while three machines fail everything. No good machine is set aside for
-// long, each bad one is; what fails everywhere is tried ever less often and takes
-// nothing from the rest; one whose mistake is mended runs to its end.
-func TestFaultyJobs(t *testing.T) {
+// TestFaultyJobsDoNotCordonHealthyMachines tests a load in which a third of the jobs fail on
+// every machine, including arrays of hundreds of tasks and gangs, while three machines fail
+// every task. The faulty machines must be cordoned, and healthy machines must not be for
+// long. Faulty jobs must be retried less and less often and must not keep the other jobs from
+// finishing, and a faulty job that is repaired must finish.
+func TestFaultyJobsDoNotCordonHealthyMachines(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 31, fake.Settings(), 60, 60)
 	w.run(3 * time.Second)
-	faulty := map[protocol.MachineID]bool{}
+	faultyMachines := map[protocol.MachineID]bool{}
 	for _, i := range []int{5, 25, 45} {
-		faulty[w.machineOrder[i]] = true
+		faultyMachines[w.machineOrder[i]] = true
 		w.workers[w.machineOrder[i]].Faulty = true
 	}
 	starts := map[protocol.JobID]int{}
 	w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) { starts[id.Job]++ }
-	aside, good := map[protocol.MachineID]bool{}, 0
+	cordoned, healthyCordonSeconds := map[protocol.MachineID]bool{}, 0
 	for i := range 80 {
 		j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true}
 		switch i % 4 {
@@ -41,37 +42,37 @@
 		w.run(w.now + time.Second)
 		for _, n := range w.nodes {
 			for _, id := range n.core.Status().Cordoned {
-				if aside[id] = true; !faulty[id] {
-					good++
+				if cordoned[id] = true; !faultyMachines[id] {
+					healthyCordonSeconds++
 				}
 			}
 		}
 	}
-	for id := range faulty {
-		if !aside[id] {
-			t.Errorf("%s fails everything and is not set aside", id)
+	for id := range faultyMachines {
+		if !cordoned[id] {
+			t.Errorf("%s fails every task and was not cordoned", id)
 		}
 	}
-	if good > 60 { // of 80 s times 57 machines
-		t.Errorf("good machines are set aside for %d s in all", good)
+	if healthyCordonSeconds > 60 { // of 80 s times 57 machines
+		t.Errorf("healthy machines were cordoned for %d s in all", healthyCordonSeconds)
 	}
-	mended := w.jobOrder[0]
-	if !w.faultyJobs[mended] {
-		t.Fatal("the first job has no mistake")
+	repaired := w.jobOrder[0]
+	if !w.faultyJobs[repaired] {
+		t.Fatal("the first job is not faulty")
 	}
 	for _, id := range w.jobOrder {
 		if j := w.jobs[id]; w.faultyJobs[id] && starts[id] > 3*int(j.Tasks)+30 {
-			t.Errorf("%s of %d tasks, which fail everywhere, was started %d times", id, j.Tasks, starts[id])
+			t.Errorf("tasks of %s, which has %d tasks that fail on every machine, were started %d times", id, j.Tasks, starts[id])
 		}
 	}
-	delete(w.faultyJobs, mended)
-	for end := w.now + 400*time.Second; w.finalState[mended] == "" && w.now < end; {
+	delete(w.faultyJobs, repaired)
+	for end := w.now + 400*time.Second; w.finalState[repaired] == "" && w.now < end; {
 		w.run(w.now + time.Second)
 	}
 	w.run(w.now + 60*time.Second)
 	for _, id := range w.jobOrder {
 		if w.finalState[id] == "" != w.faultyJobs[id] {
-			t.Errorf("%s, with a mistake: %v, is %q", id, w.faultyJobs[id], w.finalState[id])
+			t.Errorf("final state of %s, faulty: %v, is %q", id, w.faultyJobs[id], w.finalState[id])
 		}
 		if w.faultyJobs[id] {
 			w.cancel(id)
@@ -81,5 +82,5 @@
 	if len(w.onMachine) > 0 {
 		t.Errorf("%d tasks are on machines after all were cancelled", len(w.onMachine))
 	}
-	t.Logf("good machines set aside for %d s in all; starts %v", good, starts)
+	t.Logf("healthy machines were cordoned for %d s in all; starts %v", healthyCordonSeconds, starts)
 }
