--- a/cmd/damsonkeel/emulate.go
+++ b/cmd/damsonkeel/emulate.go
@@ -58,10 +58,10 @@
 	for i := range e.Seeds {
 		simulations.Go(func() {
 			results[i] = simulator.Run(site, simulator.Options{
-				For:      e.For,
-				Seed:     e.Seed + uint64(i),
-				Without:  e.Without,
-				Progress: func(time.Duration) { _ = bar.Add(1) },
+				Duration:            e.For,
+				Seed:                e.Seed + uint64(i),
+				WithoutReservations: e.Without,
+				Progress:            func(time.Duration) { _ = bar.Add(1) },
 			})
 		})
 	}
@@ -91,8 +91,8 @@
 	late, broken := 0, 0
 	for _, r := range results {
 		late += r.Late
-		broken += len(r.Rules)
-		for _, rule := range r.Rules {
+		broken += len(r.Violations)
+		for _, rule := range r.Violations {
 			fmt.Fprintf(os.Stderr, "seed %d: rule broken: %s\n", r.Seed, rule)
 		}
 	}
--- a/cmd/damsonkeel/emulateprint.go
+++ b/cmd/damsonkeel/emulateprint.go
@@ -29,7 +29,7 @@
 		t.AppendRow(table.Row{
 			r.Seed, fmt.Sprintf("%.1f", r.Days), r.Started, r.InTime, r.Late, r.AtRisk,
 			fmt.Sprintf("%.1f", r.MedianS), fmt.Sprintf("%.1f", r.WorstS),
-			r.InWindow, r.Starts, fmt.Sprintf("%.1f", r.Cost), len(r.Refused),
+			r.StartsInWindows, r.Starts, fmt.Sprintf("%.1f", r.Cost), len(r.Refused),
 		})
 	}
 	t.Render()
@@ -41,7 +41,7 @@
 	for _, r := range results {
 		t.AppendRow(table.Row{
 			r.Seed, r.ShardMoves.Moves, r.ShardMoves.Aborted, fmt.Sprintf("%.2f", r.ShardMoves.PauseP99S),
-			r.ShardMoves.StoppedByMoves, r.ShardMoves.LostByMoves, len(r.Rules),
+			r.ShardMoves.StoppedByMoves, r.ShardMoves.LostByMoves, len(r.Violations),
 		})
 	}
 	t.Render()
@@ -82,8 +82,8 @@
 			c := r.Classes[name]
 			t.AppendRow(table.Row{
 				r.Seed, name, c.Jobs, c.Done,
-				fmt.Sprintf("%.0f", c.WaitMean), fmt.Sprintf("%.0f", c.Wait95),
-				fmt.Sprintf("%.0f", c.DoneMean), fmt.Sprintf("%.0f", c.Done95),
+				fmt.Sprintf("%.0f", c.WaitMeanS), fmt.Sprintf("%.0f", c.WaitP95S),
+				fmt.Sprintf("%.0f", c.DoneMeanS), fmt.Sprintf("%.0f", c.DoneP95S),
 			})
 		}
 	}
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -118,7 +118,7 @@
 // rules are part of the result.
 func resultJSON(t *testing.T, run digestRun) []byte {
 	t.Helper()
-	result := Run(loadSite(t, run.site), Options{For: run.duration, Seed: run.seed})
+	result := Run(loadSite(t, run.site), Options{Duration: run.duration, Seed: run.seed})
 	return indentedJSON(t, []*Result{result})
 }
 
--- a/internal/simulator/driver.go
+++ b/internal/simulator/driver.go
@@ -29,10 +29,10 @@
 
 // Options are the options of a run.
 type Options struct {
-	For  time.Duration // simulated time to run for, after the warm-up
-	Seed uint64
-	// Without omits the reservations; their jobs are still submitted.
-	Without bool
+	Duration time.Duration // simulated time to run for, after the warm-up
+	Seed     uint64
+	// WithoutReservations omits the reservations; their jobs are still submitted.
+	WithoutReservations bool
 	// Progress, if set, is called after each simulated minute with the simulated time.
 	Progress func(time.Duration)
 
@@ -87,10 +87,10 @@
 
 // Run simulates a site and returns the result, including rule violations.
 func Run(s *Site, o Options) *Result {
-	result := &Result{Seed: o.Seed, Without: o.Without, Days: o.For.Hours() / 24, Classes: map[string]*Class{}, Rules: []string{}}
+	result := &Result{Seed: o.Seed, WithoutReservations: o.WithoutReservations, Days: o.Duration.Hours() / 24, Classes: map[string]*Class{}, Violations: []string{}}
 	addViolation := func(format string, args ...any) {
-		if len(result.Rules) < maxViolations {
-			result.Rules = append(result.Rules, fmt.Sprintf(format, args...))
+		if len(result.Violations) < maxViolations {
+			result.Violations = append(result.Violations, fmt.Sprintf(format, args...))
 		}
 	}
 	d := &driver{
@@ -105,7 +105,7 @@
 	if o.onStart != nil {
 		o.onStart(d)
 	}
-	for end := warmUpTime + o.For; d.now < end; {
+	for end := warmUpTime + o.Duration; d.now < end; {
 		d.run(min(end, d.now+time.Minute))
 		d.discardFinished()
 		if o.Progress != nil {
@@ -217,7 +217,7 @@
 	now := reservation.Moment(d.wallMS())
 	for _, w := range d.windows {
 		if reservation.WindowCovers(w.spec, id, m.Info.Name, m.Zone) && len(w.schedule.Occurrences(reservation.After(now, -config.Seconds(w.spec.LengthS)+1), now)) > 0 {
-			d.result.InWindow++
+			d.result.StartsInWindows++
 		}
 	}
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -46,8 +46,8 @@
 // the minutes before a reservation starts.
 func (d *driver) scheduleFaults() {
 	for _, fault := range d.faultTypes() {
-		for range int(fault.perDay*d.opts.For.Hours()/24 + 0.5) {
-			at := warmUpTime + time.Duration(d.rng.Float64()*float64(d.opts.For))
+		for range int(fault.perDay*d.opts.Duration.Hours()/24 + 0.5) {
+			at := warmUpTime + time.Duration(d.rng.Float64()*float64(d.opts.Duration))
 			if len(d.reservationTimes) > 0 && d.rng.IntN(2) == 0 {
 				at = d.reservationTimes[d.rng.IntN(len(d.reservationTimes))] - time.Duration(d.rng.IntN(maxFaultLeadSeconds))*time.Second
 			}
--- a/internal/simulator/reservations_test.go
+++ b/internal/simulator/reservations_test.go
@@ -17,9 +17,9 @@
 		Types: []Type{{Name: "m8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootS: 20, Zones: []protocol.Zone{"a", "b"}}},
 		Teams: []Team{{Name: "free"}, {Name: "bound", MaxCPUs: 24}},
 		Load: []Load{
-			{Class: "long", Team: "free", Priority: "standard", EveryS: 84, Tasks: 8, CPUs: 2, EstimateS: 180, Factor: 2},
-			{Class: "short", Team: "free", Priority: "standard", EveryS: 20, Tasks: 8, CPUs: 1, EstimateS: 30, Factor: 1},
-			{Class: "low", Team: "free", Priority: "best_effort", EveryS: 200, Tasks: 4, CPUs: 2, EstimateS: 300, Factor: 1.5, CheckpointS: 30, SaveS: 4, Spot: true},
+			{Class: "long", Team: "free", Priority: "standard", EveryS: 84, Tasks: 8, CPUs: 2, EstimateS: 180, RunTimeFactor: 2},
+			{Class: "short", Team: "free", Priority: "standard", EveryS: 20, Tasks: 8, CPUs: 1, EstimateS: 30, RunTimeFactor: 1},
+			{Class: "low", Team: "free", Priority: "best_effort", EveryS: 200, Tasks: 4, CPUs: 2, EstimateS: 300, RunTimeFactor: 1.5, CheckpointS: 30, CheckpointDurationS: 4, Spot: true},
 		},
 		Reservations: []Reservation{{Name: "one", Class: "one", Team: "free", Priority: "standard", When: "2026-03-29 at 00:30", HoldS: 600, LengthS: 300, Tasks: 8, CPUs: 4, MemoryGB: 1}},
 	}
@@ -79,7 +79,7 @@
 			if tc.change != nil {
 				tc.change(s)
 			}
-			o := Options{For: reservationRunLength, Seed: 1}
+			o := Options{Duration: reservationRunLength, Seed: 1}
 			if tc.do != nil {
 				o.onStart = func(p *driver) { p.scheduleAt(warmUpTime+reservationOffset-tc.before, func() { tc.do(p) }) }
 			}
@@ -93,8 +93,8 @@
 				state = r.State
 			}
 			r := Run(s, o)
-			if len(r.Rules) > 0 {
-				t.Fatal(r.Rules)
+			if len(r.Violations) > 0 {
+				t.Fatal(r.Violations)
 			}
 			if len(r.Refused) > 0 || len(r.Occurrences) != 1 {
 				t.Fatalf("refused requests %v, %d occurrences", r.Refused, len(r.Occurrences))
@@ -121,14 +121,14 @@
 	t.Parallel()
 	s := smallSite()
 	s.Windows = []Window{{Name: "w", When: "daily at 00:50", LengthS: 300, Zone: "a"}}
-	r := Run(s, Options{For: reservationRunLength, Seed: 1, Without: true})
-	if len(r.Rules) > 0 {
-		t.Fatal(r.Rules)
+	r := Run(s, Options{Duration: reservationRunLength, Seed: 1, WithoutReservations: true})
+	if len(r.Violations) > 0 {
+		t.Fatal(r.Violations)
 	}
 	if got := r.Occurrences[0]; got.Started && got.DelayS <= maxInTimeDelayS {
 		t.Errorf("the job started only %.0f s late without a reservation", got.DelayS)
 	}
-	if r.InWindow > 0 {
-		t.Errorf("%d starts in a maintenance window", r.InWindow)
+	if r.StartsInWindows > 0 {
+		t.Errorf("%d starts in a maintenance window", r.StartsInWindows)
 	}
 }
--- a/internal/simulator/result.go
+++ b/internal/simulator/result.go
@@ -11,21 +11,21 @@
 // Result is the result of a run. Times are in seconds; the JSON names are those of the
 // command's output.
 type Result struct {
-	Seed    uint64  `json:"seed"`
-	Without bool    `json:"without_reservations,omitempty"`
-	Days    float64 `json:"days"`
-
-	Started  int     `json:"due"`       // occurrences of reservations whose job has started
-	InTime   int     `json:"in_time"`   // of Started, with a delay of at most a minute
-	Late     int     `json:"late"`      // of the others, not reported as at risk when due
-	AtRisk   int     `json:"at_risk"`   // of the others, reported as at risk when due
-	WorstS   float64 `json:"worst_s"`   // longest delay of an occurrence
-	MedianS  float64 `json:"median_s"`  // median delay of the occurrences
-	InWindow int     `json:"in_window"` // starts of tasks on machines in a maintenance window
-	Starts   int     `json:"starts"`
-	Cost     float64 `json:"cost"`
-
-	Rules      []string         `json:"rules"` // violations of rules, at most maxViolations
+	Seed                uint64  `json:"seed"`
+	WithoutReservations bool    `json:"without_reservations,omitempty"`
+	Days                float64 `json:"days"`
+
+	Started         int     `json:"due"`       // occurrences of reservations whose job has started
+	InTime          int     `json:"in_time"`   // of Started, with a delay of at most a minute
+	Late            int     `json:"late"`      // of the others, not reported as at risk when due
+	AtRisk          int     `json:"at_risk"`   // of the others, reported as at risk when due
+	WorstS          float64 `json:"worst_s"`   // longest delay of an occurrence
+	MedianS         float64 `json:"median_s"`  // median delay of the occurrences
+	StartsInWindows int     `json:"in_window"` // starts of tasks on machines in a maintenance window
+	Starts          int     `json:"starts"`
+	Cost            float64 `json:"cost"`
+
+	Violations []string         `json:"rules"` // violations of rules, at most maxViolations
 	ShardMoves ShardMovesResult `json:"shares"`
 
 	Classes     map[string]*Class `json:"classes"`
@@ -49,10 +49,10 @@
 type Class struct {
 	Jobs            int     `json:"jobs"`
 	Done            int     `json:"done"`
-	WaitMean        float64 `json:"wait_mean_s"` // of tasks, from submission to their first start
-	Wait95          float64 `json:"wait_p95_s"`
-	DoneMean        float64 `json:"done_mean_s"` // of jobs, from submission to completion
-	Done95          float64 `json:"done_p95_s"`
+	WaitMeanS       float64 `json:"wait_mean_s"` // of tasks, from submission to their first start
+	WaitP95S        float64 `json:"wait_p95_s"`
+	DoneMeanS       float64 `json:"done_mean_s"` // of jobs, from submission to completion
+	DoneP95S        float64 `json:"done_p95_s"`
 	waits           []float64
 	completionTimes []float64
 }
@@ -113,8 +113,8 @@
 	}
 	r.WorstS, r.MedianS = quantileOf(delays, 1), quantileOf(delays, 0.5)
 	for _, c := range r.Classes {
-		c.WaitMean, c.Wait95 = meanOf(c.waits), quantileOf(c.waits, 0.95)
-		c.DoneMean, c.Done95 = meanOf(c.completionTimes), quantileOf(c.completionTimes, 0.95)
+		c.WaitMeanS, c.WaitP95S = meanOf(c.waits), quantileOf(c.waits, 0.95)
+		c.DoneMeanS, c.DoneP95S = meanOf(c.completionTimes), quantileOf(c.completionTimes, 0.95)
 	}
 }
 
--- a/internal/simulator/schedule.go
+++ b/internal/simulator/schedule.go
@@ -62,7 +62,7 @@
 		return // the request for the reservation is rejected
 	}
 	from := reservation.Moment(d.site.Start.UnixMilli())
-	for _, moment := range when.Occurrences(from, reservation.After(from, d.opts.For)) {
+	for _, moment := range when.Occurrences(from, reservation.After(from, d.opts.Duration)) {
 		at := warmUpTime + reservation.Between(from, moment)
 		o := &Occurrence{Name: r.Name, Start: time.UnixMilli(int64(moment)).UTC(), Tasks: r.Tasks}
 		d.result.Occurrences = append(d.result.Occurrences, o)
@@ -80,8 +80,8 @@
 		tasks := 1 + int(d.rng.ExpFloat64()*float64(l.Tasks-1)+0.5)
 		d.submitUntilAccepted(protocol.Job{
 			Class: l.Class, Team: l.Team, Kind: protocol.KindJobArray, Priority: l.Priority, Tasks: uint32(min(tasks, maxTasksFactor*l.Tasks)),
-			CPUs: l.CPUs, EstimateS: l.EstimateS, CheckpointS: l.CheckpointS, CheckpointDurationS: l.SaveS, Spot: l.Spot,
-		}, jobState{runTimeFactor: l.Factor})
+			CPUs: l.CPUs, EstimateS: l.EstimateS, CheckpointS: l.CheckpointS, CheckpointDurationS: l.CheckpointDurationS, Spot: l.Spot,
+		}, jobState{runTimeFactor: l.RunTimeFactor})
 		d.scheduleArrival(l)
 	})
 }
@@ -123,7 +123,7 @@
 		x := &d.site.Windows[i]
 		d.requestUntilDone(operatorapi.Request{Op: operatorapi.OpAdd, Window: true, ID: "window " + string(x.Name), Spec: x.spec()})
 	}
-	if d.opts.Without {
+	if d.opts.WithoutReservations {
 		return
 	}
 	for i := range d.site.Reservations {
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -49,17 +49,17 @@
 
 // Load describes the jobs of a class, which arrive at random.
 type Load struct {
-	Class       string            `toml:"class"`
-	Team        protocol.Team     `toml:"team"`
-	Priority    protocol.Priority `toml:"priority"`
-	EveryS      float64           `toml:"every_s"` // mean time between arrivals
-	Tasks       int               `toml:"tasks"`   // mean tasks per job
-	CPUs        float64           `toml:"cpus"`
-	EstimateS   float64           `toml:"estimate_s"`
-	Factor      float64           `toml:"factor"` // actual run time divided by the estimate
-	CheckpointS float64           `toml:"checkpoint_s"`
-	SaveS       float64           `toml:"save_s"`
-	Spot        bool              `toml:"spot"`
+	Class               string            `toml:"class"`
+	Team                protocol.Team     `toml:"team"`
+	Priority            protocol.Priority `toml:"priority"`
+	EveryS              float64           `toml:"every_s"` // mean time between arrivals
+	Tasks               int               `toml:"tasks"`   // mean tasks per job
+	CPUs                float64           `toml:"cpus"`
+	EstimateS           float64           `toml:"estimate_s"`
+	RunTimeFactor       float64           `toml:"factor"` // actual run time divided by the estimate
+	CheckpointS         float64           `toml:"checkpoint_s"`
+	CheckpointDurationS float64           `toml:"save_s"`
+	Spot                bool              `toml:"spot"`
 }
 
 // Reservation is a reservation with the jobs that are submitted for it.
--- a/internal/simulator/validate.go
+++ b/internal/simulator/validate.go
@@ -98,5 +98,5 @@
 
 // isValid reports whether the priority of a load is known and its amounts are positive.
 func (l *Load) isValid() bool {
-	return l.Priority.Known() && l.EveryS > 0 && l.Tasks >= 1 && l.EstimateS > 0 && l.Factor > 0
+	return l.Priority.Known() && l.EveryS > 0 && l.Tasks >= 1 && l.EstimateS > 0 && l.RunTimeFactor > 0
 }
