--- /dev/null
+++ b/internal/controller/admission/corequery.go
@@ -0,0 +1,34 @@
+package admission
+
+import "damsonkeel/internal/protocol"
+
+// coreQuery is a pending query to this controller's core for the state of live jobs, the
+// leading peers and the members.
+type coreQuery interface {
+	// resume continues the operation that issued the query.
+	resume(a *Admission, id QueryID, m CoreAnswered)
+}
+
+// queryCore sends a query to the core. The answer resumes it.
+func (a *Admission) queryCore(query coreQuery, jobs ...protocol.JobID) {
+	a.lastQuery++
+	a.queries[a.lastQuery] = query
+	a.emit(QueryCore{a.lastQuery, jobs})
+}
+
+func (a *Admission) handleCoreAnswer(m CoreAnswered) {
+	query := a.queries[m.Query]
+	if query == nil {
+		return
+	}
+	delete(a.queries, m.Query)
+	query.resume(a, m.Query, m)
+}
+
+// progressQuery asks for the progress of a live job, in order to answer a request for it.
+type progressQuery struct{ request *request }
+
+func (q progressQuery) resume(a *Admission, _ QueryID, m CoreAnswered) {
+	id := q.request.Job
+	a.reply(q.request, liveAnswer(id, m.Jobs[id].Progress))
+}
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -20,27 +20,27 @@
 	machines       int
 	job            func(*world) protocol.Job
 	duration       time.Duration
-	startEmpty     bool // no machine is up at the start
+	startEmpty     bool // no machine is running at the start
 	teams          []config.Team
-	fault          func(*world)  // beside those that every scenario has
-	faultEveryStep bool          // faults are injected at each step
+	fault          func(*world)  // injected in addition to the faults that every scenario has
+	faultEveryStep bool          // fault is called at each step
 	reservations   bool          // reservations and windows are added and cancelled
-	settleTime     time.Duration // for which the last faults may last
+	settleTime     time.Duration // for the last faults to end
 }
 
-// run runs a scenario of faults; when all is well again, every job must come to
-// its end.
+// run runs the scenario with a seed. After all faults have ended, every job must reach a final
+// state.
 func (d scenario) run(t *testing.T, seed int) *world {
 	t.Helper()
-	settings, up := fake.Settings(), d.machines
+	settings, initialMachines := fake.Settings(), d.machines
 	if d.teams != nil {
 		settings.Site.Teams = d.teams
 	}
 	if d.startEmpty {
-		up = 0
+		initialMachines = 0
 	}
-	w := newWorld(t.Fatalf, uint64(seed), settings, d.machines, up)
-	for _, n := range w.nodes { // of an earlier version until they are restarted
+	w := newWorld(t.Fatalf, uint64(seed), settings, d.machines, initialMachines)
+	for _, n := range w.nodes { // some run an earlier version until they are restarted
 		n.layout = record.Layout(1 + seed%3)
 	}
 	w.run(3 * time.Second)
@@ -64,7 +64,7 @@
 			w.nodes[w.rng.IntN(3)].shutDown()
 		}
 		if d.reservations && w.rng.IntN(4) == 0 {
-			w.makeRandomReservation()
+			w.changeCalendarRandomly()
 		}
 		if d.faultEveryStep {
 			d.fault(w)
@@ -94,51 +94,52 @@
 			w.cancel(id)
 		}
 	}
-	// A team may have so much waiting that its limit takes minutes for it.
+	// A team may have so many queued tasks that running them within its limit takes minutes.
 	for end := w.now + 300*time.Second; w.unfinished() > 0 && w.now < end; {
 		w.run(w.now + 5*time.Second)
 	}
 	w.run(w.now + 5*time.Second)
 	for _, id := range w.jobOrder {
 		if w.finalState[id] == "" {
-			t.Errorf("job %s never came to its end: %+v\n%s", id, w.jobs[id], w.describeJob(id))
+			t.Errorf("job %s did not reach a final state: %+v\n%s", id, w.jobs[id], w.describeJob(id))
 		}
 	}
 	if w.starts == 0 {
-		t.Error("nothing ran")
+		t.Error("no task was started")
 	}
-	t.Logf("%d machines at first, %d jobs, %d starts, at most %d tasks on machines, %d writes of blocks, %d changes of the calendar", up, len(w.jobOrder), w.starts, w.peakRunning, w.blockWrites, w.reservationChanges)
+	t.Logf("%d machines at the start, %d jobs, %d starts, at most %d tasks on machines, %d block writes, %d calendar changes", initialMachines, len(w.jobOrder), w.starts, w.peakRunning, w.blockWrites, w.reservationChanges)
 	return w
 }
 
-// runSeeds runs a scenario with so many seeds, from the first on.
-func (d scenario) runSeeds(t *testing.T, usual, first int) {
+// runSeeds runs the scenario with consecutive seeds, starting at firstSeed.
+func (d scenario) runSeeds(t *testing.T, defaultCount, firstSeed int) {
 	t.Helper()
-	for seed := range seeds(usual) {
+	for seed := range seedCount(defaultCount) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			d.run(t, first+seed)
+			d.run(t, firstSeed+seed)
 		})
 	}
 }
 
-// seeds returns how many scenarios are run; WORLD_SEEDS sets another number.
-func seeds(usual int) int {
+// seedCount returns how many seeds a scenario is run with: defaultCount, or WORLD_SEEDS if it
+// is set.
+func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("WORLD_SEEDS")); err == nil {
 		return n
 	}
-	return usual
+	return defaultCount
 }
 
-// requestedMachines returns the size of a fleet; WORLD_MACHINES sets another one.
-func requestedMachines(usual int) int {
+// requestedMachines returns the size of a fleet: defaultCount, or WORLD_MACHINES if it is set.
+func requestedMachines(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("WORLD_MACHINES")); err == nil {
 		return n
 	}
-	return usual
+	return defaultCount
 }
 
-// randomJob makes a job that the world's machines can run.
+// randomJob returns a random job that the world's machines can run.
 func (w *world) randomJob() protocol.Job {
 	j := protocol.Job{
 		Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(1 + w.rng.IntN(12)),
@@ -168,17 +169,17 @@
 	return j
 }
 
-// largeJob is a random job with gangs of up to so many tasks more than two, and
-// arrays so many times as large.
-func largeJob(gang int, array uint32) func(*world) protocol.Job {
+// largeJob returns a generator of random jobs with gangs of 2 to maxGangTasks+1 tasks and
+// arrays that are arrayFactor times as large as those of randomJob.
+func largeJob(maxGangTasks int, arrayFactor uint32) func(*world) protocol.Job {
 	return func(w *world) protocol.Job {
 		j := w.randomJob()
 		switch {
-		case j.Team == "bound": // its limit is for the few
+		case j.Team == "bound": // its limit only admits small jobs
 		case j.Kind == protocol.KindGang:
-			j.Tasks = uint32(2 + w.rng.IntN(gang))
+			j.Tasks = uint32(2 + w.rng.IntN(maxGangTasks))
 		case j.Kind == protocol.KindJobArray:
-			j.Tasks *= array
+			j.Tasks *= arrayFactor
 		}
 		return j
 	}
@@ -188,7 +189,7 @@
 func (w *world) injectRandomFault() {
 	n := w.nodes[w.rng.IntN(3)]
 	d := time.Duration(2+w.rng.IntN(25)) * time.Second
-	hold := w.rng.IntN(2) == 0
+	delayed := w.rng.IntN(2) == 0
 	if len(w.machineOrder) == 0 {
 		n.crash()
 		return
@@ -202,32 +203,33 @@
 			n.crash()
 		}
 	case 3, 4:
-		w.partition(string(n.name), "state", d, hold)
+		w.partition(string(n.name), "state", d, delayed)
 	case 5:
 		w.outageUntil = w.now + d
 	case 6, 7:
-		w.partition(string(n.name), "workers", d, hold)
+		w.partition(string(n.name), "workers", d, delayed)
 	case 8:
-		w.partition(string(n.name), fmt.Sprint("node-", w.rng.IntN(3)), d, hold)
+		w.partition(string(n.name), fmt.Sprint("node-", w.rng.IntN(3)), d, delayed)
 	case 9:
 		w.killMachine(machine)
 	case 10:
 		notice := 8.0
-		sw := w.workers[machine]
-		sw.Notice = &notice
+		m := w.workers[machine]
+		m.Notice = &notice
 		w.after(8*time.Second, func() { w.killMachine(machine) })
 	case 11:
-		sw := w.workers[machine]
-		sw.Faulty = true
-		w.after(d, func() { sw.Faulty = false })
+		m := w.workers[machine]
+		m.Faulty = true
+		w.after(d, func() { m.Faulty = false })
 	}
 }
 
-// preemptSpotMachines preempts a third of the spot machines at once, some with a notice.
+// preemptSpotMachines preempts about a third of the spot machines, half of them with a notice
+// of 6 s.
 func (w *world) preemptSpotMachines() {
 	for _, id := range w.machineOrder {
-		sw := w.workers[id]
-		if !sw.Spot || sw.Dead || w.rng.IntN(3) > 0 {
+		m := w.workers[id]
+		if !m.Spot || m.Dead || w.rng.IntN(3) > 0 {
 			continue
 		}
 		if w.rng.IntN(2) == 0 {
@@ -235,20 +237,21 @@
 			continue
 		}
 		notice := 6.0
-		sw.Notice = &notice
+		m.Notice = &notice
 		w.after(6*time.Second, func() { w.killMachine(id) })
 	}
 }
 
-// rollingRestart restarts all controllers, one after the other.
+// rollingRestart crashes all controllers, one after the other; each restarts.
 func (w *world) rollingRestart() {
 	for i, n := range w.nodes {
 		w.after(time.Duration(i)*9*time.Second, func() { n.crash() })
 	}
 }
 
-// makeRandomReservation has an operator add a reservation or a window, or cancel one.
-func (w *world) makeRandomReservation() {
+// changeCalendarRandomly makes an operator add, replace or cancel a random reservation or
+// window.
+func (w *world) changeCalendarRandomly() {
 	n := w.nodes[w.rng.IntN(3)]
 	if n.core == nil || !n.stateReachable() {
 		return
@@ -273,7 +276,7 @@
 	}
 }
 
-// unfinished returns how many jobs have not ended.
+// unfinished returns how many jobs have not finished.
 func (w *world) unfinished() int {
 	n := 0
 	for _, id := range w.jobOrder {
@@ -284,7 +287,7 @@
 	return n
 }
 
-// describeJob returns what the controllers know of a job that does not end.
+// describeJob returns the state of a job at all controllers, for failure messages.
 func (w *world) describeJob(id protocol.JobID) string {
 	var b strings.Builder
 	for _, n := range w.nodes {
