--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,6 +1,6 @@
 package protocol
 
-// TypeInfo is a machine type of the cloud.
+// TypeInfo describes a machine type of the cloud.
 type TypeInfo struct {
 	Name       MachineType `cbor:"sku"`
 	CPUs       float64     `cbor:"cores"`
@@ -14,12 +14,13 @@
 	AllowZones []Zone      `cbor:"quays"`
 }
 
-// Catalogue has all machine types of the cloud.
+// Catalogue lists all machine types of the cloud.
 type Catalogue struct {
 	Types []TypeInfo `cbor:"hulls"`
 }
 
-// ProvisionRequest is the request to provision machines. Name is its idempotency key.
+// ProvisionRequest requests Count new machines of one type in one zone. Name is the
+// idempotency key of the request.
 type ProvisionRequest struct {
 	Name  string      `cbor:"charter"`
 	Type  MachineType `cbor:"hull"`
@@ -28,12 +29,13 @@
 	Count int         `cbor:"number"`
 }
 
-// MachineNames lists machines that were provisioned, or are to be terminated.
+// MachineNames lists machine ids: the provisioned machines in the response to a
+// ProvisionRequest, or the machines of a request to terminate machines.
 type MachineNames struct {
 	Machines []MachineID `cbor:"fleet"`
 }
 
-// ListedMachine is a machine in the cloud's list.
+// ListedMachine is one machine in the cloud's list of machines.
 type ListedMachine struct {
 	ID      MachineID   `cbor:"id"`
 	Address string      `cbor:"address"`
@@ -44,7 +46,8 @@
 	AgeS    float64     `cbor:"held_s"`
 }
 
-// MachineList is a page of the cloud's list of machines.
+// MachineList is a page of the cloud's list of machines. More reports whether another
+// page follows.
 type MachineList struct {
 	Machines []ListedMachine `cbor:"fleet"`
 	More     bool            `cbor:"more"`
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxNestedLevels bounds the nesting of what others send.
+// maxNestedLevels limits the nesting depth of received CBOR data.
 const maxNestedLevels = 12
 
 var (
@@ -15,7 +15,7 @@
 )
 
 func mustEncoder() cbor.EncMode {
-	// Keys are sorted so that a value always has the same bytes.
+	// Sorted map keys make the encoding of a value deterministic.
 	mode, err := cbor.EncOptions{TextMarshaler: cbor.TextMarshalerTextString, Sort: cbor.SortBytewiseLexical}.EncMode()
 	if err != nil {
 		panic(err) // the options are constant
@@ -45,8 +45,8 @@
 	return b, nil
 }
 
-// Decode decodes one CBOR item into v and ignores unknown fields. The name of the type of
-// v is part of its errors.
+// Decode decodes one CBOR item into v and ignores unknown fields. Its error texts contain
+// the name of the type of v.
 func Decode(b []byte, v any) error {
 	if err := decoder.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("decode %T: %w", v, err)
@@ -54,5 +54,5 @@
 	return nil
 }
 
-// RawValue is a value that is not decoded yet.
+// RawValue is a CBOR value whose decoding is deferred.
 type RawValue = cbor.RawMessage
--- a/internal/protocol/doc_test.go
+++ b/internal/protocol/doc_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestDocumentationListsEveryWireField: the table in doc.go has a line for each wire
-// field and the field of Go that it is mapped to.
+// TestDocumentationListsEveryWireField checks that the tables in doc.go have a line for
+// each pair of a wire field and its Go field.
 func TestDocumentationListsEveryWireField(t *testing.T) {
 	doc, err := os.ReadFile("doc.go")
 	if err != nil {
@@ -49,12 +49,12 @@
 			wire, _, _ := strings.Cut(reflect.StructTag(tag).Get("cbor"), ",")
 			fields++
 			if !documented[[2]string{wire, field.Names[0].Name}] {
-				t.Errorf("%s: %s, %s is not in the table", entry.Name(), wire, field.Names[0].Name)
+				t.Errorf("%s: wire field %s of Go field %s is not documented in doc.go", entry.Name(), wire, field.Names[0].Name)
 			}
 			return true
 		})
 	}
 	if fields < len(documented) {
-		t.Errorf("%d fields, but %d are documented", fields, len(documented))
+		t.Errorf("%d wire fields exist, but doc.go documents %d", fields, len(documented))
 	}
 }
--- a/internal/protocol/errortext_test.go
+++ b/internal/protocol/errortext_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestSubmissionErrorTexts: users get these texts in the responses to their submissions,
-// so that they stay as they are.
+// TestSubmissionErrorTexts checks the error texts of malformed submissions. They are part
+// of the responses to users and must not change.
 func TestSubmissionErrorTexts(t *testing.T) {
 	with := func(field string, value any) []byte {
 		m := wireJob()
@@ -19,8 +19,8 @@
 		body []byte
 		want string
 	}{
-		{"nothing", nil, "empty submission"},
-		{"no CBOR", []byte("\xff"), "decode *protocol.submission: cbor: unexpected \"break\" code"},
+		{"empty body", nil, "empty submission"},
+		{"invalid CBOR", []byte("\xff"), "decode *protocol.submission: cbor: unexpected \"break\" code"},
 		{"id missing", with("id", nil), "id: missing"},
 		{"id without a prefix", with("id", "work-1"), "job id \"work-1\": want job- and a number"},
 		{"id too long", with("id", "job-"+strings.Repeat("1", 80)), "job id \"job-111111111111111111111111111111111111111111111111111111111111111111\": want job- and a number"},
@@ -59,12 +59,13 @@
 	} {
 		_, err := ParseSubmission(tc.body)
 		if err == nil || err.Error() != tc.want {
-			t.Errorf("%s: %v, want %s", tc.name, err, tc.want)
+			t.Errorf("%s: error %v, want %s", tc.name, err, tc.want)
 		}
 	}
 }
 
-// TestHeartbeatErrorTexts: workers get these texts in the responses to their heartbeats.
+// TestHeartbeatErrorTexts checks the error texts of malformed heartbeats. They are part of
+// the responses to workers and must not change.
 func TestHeartbeatErrorTexts(t *testing.T) {
 	with := func(field string, value any) []byte {
 		m := map[string]any{
@@ -79,7 +80,7 @@
 		body []byte
 		want string
 	}{
-		{"no CBOR", []byte("\xff"), "decode *protocol.Heartbeat: cbor: unexpected \"break\" code"},
+		{"invalid CBOR", []byte("\xff"), "decode *protocol.Heartbeat: cbor: unexpected \"break\" code"},
 		{"no machine", with("vessel", ""), "report: no machine"},
 		{"machine too long", with("vessel", strings.Repeat("m", 101)), "report: no machine"},
 		{"no epoch", with("watch", 0), "report: no session"},
@@ -88,15 +89,15 @@
 		{"notice negative", with("recall_s", -1.0), "report: bad notice"},
 		{"unknown task state", with("hauls", []any{map[string]any{"haul": "job-1/0", "launch": 1, "bearing": "resting"}}), "report: task job-1/0: unknown state \"resting\""},
 		{"task without a slash", with("hauls", []any{map[string]any{"haul": "job-1"}}), "decode *protocol.Heartbeat: cbor: cannot unmarshal text for *protocol.TaskID: task id \"job-1\": no slash"},
-		{"task of a bad job", with("hauls", []any{map[string]any{"haul": "x/1"}}), "decode *protocol.Heartbeat: cbor: cannot unmarshal text for *protocol.TaskID: task id: job id \"x\": want job- and a number"},
+		{"task with a bad job id", with("hauls", []any{map[string]any{"haul": "x/1"}}), "decode *protocol.Heartbeat: cbor: cannot unmarshal text for *protocol.TaskID: task id: job id \"x\": want job- and a number"},
 		{"task with a bad index", with("hauls", []any{map[string]any{"haul": "job-1/01"}}), "decode *protocol.Heartbeat: cbor: cannot unmarshal text for *protocol.TaskID: task id \"job-1/01\": bad index"},
 	} {
 		_, err := ParseHeartbeat(tc.body)
 		if err == nil || err.Error() != tc.want {
-			t.Errorf("%s: %v, want %s", tc.name, err, tc.want)
+			t.Errorf("%s: error %v, want %s", tc.name, err, tc.want)
 		}
 	}
 	if _, err := ParseHeartbeat(with("seen", 1)); err != nil {
-		t.Errorf("a good heartbeat: %v", err)
+		t.Errorf("valid heartbeat with an unknown field: %v", err)
 	}
 }
--- a/internal/protocol/fieldchecker.go
+++ b/internal/protocol/fieldchecker.go
@@ -5,16 +5,16 @@
 	"math"
 )
 
-// FieldError is a field of a submission that is missing or has a bad value.
+// FieldError reports a field of a submission that is missing or has an invalid value.
 type FieldError struct {
-	Field   string // its name on the wire
+	Field   string // wire name of the field
 	Problem string
 }
 
 // Error implements error.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// Problems of fields.
+// Problems of fields that several checks report.
 const (
 	problemMissing = "missing"
 	problemLength  = "empty or too long"
@@ -23,24 +23,25 @@
 
 // Limits of the fields of submissions.
 const (
-	maxTextLength = 200
-	maxAmount     = 1e9
-	maxTypes      = 50
+	maxTextLength = 200 // bytes of a text
+	maxAmount     = 1e9 // largest value of a numeric field
+	maxTypes      = 50  // number of machine types
 )
 
 var errEmptySubmission = errors.New("empty submission")
 
-// fieldChecker converts the fields of a submission and stores the first error.
+// fieldChecker converts and checks the fields of a submission. It keeps the first error.
 type fieldChecker struct{ err error }
 
+// fail records a problem of a field, unless an earlier one is recorded.
 func (c *fieldChecker) fail(field, problem string) {
 	if c.err == nil {
 		c.err = &FieldError{Field: field, Problem: problem}
 	}
 }
 
-// required converts the fields that a submission must have.
-func (c *fieldChecker) required(s *submission, job *Job) {
+// convertRequired converts the mandatory fields.
+func (c *fieldChecker) convertRequired(s *submission, job *Job) {
 	job.Class = c.text("berth", s.Class)
 	job.Team = Team(c.text("crew", s.Team))
 	job.Kind = Kind(c.text("rig", s.Kind))
@@ -58,8 +59,8 @@
 	job.CheckpointDurationS = c.amount("stow_s", s.CheckpointDurationS)
 }
 
-// optional converts the fields that a submission may leave out.
-func (c *fieldChecker) optional(s *submission, job *Job) {
+// convertOptional converts the fields that a submission may omit.
+func (c *fieldChecker) convertOptional(s *submission, job *Job) {
 	if s.DeadlineS != nil {
 		job.DeadlineS = c.amount("landfall_s", s.DeadlineS)
 	}
@@ -77,8 +78,8 @@
 	}
 }
 
-// tasks converts the number of tasks.
-func (c *fieldChecker) tasks(count *uint64, job *Job) {
+// convertTaskCount converts and checks the number of tasks.
+func (c *fieldChecker) convertTaskCount(count *uint64, job *Job) {
 	switch {
 	case count == nil:
 		c.fail("hauls", problemMissing)
@@ -89,8 +90,9 @@
 	}
 }
 
-// values checks the kind and the priority, and that a task uses some resource.
-func (c *fieldChecker) values(job *Job) {
+// checkValues checks that the kind and the priority exist and that a task requests processors
+// or GPUs.
+func (c *fieldChecker) checkValues(job *Job) {
 	if !job.Kind.known() {
 		c.fail("rig", "unknown kind")
 	}
@@ -102,6 +104,7 @@
 	}
 }
 
+// text returns the value of a text field.
 func (c *fieldChecker) text(field string, value *string) string {
 	switch {
 	case value == nil:
@@ -113,6 +116,7 @@
 	return *value
 }
 
+// amount returns the value of a numeric field, or 0 if it is invalid.
 func (c *fieldChecker) amount(field string, value *float64) float64 {
 	switch {
 	case value == nil:
@@ -125,6 +129,7 @@
 	return *value
 }
 
+// flag returns the value of a boolean field.
 func (c *fieldChecker) flag(field string, value *bool) bool {
 	if value == nil {
 		c.fail(field, problemMissing)
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -6,15 +6,15 @@
 	"math"
 )
 
-// TaskState is the state of a task on its worker.
+// TaskState is the state of a task on a worker.
 type TaskState string
 
-// The states of tasks on a worker.
+// States of a task on a worker.
 const (
-	TaskFetching TaskState = "fetching"  // its image
-	TaskWaiting  TaskState = "gathering" // for the other tasks of its gang
+	TaskFetching TaskState = "fetching"  // the worker is fetching its image
+	TaskWaiting  TaskState = "gathering" // it is waiting for the other tasks of its gang
 	TaskRunning  TaskState = "running"
-	TaskSaving   TaskState = "saving" // its checkpoint, before it stops
+	TaskSaving   TaskState = "saving" // it is saving a checkpoint before it stops
 	TaskEnded    TaskState = "ended"
 )
 
@@ -26,19 +26,19 @@
 	return false
 }
 
-// EndCause is why a task ended.
+// EndCause is the reason why a task ended.
 type EndCause string
 
-// The causes of the end of a task.
+// Reasons why a task ended.
 const (
 	EndDone       EndCause = "done"
 	EndStopped    EndCause = "stopped"
-	EndGangLost   EndCause = "mates_gone"
-	EndIncomplete EndCause = "incomplete"
+	EndGangLost   EndCause = "mates_gone" // another task of its gang was lost
+	EndIncomplete EndCause = "incomplete" // the other tasks of its gang did not start in time
 	EndError      EndCause = "error"
-	EndFull       EndCause = "full"
+	EndFull       EndCause = "full" // the machine had too few free resources
 	EndInUse      EndCause = "in_use"
-	EndUnknown    EndCause = "unknown"
+	EndUnknown    EndCause = "unknown" // the worker found no description of the job
 )
 
 // TaskStatus is the state of one task in a heartbeat.
@@ -50,8 +50,8 @@
 	Checkpointed bool      `cbor:"saved,omitempty"`
 }
 
-// Heartbeat is a worker's heartbeat with the state of its machine and of its tasks. The
-// type's name is part of texts that workers get from Decode.
+// Heartbeat reports the state of a worker's machine and of its tasks. Workers receive
+// error texts of Decode that contain the name of this type, so it must not change.
 type Heartbeat struct {
 	Machine    MachineID    `cbor:"vessel"`
 	Address    string       `cbor:"address"`
@@ -67,7 +67,7 @@
 
 const maxMachineIDLength = 100
 
-// Errors of malformed heartbeats, as workers get them.
+// Errors of malformed heartbeats. Their texts are part of the responses to workers.
 var (
 	errNoMachine    = errors.New("report: no machine")
 	errNoAgentEpoch = errors.New("report: no session")
@@ -76,7 +76,7 @@
 	errTaskState    = errors.New("unknown state")
 )
 
-// ParseHeartbeat decodes and checks a heartbeat.
+// ParseHeartbeat decodes and validates a heartbeat.
 func ParseHeartbeat(body []byte) (Heartbeat, error) {
 	var h Heartbeat
 	if err := Decode(body, &h); err != nil {
--- a/internal/protocol/ids.go
+++ b/internal/protocol/ids.go
@@ -10,8 +10,8 @@
 // JobID identifies a job; users choose it.
 type JobID string
 
-// TaskID identifies one task of a job. The type's name is part of texts that workers get
-// from Decode.
+// TaskID identifies one task of a job. Workers receive error texts of Decode that contain
+// the name of this type, so it must not change.
 type TaskID struct {
 	Job   JobID
 	Index uint32
@@ -32,7 +32,7 @@
 // NodeName names a controller.
 type NodeName string
 
-// Term is the fencing token of commands to workers.
+// Term is the term of a leader. It is the fencing token of commands to workers.
 type Term uint64
 
 // Attempt numbers the starts of a task. It only ever increases.
@@ -41,11 +41,11 @@
 // AgentEpoch numbers the incarnations of the agent on a machine.
 type AgentEpoch uint64
 
-// Seq orders the heartbeats of an agent epoch.
+// Seq is the sequence number of a heartbeat within an agent epoch.
 type Seq uint64
 
-// Version is the key-value store's version of a key; 0 is that of a key that does not
-// exist.
+// Version is the key-value store's version of a key. A key that does not exist has
+// version 0.
 type Version uint64
 
 // Revision counts the changes of the key-value store.
@@ -69,7 +69,7 @@
 	errTaskIndex      = errors.New("bad index")
 )
 
-// ParseJobID checks that s has the form of a job id.
+// ParseJobID checks that s is a valid job id and returns it.
 func ParseJobID(s string) (JobID, error) {
 	suffix, ok := strings.CutPrefix(s, jobIDPrefix)
 	if !ok || suffix == "" || len(s) > maxJobIDLength {
@@ -91,10 +91,10 @@
 	return c == '-' || c == '_'
 }
 
-// String formats the id as on the wire.
+// String returns the wire form of the id: the job id, a slash and the index.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.FormatUint(uint64(t.Index), 10) }
 
-// ParseTaskID parses an id as on the wire.
+// ParseTaskID parses the wire form of a task id.
 func ParseTaskID(s string) (TaskID, error) {
 	job, index, ok := strings.Cut(s, "/")
 	if !ok {
@@ -111,10 +111,10 @@
 	return TaskID{Job: id, Index: uint32(n)}, nil
 }
 
-// MarshalText formats the id as on the wire.
+// MarshalText returns the wire form of the id.
 func (t TaskID) MarshalText() ([]byte, error) { return []byte(t.String()), nil }
 
-// UnmarshalText parses an id as on the wire.
+// UnmarshalText parses the wire form of an id.
 func (t *TaskID) UnmarshalText(b []byte) error {
 	id, err := ParseTaskID(string(b))
 	if err == nil {
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -1,13 +1,13 @@
 package protocol
 
-// Kind says how the tasks of a job are scheduled.
+// Kind determines how the tasks of a job are scheduled.
 type Kind string
 
-// The kinds of jobs.
+// Kinds of jobs.
 const (
 	KindJobArray Kind = "batch"    // independent tasks
 	KindGang     Kind = "gang"     // tasks that all run at the same time
-	KindService  Kind = "standing" // tasks that run until they are cancelled
+	KindService  Kind = "standing" // tasks that run until the job is cancelled
 )
 
 func (k Kind) known() bool {
@@ -21,10 +21,10 @@
 // Priority orders jobs for preemption.
 type Priority string
 
-// priorityRanks has all priorities; the most urgent has the highest rank.
+// priorityRanks lists all priorities. The most urgent one has the highest rank.
 var priorityRanks = map[Priority]int{"production": 3, "high": 2, "standard": 1, "best_effort": 0}
 
-// Rank is higher for a more urgent priority.
+// Rank returns the rank of the priority; a more urgent priority has a higher rank.
 func (p Priority) Rank() int { return priorityRanks[p] }
 
 // Known reports whether the priority exists.
@@ -33,7 +33,7 @@
 	return ok
 }
 
-// Job is a job as its user described it.
+// Job is the specification of a job as its user submitted it.
 type Job struct {
 	ID                  JobID         `cbor:"id"`
 	Class               string        `cbor:"berth"`
@@ -55,13 +55,13 @@
 	CheckpointS         float64       `cbor:"logmark_s"`
 	CheckpointDurationS float64       `cbor:"stow_s"`
 	DeadlineS           float64       `cbor:"landfall_s"`
-	SubmittedMS         int64         `cbor:"submitted_ms,omitempty"` // no part of submissions: the time of acceptance, by the accepting controller's clock
+	SubmittedMS         int64         `cbor:"submitted_ms,omitempty"` // time of acceptance by the accepting controller's clock; not part of submissions
 }
 
-// JobState is the state of a job as reported to its users.
+// JobState is the state of a job as reported to users.
 type JobState string
 
-// The states of a job.
+// States of a job.
 const (
 	JobQueued    JobState = "queued"
 	JobRunning   JobState = "running"
@@ -69,7 +69,8 @@
 	JobCancelled JobState = "aborted"
 )
 
-// JobStatus is the response to submissions, polls and cancellations.
+// JobStatus is the response to submissions, polls and cancellations. Done and Running
+// count finished and running tasks.
 type JobStatus struct {
 	ID      JobID    `cbor:"id"`
 	State   JobState `cbor:"bearing"`
--- a/internal/protocol/kvstore.go
+++ b/internal/protocol/kvstore.go
@@ -1,6 +1,6 @@
 package protocol
 
-// Item is a key of the key-value store with its value.
+// Item is a key of the key-value store with its value and version.
 type Item struct {
 	Key     string   `cbor:"path"`
 	Value   RawValue `cbor:"value"`
@@ -8,20 +8,21 @@
 	Lease   *LeaseID `cbor:"mooring,omitempty"`
 }
 
-// Page is a page of keys.
+// Page is a page of items. More reports whether another page follows.
 type Page struct {
 	Items    []Item   `cbor:"entries"`
 	More     bool     `cbor:"more"`
 	Revision Revision `cbor:"ledgerline"`
 }
 
-// Condition is the version that a key must have; with 0 it must not exist.
+// Condition requires that a key has the given version. Version 0 requires that the key
+// does not exist.
 type Condition struct {
 	Key     string  `cbor:"path"`
 	Version Version `cbor:"entry"`
 }
 
-// Change puts or deletes one key.
+// Change writes the key Put, or deletes the key Delete.
 type Change struct {
 	Put    string   `cbor:"write,omitempty"`
 	Value  any      `cbor:"value,omitempty"`
@@ -29,20 +30,21 @@
 	Delete string   `cbor:"drop,omitempty"`
 }
 
-// Transaction is a compare-and-swap: all changes are made if all conditions hold.
+// Transaction is a compare-and-swap: the store makes all changes if all conditions hold,
+// and none otherwise.
 type Transaction struct {
 	Conditions []Condition `cbor:"if"`
 	Changes    []Change    `cbor:"then"`
 }
 
-// TransactionReply is the response to a Transaction. Failed has the keys whose conditions
-// did not hold.
+// TransactionReply is the response to a Transaction. Failed lists the keys whose
+// conditions did not hold.
 type TransactionReply struct {
 	Failed   []string `cbor:"failed"`
 	Revision Revision `cbor:"ledgerline"`
 }
 
-// LeaseRequest is the request to create a lease.
+// LeaseRequest requests a new lease.
 type LeaseRequest struct {
 	TTLMS int64 `cbor:"ttl_ms"`
 }
@@ -52,7 +54,7 @@
 	Lease LeaseID `cbor:"mooring"`
 }
 
-// Event is one change that a watch returns.
+// Event is one change returned by a watch: a written key (Put) or a deleted key (Delete).
 type Event struct {
 	Put     string   `cbor:"write,omitempty"`
 	Delete  string   `cbor:"drop,omitempty"`
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -1,7 +1,8 @@
 package protocol
 
-// submission is the wire form of a submission. Every field is optional, so that an error
-// can name a missing one. The type's name is part of texts that users get from Decode.
+// submission is the wire form of a submitted job. All fields are pointers, so that a
+// missing field is detected and named in the error. Users receive error texts of Decode
+// that contain the name of this type, so it must not change.
 type submission struct {
 	ID                  *string   `cbor:"id"`
 	Class               *string   `cbor:"berth"`
@@ -25,8 +26,9 @@
 	DeadlineS           *float64  `cbor:"landfall_s"`
 }
 
-// SubmittedID reads only the id of a submission that may otherwise be malformed, so that
-// a repeated submission of an accepted job is never refused.
+// SubmittedID reads only the id of a submission and ignores all other fields, even
+// malformed ones. Callers use it so that a repeated submission of an accepted job is never
+// refused.
 func SubmittedID(body []byte) (JobID, bool) {
 	var s struct {
 		ID string `cbor:"id"`
@@ -38,7 +40,8 @@
 	return id, err == nil
 }
 
-// ParseSubmission decodes and checks a submission. Its errors name the first bad field.
+// ParseSubmission decodes and validates a submission. Its error names the first invalid
+// field.
 func ParseSubmission(body []byte) (Job, error) {
 	if len(body) == 0 {
 		return Job{}, errEmptySubmission
@@ -56,14 +59,14 @@
 	}
 	job := Job{ID: id}
 	var c fieldChecker
-	c.required(&s, &job)
-	c.optional(&s, &job)
-	c.tasks(s.Tasks, &job)
-	c.values(&job)
+	c.convertRequired(&s, &job)
+	c.convertOptional(&s, &job)
+	c.convertTaskCount(s.Tasks, &job)
+	c.checkValues(&job)
 	return job, c.err
 }
 
-// EncodeSubmission encodes a job in the form in which its user submits it.
+// EncodeSubmission encodes a job in the form in which users submit it.
 func EncodeSubmission(j Job) ([]byte, error) {
 	class, team, kind, priority := j.Class, string(j.Team), string(j.Kind), string(j.Priority)
 	id, tasks := string(j.ID), uint64(j.Tasks)
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// wireJob returns a valid submission by wire field names.
 func wireJob() map[string]any {
 	return map[string]any{
 		"id": "job-000412", "berth": "train", "crew": "vision", "rig": "gang", "tide": "high", "hauls": 16,
@@ -17,7 +18,7 @@
 	}
 }
 
-// fataler is a *testing.T or a *rapid.T.
+// fataler is implemented by *testing.T and *rapid.T.
 type fataler interface {
 	Helper()
 	Fatal(...any)
@@ -32,8 +33,8 @@
 	return b
 }
 
-// TestSubmissionsRoundTrip: a submission is the same job when it is stored and read, or
-// submitted again.
+// TestSubmissionsRoundTrip checks that a parsed submission is the same job after it was
+// stored and read, and after it was encoded and submitted again.
 func TestSubmissionsRoundTrip(t *testing.T) {
 	j, err := ParseSubmission(encode(t, wireJob()))
 	if err != nil {
@@ -42,25 +43,25 @@
 	if j.ID != "job-000412" || j.Tasks != 16 || !j.OneZone || j.Types[0] != "g8" || j.Zone != "" || j.DeadlineS != 900 {
 		t.Fatalf("%+v", j)
 	}
-	// The record that is stored reads back as the same job.
-	var back Job
-	if err := Decode(encode(t, j), &back); err != nil {
+	// The stored record decodes to the same job.
+	var stored Job
+	if err := Decode(encode(t, j), &stored); err != nil {
 		t.Fatal(err)
 	}
-	again, err := EncodeSubmission(j)
+	resubmission, err := EncodeSubmission(j)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if submitted, err := ParseSubmission(again); err != nil || !reflect.DeepEqual(submitted, j) {
+	if submitted, err := ParseSubmission(resubmission); err != nil || !reflect.DeepEqual(submitted, j) {
 		t.Fatalf("submitted again: %+v, %v", submitted, err)
 	}
-	if back.ID != j.ID || back.CPUs != j.CPUs || back.Types[0] != j.Types[0] {
-		t.Fatalf("%+v", back)
+	if stored.ID != j.ID || stored.CPUs != j.CPUs || stored.Types[0] != j.Types[0] {
+		t.Fatalf("%+v", stored)
 	}
 }
 
-// TestBadSubmissionsAreRefused: a missing or bad field is refused; null and a missing
-// field are the same; unknown fields are ignored.
+// TestBadSubmissionsAreRefused checks that submissions with a missing or invalid field are
+// refused. A field that is null counts as missing; unknown fields are ignored.
 func TestBadSubmissionsAreRefused(t *testing.T) {
 	optional := map[string]bool{"hulls": true, "quay": true, "landfall_s": true}
 	for field := range wireJob() {
@@ -73,7 +74,7 @@
 				delete(m, field)
 			}
 			if _, err := ParseSubmission(encode(t, m)); (err == nil) != optional[field] {
-				t.Errorf("%s missing: %v", field, err)
+				t.Errorf("submission without %s: error %v", field, err)
 			}
 		}
 	}
@@ -103,12 +104,13 @@
 		t.Error("deep nesting accepted")
 	}
 	if _, err := ParseSubmission([]byte("\xa2\x62id\x65job-1\x62id\x65job-2")); err == nil {
-		t.Error("a field twice accepted")
+		t.Error("duplicate field accepted")
 	}
 }
 
-// TestDecodersSurviveAnyInput: no input crashes a decoder or passes its checks wrongly.
-func TestDecodersSurviveAnyInput(t *testing.T) {
+// TestDecodersHandleCorruptedInput checks that corrupted input neither crashes a decoder nor
+// passes its checks with invalid values.
+func TestDecodersHandleCorruptedInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := encode(t, wireJob())
 		for range rapid.IntRange(0, 8).Draw(t, "edits") {
@@ -116,7 +118,7 @@
 		}
 		b = b[:rapid.IntRange(0, len(b)).Draw(t, "cut")]
 		if j, err := ParseSubmission(b); err == nil && (j.Tasks < 1 || j.Tasks > MaxTasks || !(j.CPUs >= 0)) {
-			t.Fatalf("accepted %+v", j)
+			t.Fatalf("accepted an invalid job %+v", j)
 		}
 		if r, err := ParseHeartbeat(b); err == nil && r.Machine == "" {
 			t.Fatal("accepted a heartbeat without a machine")
@@ -124,12 +126,13 @@
 	})
 }
 
-// TestTaskIDsRoundTrip: an id parses back from its text, and malformed ones are refused.
+// TestTaskIDsRoundTrip checks that a formatted task id parses to the same id, and that
+// malformed ids are refused.
 func TestTaskIDsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := TaskID{JobID(rapid.StringMatching(`job-[0-9]{1,12}`).Draw(t, "job")), rapid.Uint32Range(0, MaxTasks-1).Draw(t, "index")}
-		if back, err := ParseTaskID(id.String()); err != nil || back != id {
-			t.Fatalf("%v: %v, %v", id, back, err)
+		if parsed, err := ParseTaskID(id.String()); err != nil || parsed != id {
+			t.Fatalf("%v: %v, %v", id, parsed, err)
 		}
 	})
 	for _, s := range []string{"", "job-1", "job-1/", "job-1/-1", "job-1/01", "job-1/100000", "x/1", "job-1/1/2"} {
