--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -6,26 +6,27 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Cloud models the cloud: its machines, and its answers to requests, which are
-// idempotent by their names.
+// Cloud models the cloud: its machines, and its replies to provision requests. The name
+// of a request is its idempotency key.
 type Cloud struct {
 	Machines map[protocol.MachineID]protocol.ProvisionRequest
-	Capacity int // machines at the most
-	PerZone  int // machines in each zone at the most; 0: any number
+	Capacity int // maximum number of machines
+	PerZone  int // maximum number of machines per zone; 0 means no limit
 
-	answers     map[string][]protocol.MachineID // by the name of the request
+	provisioned map[string][]protocol.MachineID // provisioned machines by request name
 	nextMachine int
 }
 
-// NewCloud makes a cloud that can provision so many machines.
+// NewCloud returns a cloud that can provision up to capacity machines.
 func NewCloud(capacity int) *Cloud {
-	return &Cloud{Machines: map[protocol.MachineID]protocol.ProvisionRequest{}, Capacity: capacity, answers: map[string][]protocol.MachineID{}}
+	return &Cloud{Machines: map[protocol.MachineID]protocol.ProvisionRequest{}, Capacity: capacity, provisioned: map[string][]protocol.MachineID{}}
 }
 
-// Provision provisions machines. A repeated request gets the answer of the first one; fresh
-// are the machines that are new by this request.
+// Provision provisions as many of the requested machines as the capacity allows and
+// returns them. A repeated request returns the machines of the first one. The result fresh
+// lists only the machines that this call has provisioned.
 func (c *Cloud) Provision(r protocol.ProvisionRequest) (all, fresh []protocol.MachineID) {
-	if machines, ok := c.answers[r.Name]; ok {
+	if machines, ok := c.provisioned[r.Name]; ok {
 		return machines, nil
 	}
 	for range r.Count {
@@ -38,12 +39,12 @@
 		fresh = append(fresh, id)
 	}
 	if len(fresh) > 0 {
-		c.answers[r.Name] = fresh
+		c.provisioned[r.Name] = fresh
 	}
 	return fresh, fresh
 }
 
-// countIn is how many machines there are in a zone.
+// countIn returns the number of machines in a zone.
 func (c *Cloud) countIn(z protocol.Zone) int {
 	count := 0
 	for _, r := range c.Machines {
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,8 +1,8 @@
-// Package fake models the platform's services for tests: the key-value store ([State]),
-// the cloud ([Cloud]) and the workers of machines ([Worker]).
+// Package fake models the platform's services for tests: the key-value store
+// ([KeyValueStore]), the cloud ([Cloud]) and the workers on machines ([Worker]).
 //
-// Each model owns plain state without clocks, sockets or goroutines: the caller passes
-// the time and carries the messages. A model must do the same things in the same order
-// each time it is given the same calls, as simulations rest on that. Package server puts
-// the models behind their wire.
+// Each model is plain state without clocks, sockets or goroutines: the caller passes the
+// time and delivers the messages. Models are deterministic: the same calls in the same
+// order have the same effects and results, because simulations must be reproducible.
+// Package server serves the models over HTTP.
 package fake
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -9,18 +9,18 @@
 	"damsonkeel/internal/protocol"
 )
 
-// KeyValueStore models the key-value store: items with versions, leases, and a log of changes.
+// KeyValueStore models the key-value store: versioned items, leases and a log of changes.
 type KeyValueStore struct {
 	Revision protocol.Revision
-	Log      []protocol.Event // the latest changes, in order
-	Before   int              // how many came before these
+	Log      []protocol.Event // the most recent changes, oldest first
+	Before   int              // number of older changes that were dropped from Log
 
-	items     map[string]item
+	items     map[string]storedItem
 	leases    map[protocol.LeaseID]lease
 	lastLease protocol.LeaseID
 }
 
-type item struct {
+type storedItem struct {
 	value   protocol.RawValue
 	version protocol.Version
 	lease   protocol.LeaseID
@@ -31,31 +31,31 @@
 	expiresAt time.Duration
 }
 
-// NewKeyValueStore makes an empty store.
+// NewKeyValueStore returns an empty store.
 func NewKeyValueStore() *KeyValueStore {
-	return &KeyValueStore{items: map[string]item{}, leases: map[protocol.LeaseID]lease{}}
+	return &KeyValueStore{items: map[string]storedItem{}, leases: map[protocol.LeaseID]lease{}}
 }
 
-// Changes is how many changes there were.
+// Changes returns the total number of changes, including those dropped from the log.
 func (s *KeyValueStore) Changes() int { return s.Before + len(s.Log) }
 
-// Change is one of them, by its number from 0.
+// Change returns the change with number i, counted from 0. It must still be in the log.
 func (s *KeyValueStore) Change(i int) protocol.Event { return s.Log[i-s.Before] }
 
-// Forget drops the changes up to a number.
+// Forget drops all changes with a number below upto from the log.
 func (s *KeyValueStore) Forget(upto int) {
 	s.Log = append([]protocol.Event(nil), s.Log[upto-s.Before:]...)
 	s.Before = upto
 }
 
-// Lease grants a lease.
+// Lease grants a lease with the given time to live and returns its id.
 func (s *KeyValueStore) Lease(now, ttl time.Duration) protocol.LeaseID {
 	s.lastLease++
 	s.leases[s.lastLease] = lease{ttl, now + ttl}
 	return s.lastLease
 }
 
-// Extend renews a lease and reports whether it was still there.
+// Extend renews a lease and reports whether the lease still exists.
 func (s *KeyValueStore) Extend(now time.Duration, id protocol.LeaseID) bool {
 	l, ok := s.leases[id]
 	if ok {
@@ -64,7 +64,7 @@
 	return ok
 }
 
-// Expire ends the leases that have expired, and deletes their keys.
+// Expire removes the leases that have expired and deletes their keys.
 func (s *KeyValueStore) Expire(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if s.leases[id].expiresAt <= now {
@@ -73,14 +73,15 @@
 	}
 }
 
-// Restore gives all leases their full time back, as after an outage.
+// Restore renews all leases for their full time to live, as the store does after an
+// outage.
 func (s *KeyValueStore) Restore(now time.Duration) {
 	for id, l := range s.leases {
 		s.leases[id] = lease{l.ttl, now + l.ttl}
 	}
 }
 
-// Release ends a lease, and deletes its keys.
+// Release removes a lease and deletes its keys.
 func (s *KeyValueStore) Release(id protocol.LeaseID) {
 	if _, ok := s.leases[id]; !ok {
 		return
@@ -94,7 +95,8 @@
 	}
 }
 
-// LeaseMissing reports whether a transaction writes with a lease that is over.
+// LeaseMissing reports whether a transaction writes a key under a lease that does not
+// exist any more.
 func (s *KeyValueStore) LeaseMissing(t protocol.Transaction) bool {
 	for _, c := range t.Changes {
 		if c.Lease == nil {
@@ -107,8 +109,8 @@
 	return false
 }
 
-// Txn executes a transaction and reports whether its conditions held and its
-// leases were there.
+// Txn executes a transaction if all its conditions hold and all its leases exist, and
+// reports whether it did.
 func (s *KeyValueStore) Txn(t protocol.Transaction) bool {
 	for _, c := range t.Conditions {
 		if s.items[c.Key].version != c.Version {
@@ -129,12 +131,13 @@
 	return true
 }
 
+// put writes one key at the current revision.
 func (s *KeyValueStore) put(c protocol.Change) {
 	value, err := protocol.Encode(c.Value)
 	if err != nil {
-		panic(err) // a test's own value
+		panic(err) // only tests pass values, so this is an error of the test
 	}
-	it := item{value: value, version: protocol.Version(s.Revision)}
+	it := storedItem{value: value, version: protocol.Version(s.Revision)}
 	if c.Lease != nil {
 		it.lease = *c.Lease
 	}
@@ -142,6 +145,7 @@
 	s.Log = append(s.Log, protocol.Event{Put: c.Put, Value: value, Version: it.version})
 }
 
+// remove deletes a key at the current revision, if it exists.
 func (s *KeyValueStore) remove(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
@@ -149,7 +153,7 @@
 	}
 }
 
-// keys lists the keys with a prefix in order.
+// keys returns the keys with a prefix, sorted.
 func (s *KeyValueStore) keys(prefix string) []string {
 	var keys []string
 	for k := range s.items {
@@ -161,13 +165,13 @@
 	return keys
 }
 
-// Get reads a key.
+// Get returns the item of a key and reports whether the key exists.
 func (s *KeyValueStore) Get(key string) (protocol.Item, bool) {
 	it, ok := s.items[key]
 	return protocol.Item{Key: key, Value: it.value, Version: it.version}, ok
 }
 
-// List reads all keys with a prefix.
+// List returns the items of all keys with a prefix, sorted by key.
 func (s *KeyValueStore) List(prefix string) []protocol.Item {
 	var items []protocol.Item
 	for _, k := range s.keys(prefix) {
--- a/internal/fake/settings.go
+++ b/internal/fake/settings.go
@@ -5,8 +5,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Settings is a small deployment to simulate: three controllers, one team without
-// and one with a limit.
+// Settings returns the settings of a small deployment for tests: three controllers, two
+// zones, one team without a limit and one with a limit.
 func Settings() *config.Settings {
 	s := &config.Settings{}
 	s.Site.Count, s.Site.Zones = 3, []protocol.Zone{"a", "b"}
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -9,18 +9,19 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Worker models the worker of one machine.
+// Worker models the agent of one machine and the tasks on it.
 type Worker struct {
 	ID     protocol.MachineID
 	Info   protocol.TypeInfo
 	Zone   protocol.Zone
 	Spot   bool
 	LeaseS float64
-	// GangWait is how long a task waits for the others of its gang.
+	// GangWait is how long a task waits for the other tasks of its gang.
 	GangWait time.Duration
 	Dead     bool
-	Faulty   bool // fails every task
-	// IsFaulty, if set, reports which jobs fail on every machine, after a second.
+	Faulty   bool // whether every task on the machine fails
+	// IsFaulty, if set, reports whether a job is faulty. The tasks of a faulty job fail on
+	// every machine, one second after their start.
 	IsFaulty func(protocol.JobID) bool
 	Notice   *float64
 	Epoch    protocol.AgentEpoch
@@ -28,45 +29,50 @@
 	Seq      protocol.Seq
 
 	Jobs func(protocol.JobID) (protocol.Job, bool)
-	// Ordered, if set, is called for a task whose start was taken, before its image is
-	// fetched.
+	// Ordered, if set, is called when the worker has accepted the start of a task, before
+	// it fetches the image.
 	Ordered func(*Worker, protocol.TaskID, protocol.Attempt)
-	// Started and Ended are called for a task as it comes onto and goes off the machine.
+	// Started is called when the image of a task is fetched and the task occupies the
+	// machine. Ended is called when a task ends.
 	Started func(*Worker, protocol.TaskID, protocol.Attempt)
 	Ended   func(*Worker, protocol.TaskID, protocol.EndCause)
 	RunTime func(protocol.TaskID) time.Duration
-	// OnCheckpoint, if set, is called with the time that a task which saved a checkpoint still
-	// has to run.
+	// OnCheckpoint, if set, is called when a task that has saved a checkpoint ends, with
+	// the remaining run time of the task.
 	OnCheckpoint func(protocol.TaskID, time.Duration)
-	Results      map[protocol.TaskID]bool // kept results, shared by all workers
-	// CachesImages has it fetch an image once; else every task fetches its own anew, which is
-	// more work than there is, and more moments at which something can go wrong.
+	Results      map[protocol.TaskID]bool // tasks that have completed, shared by all workers
+	// CachesImages makes the worker fetch each image only once. Otherwise it fetches the
+	// image again for every task: real workers do less work, but the additional fetches
+	// give simulations more moments at which a fault can occur.
 	CachesImages bool
-	// FetchTime, if set, is how long an image takes to fetch; else it is a second.
+	// FetchTime, if set, returns how long it takes to fetch the image of a job. The default
+	// is one second.
 	FetchTime func(protocol.Job) time.Duration
 
-	changes      int // how often a task has started or ended, ever
+	stateChanges int // total number of task starts and ends
 	cachedImages map[string]bool
 
 	tasks          map[protocol.TaskID]*workerTask
-	order          []protocol.TaskID // of the tasks; nil: to be sorted again
-	leaseRenewedAt time.Duration     // when the last answered heartbeat was sent
+	sortedTasks    []protocol.TaskID // sorted keys of tasks; nil if they must be sorted again
+	leaseRenewedAt time.Duration     // send time of the last answered heartbeat
 	lastTick       time.Duration
 }
 
-// Start puts a worker into service.
+// Start starts the first agent epoch of the worker.
 func (w *Worker) Start(now time.Duration) {
 	w.Epoch, w.leaseRenewedAt, w.lastTick = 1, now, now
 	w.tasks, w.cachedImages = map[protocol.TaskID]*workerTask{}, map[string]bool{}
 }
 
-// Holds reports whether a task is on the machine in the sense of the rules.
+// Holds reports whether a task occupies the machine: it has started and has not ended. A
+// task that is still fetching its image does not count.
 func (w *Worker) Holds(id protocol.TaskID) bool {
 	t := w.tasks[id]
 	return !w.Dead && t != nil && t.state != protocol.TaskEnded && t.state != protocol.TaskFetching
 }
 
-// Tasks lists the tasks that are on the machine, or fetch their image there.
+// Tasks returns the tasks on the machine that have not ended, including those that are
+// fetching their image.
 func (w *Worker) Tasks() []protocol.TaskID {
 	if w.Dead {
 		return nil
@@ -80,30 +86,32 @@
 	return ids
 }
 
-// LastTick is when time last passed here.
+// LastTick returns the time of the last call of Tick or Skip.
 func (w *Worker) LastTick() time.Duration { return w.lastTick }
 
-// LeaseEnds is when the lease expires, unless a heartbeat is answered before.
+// LeaseEnds returns the time at which the lease expires if no later heartbeat is
+// answered.
 func (w *Worker) LeaseEnds() time.Duration {
 	return w.leaseRenewedAt + seconds(w.LeaseS)
 }
 
-// Changes counts how often tasks here have started or ended.
-func (w *Worker) Changes() int { return w.changes }
+// Changes returns the total number of task starts and ends on the machine.
+func (w *Worker) Changes() int { return w.stateChanges }
 
-// Tick lets time pass.
+// Tick advances the worker and its tasks to the time now.
 func (w *Worker) Tick(now time.Duration) {
-	passed := now - w.lastTick
+	elapsed := now - w.lastTick
 	if w.Skip(now); w.Dead {
 		return
 	}
-	for _, id := range w.sorted() {
-		w.tickTask(id, w.tasks[id], passed)
+	for _, id := range w.sortedTaskIDs() {
+		w.tickTask(id, w.tasks[id], elapsed)
 	}
 }
 
-// Skip passes time in which the machine stood still: its tasks did not go on, but its
-// lease did. Tasks do not outlive the lease.
+// Skip advances the worker to the time now without running its tasks, as if the machine
+// had stalled since the last tick. The lease may expire meanwhile; tasks do not outlive
+// it.
 func (w *Worker) Skip(now time.Duration) {
 	w.lastTick = now
 	if !w.Dead && (now-w.leaseRenewedAt).Seconds() > w.LeaseS {
@@ -111,20 +119,21 @@
 	}
 }
 
-// Restart begins the next agent epoch: all tasks are lost.
+// Restart starts the next agent epoch. All tasks are lost.
 func (w *Worker) Restart(now time.Duration) {
 	for id, t := range w.tasks {
 		if t.state != protocol.TaskEnded {
 			w.end(id, t, protocol.EndStopped)
 		}
 	}
-	w.tasks, w.order = map[protocol.TaskID]*workerTask{}, nil
+	w.tasks, w.sortedTasks = map[protocol.TaskID]*workerTask{}, nil
 	w.Epoch++
 	w.Seq = 0
 	w.leaseRenewedAt = now
 }
 
-// NextChange is when time next changes something here, if no command does.
+// NextChange returns the time of the next change of the worker's state if no command
+// arrives before.
 func (w *Worker) NextChange() time.Duration {
 	next := w.LeaseEnds() + 1
 	for _, t := range w.tasks {
@@ -135,25 +144,25 @@
 	return next
 }
 
-// sorted lists the tasks in order.
-func (w *Worker) sorted() []protocol.TaskID {
-	if len(w.order) == len(w.tasks) && w.order != nil {
-		return w.order
+// sortedTaskIDs returns the task ids, sorted by job and index.
+func (w *Worker) sortedTaskIDs() []protocol.TaskID {
+	if len(w.sortedTasks) == len(w.tasks) && w.sortedTasks != nil {
+		return w.sortedTasks
 	}
-	w.order = slices.SortedFunc(maps.Keys(w.tasks), func(a, b protocol.TaskID) int {
+	w.sortedTasks = slices.SortedFunc(maps.Keys(w.tasks), func(a, b protocol.TaskID) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
-	return w.order
+	return w.sortedTasks
 }
 
-// Heartbeat is the heartbeat that the worker sends now.
+// Heartbeat returns the next heartbeat to send.
 func (w *Worker) Heartbeat() protocol.Heartbeat {
 	w.Seq++
 	heartbeat := protocol.Heartbeat{
 		Machine: w.ID, Address: "worker " + string(w.ID), Type: w.Info.Name, Zone: w.Zone, Spot: w.Spot,
 		AgentEpoch: w.Epoch, Seq: w.Seq, Term: w.Term, NoticeS: w.Notice,
 	}
-	for _, id := range w.sorted() {
+	for _, id := range w.sortedTaskIDs() {
 		t := w.tasks[id]
 		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{
 			Task: id, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.checkpointed,
@@ -162,7 +171,9 @@
 	return heartbeat
 }
 
-// TakeReply takes the answer to a heartbeat of an agent epoch, sent at a time.
+// TakeReply processes the reply to the heartbeat that was sent at the time sent in the
+// given agent epoch. It renews the lease and executes the orders. It ignores replies of an
+// earlier epoch or an earlier term.
 func (w *Worker) TakeReply(epoch protocol.AgentEpoch, sent time.Duration, reply protocol.HeartbeatReply) {
 	if w.Dead || epoch != w.Epoch || reply.Term < w.Term {
 		return
--- a/internal/fake/workerorders.go
+++ b/internal/fake/workerorders.go
@@ -2,11 +2,12 @@
 
 import "damsonkeel/internal/protocol"
 
-// cpuSlack is how much the processors of tasks may exceed those of the machine by
-// rounding.
-const cpuSlack = 1e-9
+// cpuTolerance is the rounding tolerance when the processors of tasks are compared with those
+// of the machine.
+const cpuTolerance = 1e-9
 
-// Execute takes direct commands and reports whether they were executed.
+// Execute executes direct commands and reports whether it did. It refuses commands of an
+// earlier term or for another agent epoch.
 func (w *Worker) Execute(c protocol.Commands) bool {
 	if c.Term < w.Term || c.AgentEpoch != w.Epoch {
 		return false
@@ -16,7 +17,8 @@
 	return true
 }
 
-// execute executes orders. Those for another attempt than the one here have no effect.
+// execute executes orders. Stop and forget orders for another attempt than the current one
+// have no effect.
 func (w *Worker) execute(orders []protocol.Order) {
 	for _, o := range orders {
 		t := w.tasks[o.Task]
@@ -28,32 +30,33 @@
 			w.stop(o, t)
 		case o.Op == protocol.OpForget && current && t.state == protocol.TaskEnded:
 			delete(w.tasks, o.Task)
-			w.order = nil
+			w.sortedTasks = nil
 		}
 	}
 }
 
-// start begins to fetch the image of a task, unless an earlier attempt is still here. A
-// task that is not known or does not fit ends at once.
-func (w *Worker) start(o protocol.Order, earlier *workerTask) {
-	if earlier != nil && (earlier.attempt == o.Attempt || earlier.state != protocol.TaskEnded) {
+// start starts to fetch the image of a task, unless this attempt was already started or
+// an earlier attempt has not ended. A task of an unknown job and a task that does not fit
+// on the machine end at once.
+func (w *Worker) start(o protocol.Order, previous *workerTask) {
+	if previous != nil && (previous.attempt == o.Attempt || previous.state != protocol.TaskEnded) {
 		return
 	}
 	j, ok := w.Jobs(o.Task.Job)
-	t := &workerTask{attempt: o.Attempt, state: protocol.TaskFetching, fetch: defaultFetchTime}
-	w.tasks[o.Task], w.order = t, nil
+	t := &workerTask{attempt: o.Attempt, state: protocol.TaskFetching, fetchTimeLeft: defaultFetchTime}
+	w.tasks[o.Task], w.sortedTasks = t, nil
 	switch {
 	case !ok:
 		t.state, t.cause = protocol.TaskEnded, protocol.EndUnknown
-	case j.CPUs > w.freeCPUs(t)+cpuSlack:
+	case j.CPUs > w.freeCPUs(t)+cpuTolerance:
 		t.state, t.cause = protocol.TaskEnded, protocol.EndFull
 	default:
-		t.remaining = w.RunTime(o.Task)
+		t.timeLeft = w.RunTime(o.Task)
 		if w.FetchTime != nil {
-			t.fetch = w.FetchTime(j)
+			t.fetchTimeLeft = w.FetchTime(j)
 		}
 		if w.CachesImages && w.cachedImages[j.Image] {
-			t.fetch = 0
+			t.fetchTimeLeft = 0
 		}
 		if w.Ordered != nil {
 			w.Ordered(w, o.Task, o.Attempt)
@@ -61,7 +64,8 @@
 	}
 }
 
-// freeCPUs is how many processors the tasks here leave to one of them.
+// freeCPUs returns the number of processors that the other tasks on the machine leave for
+// the task t.
 func (w *Worker) freeCPUs(t *workerTask) float64 {
 	free := w.Info.CPUs
 	for id, other := range w.tasks {
@@ -72,7 +76,8 @@
 	return free
 }
 
-// stop stops a task, after a checkpoint if it can save one in the grace period.
+// stop stops a task. If the grace period is long enough to save a checkpoint, the task
+// saves one first.
 func (w *Worker) stop(o protocol.Order, t *workerTask) {
 	j, _ := w.Jobs(o.Task.Job)
 	grace := 0.0
@@ -82,7 +87,7 @@
 	switch {
 	case t.state == protocol.TaskEnded:
 	case t.state == protocol.TaskRunning && j.CheckpointS > 0 && grace >= j.CheckpointDurationS:
-		t.state, t.checkpoint = protocol.TaskSaving, seconds(j.CheckpointDurationS)
+		t.state, t.checkpointTimeLeft = protocol.TaskSaving, seconds(j.CheckpointDurationS)
 	case t.state == protocol.TaskSaving && grace > 0:
 	default:
 		w.end(o.Task, t, protocol.EndStopped)
--- a/internal/fake/workertask.go
+++ b/internal/fake/workertask.go
@@ -7,66 +7,68 @@
 )
 
 const (
-	// mistakeDelay is how long a task of a mistaken job runs before it fails.
-	mistakeDelay = time.Second
-	// defaultFetchTime is how long an image takes to fetch, if nothing else is said.
+	// faultyJobRunTime is the run time of a task of a faulty job before it fails.
+	faultyJobRunTime = time.Second
+	// defaultFetchTime is the time to fetch an image if Worker.FetchTime is not set.
 	defaultFetchTime = time.Second
 )
 
-// workerTask is a task on a machine.
+// workerTask is the state of a task on a machine.
 type workerTask struct {
-	attempt      protocol.Attempt
-	state        protocol.TaskState
-	cause        protocol.EndCause
-	checkpointed bool
-	remaining    time.Duration // until it is done, or has waited for its gang long enough
-	ran          time.Duration
-	fetch        time.Duration // until its image is there
-	checkpoint   time.Duration // until its checkpoint is saved
+	attempt            protocol.Attempt
+	state              protocol.TaskState
+	cause              protocol.EndCause
+	checkpointed       bool
+	timeLeft           time.Duration // run time left; for a waiting task, time until its gang wait expires
+	runTime            time.Duration // run time since the start
+	fetchTimeLeft      time.Duration // time left to fetch the image
+	checkpointTimeLeft time.Duration // time left to save the checkpoint
 }
 
-// nextChange is after how long time next changes the task's state, if it does.
+// nextChange returns the time until the next change of the task's state. It reports false
+// if the passage of time does not change the state.
 func (t *workerTask) nextChange() (in time.Duration, ok bool) {
 	switch t.state {
 	case protocol.TaskFetching:
-		in = t.fetch
+		in = t.fetchTimeLeft
 	case protocol.TaskSaving:
-		in = t.checkpoint
+		in = t.checkpointTimeLeft
 	case protocol.TaskRunning, protocol.TaskWaiting:
-		in = t.remaining
+		in = t.timeLeft
 	default:
 		return 0, false
 	}
 	return in, in >= 0
 }
 
-// tickTask lets time pass on a task.
-func (w *Worker) tickTask(id protocol.TaskID, t *workerTask, passed time.Duration) {
+// tickTask advances a task by the time that has passed.
+func (w *Worker) tickTask(id protocol.TaskID, t *workerTask, elapsed time.Duration) {
 	switch t.state {
 	case protocol.TaskFetching:
-		if t.fetch -= passed; t.fetch <= 0 {
-			w.fetched(id, t)
+		if t.fetchTimeLeft -= elapsed; t.fetchTimeLeft <= 0 {
+			w.startFetchedTask(id, t)
 		}
 	case protocol.TaskWaiting:
-		if t.remaining -= passed; t.remaining <= 0 {
+		if t.timeLeft -= elapsed; t.timeLeft <= 0 {
 			w.end(id, t, protocol.EndIncomplete)
 		}
 	case protocol.TaskSaving:
-		if t.checkpoint -= passed; t.checkpoint <= 0 {
+		if t.checkpointTimeLeft -= elapsed; t.checkpointTimeLeft <= 0 {
 			t.checkpointed = true
 			w.end(id, t, protocol.EndStopped)
 		}
 	case protocol.TaskRunning:
-		t.remaining -= passed
-		t.ran += passed
-		w.tickRunning(id, t)
+		t.timeLeft -= elapsed
+		t.runTime += elapsed
+		w.endIfFailedOrDone(id, t)
 	}
 }
 
-// fetched has a task come onto the machine once its image is there.
-func (w *Worker) fetched(id protocol.TaskID, t *workerTask) {
+// startFetchedTask starts a task whose image is fetched. A task that has completed before ends at
+// once, and a task of a gang waits for the others.
+func (w *Worker) startFetchedTask(id protocol.TaskID, t *workerTask) {
 	t.state = protocol.TaskRunning
-	w.changes++
+	w.stateChanges++
 	w.Started(w, id, t.attempt)
 	j, _ := w.Jobs(id.Job)
 	w.cachedImages[j.Image] = true
@@ -74,40 +76,41 @@
 	case w.Results[id]:
 		w.end(id, t, protocol.EndDone)
 	case j.Kind == protocol.KindGang && j.Tasks > 1:
-		t.state, t.remaining = protocol.TaskWaiting, w.GangWait
+		t.state, t.timeLeft = protocol.TaskWaiting, w.GangWait
 	}
 }
 
-// tickRunning ends a running task that has failed or is done. The tasks of a gang
-// complete together; a service is never done.
-func (w *Worker) tickRunning(id protocol.TaskID, t *workerTask) {
+// endIfFailedOrDone ends a running task that fails or completes. The tasks of a gang complete
+// together. The tasks of a service never complete.
+func (w *Worker) endIfFailedOrDone(id protocol.TaskID, t *workerTask) {
 	j, _ := w.Jobs(id.Job)
-	mistaken := w.IsFaulty != nil && w.IsFaulty(id.Job) && t.ran >= mistakeDelay
+	jobFailureDue := w.IsFaulty != nil && w.IsFaulty(id.Job) && t.runTime >= faultyJobRunTime
 	switch {
-	case w.Faulty || mistaken:
+	case w.Faulty || jobFailureDue:
 		w.end(id, t, protocol.EndError)
-	case t.remaining <= 0 && j.Kind == protocol.KindGang:
+	case t.timeLeft <= 0 && j.Kind == protocol.KindGang:
 		for i := range j.Tasks {
 			w.Results[protocol.TaskID{Job: id.Job, Index: i}] = true
 		}
 		w.end(id, t, protocol.EndDone)
-	case t.remaining <= 0 && j.Kind != protocol.KindService:
+	case t.timeLeft <= 0 && j.Kind != protocol.KindService:
 		w.Results[id] = true
 		w.end(id, t, protocol.EndDone)
 	}
 }
 
-// end ends a task.
+// end ends a task and notifies the observers.
 func (w *Worker) end(id protocol.TaskID, t *workerTask, cause protocol.EndCause) {
-	w.changes++
+	w.stateChanges++
 	w.Ended(w, id, cause)
 	if t.checkpointed && w.OnCheckpoint != nil {
-		w.OnCheckpoint(id, t.remaining)
+		w.OnCheckpoint(id, t.timeLeft)
 	}
 	t.state, t.cause = protocol.TaskEnded, cause
 }
 
-// Gang is the attempt and state of a gang's task here, if it is on the machine.
+// Gang returns the attempt and the state of a task and reports whether the machine has
+// the task.
 func (w *Worker) Gang(id protocol.TaskID) (protocol.Attempt, protocol.TaskState, bool) {
 	t := w.tasks[id]
 	if w.Dead || t == nil {
@@ -116,14 +119,16 @@
 	return t.attempt, t.state, true
 }
 
-// StartGangTask lets a waiting task of a gang run, once all of its attempt wait.
+// StartGangTask starts to run a waiting task of a gang. The caller calls it once all tasks
+// of the attempt are waiting.
 func (w *Worker) StartGangTask(id protocol.TaskID) {
 	if t := w.tasks[id]; t.state == protocol.TaskWaiting {
-		t.state, t.remaining = protocol.TaskRunning, w.RunTime(id)
+		t.state, t.timeLeft = protocol.TaskRunning, w.RunTime(id)
 	}
 }
 
-// StopGangTask ends a running task of a gang that lost another.
+// StopGangTask ends a running task of a gang because the gang has lost another task or is
+// done.
 func (w *Worker) StopGangTask(id protocol.TaskID) {
 	if t := w.tasks[id]; t.state == protocol.TaskRunning {
 		cause := protocol.EndGangLost
