--- a/internal/fake/server/cloudservice.go
+++ b/internal/fake/server/cloudservice.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	// maxListed is how many machines a page of the cloud's list holds at the most.
-	maxListed = 500
-	// cloudBurst is how many seconds' worth of requests the cloud takes at once.
+	// maxMachinesPerPage is the maximum number of machines in a page of the cloud's list.
+	maxMachinesPerPage = 500
+	// cloudBurst is the default burst of the cloud's rate limit, in seconds of its rate.
 	cloudBurst = 2
 )
 
-// Fleet runs the machines that a cloud provisions.
+// Fleet runs the machines of a CloudService.
 type Fleet interface {
-	// Provisioned has a provisioned machine come up.
+	// Provisioned boots a machine that the cloud has provisioned.
 	Provisioned(protocol.MachineID, protocol.TypeInfo, protocol.ProvisionRequest)
-	// Terminate terminates machines and all that is on them, before it returns.
+	// Terminate terminates machines and all tasks on them before it returns.
 	Terminate([]protocol.MachineID) error
-	// Machine is the address of a machine that is up, and when it came up.
+	// Machine returns the list entry of a machine and reports whether the machine has
+	// booted.
 	Machine(protocol.MachineID) (Listed, bool)
 }
 
-// Listed is a line of the cloud's list for a machine that has come up.
+// Listed is the entry of a booted machine in the cloud's list. Since is the time at which
+// it finished booting.
 type Listed struct {
 	Address string
 	Since   time.Duration
-	Failed  bool // it has stopped by itself
+	Failed  bool // whether the machine has stopped by itself
 }
 
-// CloudService puts the model of the cloud behind its wire.
+// CloudService serves the model of the cloud over HTTP.
 type CloudService struct {
 	Addr    string
 	Traffic *Traffic
@@ -51,7 +53,7 @@
 	model *fake.Cloud
 }
 
-// NewCloudService starts a cloud on loopback that has so many machines.
+// NewCloudService starts a cloud on loopback that can provision up to capacity machines.
 func NewCloudService(limits Limits, types []protocol.TypeInfo, capacity int, fleet Fleet, clock func() time.Duration) (*CloudService, error) {
 	limits.Burst = cmp.Or(limits.Burst, cloudBurst)
 	throttle := newThrottle(limits)
@@ -60,30 +62,32 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", c.limited("catalogue", c.catalogue))
-	mux.HandleFunc("POST /hosts", c.limited("rent", locked(&c.mu, c.provision)))
+	mux.HandleFunc("POST /hosts", c.limited("rent", lockedHandler(&c.mu, c.provision)))
 	mux.HandleFunc("POST /hosts/delete", c.limited("return", c.terminate))
 	mux.HandleFunc("GET /hosts", c.limited("list", c.list))
 	var err error
-	if c.server, c.Addr, err = listen(mux, plain); err != nil {
+	if c.server, c.Addr, err = listen(mux, unwrappedListener); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// Close ends the service.
-func (c *CloudService) Close() { _ = c.server.Close() } // nothing is left to lose
+// Close stops the service.
+func (c *CloudService) Close() { _ = c.server.Close() } // an error does not matter at shutdown
 
-// Provision provisions machines as a request would.
+// Provision provisions machines without an HTTP request, outside the rate limit.
 func (c *CloudService) Provision(req protocol.ProvisionRequest) []protocol.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.provisionLocked(req)
 }
 
+// catalogue serves the machine types.
 func (c *CloudService) catalogue(w http.ResponseWriter, _ *http.Request) {
-	answer(w, http.StatusOK, protocol.Catalogue{Types: c.types})
+	writeResponse(w, http.StatusOK, protocol.Catalogue{Types: c.types})
 }
 
+// provision serves a provision request. The lock is held.
 func (c *CloudService) provision(req protocol.ProvisionRequest) (status int, body any) {
 	machines := c.provisionLocked(req)
 	if len(machines) == 0 {
@@ -92,8 +96,8 @@
 	return http.StatusOK, protocol.MachineNames{Machines: machines}
 }
 
-// provisionLocked provisions machines, and has those come up that are new. The lock is
-// held.
+// provisionLocked provisions machines and boots the new ones. It returns all machines of
+// the request, including those of an earlier request with the same name. The lock is held.
 func (c *CloudService) provisionLocked(req protocol.ProvisionRequest) []protocol.MachineID {
 	i := slices.IndexFunc(c.types, func(t protocol.TypeInfo) bool { return t.Name == req.Type })
 	if i < 0 {
@@ -106,14 +110,15 @@
 	return machines
 }
 
-// terminate ends machines: all work on them has ended before the answer.
+// terminate serves a request to terminate machines. All tasks on them have ended before it
+// responds.
 func (c *CloudService) terminate(w http.ResponseWriter, r *http.Request) {
-	req, ok := read[protocol.MachineNames](w, r)
+	req, ok := decodeRequest[protocol.MachineNames](w, r)
 	if !ok {
 		return
 	}
 	if err := c.fleet.Terminate(req.Machines); err != nil {
-		answer(w, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "machines not terminated"})
+		writeResponse(w, http.StatusServiceUnavailable, protocol.ErrorBody{Error: "machines not terminated"})
 		return
 	}
 	c.mu.Lock()
@@ -121,10 +126,10 @@
 		delete(c.model.Machines, id)
 	}
 	c.mu.Unlock()
-	answer(w, http.StatusOK, struct{}{})
+	writeResponse(w, http.StatusOK, struct{}{})
 }
 
-// list answers with a page of the machines by their names.
+// list serves a page of the machines, sorted by id.
 func (c *CloudService) list(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	pageSize, _ := strconv.Atoi(query.Get("page"))
@@ -138,26 +143,26 @@
 	}
 	slices.Sort(ids)
 	list := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-	if limit := max(1, min(pageSize, maxListed)); len(ids) > limit {
+	if limit := max(1, min(pageSize, maxMachinesPerPage)); len(ids) > limit {
 		ids, list.More = ids[:limit], true
 	}
 	for _, id := range ids {
-		list.Machines = append(list.Machines, c.listed(id, c.model.Machines[id]))
+		list.Machines = append(list.Machines, c.listEntry(id, c.model.Machines[id]))
 	}
 	c.mu.Unlock()
-	answer(w, http.StatusOK, list)
+	writeResponse(w, http.StatusOK, list)
 }
 
-// listed is a machine's line of the list. The lock is held.
-func (c *CloudService) listed(id protocol.MachineID, req protocol.ProvisionRequest) protocol.ListedMachine {
-	line := protocol.ListedMachine{ID: id, Type: req.Type, Zone: req.Zone, Spot: req.Spot, State: "booting"}
-	up, ok := c.fleet.Machine(id)
+// listEntry returns the list entry of a machine. The lock is held.
+func (c *CloudService) listEntry(id protocol.MachineID, req protocol.ProvisionRequest) protocol.ListedMachine {
+	entry := protocol.ListedMachine{ID: id, Type: req.Type, Zone: req.Zone, Spot: req.Spot, State: "booting"}
+	booted, ok := c.fleet.Machine(id)
 	if !ok {
-		return line
+		return entry
 	}
-	line.State, line.Address, line.AgeS = "running", up.Address, (c.clock() - up.Since).Seconds()
-	if up.Failed {
-		line.State = "failed"
+	entry.State, entry.Address, entry.AgeS = "running", booted.Address, (c.clock() - booted.Since).Seconds()
+	if booted.Failed {
+		entry.State = "failed"
 	}
-	return line
+	return entry
 }
--- a/internal/fake/server/doc.go
+++ b/internal/fake/server/doc.go
@@ -1,9 +1,9 @@
-// Package server puts the models of package fake behind the wire of the platform: a
-// key-value store, a cloud and workers on loopback, for tests and trials with real
+// Package server serves the models of package fake over the platform's HTTP interfaces:
+// a key-value store, a cloud and workers on loopback, for tests and trials with real
 // controllers in real time.
 //
-// Each service owns its model, guarded by a mutex, and its HTTP server; a [Host] owns
-// workers, which send heartbeats and take commands as the agents of machines do. A
-// [Platform] is all of them in one process. The package must not import the controllers:
-// it knows them by the protocol only.
+// Each service owns its model, guarded by a mutex, and its HTTP server. A [Host] owns
+// workers, which send heartbeats and execute commands like the agents of real machines. A
+// [Platform] runs all of them in one process. The package must not import the controllers;
+// it communicates with them only through the protocol.
 package server
--- a/internal/fake/server/host.go
+++ b/internal/fake/server/host.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// tickInterval is how often time passes on workers.
+	// tickInterval is the interval at which the models of the workers are advanced.
 	tickInterval = 100 * time.Millisecond
-	// stallThreshold is how long after its last tick a worker counts as having stood
-	// still: its tasks did not go on meanwhile.
+	// stallThreshold is the time since its last tick after which a worker counts as
+	// stalled. Its tasks have made no progress meanwhile.
 	stallThreshold = time.Second
 )
 
@@ -26,8 +26,8 @@
 	trafficCommands   = "commands"
 )
 
-// Host runs workers, each a client of the protocol of its own, whose tasks are
-// timers. It is safe for concurrent use.
+// Host runs workers. Each worker is a separate client of the controllers, and its tasks
+// are timers. A Host is safe for concurrent use.
 type Host struct {
 	Traffic *Traffic
 
@@ -39,18 +39,19 @@
 	jobs    map[protocol.JobID]protocol.Job
 }
 
-// worker is one machine that is up.
+// worker is a machine that is in service, with its agent.
 type worker struct {
 	*fake.Worker
-	server     *http.Server
-	addr       string
-	since      time.Duration
-	answered   time.Duration // when the last answered heartbeat was sent
-	changed    chan struct{} // receives when the next heartbeat should be sent soon
-	restarting bool          // it sends no heartbeats and takes no commands
+	server             *http.Server
+	addr               string
+	startedAt          time.Duration // when the machine was put into service
+	lastAnswered       time.Duration // send time of the last answered heartbeat
+	heartbeatRequested chan struct{} // signals that the next heartbeat should be sent early
+	restarting         bool          // while set, the worker sends no heartbeats and executes no commands
 }
 
-// NewHost makes a host without workers.
+// NewHost returns a host without workers and starts the goroutine that advances the
+// models of workers.
 func NewHost(cfg HostConfig) *Host {
 	h := &Host{
 		Traffic: NewTraffic(), cfg: cfg, done: make(chan struct{}),
@@ -60,28 +61,28 @@
 	return h
 }
 
-// Close ends all workers.
+// Close stops all workers.
 func (h *Host) Close() {
 	close(h.done)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, w := range h.workers {
-		_ = w.server.Close() // nothing is left to lose
+		_ = w.server.Close() // an error does not matter at shutdown
 	}
 }
 
-// Up puts a machine into service.
+// Up puts a machine into service and starts its worker.
 func (h *Host) Up(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool) error {
-	w := &worker{changed: make(chan struct{}, 1)}
+	w := &worker{heartbeatRequested: make(chan struct{}, 1)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /do", func(rw http.ResponseWriter, r *http.Request) { h.command(w, rw, r) })
+	mux.HandleFunc("POST /do", func(rw http.ResponseWriter, r *http.Request) { h.serveCommands(w, rw, r) })
 	counted := func(l net.Listener) net.Listener { return countedListener{l, trafficCommands, h.Traffic} }
 	server, addr, err := listen(mux, counted)
 	if err != nil {
 		return err
 	}
 	now := h.cfg.Clock()
-	w.server, w.addr, w.since, w.answered = server, addr, now, now
+	w.server, w.addr, w.startedAt, w.lastAnswered = server, addr, now, now
 	w.Worker = h.newModel(id, info, zone, spot)
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,7 +93,8 @@
 	return nil
 }
 
-// newModel makes the model of a worker, which is called while the host is locked.
+// newModel returns the model of a worker. The model and its callbacks are only called
+// while the host is locked.
 func (h *Host) newModel(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool) *fake.Worker {
 	model := &fake.Worker{
 		ID: id, Info: info, Zone: zone, Spot: spot, LeaseS: h.cfg.LeaseTime.Seconds(), GangWait: h.cfg.GangWait, Results: h.cfg.Results,
@@ -113,8 +115,9 @@
 	return model
 }
 
-// ended notifies the observer of a task that was on its machine. One that the lease's
-// expiry has killed ended with the lease, however late that is noticed.
+// ended notifies the observer of the end of a task that occupied its machine. A task that
+// was killed because the lease expired has ended at the time of the expiry, even if the
+// host detects the expiry later.
 func (h *Host) ended(w *fake.Worker, task protocol.TaskID, cause protocol.EndCause) {
 	if !w.Holds(task) {
 		return
@@ -123,7 +126,7 @@
 	h.cfg.Observer.TaskEnded(w.ID, task, attempt, cause, min(h.cfg.Clock(), w.LeaseEnds()))
 }
 
-// Kill has machines stop with all that is on them.
+// Kill stops machines and all tasks on them.
 func (h *Host) Kill(ids ...protocol.MachineID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -133,14 +136,14 @@
 			continue
 		}
 		w.Dead = true
-		_ = w.server.Close() // the machine has ended
+		_ = w.server.Close() // an error does not matter: the machine has stopped
 		delete(h.workers, id)
 		h.cfg.Observer.MachineLost(id, h.cfg.Clock())
 	}
 }
 
-// Restart has a worker begin its next agent epoch: its tasks are lost, and it is down
-// for a while.
+// Restart makes a worker start its next agent epoch. Its tasks are lost, and it neither
+// sends heartbeats nor executes commands during the downtime.
 func (h *Host) Restart(id protocol.MachineID, downtime time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,11 +159,12 @@
 		defer h.mu.Unlock()
 		w.Skip(h.cfg.Clock())
 		w.restarting = false
-		w.heartbeatSoon()
+		w.requestHeartbeat()
 	})
 }
 
-// Machine is the address of a machine that is up, and since when it is.
+// Machine returns the list entry of a machine and reports whether the machine is in
+// service.
 func (h *Host) Machine(id protocol.MachineID) (Listed, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -168,21 +172,22 @@
 	if w == nil {
 		return Listed{}, false
 	}
-	return Listed{Address: w.addr, Since: w.since}, true
+	return Listed{Address: w.addr, Since: w.startedAt}, true
 }
 
-// OldestHeartbeat is the time since which each worker has had an answered heartbeat.
+// OldestHeartbeat returns the earliest send time among the last answered heartbeats of all
+// workers, or the current time if there are no workers.
 func (h *Host) OldestHeartbeat() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	oldest := h.cfg.Clock()
 	for _, w := range h.workers {
-		oldest = min(oldest, w.answered)
+		oldest = min(oldest, w.lastAnswered)
 	}
 	return oldest
 }
 
-// tick lets time pass on all workers.
+// tick advances all workers at each tickInterval until the host is closed.
 func (h *Host) tick() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -197,14 +202,14 @@
 			w := h.workers[id]
 			before := w.Changes()
 			if h.advance(w); w.Changes() != before {
-				w.heartbeatSoon()
+				w.requestHeartbeat()
 			}
 		}
 		h.mu.Unlock()
 	}
 }
 
-// advance lets time pass on a worker. The lock is held.
+// advance advances the model of a worker to the current time. The lock is held.
 func (h *Host) advance(w *worker) {
 	now := h.cfg.Clock()
 	if w.restarting {
--- a/internal/fake/server/host_test.go
+++ b/internal/fake/server/host_test.go
@@ -20,27 +20,28 @@
 
 var testTask = protocol.TaskID{Job: "job-1"}
 
-// recorder is an Observer, whose events it passes on as text, and a JobSource.
+// recorder is an Observer that sends the events as text on a channel. It is also a
+// JobSource that knows every job.
 type recorder struct{ events chan string }
 
 func (r *recorder) MachineUp(m protocol.MachineID, _ protocol.TypeInfo, _ protocol.Zone, _ bool, _ time.Duration) {
-	r.events <- fmt.Sprint("up ", m)
+	r.events <- fmt.Sprint("machine up ", m)
 }
 
 func (r *recorder) MachineLost(m protocol.MachineID, _ time.Duration) {
-	r.events <- fmt.Sprint("gone ", m)
+	r.events <- fmt.Sprint("machine lost ", m)
 }
 
 func (r *recorder) TaskStartAccepted(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, _ time.Duration) {
-	r.events <- fmt.Sprint("ordered ", t.Job, " ", a)
+	r.events <- fmt.Sprint("start accepted ", t.Job, " ", a)
 }
 
 func (r *recorder) TaskStarted(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, _ time.Duration) {
-	r.events <- fmt.Sprint("on ", t.Job, " ", a)
+	r.events <- fmt.Sprint("started ", t.Job, " ", a)
 }
 
 func (r *recorder) TaskEnded(_ protocol.MachineID, t protocol.TaskID, a protocol.Attempt, cause protocol.EndCause, _ time.Duration) {
-	r.events <- fmt.Sprint("off ", t.Job, " ", a, " ", cause)
+	r.events <- fmt.Sprint("ended ", t.Job, " ", a, " ", cause)
 }
 
 func (r *recorder) Describe(ids []protocol.JobID) (map[protocol.JobID]protocol.Job, error) {
@@ -51,44 +52,46 @@
 	return jobs, nil
 }
 
-// next expects an event.
-func (r *recorder) next(t *testing.T, want string) {
+// expect waits for the next event and checks that it is want.
+func (r *recorder) expect(t *testing.T, want string) {
 	t.Helper()
 	select {
 	case got := <-r.events:
 		if got != want {
-			t.Fatalf("%q, want %q", got, want)
+			t.Fatalf("event %q, want %q", got, want)
 		}
 	case <-time.After(testTimeout):
 		t.Fatalf("no event, want %q", want)
 	}
 }
 
-// controller serves heartbeats with a function, and returns its address.
-func controller(t *testing.T, serve func(protocol.Heartbeat) (status int, reply any)) string {
+// startController starts a server that serves heartbeats with a function, and returns its
+// address.
+func startController(t *testing.T, serve func(protocol.Heartbeat) (status int, reply any)) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost || r.URL.Path != "/v1/report" {
-			t.Errorf("%s %s", r.Method, r.URL.Path)
+			t.Errorf("received %s %s, want a heartbeat", r.Method, r.URL.Path)
 		}
-		if heartbeat, ok := read[protocol.Heartbeat](w, r); ok {
+		if heartbeat, ok := decodeRequest[protocol.Heartbeat](w, r); ok {
 			status, reply := serve(heartbeat)
-			answer(w, status, reply)
+			writeResponse(w, status, reply)
 		}
 	}))
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// TestWorkerFollowsRedirectAndExecutesOrders: a worker finds the leader by a redirect,
-// starts the task that the answer to its heartbeat orders, reports it in the next ones,
-// and stops it by a direct command.
+// TestWorkerFollowsRedirectAndExecutesOrders checks that a worker follows a redirect to
+// the leader, starts a task as ordered in a heartbeat reply, reports the running task in
+// its next heartbeats, and stops it after a direct command. It also checks that the worker
+// refuses a command of an earlier term.
 func TestWorkerFollowsRedirectAndExecutesOrders(t *testing.T) {
-	redirected := controller(t, func(protocol.Heartbeat) (int, any) {
+	redirected := startController(t, func(protocol.Heartbeat) (int, any) {
 		return http.StatusMisdirectedRequest, protocol.Redirect{Leader: "node-1"}
 	})
 	heartbeats := make(chan protocol.Heartbeat, 1000)
-	leader := controller(t, func(h protocol.Heartbeat) (int, any) {
+	leader := startController(t, func(h protocol.Heartbeat) (int, any) {
 		heartbeats <- h
 		reply := protocol.HeartbeatReply{Term: 3, Orders: []protocol.Order{}}
 		if len(h.Tasks) == 0 {
@@ -96,57 +99,57 @@
 		}
 		return http.StatusOK, reply
 	})
-	seen := &recorder{events: make(chan string, 100)}
-	begun := time.Now()
+	recorded := &recorder{events: make(chan string, 100)}
+	startedAt := time.Now()
 	host := NewHost(HostConfig{
 		Controllers:       map[protocol.NodeName]string{"node-0": redirected, "node-1": leader},
 		HeartbeatInterval: time.Second, LeaseTime: time.Minute, GangWait: time.Second,
 		RunTime: func(protocol.Job, protocol.TaskID) time.Duration { return time.Hour },
-		Jobs:    seen, Observer: seen, Clock: func() time.Duration { return time.Since(begun) },
+		Jobs:    recorded, Observer: recorded, Clock: func() time.Duration { return time.Since(startedAt) },
 		Results: map[protocol.TaskID]bool{},
 	})
 	t.Cleanup(host.Close)
 	if err := host.Up(testMachine, protocol.TypeInfo{Name: "m", CPUs: 4}, "a", false); err != nil {
 		t.Fatal(err)
 	}
-	seen.next(t, "up vm-1")
-	seen.next(t, "ordered job-1 7")
-	seen.next(t, "on job-1 7")
+	recorded.expect(t, "machine up vm-1")
+	recorded.expect(t, "start accepted job-1 7")
+	recorded.expect(t, "started job-1 7")
 
 	listed, up := host.Machine(testMachine)
 	first := <-heartbeats
 	if !up || first.Address != listed.Address || first.Tasks == nil || first.AgentEpoch != 1 {
-		t.Fatalf("first heartbeat %+v of a machine at %+v", first, listed)
+		t.Fatalf("first heartbeat %+v does not match the machine %+v", first, listed)
 	}
 	for reported := first; len(reported.Tasks) != 1 || reported.Tasks[0].State != protocol.TaskRunning; {
 		select {
 		case reported = <-heartbeats:
 		case <-time.After(testTimeout):
-			t.Fatal("the running task is not reported")
+			t.Fatal("no heartbeat reports the running task")
 		}
 	}
 
 	stop := protocol.Commands{Term: 3, AgentEpoch: 1, Orders: []protocol.Order{{Op: protocol.OpStop, Task: testTask, Attempt: 7}}}
-	if status := command(t, listed.Address, stop); status != http.StatusOK {
-		t.Fatalf("answer %d to a command", status)
+	if status := sendCommands(t, listed.Address, stop); status != http.StatusOK {
+		t.Fatalf("a command got status %d, want 200", status)
 	}
-	seen.next(t, "off job-1 7 "+string(protocol.EndStopped))
+	recorded.expect(t, "ended job-1 7 "+string(protocol.EndStopped))
 	stop.Term = 2
-	if status := command(t, listed.Address, stop); status != http.StatusConflict {
-		t.Fatalf("answer %d to a command of an earlier term", status)
+	if status := sendCommands(t, listed.Address, stop); status != http.StatusConflict {
+		t.Fatalf("a command of an earlier term got status %d, want 409", status)
 	}
 	if flows := host.Traffic.Flows(); flows[trafficCommands].Messages != 2 || flows[trafficHeartbeats].Messages < 3 {
-		t.Errorf("traffic %+v", flows)
+		t.Errorf("traffic %+v, want 2 commands and at least 3 heartbeats", flows)
 	}
 	host.Kill(testMachine)
-	seen.next(t, "gone vm-1")
+	recorded.expect(t, "machine lost vm-1")
 	if _, up := host.Machine(testMachine); up {
-		t.Error("up after it was killed")
+		t.Error("machine still in service after Kill")
 	}
 }
 
-// command sends direct commands to a worker, and returns the status of the answer.
-func command(t *testing.T, addr string, commands protocol.Commands) int {
+// sendCommands sends direct commands to a worker and returns the status code of the response.
+func sendCommands(t *testing.T, addr string, commands protocol.Commands) int {
 	t.Helper()
 	body, err := protocol.Encode(commands)
 	if err != nil {
--- a/internal/fake/server/hostcommands.go
+++ b/internal/fake/server/hostcommands.go
@@ -8,9 +8,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// command serves the direct commands of controllers to a worker.
-func (h *Host) command(w *worker, rw http.ResponseWriter, r *http.Request) {
-	commands, ok := read[protocol.Commands](rw, r)
+// serveCommands serves a request with direct commands for a worker. A worker that is not in
+// service closes the connection without a response.
+func (h *Host) serveCommands(w *worker, rw http.ResponseWriter, r *http.Request) {
+	commands, ok := decodeRequest[protocol.Commands](rw, r)
 	if !ok {
 		return
 	}
@@ -18,13 +19,14 @@
 	h.readJobs(commands.Orders)
 	status, heartbeat, up := h.execute(w, commands)
 	if !up {
-		panic(http.ErrAbortHandler) // the connection is closed without an answer
+		panic(http.ErrAbortHandler) // makes the HTTP server close the connection without a response
 	}
-	w.heartbeatSoon()
-	answer(rw, status, heartbeat)
+	w.requestHeartbeat()
+	writeResponse(rw, status, heartbeat)
 }
 
-// execute has a worker execute commands, if it is up.
+// execute makes a worker execute commands if it is in service. It returns the status code
+// and the body of the response.
 func (h *Host) execute(w *worker, commands protocol.Commands) (status int, heartbeat protocol.Heartbeat, up bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,11 +38,11 @@
 	if w.Execute(commands) {
 		status = http.StatusOK
 	}
-	return status, w.heartbeat(), true
+	return status, w.nextHeartbeat(), true
 }
 
-// readJobs reads the descriptions of jobs that are to be started. Without one a start is
-// refused as of an unknown job.
+// readJobs reads the missing descriptions of the jobs whose tasks the orders start. If it
+// can't read a description, the worker ends the task as one of an unknown job.
 func (h *Host) readJobs(orders []protocol.Order) {
 	unknown := h.unknownJobs(orders)
 	if len(unknown) == 0 {
@@ -55,7 +57,8 @@
 	maps.Copy(h.jobs, found)
 }
 
-// unknownJobs lists the jobs to be started whose description is not known here.
+// unknownJobs returns the jobs whose tasks the orders start and whose description the host
+// does not have.
 func (h *Host) unknownJobs(orders []protocol.Order) []protocol.JobID {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fake/server/hostconfig.go
+++ b/internal/fake/server/hostconfig.go
@@ -6,39 +6,42 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Observer is notified of what can be seen at workers. Times are of the host's clock.
-// Calls come one at a time, while the host is locked: they must not call it.
+// Observer is notified of events on workers, with their time by the host's clock. The
+// host makes one call at a time while it is locked, so that implementations must not call
+// the host.
 type Observer interface {
-	// MachineUp and MachineLost are called when a machine comes up and when it ends.
+	// MachineUp is called when a machine is put into service, MachineLost when it stops.
 	MachineUp(machine protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool, at time.Duration)
 	MachineLost(machine protocol.MachineID, at time.Duration)
-	// TaskStartAccepted is called when a task's start was taken; its image may have to be fetched.
+	// TaskStartAccepted is called when a worker has accepted the start of a task. Its image
+	// may still have to be fetched.
 	TaskStartAccepted(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration)
-	// TaskStarted and Off are called when a task comes onto its machine and leaves it.
+	// TaskStarted is called when a task starts to occupy its machine, TaskEnded when it
+	// ends.
 	TaskStarted(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, at time.Duration)
 	TaskEnded(machine protocol.MachineID, task protocol.TaskID, attempt protocol.Attempt, cause protocol.EndCause, at time.Duration)
 }
 
-// JobSource knows the descriptions of jobs that users have uploaded.
+// JobSource provides the descriptions of the jobs that users have submitted.
 type JobSource interface {
-	// Describe reads descriptions; jobs that are not known are left out.
+	// Describe returns the descriptions of jobs. The result omits unknown jobs.
 	Describe([]protocol.JobID) (map[protocol.JobID]protocol.Job, error)
 }
 
-// HostConfig says how workers run.
+// HostConfig configures the workers of a Host.
 type HostConfig struct {
-	// Controllers are the addresses at which workers find the controllers.
+	// Controllers maps the names of the controllers to their addresses.
 	Controllers map[protocol.NodeName]string
-	// HeartbeatInterval is the time between heartbeats, Lease the workers' lease, GangWait how long
-	// a task waits for its gang.
+	// HeartbeatInterval is the time between heartbeats, LeaseTime the duration of a
+	// worker's lease, and GangWait how long a task waits for the other tasks of its gang.
 	HeartbeatInterval, LeaseTime, GangWait time.Duration
-	// CachedImages has an image fetched once and as large as its job says; else every
-	// fetch takes a second.
+	// CachedImages makes workers fetch each image once, in a time that depends on the size
+	// of the image. Otherwise they fetch it for every task, in one second.
 	CachedImages bool
-	// RunTime is how long a task of a job runs.
+	// RunTime returns how long a task of a job runs.
 	RunTime  func(protocol.Job, protocol.TaskID) time.Duration
 	Jobs     JobSource
 	Observer Observer
 	Clock    func() time.Duration
-	Results  map[protocol.TaskID]bool // of tasks that have completed
+	Results  map[protocol.TaskID]bool // tasks that have completed
 }
--- a/internal/fake/server/hostheartbeat.go
+++ b/internal/fake/server/hostheartbeat.go
@@ -15,65 +15,68 @@
 )
 
 const (
-	// heartbeatMinInterval is the least time between two heartbeats of a worker.
+	// heartbeatMinInterval is the minimum time between two heartbeats of a worker.
 	heartbeatMinInterval = 500 * time.Millisecond
-	// heartbeatTimeout is how long a controller may take to answer one.
+	// heartbeatTimeout is the time limit for a response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// retryDelay is the time until the next controller is tried after a failure.
+	// retryDelay is the delay after a failure before the worker tries the next controller.
 	retryDelay = time.Second
-	// heartbeatJitter is by what part of itself the time between heartbeats varies.
+	// heartbeatJitter is the random deviation of the time between heartbeats, as a fraction
+	// of HostConfig.HeartbeatInterval in both directions.
 	heartbeatJitter = 0.25
 
 	heartbeatPath = "/v1/report"
-	// countedHost stands for an address of usual length when bytes are counted.
-	countedHost = "127.0.0.1:00000"
+	// assumedHost is the Host header field that is assumed when the bytes of a request are
+	// counted: an address of the usual length.
+	assumedHost = "127.0.0.1:00000"
 )
 
-// errMachineDown says that the worker's machine has ended.
-var errMachineDown = errors.New("the machine has ended")
+// errMachineDown reports that the worker's machine has stopped.
+var errMachineDown = errors.New("machine has stopped")
 
-// heartbeatSender sends the heartbeats of one worker: to one controller after the other
-// until one accepts them.
+// heartbeatSender sends the heartbeats of one worker. It tries the controllers in turn
+// until one accepts a heartbeat, and then stays with that controller.
 type heartbeatSender struct {
 	host    *Host
 	worker  *worker
-	names   []protocol.NodeName // of the controllers, in order
-	clients []*transport.Client // by the same order
-	current int                 // the controller that is tried next
+	names   []protocol.NodeName // sorted names of the controllers
+	clients []*transport.Client // clients of the controllers, in the order of names
+	current int                 // index of the controller that gets the next heartbeat
 }
 
-// sendHeartbeats sends the heartbeats of a worker until its machine or the host ends.
+// sendHeartbeats sends the heartbeats of a worker until its machine stops or the host is
+// closed.
 func (h *Host) sendHeartbeats(w *worker) {
 	s := &heartbeatSender{host: h, worker: w, names: slices.Sorted(maps.Keys(h.cfg.Controllers))}
 	for _, name := range s.names {
 		s.clients = append(s.clients, transport.NewClient(h.cfg.Controllers[name]))
 	}
 	for {
-		begun := time.Now()
+		startedAt := time.Now()
 		pause, err := s.send()
-		if errors.Is(err, errMachineDown) || !s.wait(begun, pause) {
+		if errors.Is(err, errMachineDown) || !s.waitUntilDue(startedAt, pause) {
 			return
 		}
 	}
 }
 
-// wait waits until the next heartbeat is due, or a change allows an earlier one. It
-// reports whether the host is still open.
-func (s *heartbeatSender) wait(begun time.Time, pause time.Duration) bool {
+// waitUntilDue waits until the next heartbeat is due, or until heartbeatMinInterval has passed if
+// a change requires an earlier one. It reports false if the host is closed.
+func (s *heartbeatSender) waitUntilDue(startedAt time.Time, pause time.Duration) bool {
 	due := time.NewTimer(pause)
 	defer due.Stop()
 	select {
 	case <-s.host.done:
 		return false
 	case <-due.C:
-	case <-s.worker.changed:
-		time.Sleep(time.Until(begun.Add(min(heartbeatMinInterval, pause))))
+	case <-s.worker.heartbeatRequested:
+		time.Sleep(time.Until(startedAt.Add(min(heartbeatMinInterval, pause))))
 	}
 	return true
 }
 
-// send sends one heartbeat, and returns after how long the next one is due. Any error
-// but errMachineDown says that the next controller is to be tried.
+// send sends one heartbeat and returns the time until the next one is due. After any error
+// but errMachineDown the next heartbeat goes to the next controller.
 func (s *heartbeatSender) send() (pause time.Duration, err error) {
 	h, w := s.host, s.worker
 	h.mu.Lock()
@@ -86,44 +89,45 @@
 		return heartbeatMinInterval, nil
 	}
 	h.advance(w)
-	sent, heartbeat := h.cfg.Clock(), w.heartbeat()
+	sent, heartbeat := h.cfg.Clock(), w.nextHeartbeat()
 	h.mu.Unlock()
 
 	reply, err := h.post(s.clients[s.current], heartbeat)
 	if err != nil {
-		return s.tryNext(), err
+		return s.selectNext(), err
 	}
 	switch reply.Status {
 	case http.StatusOK:
-		return h.takeReply(w, heartbeat.AgentEpoch, sent, reply.Body), nil
+		return h.processReply(w, heartbeat.AgentEpoch, sent, reply.Body), nil
 	case http.StatusMisdirectedRequest:
-		return s.redirect(reply.Body)
+		return s.followRedirect(reply.Body)
 	}
-	return s.tryNext(), nil
+	return s.selectNext(), nil
 }
 
-// tryNext goes on to the next controller, after a while.
-func (s *heartbeatSender) tryNext() (pause time.Duration) {
+// selectNext selects the next controller and returns the delay before it is tried.
+func (s *heartbeatSender) selectNext() (pause time.Duration) {
 	s.current = (s.current + 1) % len(s.names)
 	return retryDelay
 }
 
-// redirect goes on to the controller that another one names as the leader.
-func (s *heartbeatSender) redirect(body []byte) (pause time.Duration, err error) {
-	var to protocol.Redirect
-	if err := protocol.Decode(body, &to); err != nil {
-		return s.tryNext(), fmt.Errorf("decode a redirect: %w", err)
+// followRedirect selects the leader that a redirect names. The next heartbeat is due at once.
+func (s *heartbeatSender) followRedirect(body []byte) (pause time.Duration, err error) {
+	var redirect protocol.Redirect
+	if err := protocol.Decode(body, &redirect); err != nil {
+		return s.selectNext(), fmt.Errorf("decode a redirect: %w", err)
 	}
-	i := slices.Index(s.names, to.Leader)
+	i := slices.Index(s.names, redirect.Leader)
 	if i < 0 || i == s.current {
-		return s.tryNext(), nil
+		return s.selectNext(), nil
 	}
 	s.current = i
 	return 0, nil
 }
 
-// takeReply takes the answer to a heartbeat, and returns the time until the next one.
-func (h *Host) takeReply(w *worker, epoch protocol.AgentEpoch, sent time.Duration, body []byte) time.Duration {
+// processReply processes the reply to a heartbeat and returns the time until the next one is
+// due.
+func (h *Host) processReply(w *worker, epoch protocol.AgentEpoch, sent time.Duration, body []byte) time.Duration {
 	var reply protocol.HeartbeatReply
 	if err := protocol.Decode(body, &reply); err != nil {
 		return retryDelay
@@ -133,17 +137,17 @@
 	if !w.restarting {
 		h.advance(w)
 		w.TakeReply(epoch, sent, reply)
-		w.answered = max(w.answered, sent)
+		w.lastAnswered = max(w.lastAnswered, sent)
 	}
 	h.mu.Unlock()
 	if len(reply.Orders) > 0 {
-		w.heartbeatSoon()
+		w.requestHeartbeat()
 	}
 	jitter := 1 - heartbeatJitter + 2*heartbeatJitter*rand.Float64()
 	return time.Duration(jitter * float64(h.cfg.HeartbeatInterval))
 }
 
-// post sends a heartbeat to a controller.
+// post sends a heartbeat to a controller and counts its traffic.
 func (h *Host) post(c *transport.Client, heartbeat protocol.Heartbeat) (*transport.Message, error) {
 	body, err := protocol.Encode(heartbeat)
 	if err != nil {
@@ -152,18 +156,18 @@
 	ctx, cancel := context.WithTimeout(context.Background(), heartbeatTimeout)
 	defer cancel()
 	reply, err := c.Do(ctx, http.MethodPost, heartbeatPath, body)
-	out := len(transport.AppendRequest(nil, http.MethodPost, countedHost, heartbeatPath, body))
+	out := len(transport.AppendRequest(nil, http.MethodPost, assumedHost, heartbeatPath, body))
 	if err != nil {
 		h.Traffic.Add(trafficHeartbeats, 1, 0, out)
 		return nil, fmt.Errorf("send a heartbeat: %w", err)
 	}
-	in := len(transport.AppendResponse(nil, reply)) // as the controllers write it
+	in := len(transport.AppendResponse(nil, reply)) // controllers encode responses with the same function
 	h.Traffic.Add(trafficHeartbeats, 1, in, out)
 	return reply, nil
 }
 
-// heartbeat is what the worker sends now, with its address.
-func (w *worker) heartbeat() protocol.Heartbeat {
+// nextHeartbeat returns the next heartbeat with the worker's real address.
+func (w *worker) nextHeartbeat() protocol.Heartbeat {
 	heartbeat := w.Heartbeat()
 	heartbeat.Address = w.addr
 	if heartbeat.Tasks == nil {
@@ -172,10 +176,10 @@
 	return heartbeat
 }
 
-// heartbeatSoon has the worker send its next heartbeat before it is due.
-func (w *worker) heartbeatSoon() {
+// requestHeartbeat requests that the worker sends its next heartbeat before it is due.
+func (w *worker) requestHeartbeat() {
 	select {
-	case w.changed <- struct{}{}:
+	case w.heartbeatRequested <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fake/server/httpserver.go
+++ b/internal/fake/server/httpserver.go
@@ -11,25 +11,26 @@
 	"damsonkeel/internal/protocol"
 )
 
-// maxBody is the largest request body that is read, in bytes.
+// maxBody is the maximum size of a request body, in bytes.
 const maxBody = 1 << 20
 
-// listen serves a handler on loopback, on a port of the system's choice.
+// listen serves a handler on a free port of the loopback interface and returns its
+// address. It passes the listener through wrap.
 func listen(h http.Handler, wrap func(net.Listener) net.Listener) (*http.Server, string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", fmt.Errorf("fake server: listen: %w", err)
 	}
 	s := &http.Server{Handler: h}
-	go func() { _ = s.Serve(wrap(listener)) }() // until the server is closed
+	go func() { _ = s.Serve(wrap(listener)) }() // returns when the server is closed
 	return s, listener.Addr().String(), nil
 }
 
-// plain leaves a listener as it is.
-func plain(l net.Listener) net.Listener { return l }
+// unwrappedListener returns a listener unchanged.
+func unwrappedListener(l net.Listener) net.Listener { return l }
 
-// answer writes a response.
-func answer(w http.ResponseWriter, status int, v any) {
+// writeResponse writes a response with the encoded value v as its body.
+func writeResponse(w http.ResponseWriter, status int, v any) {
 	b, err := protocol.Encode(v)
 	if err != nil {
 		status, b = http.StatusInternalServerError, nil
@@ -39,28 +40,30 @@
 	_, _ = w.Write(b) // the client may have closed the connection
 }
 
-// read decodes the body of a request, or answers that it is malformed.
-func read[T any](w http.ResponseWriter, r *http.Request) (v T, ok bool) {
+// decodeRequest decodes the body of a request. If the body is malformed, read responds with an
+// error and reports false.
+func decodeRequest[T any](w http.ResponseWriter, r *http.Request) (v T, ok bool) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err == nil {
 		err = protocol.Decode(b, &v)
 	}
 	if err != nil {
-		answer(w, http.StatusBadRequest, protocol.ErrorBody{Error: err.Error()})
+		writeResponse(w, http.StatusBadRequest, protocol.ErrorBody{Error: err.Error()})
 	}
 	return v, err == nil
 }
 
-// locked serves requests with a body of a type while it holds a lock.
-func locked[T any](mu *sync.Mutex, do func(T) (status int, body any)) http.HandlerFunc {
+// lockedHandler returns a handler that decodes the request body as a T and calls do while it
+// holds mu.
+func lockedHandler[T any](mu *sync.Mutex, do func(T) (status int, body any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		v, ok := read[T](w, r)
+		v, ok := decodeRequest[T](w, r)
 		if !ok {
 			return
 		}
 		mu.Lock()
 		status, body := do(v)
 		mu.Unlock()
-		answer(w, status, body)
+		writeResponse(w, status, body)
 	}
 }
--- a/internal/fake/server/platform.go
+++ b/internal/fake/server/platform.go
@@ -8,43 +8,44 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Times of the workers, in seconds, as the controllers' settings should name them.
+// Times of the workers, in seconds. The settings of the controllers must have the same
+// values.
 const (
 	// HeartbeatSeconds is the time between heartbeats.
 	HeartbeatSeconds = 2.0
-	// LeaseSeconds is the workers' lease.
+	// LeaseSeconds is the duration of a worker's lease.
 	LeaseSeconds = 12.0
 )
 
-// Machines take between minBootFactor and minBootFactor+bootSpread times the usual time
-// to come up.
+// The boot time of a machine is between minBootFactor and minBootFactor+bootSpread times
+// the boot time of its type.
 const (
 	minBootFactor = 0.6
 	bootSpread    = 0.9
 )
 
-// Platform is a key-value store, a cloud and workers in one process. Close ends it.
+// Platform runs a key-value store, a cloud and workers in one process until it is closed.
 type Platform struct {
-	State, Cloud string // addresses
+	State, Cloud string // addresses of the key-value store and the cloud
 
 	stateService *StateService
 	cloudService *CloudService
 	host         *Host
 	startedAt    time.Time
 
-	mu         sync.Mutex
-	terminated map[protocol.MachineID]bool // also those that were still to come up
-	jobs       map[protocol.JobID]protocol.Job
-	started    map[protocol.TaskID]time.Time
-	starts     map[protocol.JobID]int
+	mu          sync.Mutex
+	terminated  map[protocol.MachineID]bool // including machines that were terminated while they booted
+	jobs        map[protocol.JobID]protocol.Job
+	firstStarts map[protocol.TaskID]time.Time
+	startCounts map[protocol.JobID]int
 }
 
-// New starts a platform that provisions so many machines at the most. Nodes are the
-// addresses of the controllers.
+// New starts a platform that can provision up to machines machines of the given types.
+// The map nodes has the addresses of the controllers.
 func New(types []protocol.TypeInfo, machines int, nodes map[protocol.NodeName]string) (*Platform, error) {
 	p := &Platform{
 		startedAt: time.Now(), terminated: map[protocol.MachineID]bool{}, jobs: map[protocol.JobID]protocol.Job{},
-		started: map[protocol.TaskID]time.Time{}, starts: map[protocol.JobID]int{},
+		firstStarts: map[protocol.TaskID]time.Time{}, startCounts: map[protocol.JobID]int{},
 	}
 	p.host = NewHost(HostConfig{
 		Controllers: nodes, HeartbeatInterval: seconds(HeartbeatSeconds), LeaseTime: seconds(LeaseSeconds), GangWait: time.Minute,
@@ -62,21 +63,21 @@
 	return p, nil
 }
 
-// Close ends all servers and workers.
+// Close stops all servers and workers.
 func (p *Platform) Close() {
 	p.host.Close()
 	p.cloudService.Close()
 	p.stateService.Close()
 }
 
-// Submitted makes a job known to workers, as its user's upload does.
+// Submitted registers the description of a submitted job, so that workers can read it.
 func (p *Platform) Submitted(j protocol.Job) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.jobs[j.ID] = j
 }
 
-// Describe reads descriptions that were submitted.
+// Describe returns the registered descriptions of jobs.
 func (p *Platform) Describe(ids []protocol.JobID) (map[protocol.JobID]protocol.Job, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,12 +90,13 @@
 	return found, nil
 }
 
-// Started is when each task of a job first started.
+// Started returns the time of the first start of each task of a job, in no particular
+// order.
 func (p *Platform) Started(id protocol.JobID) []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var times []time.Time
-	for t, at := range p.started {
+	for t, at := range p.firstStarts {
 		if t.Job == id {
 			times = append(times, at)
 		}
@@ -102,18 +104,18 @@
 	return times
 }
 
-// Starts is how many times tasks of a job have started, those that started again
-// included.
+// Starts returns the number of task starts of a job, including repeated starts of the
+// same task.
 func (p *Platform) Starts(id protocol.JobID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.starts[id]
+	return p.startCounts[id]
 }
 
-// now is the platform's monotonic clock.
+// now returns the time of the platform's monotonic clock.
 func (p *Platform) now() time.Duration { return time.Since(p.startedAt) }
 
-// Provisioned has a provisioned machine come up after a while.
+// Provisioned puts a provisioned machine into service after its boot time.
 func (p *Platform) Provisioned(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
 	boot := seconds((minBootFactor + bootSpread*rand.Float64()) * info.BootS)
 	time.AfterFunc(boot, func() {
@@ -121,21 +123,22 @@
 			return
 		}
 		if err := p.host.Up(id, info, req.Zone, req.Spot); err != nil {
-			return // a machine that never comes up
+			return // this machine never finishes booting
 		}
-		if p.isTerminated(id) { // while it came up
+		if p.isTerminated(id) { // it was terminated while host.Up ran
 			p.host.Kill(id)
 		}
 	})
 }
 
+// isTerminated reports whether a machine was terminated.
 func (p *Platform) isTerminated(id protocol.MachineID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.terminated[id]
 }
 
-// Terminate terminates machines.
+// Terminate terminates machines, including those that are still booting.
 func (p *Platform) Terminate(ids []protocol.MachineID) error {
 	p.mu.Lock()
 	for _, id := range ids {
@@ -146,31 +149,31 @@
 	return nil
 }
 
-// Machine is a machine that is up.
+// Machine returns the list entry of a machine and reports whether it is in service.
 func (p *Platform) Machine(id protocol.MachineID) (Listed, bool) { return p.host.Machine(id) }
 
-// MachineUp does nothing: no test asks for it.
+// MachineUp ignores the event.
 func (p *Platform) MachineUp(protocol.MachineID, protocol.TypeInfo, protocol.Zone, bool, time.Duration) {
 }
 
-// MachineLost does nothing: no test asks for it.
+// MachineLost ignores the event.
 func (p *Platform) MachineLost(protocol.MachineID, time.Duration) {}
 
-// TaskStartAccepted does nothing: no test asks for it.
+// TaskStartAccepted ignores the event.
 func (p *Platform) TaskStartAccepted(protocol.MachineID, protocol.TaskID, protocol.Attempt, time.Duration) {
 }
 
-// TaskStarted counts the starts of a task.
+// TaskStarted counts the start and records the time of a task's first start.
 func (p *Platform) TaskStarted(_ protocol.MachineID, task protocol.TaskID, _ protocol.Attempt, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.starts[task.Job]++
-	if _, known := p.started[task]; !known {
-		p.started[task] = time.Now()
+	p.startCounts[task.Job]++
+	if _, known := p.firstStarts[task]; !known {
+		p.firstStarts[task] = time.Now()
 	}
 }
 
-// TaskEnded does nothing: no test asks for it.
+// TaskEnded ignores the event.
 func (p *Platform) TaskEnded(protocol.MachineID, protocol.TaskID, protocol.Attempt, protocol.EndCause, time.Duration) {
 }
 
--- a/internal/fake/server/stateservice.go
+++ b/internal/fake/server/stateservice.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxPage is how many items a page holds at the most, and maxPageBytes how many
-	// bytes of values.
-	maxPage      = 1000
-	maxPageBytes = 512 << 10
-	// expiryInterval is how often it is checked whether leases have expired.
+	// maxItemsPerPage is the maximum number of items in a page, and maxPageBytes the maximum
+	// number of bytes of their keys and values. A page has at least one item.
+	maxItemsPerPage = 1000
+	maxPageBytes    = 512 << 10
+	// expiryInterval is the interval at which expired leases are removed.
 	expiryInterval = 50 * time.Millisecond
 )
 
-// StateService puts the model of the key-value store behind its wire.
+// StateService serves the model of the key-value store over HTTP.
 type StateService struct {
 	Addr    string
 	Traffic *Traffic
@@ -37,7 +37,8 @@
 	changed chan struct{} // closed at each change
 }
 
-// NewStateService starts a key-value store on loopback. Clock is its monotonic clock.
+// NewStateService starts a key-value store on loopback. The function clock must return
+// the time of a monotonic clock.
 func NewStateService(limits Limits, clock func() time.Duration) (*StateService, error) {
 	throttle := newThrottle(limits)
 	s := &StateService{
@@ -48,25 +49,25 @@
 	mux.HandleFunc("GET /keys", s.limited("list", s.list))
 	mux.HandleFunc("GET /keys/{key...}", s.limited("read", s.get))
 	mux.HandleFunc("POST /txn", s.limited("transaction", s.transaction))
-	mux.HandleFunc("POST /holds", s.limited("lease", locked(&s.mu, s.grantLease)))
+	mux.HandleFunc("POST /holds", s.limited("lease", lockedHandler(&s.mu, s.grantLease)))
 	mux.HandleFunc("POST /holds/{id}/extend", s.limited("extend", s.extendLease))
 	mux.HandleFunc("DELETE /holds/{id}", s.limited("release", s.releaseLease))
 	mux.HandleFunc("GET /follow", s.limited("watch", s.watch))
 	var err error
-	if s.server, s.Addr, err = listen(mux, plain); err != nil {
+	if s.server, s.Addr, err = listen(mux, unwrappedListener); err != nil {
 		return nil, err
 	}
 	go s.expireLeases()
 	return s, nil
 }
 
-// Close ends the service.
+// Close stops the service.
 func (s *StateService) Close() {
 	close(s.done)
-	_ = s.server.Close() // nothing is left to lose
+	_ = s.server.Close() // an error does not matter at shutdown
 }
 
-// Size is how many records there are, with the bytes of their values.
+// Size returns the number of records and the total size of their keys and values.
 func (s *StateService) Size() (records, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +78,7 @@
 	return len(items), bytes
 }
 
-// expireLeases ends leases in time.
+// expireLeases removes expired leases until the service is closed.
 func (s *StateService) expireLeases() {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
@@ -96,19 +97,20 @@
 	}
 }
 
+// get serves the item of one key.
 func (s *StateService) get(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	it, ok := s.state.Get(r.PathValue("key"))
 	revision := s.state.Revision
 	s.mu.Unlock()
 	if !ok {
-		answer(w, http.StatusNotFound, protocol.TransactionReply{Revision: revision})
+		writeResponse(w, http.StatusNotFound, protocol.TransactionReply{Revision: revision})
 		return
 	}
-	answer(w, http.StatusOK, it)
+	writeResponse(w, http.StatusOK, it)
 }
 
-// list answers with a page of the items with a prefix.
+// list serves a page of the items with a prefix.
 func (s *StateService) list(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	pageSize, _ := strconv.Atoi(query.Get("page"))
@@ -120,19 +122,19 @@
 			continue
 		}
 		bytes += len(it.Key) + len(it.Value)
-		if len(page.Items) >= max(1, min(pageSize, maxPage)) || bytes > maxPageBytes && len(page.Items) > 0 {
+		if len(page.Items) >= max(1, min(pageSize, maxItemsPerPage)) || bytes > maxPageBytes && len(page.Items) > 0 {
 			page.More = true
 			break
 		}
 		page.Items = append(page.Items, it)
 	}
 	s.mu.Unlock()
-	answer(w, http.StatusOK, page)
+	writeResponse(w, http.StatusOK, page)
 }
 
-// transaction executes a transaction within the limit of changes.
+// transaction serves a transaction, unless its changes exceed the rate limit of changes.
 func (s *StateService) transaction(w http.ResponseWriter, r *http.Request) {
-	t, ok := read[protocol.Transaction](w, r)
+	t, ok := decodeRequest[protocol.Transaction](w, r)
 	if !ok {
 		return
 	}
@@ -144,10 +146,10 @@
 	s.mu.Lock()
 	status, body := s.execute(t)
 	s.mu.Unlock()
-	answer(w, status, body)
+	writeResponse(w, status, body)
 }
 
-// execute executes a transaction. The lock is held.
+// execute executes a transaction and returns the response. The lock is held.
 func (s *StateService) execute(t protocol.Transaction) (status int, body any) {
 	if s.state.LeaseMissing(t) {
 		return http.StatusBadRequest, protocol.ErrorBody{Error: "no such lease"}
@@ -159,27 +161,30 @@
 	return http.StatusOK, protocol.TransactionReply{Revision: s.state.Revision}
 }
 
+// grantLease serves a request for a lease. The lock is held.
 func (s *StateService) grantLease(l protocol.LeaseRequest) (status int, body any) {
 	return http.StatusOK, protocol.LeaseReply{Lease: s.state.Lease(s.clock(), time.Duration(l.TTLMS)*time.Millisecond)}
 }
 
+// extendLease serves a request to renew a lease.
 func (s *StateService) extendLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	known := s.state.Extend(s.clock(), protocol.LeaseID(id))
 	s.mu.Unlock()
 	if !known {
-		answer(w, http.StatusNotFound, protocol.ErrorBody{Error: "no such lease"})
+		writeResponse(w, http.StatusNotFound, protocol.ErrorBody{Error: "no such lease"})
 		return
 	}
-	answer(w, http.StatusOK, protocol.LeaseReply{Lease: protocol.LeaseID(id)})
+	writeResponse(w, http.StatusOK, protocol.LeaseReply{Lease: protocol.LeaseID(id)})
 }
 
+// releaseLease serves a request to remove a lease.
 func (s *StateService) releaseLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	s.state.Release(protocol.LeaseID(id))
 	s.notifyWatches()
 	s.mu.Unlock()
-	answer(w, http.StatusOK, protocol.LeaseReply{Lease: protocol.LeaseID(id)})
+	writeResponse(w, http.StatusOK, protocol.LeaseReply{Lease: protocol.LeaseID(id)})
 }
--- a/internal/fake/server/throttle.go
+++ b/internal/fake/server/throttle.go
@@ -9,17 +9,20 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits bounds what a fake service serves.
+// Limits configures the rate limits and the latency of a fake service.
 type Limits struct {
-	// Requests and Changes are how many a second; 0: any number.
+	// Requests and Changes are the maximum numbers of requests and of changes per second.
+	// 0 means no limit.
 	Requests, Changes float64
-	// Burst is how many seconds' worth may come at once; 0: one.
+	// Burst is the size of a burst, in seconds of the rate. Values below 1 mean 1, except
+	// that 0 means cloudBurst for a CloudService.
 	Burst float64
-	// Latency is added to each answer; nil: none.
+	// Latency returns the delay of a response. Nil means no delay.
 	Latency func() time.Duration
 }
 
-// limiter makes a limiter of so many a second; without a number, of any.
+// limiter returns a rate limiter of perSecond events per second, or one without a limit if
+// perSecond is not positive.
 func (l Limits) limiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -27,8 +30,8 @@
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond*max(1, l.Burst)))
 }
 
-// throttle counts the requests of a service by kind, delays its answers and refuses
-// what is beyond its limit.
+// throttle counts the requests of a service by kind, delays its responses and refuses
+// requests that exceed its limits.
 type throttle struct {
 	limits   Limits
 	requests *rate.Limiter
@@ -39,7 +42,8 @@
 	return throttle{limits, limits.limiter(limits.Requests), NewTraffic()}
 }
 
-// limited serves requests of a kind within the limits.
+// limited returns a handler that serves requests of a kind within the limits and counts
+// them.
 func (t throttle) limited(kind string, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !t.requests.Allow() {
@@ -55,8 +59,8 @@
 	}
 }
 
-// refuse answers a request that is beyond a limit.
+// refuse responds to a request that exceeds a limit.
 func (t throttle) refuse(w http.ResponseWriter, reason string) {
 	t.traffic.Add("refused", 1, 0, 0)
-	answer(w, http.StatusTooManyRequests, protocol.ErrorBody{Error: reason})
+	writeResponse(w, http.StatusTooManyRequests, protocol.ErrorBody{Error: reason})
 }
--- a/internal/fake/server/traffic.go
+++ b/internal/fake/server/traffic.go
@@ -7,7 +7,8 @@
 	"sync"
 )
 
-// Flow is the messages of one kind and their bytes, in the direction of the counting side.
+// Flow counts the messages of one kind and their bytes. The directions in and out are those
+// of the process that counts.
 type Flow struct {
 	Messages uint64 `json:"messages"`
 	BytesIn  uint64 `json:"bytes_in"`
@@ -20,10 +21,10 @@
 	flows map[string]Flow
 }
 
-// NewTraffic makes an empty count.
+// NewTraffic returns a Traffic without any counts.
 func NewTraffic() *Traffic { return &Traffic{flows: map[string]Flow{}} }
 
-// Add counts messages of a kind, with their bytes.
+// Add adds messages of a kind and their bytes to the counts.
 func (t *Traffic) Add(kind string, messages, bytesIn, bytesOut int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -34,7 +35,7 @@
 	t.flows[kind] = f
 }
 
-// Flows returns what was counted until now.
+// Flows returns the current counts by kind.
 func (t *Traffic) Flows() map[string]Flow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,27 +65,27 @@
 	traffic *Traffic
 }
 
-// Read counts what comes in.
+// Read reads from the connection and counts the bytes.
 func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.traffic.Add(c.kind, 0, n, 0)
 	return n, err //nolint:wrapcheck // the errors of a connection are compared, such as io.EOF
 }
 
-// Write counts what goes out.
+// Write writes to the connection and counts the bytes.
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.traffic.Add(c.kind, 0, 0, n)
 	return n, err //nolint:wrapcheck // the errors of a connection are compared, such as io.EOF
 }
 
-// countedWriter counts the body of a response.
+// countedWriter counts the bytes of the body of a response.
 type countedWriter struct {
 	http.ResponseWriter
 	bytes int
 }
 
-// Write counts a part of the body.
+// Write writes a part of the body and counts its bytes.
 func (w *countedWriter) Write(b []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(b)
 	w.bytes += n
--- a/internal/fake/server/watch.go
+++ b/internal/fake/server/watch.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// keptChanges is how many changes the key-value store keeps for watches.
+	// keptChanges is the minimum number of recent changes that the key-value store keeps
+	// for watches. Older changes are dropped once there are twice as many.
 	keptChanges = 10_000
-	// maxWatch is how long a watch stays open at the most.
-	maxWatch = 60 * time.Second
+	// maxWatchTime is the maximum time that a watch waits for a change.
+	maxWatchTime = 60 * time.Second
 )
 
-// notifyWatches lets watches look for changes again, and drops old changes. The lock is
-// held.
+// notifyWatches wakes up all watches, so that they look for changes, and drops old
+// changes. The lock is held.
 func (s *StateService) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -27,21 +28,22 @@
 	}
 }
 
-// watch answers with what changed after a revision, or waits for a change.
+// watch serves the changes after a revision. If there are none, it waits for a change
+// until the requested time has passed.
 func (s *StateService) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
 	holdMS, _ := strconv.Atoi(query.Get("hold_ms"))
-	deadline := time.NewTimer(min(time.Duration(holdMS)*time.Millisecond, maxWatch))
+	deadline := time.NewTimer(min(time.Duration(holdMS)*time.Millisecond, maxWatchTime))
 	defer deadline.Stop()
 	for expired := false; ; {
-		events, changed, known := s.since(from, query.Get("starts"))
+		events, changed, known := s.changesSince(from, query.Get("starts"))
 		if !known {
-			answer(w, http.StatusGone, protocol.ErrorBody{Error: "the revision is too old"})
+			writeResponse(w, http.StatusGone, protocol.ErrorBody{Error: "the revision is too old"})
 			return
 		}
 		if len(events.Events) > 0 || expired {
-			answer(w, http.StatusOK, events)
+			writeResponse(w, http.StatusOK, events)
 			return
 		}
 		select {
@@ -54,9 +56,10 @@
 	}
 }
 
-// since lists what changed under a prefix after a revision, and returns a channel that
-// is closed at the next change. Known is false if the revision is too old.
-func (s *StateService) since(from uint64, prefix string) (events protocol.Events, changed <-chan struct{}, known bool) {
+// changesSince returns the changes of keys with a prefix after the revision from, and a channel
+// that is closed at the next change. The result known is false if the store no longer has
+// all changes after the revision.
+func (s *StateService) changesSince(from uint64, prefix string) (events protocol.Events, changed <-chan struct{}, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	events = protocol.Events{Revision: s.state.Revision, Events: []protocol.Event{}}
