--- a/internal/compat/cborshapes_test.go
+++ b/internal/compat/cborshapes_test.go
@@ -2,11 +2,11 @@
 
 import "github.com/fxamacker/cbor/v2"
 
-// The structs of this file are frozen copies of records and messages in CBOR form.
-// Only their tags count. Named kinds are replaced by basic ones, and an embedded
-// struct by its fields.
+// The structs of this file are frozen copies of the records and messages that are encoded
+// as CBOR. Only their tags matter. Named types are replaced by basic types, and an
+// embedded struct by its fields.
 
-// taskText is a task's id in its text form.
+// taskText is the text form of a task id.
 type taskText string
 
 type cborNode struct {
@@ -477,14 +477,14 @@
 	Seal    string `cbor:"seal"`
 }
 
-// cborSingleView is a view in the form of the first layout.
+// cborSingleView is a view as encoded in the first layout.
 type cborSingleView struct {
 	Term    uint64            `cbor:"term"`
 	Members map[string]uint64 `cbor:"members"`
 	Deaf    []string          `cbor:"deaf,omitempty"`
 }
 
-// cborView is a view in the form of later layouts.
+// cborView is a view as encoded in later layouts.
 type cborView struct {
 	Term    uint64            `cbor:"term"`
 	Members string            `cbor:"members"`
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -1,12 +1,12 @@
-// Package compat checks that controllers of this version and of earlier ones
-// understand one another: that messages, records of the state service, their keys and
-// the settings files have kept their form. Renaming a Go type, package or field must
-// not change what is sent or stored.
+// Package compat checks that controllers of this version are compatible with controllers
+// of earlier versions: the encodings of messages and of records of the state service, the
+// keys of these records and the formats of the settings files must not change. Renaming a
+// Go type, package or field must not change what is sent or stored.
 //
-// Each message and record is filled with sample data (see fill) and compared with a
-// golden file in testdata and with a frozen copy of its struct. A change of the form
-// that is meant, such as a field that is added, changes the frozen copy by hand and
-// rewrites the golden files:
+// Each message and record is filled with sample data (see fill), encoded, and compared
+// with a golden file in testdata and with a frozen copy of its struct. To change an
+// encoding on purpose, for example to add a field, edit the frozen copy by hand and
+// rewrite the golden files:
 //
 //	go test ./internal/compat -update
 package compat
@@ -27,16 +27,17 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files from the present code")
 
-// format is an encoding with the directory and the extension of its golden files.
+// format is an encoding. Its name is the directory and the extension of its golden files.
 type format struct {
 	name   string
 	naming naming
-	// encode and decode are those of the present code, decodeFrozen reads into a frozen
-	// copy.
+	// encode and decode are the functions of the present code. decodeFrozen decodes into
+	// a frozen copy.
 	encode       func(v any) ([]byte, error)
 	decode       func(b []byte, into any) error
 	decodeFrozen func(b []byte, into any) error
-	// encodeFrozen is nil if the same value may have several encodings.
+	// encodeFrozen encodes a frozen copy. It is nil if a value may have several encodings;
+	// encodings are then not compared byte by byte.
 	encodeFrozen func(v any) ([]byte, error)
 }
 
@@ -67,18 +68,18 @@
 	return mode.Marshal(v)
 }
 
-// message is a message or a record: its present type and its frozen copy.
+// message describes a message or a record: the present type and the frozen copy of it.
 type message struct {
 	name            string
 	present, frozen reflect.Type
 }
 
-// entry makes a message of its two types.
+// entry returns the message with the present type Present and the frozen copy Frozen.
 func entry[Present, Frozen any](name string) message {
 	return message{name, reflect.TypeFor[Present](), reflect.TypeFor[Frozen]()}
 }
 
-// checkMessages checks each message, filled with sample data.
+// checkMessages checks the encoding of each message, filled with sample data.
 func checkMessages(t *testing.T, f format, messages []message) {
 	t.Helper()
 	for _, m := range messages {
@@ -88,8 +89,10 @@
 	}
 }
 
-// checkValues checks that a value of the present code and its frozen copy have the same
-// encoding, which is that of the golden file.
+// checkValues checks that the golden file decodes to the value present with the present
+// code and to the value frozen with the frozen copy, and that the present encoding of
+// present decodes to frozen. If the format has an encodeFrozen, the encodings of both
+// values must also equal the golden file.
 func checkValues(t *testing.T, f format, name string, present, frozen any) {
 	t.Helper()
 	encoded, err := f.encode(present)
@@ -97,21 +100,21 @@
 		t.Fatal(err)
 	}
 	golden := goldenFile(t, filepath.Join(f.name, name+"."+f.name), encoded)
-	checkDecoded(t, "the golden file read by the present code", f.decode, golden, present)
-	checkDecoded(t, "the present encoding read into the frozen copy", f.decodeFrozen, encoded, frozen)
-	checkDecoded(t, "the golden file read into the frozen copy", f.decodeFrozen, golden, frozen)
+	checkDecoded(t, "golden file decoded by the present code", f.decode, golden, present)
+	checkDecoded(t, "present encoding decoded into the frozen copy", f.decodeFrozen, encoded, frozen)
+	checkDecoded(t, "golden file decoded into the frozen copy", f.decodeFrozen, golden, frozen)
 	if f.encodeFrozen == nil {
 		return
 	}
-	checkBytes(t, "the present encoding", encoded, golden)
+	checkBytes(t, "present encoding", encoded, golden)
 	encodedFrozen, err := f.encodeFrozen(frozen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkBytes(t, "the encoding of the frozen copy", encodedFrozen, golden)
+	checkBytes(t, "encoding of the frozen copy", encodedFrozen, golden)
 }
 
-// checkDecoded decodes into a new value of want's type and compares it with want.
+// checkDecoded decodes b into a new value of the type of want and compares the two values.
 func checkDecoded(t *testing.T, what string, decode func([]byte, any) error, b []byte, want any) {
 	t.Helper()
 	got := reflect.New(reflect.TypeOf(want))
@@ -125,18 +128,19 @@
 func checkEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: difference at %s", what, firstDifference(reflect.ValueOf(got), reflect.ValueOf(want), ""))
+		t.Errorf("%s: first difference at %s", what, firstDifference(reflect.ValueOf(got), reflect.ValueOf(want), ""))
 	}
 }
 
 func checkBytes(t *testing.T, what string, got, want []byte) {
 	t.Helper()
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs from the golden file:\n%q\n%q", what, got, want)
+		t.Errorf("%s differs from the golden file:\ngot  %q\nwant %q", what, got, want)
 	}
 }
 
-// goldenFile reads a golden file, after it is rewritten if that is asked for.
+// goldenFile reads a golden file. With the flag -update it first writes present to the
+// file.
 func goldenFile(t *testing.T, name string, present []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name)
--- a/internal/compat/constants_test.go
+++ b/internal/compat/constants_test.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/record"
 )
 
-// TestNumbers checks constants that are sent or stored as numbers.
-func TestNumbers(t *testing.T) {
+// TestNumericConstants checks the values of constants that are sent or stored as numbers.
+func TestNumericConstants(t *testing.T) {
 	for _, number := range []struct {
 		name      string
 		got, want int
@@ -22,10 +22,10 @@
 		{"event: released", int(peers.EventReleased), 4},
 		{"event: notice", int(peers.EventNotice), 5},
 
-		{"batch: taken", int(peers.BatchAccepted), 1},
+		{"batch: accepted", int(peers.BatchAccepted), 1},
 		{"batch: behind", int(peers.BatchBehind), 2},
 		{"batch: stale", int(peers.BatchStale), 3},
-		{"batch: passed", int(peers.BatchExcluded), 4},
+		{"batch: excluded", int(peers.BatchExcluded), 4},
 
 		{"silence: none", int(peers.SilenceNone), 0},
 		{"silence: some", int(peers.SilenceSome), 1},
@@ -43,12 +43,12 @@
 		{"level: production", int(resource.LevelOf("production", false)), 3},
 		{"level: guaranteed best effort", int(resource.LevelOf("best_effort", true)), 4},
 		{"level: guaranteed production", int(resource.LevelOf("production", true)), 7},
-		{"levels", resource.Levels, 8},
+		{"number of levels", resource.Levels, 8},
 
-		{"tasks of a chunk", record.ChunkTasks, 32768},
-		{"tasks of a job", protocol.MaxTasks, 100_000},
-		{"changes in the history", record.ConfigurationHistory, 200},
-		{"requests in the revision's record", record.ConfigurationRequests, 64},
+		{"tasks per bitmap chunk", record.ChunkTasks, 32768},
+		{"maximum number of tasks of a job", protocol.MaxTasks, 100_000},
+		{"changes in the configuration history", record.ConfigurationHistory, 200},
+		{"request ids in the configuration record", record.ConfigurationRequests, 64},
 	} {
 		if number.got != number.want {
 			t.Errorf("%s is %d, want %d", number.name, number.got, number.want)
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestWords checks constants that are sent or stored as text.
-func TestWords(t *testing.T) {
+// TestTextConstants checks the values of constants that are sent or stored as text.
+func TestTextConstants(t *testing.T) {
 	for _, word := range []struct{ got, want string }{
 		{string(protocol.TaskFetching), "fetching"},
 		{string(protocol.TaskWaiting), "gathering"},
@@ -124,7 +124,7 @@
 		{string(operatorapi.RetryLater), "later"},
 	} {
 		if word.got != word.want {
-			t.Errorf("%q, want %q", word.got, word.want)
+			t.Errorf("constant is %q, want %q", word.got, word.want)
 		}
 	}
 }
--- a/internal/compat/fill_test.go
+++ b/internal/compat/fill_test.go
@@ -11,15 +11,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// mostDepth bounds the nesting of sample data.
+// mostDepth limits the nesting depth of sample data.
 const mostDepth = 24
 
-// naming is how an encoding names the fields of structs.
+// naming describes how an encoding names the fields of structs.
 type naming struct {
-	// field is the name of a field; empty: the fields of an embedded struct stand in its
-	// place.
+	// field returns the name of a field. The name of an embedded struct is empty if its
+	// fields are encoded as fields of the outer struct.
 	field func(reflect.StructField) string
-	// opaque makes the sample data of types that are not filled field by field.
+	// opaque has functions that return the sample data of types that are not filled field
+	// by field.
 	opaque map[reflect.Type]func(path string) any
 }
 
@@ -37,14 +38,15 @@
 		reflect.TypeFor[cbor.RawMessage](): func(path string) any {
 			b, err := cbor.Marshal(path)
 			if err != nil {
-				panic(err) // text always has an encoding
+				panic(err) // encoding a string never fails
 			}
 			return cbor.RawMessage(b)
 		},
 	},
 }
 
-// cborName is the name of a field in CBOR form: that of its tag, or the one for JSON.
+// cborName returns the name of a field in CBOR: the name in its cbor tag, or else in its
+// json tag, or else the name of the Go field.
 func cborName(f reflect.StructField) string {
 	for _, key := range []string{"cbor", "json"} {
 		if name, _, _ := strings.Cut(f.Tag.Get(key), ","); name != "" {
@@ -57,15 +59,15 @@
 	return f.Name
 }
 
-// sample makes a value of a type in which nothing is zero. Its data depend only on
-// where they stand in the encoded form, not on the names or the order of Go types.
+// sample returns a value of a type without zero fields. The data of a field depend only on
+// its path in the encoded value, not on the names or the order of Go types and fields.
 func sample(t reflect.Type, n naming) any {
 	v := reflect.New(t).Elem()
 	n.fill(v, "", 0)
 	return v.Interface()
 }
 
-// fill sets a value from its path of field names.
+// fill sets a value to sample data that depend on its path of encoded field names.
 func (n naming) fill(v reflect.Value, path string, depth int) {
 	if depth > mostDepth {
 		panic(path + ": nested too deeply")
@@ -103,7 +105,7 @@
 	}
 }
 
-// fillSlice makes two elements.
+// fillSlice sets a slice to two elements of sample data.
 func (n naming) fillSlice(v reflect.Value, path string, depth int) {
 	v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 	for i := range v.Len() {
@@ -111,7 +113,7 @@
 	}
 }
 
-// fillMap makes two elements.
+// fillMap sets a map to two entries of sample data.
 func (n naming) fillMap(v reflect.Value, path string, depth int) {
 	v.Set(reflect.MakeMap(v.Type()))
 	for i := range 2 {
@@ -122,6 +124,7 @@
 	}
 }
 
+// fillStruct fills all fields of a struct, which must be exported.
 func (n naming) fillStruct(v reflect.Value, path string, depth int) {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
@@ -136,16 +139,17 @@
 	}
 }
 
-// number is a number above 0 that depends on a path.
+// number returns a positive number that depends on a path.
 func number(path string) uint64 {
 	h := fnv.New32a()
 	h.Write([]byte(path))
 	return uint64(h.Sum32()%99_991) + 1
 }
 
+// sampleJob returns a job id that depends on a path.
 func sampleJob(path string) string { return fmt.Sprintf("job-%06d", number(path+" job")) }
 
-// firstDifference describes where two values of one type differ first.
+// firstDifference describes the first difference between two values of the same type.
 func firstDifference(got, want reflect.Value, path string) string {
 	different := func(g, w reflect.Value, name string) (string, bool) {
 		if reflect.DeepEqual(g.Interface(), w.Interface()) {
@@ -172,7 +176,7 @@
 	return fmt.Sprintf("%q: %#v, want %#v", path, got.Interface(), want.Interface())
 }
 
-// zeroFields lists the fields of structs, and of those in them, that are zero.
+// zeroFields returns the paths of all zero fields, including those of nested structs.
 func zeroFields(v reflect.Value, path string) []string {
 	switch {
 	case v.IsZero():
--- a/internal/compat/gobshapes_test.go
+++ b/internal/compat/gobshapes_test.go
@@ -1,8 +1,9 @@
 package compat
 
-// The structs of this file are frozen copies of the messages between controllers, as
-// gob sends them: by field names. Named kinds are replaced by basic ones, and an
-// embedded struct by a field of its type's name, which is how gob sends it.
+// The structs of this file are frozen copies of the messages between controllers. Gob
+// encodes structs by field name, so only the field names and types matter. Named types are
+// replaced by basic types, and an embedded struct by a field with the name of its type,
+// which is how gob encodes it.
 
 type gobTaskID struct {
 	Job   string
--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -11,9 +11,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestMessages checks the messages of users, workers, the cloud, the state service and
-// operators, in CBOR form.
-func TestMessages(t *testing.T) {
+// TestCBORMessages checks the CBOR encodings of the messages of users, workers, the cloud, the
+// state service and operators.
+func TestCBORMessages(t *testing.T) {
 	checkMessages(t, cborFormat, []message{
 		entry[protocol.JobStatus, cborJobStatus]("job_status"),
 		entry[protocol.ErrorBody, cborErrorBody]("error"),
@@ -42,8 +42,9 @@
 	})
 }
 
-// TestSubmission checks the submission of a job, which is read by a form of its own.
-func TestSubmission(t *testing.T) {
+// TestSubmissionEncoding checks the encoding of a submitted job. It is separate because a
+// submission is decoded into another type than the encoded job.
+func TestSubmissionEncoding(t *testing.T) {
 	job := protocol.Job{
 		ID: "job-000017", Class: "nightly", Team: "red", Kind: "gang", Priority: "high", Tasks: 12,
 		CPUs: 1.5, GPUs: 2.5, MemoryGB: 3.5, Image: "image", ImageGB: 4.5, Types: []protocol.MachineType{"m8", "m16"},
@@ -61,19 +62,19 @@
 		t.Fatal(err)
 	}
 	golden := goldenFile(t, "cbor/submission.cbor", encoded)
-	checkBytes(t, "the submission", encoded, golden)
-	checkDecoded(t, "the submission read into the frozen copy", cborFormat.decodeFrozen, golden, want)
+	checkBytes(t, "encoded submission", encoded, golden)
+	checkDecoded(t, "submission decoded into the frozen copy", cborFormat.decodeFrozen, golden, want)
 	got, err := protocol.ParseSubmission(golden)
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkEqual(t, "the submission read by the present code", got, job)
+	checkEqual(t, "submission decoded by the present code", got, job)
 	if id, ok := protocol.SubmittedID(golden); !ok || id != job.ID {
-		t.Errorf("the id of the submission is read as %q (%v)", id, ok)
+		t.Errorf("id of the submission decoded as %q (%v)", id, ok)
 	}
 }
 
-// TestSealedRequest checks an operator's request with its seal.
+// TestSealedRequest checks the encoding of an operator's request with its seal.
 func TestSealedRequest(t *testing.T) {
 	key := operatorapi.Key{Name: "alice", Secret: bytes.Repeat([]byte{0x5a}, 32)}
 	at := time.UnixMilli(1_790_000_000_123)
@@ -83,17 +84,17 @@
 		t.Fatal(err)
 	}
 	golden := goldenFile(t, "cbor/operator_sealed_request.cbor", sealed)
-	checkBytes(t, "the sealed request", sealed, golden)
+	checkBytes(t, "sealed request", sealed, golden)
 	got, name, err := operatorapi.Open(golden, []operatorapi.Key{key}, at, 0)
 	if err != nil || name != key.Name {
-		t.Fatalf("opened as of %q: %v", name, err)
+		t.Fatalf("sealed request opened with key name %q, error %v", name, err)
 	}
-	checkEqual(t, "the opened request", got, request)
+	checkEqual(t, "opened request", got, request)
 }
 
-// TestReplyInJSON checks the form in which operators' commands print replies: scripts
-// read it. The order of fields does not count.
-func TestReplyInJSON(t *testing.T) {
+// TestOperatorReplyJSON checks the JSON encoding in which operators' commands print replies,
+// because scripts parse it. The order of the fields does not matter.
+func TestOperatorReplyJSON(t *testing.T) {
 	reply := sample(reflect.TypeFor[operatorapi.Reply](), cborNaming)
 	encoded, err := json.MarshalIndent(reply, "", "  ")
 	if err != nil {
@@ -106,5 +107,5 @@
 	if err := json.Unmarshal(goldenFile(t, "json/operator_reply.json", encoded), &want); err != nil {
 		t.Fatal(err)
 	}
-	checkEqual(t, "the reply in JSON", got, want)
+	checkEqual(t, "reply in JSON", got, want)
 }
--- a/internal/compat/peers_test.go
+++ b/internal/compat/peers_test.go
@@ -12,8 +12,9 @@
 	"damsonkeel/internal/record"
 )
 
-// TestPeerMessages checks what controllers send one another by net/rpc, in gob form: the
-// arguments and replies of calls, and the parts of a batch, each alone too.
+// TestPeerMessages checks the gob encodings of the messages between controllers, which
+// net/rpc sends: the arguments and replies of calls, and each message that a batch can
+// contain on its own.
 func TestPeerMessages(t *testing.T) {
 	checkMessages(t, gobFormat, []message{
 		entry[peers.Batch, gobBatch]("batch"),
--- a/internal/compat/records_test.go
+++ b/internal/compat/records_test.go
@@ -9,8 +9,8 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// TestRecords checks the records of the state service. That of held room is checked
-// beside its type.
+// TestRecords checks the encodings of the records of the state service. A test of package
+// controller checks the encoding of the record of reservation holds.
 func TestRecords(t *testing.T) {
 	checkMessages(t, cborFormat, []message{
 		entry[record.Node, cborNode]("node"),
@@ -28,7 +28,7 @@
 	})
 }
 
-// TestViewRecord checks both forms of a view's record.
+// TestViewRecord checks both encodings of the view record.
 func TestViewRecord(t *testing.T) {
 	checkValues(t, cborFormat, "view_single",
 		record.View{
@@ -44,8 +44,9 @@
 		cborView{Term: 7, Members: "who", Who: map[string]uint64{"a": 11, "b": 12}, Deaf: []string{"b"}, Layout: 4})
 }
 
-// TestSharesRecord checks the record of shares, which is written in columns.
-func TestSharesRecord(t *testing.T) {
+// TestShardTableRecord checks the encoding of the shard table, whose record has one array per
+// column.
+func TestShardTableRecord(t *testing.T) {
 	checkValues(t, cborFormat, "shares",
 		record.ShardTable{
 			Epoch: 9, Zones: []protocol.Zone{"x", "y"}, Slots: 2, Away: []protocol.NodeName{"c"},
@@ -62,24 +63,24 @@
 		})
 }
 
-// TestBitmapText checks the text of a chunk of a bitmap.
+// TestBitmapText checks the text encoding of a chunk of a bitmap.
 func TestBitmapText(t *testing.T) {
-	const key, text = "bits/job-1/1", "AQI" // bits 0 and 9, of the chunk that begins at 32768
+	const key, text = "bits/job-1/1", "AQI" // bits 0 and 9 of the chunk that starts at task 32768
 	done := bitset.New(0).Set(5).Set(32768).Set(32768 + 9)
 	if got := record.EncodeChunk(done, 1).Bits; got != text {
-		t.Errorf("chunk 1 is %q, want %q", got, text)
+		t.Errorf("chunk 1 encoded as %q, want %q", got, text)
 	}
 	read := bitset.New(0)
 	if err := record.DecodeChunk(key, record.BitmapChunk{Bits: text}, read, 40_000); err != nil {
 		t.Fatal(err)
 	}
 	if want := bitset.New(0).Set(32768).Set(32768 + 9); !read.Equal(want) {
-		t.Errorf("%q is read as %v, want %v", text, read, want)
+		t.Errorf("%q decoded as %v, want %v", text, read, want)
 	}
 }
 
-// TestKeys checks the keys of all records.
-func TestKeys(t *testing.T) {
+// TestRecordKeys checks the keys and key prefixes of all records.
+func TestRecordKeys(t *testing.T) {
 	for _, key := range []struct{ got, want string }{
 		{record.FollowedPrefix, "c/"},
 		{record.ViewKey, "c/view"},
@@ -109,8 +110,8 @@
 	}
 }
 
-// TestFollowedKeys checks what followed keys are read as.
-func TestFollowedKeys(t *testing.T) {
+// TestParseFollowedKeys checks how the keys that controllers follow are parsed.
+func TestParseFollowedKeys(t *testing.T) {
 	for key, want := range map[string]record.FollowedKey{
 		"c/view":                {View: true},
 		"c/shares":              {ShardTable: true},
@@ -126,16 +127,16 @@
 		"c/window/w":            {Window: "w"},
 	} {
 		if got, ok := record.ParseFollowedKey(key); !ok || got != want {
-			t.Errorf("key %q is read as %+v (%v), want %+v", key, got, ok, want)
+			t.Errorf("key %q parsed as %+v (%v), want %+v", key, got, ok, want)
 		}
 	}
 	if got := record.BlockNumber("00000012"); got != 12 {
-		t.Errorf("block 00000012 has number %d", got)
+		t.Errorf("block 00000012 has number %d, want 12", got)
 	}
 	if got, ok := record.ChunkNumber("bits/job-1/3"); !ok || got != 3 {
-		t.Errorf("bits/job-1/3 is of chunk %d (%v)", got, ok)
+		t.Errorf("bits/job-1/3 has chunk number %d (%v), want 3", got, ok)
 	}
 	if kind, name := record.EntryID("team/t/u").Split(); kind != record.EntryTeam || name != "t/u" {
-		t.Errorf("entry team/t/u is split into %q and %q", kind, name)
+		t.Errorf("entry team/t/u is split into %q and %q, want \"team\" and \"t/u\"", kind, name)
 	}
 }
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -12,17 +12,17 @@
 	"damsonkeel/internal/record"
 )
 
-// checkSettings compares settings as they were read with those expected, in which every
-// field has to be set.
+// checkSettings compares parsed settings with the expected ones. Every field of the
+// expected settings must be set, so that the golden file covers all fields.
 func checkSettings(t *testing.T, got, want any) {
 	t.Helper()
-	checkEqual(t, "the settings", got, want)
+	checkEqual(t, "parsed settings", got, want)
 	if zero := zeroFields(reflect.ValueOf(want), ""); len(zero) > 0 {
 		t.Errorf("the golden file does not set %v", zero)
 	}
 }
 
-// TestPlatformSettings checks the platform's settings file.
+// TestPlatformSettings checks that the platform's settings file is parsed as before.
 func TestPlatformSettings(t *testing.T) {
 	got, err := config.Parse(readGolden(t, "settings/platform.toml"))
 	if err != nil {
@@ -50,7 +50,7 @@
 	})
 }
 
-// TestOperatorSettings checks the operators' own settings file.
+// TestOperatorSettings checks that the operator settings file is parsed as before.
 func TestOperatorSettings(t *testing.T) {
 	got, err := config.ParseOperator(bytes.NewReader(readGolden(t, "settings/operator.xml")))
 	if err != nil {
@@ -64,17 +64,18 @@
 	})
 }
 
-// TestOperatorSettingsOtherwise checks the other value of each setting that has two.
-func TestOperatorSettingsOtherwise(t *testing.T) {
+// TestOperatorSettingsOppositeValues checks an operator settings file with the opposite value
+// of each setting that has two values.
+func TestOperatorSettingsOppositeValues(t *testing.T) {
 	got, err := config.ParseOperator(bytes.NewReader(readGolden(t, "settings/operator_otherwise.xml")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkEqual(t, "the settings", got, config.DefaultOperator())
+	checkEqual(t, "parsed settings", got, config.DefaultOperator())
 }
 
-// TestConfigurationFile checks a file of changes of the configuration.
-func TestConfigurationFile(t *testing.T) {
+// TestConfigurationChangesFile checks that a file with configuration changes is parsed as before.
+func TestConfigurationChangesFile(t *testing.T) {
 	got, err := operatorapi.ParseConfigFile(readGolden(t, "settings/changes.toml"))
 	if err != nil {
 		t.Fatal(err)
