--- a/internal/fake/server/host_test.go
+++ b/internal/fake/server/host_test.go
@@ -144,7 +144,7 @@
 	host.Kill(testMachine)
 	recorded.expect(t, "machine lost vm-1")
 	if _, up := host.Machine(testMachine); up {
-		t.Error("machine still in service after Kill")
+		t.Error("machine still in service after it was stopped")
 	}
 }
 
--- a/internal/fake/server/hostheartbeat.go
+++ b/internal/fake/server/hostheartbeat.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// waitUntilDue waits until the next heartbeat is due, or until heartbeatMinInterval has passed if
-// a change requires an earlier one. It reports false if the host is closed.
+// waitUntilDue waits until the next heartbeat is due, or until heartbeatMinInterval has
+// passed if an early one is requested. It reports false if the host is closed.
 func (s *heartbeatSender) waitUntilDue(startedAt time.Time, pause time.Duration) bool {
 	due := time.NewTimer(pause)
 	defer due.Stop()
@@ -111,7 +111,9 @@
 	return retryDelay
 }
 
-// followRedirect selects the leader that a redirect names. The next heartbeat is due at once.
+// followRedirect selects the leader that a redirect names; the next heartbeat is then due
+// at once. If the redirect names an unknown controller or the current one, it selects the
+// next controller.
 func (s *heartbeatSender) followRedirect(body []byte) (pause time.Duration, err error) {
 	var redirect protocol.Redirect
 	if err := protocol.Decode(body, &redirect); err != nil {
--- a/internal/fake/server/platform.go
+++ b/internal/fake/server/platform.go
@@ -125,7 +125,7 @@
 		if err := p.host.Up(id, info, req.Zone, req.Spot); err != nil {
 			return // this machine never finishes booting
 		}
-		if p.isTerminated(id) { // it was terminated while host.Up ran
+		if p.isTerminated(id) { // it was terminated while its worker started
 			p.host.Kill(id)
 		}
 	})
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -32,10 +32,15 @@
 	// Ordered, if set, is called when the worker has accepted the start of a task, before
 	// it fetches the image.
 	Ordered func(*Worker, protocol.TaskID, protocol.Attempt)
-	// Started is called when the image of a task is fetched and the task occupies the
-	// machine. Ended is called when a task ends.
+	// Started is called when the image of a task is fetched and the task starts to occupy
+	// the machine.
 	Started func(*Worker, protocol.TaskID, protocol.Attempt)
-	Ended   func(*Worker, protocol.TaskID, protocol.EndCause)
+	// Ended is called just before a task ends, while it still has its last state. It is not
+	// called for a task that ends at once because its job is unknown or because the task
+	// does not fit on the machine.
+	Ended func(*Worker, protocol.TaskID, protocol.EndCause)
+	// RunTime returns how long a task runs. It is called when the start of a task is
+	// accepted, and again when a waiting task of a gang starts to run.
 	RunTime func(protocol.TaskID) time.Duration
 	// OnCheckpoint, if set, is called when a task that has saved a checkpoint ends, with
 	// the remaining run time of the task.
@@ -86,7 +91,7 @@
 	return ids
 }
 
-// LastTick returns the time of the last call of Tick or Skip.
+// LastTick returns the time to which the worker was last advanced.
 func (w *Worker) LastTick() time.Duration { return w.lastTick }
 
 // LeaseEnds returns the time at which the lease expires if no later heartbeat is
