--- a/cmd/damsonkeel/cluster_test.go
+++ b/cmd/damsonkeel/cluster_test.go
@@ -164,7 +164,7 @@
 
 // submit submits a job, with retries until a controller accepts it.
 func (c *cluster) submit(j protocol.Job) {
-	c.platform.Submitted(j)
+	c.platform.RegisterJob(j)
 	body, err := protocol.EncodeSubmission(j)
 	if err != nil {
 		c.t.Fatal(err)
--- a/cmd/damsonkeel/config_test.go
+++ b/cmd/damsonkeel/config_test.go
@@ -46,7 +46,7 @@
 	}
 	job := protocol.Job{ID: "job-extra-1", Class: "c", Team: "extra", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, EstimateS: 3}
 	c.submit(job)
-	c.waitUntil("the new team's job runs", 60*time.Second, func() bool { return len(c.platform.Started(job.ID)) == 6 })
+	c.waitUntil("the new team's job runs", 60*time.Second, func() bool { return len(c.platform.FirstStarts(job.ID)) == 6 })
 
 	if reply := run(exitRefused, "set", "team/free", "cpus_max=3"); !strings.Contains(reply.Reason, "several owners") {
 		t.Errorf("%+v", reply)
--- a/cmd/damsonkeel/reserve_test.go
+++ b/cmd/damsonkeel/reserve_test.go
@@ -61,10 +61,10 @@
 	}
 	time.Sleep(time.Until(start))
 	c.submit(job(0, "dawn", 6, 2, 15))
-	for deadline := start.Add(60 * time.Second); len(c.platform.Started("job-dawn-0")) < 6; time.Sleep(200 * time.Millisecond) {
+	for deadline := start.Add(60 * time.Second); len(c.platform.FirstStarts("job-dawn-0")) < 6; time.Sleep(200 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			reply, _ := c.command("reserve", "show", "dawn")
-			t.Fatalf("%d of 6 tasks started within a minute: %+v", len(c.platform.Started("job-dawn-0")), reply.Reservations)
+			t.Fatalf("%d of 6 tasks started within a minute: %+v", len(c.platform.FirstStarts("job-dawn-0")), reply.Reservations)
 		}
 	}
 	t.Logf("all 6 started %v after its time", time.Since(start).Round(100*time.Millisecond))
--- a/cmd/damsonkeel/shares_test.go
+++ b/cmd/damsonkeel/shares_test.go
@@ -75,8 +75,8 @@
 	}
 	for i := range submitted {
 		id := job(i).ID
-		c.waitUntil(fmt.Sprint(id, " has run"), 60*time.Second, func() bool { return len(c.platform.Started(id)) >= 12 })
-		if n := c.platform.Starts(id); n != 12 {
+		c.waitUntil(fmt.Sprint(id, " has run"), 60*time.Second, func() bool { return len(c.platform.FirstStarts(id)) >= 12 })
+		if n := c.platform.StartCount(id); n != 12 {
 			t.Errorf("%s: %d starts of 12 tasks", id, n)
 		}
 	}
--- a/internal/controller/admission/configuration_test.go
+++ b/internal/controller/admission/configuration_test.go
@@ -131,7 +131,7 @@
 		c.t.Fatal(err)
 	}
 	first := c.store.Changes()
-	if !c.store.Txn(plan.Transaction()) {
+	if !c.store.Execute(plan.Transaction()) {
 		c.t.Fatal("the configuration change was not written")
 	}
 	for ; first < c.store.Changes(); first++ {
@@ -164,7 +164,7 @@
 	switch a := a.(type) {
 	case Write:
 		outcome := message.OutcomeFailed
-		if c.store.Txn(a.Transaction) {
+		if c.store.Execute(a.Transaction) {
 			outcome = message.OutcomeDone
 			if c.closedAfter[len(c.closedAfter)-1] && len(a.Transaction.Changes) > 0 {
 				c.t.Fatalf("request %d was accepted while the team was closed", a.ID)
--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -29,10 +29,10 @@
 func newRecorder(tb testing.TB) *recorder {
 	r := &recorder{bench: newBench(tb), state: fake.NewKeyValueStore()}
 	r.c.reset()
-	lease := r.state.Lease(0, time.Hour)
+	lease := r.state.GrantLease(0, time.Hour)
 	r.step(message.Snapshot{Session: lease})
 	r.step(message.LeaseExtended{Until: Time(time.Hour)})
-	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.NodeKey("node-0"), Value: record.Node{Session: lease, Layout: record.LayoutBlocks}}}})
+	r.state.Execute(protocol.Transaction{Changes: []protocol.Change{{Put: record.NodeKey("node-0"), Value: record.Node{Session: lease, Layout: record.LayoutBlocks}}}})
 	r.settle(5)
 	if !r.c.Member() || !r.c.UsesBlocks() {
 		tb.Fatalf("view %+v", r.c.View)
@@ -71,7 +71,7 @@
 		switch {
 		case out == message.OutcomeUnknown:
 			r.late = append(r.late, c.Transaction)
-		case out == message.OutcomeDone && !r.state.Txn(c.Transaction):
+		case out == message.OutcomeDone && !r.state.Execute(c.Transaction):
 			out = message.OutcomeFailed
 		}
 		r.carry(r.step(message.CommitDone{Tag: c.Tag, Outcome: out}))
@@ -146,7 +146,7 @@
 		t.Fatalf("%d writes without an answer", len(r.late))
 	}
 	for _, txn := range r.late {
-		r.state.Txn(txn)
+		r.state.Execute(txn)
 	}
 	r.settle(5)
 	in := map[protocol.MachineID]string{}
@@ -173,8 +173,8 @@
 func TestSilentMachineLeavesItsBlock(t *testing.T) {
 	r := newRecorder(t)
 	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
-	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
-	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
+	r.state.Execute(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
+	r.state.Execute(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
 	r.settle(2)
 	epoch := r.c.waitTable.Machines["vm-000000"].Epoch
 	r.wave(1, 2) // comes back with a later session: moves into a block
--- a/internal/controller/dynamicconfig/decide_test.go
+++ b/internal/controller/dynamicconfig/decide_test.go
@@ -109,7 +109,7 @@
 			t.Fatal(err)
 		}
 		plan.Request = fmt.Sprint("request-", i)
-		if !s.records.Txn(plan.Transaction()) {
+		if !s.records.Execute(plan.Transaction()) {
 			t.Fatal("not written")
 		}
 		for ; s.applied < s.records.Changes(); s.applied++ {
--- a/internal/controller/dynamicconfig/store_test.go
+++ b/internal/controller/dynamicconfig/store_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatalf("%+v: %v", changes, err)
 	}
-	if !s.records.Txn(plan.Transaction()) {
+	if !s.records.Execute(plan.Transaction()) {
 		t.Fatalf("%+v: not written", changes)
 	}
 	for ; s.applied < s.records.Changes(); s.applied++ {
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -11,9 +11,9 @@
 
 // KeyValueStore models the key-value store: versioned items, leases and a log of changes.
 type KeyValueStore struct {
-	Revision protocol.Revision
-	Log      []protocol.Event // the most recent changes, oldest first
-	Before   int              // number of older changes that were dropped from Log
+	Revision         protocol.Revision
+	Log              []protocol.Event // the most recent changes, oldest first
+	CompactedChanges int              // number of older changes that were dropped from Log
 
 	items     map[string]storedItem
 	leases    map[protocol.LeaseID]lease
@@ -37,26 +37,26 @@
 }
 
 // Changes returns the total number of changes, including those dropped from the log.
-func (s *KeyValueStore) Changes() int { return s.Before + len(s.Log) }
+func (s *KeyValueStore) Changes() int { return s.CompactedChanges + len(s.Log) }
 
 // Change returns the change with number i, counted from 0. It must still be in the log.
-func (s *KeyValueStore) Change(i int) protocol.Event { return s.Log[i-s.Before] }
+func (s *KeyValueStore) Change(i int) protocol.Event { return s.Log[i-s.CompactedChanges] }
 
-// Forget drops all changes with a number below upto from the log.
-func (s *KeyValueStore) Forget(upto int) {
-	s.Log = append([]protocol.Event(nil), s.Log[upto-s.Before:]...)
-	s.Before = upto
+// Compact drops all changes with a number below upto from the log.
+func (s *KeyValueStore) Compact(upto int) {
+	s.Log = append([]protocol.Event(nil), s.Log[upto-s.CompactedChanges:]...)
+	s.CompactedChanges = upto
 }
 
-// Lease grants a lease with the given time to live and returns its id.
-func (s *KeyValueStore) Lease(now, ttl time.Duration) protocol.LeaseID {
+// GrantLease grants a lease with the given time to live and returns its id.
+func (s *KeyValueStore) GrantLease(now, ttl time.Duration) protocol.LeaseID {
 	s.lastLease++
 	s.leases[s.lastLease] = lease{ttl, now + ttl}
 	return s.lastLease
 }
 
-// Extend renews a lease and reports whether the lease still exists.
-func (s *KeyValueStore) Extend(now time.Duration, id protocol.LeaseID) bool {
+// ExtendLease renews a lease and reports whether the lease still exists.
+func (s *KeyValueStore) ExtendLease(now time.Duration, id protocol.LeaseID) bool {
 	l, ok := s.leases[id]
 	if ok {
 		s.leases[id] = lease{l.ttl, now + l.ttl}
@@ -64,25 +64,25 @@
 	return ok
 }
 
-// Expire removes the leases that have expired and deletes their keys.
-func (s *KeyValueStore) Expire(now time.Duration) {
+// ExpireLeases removes the leases that have expired and deletes their keys.
+func (s *KeyValueStore) ExpireLeases(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if s.leases[id].expiresAt <= now {
-			s.Release(id)
+			s.ReleaseLease(id)
 		}
 	}
 }
 
-// Restore renews all leases for their full time to live, as the store does after an
+// RenewAllLeases renews all leases for their full time to live, as the store does after an
 // outage.
-func (s *KeyValueStore) Restore(now time.Duration) {
+func (s *KeyValueStore) RenewAllLeases(now time.Duration) {
 	for id, l := range s.leases {
 		s.leases[id] = lease{l.ttl, now + l.ttl}
 	}
 }
 
-// Release removes a lease and deletes its keys.
-func (s *KeyValueStore) Release(id protocol.LeaseID) {
+// ReleaseLease removes a lease and deletes its keys.
+func (s *KeyValueStore) ReleaseLease(id protocol.LeaseID) {
 	if _, ok := s.leases[id]; !ok {
 		return
 	}
@@ -95,9 +95,9 @@
 	}
 }
 
-// LeaseMissing reports whether a transaction writes a key under a lease that does not
+// UsesMissingLease reports whether a transaction writes a key under a lease that does not
 // exist any more.
-func (s *KeyValueStore) LeaseMissing(t protocol.Transaction) bool {
+func (s *KeyValueStore) UsesMissingLease(t protocol.Transaction) bool {
 	for _, c := range t.Changes {
 		if c.Lease == nil {
 			continue
@@ -109,15 +109,15 @@
 	return false
 }
 
-// Txn executes a transaction if all its conditions hold and all its leases exist, and
+// Execute executes a transaction if all its conditions hold and all its leases exist, and
 // reports whether it did.
-func (s *KeyValueStore) Txn(t protocol.Transaction) bool {
+func (s *KeyValueStore) Execute(t protocol.Transaction) bool {
 	for _, c := range t.Conditions {
 		if s.items[c.Key].version != c.Version {
 			return false
 		}
 	}
-	if s.LeaseMissing(t) {
+	if s.UsesMissingLease(t) {
 		return false
 	}
 	s.Revision++
--- a/internal/fake/kvstore_test.go
+++ b/internal/fake/kvstore_test.go
@@ -15,7 +15,7 @@
 		Conditions: []protocol.Condition{{Key: "a"}},
 		Changes:    []protocol.Change{{Put: "a", Value: 1}, {Put: "b", Value: 2}},
 	}
-	if !s.Txn(create) || s.Txn(create) {
+	if !s.Execute(create) || s.Execute(create) {
 		t.Fatal("the transaction that creates a key did not succeed exactly once")
 	}
 	a, _ := s.Get("a")
@@ -27,7 +27,7 @@
 		Conditions: []protocol.Condition{{Key: "a", Version: a.Version}},
 		Changes:    []protocol.Change{{Delete: "a"}, {Delete: "never there"}},
 	}
-	if !s.Txn(remove) || s.Txn(remove) || s.Changes() != 3 || len(s.List("")) != 1 {
+	if !s.Execute(remove) || s.Execute(remove) || s.Changes() != 3 || len(s.List("")) != 1 {
 		t.Errorf("%d changes and %d items after a repeated deletion, want 3 changes and 1 item", s.Changes(), len(s.List("")))
 	}
 }
@@ -37,22 +37,22 @@
 // under an expired lease.
 func TestLeaseExpiryDeletesItsKeys(t *testing.T) {
 	s := NewKeyValueStore()
-	lease := s.Lease(0, time.Second)
+	lease := s.GrantLease(0, time.Second)
 	write := protocol.Transaction{Changes: []protocol.Change{{Put: "a", Value: 1, Lease: &lease}}}
-	if !s.Txn(write) || !s.Extend(500*time.Millisecond, lease) {
+	if !s.Execute(write) || !s.ExtendLease(500*time.Millisecond, lease) {
 		t.Fatal("the granted lease can't be used")
 	}
-	s.Expire(time.Second)
+	s.ExpireLeases(time.Second)
 	if _, ok := s.Get("a"); !ok {
 		t.Error("key deleted although its lease was extended")
 	}
-	s.Restore(time.Second)
-	s.Expire(1999 * time.Millisecond)
+	s.RenewAllLeases(time.Second)
+	s.ExpireLeases(1999 * time.Millisecond)
 	if _, ok := s.Get("a"); !ok {
 		t.Error("key deleted although its lease was restored")
 	}
-	s.Expire(2 * time.Second)
-	if _, ok := s.Get("a"); ok || s.Extend(2*time.Second, lease) || !s.LeaseMissing(write) || s.Txn(write) {
+	s.ExpireLeases(2 * time.Second)
+	if _, ok := s.Get("a"); ok || s.ExtendLease(2*time.Second, lease) || !s.UsesMissingLease(write) || s.Execute(write) {
 		t.Error("the lease is still usable, or its key still exists, after the expiry")
 	}
 }
--- a/internal/fake/server/cloudservice.go
+++ b/internal/fake/server/cloudservice.go
@@ -27,12 +27,12 @@
 	Terminate([]protocol.MachineID) error
 	// Machine returns the list entry of a machine and reports whether the machine has
 	// booted.
-	Machine(protocol.MachineID) (Listed, bool)
+	Machine(protocol.MachineID) (MachineListing, bool)
 }
 
-// Listed is the entry of a booted machine in the cloud's list. Since is the time at which
+// MachineListing is the entry of a booted machine in the cloud's list. Since is the time at which
 // it finished booting.
-type Listed struct {
+type MachineListing struct {
 	Address string
 	Since   time.Duration
 	Failed  bool // whether the machine has stopped by itself
--- a/internal/fake/server/host.go
+++ b/internal/fake/server/host.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Up puts a machine into service and starts its worker.
-func (h *Host) Up(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool) error {
+// StartMachine puts a machine into service and starts its worker.
+func (h *Host) StartMachine(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool) error {
 	w := &worker{heartbeatRequested: make(chan struct{}, 1)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /do", func(rw http.ResponseWriter, r *http.Request) { h.serveCommands(w, rw, r) })
@@ -99,15 +99,15 @@
 	model := &fake.Worker{
 		ID: id, Info: info, Zone: zone, Spot: spot, LeaseS: h.cfg.LeaseTime.Seconds(), GangWait: h.cfg.GangWait, Results: h.cfg.Results,
 		CachesImages: h.cfg.CachedImages,
-		Jobs:         func(j protocol.JobID) (protocol.Job, bool) { job, ok := h.jobs[j]; return job, ok },
+		JobByID:      func(j protocol.JobID) (protocol.Job, bool) { job, ok := h.jobs[j]; return job, ok },
 		RunTime:      func(id protocol.TaskID) time.Duration { return h.cfg.RunTime(h.jobs[id.Job], id) },
-		Started: func(w *fake.Worker, task protocol.TaskID, attempt protocol.Attempt) {
+		OnStarted: func(w *fake.Worker, task protocol.TaskID, attempt protocol.Attempt) {
 			h.cfg.Observer.TaskStarted(w.ID, task, attempt, h.cfg.Clock())
 		},
-		Ordered: func(w *fake.Worker, task protocol.TaskID, attempt protocol.Attempt) {
+		OnStartAccepted: func(w *fake.Worker, task protocol.TaskID, attempt protocol.Attempt) {
 			h.cfg.Observer.TaskStartAccepted(w.ID, task, attempt, h.cfg.Clock())
 		},
-		Ended: h.ended,
+		OnEnded: h.ended,
 	}
 	if h.cfg.CachedImages {
 		model.FetchTime = func(j protocol.Job) time.Duration { return seconds(j.ImageGB / info.FetchGBPS) }
@@ -119,15 +119,15 @@
 // was killed because the lease expired has ended at the time of the expiry, even if the
 // host detects the expiry later.
 func (h *Host) ended(w *fake.Worker, task protocol.TaskID, cause protocol.EndCause) {
-	if !w.Holds(task) {
+	if !w.IsOccupiedBy(task) {
 		return
 	}
-	attempt, _, _ := w.Gang(task)
-	h.cfg.Observer.TaskEnded(w.ID, task, attempt, cause, min(h.cfg.Clock(), w.LeaseEnds()))
+	attempt, _, _ := w.TaskAttempt(task)
+	h.cfg.Observer.TaskEnded(w.ID, task, attempt, cause, min(h.cfg.Clock(), w.LeaseExpiresAt()))
 }
 
-// Kill stops machines and all tasks on them.
-func (h *Host) Kill(ids ...protocol.MachineID) {
+// StopMachines stops machines and all tasks on them.
+func (h *Host) StopMachines(ids ...protocol.MachineID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, id := range ids {
@@ -157,7 +157,7 @@
 	time.AfterFunc(downtime, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		w.Skip(h.cfg.Clock())
+		w.TickStalled(h.cfg.Clock())
 		w.restarting = false
 		w.requestHeartbeat()
 	})
@@ -165,14 +165,14 @@
 
 // Machine returns the list entry of a machine and reports whether the machine is in
 // service.
-func (h *Host) Machine(id protocol.MachineID) (Listed, bool) {
+func (h *Host) Machine(id protocol.MachineID) (MachineListing, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	w := h.workers[id]
 	if w == nil {
-		return Listed{}, false
+		return MachineListing{}, false
 	}
-	return Listed{Address: w.addr, Since: w.startedAt}, true
+	return MachineListing{Address: w.addr, Since: w.startedAt}, true
 }
 
 // OldestHeartbeat returns the earliest send time among the last answered heartbeats of all
@@ -200,8 +200,8 @@
 		h.mu.Lock()
 		for _, id := range slices.Sorted(maps.Keys(h.workers)) {
 			w := h.workers[id]
-			before := w.Changes()
-			if h.advance(w); w.Changes() != before {
+			before := w.StateChanges()
+			if h.advance(w); w.StateChanges() != before {
 				w.requestHeartbeat()
 			}
 		}
@@ -216,7 +216,7 @@
 		return
 	}
 	if now-w.LastTick() > stallThreshold {
-		w.Skip(now)
+		w.TickStalled(now)
 		return
 	}
 	w.Tick(now)
--- a/internal/fake/server/host_test.go
+++ b/internal/fake/server/host_test.go
@@ -109,7 +109,7 @@
 		Results: map[protocol.TaskID]bool{},
 	})
 	t.Cleanup(host.Close)
-	if err := host.Up(testMachine, protocol.TypeInfo{Name: "m", CPUs: 4}, "a", false); err != nil {
+	if err := host.StartMachine(testMachine, protocol.TypeInfo{Name: "m", CPUs: 4}, "a", false); err != nil {
 		t.Fatal(err)
 	}
 	recorded.expect(t, "machine up vm-1")
@@ -141,7 +141,7 @@
 	if flows := host.Traffic.Flows(); flows[trafficCommands].Messages != 2 || flows[trafficHeartbeats].Messages < 3 {
 		t.Errorf("traffic %+v, want 2 commands and at least 3 heartbeats", flows)
 	}
-	host.Kill(testMachine)
+	host.StopMachines(testMachine)
 	recorded.expect(t, "machine lost vm-1")
 	if _, up := host.Machine(testMachine); up {
 		t.Error("machine still in service after it was stopped")
--- a/internal/fake/server/hostgang.go
+++ b/internal/fake/server/hostgang.go
@@ -34,7 +34,7 @@
 	defer h.mu.Unlock()
 	for _, w := range h.workers {
 		for _, task := range w.Tasks() {
-			if a, _, _ := w.Gang(task); task.Job == job && a == attempt {
+			if a, _, _ := w.TaskAttempt(task); task.Job == job && a == attempt {
 				do(w.Worker, task)
 				w.requestHeartbeat()
 			}
--- a/internal/fake/server/hostheartbeat.go
+++ b/internal/fake/server/hostheartbeat.go
@@ -138,7 +138,7 @@
 	h.mu.Lock()
 	if !w.restarting {
 		h.advance(w)
-		w.TakeReply(epoch, sent, reply)
+		w.ProcessReply(epoch, sent, reply)
 		w.lastAnswered = max(w.lastAnswered, sent)
 	}
 	h.mu.Unlock()
--- a/internal/fake/server/platform.go
+++ b/internal/fake/server/platform.go
@@ -70,8 +70,8 @@
 	p.stateService.Close()
 }
 
-// Submitted registers the description of a submitted job, so that workers can read it.
-func (p *Platform) Submitted(j protocol.Job) {
+// RegisterJob registers the description of a submitted job, so that workers can read it.
+func (p *Platform) RegisterJob(j protocol.Job) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.jobs[j.ID] = j
@@ -90,9 +90,9 @@
 	return found, nil
 }
 
-// Started returns the time of the first start of each task of a job, in no particular
+// FirstStarts returns the time of the first start of each task of a job, in no particular
 // order.
-func (p *Platform) Started(id protocol.JobID) []time.Time {
+func (p *Platform) FirstStarts(id protocol.JobID) []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var times []time.Time
@@ -104,9 +104,9 @@
 	return times
 }
 
-// Starts returns the number of task starts of a job, including repeated starts of the
+// StartCount returns the number of task starts of a job, including repeated starts of the
 // same task.
-func (p *Platform) Starts(id protocol.JobID) int {
+func (p *Platform) StartCount(id protocol.JobID) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.startCounts[id]
@@ -122,11 +122,11 @@
 		if p.isTerminated(id) {
 			return
 		}
-		if err := p.host.Up(id, info, req.Zone, req.Spot); err != nil {
+		if err := p.host.StartMachine(id, info, req.Zone, req.Spot); err != nil {
 			return // this machine never finishes booting
 		}
 		if p.isTerminated(id) { // it was terminated while its worker started
-			p.host.Kill(id)
+			p.host.StopMachines(id)
 		}
 	})
 }
@@ -145,12 +145,12 @@
 		p.terminated[id] = true
 	}
 	p.mu.Unlock()
-	p.host.Kill(ids...)
+	p.host.StopMachines(ids...)
 	return nil
 }
 
 // Machine returns the list entry of a machine and reports whether it is in service.
-func (p *Platform) Machine(id protocol.MachineID) (Listed, bool) { return p.host.Machine(id) }
+func (p *Platform) Machine(id protocol.MachineID) (MachineListing, bool) { return p.host.Machine(id) }
 
 // MachineUp ignores the event.
 func (p *Platform) MachineUp(protocol.MachineID, protocol.TypeInfo, protocol.Zone, bool, time.Duration) {
--- a/internal/fake/server/stateservice.go
+++ b/internal/fake/server/stateservice.go
@@ -89,7 +89,7 @@
 		case <-ticker.C:
 			s.mu.Lock()
 			before := s.state.Changes()
-			if s.state.Expire(s.clock()); s.state.Changes() != before {
+			if s.state.ExpireLeases(s.clock()); s.state.Changes() != before {
 				s.notifyWatches()
 			}
 			s.mu.Unlock()
@@ -151,10 +151,10 @@
 
 // execute executes a transaction and returns the response. The lock is held.
 func (s *StateService) execute(t protocol.Transaction) (status int, body any) {
-	if s.state.LeaseMissing(t) {
+	if s.state.UsesMissingLease(t) {
 		return http.StatusBadRequest, protocol.ErrorBody{Error: "no such lease"}
 	}
-	if !s.state.Txn(t) {
+	if !s.state.Execute(t) {
 		return http.StatusConflict, protocol.TransactionReply{Failed: []string{}, Revision: s.state.Revision}
 	}
 	s.notifyWatches()
@@ -163,14 +163,14 @@
 
 // grantLease serves a request for a lease. The lock is held.
 func (s *StateService) grantLease(l protocol.LeaseRequest) (status int, body any) {
-	return http.StatusOK, protocol.LeaseReply{Lease: s.state.Lease(s.clock(), time.Duration(l.TTLMS)*time.Millisecond)}
+	return http.StatusOK, protocol.LeaseReply{Lease: s.state.GrantLease(s.clock(), time.Duration(l.TTLMS)*time.Millisecond)}
 }
 
 // extendLease serves a request to renew a lease.
 func (s *StateService) extendLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
-	known := s.state.Extend(s.clock(), protocol.LeaseID(id))
+	known := s.state.ExtendLease(s.clock(), protocol.LeaseID(id))
 	s.mu.Unlock()
 	if !known {
 		writeResponse(w, http.StatusNotFound, protocol.ErrorBody{Error: "no such lease"})
@@ -183,7 +183,7 @@
 func (s *StateService) releaseLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
-	s.state.Release(protocol.LeaseID(id))
+	s.state.ReleaseLease(protocol.LeaseID(id))
 	s.notifyWatches()
 	s.mu.Unlock()
 	writeResponse(w, http.StatusOK, protocol.LeaseReply{Lease: protocol.LeaseID(id)})
--- a/internal/fake/server/watch.go
+++ b/internal/fake/server/watch.go
@@ -23,8 +23,8 @@
 func (s *StateService) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
-	if count := s.state.Changes(); count-s.state.Before > 2*keptChanges {
-		s.state.Forget(count - keptChanges)
+	if count := s.state.Changes(); count-s.state.CompactedChanges > 2*keptChanges {
+		s.state.Compact(count - keptChanges)
 	}
 }
 
@@ -64,10 +64,10 @@
 	defer s.mu.Unlock()
 	events = protocol.Events{Revision: s.state.Revision, Events: []protocol.Event{}}
 	first := s.state.Changes()
-	for first > s.state.Before && uint64(s.state.Change(first-1).Version) > from {
+	for first > s.state.CompactedChanges && uint64(s.state.Change(first-1).Version) > from {
 		first--
 	}
-	if first == s.state.Before && first > 0 {
+	if first == s.state.CompactedChanges && first > 0 {
 		return events, nil, false
 	}
 	for i := first; i < s.state.Changes(); i++ {
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -20,25 +20,25 @@
 	GangWait time.Duration
 	Dead     bool
 	Faulty   bool // whether every task on the machine fails
-	// IsFaulty, if set, reports whether a job is faulty. The tasks of a faulty job fail on
+	// IsFaultyJob, if set, reports whether a job is faulty. The tasks of a faulty job fail on
 	// every machine, one second after their start.
-	IsFaulty func(protocol.JobID) bool
-	Notice   *float64
-	Epoch    protocol.AgentEpoch
-	Term     protocol.Term
-	Seq      protocol.Seq
-
-	Jobs func(protocol.JobID) (protocol.Job, bool)
-	// Ordered, if set, is called when the worker has accepted the start of a task, before
+	IsFaultyJob func(protocol.JobID) bool
+	Notice      *float64
+	Epoch       protocol.AgentEpoch
+	Term        protocol.Term
+	Seq         protocol.Seq
+
+	JobByID func(protocol.JobID) (protocol.Job, bool)
+	// OnStartAccepted, if set, is called when the worker has accepted the start of a task, before
 	// it fetches the image.
-	Ordered func(*Worker, protocol.TaskID, protocol.Attempt)
-	// Started is called when the image of a task is fetched and the task starts to occupy
+	OnStartAccepted func(*Worker, protocol.TaskID, protocol.Attempt)
+	// OnStarted is called when the image of a task is fetched and the task starts to occupy
 	// the machine.
-	Started func(*Worker, protocol.TaskID, protocol.Attempt)
-	// Ended is called just before a task ends, while it still has its last state. It is not
+	OnStarted func(*Worker, protocol.TaskID, protocol.Attempt)
+	// OnEnded is called just before a task ends, while it still has its last state. It is not
 	// called for a task that ends at once because its job is unknown or because the task
 	// does not fit on the machine.
-	Ended func(*Worker, protocol.TaskID, protocol.EndCause)
+	OnEnded func(*Worker, protocol.TaskID, protocol.EndCause)
 	// RunTime returns how long a task runs. It is called when the start of a task is
 	// accepted, and again when a waiting task of a gang starts to run.
 	RunTime func(protocol.TaskID) time.Duration
@@ -69,9 +69,9 @@
 	w.tasks, w.cachedImages = map[protocol.TaskID]*workerTask{}, map[string]bool{}
 }
 
-// Holds reports whether a task occupies the machine: it has started and has not ended. A
+// IsOccupiedBy reports whether a task occupies the machine: it has started and has not ended. A
 // task that is still fetching its image does not count.
-func (w *Worker) Holds(id protocol.TaskID) bool {
+func (w *Worker) IsOccupiedBy(id protocol.TaskID) bool {
 	t := w.tasks[id]
 	return !w.Dead && t != nil && t.state != protocol.TaskEnded && t.state != protocol.TaskFetching
 }
@@ -94,19 +94,19 @@
 // LastTick returns the time to which the worker was last advanced.
 func (w *Worker) LastTick() time.Duration { return w.lastTick }
 
-// LeaseEnds returns the time at which the lease expires if no later heartbeat is
+// LeaseExpiresAt returns the time at which the lease expires if no later heartbeat is
 // answered.
-func (w *Worker) LeaseEnds() time.Duration {
+func (w *Worker) LeaseExpiresAt() time.Duration {
 	return w.leaseRenewedAt + seconds(w.LeaseS)
 }
 
-// Changes returns the total number of task starts and ends on the machine.
-func (w *Worker) Changes() int { return w.stateChanges }
+// StateChanges returns the total number of task starts and ends on the machine.
+func (w *Worker) StateChanges() int { return w.stateChanges }
 
 // Tick advances the worker and its tasks to the time now.
 func (w *Worker) Tick(now time.Duration) {
 	elapsed := now - w.lastTick
-	if w.Skip(now); w.Dead {
+	if w.TickStalled(now); w.Dead {
 		return
 	}
 	for _, id := range w.sortedTaskIDs() {
@@ -114,10 +114,10 @@
 	}
 }
 
-// Skip advances the worker to the time now without running its tasks, as if the machine
+// TickStalled advances the worker to the time now without running its tasks, as if the machine
 // had stalled since the last tick. The lease may expire meanwhile; tasks do not outlive
 // it.
-func (w *Worker) Skip(now time.Duration) {
+func (w *Worker) TickStalled(now time.Duration) {
 	w.lastTick = now
 	if !w.Dead && (now-w.leaseRenewedAt).Seconds() > w.LeaseS {
 		w.Restart(now)
@@ -137,10 +137,10 @@
 	w.leaseRenewedAt = now
 }
 
-// NextChange returns the time of the next change of the worker's state if no command
+// NextChangeAt returns the time of the next change of the worker's state if no command
 // arrives before.
-func (w *Worker) NextChange() time.Duration {
-	next := w.LeaseEnds() + 1
+func (w *Worker) NextChangeAt() time.Duration {
+	next := w.LeaseExpiresAt() + 1
 	for _, t := range w.tasks {
 		if in, ok := t.nextChange(); ok {
 			next = min(next, w.lastTick+in)
@@ -176,10 +176,10 @@
 	return heartbeat
 }
 
-// TakeReply processes the reply to the heartbeat that was sent at the time sent in the
+// ProcessReply processes the reply to the heartbeat that was sent at the time sent in the
 // given agent epoch. It renews the lease and executes the orders. It ignores replies of an
 // earlier epoch or an earlier term.
-func (w *Worker) TakeReply(epoch protocol.AgentEpoch, sent time.Duration, reply protocol.HeartbeatReply) {
+func (w *Worker) ProcessReply(epoch protocol.AgentEpoch, sent time.Duration, reply protocol.HeartbeatReply) {
 	if w.Dead || epoch != w.Epoch || reply.Term < w.Term {
 		return
 	}
--- a/internal/fake/worker_test.go
+++ b/internal/fake/worker_test.go
@@ -27,11 +27,11 @@
 	}
 	w := &Worker{
 		ID: "vm-1", Info: protocol.TypeInfo{Name: "m", CPUs: 4}, LeaseS: 60, GangWait: 20 * time.Second,
-		Jobs:    func(id protocol.JobID) (protocol.Job, bool) { j, ok := jobs[id]; return j, ok },
-		Started: func(*Worker, protocol.TaskID, protocol.Attempt) {},
-		Ended:   func(*Worker, protocol.TaskID, protocol.EndCause) {},
-		RunTime: func(protocol.TaskID) time.Duration { return testRunTime },
-		Results: map[protocol.TaskID]bool{},
+		JobByID:   func(id protocol.JobID) (protocol.Job, bool) { j, ok := jobs[id]; return j, ok },
+		OnStarted: func(*Worker, protocol.TaskID, protocol.Attempt) {},
+		OnEnded:   func(*Worker, protocol.TaskID, protocol.EndCause) {},
+		RunTime:   func(protocol.TaskID) time.Duration { return testRunTime },
+		Results:   map[protocol.TaskID]bool{},
 	}
 	w.Start(0)
 	return w
@@ -106,9 +106,9 @@
 func TestLeaseExpiryLosesTasks(t *testing.T) {
 	w := newTestWorker()
 	executeOrder(t, w, protocol.OpStart, batchTask, 0)
-	w.TakeReply(1, 30*time.Second, protocol.HeartbeatReply{Term: 1})
-	if w.Tick(90 * time.Second); w.Epoch != 1 || w.LeaseEnds() != 90*time.Second {
-		t.Fatalf("epoch %d, lease until %v", w.Epoch, w.LeaseEnds())
+	w.ProcessReply(1, 30*time.Second, protocol.HeartbeatReply{Term: 1})
+	if w.Tick(90 * time.Second); w.Epoch != 1 || w.LeaseExpiresAt() != 90*time.Second {
+		t.Fatalf("epoch %d, lease until %v", w.Epoch, w.LeaseExpiresAt())
 	}
 	if w.Tick(91 * time.Second); w.Epoch != 2 || len(w.Tasks()) != 0 {
 		t.Errorf("epoch %d with %d tasks after the lease expired", w.Epoch, len(w.Tasks()))
--- a/internal/fake/workerorders.go
+++ b/internal/fake/workerorders.go
@@ -42,7 +42,7 @@
 	if previous != nil && (previous.attempt == o.Attempt || previous.state != protocol.TaskEnded) {
 		return
 	}
-	j, ok := w.Jobs(o.Task.Job)
+	j, ok := w.JobByID(o.Task.Job)
 	t := &workerTask{attempt: o.Attempt, state: protocol.TaskFetching, fetchTimeLeft: defaultFetchTime}
 	w.tasks[o.Task], w.sortedTasks = t, nil
 	switch {
@@ -58,8 +58,8 @@
 		if w.CachesImages && w.cachedImages[j.Image] {
 			t.fetchTimeLeft = 0
 		}
-		if w.Ordered != nil {
-			w.Ordered(w, o.Task, o.Attempt)
+		if w.OnStartAccepted != nil {
+			w.OnStartAccepted(w, o.Task, o.Attempt)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 func (w *Worker) freeCPUs(t *workerTask) float64 {
 	free := w.Info.CPUs
 	for id, other := range w.tasks {
-		if j, known := w.Jobs(id.Job); known && other != t && other.state != protocol.TaskEnded {
+		if j, known := w.JobByID(id.Job); known && other != t && other.state != protocol.TaskEnded {
 			free -= j.CPUs
 		}
 	}
@@ -79,7 +79,7 @@
 // stop stops a task. If the grace period is long enough to save a checkpoint, the task
 // saves one first.
 func (w *Worker) stop(o protocol.Order, t *workerTask) {
-	j, _ := w.Jobs(o.Task.Job)
+	j, _ := w.JobByID(o.Task.Job)
 	grace := 0.0
 	if o.GraceS != nil {
 		grace = *o.GraceS
--- a/internal/fake/workertask.go
+++ b/internal/fake/workertask.go
@@ -69,8 +69,8 @@
 func (w *Worker) startFetchedTask(id protocol.TaskID, t *workerTask) {
 	t.state = protocol.TaskRunning
 	w.stateChanges++
-	w.Started(w, id, t.attempt)
-	j, _ := w.Jobs(id.Job)
+	w.OnStarted(w, id, t.attempt)
+	j, _ := w.JobByID(id.Job)
 	w.cachedImages[j.Image] = true
 	switch {
 	case w.Results[id]:
@@ -83,8 +83,8 @@
 // endIfFailedOrDone ends a running task that fails or completes. The tasks of a gang complete
 // together. The tasks of a service never complete.
 func (w *Worker) endIfFailedOrDone(id protocol.TaskID, t *workerTask) {
-	j, _ := w.Jobs(id.Job)
-	jobFailureDue := w.IsFaulty != nil && w.IsFaulty(id.Job) && t.runTime >= faultyJobRunTime
+	j, _ := w.JobByID(id.Job)
+	jobFailureDue := w.IsFaultyJob != nil && w.IsFaultyJob(id.Job) && t.runTime >= faultyJobRunTime
 	switch {
 	case w.Faulty || jobFailureDue:
 		w.end(id, t, protocol.EndError)
@@ -102,16 +102,16 @@
 // end ends a task and notifies the observers.
 func (w *Worker) end(id protocol.TaskID, t *workerTask, cause protocol.EndCause) {
 	w.stateChanges++
-	w.Ended(w, id, cause)
+	w.OnEnded(w, id, cause)
 	if t.checkpointed && w.OnCheckpoint != nil {
 		w.OnCheckpoint(id, t.timeLeft)
 	}
 	t.state, t.cause = protocol.TaskEnded, cause
 }
 
-// Gang returns the attempt and the state of a task and reports whether the machine has
+// TaskAttempt returns the attempt and the state of a task and reports whether the machine has
 // the task.
-func (w *Worker) Gang(id protocol.TaskID) (protocol.Attempt, protocol.TaskState, bool) {
+func (w *Worker) TaskAttempt(id protocol.TaskID) (protocol.Attempt, protocol.TaskState, bool) {
 	t := w.tasks[id]
 	if w.Dead || t == nil {
 		return 0, "", false
--- a/internal/scale/monitor/machines.go
+++ b/internal/scale/monitor/machines.go
@@ -25,7 +25,7 @@
 // machine is a machine and the process that runs it.
 type machine struct {
 	process *workerProcess
-	listed  server.Listed
+	listed  server.MachineListing
 	up      bool
 	// termination is the number of the directive that terminates it; 0: there is none.
 	termination uint64
@@ -98,12 +98,12 @@
 }
 
 // Machine returns a machine that has come up.
-func (m *Monitor) Machine(id protocol.MachineID) (server.Listed, bool) {
+func (m *Monitor) Machine(id protocol.MachineID) (server.MachineListing, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	machine := m.machines[id]
 	if machine == nil || !machine.up {
-		return server.Listed{}, false
+		return server.MachineListing{}, false
 	}
 	return machine.listed, true
 }
--- a/internal/scale/monitor/messages.go
+++ b/internal/scale/monitor/messages.go
@@ -25,7 +25,7 @@
 	// Oldest is the time since which each worker here has had an answered heartbeat.
 	Oldest time.Duration
 	// Addresses are those of machines that have come up since the last exchange.
-	Addresses map[protocol.MachineID]server.Listed
+	Addresses map[protocol.MachineID]server.MachineListing
 }
 
 // Directives are what a process is to do, in order.
--- a/internal/scale/monitor/monitor_test.go
+++ b/internal/scale/monitor/monitor_test.go
@@ -24,7 +24,7 @@
 	name := process.SharedWorkers("r1z1")
 	exchange := func(number, executed uint64, events ...rules.MachineEvent) []Directive {
 		var out Directives
-		in := Exchange{Process: name, Number: number, Executed: executed, Machines: events, Addresses: map[protocol.MachineID]server.Listed{"vm-1": {Address: "x"}}}
+		in := Exchange{Process: name, Number: number, Executed: executed, Machines: events, Addresses: map[protocol.MachineID]server.MachineListing{"vm-1": {Address: "x"}}}
 		if err := m.Exchange(in, &out); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/workers/workers.go
+++ b/internal/scale/workers/workers.go
@@ -105,7 +105,7 @@
 func (w *Workers) collect() monitor.Exchange {
 	oldest := w.host.OldestHeartbeat()
 	w.mu.Lock()
-	exchange := monitor.Exchange{Executed: w.executed, Machines: w.events, Oldest: oldest, Addresses: map[protocol.MachineID]server.Listed{}}
+	exchange := monitor.Exchange{Executed: w.executed, Machines: w.events, Oldest: oldest, Addresses: map[protocol.MachineID]server.MachineListing{}}
 	started := w.started
 	w.events, w.started = nil, nil
 	w.mu.Unlock()
@@ -126,7 +126,7 @@
 		w.mu.Lock()
 		w.terminated[d.Machine] = true
 		w.mu.Unlock()
-		w.host.Kill(d.Machine)
+		w.host.StopMachines(d.Machine)
 	case monitor.DirectRestart:
 		w.host.Restart(d.Machine, d.After)
 	case monitor.DirectGangComplete:
@@ -143,12 +143,12 @@
 	if w.isTerminated(d.Machine) {
 		return
 	}
-	if err := w.host.Up(d.Machine, d.Type, d.Zone, d.Spot); err != nil {
+	if err := w.host.StartMachine(d.Machine, d.Type, d.Zone, d.Spot); err != nil {
 		w.log.Error("machine start failed", "machine", d.Machine, "err", err)
 		return
 	}
 	if w.isTerminated(d.Machine) {
-		w.host.Kill(d.Machine)
+		w.host.StopMachines(d.Machine)
 	}
 }
 
--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -238,7 +238,7 @@
 	first := operatorapi.Request{Op: operatorapi.OpConfigure, ID: "first", Config: &operatorapi.ConfigRequest{
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}}
-	if _, txn := w.nodes[0].core.Decide("ops", &first); txn == nil || !w.state.Txn(*txn) {
+	if _, txn := w.nodes[0].core.Decide("ops", &first); txn == nil || !w.state.Execute(*txn) {
 		t.Fatal("the first request was not written") // its reply is lost
 	}
 	w.run(w.now + time.Second)
--- a/internal/simulator/configuredworld_test.go
+++ b/internal/simulator/configuredworld_test.go
@@ -90,7 +90,7 @@
 	for ; w.scannedChanges < w.state.Changes(); w.scannedChanges++ {
 		e := w.state.Change(w.scannedChanges)
 		at := w.now
-		if i := w.scannedChanges - w.state.Before; i < len(w.changeTimes) {
+		if i := w.scannedChanges - w.state.CompactedChanges; i < len(w.changeTimes) {
 			at = w.changeTimes[i]
 		}
 		followed, _ := record.ParseFollowedKey(e.Put)
--- a/internal/simulator/driver.go
+++ b/internal/simulator/driver.go
@@ -279,9 +279,9 @@
 			seen = min(seen, n.watchedChanges)
 		}
 	}
-	if n := min(min(seen, d.checkedChanges)-d.state.Before, len(d.changeTimes)); n > minDiscardedChanges {
+	if n := min(min(seen, d.checkedChanges)-d.state.CompactedChanges, len(d.changeTimes)); n > minDiscardedChanges {
 		d.changeTimes = slices.Clone(d.changeTimes[n:])
-		d.state.Forget(d.state.Before + n)
+		d.state.Compact(d.state.CompactedChanges + n)
 	}
 }
 
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -47,7 +47,7 @@
 	for _, m := range w.machineOrder {
 		for i := range j.Tasks {
 			id := protocol.TaskID{Job: j.ID, Index: i}
-			if attempt, state, ok := w.workers[m].Gang(id); ok {
+			if attempt, state, ok := w.workers[m].TaskAttempt(id); ok {
 				do(gangTask{w.workers[m], id, attempt, state})
 			}
 		}
--- a/internal/simulator/heartbeat.go
+++ b/internal/simulator/heartbeat.go
@@ -111,7 +111,7 @@
 	case http.StatusOK:
 		term := m.Term
 		m.advanceBeforeMessage()
-		m.TakeReply(x.heartbeat.AgentEpoch, x.sent, reply.Reply)
+		m.ProcessReply(x.heartbeat.AgentEpoch, x.sent, reply.Reply)
 		m.nextEvent = w.now
 		x.finish(time.Duration(w.settings.Site.Workers.ReportS * float64(time.Second)))
 		if m.Term != term || len(reply.Reply.Orders) > 0 {
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -128,10 +128,10 @@
 		return
 	}
 	items, at := w.state.List(record.FollowedPrefix), w.state.Changes()
-	lease := w.state.Lease(w.now, nodeLeaseDuration)
+	lease := w.state.GrantLease(w.now, nodeLeaseDuration)
 	key := record.NodeKey(n.name)
 	it, _ := w.state.Get(key)
-	w.state.Txn(protocol.Transaction{
+	w.state.Execute(protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: key, Version: it.Version}},
 		Changes:    []protocol.Change{{Put: key, Value: record.Node{Session: lease, Layout: n.layout}, Lease: &lease}},
 	})
@@ -205,7 +205,7 @@
 func (n *node) renewSession() bool {
 	w := n.world
 	n.renewAt = w.now + renewInterval
-	if w.state.Extend(w.now, n.session) {
+	if w.state.ExtendLease(w.now, n.session) {
 		n.step(message.LeaseExtended{Until: controller.LeaseDeadline(w.nodeLease, n.clock(), n.clock()-controller.Time(w.stateLatency+w.watchLag))})
 		return true
 	}
--- a/internal/simulator/schedule.go
+++ b/internal/simulator/schedule.go
@@ -142,7 +142,7 @@
 	}
 	reply, txn := n.core.Decide(simulatorOperator, &r)
 	switch {
-	case reply.Code == operatorapi.RetryLater, txn != nil && !d.state.Txn(*txn):
+	case reply.Code == operatorapi.RetryLater, txn != nil && !d.state.Execute(*txn):
 		retry()
 	case reply.Code != operatorapi.Done:
 		name := r.Name
--- a/internal/simulator/shards.go
+++ b/internal/simulator/shards.go
@@ -95,7 +95,7 @@
 			return
 		}
 		if n.session != 0 && n.stateReachable() {
-			w.state.Release(n.session)
+			w.state.ReleaseLease(n.session)
 		}
 		n.crash()
 	}
--- a/internal/simulator/shards_test.go
+++ b/internal/simulator/shards_test.go
@@ -272,7 +272,7 @@
 			}
 		},
 		"the shard table is lost": func(w *world, _, _ *node) {
-			w.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Delete: record.ShardTableKey}}})
+			w.state.Execute(protocol.Transaction{Changes: []protocol.Change{{Delete: record.ShardTableKey}}})
 		},
 		"a third controller crashes": func(w *world, _, _ *node) { w.nodes[2].crash() },
 		"the move is reversed":       func(w *world, a, b *node) { w.moveShards(b.heldShards(), a) },
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -42,23 +42,23 @@
 func (s *stateService) advanceStateService() {
 	unavailable := s.isUnavailable()
 	if s.wasUnavailable && !unavailable {
-		s.state.Restore(s.now)
+		s.state.RenewAllLeases(s.now)
 	}
 	if s.wasUnavailable = unavailable; !unavailable {
-		s.state.Expire(s.now)
+		s.state.ExpireLeases(s.now)
 	}
 }
 
 // recordChangeTimes records the times of the changes that happened since the last step.
 func (s *stateService) recordChangeTimes() {
-	for s.state.Before+len(s.changeTimes) < s.state.Changes() {
+	for s.state.CompactedChanges+len(s.changeTimes) < s.state.Changes() {
 		s.changeTimes = append(s.changeTimes, s.now)
 	}
 }
 
 // changeAge returns how long ago the change with index i happened.
 func (s *stateService) changeAge(i int) time.Duration {
-	if i -= s.state.Before; i >= len(s.changeTimes) {
+	if i -= s.state.CompactedChanges; i >= len(s.changeTimes) {
 		return 0 // happened in this step
 	}
 	return s.now - s.changeTimes[i]
@@ -91,7 +91,7 @@
 	if !n.stateReachable() {
 		p := w.partitions[partitionKey(string(n.name), stateEndpoint)]
 		if p.delayed && !w.isUnavailable() {
-			w.after(p.until-w.now+w.delay(), func() { w.state.Txn(txn) })
+			w.after(p.until-w.now+w.delay(), func() { w.state.Execute(txn) })
 			n.loseAnswer(done)
 			return
 		}
@@ -99,7 +99,7 @@
 		return
 	}
 	if w.lateWriteFraction > 0 && w.rng.Float64() < w.lateWriteFraction {
-		w.after(2*time.Second+time.Duration(w.rng.IntN(10_000))*time.Millisecond, func() { w.state.Txn(txn) })
+		w.after(2*time.Second+time.Duration(w.rng.IntN(10_000))*time.Millisecond, func() { w.state.Execute(txn) })
 		n.loseAnswer(done)
 		return
 	}
@@ -119,7 +119,7 @@
 func (n *node) apply(txn protocol.Transaction, done transactionCallback) {
 	w := n.world
 	out := message.OutcomeFailed
-	if w.state.Txn(txn) {
+	if w.state.Execute(txn) {
 		out = message.OutcomeDone
 		w.scheduleWatch()
 	}
--- a/internal/simulator/usercheckfaults_test.go
+++ b/internal/simulator/usercheckfaults_test.go
@@ -66,7 +66,7 @@
 			u.after(10*second, func() {
 				for _, j := range u.jobs {
 					if j.rejectStatus != 0 {
-						u.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.JobKey(j.id), Value: record.JobRecord{State: record.RecordLive, Tasks: 1}}}})
+						u.state.Execute(protocol.Transaction{Changes: []protocol.Change{{Put: record.JobKey(j.id), Value: record.JobRecord{State: record.RecordLive, Tasks: 1}}}})
 						return
 					}
 				}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -35,12 +35,12 @@
 	added := &worker{world: w, targetNode: w.rng.IntN(w.settings.Site.Count), Worker: &fake.Worker{
 		ID: id, Info: info, Zone: r.Zone, Spot: r.Spot, LeaseS: w.settings.Site.Workers.LeaseS, Results: w.results,
 		GangWait:     time.Duration(w.settings.Site.Workers.GangWaitS) * time.Second,
-		Jobs:         func(j protocol.JobID) (protocol.Job, bool) { job, ok := w.jobs[j]; return job, ok },
+		JobByID:      func(j protocol.JobID) (protocol.Job, bool) { job, ok := w.jobs[j]; return job, ok },
 		RunTime:      func(t protocol.TaskID) time.Duration { return w.runTime(t) }, // the hook as set when the task starts
 		OnCheckpoint: w.onCheckpoint,
-		IsFaulty:     func(j protocol.JobID) bool { return w.faultyJobs[j] },
-		Started:      w.checkStart,
-		Ended: func(m *fake.Worker, id protocol.TaskID, cause protocol.EndCause) {
+		IsFaultyJob:  func(j protocol.JobID) bool { return w.faultyJobs[j] },
+		OnStarted:    w.checkStart,
+		OnEnded: func(m *fake.Worker, id protocol.TaskID, cause protocol.EndCause) {
 			w.onTaskEnded(m.ID, id, cause)
 			if w.onMachine[id] == m {
 				delete(w.onMachine, id)
@@ -75,7 +75,7 @@
 		m.advance()
 	case w.now >= m.nextEvent && !m.Dead:
 		m.advance()
-		if m.nextEvent = max(m.NextChange(), w.now+1); !m.awaitsReply {
+		if m.nextEvent = max(m.NextChangeAt(), w.now+1); !m.awaitsReply {
 			m.nextHeartbeat = min(m.nextHeartbeat, w.now+w.step) // report the change
 		}
 	}
@@ -88,7 +88,7 @@
 func (m *worker) advance() {
 	epoch := m.Epoch
 	if m.world.now < m.pausedUntil {
-		m.Skip(m.world.now)
+		m.TickStalled(m.world.now)
 	} else {
 		m.Tick(m.world.now)
 	}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -169,7 +169,7 @@
 	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", w.submissions))
 	j.SubmittedMS = w.wallMS()
 	j.Image, j.ImageGB, j.MemoryGB = "img", 1, 1
-	if w.isUnavailable() || !w.state.Txn(admission.AcceptTransaction(&j)) {
+	if w.isUnavailable() || !w.state.Execute(admission.AcceptTransaction(&j)) {
 		return
 	}
 	w.submissions++
@@ -184,7 +184,7 @@
 		return
 	}
 	it, _ := w.state.Get(record.JobKey(id))
-	if !w.isUnavailable() && w.state.Txn(admission.CancelTransaction(id, it.Version, record.JobRecord{Tasks: w.jobs[id].Tasks})) {
+	if !w.isUnavailable() && w.state.Execute(admission.CancelTransaction(id, it.Version, record.JobRecord{Tasks: w.jobs[id].Tasks})) {
 		w.cancelled[id] = w.now
 	}
 }
