--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -14,213 +14,216 @@
 	"damsonkeel/internal/record"
 )
 
-// recorder is a single core that records machines in blocks, with a key-value store whose
-// changes of machines' records it counts.
-type recorder struct {
-	*bench
-	state    *fake.KeyValueStore
-	followed int
-	changes  int
-	outcome  func(message.Commit) message.Outcome // of a transaction; nil: executed
-	late     []protocol.Transaction
+// blockHarness runs a single core that registers machines in block records, with a key-value
+// store. It counts the changes of machine registrations.
+type blockHarness struct {
+	*harness
+	store           *fake.KeyValueStore
+	deliveredEvents int
+	recordChanges   int
+	chooseOutcome   func(message.Commit) message.Outcome // chooses the outcome of a transaction; nil: all are executed
+	unanswered      []protocol.Transaction
 }
 
-// newRecorder makes a core that is a member and uses blocks.
-func newRecorder(tb testing.TB) *recorder {
-	r := &recorder{bench: newBench(tb), state: fake.NewKeyValueStore()}
-	r.c.reset()
-	lease := r.state.Lease(0, time.Hour)
-	r.step(message.Snapshot{Session: lease})
-	r.step(message.LeaseExtended{Until: Time(time.Hour)})
-	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.NodeKey("node-0"), Value: record.Node{Session: lease, Layout: record.LayoutBlocks}}}})
-	r.settle(5)
-	if !r.c.Member() || !r.c.UsesBlocks() {
-		tb.Fatalf("view %+v", r.c.View)
-	}
-	return r
+// newBlockHarness returns a harness whose core is a member and uses blocks.
+func newBlockHarness(tb testing.TB) *blockHarness {
+	h := &blockHarness{harness: newHarness(tb), store: fake.NewKeyValueStore()}
+	h.core.reset()
+	lease := h.store.Lease(0, time.Hour)
+	h.step(message.Snapshot{Session: lease})
+	h.step(message.LeaseExtended{Until: Time(time.Hour)})
+	h.store.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.NodeKey("node-0"), Value: record.Node{Session: lease, Layout: record.LayoutBlocks}}}})
+	h.runTicks(5)
+	if !h.core.Member() || !h.core.UsesBlocks() {
+		tb.Fatalf("view %+v", h.core.View)
+	}
+	return h
 }
 
-// settle runs so many ticks with the changes that follow from them.
-func (r *recorder) settle(ticks int) {
+// runTicks runs the given number of ticks, executes the resulting transactions and delivers
+// the changes of followed records.
+func (h *blockHarness) runTicks(ticks int) {
 	for range ticks {
-		r.carry(r.step(message.Tick{}))
-		for r.followed < len(r.state.Log) {
-			ev := r.state.Log[r.followed]
-			r.followed++
-			if strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix) {
-				r.carry(r.step(message.RecordChanged{Event: ev}))
+		h.executeCommits(h.step(message.Tick{}))
+		for h.deliveredEvents < len(h.store.Log) {
+			event := h.store.Log[h.deliveredEvents]
+			h.deliveredEvents++
+			if strings.HasPrefix(event.Put+event.Delete, record.FollowedPrefix) {
+				h.executeCommits(h.step(message.RecordChanged{Event: event}))
 			}
 		}
 	}
 }
 
-// carry executes the transactions among the actions, with the outcomes that the test sets.
-func (r *recorder) carry(actions []message.Action) {
+// executeCommits executes the transactions among the actions, with the outcomes that
+// chooseOutcome returns. It keeps those with an unknown outcome in unanswered.
+func (h *blockHarness) executeCommits(actions []message.Action) {
 	for _, a := range actions {
-		c, ok := a.(message.Commit)
+		commit, ok := a.(message.Commit)
 		if !ok {
 			continue
 		}
-		if _, registration := c.Tag.(workerregistry.Tag); registration {
-			r.changes += len(c.Transaction.Changes)
+		if _, registration := commit.Tag.(workerregistry.Tag); registration {
+			h.recordChanges += len(commit.Transaction.Changes)
 		}
-		out := message.OutcomeDone
-		if r.outcome != nil {
-			out = r.outcome(c)
+		outcome := message.OutcomeDone
+		if h.chooseOutcome != nil {
+			outcome = h.chooseOutcome(commit)
 		}
 		switch {
-		case out == message.OutcomeUnknown:
-			r.late = append(r.late, c.Transaction)
-		case out == message.OutcomeDone && !r.state.Txn(c.Transaction):
-			out = message.OutcomeFailed
+		case outcome == message.OutcomeUnknown:
+			h.unanswered = append(h.unanswered, commit.Transaction)
+		case outcome == message.OutcomeDone && !h.store.Txn(commit.Transaction):
+			outcome = message.OutcomeFailed
 		}
-		r.carry(r.step(message.CommitDone{Tag: c.Tag, Outcome: out}))
+		h.executeCommits(h.step(message.CommitDone{Tag: commit.Tag, Outcome: outcome}))
 	}
 }
 
-// wave has so many workers send their first heartbeat, or one with a later agent epoch, all
-// at once.
-func (r *recorder) wave(machines int, session protocol.AgentEpoch) {
+// sendWorkerHeartbeats has the given number of workers send the first heartbeat of an agent
+// epoch, all at once.
+func (h *blockHarness) sendWorkerHeartbeats(machines int, agentEpoch protocol.AgentEpoch) {
 	for i := range machines {
-		r.seq++
-		r.now++
-		r.carry(r.c.Step(r.now, message.HeartbeatReceived{Heartbeat: protocol.Heartbeat{
-			Machine: protocol.MachineID(fmt.Sprintf("vm-%06d", i)), Address: "10.1.0.1:9000", Type: "small", Zone: "a", AgentEpoch: session, Seq: r.seq,
+		h.seq++
+		h.now++
+		h.executeCommits(h.core.Step(h.now, message.HeartbeatReceived{Heartbeat: protocol.Heartbeat{
+			Machine: protocol.MachineID(fmt.Sprintf("vm-%06d", i)), Address: "10.1.0.1:9000", Type: "small", Zone: "a", AgentEpoch: agentEpoch, Seq: h.seq,
 		}}))
 	}
 }
 
-// registered counts the machines that are registered with an agent epoch.
-func (r *recorder) registered(session protocol.AgentEpoch) int {
+// countRegistered returns the number of machines that are registered with an agent epoch.
+func (h *blockHarness) countRegistered(agentEpoch protocol.AgentEpoch) int {
 	n := 0
-	for _, m := range r.c.waitTable.Machines {
-		if m.Record.Session == session {
+	for _, m := range h.core.waitTable.Machines {
+		if m.Record.Session == agentEpoch {
 			n++
 		}
 	}
 	return n
 }
 
-// TestWaveCostsFewChanges: 1,300 workers that register at once, and that come back with a
-// later agent epoch at once, cost a change of the key-value store for some 50 of them. One
-// record for each took 1,300.
-func TestWaveCostsFewChanges(t *testing.T) {
+// TestMassRegistrationNeedsFewChanges: if 1,300 workers register at once, or all of them
+// restart with a later agent epoch at once, the key-value store needs one change for about 50
+// of them. With a separate record for each machine it needed 1,300 changes.
+func TestMassRegistrationNeedsFewChanges(t *testing.T) {
 	const machines = 1300
-	r := newRecorder(t)
-	for session := protocol.AgentEpoch(1); session <= 2; session++ {
-		r.changes = 0
-		r.wave(machines, session)
-		r.settle(60)
-		if n := r.registered(session); n != machines {
-			t.Fatalf("session %d: %d of %d registered", session, n, machines)
+	h := newBlockHarness(t)
+	for agentEpoch := protocol.AgentEpoch(1); agentEpoch <= 2; agentEpoch++ {
+		h.recordChanges = 0
+		h.sendWorkerHeartbeats(machines, agentEpoch)
+		h.runTicks(60)
+		if n := h.countRegistered(agentEpoch); n != machines {
+			t.Fatalf("agent epoch %d: %d of %d registered", agentEpoch, n, machines)
 		}
-		if r.changes > 2*machines/64+10 {
-			t.Errorf("session %d: %d changes for %d machines", session, r.changes, machines)
+		if h.recordChanges > 2*machines/64+10 {
+			t.Errorf("agent epoch %d: %d changes for %d machines", agentEpoch, h.recordChanges, machines)
 		}
-		t.Logf("session %d: %d changes", session, r.changes)
+		t.Logf("agent epoch %d: %d changes", agentEpoch, h.recordChanges)
 	}
 }
 
-// TestLateWritePutsNoMachineIntoTwoBlocks: a write of blocks without an answer, executed
-// much later, puts no machine into two blocks and brings back no record.
+// TestLateWritePutsNoMachineIntoTwoBlocks: a write of blocks that is not answered and is
+// executed much later puts no machine into two blocks and restores no removed record.
 func TestLateWritePutsNoMachineIntoTwoBlocks(t *testing.T) {
-	r := newRecorder(t)
-	r.wave(40, 1)
-	r.settle(10)
-	lost := 2
-	r.outcome = func(c message.Commit) message.Outcome {
-		if _, registration := c.Tag.(workerregistry.Tag); registration && lost > 0 {
-			lost--
+	h := newBlockHarness(t)
+	h.sendWorkerHeartbeats(40, 1)
+	h.runTicks(10)
+	remaining := 2
+	h.chooseOutcome = func(c message.Commit) message.Outcome {
+		if _, registration := c.Tag.(workerregistry.Tag); registration && remaining > 0 {
+			remaining--
 			return message.OutcomeUnknown
 		}
 		return message.OutcomeDone
 	}
-	r.wave(100, 1) // 60 new ones
-	r.settle(3)
-	r.wave(20, 2)
-	r.settle(30)
-	if n := r.registered(1) + r.registered(2); n != 100 || r.registered(2) != 20 {
-		t.Fatalf("%d registered, %d with the later session", n, r.registered(2))
+	h.sendWorkerHeartbeats(100, 1) // 60 of them are new
+	h.runTicks(3)
+	h.sendWorkerHeartbeats(20, 2)
+	h.runTicks(30)
+	if n := h.countRegistered(1) + h.countRegistered(2); n != 100 || h.countRegistered(2) != 20 {
+		t.Fatalf("%d registered, %d with the later agent epoch", n, h.countRegistered(2))
 	}
-	if len(r.late) != 2 {
-		t.Fatalf("%d writes without an answer", len(r.late))
+	if len(h.unanswered) != 2 {
+		t.Fatalf("%d writes were not answered, want 2", len(h.unanswered))
 	}
-	for _, txn := range r.late {
-		r.state.Txn(txn)
+	for _, txn := range h.unanswered {
+		h.store.Txn(txn)
 	}
-	r.settle(5)
-	in := map[protocol.MachineID]string{}
-	for _, it := range r.state.List(record.BlockKey("")) {
-		var b record.Block
-		if err := protocol.Decode(it.Value, &b); err != nil {
+	h.runTicks(5)
+	blockOf := map[protocol.MachineID]string{}
+	for _, item := range h.store.List(record.BlockKey("")) {
+		var block record.Block
+		if err := protocol.Decode(item.Value, &block); err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range b.Machines {
-			if other, twice := in[e.ID]; twice {
-				t.Errorf("%s is in %s and in %s", e.ID, other, it.Key)
+		for _, entry := range block.Machines {
+			if other, found := blockOf[entry.ID]; found {
+				t.Errorf("%s is in %s and in %s", entry.ID, other, item.Key)
 			}
-			in[e.ID] = it.Key
+			blockOf[entry.ID] = item.Key
 		}
 	}
-	if len(in) != 100 || r.registered(2) != 20 {
-		t.Errorf("%d machines in blocks, %d with the later session", len(in), r.registered(2))
+	if len(blockOf) != 100 || h.countRegistered(2) != 20 {
+		t.Errorf("%d machines in blocks, %d with the later agent epoch", len(blockOf), h.countRegistered(2))
 	}
 }
 
-// TestSilentMachineLeavesItsBlock: a machine silent for longer than its lease
-// is removed from its block; the separate record of a machine that an earlier version
-// wrote is deleted.
-func TestSilentMachineLeavesItsBlock(t *testing.T) {
-	r := newRecorder(t)
-	rec := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
-	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: rec}}})
-	r.state.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: rec}}})
-	r.settle(2)
-	epoch := r.c.waitTable.Machines["vm-000000"].Epoch
-	r.wave(1, 2) // comes back with a later session: moves into a block
-	r.settle(5)
-	inBlock := r.c.registrar.InBlock("vm-000000")
-	if m := r.c.waitTable.Machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
+// TestSilentMachineIsRemovedFromItsBlock: a machine that sends no heartbeat for longer than
+// its lease is removed from its block. The separate record of a machine, which an earlier
+// version wrote, is deleted.
+func TestSilentMachineIsRemovedFromItsBlock(t *testing.T) {
+	h := newBlockHarness(t)
+	registration := record.Machine{Session: 1, Address: "x", Type: "small", Zone: "a"}
+	h.store.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-old"), Value: registration}}})
+	h.store.Txn(protocol.Transaction{Changes: []protocol.Change{{Put: record.MachineKey("vm-000000"), Value: registration}}})
+	h.runTicks(2)
+	epoch := h.core.waitTable.Machines["vm-000000"].Epoch
+	h.sendWorkerHeartbeats(1, 2) // restarts with a later agent epoch and moves into a block
+	h.runTicks(5)
+	inBlock := h.core.registrar.InBlock("vm-000000")
+	if m := h.core.waitTable.Machines["vm-000000"]; m == nil || !inBlock || m.Epoch <= epoch {
 		t.Fatalf("not moved into a block: %+v", m)
 	}
-	if _, there := r.state.Get(record.MachineKey("vm-000000")); there {
-		t.Error("its own record is still there")
+	if _, found := h.store.Get(record.MachineKey("vm-000000")); found {
+		t.Error("its separate record still exists")
 	}
-	r.now += Time(r.c.WorkerLeaseBound())
-	r.settle(60)
-	if len(r.c.waitTable.Machines) != 0 || r.c.registrar.BlockCount() != 0 || len(r.state.List(record.FollowedPrefix)) != 2 {
-		t.Errorf("%d machines, %d blocks, records %v", len(r.c.waitTable.Machines), r.c.registrar.BlockCount(), r.state.List(record.FollowedPrefix))
+	h.now += Time(h.core.WorkerLeaseBound())
+	h.runTicks(60)
+	if len(h.core.waitTable.Machines) != 0 || h.core.registrar.BlockCount() != 0 || len(h.store.List(record.FollowedPrefix)) != 2 {
+		t.Errorf("%d machines, %d blocks, records %v", len(h.core.waitTable.Machines), h.core.registrar.BlockCount(), h.store.List(record.FollowedPrefix))
 	}
 }
 
-// TestOlderVersionStaysOut: while one member does not know blocks, machines have
-// records of their own; once blocks are in use, a controller that does not know
-// them is not taken into the view, and could not read it.
-func TestOlderVersionStaysOut(t *testing.T) {
-	b := newBench(t)
-	// node records a controller, and returns the view that is written for it.
-	node := func(name protocol.NodeName, session protocol.LeaseID, l record.Layout) (v record.View) {
-		for _, a := range append(b.put(record.NodeKey(name), record.Node{Session: session, Layout: l}), b.step(message.Tick{})...) {
+// TestControllerWithoutBlocksIsExcludedFromView: while a member does not support blocks, each
+// machine has a record of its own. Once blocks are in use, a controller that does not support
+// them is not added to the view, and it could not decode the view.
+func TestControllerWithoutBlocksIsExcludedFromView(t *testing.T) {
+	h := newHarness(t)
+	// putNode has the core receive the record of a controller, and returns the view that the
+	// core writes because of it.
+	putNode := func(name protocol.NodeName, session protocol.LeaseID, layout record.Layout) (view record.View) {
+		for _, a := range append(h.putRecord(record.NodeKey(name), record.Node{Session: session, Layout: layout}), h.step(message.Tick{})...) {
 			if c, ok := a.(message.Commit); ok && c.Tag == (membership.ViewTag{}) {
-				v = c.Transaction.Changes[0].Value.(record.View)
+				view = c.Transaction.Changes[0].Value.(record.View)
 			}
 		}
-		b.step(message.CommitDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
-		return v
-	}
-	node("node-0", 100, record.LayoutBlocks)
-	b.view(2, "node-0")
-	v := node("node-1", 101, 0)
-	if len(v.Members) != 2 || v.Layout != record.LayoutSingle {
-		t.Fatalf("view %+v", v)
-	}
-	b.put(record.ViewKey, v)
-	node("node-0", 100, record.LayoutBlocks)
-	if v = node("node-1", 201, record.LayoutBlocks); v.Members["node-1"] != 201 || v.Layout != record.LayoutBlocks {
-		t.Fatalf("view %+v", v)
-	}
-	b.put(record.ViewKey, v)
-	raw, err := protocol.Encode(v)
+		h.step(message.CommitDone{Tag: membership.ViewTag{}, Outcome: message.OutcomeDone})
+		return view
+	}
+	putNode("node-0", 100, record.LayoutBlocks)
+	h.adoptView(2, "node-0")
+	view := putNode("node-1", 101, 0)
+	if len(view.Members) != 2 || view.Layout != record.LayoutSingle {
+		t.Fatalf("view %+v", view)
+	}
+	h.putRecord(record.ViewKey, view)
+	putNode("node-0", 100, record.LayoutBlocks)
+	if view = putNode("node-1", 201, record.LayoutBlocks); view.Members["node-1"] != 201 || view.Layout != record.LayoutBlocks {
+		t.Fatalf("view %+v", view)
+	}
+	h.putRecord(record.ViewKey, view)
+	raw, err := protocol.Encode(view)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,9 +232,9 @@
 		Members map[protocol.NodeName]protocol.LeaseID `cbor:"members"`
 	}
 	if err := protocol.Decode(raw, &older); err == nil {
-		t.Error("an older version can read a view of blocks")
+		t.Error("an older version can decode a view whose layout is blocks")
 	}
-	if v = node("node-1", 301, record.LayoutSingle); len(v.Members) != 1 || v.Layout != record.LayoutBlocks {
-		t.Errorf("view %+v", v)
+	if view = putNode("node-1", 301, record.LayoutSingle); len(view.Members) != 1 || view.Layout != record.LayoutBlocks {
+		t.Errorf("view %+v", view)
 	}
 }
--- a/internal/controller/busyfleet_test.go
+++ b/internal/controller/busyfleet_test.go
@@ -12,143 +12,145 @@
 	"damsonkeel/internal/record"
 )
 
-// fleetOf is a core that dispatches to so many machines, with so many tasks of ten jobs
-// placed.
-func fleetOf(tb testing.TB, machines, tasks int) *bench {
-	b := newBench(tb)
+// newFleet returns a harness whose core dispatches to the given number of machines, with the
+// given number of tasks of ten jobs placed on them.
+func newFleet(tb testing.TB, machines, tasks int) *harness {
+	h := newHarness(tb)
 	for i := range machines {
-		b.machine(protocol.MachineID(fmt.Sprintf("vm-%05d", i)), 1)
+		h.registerMachine(protocol.MachineID(fmt.Sprintf("vm-%05d", i)), 1)
 	}
 	for i := range 10 {
-		b.job(protocol.JobID(fmt.Sprint("job-", i)), "free", uint32(tasks/10))
+		h.acceptJob(protocol.JobID(fmt.Sprint("job-", i)), "free", uint32(tasks/10))
 	}
 	for range 1 + tasks/placement.MaxPerStep {
-		b.step(message.Tick{})
+		h.step(message.Tick{})
 	}
-	return b
+	return h
 }
 
-// sizes are fleets and backlogs from the smallest to twice the largest known.
-var sizes = []struct{ machines, tasks int }{{100, 300}, {300, 3000}, {900, 3000}, {900, 10000}, {10000, 100000}}
+// fleetSizes lists fleets and backlogs, from the smallest one to twice the largest known one.
+var fleetSizes = []struct{ machines, tasks int }{{100, 300}, {300, 3000}, {900, 3000}, {900, 10000}, {10000, 100000}}
 
-// busyFleet is a fleet that one core dispatches to, beside two controllers that are
-// unreachable for workers: all tasks are queued or run there, and the core owns its jobs.
+// busyFleet is a fleet to which a single core dispatches, because the other two controllers
+// are unreachable for workers. All tasks are queued or running on the fleet, and the core owns
+// their jobs.
 type busyFleet struct {
-	*bench
-	ids  []protocol.MachineID
-	runs map[protocol.MachineID][]protocol.TaskStatus
-	turn int
+	*harness
+	ids         []protocol.MachineID
+	running     map[protocol.MachineID][]protocol.TaskStatus
+	nextChanged int
 }
 
-// newBusyFleet makes such a fleet, with all tasks placed.
+// newBusyFleet returns a busy fleet with all tasks placed.
 func newBusyFleet(tb testing.TB, machines, tasks int) *busyFleet {
-	f := &busyFleet{bench: newBench(tb, "node-1", "node-2"), runs: map[protocol.MachineID][]protocol.TaskStatus{}}
-	v := f.c.View
-	f.put(record.ViewKey, record.View{Term: 2, Members: v.Members, Deaf: []protocol.NodeName{"node-1", "node-2"}})
+	fleet := &busyFleet{harness: newHarness(tb, "node-1", "node-2"), running: map[protocol.MachineID][]protocol.TaskStatus{}}
+	view := fleet.core.View
+	fleet.putRecord(record.ViewKey, record.View{Term: 2, Members: view.Members, Deaf: []protocol.NodeName{"node-1", "node-2"}})
 	for i := range machines {
 		id := protocol.MachineID(fmt.Sprintf("vm-%05d", i))
-		f.ids = append(f.ids, id)
-		f.machine(id, 1)
+		fleet.ids = append(fleet.ids, id)
+		fleet.registerMachine(id, 1)
 	}
-	f.hear(0)
-	for i := 0; len(f.c.jobs.ByID) < 10; i++ {
+	fleet.sendHeartbeats(0)
+	for i := 0; len(fleet.core.jobs.ByID) < 10; i++ {
 		id := protocol.JobID(fmt.Sprint("job-", i))
-		if clusterstate.Rendezvous(f.c.View, "job "+string(id)) == "node-0" {
-			f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
+		if clusterstate.Rendezvous(fleet.core.View, "job "+string(id)) == "node-0" {
+			fleet.executeOrders(nil, fleet.putRecord(record.LiveKey(id), protocol.Job{
 				ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(tasks / 10), CPUs: 1, MemoryGB: 1, EstimateS: 10, Image: "i",
 			}))
 		}
 	}
 	for range 10 + tasks/placement.MaxPerStep {
-		f.hear(0)
-		f.second()
+		fleet.sendHeartbeats(0)
+		fleet.advanceSecond()
 	}
 	placed := 0
-	for _, o := range f.c.jobs.ByID {
-		placed += len(o.Placed)
+	for _, job := range fleet.core.jobs.ByID {
+		placed += len(job.Placed)
 	}
 	if placed < tasks {
 		tb.Fatalf("%d of %d tasks placed", placed, tasks)
 	}
-	return f
+	return fleet
 }
 
-// play handles a message, and carries out what it asks workers to do.
-func (f *busyFleet) play(msg any) []message.Action {
-	actions := f.c.Step(f.now, msg)
-	f.obey(msg, actions)
+// stepAndExecute has the core handle a message, and the workers execute the resulting orders.
+func (fleet *busyFleet) stepAndExecute(msg any) []message.Action {
+	actions := fleet.core.Step(fleet.now, msg)
+	fleet.executeOrders(msg, actions)
 	return actions
 }
 
-// obey has workers carry out the orders that they get.
-func (f *busyFleet) obey(msg any, actions []message.Action) {
+// executeOrders has the workers execute the orders among the actions that result from a
+// message.
+func (fleet *busyFleet) executeOrders(msg any, actions []message.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case message.ReplyHeartbeat:
-			f.start(msg.(message.HeartbeatReceived).Heartbeat.Machine, a.Reply.Orders)
+			fleet.startTasks(msg.(message.HeartbeatReceived).Heartbeat.Machine, a.Reply.Orders)
 		case message.Command:
-			f.start(a.Machine, a.Commands.Orders)
-			f.play(message.CommandDone{
-				Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: 1, Orders: a.Commands.Orders, Answered: true, Executed: true, Heartbeat: f.says(a.Machine),
+			fleet.startTasks(a.Machine, a.Commands.Orders)
+			fleet.stepAndExecute(message.CommandDone{
+				Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: 1, Orders: a.Commands.Orders, Answered: true, Executed: true, Heartbeat: fleet.nextHeartbeat(a.Machine),
 			})
 		}
 	}
 }
 
-// start has a worker run the tasks that its orders start.
-func (f *busyFleet) start(id protocol.MachineID, orders []protocol.Order) {
-	for _, o := range orders {
-		if o.Op == protocol.OpStart {
-			f.runs[id] = append(f.runs[id], protocol.TaskStatus{Task: o.Task, Attempt: o.Attempt, State: protocol.TaskRunning})
+// startTasks has a worker start the tasks that its orders name.
+func (fleet *busyFleet) startTasks(id protocol.MachineID, orders []protocol.Order) {
+	for _, order := range orders {
+		if order.Op == protocol.OpStart {
+			fleet.running[id] = append(fleet.running[id], protocol.TaskStatus{Task: order.Task, Attempt: order.Attempt, State: protocol.TaskRunning})
 		}
 	}
 }
 
-// says is a worker's next heartbeat.
-func (f *busyFleet) says(id protocol.MachineID) protocol.Heartbeat {
-	f.seq++
-	return protocol.Heartbeat{Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: 1, Seq: f.seq, Term: f.c.View.Term, Tasks: f.runs[id]}
+// nextHeartbeat returns the next heartbeat of a worker.
+func (fleet *busyFleet) nextHeartbeat(id protocol.MachineID) protocol.Heartbeat {
+	fleet.seq++
+	return protocol.Heartbeat{Machine: id, Address: "x", Type: "small", Zone: "a", AgentEpoch: 1, Seq: fleet.seq, Term: fleet.core.View.Term, Tasks: fleet.running[id]}
 }
 
-// hear has every worker send a heartbeat. On so many machines, others each time, one task
-// has changed its state.
-func (f *busyFleet) hear(changed int) {
+// sendHeartbeats has every worker send a heartbeat. On the given number of machines, different
+// ones in each call, one task has changed its state since the previous heartbeat.
+func (fleet *busyFleet) sendHeartbeats(changed int) {
 	for range changed {
-		id := f.ids[f.turn%len(f.ids)]
-		f.turn++
-		if on := f.runs[id]; len(on) > 0 {
+		id := fleet.ids[fleet.nextChanged%len(fleet.ids)]
+		fleet.nextChanged++
+		if tasks := fleet.running[id]; len(tasks) > 0 {
 			state := protocol.TaskSaving
-			if on[0].State == state {
+			if tasks[0].State == state {
 				state = protocol.TaskRunning
 			}
-			f.runs[id] = append([]protocol.TaskStatus{{Task: on[0].Task, Attempt: on[0].Attempt, State: state}}, on[1:]...)
+			fleet.running[id] = append([]protocol.TaskStatus{{Task: tasks[0].Task, Attempt: tasks[0].Attempt, State: state}}, tasks[1:]...)
 		}
 	}
-	for _, id := range f.ids {
-		f.play(message.HeartbeatReceived{Heartbeat: f.says(id)})
+	for _, id := range fleet.ids {
+		fleet.stepAndExecute(message.HeartbeatReceived{Heartbeat: fleet.nextHeartbeat(id)})
 	}
 }
 
-// second lets a second pass.
-func (f *busyFleet) second() []message.Action {
-	f.now += Time(time.Second)
-	return f.play(message.Tick{})
+// advanceSecond advances the time by a second and runs a tick.
+func (fleet *busyFleet) advanceSecond() []message.Action {
+	fleet.now += Time(time.Second)
+	return fleet.stepAndExecute(message.Tick{})
 }
 
-// stuckFleet is a full fleet with gangs that fit nowhere.
-func stuckFleet(tb testing.TB, machines, tasks, gangs int) *busyFleet {
-	f := newBusyFleet(tb, machines, tasks)
+// newFleetWithUnplaceableGangs returns a full fleet with gangs that fit on no machines.
+func newFleetWithUnplaceableGangs(tb testing.TB, machines, tasks, gangs int) *busyFleet {
+	fleet := newBusyFleet(tb, machines, tasks)
 	for i, n := 0, 0; n < gangs; i++ {
 		id := protocol.JobID(fmt.Sprint("job-gang-", i))
-		if clusterstate.Rendezvous(f.c.View, "job "+string(id)) != "node-0" {
+		if clusterstate.Rendezvous(fleet.core.View, "job "+string(id)) != "node-0" {
 			continue
 		}
 		n++
-		f.obey(nil, f.put(record.LiveKey(id), protocol.Job{
+		fleet.executeOrders(nil, fleet.putRecord(record.LiveKey(id), protocol.Job{
 			ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "best_effort", Tasks: 4, CPUs: 4, MemoryGB: 1, EstimateS: 10, Image: "i",
 		}))
 	}
-	f.hear(0)
-	f.c.placer.ExaminedMachines = 0
-	return f
+	fleet.sendHeartbeats(0)
+	fleet.core.placer.ExaminedMachines = 0
+	return fleet
 }
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -10,51 +10,51 @@
 	"damsonkeel/internal/record"
 )
 
-// TestCheapMachinesFillFirst: of machines with free resources the cheap ones are filled
-// first, the fuller ones before the others, so that expensive ones become idle.
+// TestCheapMachinesFillFirst: tasks are placed on the cheapest machines with free resources,
+// and on the fullest among those, so that expensive machines become idle.
 func TestCheapMachinesFillFirst(t *testing.T) {
-	b := newBench(t)
-	b.step(message.CatalogueRead{Types: []protocol.TypeInfo{{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, Price: 0.6, SpotPrice: 0.2, AllowZones: []protocol.Zone{"a"}}}})
+	h := newHarness(t)
+	h.step(message.CatalogueRead{Types: []protocol.TypeInfo{{Name: "small", CPUs: 4, MemoryGB: 16, BootS: 8, Price: 0.6, SpotPrice: 0.2, AllowZones: []protocol.Zone{"a"}}}})
 	for i, spot := range []bool{false, true, false, true} {
 		id := protocol.MachineID(fmt.Sprint("vm-", i))
-		b.ready(id)
-		m := b.c.waitTable.Machines[id]
-		m.Record.Spot, m.State.Queued = spot, 0
+		h.bringIntoService(id)
+		machine := h.core.waitTable.Machines[id]
+		machine.Record.Spot, machine.State.Queued = spot, 0
 	}
-	j := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
-	b.put(record.LiveKey(j.ID), j)
-	b.step(message.Tick{})
-	on := map[bool]int{}
-	for _, p := range b.c.jobs.ByID["job-1"].Placed {
-		on[b.c.waitTable.Machines[p.Machine].Record.Spot]++
+	job := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
+	h.putRecord(record.LiveKey(job.ID), job)
+	h.step(message.Tick{})
+	placedOnSpot := map[bool]int{}
+	for _, attempt := range h.core.jobs.ByID["job-1"].Placed {
+		placedOnSpot[h.core.waitTable.Machines[attempt.Machine].Record.Spot]++
 	}
-	if on[true] != 6 {
-		t.Errorf("%d of 6 tasks on the cheap machines", on[true])
+	if placedOnSpot[true] != 6 {
+		t.Errorf("%d of 6 tasks placed on the cheap machines", placedOnSpot[true])
 	}
 }
 
-// TestTaskQueuedWhereLeastWorkGoesBeforeIt: a task is queued where the least work of its
-// own and higher levels goes before it, however much of lower levels is queued there.
+// TestTaskQueuedWhereLeastWorkGoesBeforeIt: a task is queued on the machine with the least
+// queued work of the same and higher levels, regardless of the work of lower levels there.
 func TestTaskQueuedWhereLeastWorkGoesBeforeIt(t *testing.T) {
-	b := newBench(t)
-	b.ready("vm-1")
-	b.ready("vm-2")
-	queued := func(id protocol.MachineID, l resource.Level, work float64) {
-		m := b.c.waitTable.Machines[id]
-		m.State.Queued, m.State.Wait, m.State.Queue = 1, 100+work, make([]float64, l+1)
-		m.State.Queue[l] = work
+	h := newHarness(t)
+	h.bringIntoService("vm-1")
+	h.bringIntoService("vm-2")
+	setQueuedWork := func(id protocol.MachineID, level resource.Level, work float64) {
+		machine := h.core.waitTable.Machines[id]
+		machine.State.Queued, machine.State.Wait, machine.State.Queue = 1, 100+work, make([]float64, level+1)
+		machine.State.Queue[level] = work
 	}
-	queued("vm-1", resource.LevelOf("standard", false), 900)
-	queued("vm-2", resource.LevelOf("high", false), 400)
+	setQueuedWork("vm-1", resource.LevelOf("standard", false), 900)
+	setQueuedWork("vm-2", resource.LevelOf("high", false), 400)
 	for _, tc := range []struct {
 		priority protocol.Priority
 		want     protocol.MachineID
 	}{{"high", "vm-1"}, {"standard", "vm-2"}} {
 		id := protocol.JobID("job-" + tc.priority)
-		b.put(record.LiveKey(id), protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: tc.priority, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10})
-		for _, p := range b.c.jobs.ByID[id].Placed {
-			if p.Machine != tc.want {
-				t.Errorf("a task of priority %s is queued on %s, want %s", tc.priority, p.Machine, tc.want)
+		h.putRecord(record.LiveKey(id), protocol.Job{ID: id, Team: "free", Kind: protocol.KindJobArray, Priority: tc.priority, Tasks: 1, CPUs: 1, MemoryGB: 1, EstimateS: 10})
+		for _, attempt := range h.core.jobs.ByID[id].Placed {
+			if attempt.Machine != tc.want {
+				t.Errorf("a task of priority %s is queued on %s, want %s", tc.priority, attempt.Machine, tc.want)
 			}
 		}
 	}
--- a/internal/controller/classes_test.go
+++ b/internal/controller/classes_test.go
@@ -10,42 +10,42 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestResourcesAreReservedWhileClassArrives: resources are reserved for a class with a
-// start objective as long as its jobs arrive; a burst counts once, other tasks may not use
-// the reserved resources, and those of the class may.
+// TestResourcesAreReservedWhileClassArrives: resources are reserved for a class with a start
+// objective as long as jobs of the class arrive. A burst counts as a single arrival. Tasks of
+// other classes may not use the reserved resources, tasks of the class may.
 func TestResourcesAreReservedWhileClassArrives(t *testing.T) {
-	b := newBench(t)
-	gang := func(id protocol.JobID) {
-		j := &protocol.Job{ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 1, CPUs: 4, MemoryGB: 1}
-		b.c.Now = b.now
-		b.c.workload.RecordArrival(j)
+	h := newHarness(t)
+	submitGang := func(id protocol.JobID) {
+		job := &protocol.Job{ID: id, Class: "gang", Team: "free", Kind: protocol.KindGang, Priority: "high", Tasks: 1, CPUs: 4, MemoryGB: 1}
+		h.core.Now = h.now
+		h.core.workload.RecordArrival(job)
 	}
 	for range 9 {
-		gang("job-1")
+		submitGang("job-1")
 	}
-	if n := len(b.c.workload.Classes["gang"].Arrivals); n != 1 {
+	if n := len(h.core.workload.Classes["gang"].Arrivals); n != 1 {
 		t.Errorf("a burst counts as %d arrivals", n)
 	}
 	for range 3 {
-		b.now += Time(8 * time.Second)
-		gang("job-1")
+		h.now += Time(8 * time.Second)
+		submitGang("job-1")
 	}
-	if b.c.workload.TasksToReserve(b.c.workload.Classes["gang"]) == 0 {
-		t.Fatal("nothing is reserved")
+	if h.core.workload.TasksToReserve(h.core.workload.Classes["gang"]) == 0 {
+		t.Fatal("no resources are reserved for the class")
 	}
-	b.ready("vm-1")
-	m := b.c.waitTable.Machines["vm-1"]
-	cl := b.c.placer.NewClaims()
-	small := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
-	if ok := cl.LeavesClassReserves(small, m, resource.Need(&small.Job)); ok {
-		t.Error("another task may use the last reserved resources")
+	h.bringIntoService("vm-1")
+	machine := h.core.waitTable.Machines["vm-1"]
+	claims := h.core.placer.NewClaims()
+	otherClass := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "array", Priority: "standard", CPUs: 1, MemoryGB: 1}}}
+	if ok := claims.LeavesClassReserves(otherClass, machine, resource.Need(&otherClass.Job)); ok {
+		t.Error("a task of another class may use the last reserved resources")
 	}
-	big := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 1}}}
-	if ok := cl.LeavesClassReserves(big, m, resource.Need(&big.Job)); !ok {
-		t.Error("the class itself may not use them")
+	sameClass := &jobs.Job{LiveJob: &clusterstate.LiveJob{Job: protocol.Job{Class: "gang", Priority: "high", CPUs: 4, MemoryGB: 1}}}
+	if ok := claims.LeavesClassReserves(sameClass, machine, resource.Need(&sameClass.Job)); !ok {
+		t.Error("a task of the class may not use the reserved resources")
 	}
-	b.c.Now += Time(10 * time.Minute)
-	if n := b.c.workload.TasksToReserve(b.c.workload.Classes["gang"]); n != 0 {
+	h.core.Now += Time(10 * time.Minute)
+	if n := h.core.workload.TasksToReserve(h.core.workload.Classes["gang"]); n != 0 {
 		t.Errorf("resources for %d tasks are reserved long after the last arrival", n)
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -23,8 +23,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Core is the complete state of one controller: its modules, and the connections between
-// them. It is not safe for concurrent use: one actor owns it.
+// Core is the complete state of one controller between two messages: its modules, and the
+// connections between them. It is not safe for concurrent use: one actor owns it.
 type Core struct {
 	clusterstate.Module
 	members      *membership.Members
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -11,43 +11,43 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestFailedSearchesBoundExaminedMachines: hundreds of small jobs for which a full fleet has
-// no place cause no more machines to be examined than a few do, and the first in order gets
-// a place as soon as there is one.
+// TestFailedSearchesBoundExaminedMachines: the placement of hundreds of small jobs on a full
+// fleet examines no more machines than that of a few such jobs, and the first job in order is
+// placed as soon as a machine has free resources.
 func TestFailedSearchesBoundExaminedMachines(t *testing.T) {
-	b := newBench(t, "node-1")
+	h := newHarness(t, "node-1")
 	const machines, jobs, ticks = 600, 300, 20
-	b.zoned("a", machines, false, fullyUsedAt(2))
-	for _, m := range b.c.waitTable.InOrder() {
-		m.State.Wait = 10_000
+	h.addMachinesInZone("a", machines, false, fullyUsedAt(2))
+	for _, machine := range h.core.waitTable.InOrder() {
+		machine.State.Wait = 10_000
 	}
 	var first protocol.JobID
 	for i := range 2 * jobs {
 		id := protocol.JobID(fmt.Sprintf("job-%06d", i))
-		b.job(id, "free", 1)
-		if first == "" && b.c.jobs.ByID[id] != nil {
+		h.acceptJob(id, "free", 1)
+		if first == "" && h.core.jobs.ByID[id] != nil {
 			first = id
 		}
 	}
-	if n := len(b.c.jobs.ByID); n < jobs*3/4 {
+	if n := len(h.core.jobs.ByID); n < jobs*3/4 {
 		t.Fatalf("%d jobs owned", n)
 	}
-	before := b.c.placer.ExaminedMachines
+	before := h.core.placer.ExaminedMachines
 	for range ticks {
-		b.c.waitTable.PlacementDue = true
-		b.step(message.Tick{})
+		h.core.waitTable.PlacementDue = true
+		h.step(message.Tick{})
 	}
-	if n := b.c.placer.ExaminedMachines - before; n < machines || n > 2*ticks*placement.MaxExaminedForArrays {
+	if n := h.core.placer.ExaminedMachines - before; n < machines || n > 2*ticks*placement.MaxExaminedForArrays {
 		t.Errorf("%d machines examined in %d steps", n, ticks)
 	}
-	all := b.c.waitTable.InOrder()
-	m := all[slices.IndexFunc(all, func(m *waittable.Machine) bool { return b.c.DispatcherOf(m.ID) == "node-1" })] // the others have dispatchers that do not run here
-	m.State.FreeCPUs, m.State.FreeGB, m.State.Wait = 1, 4, 0
+	machinesInOrder := h.core.waitTable.InOrder()
+	machine := machinesInOrder[slices.IndexFunc(machinesInOrder, func(machine *waittable.Machine) bool { return h.core.DispatcherOf(machine.ID) == "node-1" })] // the dispatchers of the other machines do not run in this test
+	machine.State.FreeCPUs, machine.State.FreeGB, machine.State.Wait = 1, 4, 0
 	for range ticks {
-		b.c.waitTable.PlacementDue = true
-		b.step(message.Tick{})
+		h.core.waitTable.PlacementDue = true
+		h.step(message.Tick{})
 	}
-	if len(b.c.jobs.AttemptsByMachine[m.ID]) == 0 || b.c.jobs.ByID[first].Placed[protocol.TaskID{Job: first}] == nil {
-		t.Errorf("%s is not placed on the machine with free resources: %v", first, b.c.jobs.AttemptsByMachine[m.ID])
+	if len(h.core.jobs.AttemptsByMachine[machine.ID]) == 0 || h.core.jobs.ByID[first].Placed[protocol.TaskID{Job: first}] == nil {
+		t.Errorf("%s is not placed on the machine with free resources: %v", first, h.core.jobs.AttemptsByMachine[machine.ID])
 	}
 }
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -49,10 +49,10 @@
 	commandSlots chan struct{} // holds an element for each direct command in progress
 	frontend     *frontend.Frontend
 
-	leaseDeadline      atomic.Int64
-	shouldWaitForLease atomic.Bool // a member that should keep its users until it holds its lease again: see Members.ShouldWaitForLease
-	leaving            atomic.Bool // set when the shutdown begins
-	leaveDone          chan struct{}
+	leaseDeadline      atomic.Int64  // a Time; 0 if this controller is not a member
+	shouldWaitForLease atomic.Bool   // a member that should keep its users until it holds its lease again: see Members.ShouldWaitForLease
+	leaving            atomic.Bool   // set when the shutdown begins
+	leaveDone          chan struct{} // closed when Leave has completed
 	catalogueReceived  atomic.Bool
 }
 
--- a/internal/controller/outbox_test.go
+++ b/internal/controller/outbox_test.go
@@ -8,25 +8,25 @@
 	"pgregory.net/rapid"
 )
 
-// TestOutboxDeliversOnceAndInOrder: whatever is lost, repeated or answered late, the peer
-// gets every message but state updates once and in order.
+// TestOutboxDeliversOnceAndInOrder: the peer receives every message except state updates exactly
+// once and in order, regardless of lost, repeated and late batches and replies.
 func TestOutboxDeliversOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := NewOutbox("node-0", nil, nil)
-		var got, next uint64
+		outbox := NewOutbox("node-0", nil, nil)
+		var received, nextNumber uint64
 		sent := uint64(0)
-		var late []message.Batch
-		receive := func(b message.Batch) {
-			for i, m := range b.Messages {
-				if b.First+uint64(i) != next {
+		var unanswered []message.Batch
+		receive := func(batch message.Batch) {
+			for i, msg := range batch.Messages {
+				if batch.First+uint64(i) != nextNumber {
 					continue
 				}
-				next++
-				if m.Place != nil {
-					if m.Place.Number != got+1 {
-						t.Fatalf("message %d after %d", m.Place.Number, got)
+				nextNumber++
+				if msg.Place != nil {
+					if msg.Place.Number != received+1 {
+						t.Fatalf("message %d received after %d", msg.Place.Number, received)
 					}
-					got++
+					received++
 				}
 			}
 		}
@@ -34,60 +34,60 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				sent++
-				o.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Place: &message.Place{Number: sent}}})
+				outbox.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Place: &message.Place{Number: sent}}})
 			case 2:
-				o.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Relay: &message.StateUpdate{}}})
-			case 3: // delivered, the reply lost or late
-				if b, ok := o.Batch(); ok {
-					receive(b)
-					late = append(late, b)
+				outbox.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Relay: &message.StateUpdate{}}})
+			case 3: // the batch is delivered, its reply is lost or late
+				if batch, ok := outbox.Batch(); ok {
+					receive(batch)
+					unanswered = append(unanswered, batch)
 				}
-			case 4: // lost, or delivered and answered
-				if b, ok := o.Batch(); ok && rapid.Bool().Draw(t, "delivered") {
-					receive(b)
-					o.HandleReply(b, message.BatchAccepted)
+			case 4: // the batch is lost, or delivered and answered
+				if batch, ok := outbox.Batch(); ok && rapid.Bool().Draw(t, "delivered") {
+					receive(batch)
+					outbox.HandleReply(batch, message.BatchAccepted)
 				}
 			case 5:
-				if len(late) > 0 {
-					o.HandleReply(late[0], message.BatchAccepted)
-					late = late[1:]
+				if len(unanswered) > 0 {
+					outbox.HandleReply(unanswered[0], message.BatchAccepted)
+					unanswered = unanswered[1:]
 				}
 			}
 		}
-		for b, ok := o.Batch(); ok; b, ok = o.Batch() {
-			receive(b)
-			o.HandleReply(b, message.BatchAccepted)
+		for batch, ok := outbox.Batch(); ok; batch, ok = outbox.Batch() {
+			receive(batch)
+			outbox.HandleReply(batch, message.BatchAccepted)
 		}
-		if got != sent {
-			t.Fatalf("%d of %d arrived", got, sent)
+		if received != sent {
+			t.Fatalf("%d of %d messages received", received, sent)
 		}
 	})
 }
 
-// TestLateReplyFreesNoNumbers: a reply to a batch sent earlier must not free the numbers of
-// what has been sent since.
-func TestLateReplyFreesNoNumbers(t *testing.T) {
-	o := NewOutbox("node-0", nil, nil)
-	place := func(n uint64) {
-		o.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Place: &message.Place{Number: n}}})
+// TestLateReplyDoesNotFreeMessageNumbers: a reply to an earlier batch must not free the numbers
+// of messages that were sent later.
+func TestLateReplyDoesNotFreeMessageNumbers(t *testing.T) {
+	outbox := NewOutbox("node-0", nil, nil)
+	addPlacement := func(number uint64) {
+		outbox.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Place: &message.Place{Number: number}}})
 	}
-	stateUpdate := func() {
-		o.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Relay: &message.StateUpdate{}}})
+	addStateUpdate := func() {
+		outbox.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Relay: &message.StateUpdate{}}})
 	}
-	place(1)
-	first, _ := o.Batch()
-	stateUpdate()
-	second, _ := o.Batch() // delivered: the peer has numbers 0 and 1
-	place(2)
-	o.HandleReply(first, message.BatchAccepted)
-	stateUpdate()
-	for b, ok := o.Batch(); ok; b, ok = o.Batch() {
-		for i, m := range b.Messages {
-			if m.Place != nil && m.Place.Number == 2 && b.First+uint64(i) >= second.First+uint64(len(second.Messages)) {
+	addPlacement(1)
+	first, _ := outbox.Batch()
+	addStateUpdate()
+	second, _ := outbox.Batch() // delivered: the peer has numbers 0 and 1
+	addPlacement(2)
+	outbox.HandleReply(first, message.BatchAccepted)
+	addStateUpdate()
+	for batch, ok := outbox.Batch(); ok; batch, ok = outbox.Batch() {
+		for i, msg := range batch.Messages {
+			if msg.Place != nil && msg.Place.Number == 2 && batch.First+uint64(i) >= second.First+uint64(len(second.Messages)) {
 				return
 			}
 		}
-		o.HandleReply(b, message.BatchAccepted)
+		outbox.HandleReply(batch, message.BatchAccepted)
 	}
 	t.Fatal("the second placement has a number that the peer has already accepted")
 }
--- a/internal/controller/sessions_test.go
+++ b/internal/controller/sessions_test.go
@@ -14,12 +14,13 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestWatchCountsFromWhenOpened: a watch's answer that the network delays proves what had
-// changed when the watch was opened, not when it arrives: counted from then, a controller
-// answered workers for longer than the bound on cancellations allows.
-func TestWatchCountsFromWhenOpened(t *testing.T) {
+// TestLeaseDeadlineCountsFromWatchOpening: the answer of a watch that the network delays
+// contains the changes up to the opening of the watch, not up to its arrival. When the deadline
+// was counted from the arrival, a controller answered workers for longer than the bound on
+// cancellations allows.
+func TestLeaseDeadlineCountsFromWatchOpening(t *testing.T) {
 	const delay = 700 * time.Millisecond
-	answers, err := protocol.Encode(protocol.Events{Revision: 5})
+	answer, err := protocol.Encode(protocol.Events{Revision: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,31 +28,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var asked atomic.Int32
+	var requests atomic.Int32
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if asked.Add(1) > 1 {
-			<-r.Context().Done() // the second never answers
+		if requests.Add(1) > 1 {
+			<-r.Context().Done() // the second watch is never answered
 			return
 		}
 		time.Sleep(delay)
-		_, _ = w.Write(answers)
+		_, _ = w.Write(answer)
 	})}
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 
-	n := &Node{log: slog.New(slog.DiscardHandler), start: time.Now(), store: kvstore.NewClient(listener.Addr().String(), 1000, 1000, 1)}
+	node := &Node{log: slog.New(slog.DiscardHandler), start: time.Now(), store: kvstore.NewClient(listener.Addr().String(), 1000, 1000, 1)}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*delay)
 	defer cancel()
 	leaseTimes := &leaseClock{ttl: 8 * time.Second}
 	leaseTimes.extensionSentAt.Store(int64(time.Hour))
-	opened := n.now()
-	if err := n.watchRecords(ctx, 4, leaseTimes); err == nil || !strings.Contains(err.Error(), "deadline") {
+	openedAt := node.now()
+	if err := node.watchRecords(ctx, 4, leaseTimes); err == nil || !strings.Contains(err.Error(), "deadline") {
 		t.Fatalf("the watch ended with %v", err)
 	}
-	if asked.Load() < 2 {
-		t.Fatal("no watch was answered: nothing is shown")
+	if requests.Load() < 2 {
+		t.Fatal("no watch was answered, so the test proves nothing")
 	}
-	if late := time.Duration(leaseTimes.deadline()) - time.Duration(LeaseDeadline(leaseTimes.ttl, Time(time.Hour), opened)); late < 0 || late > delay/2 {
-		t.Errorf("the lease lasts %v longer than from when the watch was opened", late)
+	if excess := time.Duration(leaseTimes.deadline()) - time.Duration(LeaseDeadline(leaseTimes.ttl, Time(time.Hour), openedAt)); excess < 0 || excess > delay/2 {
+		t.Errorf("the deadline is %v later than one that is counted from the opening of the watch", excess)
 	}
 }
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// handoverTimeout bounds the time for which a controller that is shutting down hands
-	// over its shards and jobs.
+	// handoverTimeout bounds the time that a controller that is shutting down spends on
+	// the handover of its shards and jobs.
 	handoverTimeout = 10 * time.Second
 	// handoverPollInterval is the time between two checks whether the handover is complete.
 	handoverPollInterval = 50 * time.Millisecond
--- a/internal/controller/tablecopy_test.go
+++ b/internal/controller/tablecopy_test.go
@@ -7,8 +7,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// askedForTable returns the peers that are asked for their table.
-func askedForTable(actions []message.Action) (names []protocol.NodeName) {
+// tableRequestReceivers returns the peers to which the actions send a request for their wait
+// table.
+func tableRequestReceivers(actions []message.Action) (names []protocol.NodeName) {
 	for _, a := range actions {
 		if s, ok := a.(message.Send); ok && s.Message.AskTable {
 			names = append(names, s.To)
@@ -17,30 +18,31 @@
 	return names
 }
 
-// TestRestartedControllerAsksTwoPeersAtATime: a controller that starts asks two of its
-// four peers for a table, which leaves two to ask when no answer arrives in time.
-func TestRestartedControllerAsksTwoPeersAtATime(t *testing.T) {
-	b := newBench(t, "node-1", "node-2", "node-3", "node-4") // its first view has it ask
-	if got := askedForTable(b.step(message.Tick{})); len(got) != 0 {
-		t.Fatalf("asked %v before the wait was over", got)
+// TestRestartedControllerRequestsTableFromTwoPeersAtATime: a controller that has started requests
+// the wait table from two of its four peers, and from the other two if no answer arrives in
+// time.
+func TestRestartedControllerRequestsTableFromTwoPeersAtATime(t *testing.T) {
+	h := newHarness(t, "node-1", "node-2", "node-3", "node-4") // adopts its first view, which triggers the first requests
+	if got := tableRequestReceivers(h.step(message.Tick{})); len(got) != 0 {
+		t.Fatalf("requests to %v before the wait for an answer has ended", got)
 	}
-	b.now += Time(b.c.Operator.CopyWait)
-	if got := askedForTable(b.step(message.Tick{})); len(got) != 2 {
-		t.Fatalf("asked %v after the wait, want the two peers left", got)
+	h.now += Time(h.core.Operator.CopyWait)
+	if got := tableRequestReceivers(h.step(message.Tick{})); len(got) != 2 {
+		t.Fatalf("requests to %v after the wait for an answer, want the two remaining peers", got)
 	}
-	b.now += Time(b.c.Operator.CopyWait)
-	if got := askedForTable(b.step(message.Tick{})); len(got) != 0 {
-		t.Fatalf("asked %v though all had been asked", got)
+	h.now += Time(h.core.Operator.CopyWait)
+	if got := tableRequestReceivers(h.step(message.Tick{})); len(got) != 0 {
+		t.Fatalf("requests to %v although all peers have received one", got)
 	}
 }
 
-// TestFirstTableCopyIsAdopted: of two copies that arrive only the first is used.
+// TestFirstTableCopyIsAdopted: if two copies of the wait table arrive, only the first is adopted.
 func TestFirstTableCopyIsAdopted(t *testing.T) {
-	b := newBench(t, "node-1", "node-2", "node-3", "node-4")
-	b.machine("vm-1", 1)
-	b.c.waitTable.AdoptCopy([]message.WaitChange{{Machine: "vm-1", Add: 7}})
-	b.c.waitTable.AdoptCopy([]message.WaitChange{{Machine: "vm-1", Add: 9}})
-	if got := b.c.waitTable.Machines["vm-1"].Wait(); got != 7 {
-		t.Errorf("wait %v, want the first table's", got)
+	h := newHarness(t, "node-1", "node-2", "node-3", "node-4")
+	h.registerMachine("vm-1", 1)
+	h.core.waitTable.AdoptCopy([]message.WaitChange{{Machine: "vm-1", Add: 7}})
+	h.core.waitTable.AdoptCopy([]message.WaitChange{{Machine: "vm-1", Add: 9}})
+	if got := h.core.waitTable.Machines["vm-1"].Wait(); got != 7 {
+		t.Errorf("wait %v, want 7, the wait in the first copy", got)
 	}
 }
--- a/internal/controller/wireform_test.go
+++ b/internal/controller/wirecompat_test.go
@@ -13,12 +13,12 @@
 	"damsonkeel/internal/protocol"
 )
 
-// What is sent and stored keeps its form (see internal/compat); here are those parts
-// whose types other packages can't name.
+// The format of sent and stored data must stay compatible (see internal/compat). These tests
+// check the parts whose types are not accessible from other packages.
 
-// TestPeerMethodsKeepTheirForm checks the calls that peers make: earlier versions know them by these
-// names and with these arguments and replies.
-func TestPeerMethodsKeepTheirForm(t *testing.T) {
+// TestPeerMethodSignaturesAreStable checks the names, arguments and replies of the methods that
+// peers call: earlier versions use them in this form.
+func TestPeerMethodSignaturesAreStable(t *testing.T) {
 	type call struct{ argument, reply reflect.Type }
 	want := map[string]call{
 		"Deliver": {reflect.TypeFor[message.Batch](), reflect.TypeFor[*message.BatchReply]()},
@@ -28,17 +28,17 @@
 	got := map[string]call{}
 	service := reflect.TypeFor[*peerService]()
 	for i := range service.NumMethod() {
-		m := service.Method(i)
-		got[m.Name] = call{m.Type.In(1), m.Type.In(2)}
+		method := service.Method(i)
+		got[method.Name] = call{method.Type.In(1), method.Type.In(2)}
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("the methods are %v, want %v", got, want)
 	}
 }
 
-// TestReservationHoldsRecordKeepsItsForm checks the record of the reservations' holds against
-// one written earlier.
-func TestReservationHoldsRecordKeepsItsForm(t *testing.T) {
+// TestReservationHoldsRecordEncodingIsStable checks the encoding of the record of reservations'
+// holds against the encoding of an earlier version.
+func TestReservationHoldsRecordEncodingIsStable(t *testing.T) {
 	const written = "" +
 		"a165686f6c647381a963666f72617264656e6473076466726f6d05646e656564a3624742fb400c00" +
 		"00000000006443505573fb3ff80000000000006447505573fb400400000000000065636c65617204" +
@@ -52,14 +52,14 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(encoded); got != written {
-		t.Errorf("written as %s, want %s", got, written)
+		t.Errorf("encoded as %s, want %s", got, written)
 	}
-	b, err := hex.DecodeString(written)
+	data, err := hex.DecodeString(written)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read holds.Record
-	if err := protocol.Decode(b, &read); err != nil || !reflect.DeepEqual(read, record) {
-		t.Errorf("read as %+v (%v), want %+v", read, err, record)
+	var decoded holds.Record
+	if err := protocol.Decode(data, &decoded); err != nil || !reflect.DeepEqual(decoded, record) {
+		t.Errorf("decoded as %+v (%v), want %+v", decoded, err, record)
 	}
 }
--- a/internal/controller/workerclients_test.go
+++ b/internal/controller/workerclients_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSocketsStayBelowTheLimit: the sockets that the server and direct commands may hold
-// together stay below the limit, with some left for the rest, and clients beyond their part
+// TestSocketsStayBelowTheLimit: the server and direct commands together hold fewer sockets than
+// the limit, which leaves some for other uses, and clients beyond the limit of direct commands
 // are dropped.
 func TestSocketsStayBelowTheLimit(t *testing.T) {
 	for _, limit := range []int{100, 1800, 2000, 10000} {
