--- a/internal/controller/blockrecords_test.go
+++ b/internal/controller/blockrecords_test.go
@@ -19,10 +19,10 @@
 type blockHarness struct {
 	*harness
 	store           *fake.KeyValueStore
-	deliveredEvents int
-	recordChanges   int
+	deliveredEvents int                                  // events of the store's log that the core has received
+	recordChanges   int                                  // changes of machine registrations
 	chooseOutcome   func(message.Commit) message.Outcome // chooses the outcome of a transaction; nil: all are executed
-	unanswered      []protocol.Transaction
+	unanswered      []protocol.Transaction               // transactions with an unknown outcome, not executed yet
 }
 
 // newBlockHarness returns a harness whose core is a member and uses blocks.
@@ -80,8 +80,8 @@
 	}
 }
 
-// sendWorkerHeartbeats has the given number of workers send the first heartbeat of an agent
-// epoch, all at once.
+// sendWorkerHeartbeats has the given number of workers send a heartbeat of an agent epoch, all at
+// once.
 func (h *blockHarness) sendWorkerHeartbeats(machines int, agentEpoch protocol.AgentEpoch) {
 	for i := range machines {
 		h.seq++
--- a/internal/controller/busyfleet_test.go
+++ b/internal/controller/busyfleet_test.go
@@ -37,8 +37,8 @@
 type busyFleet struct {
 	*harness
 	ids         []protocol.MachineID
-	running     map[protocol.MachineID][]protocol.TaskStatus
-	nextChanged int
+	running     map[protocol.MachineID][]protocol.TaskStatus // the tasks that each worker runs
+	nextChanged int                                          // number of state changes so far, which determines the next machine
 }
 
 // newBusyFleet returns a busy fleet with all tasks placed.
@@ -97,7 +97,7 @@
 	}
 }
 
-// startTasks has a worker start the tasks that its orders name.
+// startTasks has a worker start the tasks of its start orders.
 func (fleet *busyFleet) startTasks(id protocol.MachineID, orders []protocol.Order) {
 	for _, order := range orders {
 		if order.Op == protocol.OpStart {
--- a/internal/controller/candidates_test.go
+++ b/internal/controller/candidates_test.go
@@ -24,18 +24,18 @@
 	job := protocol.Job{ID: "job-1", Class: "sheet", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 6, CPUs: 1, MemoryGB: 1, EstimateS: 10, Spot: true}
 	h.putRecord(record.LiveKey(job.ID), job)
 	h.step(message.Tick{})
-	placedOnSpot := map[bool]int{}
+	placedBySpot := map[bool]int{}
 	for _, attempt := range h.core.jobs.ByID["job-1"].Placed {
-		placedOnSpot[h.core.waitTable.Machines[attempt.Machine].Record.Spot]++
+		placedBySpot[h.core.waitTable.Machines[attempt.Machine].Record.Spot]++
 	}
-	if placedOnSpot[true] != 6 {
-		t.Errorf("%d of 6 tasks placed on the cheap machines", placedOnSpot[true])
+	if placedBySpot[true] != 6 {
+		t.Errorf("%d of 6 tasks placed on the cheap machines", placedBySpot[true])
 	}
 }
 
-// TestTaskQueuedWhereLeastWorkGoesBeforeIt: a task is queued on the machine with the least
+// TestTaskIsQueuedBehindLeastWork: a task is queued on the machine with the least
 // queued work of the same and higher levels, regardless of the work of lower levels there.
-func TestTaskQueuedWhereLeastWorkGoesBeforeIt(t *testing.T) {
+func TestTaskIsQueuedBehindLeastWork(t *testing.T) {
 	h := newHarness(t)
 	h.bringIntoService("vm-1")
 	h.bringIntoService("vm-2")
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -31,12 +31,12 @@
 		t.Fatalf("no direct start: %+v", command)
 	}
 	task, attempt := command.Commands.Orders[0].Task, command.Commands.Orders[0].Attempt
-	termRaised := func() (termRaised bool) {
+	termRaised := func() (raised bool) {
 		for _, a := range h.step(message.Tick{}) {
 			c, ok := a.(message.Commit)
-			termRaised = termRaised || ok && c.Tag == membership.ViewTag{}
+			raised = raised || ok && c.Tag == membership.ViewTag{}
 		}
-		return termRaised
+		return raised
 	}
 	h.sendHeartbeat("vm-1", 1, 1)
 	if termRaised() {
@@ -140,12 +140,12 @@
 		t.Errorf("answered %+v", r)
 	}
 	if a := h.putRecord(record.LiveKey("job-1"), protocol.Job{ID: "job-1", Team: "free", Kind: protocol.KindJobArray, Tasks: 1, CPUs: 1}); len(directOrders(a)) > 0 {
-		t.Errorf("commands %+v", a)
+		t.Errorf("direct commands among the actions %+v, want none", a)
 	}
 }
 
-// TestHeartbeatOfLaterTermIsRefused: a controller refuses a heartbeat with a later term than it
-// has read.
+// TestHeartbeatOfLaterTermIsRefused: a controller refuses a heartbeat whose term is later than
+// the latest one that it has read.
 func TestHeartbeatOfLaterTermIsRefused(t *testing.T) {
 	h := newHarness(t)
 	h.bringIntoService("vm-1")
--- a/internal/controller/failedsearch_test.go
+++ b/internal/controller/failedsearch_test.go
@@ -41,7 +41,7 @@
 		t.Errorf("%d machines examined in %d steps", n, ticks)
 	}
 	machinesInOrder := h.core.waitTable.InOrder()
-	machine := machinesInOrder[slices.IndexFunc(machinesInOrder, func(machine *waittable.Machine) bool { return h.core.DispatcherOf(machine.ID) == "node-1" })] // the dispatchers of the other machines do not run in this test
+	machine := machinesInOrder[slices.IndexFunc(machinesInOrder, func(m *waittable.Machine) bool { return h.core.DispatcherOf(m.ID) == "node-1" })] // the dispatchers of the other machines do not run in this test
 	machine.State.FreeCPUs, machine.State.FreeGB, machine.State.Wait = 1, 4, 0
 	for range ticks {
 		h.core.waitTable.PlacementDue = true
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -47,8 +47,8 @@
 }
 
 // putRecord has the core receive a new version of a record.
-func (h *harness) putRecord(key string, record any) []message.Action {
-	raw, err := protocol.Encode(record)
+func (h *harness) putRecord(key string, value any) []message.Action {
+	raw, err := protocol.Encode(value)
 	if err != nil {
 		h.t.Fatal(err)
 	}
--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -33,26 +33,26 @@
 		return string(next.msg.(message.HeartbeatReceived).Heartbeat.Machine)
 	}
 	add(now, "vm-answered")
-	add(now, "vm-sent-on")
+	add(now, "vm-redirected")
 	for range 2 {
 		if answerNext(map[bool]int{true: 200, false: 421}[queue.queue.Len() == 2]); len(status) == 0 {
 			t.Fatal("no heartbeat was answered")
 		}
 	}
-	if status["vm-answered"] != 200 || status["vm-sent-on"] != 421 {
+	if status["vm-answered"] != 200 || status["vm-redirected"] != 421 {
 		t.Fatalf("answers %v", status)
 	}
 	clear(status)
 	add(now, "vm-answered")
-	add(now, "vm-sent-on")
+	add(now, "vm-redirected")
 	for i := range maxPendingHeartbeats - 1 {
 		add(now, fmt.Sprint("vm-", i))
 	}
 	if len(status) != 1 || status["vm-answered"] != 503 || retryAfter["vm-answered"] == 0 {
 		t.Fatalf("refused %v, to retry after %v", status, retryAfter)
 	}
-	if id := answerNext(200); id != "vm-sent-on" {
-		t.Errorf("%s is answered first, want vm-sent-on", id)
+	if id := answerNext(200); id != "vm-redirected" {
+		t.Errorf("%s is answered first, want vm-redirected", id)
 	}
 	now += Time(maxHeartbeatWait) + 1
 	if _, ok := queue.next(clock); ok {
--- a/internal/controller/holds_test.go
+++ b/internal/controller/holds_test.go
@@ -17,14 +17,14 @@
 func (h *harness) refuseProvisioning() map[binpack.Kind]bool {
 	refused := map[binpack.Kind]bool{}
 	for actions := h.nextPlan(); len(actions) > 0; {
-		var next []message.Action
+		var following []message.Action
 		for _, a := range actions {
 			if provision, ok := a.(message.Provision); ok {
 				refused[binpack.Kind{Type: provision.Request.Type, Zone: provision.Request.Zone, Spot: provision.Request.Spot}] = true
-				next = append(next, h.step(message.ProvisionDone{Request: provision.Request, Outcome: message.OutcomeRefused})...)
+				following = append(following, h.step(message.ProvisionDone{Request: provision.Request, Outcome: message.OutcomeRefused})...)
 			}
 		}
-		actions = next
+		actions = following
 	}
 	return refused
 }
--- a/internal/controller/mailbox_test.go
+++ b/internal/controller/mailbox_test.go
@@ -31,8 +31,8 @@
 	return node
 }
 
-// TestCallsToStoppedCoreReturn: once the core actor has ended, the sending of messages, queries
-// and calls of peers return, even if the mailbox is full.
+// TestCallsToStoppedCoreReturn: once the core actor has ended, nothing blocks on it: queries,
+// calls of peers and the posting of messages return, even if the mailbox is full.
 func TestCallsToStoppedCoreReturn(t *testing.T) {
 	node := newStoppedNode(t)
 	returned := make(chan struct{})
--- a/internal/controller/scale_test.go
+++ b/internal/controller/scale_test.go
@@ -34,8 +34,8 @@
 				fleet.sendHeartbeats(size.tasks / 100)
 				b.StartTimer()
 				for _, a := range fleet.advanceSecond() {
-					if size, ok := a.(message.Send); ok {
-						if err := wire.Encode(size.Message); err != nil {
+					if send, ok := a.(message.Send); ok {
+						if err := wire.Encode(send.Message); err != nil {
 							b.Fatal(err)
 						}
 					}
--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -48,7 +48,7 @@
 	}
 	sentStatesAfter(0) // sends the changes of the setup
 	if a, b := sentStatesAfter(0); a != 0 || b != 0 {
-		t.Errorf("states of %d and %d machines sent though none changed", a, b)
+		t.Errorf("states of %d and %d machines sent although none changed", a, b)
 	}
 	if a, b := sentStatesAfter(30); a != 30 || b != 30 {
 		t.Errorf("states of %d and %d machines sent, 30 changed", a, b)
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -334,6 +334,7 @@
 	}
 }
 
+// encode returns the encoding of a record's value.
 func encode(t *testing.T, value any) protocol.RawValue {
 	raw, err := protocol.Encode(value)
 	if err != nil {
