--- a/cmd/damsonkeel/run.go
+++ b/cmd/damsonkeel/run.go
@@ -65,7 +65,7 @@
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	<-signals
 	signal.Reset()
-	node.Leave()
+	node.Shutdown()
 }
 
 // logLevel parses the value of LOG_LEVEL.
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -225,10 +225,10 @@
 	return c.jobs.AllWritten() && c.dispatcher.ShardsHeld() == 0
 }
 
-// Decide decides an operator's request on the basis of the records that this controller has
+// DecideOperatorRequest decides an operator's request on the basis of the records that this controller has
 // followed so far. It returns the answer and, if the decision changes anything, the
 // transaction that must succeed before the answer is sent.
-func (c *Core) Decide(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
+func (c *Core) DecideOperatorRequest(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
 	d := c.operations.Decide(by, r)
 	return d.Reply, d.Transaction
 }
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -75,8 +75,8 @@
 	return update
 }
 
-// Batch returns the messages to be sent next, without removing them from the queue.
-func (o *Outbox) Batch() (message.Batch, bool) {
+// NextBatch returns the messages to be sent next, without removing them from the queue.
+func (o *Outbox) NextBatch() (message.Batch, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := min(len(o.queue), maxBatchMessages)
@@ -115,7 +115,7 @@
 // run delivers the queued messages until the context ends.
 func (o *Outbox) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if batch, ok := o.Batch(); ok {
+		if batch, ok := o.NextBatch(); ok {
 			o.deliver(ctx, batch)
 			continue
 		}
--- a/internal/controller/outbox_test.go
+++ b/internal/controller/outbox_test.go
@@ -38,12 +38,12 @@
 			case 2:
 				outbox.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Relay: &message.StateUpdate{}}})
 			case 3: // the batch is delivered, its reply is lost or late
-				if batch, ok := outbox.Batch(); ok {
+				if batch, ok := outbox.NextBatch(); ok {
 					receive(batch)
 					unanswered = append(unanswered, batch)
 				}
 			case 4: // the batch is lost, or delivered and answered
-				if batch, ok := outbox.Batch(); ok && rapid.Bool().Draw(t, "delivered") {
+				if batch, ok := outbox.NextBatch(); ok && rapid.Bool().Draw(t, "delivered") {
 					receive(batch)
 					outbox.HandleReply(batch, message.BatchAccepted)
 				}
@@ -54,7 +54,7 @@
 				}
 			}
 		}
-		for batch, ok := outbox.Batch(); ok; batch, ok = outbox.Batch() {
+		for batch, ok := outbox.NextBatch(); ok; batch, ok = outbox.NextBatch() {
 			receive(batch)
 			outbox.HandleReply(batch, message.BatchAccepted)
 		}
@@ -75,13 +75,13 @@
 		outbox.Add(message.Send{From: 1, Session: 2, Message: message.PeerMessage{Relay: &message.StateUpdate{}}})
 	}
 	addPlacement(1)
-	first, _ := outbox.Batch()
+	first, _ := outbox.NextBatch()
 	addStateUpdate()
-	second, _ := outbox.Batch() // delivered: the peer has numbers 0 and 1
+	second, _ := outbox.NextBatch() // delivered: the peer has numbers 0 and 1
 	addPlacement(2)
 	outbox.HandleReply(first, message.BatchAccepted)
 	addStateUpdate()
-	for batch, ok := outbox.Batch(); ok; batch, ok = outbox.Batch() {
+	for batch, ok := outbox.NextBatch(); ok; batch, ok = outbox.NextBatch() {
 		for i, msg := range batch.Messages {
 			if msg.Place != nil && msg.Place.Number == 2 && batch.First+uint64(i) >= second.First+uint64(len(second.Messages)) {
 				return
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -32,7 +32,7 @@
 
 // decide has the core decide an operator's request.
 func (h *harness) decide(request operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
-	return h.core.Decide("ops", &request)
+	return h.core.DecideOperatorRequest("ops", &request)
 }
 
 // decideAndApply has the core decide a request, and receive the records of the resulting
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -19,10 +19,10 @@
 	revokeTimeout = 2 * time.Second
 )
 
-// Leave hands over all shards that this controller holds, revokes its lease and makes Run
+// Shutdown hands over all shards that this controller holds, revokes its lease and makes Run
 // return. Meanwhile the health check reports that the controller is not ready, so that users
 // open no new connections to it.
-func (n *Node) Leave() {
+func (n *Node) Shutdown() {
 	if n.leaving.Swap(true) {
 		return
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -14,32 +14,32 @@
 
 // Status describes the state of a Core for checks and tests.
 type Status struct {
-	Term        protocol.Term
-	Queues      int // machines whose queues this controller holds
-	Inventoried int // registered machines among these whose inventory is complete
-	Holds       []reservation.Hold
-	Registers   bool // this controller writes the machines' records
-	Shards      int  // shards that this controller holds; 0 if machines are not sharded
+	Term                protocol.Term
+	QueuesHeld          int // machines whose queues this controller holds
+	InventoriedMachines int // registered machines among these whose inventory is complete
+	Holds               []reservation.Hold
+	IsRegistrar         bool // this controller writes the machines' records
+	Shards              int  // shards that this controller holds; 0 if machines are not sharded
 	// Misplaced lists machines whose queues this controller holds although another one
 	// holds their shards.
 	Misplaced []protocol.MachineID
 	// Cordoned lists machines with queues here that are cordoned because the tasks started
 	// on them fail.
 	Cordoned []protocol.MachineID
-	// Waits lists the machines with a wait in the wait table: they have work, or a
+	// MachinesWithWait lists the machines with a wait in the wait table: they have work, or a
 	// placement on them has been announced.
-	Waits []protocol.MachineID
+	MachinesWithWait []protocol.MachineID
 }
 
 // Status returns a description of the core for checks and tests.
 func (c *Core) Status() Status {
 	status := Status{
-		Term:        c.View.Term,
-		Queues:      len(c.dispatcher.Machines()),
-		Inventoried: c.dispatcher.InventoriedMachines(),
-		Registers:   c.HoldsLease() && c.Registrar() == c.Self,
-		Shards:      c.dispatcher.ShardsHeld(),
-		Holds:       c.reservations.List,
+		Term:                c.View.Term,
+		QueuesHeld:          len(c.dispatcher.Machines()),
+		InventoriedMachines: c.dispatcher.InventoriedMachines(),
+		IsRegistrar:         c.HoldsLease() && c.Registrar() == c.Self,
+		Shards:              c.dispatcher.ShardsHeld(),
+		Holds:               c.reservations.List,
 	}
 	if c.Sharded() && c.Member() {
 		status.Misplaced = c.misplacedMachines()
@@ -51,7 +51,7 @@
 	}
 	for _, machine := range c.waitTable.InOrder() {
 		if len(machine.PendingWaits) > 0 || machine.Wait() != 0 {
-			status.Waits = append(status.Waits, machine.ID)
+			status.MachinesWithWait = append(status.MachinesWithWait, machine.ID)
 		}
 	}
 	return status
--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -180,14 +180,14 @@
 	if older.core == nil || older.core.Member() {
 		t.Error("a controller of an earlier version is a member")
 	}
-	reply, _ := w.nodes[0].core.Decide("ops", &operatorapi.Request{Op: operatorapi.OpConfigStatus})
+	reply, _ := w.nodes[0].core.DecideOperatorRequest("ops", &operatorapi.Request{Op: operatorapi.OpConfigStatus})
 	if len(reply.Config.Controllers) != 3 || !reply.Config.Controllers[2].Older {
 		t.Errorf("the controller of an earlier version is not listed: %+v", reply.Config)
 	}
 
 	mixed := newConfiguredWorld(t, 997, 12, 2)
 	limit := 24.0
-	reply, txn := mixed.nodes[0].core.Decide("ops", &operatorapi.Request{Op: operatorapi.OpConfigure, Config: &operatorapi.ConfigRequest{
+	reply, txn := mixed.nodes[0].core.DecideOperatorRequest("ops", &operatorapi.Request{Op: operatorapi.OpConfigure, Config: &operatorapi.ConfigRequest{
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}})
 	if txn != nil || reply.Code != operatorapi.Refused {
@@ -238,13 +238,13 @@
 	first := operatorapi.Request{Op: operatorapi.OpConfigure, ID: "first", Config: &operatorapi.ConfigRequest{
 		Changes: []operatorapi.ConfigChange{{Entry: "team/bound", MaxCPUs: &limit}},
 	}}
-	if _, txn := w.nodes[0].core.Decide("ops", &first); txn == nil || !w.state.Execute(*txn) {
+	if _, txn := w.nodes[0].core.DecideOperatorRequest("ops", &first); txn == nil || !w.state.Execute(*txn) {
 		t.Fatal("the first request was not written") // its reply is lost
 	}
 	w.run(w.now + time.Second)
 	w.requestLimit(1, "bound", 40)
 	w.run(w.now + 2*time.Second)
-	reply, txn := w.nodes[2].core.Decide("ops", &first)
+	reply, txn := w.nodes[2].core.DecideOperatorRequest("ops", &first)
 	if txn != nil || reply.Code != operatorapi.Done || reply.Config.Revision != 1 {
 		t.Errorf("repeated request: reply %+v, transaction %v", reply, txn)
 	}
--- a/internal/simulator/configuredworld_test.go
+++ b/internal/simulator/configuredworld_test.go
@@ -157,7 +157,7 @@
 			}
 		}
 		request := r
-		reply, txn := n.core.Decide("ops", &request)
+		reply, txn := n.core.DecideOperatorRequest("ops", &request)
 		switch {
 		case txn == nil && reply.Code == operatorapi.RetryLater:
 			retry(at+1, 300*time.Millisecond)
--- a/internal/simulator/fleet_test.go
+++ b/internal/simulator/fleet_test.go
@@ -54,7 +54,7 @@
 	n := 0
 	for _, node := range w.nodes {
 		if node.core != nil {
-			n += node.core.Status().Inventoried
+			n += node.core.Status().InventoriedMachines
 		}
 	}
 	return n
@@ -134,7 +134,7 @@
 	w.submitEvery(2*time.Second, 10*time.Second)
 	w.expectAllFinished(t, 100*time.Second)
 	for _, n := range w.nodes {
-		if waits := n.core.Status().Waits; len(waits) > 0 {
+		if waits := n.core.Status().MachinesWithWait; len(waits) > 0 {
 			t.Fatalf("%s: the wait table has entries for %v although all jobs have finished", n.name, waits)
 		}
 	}
@@ -167,7 +167,7 @@
 	w.submitEvery(time.Second, 18*time.Second)
 	expiredLeases, starts := w.expiredLeases, w.starts
 	w.submitEvery(time.Second, 30*time.Second)
-	if n := w.nodes[2].core.Status().Queues; n < fleetSize/2 {
+	if n := w.nodes[2].core.Status().QueuesHeld; n < fleetSize/2 {
 		t.Errorf("%d machines have queues at the remaining controller", n)
 	}
 	if w.expiredLeases > expiredLeases {
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -270,7 +270,7 @@
 	if w.now < o.busyUntil {
 		return
 	}
-	batch, ok := o.Batch()
+	batch, ok := o.NextBatch()
 	if !ok {
 		return
 	}
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -271,7 +271,7 @@
 			CPUs: 2, MemoryGB: 1, Priority: []protocol.Priority{"standard", "high"}[w.rng.IntN(2)], OneZone: w.rng.IntN(2) == 0,
 		}
 	}
-	if reply, txn := n.core.Decide("ops", &r); txn != nil && reply.Code == operatorapi.Done && w.state.Execute(*txn) {
+	if reply, txn := n.core.DecideOperatorRequest("ops", &r); txn != nil && reply.Code == operatorapi.Done && w.state.Execute(*txn) {
 		w.reservationChanges++
 	}
 }
--- a/internal/simulator/schedule.go
+++ b/internal/simulator/schedule.go
@@ -140,7 +140,7 @@
 		retry()
 		return
 	}
-	reply, txn := n.core.Decide(simulatorOperator, &r)
+	reply, txn := n.core.DecideOperatorRequest(simulatorOperator, &r)
 	switch {
 	case reply.Code == operatorapi.RetryLater, txn != nil && !d.state.Execute(*txn):
 		retry()
@@ -161,7 +161,7 @@
 		if n.core == nil || n.session == 0 {
 			continue
 		}
-		reply, _ := n.core.Decide(simulatorOperator, &operatorapi.Request{Op: operatorapi.OpShow, Name: o.Name})
+		reply, _ := n.core.DecideOperatorRequest(simulatorOperator, &operatorapi.Request{Op: operatorapi.OpShow, Name: o.Name})
 		for _, r := range reply.Reservations {
 			if int64(r.StartMS) == o.Start.UnixMilli() {
 				o.State, o.Risk = r.State, r.Risk
--- a/internal/simulator/shards.go
+++ b/internal/simulator/shards.go
@@ -60,7 +60,7 @@
 		if n.core == nil || w.now < n.pausedUntil {
 			continue
 		}
-		if reply, _ := n.core.Decide(operatorName, &operatorapi.Request{Op: operatorapi.OpMove, Shares: ids, Controller: to.name}); reply.Code == operatorapi.Done {
+		if reply, _ := n.core.DecideOperatorRequest(operatorName, &operatorapi.Request{Op: operatorapi.OpMove, Shares: ids, Controller: to.name}); reply.Code == operatorapi.Done {
 			return true
 		}
 	}
--- a/internal/simulator/shards_test.go
+++ b/internal/simulator/shards_test.go
@@ -171,8 +171,8 @@
 	for _, n := range w.nodes {
 		n.shutDown()
 		w.runWithLoad(6 * time.Second)
-		if n.core != nil && n.core.Status().Queues > 0 {
-			t.Fatalf("%s still has the queues of %d machines after its shutdown was requested", n.name, n.core.Status().Queues)
+		if n.core != nil && n.core.Status().QueuesHeld > 0 {
+			t.Fatalf("%s still has the queues of %d machines after its shutdown was requested", n.name, n.core.Status().QueuesHeld)
 		}
 		w.runWithLoad(12 * time.Second)
 	}
--- a/internal/simulator/useroverlaps_test.go
+++ b/internal/simulator/useroverlaps_test.go
@@ -19,7 +19,7 @@
 // or a random one if there is none.
 func (w *world) leader() *node {
 	for _, n := range w.nodes {
-		if n.core != nil && n.core.Status().Registers {
+		if n.core != nil && n.core.Status().IsRegistrar {
 			return n
 		}
 	}
