--- a/internal/simulator/configuredworld_test.go
+++ b/internal/simulator/configuredworld_test.go
@@ -90,7 +90,7 @@
 	for ; w.scannedChanges < w.state.Changes(); w.scannedChanges++ {
 		e := w.state.Change(w.scannedChanges)
 		at := w.now
-		if i := w.scannedChanges - w.state.Before; i < len(w.changeTimes) {
+		if i := w.scannedChanges - w.state.CompactedChanges; i < len(w.changeTimes) {
 			at = w.changeTimes[i]
 		}
 		followed, _ := record.ParseFollowedKey(e.Put)
@@ -157,7 +157,7 @@
 			}
 		}
 		request := r
-		reply, txn := n.core.Decide("ops", &request)
+		reply, txn := n.core.DecideOperatorRequest("ops", &request)
 		switch {
 		case txn == nil && reply.Code == operatorapi.RetryLater:
 			retry(at+1, 300*time.Millisecond)
