--- a/internal/controller/admission/cancellation.go
+++ b/internal/controller/admission/cancellation.go
@@ -11,7 +11,7 @@
 
 // AnnounceTimeout is the maximum time a user waits for all controllers to acknowledge a
 // cancellation. The bound on how long tasks of cancelled jobs may run doesn't depend on
-// it: controllers also learn of cancellations by watching the records.
+// it: controllers also observe cancellations by watching the records.
 const AnnounceTimeout = 250 * time.Millisecond
 
 // announcement is a cancellation that controllers have yet to acknowledge.
--- a/internal/controller/admission/configuration_test.go
+++ b/internal/controller/admission/configuration_test.go
@@ -183,11 +183,10 @@
 	}
 }
 
-// TestClosedTeamAcceptsNothingAndOpenTeamRefusesNothing closes and opens a team at any
-// moment between the steps of submissions to two controllers, which observe the change
-// late. No job may be accepted while the team is closed, no job may be refused if the team
-// was open all the time, and a controller that has followed all changes has no unanswered
-// request.
+// TestClosedTeamAcceptsNothingAndOpenTeamRefusesNothing closes and opens a team at any moment
+// between the steps of submissions to two controllers, which observe the change late. No job is
+// accepted while the team is closed, none is refused if the team was open all the time, and a
+// controller that has followed all changes has no unanswered request.
 func TestClosedTeamAcceptsNothingAndOpenTeamRefusesNothing(t *testing.T) {
 	accepted, refused := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/controller/admission/corequery.go
+++ b/internal/controller/admission/corequery.go
@@ -3,7 +3,7 @@
 import "damsonkeel/internal/protocol"
 
 // coreQuery is a pending query to this controller's core for the state of live jobs, the
-// leading peers and the members.
+// peers that hold their lease and the members.
 type coreQuery interface {
 	// resume continues the operation that issued the query.
 	resume(a *Admission, id QueryID, m CoreAnswered)
--- a/internal/controller/admission/forwarding.go
+++ b/internal/controller/admission/forwarding.go
@@ -9,8 +9,8 @@
 // ForwardTimeout is the maximum time a peer may take to answer a forwarded submission.
 const ForwardTimeout = 700 * time.Millisecond
 
-// answerUnavailable answers a request that can't be settled now with 503. A submission is
-// first forwarded to a leading peer, once, since the key-value store may be unreachable
+// answerUnavailable answers a request that can't be settled now with 503. A submission is first
+// forwarded, once, to a peer that holds its lease, since the key-value store may be unreachable
 // from this controller only.
 func (a *Admission) answerUnavailable(r *request, reason string) {
 	a.log.Debug("request not settled", "operation", r.Operation, "job", r.Job, "reason", reason)
@@ -24,15 +24,16 @@
 	a.queryCore(forwardQuery{r})
 }
 
-// forwardQuery asks for the leading peers, in order to forward a submission to one of them.
+// forwardQuery asks for the peers that hold their lease, in order to forward a submission to
+// one of them.
 type forwardQuery struct{ request *request }
 
 func (q forwardQuery) resume(a *Admission, _ QueryID, m CoreAnswered) {
 	a.forward(q.request, m.Leading)
 }
 
-// forward sends a submission to the first of the leading peers. No other peer receives it,
-// and the receiver doesn't forward it again.
+// forward sends a submission to the first of the peers that hold their lease. No other peer
+// receives it, and the receiver doesn't forward it again.
 func (a *Admission) forward(r *request, leading []protocol.NodeName) {
 	for _, m := range a.settings.Members {
 		if len(leading) > 0 && m.Name == leading[0] && a.requests[r.ID] == r {
--- a/internal/controller/admission/forwarding_test.go
+++ b/internal/controller/admission/forwarding_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestSubmissionIsForwardedOnce checks that a submission that this controller can't settle
-// is forwarded once, to one leading peer, and that the peer's answer is returned
+// is forwarded once, to one peer that holds its lease, and that the peer's answer is returned
 // unchanged. If no peer answers, the user is told to retry, and never that the job was
 // accepted.
 func TestSubmissionIsForwardedOnce(t *testing.T) {
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -113,8 +113,8 @@
 		ID          RequestID
 		Transaction protocol.Transaction
 	}
-	// QueryCore asks this controller's core for the state of jobs, the leading peers and
-	// the members.
+	// QueryCore asks this controller's core for the state of jobs, the peers that hold their
+	// lease and the members.
 	QueryCore struct {
 		Query QueryID
 		Jobs  []protocol.JobID
--- a/internal/controller/autoscaler/autoscaler.go
+++ b/internal/controller/autoscaler/autoscaler.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// RecordViewAdoption records when the current view was adopted: the autoscaler of a view makes its
-// first plan SettleTime later.
+// RecordViewAdoption records when the current view was adopted: the autoscaler of a view makes
+// its first plan SettleTime later.
 func (a *Autoscaler) RecordViewAdoption(now clock.Time) { a.viewAdoptedAt = now }
 
 // Step scales the cluster out and in if this controller is the autoscaler.
--- a/internal/controller/autoscaler/reservationplanner.go
+++ b/internal/controller/autoscaler/reservationplanner.go
@@ -51,8 +51,8 @@
 // ReservationTag identifies a transaction that advances a reservation.
 type ReservationTag struct{ name reservation.Name }
 
-// WriteCompleted handles the end of a transaction on a reservation, whatever its outcome: the next
-// plan repeats a transaction that failed.
+// WriteCompleted handles the end of a transaction on a reservation, whatever its outcome: the
+// next plan repeats a transaction that failed.
 func (p *ReservationPlanner) WriteCompleted(tag ReservationTag) { delete(p.pendingWrites, tag.name) }
 
 // Reset drops the state of the previous session.
--- a/internal/controller/binpack/plan.go
+++ b/internal/controller/binpack/plan.go
@@ -158,9 +158,9 @@
 	}
 }
 
-// ProvisionDedicated requests machines for tasks from the cheapest offered kinds, whether or not the
-// tasks fit on existing machines. The requested machines are dedicated to the purpose. Of
-// each kind no more than MaxPerRequest machines are in unanswered requests at a time: the
+// ProvisionDedicated requests machines for tasks from the cheapest offered kinds, whether or
+// not the tasks fit on existing machines. The requested machines are dedicated to the purpose.
+// Of each kind no more than MaxPerRequest machines are in unanswered requests at a time: the
 // answer shows whether the cloud has more.
 func (p *Plan) ProvisionDedicated(w Work, tasks int, purpose string) {
 	for _, k := range w.Offers {
--- a/internal/controller/clusterstate/configuration.go
+++ b/internal/controller/clusterstate/configuration.go
@@ -12,7 +12,7 @@
 // they use.
 func (s *State) MayHaveLimit(name protocol.Team) bool { return s.mayHaveLimitIn(s.View, name) }
 
-// mayHaveLimitIn is Limited for a given view.
+// mayHaveLimitIn is MayHaveLimit for a given view.
 func (s *State) mayHaveLimitIn(view record.View, name protocol.Team) bool {
 	return dynamicconfig.HasSingleOwner(&s.Settings.Site, view.Layout, name)
 }
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -106,10 +106,10 @@
 	return config.Seconds(leadBoots*bootS) + LeadSlack
 }
 
-// OverlapsUnlistedReservation reports whether a task that ends at a given time could use resources of
-// a reservation that were held before all controllers restarted and are not held again yet.
-// Such a task waits until the list of holds is received, or until HoldsSettleTime and
-// settleSlack have passed since the start of the session.
+// OverlapsUnlistedReservation reports whether a task that ends at a given time could use
+// resources of a reservation that were held before all controllers restarted and are not held
+// again yet. Such a task waits until the list of holds is received, or until HoldsSettleTime
+// and settleSlack have passed since the start of the session.
 func (s *State) OverlapsUnlistedReservation(job *protocol.Job, ends reservation.Moment) bool {
 	if s.Reservations.HoldsListed || s.Since(s.SessionStart) > HoldsSettleTime+settleSlack {
 		return false
--- a/internal/controller/dispatcher/configuration.go
+++ b/internal/controller/dispatcher/configuration.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// closed reports whether the configuration closes the machine to new starts.
+// closed reports whether the configuration cordons the machine's zone or type, so that nothing
+// is started on the machine.
 func (q *queue) closed() bool { return q.PlaceCordoned(q.machineType.Name, q.zone) }
 
 // releaseOutdated releases the waiting attempts that the configuration in force does not
--- a/internal/controller/dispatcher/directcommands_test.go
+++ b/internal/controller/dispatcher/directcommands_test.go
@@ -31,11 +31,10 @@
 	f.heartbeat(1, 1) // the worker's next heartbeat settles the start: it is sent again
 }
 
-// TestRefusedStartOfPresentAttemptIsNotRequeued checks a direct start that is refused
-// because a heartbeat reply with a later token and the same start has overtaken it. An
-// attempt that is or may be on the machine must not be queued again: when the machine
-// received a termination notice, the attempt was released and its owner started it a
-// second time elsewhere.
+// TestRefusedStartOfPresentAttemptIsNotRequeued checks a direct start that is refused because a
+// heartbeat reply with a later token and the same start has overtaken it. The attempt is or may
+// be on the machine: if it were queued again, a termination notice would release it, and its
+// owner would start it a second time elsewhere.
 func TestRefusedStartOfPresentAttemptIsNotRequeued(t *testing.T) {
 	for _, listed := range []bool{true, false} {
 		f := newFixture(t)
--- a/internal/controller/dispatcher/dispatcher.go
+++ b/internal/controller/dispatcher/dispatcher.go
@@ -95,7 +95,7 @@
 // levelLookup returns the level of a job, and whether the job's owner has announced it.
 type levelLookup func(protocol.JobID) (resource.Level, bool)
 
-// MaintainQueues does the work that is due once per relay period: it quarantines failing
+// MaintainQueues does the work that is due once per replication interval: it quarantines failing
 // machines, and preempts attempts in favor of waiting attempts and reservations.
 func (d *Dispatcher) MaintainQueues(level levelLookup, isFailing failingLookup) {
 	for _, q := range d.queues.inOrder() {
--- a/internal/controller/dispatcher/handover_test.go
+++ b/internal/controller/dispatcher/handover_test.go
@@ -14,7 +14,7 @@
 
 // TestCancelledAttemptIsKilledDuringHandover checks that cancelled attempts on a machine
 // are killed during the handover of its shard. The handover may last as long as a request
-// to the state service, and the leases of the workers are renewed meanwhile.
+// to the key-value store, and the leases of the workers are renewed meanwhile.
 func TestCancelledAttemptIsKilledDuringHandover(t *testing.T) {
 	f := newFixture(t)
 	s := f.holdAllShards()
--- a/internal/controller/dispatcher/inspect.go
+++ b/internal/controller/dispatcher/inspect.go
@@ -73,8 +73,8 @@
 // LastHandledPlace returns the number of the last Place message handled of an owner.
 func (d *Dispatcher) LastHandledPlace(owner protocol.NodeName) uint64 { return d.handledPlaces[owner] }
 
-// MachinesChangedSince lists the machines whose published state has changed since a version of this
-// term's change log, up to a maximum number, and returns the version that the list covers.
+// MachinesChangedSince lists the machines whose published state has changed since a version of
+// this term's change log, up to a maximum number, and returns the version that the list covers.
 func (d *Dispatcher) MachinesChangedSince(from uint64, limit int) ([]protocol.MachineID, uint64) {
 	return d.changes.Since(from, limit)
 }
--- a/internal/controller/dispatcher/placement.go
+++ b/internal/controller/dispatcher/placement.go
@@ -5,8 +5,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// QueuePlacements queues the placements of a message. A placement that can't be queued is released at
-// once.
+// QueuePlacements queues the placements of a message. A placement that can't be queued is
+// released at once.
 func (d *Dispatcher) QueuePlacements(from protocol.NodeName, place *message.Place) {
 	if _, member := d.View.Members[from]; member {
 		d.handledPlaces[from] = place.Number
--- a/internal/controller/dispatcher/registration.go
+++ b/internal/controller/dispatcher/registration.go
@@ -30,7 +30,7 @@
 }
 
 // awaitsOutcome reports whether the outcome of a requested change is still awaited. The
-// state service answers each transaction of this controller. A change requested from the
+// key-value store answers each transaction of this controller. A change requested from the
 // registrar appears in the records, and is requested again if it does not.
 func (q *queue) awaitsOutcome(requested bool) bool {
 	return requested && (!q.UsesBlocks() || q.Since(q.requests.requestedAt) <= registrarRetryAfter)
--- a/internal/controller/dispatcher/silence.go
+++ b/internal/controller/dispatcher/silence.go
@@ -39,7 +39,7 @@
 
 // updateSilence publishes how long a machine has been silent. Only the time during which
 // this controller has continuously held its lease counts: a controller that could not
-// answer can't determine which machines are silent. After an outage of the state service
+// answer can't determine which machines are silent. After an outage of the key-value store
 // all machines would seem silent, and their reservations would be released.
 func (d *Dispatcher) updateSilence(q *queue, silentFor time.Duration) {
 	if d.leaseHeldSince == 0 {
--- a/internal/controller/dynamicconfig/effective.go
+++ b/internal/controller/dynamicconfig/effective.go
@@ -50,8 +50,8 @@
 // Teams returns the names of all teams, in order.
 func (e *Effective) Teams() []protocol.Team { return slices.Sorted(maps.Keys(e.teams)) }
 
-// TeamsIncludingRemoved returns the names of all teams, in order, including removed teams: their tasks
-// may still be on machines.
+// TeamsIncludingRemoved returns the names of all teams, in order, including removed teams:
+// their tasks may still be on machines.
 func (e *Effective) TeamsIncludingRemoved() []protocol.Team {
 	return slices.Sorted(maps.Keys(e.allTeams))
 }
--- a/internal/controller/forecast/arrivals.go
+++ b/internal/controller/forecast/arrivals.go
@@ -27,7 +27,7 @@
 	// equalSizeVariance is the relative variance below which sizes count as equal.
 	equalSizeVariance = 1e-6
 	// windowHalvings is the number of times, each half as long as the one before, for which
-	// Beyond calculates the excess.
+	// ExcessWithin calculates the excess.
 	windowHalvings = 8
 	// maxPoissonQuantile is the maximum of the calculated quantiles of Poisson variables.
 	maxPoissonQuantile = 100
@@ -55,7 +55,8 @@
 	}
 }
 
-// ArrivalForecast describes how often jobs of a class are expected to arrive and how large they are.
+// ArrivalForecast describes how often jobs of a class are expected to arrive and how large they
+// are.
 type ArrivalForecast struct {
 	rate         float64 // arrivals per second
 	meanSize     float64
@@ -139,9 +140,9 @@
 	return expectedArrivals*a.meanSize + math.Sqrt2*math.Erfinv(2*a.probability-1)*math.Sqrt(expectedArrivals*a.meanSquare)
 }
 
-// ExcessWithin returns the largest amount by which, at any time within the given seconds, the total
-// size of the arrivals is likely to exceed the resources that have become free meanwhile at
-// freeingRate per second.
+// ExcessWithin returns the largest amount by which, at any time within the given seconds, the
+// total size of the arrivals is likely to exceed the resources that have become free meanwhile
+// at freeingRate per second.
 func (a ArrivalForecast) ExcessWithin(seconds, freeingRate float64) float64 {
 	excess := 0.0
 	if freeingRate > 0 && a.rate*seconds > 1-a.probability {
--- a/internal/controller/forecast/boots.go
+++ b/internal/controller/forecast/boots.go
@@ -17,8 +17,8 @@
 // Note adds the boot time of a machine whose boot time in the catalogue is bootS seconds.
 func (b *BootTimes) Note(bootTime time.Duration, bootS float64) { b.errors.Note(bootTime, bootS) }
 
-// LikelySeconds returns the number of seconds within which most machines of a type boot, given the
-// type's boot time in the catalogue.
+// LikelySeconds returns the number of seconds within which most machines of a type boot, given
+// the type's boot time in the catalogue.
 func (b *BootTimes) LikelySeconds(bootS float64) float64 {
 	factor := minBootFactor
 	if b.errors.hasEnough() {
--- a/internal/controller/forecast/errors.go
+++ b/internal/controller/forecast/errors.go
@@ -40,7 +40,7 @@
 func (e *EstimateErrors) hasEnough() bool { return len(e.ratios) >= minErrors }
 
 // Factor returns the factor, at least 1, for which tasks are very likely to end within their
-// estimate times the factor. A nil Errors is an empty sample.
+// estimate times the factor. A nil EstimateErrors is an empty sample.
 func (e *EstimateErrors) Factor() float64 {
 	if e == nil || !e.hasEnough() {
 		return defaultErrorFactor
--- a/internal/controller/forecast/spot.go
+++ b/internal/controller/forecast/spot.go
@@ -13,8 +13,8 @@
 	SpotHalfLife = 10 * time.Minute
 )
 
-// SpotPreemptions is a record of how often spot machines have recently been preempted. The zero value has
-// no observations.
+// SpotPreemptions is a record of how often spot machines have recently been preempted. The zero
+// value has no observations.
 type SpotPreemptions struct {
 	preempted float64 // number of preempted machines, weighted by age
 	uptimeS   float64 // machine seconds, weighted by age
--- a/internal/controller/holds/calendar.go
+++ b/internal/controller/holds/calendar.go
@@ -93,7 +93,7 @@
 }
 
 // Refresh computes the open windows, the resources held now and the claims on teams' limits.
-// It is called once per relay period.
+// It is called once per replication interval.
 func (h *Holds) Refresh() {
 	if !h.HasEntries && len(h.List) == 0 {
 		return
--- a/internal/controller/holds/doc.go
+++ b/internal/controller/holds/doc.go
@@ -7,7 +7,7 @@
 // runs the autoscaler chooses the list, sends it to its peers and writes it to a record.
 // Controllers read that record when they start after all of them have ended. On every other
 // controller the list is a cache of what the controller with the autoscaler sent last. The
-// team claims and the jobs by class are recomputed once per relay period.
+// team claims and the jobs by class are recomputed once per replication interval.
 //
 // The package must not choose holds, place tasks or write the records of reservations.
 package holds
--- a/internal/controller/holds/holds.go
+++ b/internal/controller/holds/holds.go
@@ -31,7 +31,7 @@
 
 	teamClaims map[protocol.Team][]teamClaim
 	// liveByClass contains the live jobs of the classes with an occurrence within
-	// calendarLookahead, as of the last relay period.
+	// calendarLookahead, as of the last replication interval.
 	liveByClass map[string][]*clusterstate.LiveJob
 	endedTasks  map[reservation.Name]*endedTasks
 }
@@ -54,8 +54,8 @@
 // Active reports whether there are holds or open windows at present.
 func (h *Holds) Active() bool { return len(h.Windows) > 0 || len(h.List) > 0 }
 
-// AdoptChosenList adopts the list that this controller has chosen while it runs the autoscaler. A list
-// that differs from the present one, or is the first one of a term, gets a new number.
+// AdoptChosenList adopts the list that this controller has chosen while it runs the autoscaler.
+// A list that differs from the present one, or is the first one of a term, gets a new number.
 func (h *Holds) AdoptChosenList(chosen []reservation.Hold) {
 	term := uint64(h.View.Term)
 	if slices.Equal(chosen, h.List) && h.ListNumber>>32 == term {
--- a/internal/controller/holds/occurrence.go
+++ b/internal/controller/holds/occurrence.go
@@ -62,7 +62,7 @@
 }
 
 // candidateJobs returns the jobs that a reservation may be for: the one that it names, or
-// those of its class. Some of the latter may have ended since the last relay period.
+// those of its class. Some of the latter may have ended since the last replication interval.
 func (h *Holds) candidateJobs(spec *record.ReservationSpec) []*clusterstate.LiveJob {
 	if spec.Job == "" {
 		return h.liveByClass[spec.Class]
--- a/internal/controller/jobs/doc.go
+++ b/internal/controller/jobs/doc.go
@@ -9,11 +9,11 @@
 // proof that it no longer exists: a report of its dispatcher, an inventory that does not
 // list it, or the loss of its machine.
 //
-// The package also writes the bitmaps and the final records of jobs, learns run times,
+// The package also writes the bitmaps and the final records of jobs, estimates run times,
 // detects slow machines by tasks that run far longer than the other tasks of their job, and
 // detects jobs that fail on every machine.
 //
-// It reads the cluster state and the waittable, and acts on other modules by messages and
+// It reads the cluster state and the wait table, and acts on other modules by messages and
 // commits only. It must not choose machines (package placement does), start or stop
 // processes (the dispatchers do), or write records other than those of its own jobs.
 package jobs
--- a/internal/controller/jobs/events.go
+++ b/internal/controller/jobs/events.go
@@ -66,7 +66,7 @@
 func (o *Owned) handleReleasedAttempt(job *Job, attempt *Attempt) {
 	if !attempt.Stopping && !attempt.ReleaseRequested {
 		// The dispatcher refused the attempt because of a state of the machine that the
-		// waittable does not show yet: nothing more is placed there before the
+		// wait table does not show yet: nothing more is placed there before the
 		// dispatcher's next update.
 		o.markRefused(attempt.Machine)
 	}
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -55,8 +55,8 @@
 
 	// Level is the job's resource level at the last placement.
 	Level resource.Level
-	// ConfinedToHeadroom is set if the job was confined to the headroom at the last placement. The
-	// headroom is the capacity that jobs with an objective are not expected to need.
+	// ConfinedToHeadroom is set if the job was confined to the headroom at the last placement.
+	// The headroom is the capacity that jobs with an objective are not expected to need.
 	ConfinedToHeadroom bool
 	// NotBefore is the earliest time at which tasks may be placed; 0 means at once.
 	NotBefore clock.Time
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -172,11 +172,11 @@
 	return false
 }
 
-// InvalidateOrder makes the next call of InOrder sort the jobs again.
+// InvalidateOrder makes the next call of InPlacementOrder sort the jobs again.
 func (o *Owned) InvalidateOrder() { o.sorted = nil }
 
-// InPlacementOrder returns the owned jobs in the order in which they are placed: by priority, then
-// by deadline, then by submission.
+// InPlacementOrder returns the owned jobs in the order in which they are placed: by priority,
+// then by deadline, then by submission.
 func (o *Owned) InPlacementOrder() []*Job {
 	if o.sorted == nil {
 		for _, job := range o.ByID {
@@ -194,9 +194,9 @@
 }
 
 // CurrentDeadline returns the time by which a job should be done. A job without an objective
-// that has not started any task within HeadroomOnlyDuration is ordered by its submission time until
-// a task starts, which puts it first. Otherwise it would not start for minutes where there is
-// more work than resources, since jobs with earlier deadlines keep arriving.
+// that has not started any task within HeadroomOnlyDuration is ordered by its submission time
+// until a task starts, which puts it first. Otherwise it would not start for minutes where
+// there is more work than resources, since jobs with earlier deadlines keep arriving.
 func (o *Owned) CurrentDeadline(live *clusterstate.LiveJob) clock.Time {
 	if o.Since(live.SubmittedAt) > HeadroomOnlyDuration && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
 		if progress, _ := o.JobProgress(live.ID); progress.Running == 0 && progress.Done == 0 {
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -7,7 +7,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// MarkProgressChanged marks a job's progress as changed, so that it is replicated to the other members.
+// MarkProgressChanged marks a job's progress as changed, so that it is replicated to the other
+// members.
 func (o *Owned) MarkProgressChanged(job *Job) { o.changes.Touch(job.ID) }
 
 // progressOf returns the progress of an owned job.
@@ -47,7 +48,8 @@
 	}
 }
 
-// BeginProgressStream begins the change stream of a new term, with all owned jobs marked as changed.
+// BeginProgressStream begins the change stream of a new term, with all owned jobs marked as
+// changed.
 func (o *Owned) BeginProgressStream() {
 	o.changes = replication.ChangeLog[protocol.JobID]{}
 	for id := range ordered.ByKey(o.ByID) {
--- a/internal/controller/jobs/runtimes.go
+++ b/internal/controller/jobs/runtimes.go
@@ -12,8 +12,9 @@
 	job.runTimes.Note(o.Since(attempt.runningSince).Seconds(), o.rng)
 }
 
-// EstimateRunSeconds returns the expected run time of a job's tasks in seconds: the median run time
-// of its finished tasks once enough of them are done, and the submitted estimate before that.
+// EstimateRunSeconds returns the expected run time of a job's tasks in seconds: the median run
+// time of its finished tasks once enough of them are done, and the submitted estimate before
+// that.
 func (o *Owned) EstimateRunSeconds(job *Job) float64 {
 	if seconds, ok := job.MedianRunSeconds(); ok {
 		return seconds
--- a/internal/controller/jobs/slowmachines.go
+++ b/internal/controller/jobs/slowmachines.go
@@ -35,7 +35,7 @@
 	// runRecheckDelay is the time until a task is checked again if its machine could not be
 	// assessed.
 	runRecheckDelay = 5 * time.Second
-	// maxStateAgeUpdates is the largest age of a usable machine state, in update intervals.
+	// maxStateAgeUpdates is the largest age of a usable machine state, in replication intervals.
 	maxStateAgeUpdates = 3
 )
 
@@ -83,8 +83,8 @@
 	}
 }
 
-// DetectSlowMachines checks the tasks that run longer than the other tasks of their job, and drains the
-// machines on which several tasks do.
+// DetectSlowMachines checks the tasks that run longer than the other tasks of their job, and
+// drains the machines on which several tasks do.
 func (o *Owned) DetectSlowMachines() {
 	deadlines := &o.runDeadlines
 	for range maxRunChecks {
@@ -110,7 +110,7 @@
 	case lateAt > o.Now:
 		heap.Push(&o.runDeadlines, runDeadline{lateAt, attempt})
 	default:
-		// A single task that runs for far too long is proof enough, so it is counted a
+		// A single task that runs for far too long is sufficient evidence, so it is counted a
 		// second time after the second threshold.
 		if lateAgain := attempt.runningSince + lateThreshold(lateRunFactor*median); lateAgain > o.Now {
 			heap.Push(&o.runDeadlines, runDeadline{lateAgain, attempt})
@@ -119,7 +119,7 @@
 	}
 }
 
-// observesTaskEnds reports whether this controller would have learned of ended tasks on a
+// observesTaskEnds reports whether this controller would have observed the ends of tasks on a
 // machine: it has received the machine's inventory, the dispatcher's updates are recent, and
 // the machine's heartbeats are not overdue.
 func (o *Owned) observesTaskEnds(m *waittable.Machine) bool {
--- a/internal/controller/jobs/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -82,7 +82,7 @@
 // differs from that of an earlier view.
 func (o *Owned) dispatcherChanged(oldView record.View, id protocol.MachineID) bool {
 	if oldView.Layout >= record.LayoutShards && o.Sharded() {
-		return false // the shard table decides: see HandleMovedShards
+		return false // the shard table decides: see HandleShardsMoved
 	}
 	dispatcher := o.DispatcherOf(id)
 	return clusterstate.RendezvousDispatcher(oldView, id) != dispatcher || !clusterstate.SameMemberSession(oldView, o.View, dispatcher)
--- a/internal/controller/membership/peers.go
+++ b/internal/controller/membership/peers.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// contactIntervals is the number of state update intervals after which a peer that
+	// contactIntervals is the number of replication intervals after which a peer that
 	// has sent no update no longer counts as in contact.
 	contactIntervals = 3
 	// isolationTimeout is how long after the end of its lease a controller that receives
@@ -56,7 +56,7 @@
 	return p != nil && p.load.Leaving
 }
 
-// isRecent reports whether a time is set and less than contactIntervals update intervals
+// isRecent reports whether a time is set and less than contactIntervals replication intervals
 // ago: a peer in contact sends its next state update within that time.
 func (ms *Members) isRecent(at clock.Time) bool {
 	return at != 0 && ms.Since(at) < contactIntervals*ms.Operator.ReplicationInterval
--- a/internal/controller/placement/headroom.go
+++ b/internal/controller/placement/headroom.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// startOverdue reports whether no task of a job has been placed for jobs.HeadroomOnlyDuration. The
-// first task, or the whole gang, is then placed like that of any other job and may be
+// startOverdue reports whether no task of a job has been placed for jobs.HeadroomOnlyDuration.
+// The first task, or the whole gang, is then placed like that of any other job and may be
 // queued; the remaining tasks stay confined to the headroom. Otherwise such jobs would never
 // start while all usable machines are likely to be needed for other jobs.
 func (p *Placer) startOverdue(job *jobs.Job) bool {
--- a/internal/controller/ratelimit/ledger.go
+++ b/internal/controller/ratelimit/ledger.go
@@ -172,8 +172,8 @@
 	return combine(b.base, b.outstandingAt(now), subtract)
 }
 
-// BorrowedUntil returns the time at which the first borrowed grant expires; ok is false if there is
-// none.
+// BorrowedUntil returns the time at which the first borrowed grant expires; ok is false if
+// there is none.
 func (b *Ledger[K]) BorrowedUntil(now clock.Time) (until clock.Time, ok bool) {
 	b.expire(now)
 	for _, grant := range b.borrowed {
--- a/internal/controller/reservation/calendar.go
+++ b/internal/controller/reservation/calendar.go
@@ -18,14 +18,14 @@
 	// retainPast is how long occurrences stay in the index after they have ended.
 	retainPast = 25 * time.Hour
 	// initialIndexSpan is how far ahead the occurrences of a new entry are indexed at
-	// once. Extend indexes the others later, for a few entries at a time.
+	// once. ExtendIndex indexes the others later, for a few entries at a time.
 	initialIndexSpan = 15 * day
 	// indexMargin is how far beyond Horizon occurrences are indexed, and at the same time
-	// the interval at which Extend looks for entries to be indexed further.
+	// the interval at which ExtendIndex looks for entries to be indexed further.
 	indexMargin = day
 	// singleIndexSpan is how far ahead an entry that does not recur is indexed.
 	singleIndexSpan = 100 * Horizon
-	// maxEntriesPerExtension bounds the entries that one call of Extend indexes further.
+	// maxEntriesPerExtension bounds the entries that one call of ExtendIndex indexes further.
 	maxEntriesPerExtension = 20
 )
 
@@ -35,7 +35,7 @@
 	windows           map[Name]*Entry
 	index             *occurrenceIndex
 	pendingExtension  []*Entry // entries whose occurrences have to be indexed further
-	lastExtensionScan Moment   // when Extend last looked for such entries
+	lastExtensionScan Moment   // when ExtendIndex last looked for such entries
 }
 
 // NewCalendar returns an empty calendar.
--- a/internal/controller/reservation/calendar_test.go
+++ b/internal/controller/reservation/calendar_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestCancelledEntryIsNotIndexedAgain guards against Extend indexing cancelled entries. A
+// TestCancelledEntryIsNotIndexedAgain guards against ExtendIndex indexing cancelled entries. A
 // cancelled recurring reservation was indexed a day later with its occurrences from 1970 on,
 // and conflicted with every request after that.
 func TestCancelledEntryIsNotIndexedAgain(t *testing.T) {
@@ -73,7 +73,7 @@
 }
 
 // TestThousandRecurringReservationsAreIndexedInBatches checks that a year's occurrences of a
-// thousand recurring reservations are indexed over many calls of Extend, and that a search
+// thousand recurring reservations are indexed over many calls of ExtendIndex, and that a search
 // returns only those that overlap, as its cost depends on what it finds.
 func TestThousandRecurringReservationsAreIndexedInBatches(t *testing.T) {
 	c := NewCalendar()
--- a/internal/controller/reservation/entry.go
+++ b/internal/controller/reservation/entry.go
@@ -25,8 +25,8 @@
 	indexIncomplete bool    // the occurrences are not indexed up to Horizon yet
 }
 
-// MaxOccurrenceDuration returns how long an occurrence of a reservation keeps its resources at the
-// most: they are held for its job first, and then used by it.
+// MaxOccurrenceDuration returns how long an occurrence of a reservation keeps its resources at
+// the most: they are held for its job first, and then used by it.
 func MaxOccurrenceDuration(s *record.ReservationSpec) time.Duration {
 	return config.Seconds(s.HoldS + s.LengthS)
 }
--- a/internal/controller/reservation/matching.go
+++ b/internal/controller/reservation/matching.go
@@ -31,14 +31,14 @@
 	return resource.Amount{CPUs: s.CPUs, GPUs: s.GPUs, GB: s.MemoryGB}
 }
 
-// FitsMachineType reports whether a reservation allows ordinary machines of a type in a zone, and one
-// of its tasks fits on such a machine.
+// FitsMachineType reports whether a reservation allows ordinary machines of a type in a zone,
+// and one of its tasks fits on such a machine.
 func FitsMachineType(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone) bool {
 	return AllowsMachineKind(s, t, z, false) && resource.Capacity(t).Covers(TaskSize(s))
 }
 
-// AllowsMachineKind reports whether a reservation may hold resources on machines of a type in a zone,
-// ordinary or spot.
+// AllowsMachineKind reports whether a reservation may hold resources on machines of a type in a
+// zone, ordinary or spot.
 func AllowsMachineKind(s *record.ReservationSpec, t protocol.TypeInfo, z protocol.Zone, spot bool) bool {
 	return (len(s.Types) == 0 || slices.Contains(s.Types, t.Name)) && (s.Zone == "" || s.Zone == z) && (s.Spot || !spot)
 }
--- a/internal/controller/waittable/pending.go
+++ b/internal/controller/waittable/pending.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// UnannouncedWaits is the sum of the placements that this controller has made on a machine and not
-// announced yet.
+// UnannouncedWaits is the sum of the placements that this controller has made on a machine and
+// not announced yet.
 type UnannouncedWaits struct {
 	CPUSeconds float64       // wait that the placements add, in processor seconds
 	Uses       resource.Uses // resources that the placements use
--- a/internal/controller/workerregistry/write.go
+++ b/internal/controller/workerregistry/write.go
@@ -92,10 +92,11 @@
 	}
 }
 
-// WriteRequestedChanges sends the requested changes, as many as fit into one transaction. It sends nothing
-// while an earlier transaction is unanswered. Like every write of a machine's record, the
-// transaction is conditional on the present view: a controller that reads the records
-// after a new view misses none of them, and a registrar that was replaced writes nothing.
+// WriteRequestedChanges sends the requested changes, as many as fit into one transaction. It
+// sends nothing while an earlier transaction is unanswered. Like every write of a machine's
+// record, the transaction is conditional on the present view: a controller that reads the
+// records after a new view misses none of them, and a registrar that was replaced writes
+// nothing.
 func (g *Registrar) WriteRequestedChanges() {
 	p := &g.pending
 	if len(p.requested) == 0 || p.inFlight || g.Now < p.retryAt || !g.HoldsLease() {
--- a/internal/controller/workload/classes.go
+++ b/internal/controller/workload/classes.go
@@ -67,10 +67,10 @@
 	return w.forecastArrivals(class, arrivalWork).SizeWithin(w.BootSeconds(&class.Job))
 }
 
-// TasksToReserve returns the number of tasks of a class with a start objective for which resources
-// are reserved: the tasks that are likely to arrive while a machine boots, less those that
-// fit into the resources that become free in that time. It is 0 for a class without a start
-// objective.
+// TasksToReserve returns the number of tasks of a class with a start objective for which
+// resources are reserved: the tasks that are likely to arrive while a machine boots, less those
+// that fit into the resources that become free in that time. It is 0 for a class without a
+// start objective.
 func (w *Workload) TasksToReserve(class *Class) int {
 	if !class.HasStartObjective {
 		return 0
--- a/internal/controller/workload/workload.go
+++ b/internal/controller/workload/workload.go
@@ -13,8 +13,8 @@
 	table *waittable.Table
 	// Classes holds the classes with an objective of which jobs have arrived, by name.
 	Classes map[string]*Class
-	// SpotPreemptions estimates the rate at which spot machines are preempted. It is kept when a new
-	// session begins.
+	// SpotPreemptions estimates the rate at which spot machines are preempted. It is kept when
+	// a new session begins.
 	SpotPreemptions forecast.SpotPreemptions
 }
 
