--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -1,5 +1,5 @@
 // Package compat checks that controllers of this version are compatible with controllers
-// of earlier versions: the encodings of messages and of records of the state service, the
+// of earlier versions: the encodings of messages and of records of the key-value store, the
 // keys of these records and the formats of the settings files must not change. Renaming a
 // Go type, package or field must not change what is sent or stored.
 //
--- a/internal/compat/messages_test.go
+++ b/internal/compat/messages_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestCBORMessages checks the CBOR encodings of the messages of users, workers, the cloud, the
-// state service and operators.
+// key-value store and operators.
 func TestCBORMessages(t *testing.T) {
 	checkMessages(t, cborFormat, []message{
 		entry[protocol.JobStatus, cborJobStatus]("job_status"),
--- a/internal/compat/records_test.go
+++ b/internal/compat/records_test.go
@@ -9,7 +9,7 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// TestRecords checks the encodings of the records of the state service. A test of package
+// TestRecords checks the encodings of the records of the key-value store. A test of package
 // controller checks the encoding of the record of reservation holds.
 func TestRecords(t *testing.T) {
 	checkMessages(t, cborFormat, []message{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -73,8 +73,12 @@
 	ReportS   float64 `toml:"report_s"`    // interval of heartbeats
 	LeaseS    float64 `toml:"lease_s"`     // time for which tasks may run without a response to a heartbeat
 	GangWaitS float64 `toml:"gang_wait_s"` // time for which a task waits for the other tasks of its gang
-	GangPeerS float64 `toml:"gang_peer_s"` // time after which the other tasks of a running gang end when one was stopped
-	CancelS   float64 `toml:"cancel_s"`    // time within which the tasks of a cancelled job have to end
+	// GangPeerS is the time within which the other tasks of a running gang notice that a task
+	// has disappeared or that its machine hangs, and exit. When a gang is stopped in order, it
+	// is also how long a task that has saved its checkpoint waits for the others, all of which
+	// must get their kill within that time.
+	GangPeerS float64 `toml:"gang_peer_s"`
+	CancelS   float64 `toml:"cancel_s"` // time within which the tasks of a cancelled job have to end
 }
 
 // State has the limits of the key-value store.
@@ -88,7 +92,7 @@
 // Cloud has the limits of the cloud.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`        // requests per second
-	ListLagS float64 `toml:"list_lag_s"` // largest delay until a change shows in the list of machines
+	ListLagS float64 `toml:"list_lag_s"` // usual lag of the cloud's list of machines; sometimes up to twice as long
 }
 
 // Limits has the resources that a controller may use.
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -33,7 +33,7 @@
 }
 
 // Redirect is the response to a heartbeat that was sent to the wrong controller. Leader is
-// the controller that leads the worker's shard.
+// the controller that holds the worker's shard.
 type Redirect struct {
 	Leader NodeName `cbor:"harbormaster,omitempty"`
 }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -49,7 +49,7 @@
 //	orders        Orders        commands to a worker
 //	order         Op            operation of a command
 //	slack_s       GraceS        grace period before a stopped task is killed
-//	harbormaster  Leader        controller that leads the worker's shard
+//	harbormaster  Leader        controller that holds the worker's shard
 //	error         Error         error message of a response
 //
 // Fields of the key-value store:
--- a/internal/record/shardtable.go
+++ b/internal/record/shardtable.go
@@ -18,7 +18,7 @@
 	Epoch protocol.Term
 	Zones []protocol.Zone
 	Slots int // number of shards of each zone
-	// Away are the controllers that operators have cordoned. They lead no shards.
+	// Away are the controllers that operators have cordoned. They hold no shards.
 	Away []protocol.NodeName
 	// List has Slots assignments for each zone, in the order of Zones.
 	List []ShardAssignment
@@ -26,7 +26,7 @@
 
 // ShardAssignment is the assignment of one shard.
 type ShardAssignment struct {
-	Holder protocol.LeaseID // lease of the controller that leads the shard
+	Holder protocol.LeaseID // lease of the controller that holds the shard
 	// Since is the epoch at which the holder took the shard over.
 	Since protocol.Term
 	// Epoch is the fencing token of commands to the machines of the shard. It rises when
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -26,12 +26,12 @@
 	LatestLayout = LayoutConfiguration
 )
 
-// View is the membership of a term: the controllers that lead shards or own jobs, each
+// View is the membership of a term: the controllers that hold shards or own jobs, each
 // with its lease.
 type View struct {
 	Term    protocol.Term
 	Members map[protocol.NodeName]protocol.LeaseID
-	// Deaf are the members that workers can't reach. They lead no shards.
+	// Deaf are the members that workers can't reach. They hold no shards.
 	Deaf []protocol.NodeName
 	// Layout is the layout of the records in this term.
 	Layout Layout
