--- a/internal/simulator/checks.go
+++ b/internal/simulator/checks.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// checkChange checks a change in the state service: a job record is never deleted, a final
+// checkChange checks a change in the key-value store: a job record is never deleted, a final
 // state never changes, and a job is done only if all of its tasks have completed.
 func (w *world) checkChange(ev protocol.Event) {
 	key, isJob := strings.CutPrefix(ev.Put+ev.Delete, record.JobKey(""))
--- a/internal/simulator/configuredworld_test.go
+++ b/internal/simulator/configuredworld_test.go
@@ -25,7 +25,7 @@
 	*world
 	commits        map[dynamicconfig.Revision]time.Duration // when each revision was committed
 	limits         map[protocol.Team][]limitSince
-	scannedChanges int // changes of the state service scanned by recordCommits
+	scannedChanges int // changes of the key-value store scanned by recordCommits
 	// maxApplyDelay is the longest time that a controller took to apply a revision, apart
 	// from controllers that restarted or were paused since the revision was committed.
 	maxApplyDelay time.Duration
@@ -84,7 +84,7 @@
 	}
 }
 
-// recordCommits records the revisions that were committed to the state service, and the
+// recordCommits records the revisions that were committed to the key-value store, and the
 // limits of teams in them.
 func (w *configuredWorld) recordCommits() {
 	for ; w.scannedChanges < w.state.Changes(); w.scannedChanges++ {
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -124,7 +124,7 @@
 
 // configurationChangeJSON lowers and raises teams' limits in a busy world with job arrays and
 // a gang, while shards move and a controller crashes. It returns the outcome with all
-// records of the state service.
+// records of the key-value store.
 func configurationChangeJSON(t *testing.T) []byte {
 	t.Helper()
 	w := newConfiguredWorld(t, 1100, 20)
--- a/internal/simulator/driver.go
+++ b/internal/simulator/driver.go
@@ -22,7 +22,7 @@
 	// maxFinishedJobs is how many finished jobs are retained, because late heartbeats may
 	// still refer to them.
 	maxFinishedJobs = 500
-	// minDiscardedChanges is the smallest number of changes of the state service that are
+	// minDiscardedChanges is the smallest number of changes of the key-value store that are
 	// discarded at once.
 	minDiscardedChanges = 1000
 )
@@ -270,7 +270,7 @@
 	delete(d.cancelled, id)
 }
 
-// discardChanges discards changes of the state service that all nodes and checks have
+// discardChanges discards changes of the key-value store that all nodes and checks have
 // processed.
 func (d *driver) discardChanges() {
 	seen := d.state.Changes()
--- a/internal/simulator/faultyjobs_test.go
+++ b/internal/simulator/faultyjobs_test.go
@@ -8,12 +8,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestFaultyJobsDoNotCordonHealthyMachines tests a load in which a third of the jobs fail on
-// every machine, including arrays of hundreds of tasks and gangs, while three machines fail
-// every task. The faulty machines must be cordoned, and healthy machines must not be for
-// long. Faulty jobs must be retried less and less often and must not keep the other jobs from
-// finishing, and a faulty job that is repaired must finish.
-func TestFaultyJobsDoNotCordonHealthyMachines(t *testing.T) {
+// TestFaultyJobsDoNotQuarantineHealthyMachines has a third of the jobs, also large arrays and
+// gangs, fail on every machine, and three machines fail every task. The faulty machines must be
+// quarantined, and healthy ones not for long. Faulty jobs must be retried less and less often and
+// must not keep other jobs from finishing, and one that is repaired must finish.
+func TestFaultyJobsDoNotQuarantineHealthyMachines(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t.Fatalf, 31, fake.Settings(), 60, 60)
 	w.run(3 * time.Second)
@@ -24,7 +23,7 @@
 	}
 	starts := map[protocol.JobID]int{}
 	w.onTaskStarted = func(_ protocol.MachineID, id protocol.TaskID) { starts[id.Job]++ }
-	cordoned, healthyCordonSeconds := map[protocol.MachineID]bool{}, 0
+	quarantined, healthyQuarantineSeconds := map[protocol.MachineID]bool{}, 0
 	for i := range 80 {
 		j := protocol.Job{Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: 30, CPUs: 2, EstimateS: 5, Spot: true}
 		switch i % 4 {
@@ -42,19 +41,19 @@
 		w.run(w.now + time.Second)
 		for _, n := range w.nodes {
 			for _, id := range n.core.Status().Cordoned {
-				if cordoned[id] = true; !faultyMachines[id] {
-					healthyCordonSeconds++
+				if quarantined[id] = true; !faultyMachines[id] {
+					healthyQuarantineSeconds++
 				}
 			}
 		}
 	}
 	for id := range faultyMachines {
-		if !cordoned[id] {
-			t.Errorf("%s fails every task and was not cordoned", id)
+		if !quarantined[id] {
+			t.Errorf("%s fails every task and was not quarantined", id)
 		}
 	}
-	if healthyCordonSeconds > 60 { // of 80 s times 57 machines
-		t.Errorf("healthy machines were cordoned for %d s in all", healthyCordonSeconds)
+	if healthyQuarantineSeconds > 60 { // of 80 s times 57 machines
+		t.Errorf("healthy machines were quarantined for %d s in all", healthyQuarantineSeconds)
 	}
 	repaired := w.jobOrder[0]
 	if !w.faultyJobs[repaired] {
@@ -82,5 +81,5 @@
 	if len(w.onMachine) > 0 {
 		t.Errorf("%d tasks are on machines after all were cancelled", len(w.onMachine))
 	}
-	t.Logf("healthy machines were cordoned for %d s in all; starts %v", healthyCordonSeconds, starts)
+	t.Logf("healthy machines were quarantined for %d s in all; starts %v", healthyQuarantineSeconds, starts)
 }
--- a/internal/simulator/fleet_test.go
+++ b/internal/simulator/fleet_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// TestFailoverWithSlowStateService crashes a controller while the state service is 15 times
+// TestFailoverWithSlowStateService crashes a controller while the key-value store is 15 times
 // slower, for writes and for watched changes.
 func TestFailoverWithSlowStateService(t *testing.T) {
 	t.Parallel()
--- a/internal/simulator/frontend_test.go
+++ b/internal/simulator/frontend_test.go
@@ -11,7 +11,7 @@
 )
 
 // frontend runs the admission core of a node's process and executes its actions, as
-// coordination.Node does.
+// frontend.Frontend does.
 type frontend struct {
 	users       *users
 	node        *node
@@ -123,7 +123,7 @@
 	}
 }
 
-// read reads from the state service and delivers the result of query. If the read fails or
+// read reads from the key-value store and delivers the result of query. If the read fails or
 // its reply is lost, it delivers the result of failed with the outcome instead.
 func (f *frontend) read(query func() any, failed func(message.Outcome) any) {
 	w := f.users.world
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -85,7 +85,7 @@
 }
 
 // partitionZone partitions a zone, with its controllers and machines, from the other zones.
-// With includeState, the zone's controllers are also partitioned from the state service.
+// With includeState, the zone's controllers are also partitioned from the key-value store.
 func (w *world) partitionZone(zone protocol.Zone, includeState bool, d time.Duration, delayed bool) {
 	for i, n := range w.nodes {
 		inside := w.nodeZone(i) == zone
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -37,9 +37,9 @@
 	incarnation    int              // number of the process; replies to earlier processes are lost
 	startedAt      time.Duration
 	outboxes       map[protocol.NodeName]*outbox
-	session        protocol.LeaseID // session of the state service; 0 if there is none
+	session        protocol.LeaseID // session of the key-value store; 0 if there is none
 	renewAt        time.Duration    // when the session's lease is next renewed
-	watchedChanges int              // number of changes of the state service delivered so far
+	watchedChanges int              // number of changes of the key-value store delivered so far
 	layout         record.Layout
 	pausedUntil    time.Duration // the process is paused until then, while its clocks run on
 	// slowdown is the factor by which the process ticks less often, until slowdownUntil.
@@ -116,7 +116,7 @@
 	})
 }
 
-// openSession opens a session of the state service and reads the watched records, as the
+// openSession opens a session of the key-value store and reads the watched records, as the
 // controller's real node does.
 func (n *node) openSession(incarnation int) {
 	w := n.world
@@ -229,8 +229,8 @@
 	return w.wallMS()
 }
 
-// deliverWatchedChanges passes changes of the state service to the core once they are older
-// than the latency of the state service and the lag of the watch.
+// deliverWatchedChanges passes changes of the key-value store to the core once they are older
+// than the latency of the key-value store and the lag of the watch.
 func (n *node) deliverWatchedChanges() {
 	w := n.world
 	for n.watchedChanges < w.state.Changes() && w.changeAge(n.watchedChanges) >= w.stateLatency+w.watchLag {
--- a/internal/simulator/overlaps_test.go
+++ b/internal/simulator/overlaps_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// partitionThenOutage partitions one controller from the state service, cancels jobs through
-// the other controllers meanwhile, and then starts an outage of the state service for all
+// partitionThenOutage partitions one controller from the key-value store, cancels jobs through
+// the other controllers meanwhile, and then starts an outage of the key-value store for all
 // that lasts at least cancel_s.
 func (n *node) partitionThenOutage() {
 	w := n.world
@@ -84,7 +84,7 @@
 		if w.rng.IntN(6) == 0 {
 			n.partitionThenOutage()
 		}
-	case 1: // partitioned from the state service and its peers, not from workers
+	case 1: // partitioned from the key-value store and its peers, not from workers
 		w.partition(string(n.name), "state", d, delayed)
 		n.partitionFromPeers(d, delayed)
 		w.cancelRandomJobs(3, d)
@@ -172,8 +172,8 @@
 	scenario{machines: 9, job: (*world).randomJob, duration: 120 * time.Second, fault: fault, faultEveryStep: true, settleTime: 15 * time.Second}.runSeeds(t, 20, 800_000)
 }
 
-// partitionOutage is a case in which one controller is partitioned from the state service
-// while others confirm cancellations, and the state service then has an outage for all.
+// partitionOutage is a case in which one controller is partitioned from the key-value store
+// while others confirm cancellations, and the key-value store then has an outage for all.
 type partitionOutage struct {
 	rejectedFor    time.Duration // how long the partition lasts before the outage
 	delayed        bool          // transactions are delayed rather than refused
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -29,7 +29,7 @@
 }
 
 // TestRunsAreReproducible tests that two runs of a scenario with the same seed make the same
-// changes in the state service. Otherwise a failing seed could not be debugged.
+// changes in the key-value store. Otherwise a failing seed could not be debugged.
 func TestRunsAreReproducible(t *testing.T) {
 	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -103,7 +103,7 @@
 
 // TestRulesHoldWithFastRestarts runs scenarios in which crashed processes restart within half
 // a second: one, all, or the same one repeatedly, during view changes, shard moves, takeovers
-// and registrations. The state service is slow at times, so that requests of an earlier
+// and registrations. The key-value store is slow at times, so that requests of an earlier
 // process take effect while the next one is running.
 func TestRulesHoldWithFastRestarts(t *testing.T) {
 	crashBriefly := func(w *world, n *node) { n.crashFor(time.Duration(100+w.rng.IntN(400)) * time.Millisecond) }
@@ -152,11 +152,10 @@
 	}
 }
 
-// TestRulesHoldWithLongPartitions runs scenarios in which controllers are partitioned for up
-// to two minutes, from all endpoints or from one, and return with expired leases. Messages are
-// lost or are delayed until the partition ends. Two partitions may overlap, and partitions
-// happen during rolling restarts. Controllers are also paused for 3 to 40 s at any time,
-// including while shards move; their clocks run on, and they handle all messages on resume.
+// TestRulesHoldWithLongPartitions partitions controllers from all endpoints or one for up to two
+// minutes, longer than their leases; messages are lost or delayed until the end. Partitions may
+// overlap and happen in rolling restarts. Controllers also pause for 3 to 40 s, even while shards
+// move: their clocks run on, and they handle all messages on resume.
 func TestRulesHoldWithLongPartitions(t *testing.T) {
 	fault := func(w *world) {
 		i := w.rng.IntN(3)
--- a/internal/simulator/shards.go
+++ b/internal/simulator/shards.go
@@ -29,7 +29,7 @@
 // operatorName is the name of the operator who moves shards.
 const operatorName = "ops"
 
-// shardTable returns the shard table in the state service, if there is one.
+// shardTable returns the shard table in the key-value store, if there is one.
 func (w *world) shardTable() (s record.ShardTable, ok bool) {
 	it, found := w.state.Get(record.ShardTableKey)
 	if !found {
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -100,8 +100,8 @@
 type FaultRates struct {
 	Crash           float64 `toml:"crash"`        // a controller crashes
 	CrashAll        float64 `toml:"all_crash"`    // all controllers crash
-	StatePartition  float64 `toml:"cut"`          // a controller is partitioned from the state service
-	StateOutage     float64 `toml:"state_outage"` // the state service is unavailable for up to 20 s
+	StatePartition  float64 `toml:"cut"`          // a controller is partitioned from the key-value store
+	StateOutage     float64 `toml:"state_outage"` // the key-value store is unavailable for up to 20 s
 	CloudSilent     float64 `toml:"cloud_silent"` // the cloud does not answer for ten minutes
 	SpotPreemption  float64 `toml:"spot_wave"`    // a third of the spot machines are preempted
 	MachineLost     float64 `toml:"lost"`         // a machine is lost
--- a/internal/simulator/sparecapacity_test.go
+++ b/internal/simulator/sparecapacity_test.go
@@ -19,11 +19,10 @@
 	return s
 }
 
-// TestLowPriorityTeamUsesSpareCapacity submits long tasks of a guest team, which has no
-// guarantee, together with jobs of a class with a deadline. The tasks have the same priority,
-// there are far more than fit on the fleet, and a controller crashes meanwhile. The class must
-// wait at most three seconds longer than without the guests, at the 90th percentile, and the
-// guests must use a large part of the remaining capacity.
+// TestLowPriorityTeamUsesSpareCapacity submits more long tasks of a team without a guarantee, the
+// guests, than fit on the fleet, and jobs of a class with a deadline and the same priority. A
+// controller crashes meanwhile. The class must wait at most 3 s longer than without guests, at the
+// 90th percentile, and the guests must use a large part of the remaining capacity.
 func TestLowPriorityTeamUsesSpareCapacity(t *testing.T) {
 	t.Parallel()
 	run := func(seed uint64, withGuests bool) (waits []time.Duration, maxGuestTasks int) {
@@ -114,11 +113,10 @@
 	return w, tracker
 }
 
-// TestUrgentJobsAreNotLimitedToSpareCapacity tests that jobs without an objective that have a
-// higher priority than all jobs with an objective do not count as low-priority. On a fleet
-// full of jobs of lower priority, their tasks, each as large as a machine, must start as
-// running tasks end. If they counted as low-priority, they would only get the spare capacity,
-// which is too fragmented for a task of that size.
+// TestUrgentJobsAreNotLimitedToSpareCapacity submits jobs without an objective whose priority is
+// higher than that of all jobs with one, to a full fleet. Their tasks, each as large as a machine,
+// must start as running tasks end. If these jobs counted as low-priority, they would be confined
+// to the headroom, which is too fragmented for a task of that size.
 func TestUrgentJobsAreNotLimitedToSpareCapacity(t *testing.T) {
 	t.Parallel()
 	w, tracker := newStartTracker(t, 22)
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -18,7 +18,7 @@
 	maxTransactionBytes = 64 << 10
 )
 
-// stateService models the state service and its faults.
+// stateService models the key-value store and its faults.
 type stateService struct {
 	*timeline
 	state          *fake.KeyValueStore
@@ -32,10 +32,10 @@
 	// lostAnswerFraction is the fraction of the transactions that are applied but whose reply
 	// is lost, in addition to the one in twenty whose reply is always lost.
 	lostAnswerFraction float64
-	changeTimes        []time.Duration // times of the changes, from index state.Before on
+	changeTimes        []time.Duration // times of the changes, from index state.CompactedChanges on
 }
 
-// isUnavailable reports whether the state service has an outage.
+// isUnavailable reports whether the key-value store has an outage.
 func (s *stateService) isUnavailable() bool { return s.outageUntil > s.now }
 
 // advanceStateService ends outages and expires leases.
@@ -65,10 +65,10 @@
 }
 
 // transactionCallback is called with the outcome of a transaction and the resulting revision
-// of the state service.
+// of the key-value store.
 type transactionCallback func(message.Outcome, protocol.Revision)
 
-// stateReachable reports whether the node can reach the state service.
+// stateReachable reports whether the node can reach the key-value store.
 func (n *node) stateReachable() bool {
 	w := n.world
 	p, ok := w.partitions[partitionKey(string(n.name), stateEndpoint)]
@@ -115,7 +115,7 @@
 	n.afterIfAlive(transactionTimeout, func() { done(message.OutcomeUnknown, 0) })
 }
 
-// apply applies a transaction to the state service and replies with the outcome.
+// apply applies a transaction to the key-value store and replies with the outcome.
 func (n *node) apply(txn protocol.Transaction, done transactionCallback) {
 	w := n.world
 	out := message.OutcomeFailed
@@ -132,7 +132,7 @@
 	})
 }
 
-// checkTransactionSize checks a transaction against the limits of the state service.
+// checkTransactionSize checks a transaction against the limits of the key-value store.
 func (w *world) checkTransactionSize(a message.Commit) {
 	limits := w.settings.Site.State
 	if ops := len(a.Transaction.Changes); ops > limits.TxnOps || len(a.Transaction.Conditions) > 4*limits.TxnOps {
@@ -150,7 +150,7 @@
 	}
 }
 
-// newStateService returns the model of an empty state service.
+// newStateService returns the model of an empty key-value store.
 func newStateService(t *timeline) stateService {
 	return stateService{timeline: t, state: fake.NewKeyValueStore()}
 }
--- a/internal/simulator/usercheckfaults_test.go
+++ b/internal/simulator/usercheckfaults_test.go
@@ -73,7 +73,8 @@
 			})
 		}}, "record of an invalid"},
 		"left waiting beside a free machine": {userScenario{prepare: func(u *users) {
-			// From the end of the scenario on no controller runs, so a job that was just accepted waits.
+			// From the end of the scenario on no controller runs, so a job that was just
+			// accepted waits.
 			u.after(59*second, func() {
 				for _, n := range u.nodes {
 					n.crashFor(time.Hour)
--- a/internal/simulator/userhandover_test.go
+++ b/internal/simulator/userhandover_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestCancellationAtEachStepOfHandover cancels all jobs at each time, 20 or 200 ms apart, of a
-// shard move, a controller's shutdown, its crash and its partition from the state service. The
+// shard move, a controller's shutdown, its crash and its partition from the key-value store. The
 // tasks of the jobs must be stopped in time, and none may be started after the confirmation
 // by a controller that was not partitioned.
 func TestCancellationAtEachStepOfHandover(t *testing.T) {
@@ -71,7 +71,7 @@
 }
 
 // TestSmallJobsStayWithinStateServiceLimits submits one-task jobs, four per second for two
-// minutes, and cancels a quarter of them. The write rate at the state service must stay within
+// minutes, and cancels a quarter of them. The write rate at the key-value store must stay within
 // its limit, and of each finished job only the job record may remain.
 func TestSmallJobsStayWithinStateServiceLimits(t *testing.T) {
 	d := userScenario{machines: 9, duration: 120 * time.Second, job: smallJob, interval: time.Second / 4, cancelFraction: 0.25, prepare: func(u *users) { u.wellFormed = true }}
@@ -100,7 +100,7 @@
 
 // TestLeaderCrashAtEachStep crashes the controller that writes the machine records at each
 // time, 20 ms apart, of the first 2.5 s of a new machine, and of the election after another
-// leader has crashed. The state service is slow and applies some transactions late. Tasks
+// leader has crashed. The key-value store is slow and applies some transactions late. Tasks
 // that wait for the machine must run exactly once, and every job must finish.
 func TestLeaderCrashAtEachStep(t *testing.T) {
 	for name, first := range map[string]func(*users){
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -51,7 +51,7 @@
 	// job's last task had ended more than 3 s plus pollTimeout before.
 	requests, answered, unavailable, lateEnds int
 	startsSent, startsAfterCancellation       int             // starts sent, and of these, after a confirmed cancellation
-	startsByPartitionedNodes                  int             // of the latter, by controllers partitioned from a peer or the state service since
+	startsByPartitionedNodes                  int             // of the latter, by controllers partitioned from a peer or the key-value store since
 	cancelWaits                               []time.Duration // from the request to the confirmation of a cancellation
 }
 
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -67,7 +67,7 @@
 	recordedHeartbeats []protocol.Heartbeat
 	viewVersion        protocol.Version // version of the view at the last step
 
-	checkedChanges int                           // changes of the state service that were checked against the rules
+	checkedChanges int                           // changes of the key-value store that were checked against the rules
 	movedAt        map[sharding.ID]time.Duration // when each shard last moved
 	counters
 }
@@ -163,8 +163,8 @@
 // wallMS returns the simulated wall-clock time in Unix milliseconds.
 func (w *world) wallMS() int64 { return w.startMS + w.now.Milliseconds() }
 
-// submit writes the records of a new job as a controller's admission does, if the state
-// service is available.
+// submit writes the records of a new job as a controller's admission does, if the key-value
+// store is available.
 func (w *world) submit(j protocol.Job) {
 	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", w.submissions))
 	j.SubmittedMS = w.wallMS()
