--- a/cmd/damsonkeel/reserve_test.go
+++ b/cmd/damsonkeel/reserve_test.go
@@ -10,11 +10,10 @@
 	"damsonkeel/internal/record"
 )
 
-// TestReservationSurvivesKilledProcesses runs three controllers as processes with fake
-// workers on loopback in real time, and adds a reservation through the command line. The
-// fleet is kept full of tasks that run longer than the time until the reservation, and all
-// controllers are killed and restarted while resources are held for it. The test checks
-// that the reserved job starts in time nevertheless.
+// TestReservationSurvivesKilledProcesses adds a reservation through the command line to three
+// controller processes, with fake workers on loopback in real time. Tasks that run past the start
+// of the reservation keep the fleet full, and all controllers are killed and restarted while
+// resources are held for it. The reserved job must start in time nevertheless.
 func TestReservationSurvivesKilledProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes about two minutes")
--- a/cmd/damsonkeel/shares_test.go
+++ b/cmd/damsonkeel/shares_test.go
@@ -9,11 +9,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestShardsMoveBetweenProcesses runs three controllers as processes with fake workers on
-// loopback in real time. While jobs run, it moves shards and cordons a controller through
-// the command line, and then restarts the controllers one after the other by SIGTERM. It
-// checks that each controller terminates by itself in time and that every task is started
-// exactly once.
+// TestShardsMoveBetweenProcesses runs three controller processes with fake workers on loopback in
+// real time. While jobs run, it moves shards and cordons a controller through the command line and
+// restarts the controllers one after the other by SIGTERM. Each must terminate by itself in time,
+// and every task must be started exactly once.
 func TestShardsMoveBetweenProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes about a minute")
