--- a/internal/controller/dispatcher/dispatcher.go
+++ b/internal/controller/dispatcher/dispatcher.go
@@ -114,7 +114,7 @@
 // longer be started to their owners.
 func (d *Dispatcher) AdoptConfiguration() {
 	for _, q := range d.queues.inOrder() {
-		q.markChanged() // the machine may have been closed or opened
+		q.markChanged() // a cordon of the machine's zone or type may have begun or ended
 		if !q.handingOver() {
 			q.releaseOutdated()
 		}
--- a/internal/controller/dispatcher/orders.go
+++ b/internal/controller/dispatcher/orders.go
@@ -136,7 +136,7 @@
 // takeStartable removes the attempts to start from the queue and returns them: those that
 // fit the free resources, in order of service.
 func (q *queue) takeStartable() []*entry {
-	if q.recordVersion == 0 || q.refusesStarts() || len(q.waiting) == 0 || q.closed() {
+	if q.recordVersion == 0 || q.refusesStarts() || len(q.waiting) == 0 || q.inCordonedPlace() {
 		return nil
 	}
 	var starts []*entry
--- a/internal/controller/dispatcher/placement.go
+++ b/internal/controller/dispatcher/placement.go
@@ -47,7 +47,7 @@
 	if q.HasEnded(placement.Task.Job) || !q.isCurrentPlacement(place, placement) {
 		return false
 	}
-	if q.refusesStarts() || q.handingOver() || q.closed() || q.isOutdated(e) {
+	if q.refusesStarts() || q.handingOver() || q.inCordonedPlace() || q.isOutdated(e) {
 		return false
 	}
 	if queued := q.entries[placement.Task]; queued != nil {
--- a/internal/controller/dispatcher/published.go
+++ b/internal/controller/dispatcher/published.go
@@ -109,7 +109,7 @@
 			Draining: q.draining,
 			Silence:  q.silence,
 			Noticed:  q.noticeSeconds != nil,
-			Closed:   q.refusesStarts() || q.silence == message.SilenceLong || q.closed(),
+			Closed:   q.refusesStarts() || q.silence == message.SilenceLong || q.inCordonedPlace(),
 		},
 		free:               resource.Capacity(q.machineType),
 		lowestPresentRank:  resource.Ranks,
--- a/internal/controller/dispatcher/queue.go
+++ b/internal/controller/dispatcher/queue.go
@@ -121,7 +121,7 @@
 func (q *queue) requeue(e *entry) {
 	e.sent = false
 	q.enqueue(e)
-	if q.refusesStarts() || q.closed() || q.isOutdated(e) {
+	if q.refusesStarts() || q.inCordonedPlace() || q.isOutdated(e) {
 		q.release(e)
 	}
 }
--- a/internal/controller/forecast/arrivals_test.go
+++ b/internal/controller/forecast/arrivals_test.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// TestWithinGrowsWithRateAndVarianceAndFallsAfterSilence: the forecast size grows with the
+// TestSizeWithinGrowsWithRateAndVarianceAndFallsAfterSilence: the forecast size grows with the
 // rate of arrivals and the variance of their sizes, is at least the size that arrives on
 // average, and falls after a long silence.
-func TestWithinGrowsWithRateAndVarianceAndFallsAfterSilence(t *testing.T) {
+func TestSizeWithinGrowsWithRateAndVarianceAndFallsAfterSilence(t *testing.T) {
 	now := clock.Time(time.Hour)
 	within := func(as Arrivals) float64 {
 		return as.Forecast(now, 8, 0.8, func(a Arrival) float64 { return a.Tasks }).SizeWithin(8)
--- a/internal/controller/jobs/inventory.go
+++ b/internal/controller/jobs/inventory.go
@@ -43,9 +43,9 @@
 		o.DispatcherOf(inventory.Machine) == from && inventory.Tenure == o.ShardEpoch(inventory.Machine, m.Record.Zone)
 }
 
-// recordEndedJobAttempts counts the listed attempts of jobs that this owner has seen end while
-// the dispatcher has not read that record yet: the dispatcher has not killed them, and may
-// even start them until it reads the record. They count against their team's limit until the
+// recordEndedJobAttempts counts the listed attempts of jobs whose final record this owner has
+// read and the dispatcher has not: the dispatcher has not killed the attempts, and may even
+// start them until it reads the record. They count against their team's limit until the
 // dispatcher reports that they have ended. If they were treated as lost, their resources
 // would be assigned to other tasks of the team, and the team would exceed its limit.
 func (o *Owned) recordEndedJobAttempts(inventory *message.Inventory) {
--- a/internal/controller/ordered/ordered_test.go
+++ b/internal/controller/ordered/ordered_test.go
@@ -7,9 +7,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// TestOfIteratesInKeyOrder checks that entries are visited in the order of their keys, and
+// TestByKeyIteratesInKeyOrder checks that entries are visited in the order of their keys, and
 // that entries that the loop has deleted are not visited.
-func TestOfIteratesInKeyOrder(t *testing.T) {
+func TestByKeyIteratesInKeyOrder(t *testing.T) {
 	m := map[string]int{"c": 3, "a": 1, "b": 2, "d": 4}
 	var values []int
 	for key, value := range ByKey(m) {
