--- a/internal/fake/server/host_test.go
+++ b/internal/fake/server/host_test.go
@@ -21,7 +21,7 @@
 var testTask = protocol.TaskID{Job: "job-1"}
 
 // recorder is an Observer that sends the events as text on a channel. It is also a
-// JobSource that knows every job.
+// JobSource with a description of every job.
 type recorder struct{ events chan string }
 
 func (r *recorder) MachineUp(m protocol.MachineID, _ protocol.TypeInfo, _ protocol.Zone, _ bool, _ time.Duration) {
--- a/internal/simulator/configuration_test.go
+++ b/internal/simulator/configuration_test.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestNoStartsInClosedZone tests that no task starts in a zone that is closed, so that tasks
-// queued there are placed elsewhere, and that the zone is used again after it was opened.
-func TestNoStartsInClosedZone(t *testing.T) {
+// TestNoStartsInCordonedZone tests that no task starts in a cordoned zone, so that tasks queued
+// there are placed elsewhere, and that the zone is used again after the end of its cordon.
+func TestNoStartsInCordonedZone(t *testing.T) {
 	t.Parallel()
 	w := newConfiguredWorld(t, 995, 40)
 	closed, starts := false, 0
--- a/internal/simulator/overlaps_test.go
+++ b/internal/simulator/overlaps_test.go
@@ -220,7 +220,7 @@
 	for at := time.Duration(0); at < m.rejectedFor; at += 300 * time.Millisecond {
 		w.after(at, cancel)
 	}
-	w.after(m.rejectedFor, func() { // the controllers cannot see these cancellations before the outage
+	w.after(m.rejectedFor, func() { // the controllers can't observe these cancellations before the outage
 		for range 12 {
 			cancel()
 		}
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -25,7 +25,7 @@
 	outageUntil    time.Duration
 	wasUnavailable bool          // whether it was unavailable at the last step
 	stateLatency   time.Duration // added latency of a transaction and of the watch
-	watchLag       time.Duration // additional delay until controllers see changes
+	watchLag       time.Duration // additional delay until controllers observe changes
 	// lateWriteFraction is the fraction of the transactions that get no reply and are applied
 	// 2 to 12 seconds later, possibly after newer transactions.
 	lateWriteFraction float64
--- a/internal/simulator/userhandover_test.go
+++ b/internal/simulator/userhandover_test.go
@@ -98,19 +98,19 @@
 	t.Logf("at most %d changes within a second, the limit is %v", maxPerSecond, u.settings.Site.State.WriteRPS)
 }
 
-// TestLeaderCrashAtEachStep crashes the controller that writes the machine records at each
+// TestRegistrarCrashAtEachStep crashes the registrar, which writes the machine records, at each
 // time, 20 ms apart, of the first 2.5 s of a new machine, and of the election after another
-// leader has crashed. The key-value store is slow and applies some transactions late. Tasks
+// registrar has crashed. The key-value store is slow and applies some transactions late. Tasks
 // that wait for the machine must run exactly once, and every job must finish.
-func TestLeaderCrashAtEachStep(t *testing.T) {
+func TestRegistrarCrashAtEachStep(t *testing.T) {
 	for name, first := range map[string]func(*users){
 		"during a registration": func(u *users) {
 			r := protocol.ProvisionRequest{Name: "new", Type: "large", Zone: "a", Count: 1}
 			_, ids := u.cloud.Provision(r)
 			u.bootMachine(ids[0], r)
 		},
-		"during an election":                          func(u *users) { u.leader().crashFor(9 * time.Second) },
-		"during an election, restart within a second": func(u *users) { u.leader().crashBriefly() },
+		"during an election":                          func(u *users) { u.registrar().crashFor(9 * time.Second) },
+		"during an election, restart within a second": func(u *users) { u.registrar().crashBriefly() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -127,8 +127,8 @@
 				w.run(w.now + time.Second)
 				w.stateLatency, w.lateWriteFraction = 100*time.Millisecond, 0.2
 				first(u)
-				w.after(at, func() { u.leader().crashFor(300 * time.Millisecond) })
-				w.after(at+600*time.Millisecond, func() { u.leader().crashFor(300 * time.Millisecond) })
+				w.after(at, func() { u.registrar().crashFor(300 * time.Millisecond) })
+				w.after(at+600*time.Millisecond, func() { u.registrar().crashFor(300 * time.Millisecond) })
 				w.run(w.now + 15*time.Second)
 				w.stateLatency, w.lateWriteFraction = 0, 0
 				for end := w.now + 2*time.Minute; w.now < end && slices.ContainsFunc(slices.Collect(maps.Values(u.jobs)), func(j *userJob) bool { return j.rank < rankFinal }); {
--- a/internal/simulator/useroverlaps_test.go
+++ b/internal/simulator/useroverlaps_test.go
@@ -15,9 +15,9 @@
 	n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
 }
 
-// leader returns a controller that considers itself the one that writes the machine records,
-// or a random one if there is none.
-func (w *world) leader() *node {
+// registrar returns a controller that considers itself the registrar, which writes the machine
+// records, or a random one if there is none.
+func (w *world) registrar() *node {
 	for _, n := range w.nodes {
 		if n.core != nil && n.core.Status().Registers {
 			return n
@@ -144,7 +144,7 @@
 				n := u.nodes[u.rng.IntN(3)]
 				u.watchLag = time.Duration(u.rng.IntN(4)) * 500 * time.Millisecond
 				if u.rng.IntN(2) == 0 {
-					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(7))*second, true) // sees changes late
+					u.partition(string(u.nodes[u.rng.IntN(3)].name), "state", time.Duration(1+u.rng.IntN(7))*second, true) // observes changes late
 				}
 				u.cancelRunningJobs(4, time.Duration(1+u.rng.IntN(20))*second)
 				switch u.rng.IntN(4) {
@@ -152,7 +152,7 @@
 					u.after(time.Duration(u.rng.IntN(1000))*time.Millisecond, func() { n.crashBriefly() })
 				case 2:
 					u.moveRandomShards(24)
-				case 3: // a controller takes over shards, and then sees cancellations late
+				case 3: // a controller takes over shards, and then observes cancellations late
 					u.moveRandomShards(60)
 					after := time.Duration(u.rng.IntN(1500)) * time.Millisecond
 					u.after(after, func() {
@@ -191,7 +191,7 @@
 				u.onProvisioned = func(id protocol.MachineID, r protocol.ProvisionRequest) {
 					onProvisioned(id, r)
 					if u.rng.IntN(3) == 0 && u.now < 100*second {
-						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.leader().crashBriefly() })
+						u.after(time.Duration(u.rng.IntN(3000))*time.Millisecond, func() { u.registrar().crashBriefly() })
 					}
 				}
 			}
@@ -208,9 +208,9 @@
 				u.forRandomWorkers(0.2, func(m *worker) { m.pausedUntil = u.now + time.Duration(u.rng.IntN(20))*second })
 				switch u.rng.IntN(3) {
 				case 0:
-					u.leader().crashBriefly()
+					u.registrar().crashBriefly()
 				case 1:
-					u.leader().crashFor(9 * second)
+					u.registrar().crashFor(9 * second)
 				}
 			}
 		}),
@@ -236,7 +236,7 @@
 			d.duration = 120 * second
 			d.fault = func(u *users) {
 				if u.rng.IntN(2) == 0 {
-					u.leader().crashFor(time.Duration(100+u.rng.IntN(9000)) * time.Millisecond)
+					u.registrar().crashFor(time.Duration(100+u.rng.IntN(9000)) * time.Millisecond)
 				}
 				if u.rng.IntN(5) == 0 {
 					u.outageUntil = u.now + time.Duration(3+u.rng.IntN(15))*second
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -38,8 +38,8 @@
 	// are accepted.
 	cancelAtOnceFraction float64
 	wellFormed           bool // all submissions are valid
-	// dropCancellations drops the announcements of cancellations, so that controllers only see
-	// them in the records: an injected fault.
+	// dropCancellations drops the announcements of cancellations, so that controllers only
+	// observe them in the records: an injected fault.
 	dropCancellations bool
 	// changeAnswer, if set, replaces the answers to users: an injected fault.
 	changeAnswer func(*userJob, admission.Answer) admission.Answer
@@ -51,7 +51,7 @@
 	// job's last task had ended more than 3 s plus pollTimeout before.
 	requests, answered, unavailable, lateEnds int
 	startsSent, startsAfterCancellation       int             // starts sent, and of these, after a confirmed cancellation
-	startsByPartitionedNodes                  int             // of the latter, by controllers partitioned from a peer or the key-value store since
+	startsByPartitionedNodes                  int             // of the latter, by controllers partitioned from a peer or the store after the confirmation
 	cancelWaits                               []time.Duration // from the request to the confirmation of a cancellation
 }
 
