--- a/internal/controller/dispatcher/placement.go
+++ b/internal/controller/dispatcher/placement.go
@@ -5,8 +5,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// QueuePlacements queues the placements of a message. A placement that can't be queued is released at
-// once.
+// QueuePlacements queues the placements of a message. A placement that can't be queued is
+// released at once.
 func (d *Dispatcher) QueuePlacements(from protocol.NodeName, place *message.Place) {
 	if _, member := d.View.Members[from]; member {
 		d.handledPlaces[from] = place.Number
@@ -47,7 +47,7 @@
 	if q.HasEnded(placement.Task.Job) || !q.isCurrentPlacement(place, placement) {
 		return false
 	}
-	if q.refusesStarts() || q.handingOver() || q.closed() || q.isOutdated(e) {
+	if q.refusesStarts() || q.handingOver() || q.inCordonedPlace() || q.isOutdated(e) {
 		return false
 	}
 	if queued := q.entries[placement.Task]; queued != nil {
