--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -23,9 +23,9 @@
 	// Misplaced lists machines whose queues this controller holds although another one
 	// holds their shards.
 	Misplaced []protocol.MachineID
-	// Cordoned lists machines with queues here that are cordoned because the tasks started
+	// Quarantined lists machines with queues here that are cordoned because the tasks started
 	// on them fail.
-	Cordoned []protocol.MachineID
+	Quarantined []protocol.MachineID
 	// MachinesWithWait lists the machines with a wait in the wait table: they have work, or a
 	// placement on them has been announced.
 	MachinesWithWait []protocol.MachineID
@@ -46,7 +46,7 @@
 	}
 	for _, id := range c.dispatcher.Machines() {
 		if state, queued := c.dispatcher.PublishedState(id); queued && state.Suspect {
-			status.Cordoned = append(status.Cordoned, id)
+			status.Quarantined = append(status.Quarantined, id)
 		}
 	}
 	for _, machine := range c.waitTable.InOrder() {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -65,7 +65,7 @@
 	}
 	if len(moved) > 0 {
 		c.jobs.HandleShardsMoved(moved)
-		c.waitTable.HandleMovedShards(moved)
+		c.waitTable.HandleShardsMoved(moved)
 	}
 	c.dispatcher.AdoptShards(old)
 }
--- a/internal/controller/waittable/table.go
+++ b/internal/controller/waittable/table.go
@@ -135,10 +135,10 @@
 	}
 }
 
-// HandleMovedShards handles a change of the holders of the given shards: the states of the
+// HandleShardsMoved handles a change of the holders of the given shards: the states of the
 // shards' machines no longer count as published by their present dispatchers, and the pending
 // placements on these machines are dropped.
-func (t *Table) HandleMovedShards(moved map[sharding.ID]bool) {
+func (t *Table) HandleShardsMoved(moved map[sharding.ID]bool) {
 	for id, m := range t.Machines {
 		if !moved[sharding.ShardOf(t.Shards, id, m.Record.Zone)] {
 			continue
--- a/internal/simulator/faultyjobs_test.go
+++ b/internal/simulator/faultyjobs_test.go
@@ -40,7 +40,7 @@
 		}
 		w.run(w.now + time.Second)
 		for _, n := range w.nodes {
-			for _, id := range n.core.Status().Cordoned {
+			for _, id := range n.core.Status().Quarantined {
 				if quarantined[id] = true; !faultyMachines[id] {
 					healthyQuarantineSeconds++
 				}
