--- a/internal/scale/rules/answers.go
+++ b/internal/scale/rules/answers.go
@@ -11,14 +11,16 @@
 )
 
 const (
-	// maxUnanswered is how long every poll for a job may fail while most other polls
-	// are answered.
+	// maxUnanswered is the longest period in which every poll for a job may fail while most
+	// polls by all users in that period are answered.
 	maxUnanswered = 90 * time.Second
-	// minAnsweredFraction is the fraction of all polls that counts as most of them.
+	// minAnsweredFraction is the fraction of all polls in such a period above which the
+	// failing polls of one job are a violation and not the effect of a general outage.
 	minAnsweredFraction = 0.5
 )
 
-// answerHistory holds what the answers so far have said about one job.
+// answerHistory holds when a job was first reported as accepted, and when and in which
+// state it was first reported as finished.
 type answerHistory struct {
 	acceptedAt, finalAt time.Duration
 	finalState          protocol.JobState
@@ -26,7 +28,8 @@
 	isFinal             bool
 }
 
-// checkAnswers checks every answer against those that arrived before its request.
+// checkAnswers checks every answer against the answers about the same job that arrived
+// before its request was sent.
 func (c *checker) checkAnswers(users []UserEvent) {
 	histories := map[protocol.JobID]*answerHistory{}
 	events := slices.Clone(users)
@@ -43,35 +46,36 @@
 }
 
 // checkAnswer checks one answer against the earlier answers about its job.
-func (c *checker) checkAnswer(e UserEvent, earlier *answerHistory) {
-	accepted := earlier.isAccepted && earlier.acceptedAt <= e.RequestedAt
+func (c *checker) checkAnswer(e UserEvent, history *answerHistory) {
+	accepted := history.isAccepted && history.acceptedAt <= e.RequestedAt
 	success := e.Status == http.StatusOK || e.Status == http.StatusCreated
 	_, submitted := c.jobs[e.Job]
 	switch {
 	case e.Status == http.StatusOK && !submitted:
-		c.violation(RuleInvented, e.AnsweredAt, "%s was never submitted", e.Job)
+		c.addViolation(RuleInvented, e.AnsweredAt, "%s was never submitted", e.Job)
 	case e.Status == http.StatusNotFound && accepted:
-		c.violation(RuleForgotten, e.AnsweredAt, "%s was accepted and gets 404", e.Job)
+		c.addViolation(RuleForgotten, e.AnsweredAt, "%s was accepted, but a later request got status 404", e.Job)
 	case e.Kind == UserSubmits && accepted && (e.Status == http.StatusBadRequest || e.Status == http.StatusUnprocessableEntity):
-		c.violation(RuleForgotten, e.AnsweredAt, "%s was accepted and is refused with %d", e.Job, e.Status)
+		c.addViolation(RuleForgotten, e.AnsweredAt, "%s was accepted, but a repeated submission was rejected with status %d", e.Job, e.Status)
 	}
 	if !success {
 		return
 	}
-	final := earlier.isFinal && earlier.finalAt <= e.RequestedAt
-	if final && e.State != earlier.finalState {
-		c.violation(RuleWentBack, e.AnsweredAt, "%s was %s and is called %s", e.Job, earlier.finalState, e.State)
+	final := history.isFinal && history.finalAt <= e.RequestedAt
+	if final && e.State != history.finalState {
+		c.addViolation(RuleWentBack, e.AnsweredAt, "%s was in final state %s, but was then reported as %s", e.Job, history.finalState, e.State)
 	}
-	c.checkFinal(e)
-	recordAnswer(e, earlier)
+	c.checkFinalState(e)
+	recordAnswer(e, history)
 }
 
-// checkFinal checks that a job reported as cancelled or done is so.
-func (c *checker) checkFinal(e UserEvent) {
+// checkFinalState checks that a job reported as cancelled was cancelled by its user, and that
+// all tasks of a job reported as done have completed.
+func (c *checker) checkFinalState(e UserEvent) {
 	job := c.jobs[e.Job]
 	if e.State == protocol.JobCancelled {
 		if requested, ok := c.cancelRequested[e.Job]; !ok || requested > e.AnsweredAt {
-			c.violation(RuleWentBack, e.AnsweredAt, "%s is called cancelled and nobody asked for it", e.Job)
+			c.addViolation(RuleWentBack, e.AnsweredAt, "%s was reported as cancelled without a cancellation request", e.Job)
 		}
 	}
 	if e.State != protocol.JobDone {
@@ -80,24 +84,24 @@
 	for i := range job.Tasks {
 		task := protocol.TaskID{Job: job.ID, Index: i}
 		if at, ok := c.completed[task]; !ok || at > e.AnsweredAt {
-			c.violation(RuleNotDone, e.AnsweredAt, "%s is called done before %v is", e.Job, task)
+			c.addViolation(RuleNotDone, e.AnsweredAt, "%s was reported as done before task %v completed", e.Job, task)
 			return
 		}
 	}
 }
 
 // recordAnswer adds an answer to the history of its job.
-func recordAnswer(e UserEvent, earlier *answerHistory) {
-	if !earlier.isAccepted {
-		earlier.isAccepted, earlier.acceptedAt = true, e.AnsweredAt
+func recordAnswer(e UserEvent, history *answerHistory) {
+	if !history.isAccepted {
+		history.isAccepted, history.acceptedAt = true, e.AnsweredAt
 	}
-	if (e.State == protocol.JobDone || e.State == protocol.JobCancelled) && !earlier.isFinal {
-		earlier.isFinal, earlier.finalAt, earlier.finalState = true, e.AnsweredAt, e.State
+	if (e.State == protocol.JobDone || e.State == protocol.JobCancelled) && !history.isFinal {
+		history.isFinal, history.finalAt, history.finalState = true, e.AnsweredAt, e.State
 	}
 }
 
-// checkUnanswered finds jobs all of whose polls failed for long while most other polls
-// were answered.
+// checkUnanswered finds jobs whose polls all failed for longer than maxUnanswered while most
+// polls of the same period were answered.
 func (c *checker) checkUnanswered(users []UserEvent) {
 	polls := map[protocol.JobID][]UserEvent{}
 	for _, e := range users {
@@ -116,14 +120,14 @@
 				since = e.RequestedAt
 			}
 			if e.AnsweredAt-since > maxUnanswered && answeredFraction(users, since, e.AnsweredAt) > minAnsweredFraction {
-				c.violation(RuleForgotten, e.AnsweredAt, "no poll for %s was answered for %v", job, e.AnsweredAt-since)
+				c.addViolation(RuleForgotten, e.AnsweredAt, "no poll for %s was answered for %v", job, e.AnsweredAt-since)
 				break
 			}
 		}
 	}
 }
 
-// isAnswered reports whether a request got an answer other than a server error.
+// isAnswered reports whether a request got a response other than a server error.
 func isAnswered(e UserEvent) bool {
 	return e.Status != 0 && e.Status < http.StatusInternalServerError
 }
--- a/internal/scale/rules/checker.go
+++ b/internal/scale/rules/checker.go
@@ -10,7 +10,7 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Check returns every rule violation in order of time.
+// Check replays the events of a run and returns every rule violation, in order of time.
 func Check(requirements Requirements, machines []MachineEvent, users []UserEvent) []Violation {
 	c := newChecker(requirements, users)
 	events := slices.Clone(machines)
@@ -24,14 +24,15 @@
 	c.checkAnswers(users)
 	c.checkUnanswered(users)
 	if c.starts == 0 {
-		c.violation(RuleNothingRan, 0, "no task was started")
+		c.addViolation(RuleNothingRan, 0, "no task was started")
 	}
 	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return c.violations
 }
 
-// sameTimeOrder orders events of the same time: tasks end and machines are lost before
-// others start.
+// sameTimeOrder returns the rank of an event among events of the same time: ends of tasks and
+// losses of machines come before all others, so that a task that moves at one moment does not
+// count as running twice.
 func sameTimeOrder(e MachineEvent) int {
 	if e.Kind == TaskEnded || e.Kind == MachineLost {
 		return 0
@@ -43,23 +44,23 @@
 type checker struct {
 	requirements    Requirements
 	jobs            map[protocol.JobID]protocol.Job
-	cancelConfirmed map[protocol.JobID]time.Duration // when a user first got the confirmation
-	cancelRequested map[protocol.JobID]time.Duration // when a user first requested it
+	cancelConfirmed map[protocol.JobID]time.Duration // when a response first confirmed the cancellation
+	cancelRequested map[protocol.JobID]time.Duration // when a user first requested the cancellation
 	machines        map[protocol.MachineID]MachineEvent
 	tasksOn         map[protocol.MachineID]map[protocol.TaskID]bool
 	machineOf       map[protocol.TaskID]protocol.MachineID
 	usedCPUs        map[protocol.Team]float64
 	limits          map[protocol.Team]float64 // at the start of the run
 	limitChanges    map[protocol.Team][]LimitChange
-	startAccepted   map[protocol.TaskID]time.Duration // when a worker last accepted its start
-	completed       map[protocol.TaskID]time.Duration // when it first completed
+	startAccepted   map[protocol.TaskID]time.Duration // when a worker last accepted the task's start
+	completed       map[protocol.TaskID]time.Duration // when the task first completed
 	lastEvent       time.Duration
 	starts          int
 	violations      []Violation
 }
 
-// newChecker indexes the jobs, cancellations and limits that replayed events are checked
-// against.
+// newChecker returns a checker that has indexed the jobs, cancellations and limits against
+// which the replayed events are checked.
 func newChecker(requirements Requirements, users []UserEvent) *checker {
 	c := &checker{
 		requirements: requirements, jobs: map[protocol.JobID]protocol.Job{}, cancelConfirmed: map[protocol.JobID]time.Duration{}, cancelRequested: map[protocol.JobID]time.Duration{},
@@ -94,7 +95,7 @@
 	}
 }
 
-// violation adds a violation.
-func (c *checker) violation(rule Rule, at time.Duration, format string, args ...any) {
+// addViolation records a violation of a rule.
+func (c *checker) addViolation(rule Rule, at time.Duration, format string, args ...any) {
 	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
--- a/internal/scale/rules/event.go
+++ b/internal/scale/rules/event.go
@@ -13,24 +13,25 @@
 const (
 	MachineUp MachineEventKind = iota + 1
 	MachineLost
-	TaskStarted       // the task has its image and occupies the machine
-	TaskEnded         // the task has left the machine
-	TaskStartAccepted // the worker accepted the order to start the task
-	// GangRunning is recorded once all tasks of a gang's attempt have started.
+	TaskStarted       // the task's image is present and the task runs on the machine
+	TaskEnded         // the task no longer runs on the machine
+	TaskStartAccepted // the worker accepted the command to start the task
+	// GangRunning is recorded once all tasks of one attempt of a gang have started.
 	GangRunning
 )
 
-// MachineEvent is one observation of a worker. All times are of the same clock.
+// MachineEvent is one event observed on a worker. All workers of a run stamp their events
+// with the same monotonic clock.
 type MachineEvent struct {
 	At      time.Duration
 	Kind    MachineEventKind
 	Machine protocol.MachineID
-	Type    protocol.MachineType // of a MachineUp event, as are Zone and Spot
+	Type    protocol.MachineType // set in a MachineUp event, like Zone and Spot
 	Zone    protocol.Zone
 	Spot    bool
 	Task    protocol.TaskID
 	Attempt protocol.Attempt
-	Cause   protocol.EndCause // of a TaskEnded event
+	Cause   protocol.EndCause // set in a TaskEnded event
 }
 
 // UserEventKind is the kind of a user's request.
@@ -38,31 +39,32 @@
 
 // The kinds of user events.
 const (
-	UserDescribes UserEventKind = iota + 1 // records a job's description, before its submission
-	UserSubmits
-	UserPolls
-	UserCancels
+	UserDescribes UserEventKind = iota + 1 // a job's description is recorded before its submission
+	UserSubmits                            // a job is submitted
+	UserPolls                              // a job's state is queried
+	UserCancels                            // a job is cancelled
 )
 
-// UserEvent is one request of a user with its answer. Status 0 means that there was no
-// answer.
+// UserEvent is one request of a user with its response. Status is the HTTP status; 0 means
+// that no response arrived.
 type UserEvent struct {
 	RequestedAt, AnsweredAt time.Duration
 	Kind                    UserEventKind
 	Job                     protocol.JobID
 	Status                  int
 	State                   protocol.JobState
-	Description             protocol.Job // of a UserDescribes event
+	Description             protocol.Job // set in a UserDescribes event
 }
 
-// Team is a team with its limit in processors; 0 means no limit.
+// Team is a team with the limit on the processors that its tasks may use at once; 0 means
+// no limit.
 type Team struct {
 	Name    protocol.Team
 	MaxCPUs float64
 }
 
 // LimitChange is a change of a team's limit during the run. It took effect at some time
-// between its request and its answer.
+// between its request and the response.
 type LimitChange struct {
 	RequestedAt, AnsweredAt time.Duration
 	Team                    protocol.Team
@@ -72,9 +74,9 @@
 // Requirements are the parameters of the rules.
 type Requirements struct {
 	Teams        []Team
-	CancelGraceS float64 // how long tasks may stay after a confirmed cancellation
-	// LimitChanges are the changes of limits, in order. For LimitGraceS after a change,
-	// starts may still be ordered under the previous limit.
+	CancelGraceS float64 // how long tasks may keep running after a confirmed cancellation
+	// LimitChanges are the changes of limits, in order. For LimitGraceS after the response
+	// to a change, controllers may still order starts under the previous limit.
 	LimitChanges []LimitChange
 	LimitGraceS  float64
 }
--- a/internal/scale/rules/replay.go
+++ b/internal/scale/rules/replay.go
@@ -6,7 +6,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// replay applies the next machine event to the checker's view of the machines.
+// replay applies the next machine event to the tracked state of machines and tasks, and
+// checks the rules that concern it.
 func (c *checker) replay(e MachineEvent) {
 	c.lastEvent = max(c.lastEvent, e.At)
 	switch e.Kind {
@@ -29,7 +30,8 @@
 	}
 }
 
-// taskCompleted records a completed task; the tasks of a gang complete together.
+// taskCompleted records that a task has completed. The tasks of a gang complete together, so
+// that the completion of one of them completes all.
 func (c *checker) taskCompleted(e MachineEvent) {
 	job := c.jobs[e.Task.Job]
 	if job.Kind != protocol.KindGang {
@@ -48,19 +50,19 @@
 	}
 }
 
-// taskStarted checks the rules for a start and adds the task to its machine.
+// taskStarted checks the rules for the start of a task and adds the task to its machine.
 func (c *checker) taskStarted(e MachineEvent) {
 	c.starts++
-	if other, there := c.machineOf[e.Task]; there && other != e.Machine {
-		c.violation(RuleRanTwice, e.At, "%v starts on %s while on %s", e.Task, e.Machine, other)
+	if other, running := c.machineOf[e.Task]; running && other != e.Machine {
+		c.addViolation(RuleRanTwice, e.At, "%v starts on %s while on %s", e.Task, e.Machine, other)
 	}
 	job, known := c.jobs[e.Task.Job]
 	if !known {
-		c.violation(RuleWrongPlace, e.At, "%v starts, which nobody has submitted", e.Task)
+		c.addViolation(RuleWrongPlace, e.At, "%v starts, but its job was never submitted", e.Task)
 		return
 	}
 	if confirmed, ok := c.cancelConfirmed[job.ID]; ok && e.At > confirmed+c.cancelGrace() {
-		c.violation(RuleRanCancelled, e.At, "%v starts on %s %v after its cancellation was confirmed", e.Task, e.Machine, e.At-confirmed)
+		c.addViolation(RuleRanCancelled, e.At, "%v starts on %s %v after its cancellation was confirmed", e.Task, e.Machine, e.At-confirmed)
 	}
 	c.checkPlacement(e, job)
 	if c.tasksOn[e.Machine][e.Task] {
@@ -78,7 +80,7 @@
 	c.machineOf[e.Task] = e.Machine
 	c.usedCPUs[job.Team] += job.CPUs
 	if limit := c.effectiveLimit(e, job.Team); limit > 0 && c.usedCPUs[job.Team] > limit+cpuTolerance {
-		c.violation(RuleQuota, e.At, "%s uses %v processors of at most %v", job.Team, c.usedCPUs[job.Team], limit)
+		c.addViolation(RuleQuota, e.At, "team %s uses %v processors, its limit is %v", job.Team, c.usedCPUs[job.Team], limit)
 	}
 }
 
@@ -96,20 +98,21 @@
 	c.checkCancelGrace(machine, task, at)
 }
 
-// checkCancelGrace checks that a task was not on a machine longer than allowed after
-// its cancellation was confirmed.
+// checkCancelGrace checks that a task did not run on a machine for longer than the grace
+// period after the cancellation of its job was confirmed.
 func (c *checker) checkCancelGrace(machine protocol.MachineID, task protocol.TaskID, until time.Duration) {
 	if confirmed, ok := c.cancelConfirmed[task.Job]; ok && until > confirmed+c.cancelGrace() {
-		c.violation(RuleRanCancelled, until, "%v is on %s %v after its cancellation was confirmed", task, machine, until-confirmed)
+		c.addViolation(RuleRanCancelled, until, "%v still runs on %s %v after its cancellation was confirmed", task, machine, until-confirmed)
 	}
 }
 
-// cancelGrace is how long tasks may stay after a confirmed cancellation.
+// cancelGrace returns how long tasks may keep running after a confirmed cancellation.
 func (c *checker) cancelGrace() time.Duration {
 	return time.Duration(c.requirements.CancelGraceS * float64(time.Second))
 }
 
-// checkRemainingTasks checks the tasks that are still on machines at the end.
+// checkRemainingTasks checks the cancellation grace of the tasks that still run at the end of
+// the run.
 func (c *checker) checkRemainingTasks() {
 	for task, machine := range c.machineOf {
 		c.checkCancelGrace(machine, task, c.lastEvent)
--- a/internal/scale/rules/violation.go
+++ b/internal/scale/rules/violation.go
@@ -9,16 +9,16 @@
 const (
 	RuleRanTwice     Rule = "ran_twice"     // a task ran on two machines at once
 	RuleQuota        Rule = "quota"         // a team used more than its limit
-	RuleWrongPlace   Rule = "wrong_place"   // a task ran where its job does not allow
-	RuleRanCancelled Rule = "ran_cancelled" // a task ran after its cancellation
-	RuleForgotten    Rule = "forgotten"     // an accepted job was not known any more
-	RuleInvented     Rule = "invented"      // a job was known that nobody submitted
-	RuleNotDone      Rule = "not_done"      // a job was done before its tasks
-	RuleWentBack     Rule = "went_back"     // a job changed its final state
+	RuleWrongPlace   Rule = "wrong_place"   // a task ran on a machine that its job's constraints exclude
+	RuleRanCancelled Rule = "ran_cancelled" // a task ran too long after its job's cancellation was confirmed
+	RuleForgotten    Rule = "forgotten"     // an accepted job was rejected, not found or not answered for later
+	RuleInvented     Rule = "invented"      // a job was reported that nobody submitted
+	RuleNotDone      Rule = "not_done"      // a job was reported as done before its tasks had completed
+	RuleWentBack     Rule = "went_back"     // a job left its final state, or was reported as cancelled without a request
 	RuleNothingRan   Rule = "nothing_ran"   // no task started in the whole run
 )
 
-// Violation is one case in which a rule was broken.
+// Violation is one breach of a rule, with the time at which it was observed.
 type Violation struct {
 	Rule   Rule          `json:"rule"`
 	At     time.Duration `json:"at_ns"`
