--- a/internal/scale/monitor/client.go
+++ b/internal/scale/monitor/client.go
@@ -9,33 +9,34 @@
 	"damsonkeel/internal/transport"
 )
 
-// callTimeout bounds a call of the monitor.
+// callTimeout bounds an RPC to the monitor.
 const callTimeout = 10 * time.Second
 
-// Client calls the monitor from a process of workers or users.
+// Client calls the monitor from a worker process or from the process of the users.
 type Client struct {
 	process string
 	peer    *transport.Peer
 
-	mu      sync.Mutex
-	number  uint64    // of the last exchange
-	pending *Exchange // whose answer was lost: it is repeated
+	mu         sync.Mutex
+	lastNumber uint64    // of the last exchange
+	pending    *Exchange // exchange without a reply, to be repeated
 }
 
-// NewClient returns a client for a process and the monitor's address.
+// NewClient returns a client of the monitor at an address for the process with a name.
 func NewClient(process, addr string) *Client {
 	return &Client{process: process, peer: transport.NewPeer(addr)}
 }
 
-// Exchange sends what the process has observed and returns what it is to do. Collect
-// gathers the observations; it is not called while an earlier exchange is repeated.
+// Exchange sends the events that the process has observed and returns the directives that it
+// has to execute. The collect function gathers the events; it is not called when an earlier
+// exchange has to be repeated.
 func (c *Client) Exchange(collect func() Exchange) ([]Directive, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == nil {
 		exchange := collect()
-		c.number++
-		exchange.Process, exchange.Number = c.process, c.number
+		c.lastNumber++
+		exchange.Process, exchange.Number = c.process, c.lastNumber
 		c.pending = &exchange
 	}
 	var out Directives
@@ -46,7 +47,7 @@
 	return out.List, nil
 }
 
-// Upload sends a job's description.
+// Upload stores a job's description at the monitor.
 func (c *Client) Upload(job protocol.Job) error {
 	descriptions := Descriptions{Jobs: map[protocol.JobID]protocol.Job{job.ID: job}}
 	if err := c.peer.Call(Service+".Upload", descriptions, &Empty{}, callTimeout); err != nil {
@@ -55,7 +56,8 @@
 	return nil
 }
 
-// Describe returns the descriptions of jobs.
+// Describe returns the descriptions of jobs; jobs that the monitor does not have are left
+// out.
 func (c *Client) Describe(ids []protocol.JobID) (map[protocol.JobID]protocol.Job, error) {
 	var out Descriptions
 	if err := c.peer.Call(Service+".Describe", DescribeRequest{ids}, &out, callTimeout); err != nil {
--- a/internal/scale/monitor/faults.go
+++ b/internal/scale/monitor/faults.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// heartbeatPoll is how often the monitor checks whether all heartbeats are answered.
+	// heartbeatPoll is the interval at which the monitor checks whether every worker had an
+	// answered heartbeat after a fault.
 	heartbeatPoll = 100 * time.Millisecond
 	// restartDowntime is how long a restarted worker is down.
 	restartDowntime = 3 * time.Second
 )
 
-// activeFault is a fault whose effect is being measured.
-type activeFault struct{ analysis.Fault }
+// measuredFault is a fault whose effect is being measured.
+type measuredFault struct{ analysis.Fault }
 
-// InjectFault carries out a fault that concerns machines, and measures the effect of any
-// fault.
+// InjectFault starts to measure the effect of a fault. It injects the fault itself if the
+// fault concerns machines; all others are injected elsewhere.
 func (m *Monitor) InjectFault(fault siteconfig.Fault) {
 	begin := clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	active := &activeFault{analysis.Fault{
+	measured := &measuredFault{analysis.Fault{
 		Start: begin, End: begin + clock.Seconds(fault.ForS),
 		Metrics: analysis.FaultMetrics{Kind: fault.Kind, AtS: fault.AtS, ForS: fault.ForS, HeartbeatsRecoveredS: analysis.NotRecovered},
 	}}
-	m.faults = append(m.faults, active)
-	go m.awaitHeartbeats(active)
+	m.faults = append(m.faults, measured)
+	go m.awaitHeartbeats(measured)
 	switch fault.Kind {
 	case siteconfig.FaultKillMachines:
 		for range fault.Count {
 			if id, machine := m.randomMachine(); machine != nil {
 				machine.listed.Failed = true
-				m.direct(machine.process, Directive{Kind: DirectKill, Machine: id})
+				m.enqueueDirective(machine.process, Directive{Kind: DirectKill, Machine: id})
 			}
 		}
 	case siteconfig.FaultRestartWorkers:
@@ -47,9 +48,9 @@
 	}
 }
 
-// awaitHeartbeats waits until every worker has had an answered heartbeat since a fault's
-// end.
-func (m *Monitor) awaitHeartbeats(fault *activeFault) {
+// awaitHeartbeats waits until every worker has had an answered heartbeat since the end of a
+// fault, and records how long that took.
+func (m *Monitor) awaitHeartbeats(fault *measuredFault) {
 	time.Sleep(fault.End - clock.Now())
 	for m.oldestHeartbeat() < fault.End {
 		time.Sleep(heartbeatPoll)
@@ -59,33 +60,36 @@
 	fault.Metrics.HeartbeatsRecoveredS = math.Round((clock.Now()-fault.End).Seconds()*10) / 10
 }
 
-// oldestHeartbeat returns the time since which every worker has had an answered heartbeat.
+// oldestHeartbeat returns the latest time since which every worker has had an answered
+// heartbeat, as the worker processes have reported.
 func (m *Monitor) oldestHeartbeat() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	oldest := clock.Now()
 	for _, p := range m.processes {
 		if p.hasWorkers {
-			oldest = min(oldest, p.oldest)
+			oldest = min(oldest, p.oldestHeartbeat)
 		}
 	}
 	return oldest
 }
 
-// restartWorkers restarts a random worker every EveryS for ForS.
+// restartWorkers restarts one random worker every fault.EveryS seconds for fault.ForS
+// seconds.
 func (m *Monitor) restartWorkers(fault siteconfig.Fault) {
-	every := time.NewTicker(clock.Seconds(fault.EveryS))
-	defer every.Stop()
-	for until := clock.Now() + clock.Seconds(fault.ForS); clock.Now() < until; <-every.C {
+	ticker := time.NewTicker(clock.Seconds(fault.EveryS))
+	defer ticker.Stop()
+	for until := clock.Now() + clock.Seconds(fault.ForS); clock.Now() < until; <-ticker.C {
 		m.mu.Lock()
 		if id, machine := m.randomMachine(); machine != nil {
-			m.direct(machine.process, Directive{Kind: DirectRestart, Machine: id, After: restartDowntime})
+			m.enqueueDirective(machine.process, Directive{Kind: DirectRestart, Machine: id, After: restartDowntime})
 		}
 		m.mu.Unlock()
 	}
 }
 
-// randomMachine picks a machine that is up in a shared process. The lock is held.
+// randomMachine returns a random machine of a shared process that is up and is not to be
+// terminated, or nil if there is none. The caller holds the lock.
 func (m *Monitor) randomMachine() (protocol.MachineID, *machine) {
 	var ids []protocol.MachineID
 	for id, machine := range m.machines {
--- a/internal/scale/monitor/gangs.go
+++ b/internal/scale/monitor/gangs.go
@@ -5,33 +5,34 @@
 	"damsonkeel/internal/scale/rules"
 )
 
-// gangKey names an attempt of a gang.
-type gangKey struct {
+// gangAttemptKey identifies an attempt to run a gang.
+type gangAttemptKey struct {
 	job     protocol.JobID
 	attempt protocol.Attempt
 }
 
-// gang is where the tasks of an attempt are.
-type gang struct {
+// gangAttempt is the state of an attempt: the machines of its started tasks, and whether all
+// tasks have started.
+type gangAttempt struct {
 	tasks     uint32
 	machineOf map[protocol.TaskID]protocol.MachineID
 	running   bool
 }
 
-// gangs follows the tasks of gangs: when all tasks of an attempt have started, and when
-// one of them has ended.
-type gangs struct {
-	attempts map[gangKey]*gang
+// gangTracker tracks the tasks of gangs to find out when all tasks of an attempt have started,
+// and when one task of a running attempt has ended.
+type gangTracker struct {
+	attempts map[gangAttemptKey]*gangAttempt
 }
 
-func newGangs() *gangs { return &gangs{attempts: map[gangKey]*gang{}} }
+func newGangTracker() *gangTracker { return &gangTracker{attempts: map[gangAttemptKey]*gangAttempt{}} }
 
-// taskStarted adds a started task. Complete is true once for an attempt, when all of its
-// tasks have started.
-func (g *gangs) taskStarted(job protocol.Job, e rules.MachineEvent) (complete bool) {
-	key := gangKey{job.ID, e.Attempt}
+// taskStarted records a started task. It returns true once for each attempt, when the last of
+// its tasks has started.
+func (g *gangTracker) taskStarted(job protocol.Job, e rules.MachineEvent) (complete bool) {
+	key := gangAttemptKey{job.ID, e.Attempt}
 	if g.attempts[key] == nil {
-		g.attempts[key] = &gang{tasks: job.Tasks, machineOf: map[protocol.TaskID]protocol.MachineID{}}
+		g.attempts[key] = &gangAttempt{tasks: job.Tasks, machineOf: map[protocol.TaskID]protocol.MachineID{}}
 	}
 	attempt := g.attempts[key]
 	attempt.machineOf[e.Task] = e.Machine
@@ -42,16 +43,16 @@
 	return true
 }
 
-// taskEnded removes an ended task, and returns what the other tasks are to be told:
-// DirectGangDone, DirectGangLost, or 0 for nothing.
-func (g *gangs) taskEnded(key gangKey, task protocol.TaskID, cause protocol.EndCause) DirectiveKind {
+// taskEnded removes an ended task and returns the directive for the other tasks of the attempt:
+// DirectGangDone, DirectGangLost, or 0 for none.
+func (g *gangTracker) taskEnded(key gangAttemptKey, id protocol.TaskID, cause protocol.EndCause) DirectiveKind {
 	attempt := g.attempts[key]
 	if attempt == nil {
 		return 0
 	}
-	delete(attempt.machineOf, task)
+	delete(attempt.machineOf, id)
 	if !attempt.running {
-		return 0 // the others keep waiting: a replacement may complete the gang
+		return 0 // the other tasks keep waiting, as a replacement may complete the gang
 	}
 	delete(g.attempts, key)
 	if cause == protocol.EndDone {
@@ -60,9 +61,9 @@
 	return DirectGangLost
 }
 
-// attemptsOn returns the attempts with tasks on a machine, and these tasks.
-func (g *gangs) attemptsOn(id protocol.MachineID) map[gangKey][]protocol.TaskID {
-	found := map[gangKey][]protocol.TaskID{}
+// attemptsOnMachine returns the attempts that have tasks on a machine, with these tasks.
+func (g *gangTracker) attemptsOnMachine(id protocol.MachineID) map[gangAttemptKey][]protocol.TaskID {
+	found := map[gangAttemptKey][]protocol.TaskID{}
 	for key, attempt := range g.attempts {
 		for task, on := range attempt.machineOf {
 			if on == id {
--- a/internal/scale/monitor/machines.go
+++ b/internal/scale/monitor/machines.go
@@ -11,73 +11,79 @@
 )
 
 const (
-	// terminationTimeout is how long the cloud waits for machines to be terminated.
+	// terminationTimeout bounds how long Terminate waits for the worker processes.
 	terminationTimeout = 3 * time.Second
-	// minBootFactor and maxBootFactor bound the boot time, as factors of the catalogue's.
+	// minBootFactor and maxBootFactor bound the random boot time of a machine, as factors of
+	// the boot time in the catalogue.
 	minBootFactor = 0.6
 	maxBootFactor = 1.5
 )
 
-// errTerminationTimeout says that a process did not confirm in time that machines are
-// terminated.
-var errTerminationTimeout = errors.New("machines are not gone in time")
+// errTerminationTimeout reports that a worker process did not confirm within
+// terminationTimeout that it has terminated its machines.
+var errTerminationTimeout = errors.New("machines were not terminated in time")
 
-// machine is a machine and the process that runs it.
+// machine is a provisioned machine and the worker process that runs it.
 type machine struct {
 	process *workerProcess
 	listed  server.Listed
 	up      bool
-	// termination is the number of the directive that terminates it; 0: there is none.
+	// termination is the number of the directive that terminates the machine; 0 if there is
+	// none.
 	termination uint64
 }
 
-// PlaceInitial sets the function that chooses the process of each machine which is
-// provisioned before the run begins; such machines boot at once. Nil ends this.
-func (m *Monitor) PlaceInitial(choose func(protocol.Zone) string) {
+// SetInitialPlacement sets the function that chooses the worker process of each machine which
+// is provisioned before the run begins; such machines boot without delay. With nil, later
+// machines run in the shared process of their zone after a random boot time.
+func (m *Monitor) SetInitialPlacement(chooseProcess func(protocol.Zone) string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.placeInitial = choose
+	m.initialProcess = chooseProcess
 }
 
-// place starts a machine in a process after its boot time. The lock is held.
-func (m *Monitor) place(processName string, id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest, boot time.Duration) {
-	p := m.process(processName)
+// placeMachine assigns a machine to a worker process, which starts it after its boot time.
+// The caller holds the lock.
+func (m *Monitor) placeMachine(processName string, id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest, boot time.Duration) {
+	p := m.processByName(processName)
 	p.hasWorkers = true
 	m.machines[id] = &machine{process: p}
-	m.direct(p, Directive{Kind: DirectStart, Machine: id, Type: info, Zone: req.Zone, Spot: req.Spot, After: boot})
+	m.enqueueDirective(p, Directive{Kind: DirectStart, Machine: id, Type: info, Zone: req.Zone, Spot: req.Spot, After: boot})
 }
 
-// Provisioned starts a provisioned machine in its zone's shared process.
+// Provisioned starts a provisioned machine in the shared process of its zone, or in the
+// process that the function of SetInitialPlacement chooses.
 func (m *Monitor) Provisioned(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.placeInitial != nil {
-		m.place(m.placeInitial(req.Zone), id, info, req, 0)
+	if m.initialProcess != nil {
+		m.placeMachine(m.initialProcess(req.Zone), id, info, req, 0)
 		return
 	}
 	boot := clock.Seconds((minBootFactor + (maxBootFactor-minBootFactor)*m.rng.Float64()) * info.BootS)
-	m.place(process.SharedWorkers(req.Zone), id, info, req, boot)
+	m.placeMachine(process.SharedWorkers(req.Zone), id, info, req, boot)
 }
 
-// Terminate terminates machines and waits until their processes have done so.
+// Terminate terminates machines and waits until their worker processes have executed the
+// directives. It returns an error after terminationTimeout.
 func (m *Monitor) Terminate(ids []protocol.MachineID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	last := map[*workerProcess]uint64{}
+	required := map[*workerProcess]uint64{}
 	for _, id := range ids {
 		machine := m.machines[id]
 		if machine == nil {
 			continue
 		}
 		if machine.termination == 0 {
-			machine.termination = m.direct(machine.process, Directive{Kind: DirectKill, Machine: id})
+			machine.termination = m.enqueueDirective(machine.process, Directive{Kind: DirectKill, Machine: id})
 		}
-		last[machine.process] = max(last[machine.process], machine.termination)
+		required[machine.process] = max(required[machine.process], machine.termination)
 	}
-	timer := time.AfterFunc(terminationTimeout, m.executed.Broadcast)
+	timer := time.AfterFunc(terminationTimeout, m.directivesExecuted.Broadcast)
 	defer timer.Stop()
-	for until := clock.Now() + terminationTimeout; !allExecuted(last); m.executed.Wait() {
-		if clock.Now() >= until {
+	for deadline := clock.Now() + terminationTimeout; !allExecuted(required); m.directivesExecuted.Wait() {
+		if clock.Now() >= deadline {
 			return errTerminationTimeout
 		}
 	}
@@ -87,9 +93,10 @@
 	return nil
 }
 
-// allExecuted reports whether each process has executed its directives up to a number.
-func allExecuted(last map[*workerProcess]uint64) bool {
-	for p, number := range last {
+// allExecuted reports whether each process has executed its directives up to the required
+// number.
+func allExecuted(required map[*workerProcess]uint64) bool {
+	for p, number := range required {
 		if p.lastExecuted < number {
 			return false
 		}
@@ -97,7 +104,7 @@
 	return true
 }
 
-// Machine returns a machine that has come up.
+// Machine returns the listing of a machine, if the machine has started.
 func (m *Monitor) Machine(id protocol.MachineID) (server.Listed, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/scale/monitor/messages.go
+++ b/internal/scale/monitor/messages.go
@@ -11,29 +11,32 @@
 // Service is the name of the monitor's RPC service.
 const Service = "Monitor"
 
-// Exchange is what a process of workers or users sends to the monitor, several times a
+// Exchange is the message that a worker or user process sends to the monitor several times a
 // second.
 type Exchange struct {
+	// Process is the name of the sending process.
 	Process string
-	// Number counts the process's exchanges. One whose answer was lost is repeated with
-	// its number and takes effect once.
+	// Number counts the exchanges of the process. An exchange whose reply was lost is repeated
+	// with the same number, so that it takes effect only once.
 	Number uint64
-	// Executed is the number of the last directive that was executed.
+	// Executed is the number of the last directive that the process executed.
 	Executed uint64
 	Machines []rules.MachineEvent
 	Users    []rules.UserEvent
-	// Oldest is the time since which each worker here has had an answered heartbeat.
+	// Oldest is the time of the last answered heartbeat of the worker of this process whose
+	// last answered heartbeat is the oldest.
 	Oldest time.Duration
-	// Addresses are those of machines that have come up since the last exchange.
+	// Addresses holds the listings of the machines that have started since the last exchange.
 	Addresses map[protocol.MachineID]server.Listed
 }
 
-// Directives are what a process is to do, in order.
+// Directives is the reply to an exchange: the directives that a process has not executed yet,
+// in the order of their execution.
 type Directives struct {
 	List []Directive
 }
 
-// DirectiveKind is what a process of workers is to do.
+// DirectiveKind is the kind of a directive.
 type DirectiveKind uint8
 
 // The kinds of directives.
@@ -41,12 +44,14 @@
 	DirectStart        DirectiveKind = iota + 1 // start a machine
 	DirectKill                                  // kill a machine
 	DirectRestart                               // restart a machine's worker
-	DirectGangComplete                          // all tasks of a gang have started
-	DirectGangLost                              // a task of a running gang was lost
-	DirectGangDone                              // a task of a running gang has completed
+	DirectGangComplete                          // run a gang whose tasks have all started
+	DirectGangLost                              // end a gang of which a running task was lost
+	DirectGangDone                              // complete a gang of which a running task completed
 )
 
-// Directive is one thing to do. Numbers count from 1 for each process.
+// Directive is an instruction to a worker process. Each process has its own sequence of
+// numbers, which starts at 1. The directives of a gang name its job and attempt, the others a
+// machine.
 type Directive struct {
 	Number  uint64
 	Kind    DirectiveKind
@@ -54,19 +59,19 @@
 	Type    protocol.TypeInfo
 	Zone    protocol.Zone
 	Spot    bool
-	// After is how long a started machine boots, or a restarted worker is down.
+	// After is the boot time of a started machine, or the downtime of a restarted worker.
 	After   time.Duration
 	Job     protocol.JobID
 	Attempt protocol.Attempt
 }
 
-// DescribeRequest names jobs of which a worker needs the description.
+// DescribeRequest requests the descriptions of the jobs with these IDs.
 type DescribeRequest struct{ Jobs []protocol.JobID }
 
-// Descriptions are descriptions of jobs.
+// Descriptions holds descriptions of jobs.
 type Descriptions struct {
 	Jobs map[protocol.JobID]protocol.Job
 }
 
-// Empty is an answer without content.
+// Empty is a reply without content.
 type Empty struct{}
--- a/internal/scale/monitor/monitor.go
+++ b/internal/scale/monitor/monitor.go
@@ -13,50 +13,51 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// Monitor knows the machines of a run, directs the processes that run them, completes
-// gangs and collects what workers and users observe. Its exported methods of two arguments
-// are called by net/rpc.
+// Monitor keeps the inventory of a run's machines, sends directives to the worker processes,
+// completes gangs and collects the events of workers and users. net/rpc calls those of its
+// exported methods that take two arguments and return an error.
 type Monitor struct {
 	site *siteconfig.Site
 	rng  *rand.Rand
 
-	mu           sync.Mutex
-	executed     *sync.Cond // signalled when a process has executed directives
-	processes    map[string]*workerProcess
-	machines     map[protocol.MachineID]*machine
-	jobs         map[protocol.JobID]protocol.Job
-	gangs        *gangs
-	events       []rules.MachineEvent
-	users        []rules.UserEvent
-	placeInitial func(protocol.Zone) string // see PlaceInitial
-	faults       []*activeFault
-	limitChanges []rules.LimitChange
+	mu                 sync.Mutex
+	directivesExecuted *sync.Cond // signalled at each exchange
+	processes          map[string]*workerProcess
+	machines           map[protocol.MachineID]*machine
+	jobs               map[protocol.JobID]protocol.Job
+	gangs              *gangTracker
+	machineEvents      []rules.MachineEvent
+	userEvents         []rules.UserEvent
+	initialProcess     func(protocol.Zone) string // see SetInitialPlacement
+	faults             []*measuredFault
+	limitChanges       []rules.LimitChange
 }
 
-// workerProcess is a process that exchanges with the monitor.
+// workerProcess is the monitor's state for a process that exchanges messages with it.
 type workerProcess struct {
-	name         string
-	lastNumber   uint64      // of the directives
-	lastExecuted uint64      // of the directives
-	lastExchange uint64      // number of the last exchange
-	pending      []Directive // that are not executed yet
-	oldest       time.Duration
-	hasWorkers   bool
+	name            string
+	lastIssued      uint64      // number of the last directive for the process
+	lastExecuted    uint64      // number of the last directive that the process executed
+	lastExchange    uint64      // number of the last exchange
+	pending         []Directive // not executed yet
+	oldestHeartbeat time.Duration
+	hasWorkers      bool // false for the process of the users
 }
 
-// New returns a monitor without machines.
+// New returns a monitor without machines. The seed determines its random choices.
 func New(site *siteconfig.Site, seed uint64) *Monitor {
 	m := &Monitor{
 		site: site, rng: rand.New(rand.NewPCG(seed, siteconfig.StreamMonitor)),
 		processes: map[string]*workerProcess{}, machines: map[protocol.MachineID]*machine{},
-		jobs: map[protocol.JobID]protocol.Job{}, gangs: newGangs(),
+		jobs: map[protocol.JobID]protocol.Job{}, gangs: newGangTracker(),
 	}
-	m.executed = sync.NewCond(&m.mu)
+	m.directivesExecuted = sync.NewCond(&m.mu)
 	return m
 }
 
-// process finds a process, or adds it. The lock is held.
-func (m *Monitor) process(name string) *workerProcess {
+// processByName returns the process with a name and adds it if there is none. The caller holds
+// the lock.
+func (m *Monitor) processByName(name string) *workerProcess {
 	p := m.processes[name]
 	if p == nil {
 		p = &workerProcess{name: name}
@@ -65,106 +66,113 @@
 	return p
 }
 
-// direct adds a directive for a process. The lock is held.
-func (m *Monitor) direct(p *workerProcess, d Directive) uint64 {
-	p.lastNumber++
-	d.Number = p.lastNumber
+// enqueueDirective adds a directive to those that a process has to execute and returns its
+// number. The caller holds the lock.
+func (m *Monitor) enqueueDirective(p *workerProcess, d Directive) uint64 {
+	p.lastIssued++
+	d.Number = p.lastIssued
 	p.pending = append(p.pending, d)
 	return d.Number
 }
 
-// directAll adds a directive for all processes of workers. The lock is held.
-func (m *Monitor) directAll(d Directive) {
+// enqueueForAllWorkers adds a directive for every process that runs workers. The caller holds
+// the lock.
+func (m *Monitor) enqueueForAllWorkers(d Directive) {
 	for _, p := range m.processes {
 		if p.hasWorkers {
-			m.direct(p, d)
+			m.enqueueDirective(p, d)
 		}
 	}
 }
 
-// Exchange takes what a process has observed and returns what it is to do.
+// Exchange stores the events that a process has observed and returns the directives that it
+// has not executed yet. It stores the events of a repeated exchange only once.
 func (m *Monitor) Exchange(in Exchange, out *Directives) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p := m.process(in.Process)
+	p := m.processByName(in.Process)
 	p.lastExecuted = max(p.lastExecuted, in.Executed)
-	p.oldest = max(p.oldest, in.Oldest)
+	p.oldestHeartbeat = max(p.oldestHeartbeat, in.Oldest)
 	if in.Number > p.lastExchange {
 		p.lastExchange = in.Number
-		m.collect(in)
+		m.storeObservations(in)
 	}
 	p.pending = slices.DeleteFunc(p.pending, func(d Directive) bool { return d.Number <= p.lastExecuted })
 	out.List = slices.Clone(p.pending)
-	m.executed.Broadcast()
+	m.directivesExecuted.Broadcast()
 	return nil
 }
 
-// collect stores what a process has observed. The lock is held.
-func (m *Monitor) collect(in Exchange) {
-	m.users = append(m.users, in.Users...)
+// storeObservations stores the events and the machine listings of an exchange. The caller
+// holds the lock.
+func (m *Monitor) storeObservations(in Exchange) {
+	m.userEvents = append(m.userEvents, in.Users...)
 	for id, listed := range in.Addresses {
 		if machine := m.machines[id]; machine != nil {
 			machine.listed, machine.up = listed, true
 		}
 	}
 	for _, e := range in.Machines {
-		m.collectEvent(e)
+		m.storeMachineEvent(e)
 	}
 }
 
-// collectEvent stores an event and follows the gangs that it concerns. The lock is held.
-func (m *Monitor) collectEvent(e rules.MachineEvent) {
-	m.events = append(m.events, e)
+// storeMachineEvent stores an event and updates the gangs that it concerns. The caller holds
+// the lock.
+func (m *Monitor) storeMachineEvent(e rules.MachineEvent) {
+	m.machineEvents = append(m.machineEvents, e)
 	job := m.jobs[e.Task.Job]
 	isGang := job.Kind == protocol.KindGang && job.Tasks > 1
 	switch {
 	case e.Kind == rules.MachineLost:
-		for key, tasks := range m.gangs.attemptsOn(e.Machine) {
+		for key, tasks := range m.gangs.attemptsOnMachine(e.Machine) {
 			for _, task := range tasks {
 				m.gangTaskEnded(key, task, "")
 			}
 		}
 	case e.Kind == rules.TaskStarted && isGang:
 		if m.gangs.taskStarted(job, e) {
-			m.events = append(m.events, rules.MachineEvent{At: clock.Now(), Kind: rules.GangRunning, Task: e.Task, Attempt: e.Attempt})
-			m.directAll(Directive{Kind: DirectGangComplete, Job: job.ID, Attempt: e.Attempt})
+			m.machineEvents = append(m.machineEvents, rules.MachineEvent{At: clock.Now(), Kind: rules.GangRunning, Task: e.Task, Attempt: e.Attempt})
+			m.enqueueForAllWorkers(Directive{Kind: DirectGangComplete, Job: job.ID, Attempt: e.Attempt})
 		}
 	case e.Kind == rules.TaskEnded && isGang:
-		m.gangTaskEnded(gangKey{job.ID, e.Attempt}, e.Task, e.Cause)
+		m.gangTaskEnded(gangAttemptKey{job.ID, e.Attempt}, e.Task, e.Cause)
 	}
 }
 
-// gangTaskEnded tells the other tasks of a gang that one has ended. If it was stopped,
-// they first get the time of a graceful stop to be stopped as well.
-func (m *Monitor) gangTaskEnded(key gangKey, task protocol.TaskID, cause protocol.EndCause) {
+// gangTaskEnded sends the directive for the other tasks of a gang after one of its tasks has
+// ended. If that task was stopped, the directive is delayed by the gang peer timeout of the
+// site, so that the controllers have the time to stop the other tasks as well. The caller
+// holds the lock.
+func (m *Monitor) gangTaskEnded(key gangAttemptKey, task protocol.TaskID, cause protocol.EndCause) {
 	kind := m.gangs.taskEnded(key, task, cause)
 	if kind == 0 {
 		return
 	}
 	d := Directive{Kind: kind, Job: key.job, Attempt: key.attempt}
 	if cause != protocol.EndStopped {
-		m.directAll(d)
+		m.enqueueForAllWorkers(d)
 		return
 	}
 	time.AfterFunc(clock.Seconds(m.site.Timings.GangPeerS), func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.directAll(d)
+		m.enqueueForAllWorkers(d)
 	})
 }
 
-// Upload stores descriptions of jobs, with the time of their upload.
+// Upload stores descriptions of jobs and records the time of their upload.
 func (m *Monitor) Upload(in Descriptions, _ *Empty) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, job := range in.Jobs {
 		m.jobs[id] = job
-		m.users = append(m.users, rules.UserEvent{RequestedAt: clock.Now(), AnsweredAt: clock.Now(), Kind: rules.UserDescribes, Job: id, Description: job})
+		m.userEvents = append(m.userEvents, rules.UserEvent{RequestedAt: clock.Now(), AnsweredAt: clock.Now(), Kind: rules.UserDescribes, Job: id, Description: job})
 	}
 	return nil
 }
 
-// Describe returns the descriptions of jobs that workers request.
+// Describe returns the requested descriptions of jobs; jobs without one are left out.
 func (m *Monitor) Describe(in DescribeRequest, out *Descriptions) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -177,18 +185,18 @@
 	return nil
 }
 
-// SetLimitChanges stores the changes of limits that were made.
+// SetLimitChanges stores the changes that the operator has made to teams' limits.
 func (m *Monitor) SetLimitChanges(changes []rules.LimitChange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.limitChanges = changes
 }
 
-// Analyze computes the metrics of what was observed.
+// Analyze computes the metrics of the run from the collected events.
 func (m *Monitor) Analyze() *analysis.Metrics {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	run := analysis.Run{Site: m.site, Jobs: m.jobs, Machines: m.events, Users: m.users, LimitChanges: m.limitChanges}
+	run := analysis.Run{Site: m.site, Jobs: m.jobs, Machines: m.machineEvents, Users: m.userEvents, LimitChanges: m.limitChanges}
 	for _, fault := range m.faults {
 		run.Faults = append(run.Faults, fault.Fault)
 	}
--- a/internal/scale/monitor/monitor_test.go
+++ b/internal/scale/monitor/monitor_test.go
@@ -11,9 +11,9 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// TestRepeatedExchangeTakesEffectOnce: an exchange whose answer was lost is repeated. Its
-// events count once, directives are sent until they are executed, and machines are
-// terminated for the cloud only then.
+// TestRepeatedExchangeTakesEffectOnce checks the exchange protocol when a reply is lost and the
+// exchange is repeated: its events are stored once, a directive is sent until it is executed,
+// and Terminate returns only after the worker process has executed its directive.
 func TestRepeatedExchangeTakesEffectOnce(t *testing.T) {
 	site, err := siteconfig.LoadSite("../../../deploy/scale-small.toml")
 	if err != nil {
@@ -32,13 +32,13 @@
 	}
 	up := rules.MachineEvent{At: time.Second, Kind: rules.MachineUp, Machine: "vm-1"}
 	if first, repeated := exchange(1, 0, up), exchange(1, 0, up); len(first) != 1 || len(repeated) != 1 || repeated[0].Kind != DirectStart {
-		t.Fatalf("got %+v, then %+v", first, repeated)
+		t.Fatalf("got directives %+v, then %+v; want the same DirectStart twice", first, repeated)
 	}
-	if len(m.events) != 1 {
-		t.Errorf("%d events stored of one that was sent twice", len(m.events))
+	if len(m.machineEvents) != 1 {
+		t.Errorf("%d events stored for one event that was sent twice, want 1", len(m.machineEvents))
 	}
 	if remaining := exchange(2, 1); len(remaining) != 0 {
-		t.Errorf("sent again though executed: %+v", remaining)
+		t.Errorf("directives sent again after they were executed: %+v", remaining)
 	}
 	terminated := make(chan error, 1)
 	go func() { terminated <- m.Terminate([]protocol.MachineID{"vm-1"}) }()
@@ -50,7 +50,7 @@
 		}
 		select {
 		case err := <-terminated:
-			t.Fatalf("terminated before the directive was executed: %v", err)
+			t.Fatalf("Terminate returned before the directive was executed: %v", err)
 		default:
 		}
 		exchange(number+1, list[0].Number)
@@ -60,6 +60,6 @@
 		t.Error(err)
 	}
 	if _, listed := m.Machine("vm-1"); listed {
-		t.Error("the machine is still listed")
+		t.Error("the terminated machine is still listed")
 	}
 }
--- a/internal/scale/rules/event.go
+++ b/internal/scale/rules/event.go
@@ -13,8 +13,8 @@
 const (
 	MachineUp MachineEventKind = iota + 1
 	MachineLost
-	TaskStarted       // the task's image is present and the task runs on the machine
-	TaskEnded         // the task no longer runs on the machine
+	TaskStarted       // the task's image is present and the task occupies the machine
+	TaskEnded         // the task no longer occupies the machine
 	TaskStartAccepted // the worker accepted the command to start the task
 	// GangRunning is recorded once all tasks of one attempt of a gang have started.
 	GangRunning
--- a/internal/scale/rules/violation.go
+++ b/internal/scale/rules/violation.go
@@ -11,7 +11,7 @@
 	RuleQuota        Rule = "quota"         // a team used more than its limit
 	RuleWrongPlace   Rule = "wrong_place"   // a task ran on a machine that its job's constraints exclude
 	RuleRanCancelled Rule = "ran_cancelled" // a task ran too long after its job's cancellation was confirmed
-	RuleForgotten    Rule = "forgotten"     // an accepted job was rejected, not found or not answered for later
+	RuleForgotten    Rule = "forgotten"     // an accepted job was later rejected or not found, or its polls were not answered
 	RuleInvented     Rule = "invented"      // a job was reported that nobody submitted
 	RuleNotDone      Rule = "not_done"      // a job was reported as done before its tasks had completed
 	RuleWentBack     Rule = "went_back"     // a job left its final state, or was reported as cancelled without a request
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -90,7 +90,7 @@
 func (s *services) provisionAll() error {
 	site := &s.cfg.Site
 	single := map[protocol.Zone]bool{}
-	s.monitor.PlaceInitial(func(z protocol.Zone) string {
+	s.monitor.SetInitialPlacement(func(z protocol.Zone) string {
 		if !single[z] {
 			single[z] = true
 			return process.SingleWorker(z)
@@ -107,7 +107,7 @@
 			return fmt.Errorf("machine %d of the start %w", i, errNotProvisioned)
 		}
 	}
-	s.monitor.PlaceInitial(nil)
+	s.monitor.SetInitialPlacement(nil)
 	return nil
 }
 
