--- a/internal/scale/analysis/analysis.go
+++ b/internal/scale/analysis/analysis.go
@@ -11,7 +11,8 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// Run holds what was observed during a run.
+// Run holds the events that were observed during a run, with the site, jobs and faults of the
+// run.
 type Run struct {
 	Site     *siteconfig.Site
 	Jobs     map[protocol.JobID]protocol.Job
@@ -28,10 +29,10 @@
 	Starts      int
 	StartsPeakS int
 	RunningPeak int
-	Classes     map[string]metrics.Waits // tasks' waits from submission to start; "all": of all
-	UrgentJobs  metrics.Waits            // until all tasks of a job run
-	// Calm are urgent jobs outside the effect of all faults whose team was below its
-	// limit, and CalmAtLimit those whose team was at its limit.
+	Classes     map[string]metrics.Quantiles // waits of tasks from submission to start by class, see AllClasses
+	UrgentJobs  metrics.Quantiles            // waits of urgent jobs until all of their tasks run
+	// Calm summarizes the urgent jobs that were submitted outside the effect of all faults
+	// while their team was below its limit, and CalmAtLimit those whose team was at its limit.
 	Calm, CalmAtLimit UrgentSummary
 	Urgent            UrgentStages
 	Timeline          []TimelinePoint
@@ -39,37 +40,37 @@
 	Faults            []FaultMetrics
 }
 
-// StateMetrics describe what the state service stored and served.
+// StateMetrics describes the records that the state service stores and the load that it served.
 type StateMetrics struct {
 	Records int               `json:"records"`
 	Bytes   int               `json:"bytes"`
-	PeakS   map[string]uint64 `json:"peak_s"` // requests in the busiest second of each kind
+	PeakS   map[string]uint64 `json:"peak_s"` // requests in the busiest second, by kind of request
 }
 
-// Analyze computes the metrics of a run. It leaves the metrics of the state service to
-// the caller.
+// Analyze computes the metrics of a run. It does not set the metrics of the state service,
+// which are not among the observed events: the caller adds them.
 func (r *Run) Analyze() *Metrics {
 	starts := startTimes(r.Machines)
-	classes, urgent := r.waits()
+	classes, urgent := r.measureWaits()
 	out := &Metrics{
 		Rules:  rules.Check(r.requirements(), r.Machines, r.Users),
 		Starts: len(starts), StartsPeakS: peakPerSecond(starts), RunningPeak: runningPeak(r.Machines),
 		Classes: classes, UrgentJobs: urgentJobWaits(urgent),
-		Calm:        summarize(urgent, func(w urgentWait) bool { return r.isCalm(w) && !w.atLimit }),
-		CalmAtLimit: summarize(urgent, func(w urgentWait) bool { return r.isCalm(w) && w.atLimit }),
-		Urgent:      r.urgentStages(),
+		Calm:        summarizeUrgent(urgent, func(w urgentWait) bool { return r.isOutsideFaults(w) && !w.atLimit }),
+		CalmAtLimit: summarizeUrgent(urgent, func(w urgentWait) bool { return r.isOutsideFaults(w) && w.atLimit }),
+		Urgent:      r.measureUrgentStages(),
 		Timeline:    r.timeline(),
 	}
 	for _, fault := range r.Faults {
 		m := fault.Metrics
-		m.Urgent = summarize(urgent, func(w urgentWait) bool { return fault.affects(w) && !w.atLimit })
-		m.StartsRecoveredS = startsRecoveredAfter(starts, fault.Start, fault.End)
+		m.Urgent = summarizeUrgent(urgent, func(w urgentWait) bool { return fault.affects(w) && !w.atLimit })
+		m.StartsRecoveredS = recoveryTimeOfStarts(starts, fault.Start, fault.End)
 		out.Faults = append(out.Faults, m)
 	}
 	return out
 }
 
-// requirements returns the parameters of the rules for the run.
+// requirements returns the parameters with which the rules are checked for this run.
 func (r *Run) requirements() rules.Requirements {
 	out := rules.Requirements{CancelGraceS: r.Site.Timings.CancelS, LimitChanges: r.LimitChanges, LimitGraceS: config.ConfigPropagationLimit.Seconds()}
 	for _, team := range siteconfig.ControllerSettings(r.Site).Teams {
@@ -78,12 +79,12 @@
 	return out
 }
 
-// isCalm reports whether a job was submitted outside the effect of all faults.
-func (r *Run) isCalm(w urgentWait) bool {
+// isOutsideFaults reports whether a job was submitted outside the effect of all faults.
+func (r *Run) isOutsideFaults(w urgentWait) bool {
 	return !slices.ContainsFunc(r.Faults, func(fault Fault) bool { return fault.affects(w) })
 }
 
-// startTimes lists when tasks started, in order.
+// startTimes returns the times of all task starts, in order.
 func startTimes(events []rules.MachineEvent) []time.Duration {
 	var at []time.Duration
 	for _, e := range events {
--- a/internal/scale/analysis/quota_test.go
+++ b/internal/scale/analysis/quota_test.go
@@ -9,9 +9,9 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// TestSubmittedAtLimit: whether a job's team is at its limit is decided by the tasks on
-// machines when the job is submitted.
-func TestSubmittedAtLimit(t *testing.T) {
+// TestSubmittedAtLimitCountsRunningTasks checks that the tasks on machines at the time of a job's
+// submission decide whether the job's team is at its limit.
+func TestSubmittedAtLimitCountsRunningTasks(t *testing.T) {
 	site, err := siteconfig.LoadSite("../../../deploy/scale-small.toml") // bound00 may use 40 processors
 	if err != nil {
 		t.Fatal(err)
@@ -35,11 +35,11 @@
 	got := r.submittedAtLimit()
 	for id, want := range map[protocol.JobID]bool{"job-large": false, "job-fits": false, "job-waits": true, "job-after": false} {
 		if got[id] != want {
-			t.Errorf("%s: at its limit %v, want %v", id, got[id], want)
+			t.Errorf("%s: submitted at the limit of its team: %v, want %v", id, got[id], want)
 		}
 	}
-	waits, urgent := r.waits()
+	waits, urgent := r.measureWaits()
 	if len(urgent) == 0 || waits[urgentClass].WorstS < 3 {
-		t.Errorf("%+v, %+v", waits, urgent)
+		t.Errorf("waits %+v, urgent jobs %+v: want urgent jobs, of which one waited at least 3 s", waits, urgent)
 	}
 }
--- a/internal/scale/analysis/timeline.go
+++ b/internal/scale/analysis/timeline.go
@@ -8,31 +8,31 @@
 	"damsonkeel/internal/scale/rules"
 )
 
-// timelineStep is the time between two points of a timeline.
+// timelineStep is the length of the period that a point of a timeline describes.
 const timelineStep = 5 * time.Second
 
-// TimelinePoint describes the period that ends at its time.
+// TimelinePoint describes the period of timelineStep that ends at AtS.
 type TimelinePoint struct {
-	AtS     float64 `json:"at_s"`
-	StartsS float64 `json:"starts_s"` // task starts per second
-	Running int     `json:"running"`  // tasks on machines at the period's end
-	// Machines is how many machines are up at the period's end.
-	Machines int `json:"machines"`
+	AtS      float64 `json:"at_s"`     // seconds since the first user event
+	StartsS  float64 `json:"starts_s"` // task starts per second
+	Running  int     `json:"running"`  // tasks on machines at the end of the period
+	Machines int     `json:"machines"` // machines that are up at the end of the period
 }
 
-// timeline returns starts, running tasks and machines over time.
+// timeline returns the rate of task starts and the numbers of running tasks and machines over
+// time.
 func (r *Run) timeline() []TimelinePoint {
 	if len(r.Users) == 0 {
 		return nil
 	}
 	begin := r.Users[0].RequestedAt
 	var points []TimelinePoint
-	tasks := newTracker()
-	starts, next := 0, begin+timelineStep
+	tasks := newTaskTracker()
+	starts, periodEnd := 0, begin+timelineStep
 	for _, e := range sortedByTime(r.Machines) {
-		for e.At >= next {
-			points = append(points, TimelinePoint{(next - begin).Seconds(), float64(starts) / timelineStep.Seconds(), tasks.running(), tasks.machines})
-			starts, next = 0, next+timelineStep
+		for e.At >= periodEnd {
+			points = append(points, TimelinePoint{(periodEnd - begin).Seconds(), float64(starts) / timelineStep.Seconds(), tasks.running(), tasks.machinesUp})
+			starts, periodEnd = 0, periodEnd+timelineStep
 		}
 		if tasks.apply(e); e.Kind == rules.TaskStarted {
 			starts++
@@ -48,24 +48,24 @@
 	return sorted
 }
 
-// peakPerSecond returns the highest number of the sorted times within one second.
+// peakPerSecond returns the highest number of the sorted times that lie within one second.
 func peakPerSecond(at []time.Duration) int {
-	most, first := 0, 0
+	peak, first := 0, 0
 	for i := range at {
 		for at[i]-at[first] >= time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most
+	return peak
 }
 
-// runningPeak returns the highest number of tasks on machines at once.
+// runningPeak returns the highest number of tasks that were on machines at the same time.
 func runningPeak(events []rules.MachineEvent) int {
-	tasks, most := newTracker(), 0
+	tasks, peak := newTaskTracker(), 0
 	for _, e := range sortedByTime(events) {
 		tasks.apply(e)
-		most = max(most, tasks.running())
+		peak = max(peak, tasks.running())
 	}
-	return most
+	return peak
 }
--- a/internal/scale/analysis/tracker.go
+++ b/internal/scale/analysis/tracker.go
@@ -5,28 +5,30 @@
 	"damsonkeel/internal/scale/rules"
 )
 
-// tracker follows which tasks are on which machine. Events are applied in order of time.
-type tracker struct {
-	machineOf map[protocol.TaskID]protocol.MachineID
-	machines  int // that are up
-	// onChange, if set, is called for each task that comes onto a machine (1) or leaves
-	// it (-1).
-	onChange func(task protocol.TaskID, by float64)
+// taskTracker tracks which tasks are on which machine. Events must be applied in order of time.
+type taskTracker struct {
+	machineOf  map[protocol.TaskID]protocol.MachineID
+	machinesUp int
+	// onChange, if set, is called with 1 for each task that starts on a machine and with -1
+	// for each task that no longer occupies one.
+	onChange func(task protocol.TaskID, delta float64)
 }
 
-// newTracker returns a tracker without machines.
-func newTracker() *tracker { return &tracker{machineOf: map[protocol.TaskID]protocol.MachineID{}} }
+// newTaskTracker returns a tracker without machines.
+func newTaskTracker() *taskTracker {
+	return &taskTracker{machineOf: map[protocol.TaskID]protocol.MachineID{}}
+}
 
-// running returns how many tasks are on machines.
-func (t *tracker) running() int { return len(t.machineOf) }
+// running returns the number of tasks on machines.
+func (t *taskTracker) running() int { return len(t.machineOf) }
 
-// apply applies the next event.
-func (t *tracker) apply(e rules.MachineEvent) {
+// apply updates the tracked tasks and machines with the next event.
+func (t *taskTracker) apply(e rules.MachineEvent) {
 	switch e.Kind {
 	case rules.MachineUp:
-		t.machines++
+		t.machinesUp++
 	case rules.MachineLost:
-		t.machines--
+		t.machinesUp--
 		for task, machine := range t.machineOf {
 			if machine == e.Machine {
 				t.remove(task)
@@ -34,7 +36,7 @@
 		}
 	case rules.TaskStarted:
 		if _, placed := t.machineOf[e.Task]; !placed {
-			t.changed(e.Task, 1)
+			t.notifyChange(e.Task, 1)
 		}
 		t.machineOf[e.Task] = e.Machine
 	case rules.TaskEnded:
@@ -42,16 +44,17 @@
 	}
 }
 
-// remove takes a task off its machine.
-func (t *tracker) remove(task protocol.TaskID) {
+// remove removes a task from its machine.
+func (t *taskTracker) remove(task protocol.TaskID) {
 	if _, placed := t.machineOf[task]; placed {
 		delete(t.machineOf, task)
-		t.changed(task, -1)
+		t.notifyChange(task, -1)
 	}
 }
 
-func (t *tracker) changed(task protocol.TaskID, by float64) {
+// notifyChange calls onChange, if it is set.
+func (t *taskTracker) notifyChange(task protocol.TaskID, delta float64) {
 	if t.onChange != nil {
-		t.onChange(task, by)
+		t.onChange(task, delta)
 	}
 }
--- a/internal/scale/analysis/urgent.go
+++ b/internal/scale/analysis/urgent.go
@@ -9,44 +9,46 @@
 )
 
 const (
-	// urgentClass is the class whose jobs are to start at once.
+	// urgentClass is the class of the jobs that should start immediately.
 	urgentClass = "urgent"
-	// urgentWithin is the time within which urgent jobs are to start.
-	urgentWithin = 2400 * time.Millisecond
+	// urgentTarget is the time within which all tasks of an urgent job should start.
+	urgentTarget = 2400 * time.Millisecond
 )
 
-// UrgentSummary describes how long some urgent jobs waited for all of their tasks.
+// UrgentSummary describes how long a group of urgent jobs waited until all of their tasks ran.
 type UrgentSummary struct {
 	Jobs   int     `json:"jobs"`
-	InTime float64 `json:"in_time"` // fraction that waited at most urgentWithin
+	InTime float64 `json:"in_time"` // fraction of the jobs that waited at most urgentTarget
 	P99S   float64 `json:"p99_s"`
 	WorstS float64 `json:"worst_s"`
 }
 
-// UrgentStages are the parts of an urgent task's wait: until its job is accepted, from
-// then until its worker has the order to start it, and from then until it has its image.
+// UrgentStages holds the quantiles of the three stages of an urgent task's wait: from the
+// submission until the job is accepted, from then until the worker accepts the command to
+// start the task, and from then until the task's image is present.
 type UrgentStages struct {
-	Accepted metrics.Waits `json:"accepted"`
-	Ordered  metrics.Waits `json:"ordered"`
-	Image    metrics.Waits `json:"image"`
+	Accepted metrics.Quantiles `json:"accepted"`
+	Ordered  metrics.Quantiles `json:"ordered"`
+	Image    metrics.Quantiles `json:"image"`
 }
 
-// urgentWait is how long an urgent job waited.
+// urgentWait is the time at which an urgent job was submitted and how long it waited until all
+// of its tasks ran.
 type urgentWait struct {
 	submitted, wait time.Duration
-	// atLimit is set if the job was submitted while its team was at its limit.
+	// atLimit is true if the job was submitted while its team was at its limit.
 	atLimit bool
 }
 
-// summarize summarizes the urgent jobs that a filter includes.
-func summarize(waits []urgentWait, include func(urgentWait) bool) UrgentSummary {
+// summarizeUrgent summarizes the waits of the urgent jobs for which include returns true.
+func summarizeUrgent(waits []urgentWait, include func(urgentWait) bool) UrgentSummary {
 	histogram, inTime := metrics.NewHistogram(), 0
 	for _, w := range waits {
 		if !include(w) {
 			continue
 		}
 		metrics.Observe(histogram, w.wait)
-		if w.wait <= urgentWithin {
+		if w.wait <= urgentTarget {
 			inTime++
 		}
 	}
@@ -57,21 +59,22 @@
 	}
 }
 
-// urgentJobWaits returns the quantiles of all urgent jobs' waits.
-func urgentJobWaits(waits []urgentWait) metrics.Waits {
+// urgentJobWaits returns the quantiles of the waits of all urgent jobs.
+func urgentJobWaits(waits []urgentWait) metrics.Quantiles {
 	histogram := metrics.NewHistogram()
 	for _, w := range waits {
 		metrics.Observe(histogram, w.wait)
 	}
-	return metrics.WaitsOf(histogram)
+	return metrics.QuantilesOf(histogram)
 }
 
-// urgentStages measures the stages of the waits of urgent tasks.
-func (r *Run) urgentStages() UrgentStages {
-	submitted, accepted := r.acceptances()
-	ordered := firstOf(r.Machines, rules.TaskStartAccepted)
+// measureUrgentStages measures the stages of the waits of urgent tasks. It leaves out tasks for
+// which one of the events is missing.
+func (r *Run) measureUrgentStages() UrgentStages {
+	submitted, accepted := r.submitAndAcceptTimes()
+	ordered := firstEventTimes(r.Machines, rules.TaskStartAccepted)
 	acceptedWait, orderedWait, imageWait := metrics.NewHistogram(), metrics.NewHistogram(), metrics.NewHistogram()
-	for task, started := range firstOf(r.Machines, rules.TaskStarted) {
+	for task, started := range firstEventTimes(r.Machines, rules.TaskStarted) {
 		if r.Jobs[task.Job].Class != urgentClass || accepted[task.Job] == 0 || ordered[task] == 0 {
 			continue
 		}
@@ -79,11 +82,11 @@
 		metrics.Observe(orderedWait, ordered[task]-accepted[task.Job])
 		metrics.Observe(imageWait, started-ordered[task])
 	}
-	return UrgentStages{Accepted: metrics.WaitsOf(acceptedWait), Ordered: metrics.WaitsOf(orderedWait), Image: metrics.WaitsOf(imageWait)}
+	return UrgentStages{Accepted: metrics.QuantilesOf(acceptedWait), Ordered: metrics.QuantilesOf(orderedWait), Image: metrics.QuantilesOf(imageWait)}
 }
 
-// acceptances returns when each job was submitted and when it was first accepted.
-func (r *Run) acceptances() (submitted, accepted map[protocol.JobID]time.Duration) {
+// submitAndAcceptTimes returns when each job was submitted and when it was first accepted.
+func (r *Run) submitAndAcceptTimes() (submitted, accepted map[protocol.JobID]time.Duration) {
 	submitted, accepted = map[protocol.JobID]time.Duration{}, map[protocol.JobID]time.Duration{}
 	for _, e := range r.Users {
 		switch {
@@ -96,5 +99,5 @@
 	return submitted, accepted
 }
 
-// isSuccess reports whether an HTTP status is one of success.
+// isSuccess reports whether an HTTP status code is in the 2xx range.
 func isSuccess(status int) bool { return status/100 == 2 }
--- a/internal/scale/analysis/waits.go
+++ b/internal/scale/analysis/waits.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// AllClasses names the waits of all tasks among those of classes.
+	// AllClasses is the key of the waits of all tasks among the waits by class.
 	AllClasses = "all"
-	// unstartedGrace is how long before the end of a run a job must be submitted for its
-	// unstarted tasks to count.
-	unstartedGrace = 10 * time.Second
+	// unstartedMargin is how long before the end of the run a job must have been submitted for
+	// its unstarted tasks to count.
+	unstartedMargin = 10 * time.Second
 )
 
-// waits returns how long tasks waited for their first start, by class, and how long
-// urgent jobs waited for all of their tasks. An unstarted task has waited at least until
-// the end of the run; it does not count if its job was submitted shortly before.
-func (r *Run) waits() (map[string]metrics.Waits, []urgentWait) {
-	submitted, end := r.submissions()
+// measureWaits returns how long tasks waited for their first start, by class, and how long
+// urgent jobs waited until all of their tasks ran. An unstarted task counts with its wait until
+// the end of the run; it does not count at all if its job was submitted within unstartedMargin
+// before the end.
+func (r *Run) measureWaits() (map[string]metrics.Quantiles, []urgentWait) {
+	submitted, end := r.submitTimes()
 	first, atLimit := r.firstStarts(), r.submittedAtLimit()
 	classes := map[string]*hdrhistogram.Histogram{}
 	var urgent []urgentWait
@@ -35,7 +36,7 @@
 		longest := time.Duration(-1)
 		for i := range job.Tasks {
 			start, started := first[protocol.TaskID{Job: id, Index: i}]
-			if !started && at > end-unstartedGrace {
+			if !started && at > end-unstartedMargin {
 				continue
 			}
 			if !started {
@@ -51,9 +52,9 @@
 	return summarizeClasses(classes), urgent
 }
 
-// submissions returns when each job that was not cancelled was submitted, and when the
-// last answer of the run arrived.
-func (r *Run) submissions() (at map[protocol.JobID]time.Duration, end time.Duration) {
+// submitTimes returns when each job that was not cancelled was submitted, and the end of the
+// run, which is the time of the last response to a user.
+func (r *Run) submitTimes() (at map[protocol.JobID]time.Duration, end time.Duration) {
 	at = map[protocol.JobID]time.Duration{}
 	cancelled := map[protocol.JobID]bool{}
 	for _, e := range r.Users {
@@ -69,15 +70,16 @@
 	return at, end
 }
 
-// summarizeClasses returns the waits of each class, and of all.
-func summarizeClasses(classes map[string]*hdrhistogram.Histogram) map[string]metrics.Waits {
-	out := map[string]metrics.Waits{}
+// summarizeClasses returns the quantiles of the waits of each class, and of all classes under
+// AllClasses.
+func summarizeClasses(classes map[string]*hdrhistogram.Histogram) map[string]metrics.Quantiles {
+	out := map[string]metrics.Quantiles{}
 	all := metrics.NewHistogram()
 	for name, histogram := range classes {
-		out[name] = metrics.WaitsOf(histogram)
+		out[name] = metrics.QuantilesOf(histogram)
 		all.Merge(histogram)
 	}
-	out[AllClasses] = metrics.WaitsOf(all)
+	out[AllClasses] = metrics.QuantilesOf(all)
 	return out
 }
 
@@ -100,8 +102,8 @@
 	return first
 }
 
-// firstOf returns when an event of a kind was first seen for each task.
-func firstOf(events []rules.MachineEvent, kind rules.MachineEventKind) map[protocol.TaskID]time.Duration {
+// firstEventTimes returns the time of the first event of a kind for each task.
+func firstEventTimes(events []rules.MachineEvent, kind rules.MachineEventKind) map[protocol.TaskID]time.Duration {
 	first := map[protocol.TaskID]time.Duration{}
 	for _, e := range events {
 		if e.Kind == kind {
--- a/internal/scale/metrics/doc.go
+++ b/internal/scale/metrics/doc.go
@@ -1,6 +1,6 @@
-// Package metrics holds the histograms of a run's processes, the quantiles that results
-// give of them, and a meter of how late the timers of a process fire.
+// Package metrics provides the histograms of a run's processes, the quantiles that results
+// contain, and a meter of how late the timers of a process fire.
 //
-// A histogram belongs to the caller, who serializes access to it; only LatenessMeter has a
-// lock of its own. The package knows nothing of sites, processes or events.
+// The caller owns a histogram and serializes access to it; only LatenessMeter has its own
+// lock. The package does not depend on sites, processes or events.
 package metrics
--- a/internal/scale/metrics/lateness.go
+++ b/internal/scale/metrics/lateness.go
@@ -11,13 +11,13 @@
 // latenessInterval is the time between two measurements of lateness.
 const latenessInterval = 50 * time.Millisecond
 
-// Lateness is how late the timers of a process fired, in milliseconds.
+// Lateness holds quantiles of how late the timers of a process fired, in milliseconds.
 type Lateness struct {
 	P99MS   float64 `json:"p99_ms"`
 	WorstMS float64 `json:"worst_ms"`
 }
 
-// LatenessMeter measures how late the timers of this process fire.
+// LatenessMeter measures how late the timers of the current process fire.
 type LatenessMeter struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -30,6 +30,7 @@
 	return m
 }
 
+// run measures the lateness of one timer every latenessInterval until the context ends.
 func (m *LatenessMeter) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		begin := time.Now()
@@ -41,7 +42,7 @@
 	}
 }
 
-// Lateness returns the quantiles measured so far.
+// Lateness returns the quantiles of the lateness measured so far.
 func (m *LatenessMeter) Lateness() Lateness {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/scale/metrics/user.go
+++ b/internal/scale/metrics/user.go
@@ -1,9 +1,9 @@
 package metrics
 
-// UserMetrics describe the answers that users got.
+// UserMetrics describes the responses that users received.
 type UserMetrics struct {
-	Submissions Waits `json:"submissions"`  // from a job's first attempt to its acceptance
-	Polls       Waits `json:"polls"`        // that were answered
-	Unanswered  int   `json:"unanswered"`   // polls without a successful answer
-	NotAccepted int   `json:"not_accepted"` // jobs
+	Submissions Quantiles `json:"submissions"`  // times from the first submission of a job to its acceptance
+	Polls       Quantiles `json:"polls"`        // response times of the polls that succeeded
+	Unanswered  int       `json:"unanswered"`   // polls without a successful response
+	NotAccepted int       `json:"not_accepted"` // jobs whose submission was rejected or not accepted in time
 }
--- a/internal/scale/operator/metrics.go
+++ b/internal/scale/operator/metrics.go
@@ -42,7 +42,7 @@
 	if len(o.changes) == 0 {
 		return nil, errNoChanges
 	}
-	m := &Metrics{Changes: len(o.changes), Failed: o.failed, AnsweredP99S: metrics.WaitsOf(o.answerTimes).P99S, OldestS: max(0, o.longestStale.Seconds())}
+	m := &Metrics{Changes: len(o.changes), Failed: o.failed, AnsweredP99S: metrics.QuantilesOf(o.answerTimes).P99S, OldestS: max(0, o.longestStale.Seconds())}
 	inForce, answering := metrics.NewHistogram(), metrics.NewHistogram()
 	bound := config.MaxWatchStaleness(o.nodeLease())
 	for _, made := range o.changes {
@@ -53,7 +53,7 @@
 			m.ByBound++
 		}
 	}
-	all, answered := metrics.WaitsOf(inForce), metrics.WaitsOf(answering)
+	all, answered := metrics.QuantilesOf(inForce), metrics.QuantilesOf(answering)
 	m.InForceP99S, m.InForceWorstS = all.P99S, all.WorstS
 	m.AnsweringP99S, m.AnsweringWorstS = answered.P99S, answered.WorstS
 	return m, nil
--- a/internal/scale/results/result.go
+++ b/internal/scale/results/result.go
@@ -25,22 +25,22 @@
 	Busy      float64          `json:"busy"`     // fraction of all processors, on average
 	BusyPeak  float64          `json:"busy_peak"`
 
-	DurationS       float64                  `json:"duration_s"`
-	Workers         int                      `json:"workers"`
-	Controllers     int                      `json:"controllers"`
-	ControllersDied int                      `json:"controllers_died"` // without being killed
-	Starts          int                      `json:"starts"`
-	StartsPeakS     int                      `json:"starts_peak_s"`
-	RunningPeak     int                      `json:"running_peak"`
-	Urgent          UrgentMetrics            `json:"urgent"`
-	Waits           map[string]metrics.Waits `json:"waits"`
-	Users           metrics.UserMetrics      `json:"users"`
-	Worker          WorkerMetrics            `json:"worker"`
-	Roles           []RoleMetrics            `json:"roles"`
-	State           analysis.StateMetrics    `json:"state"`
-	Faults          []analysis.FaultMetrics  `json:"troubles"`
-	Config          *operator.Metrics        `json:"config,omitempty"`
-	Timeline        []analysis.TimelinePoint `json:"timeline"`
+	DurationS       float64                      `json:"duration_s"`
+	Workers         int                          `json:"workers"`
+	Controllers     int                          `json:"controllers"`
+	ControllersDied int                          `json:"controllers_died"` // without being killed
+	Starts          int                          `json:"starts"`
+	StartsPeakS     int                          `json:"starts_peak_s"`
+	RunningPeak     int                          `json:"running_peak"`
+	Urgent          UrgentMetrics                `json:"urgent"`
+	Waits           map[string]metrics.Quantiles `json:"waits"`
+	Users           metrics.UserMetrics          `json:"users"`
+	Worker          WorkerMetrics                `json:"worker"`
+	Roles           []RoleMetrics                `json:"roles"`
+	State           analysis.StateMetrics        `json:"state"`
+	Faults          []analysis.FaultMetrics      `json:"troubles"`
+	Config          *operator.Metrics            `json:"config,omitempty"`
+	Timeline        []analysis.TimelinePoint     `json:"timeline"`
 }
 
 // UrgentMetrics describe how long urgent jobs waited for all of their tasks.
--- a/internal/scale/results/table.go
+++ b/internal/scale/results/table.go
@@ -107,7 +107,7 @@
 	for _, r := range results {
 		for _, stage := range []struct {
 			name  string
-			waits metrics.Waits
+			waits metrics.Quantiles
 		}{{"until accepted", r.Urgent.Stages.Accepted}, {"until ordered at the worker", r.Urgent.Stages.Ordered}, {"until the image is there", r.Urgent.Stages.Image}} {
 			t.AppendRow(table.Row{r.Factor, stage.name, fixed2(stage.waits.P50S), fixed2(stage.waits.P99S), fixed2(stage.waits.WorstS)})
 		}
--- a/internal/scale/users/users.go
+++ b/internal/scale/users/users.go
@@ -203,6 +203,6 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return process.Report{Users: &metrics.UserMetrics{
-		Submissions: metrics.WaitsOf(u.submissions), Polls: metrics.WaitsOf(u.polls), Unanswered: u.unanswered, NotAccepted: u.notAccepted,
+		Submissions: metrics.QuantilesOf(u.submissions), Polls: metrics.QuantilesOf(u.polls), Unanswered: u.unanswered, NotAccepted: u.notAccepted,
 	}}
 }
