--- a/internal/scale/siteconfig/fault.go
+++ b/internal/scale/siteconfig/fault.go
@@ -1,6 +1,6 @@
 package siteconfig
 
-// FaultKind is the kind of a fault.
+// FaultKind is the kind of a fault, as site files and results name it.
 type FaultKind string
 
 // The kinds of faults.
@@ -13,16 +13,17 @@
 	FaultPauseController FaultKind = "stop_controller"
 	// FaultPauseZone pauses the shared worker process of a zone for ForS.
 	FaultPauseZone FaultKind = "stop_zone"
-	// FaultPartitionRegion partitions a region from all others and from the
-	// services for ForS.
+	// FaultPartitionRegion partitions a region from all other regions and from the services
+	// for ForS.
 	FaultPartitionRegion FaultKind = "cut_region"
-	// FaultKillMachines kills Count machines with all that runs on them.
+	// FaultKillMachines kills Count machines with their workers and tasks.
 	FaultKillMachines FaultKind = "machines_die"
 	// FaultRestartWorkers restarts one worker every EveryS for ForS.
 	FaultRestartWorkers FaultKind = "restart_workers"
 )
 
-// Fault is a fault that is injected into a run.
+// Fault is a fault that is injected into a run at AtS. Its kind determines which of the other
+// fields apply.
 type Fault struct {
 	AtS    float64   `toml:"at_s"`
 	Kind   FaultKind `toml:"kind"`
--- a/internal/scale/siteconfig/load.go
+++ b/internal/scale/siteconfig/load.go
@@ -16,7 +16,7 @@
 	return ParseSite(b)
 }
 
-// ParseSite reads and validates a site. Its errors name unknown fields and invalid values.
+// ParseSite decodes and validates a site. Its errors name the unknown or invalid field.
 func ParseSite(b []byte) (*Site, error) {
 	s := &Site{}
 	if err := config.DecodeStrict(b, s); err != nil {
--- a/internal/scale/siteconfig/random.go
+++ b/internal/scale/siteconfig/random.go
@@ -1,7 +1,7 @@
 package siteconfig
 
-// Streams of random numbers for the seed of a run, one for each use, so that the draws of
-// one use don't depend on those of another.
+// Streams of random numbers that are derived from the seed of a run. Each user of random numbers
+// has its own stream, so that its draws do not depend on the number of draws of the others.
 const (
 	StreamMonitor uint64 = iota + 1
 	StreamUsers
--- a/internal/scale/siteconfig/settings.go
+++ b/internal/scale/siteconfig/settings.go
@@ -5,7 +5,8 @@
 // clockErrorMS is the clock error that controllers are configured to tolerate.
 const clockErrorMS = 50
 
-// ControllerSettings returns the settings that all controllers of a site share.
+// ControllerSettings returns the part of the settings that is the same for all controllers of a
+// site.
 func ControllerSettings(site *Site) config.Site {
 	out := config.Site{Count: site.Controllers, ClockErrorMS: clockErrorMS}
 	for z := range site.Zones {
--- a/internal/scale/siteconfig/site.go
+++ b/internal/scale/siteconfig/site.go
@@ -12,17 +12,18 @@
 	Controllers int     `toml:"controllers"`
 	Regions     int     `toml:"regions"`
 	Zones       int     `toml:"zones"`
-	// Workers is how many machines are up at the start, and SpareWorkers how many more the
-	// cloud can provision.
+	// Workers is the number of machines that are up at the start, and SpareWorkers the number
+	// of further machines that the cloud can provision.
 	Workers      int `toml:"workers"`
 	SpareWorkers int `toml:"spare_workers"`
-	// BetweenRegionsMS is how long a message takes from one region to another, and
-	// ToServicesMS how long to the state service and the cloud, one way.
+	// BetweenRegionsMS is the one-way latency between two regions, and ToServicesMS the one-way
+	// latency between a region and the state service, the cloud or the users.
 	BetweenRegionsMS float64 `toml:"between_regions_ms"`
 	ToServicesMS     float64 `toml:"to_services_ms"`
-	// RestartS is the delay before a killed controller is restarted.
+	// RestartS is the delay before a controller whose process ended is restarted.
 	RestartS float64 `toml:"restart_s"`
-	// IdleReturnS is how long the scheduler keeps idle machines.
+	// IdleReturnS is how long the scheduler keeps an idle machine before it returns the machine
+	// to the cloud.
 	IdleReturnS float64 `toml:"idle_return_s"`
 
 	Timings    Timings     `toml:"timings"`
@@ -34,28 +35,29 @@
 	Objectives []Objective `toml:"objectives"`
 	Load       []Load      `toml:"load"`
 	Faults     []Fault     `toml:"troubles"`
-	// Configuration describes what operators change during the run; no changes: nothing.
+	// Configuration describes the configuration changes by operators during the run. With 0
+	// changes, the run has no operator.
 	Configuration Configuration `toml:"configuration"`
 }
 
-// Configuration describes the changes that operators make to the configuration: their
-// number, spread evenly over a period.
+// Configuration describes the configuration changes by operators: their number and the period
+// over which they are spread evenly.
 type Configuration struct {
 	Changes int     `toml:"changes"`
 	FromS   float64 `toml:"from_s"`
 	ForS    float64 `toml:"for_s"`
 }
 
-// Timings are the workers' protocol timings.
+// Timings holds the timings of the worker protocol.
 type Timings struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	ReportS   float64 `toml:"report_s"`    // interval of a worker's heartbeats
+	LeaseS    float64 `toml:"lease_s"`     // length of a worker's lease
+	GangWaitS float64 `toml:"gang_wait_s"` // how long a started task waits for the rest of its gang
+	GangPeerS float64 `toml:"gang_peer_s"` // how long the rest of a gang runs on after one task was stopped
+	CancelS   float64 `toml:"cancel_s"`    // how long tasks may run after their cancellation was confirmed
 }
 
-// State holds the limits and the latency of the state service.
+// State holds the rate and size limits and the response latency of the state service.
 type State struct {
 	RequestsPerS float64 `toml:"requests_per_s"`
 	ChangesPerS  float64 `toml:"changes_per_s"`
@@ -64,21 +66,21 @@
 	AnswerMS     float64 `toml:"answer_ms"`
 }
 
-// Cloud holds the limits and the latency of the cloud.
+// Cloud holds the rate limit, the listing lag and the response latency of the cloud.
 type Cloud struct {
 	RequestsPerS float64 `toml:"requests_per_s"`
 	ListLagS     float64 `toml:"list_lag_s"`
 	AnswerMS     float64 `toml:"answer_ms"`
 }
 
-// Limits are the resources that a controller is configured to use.
+// Limits holds the resources that a controller is configured to use at most.
 type Limits struct {
 	CPU      float64 `toml:"cpu"`
 	MemoryMB float64 `toml:"memory_mb"`
 	MaxConns int     `toml:"max_connections"`
 }
 
-// Type is a machine type; Fraction is the fraction of the machines that are of it.
+// Type is a machine type. Fraction is the fraction of the initial machines that have this type.
 type Type struct {
 	Name      protocol.MachineType `toml:"name"`
 	Fraction  float64              `toml:"part"`
@@ -91,7 +93,8 @@
 	BootS     float64              `toml:"boot_s"`
 }
 
-// Teams are several teams with the same settings.
+// Teams describes Count teams with the same settings: CPUs is the guarantee and MaxCPUs the
+// limit of each. Their names are the prefix with a number.
 type Teams struct {
 	Prefix  string  `toml:"prefix"`
 	Count   int     `toml:"count"`
@@ -99,7 +102,8 @@
 	MaxCPUs float64 `toml:"cpus_max"`
 }
 
-// Objective is the service-level objective of a class.
+// Objective is a service-level objective for the jobs of a class: Fraction of them must meet the
+// time WithinS.
 type Objective struct {
 	Kind     string  `toml:"kind"`
 	Class    string  `toml:"class"`
@@ -107,7 +111,8 @@
 	Fraction float64 `toml:"share"`
 }
 
-// Load describes the jobs of a class, which arrive at random during a period.
+// Load describes the jobs of a class, which arrive at random from FromS until UntilS with an
+// average rate of JobsPerS.
 type Load struct {
 	Class             string            `toml:"class"`
 	Kind              protocol.Kind     `toml:"kind"`
@@ -115,7 +120,7 @@
 	FromS             float64           `toml:"from_s"`
 	UntilS            float64           `toml:"until_s"`
 	JobsPerS          float64           `toml:"jobs_per_s"`
-	Tasks             []int             `toml:"tasks"` // sizes of jobs, each equally likely
+	Tasks             []int             `toml:"tasks"` // numbers of tasks of a job, each equally likely
 	CPUs              float64           `toml:"cpus"`
 	MemoryGB          float64           `toml:"memory_gb"`
 	ImageGB           float64           `toml:"image_gb"`
--- a/internal/scale/siteconfig/topology.go
+++ b/internal/scale/siteconfig/topology.go
@@ -11,13 +11,14 @@
 // MaxFactor is the largest factor by which a site may be scaled.
 const MaxFactor = 4
 
-// Scaled returns the site with its workers, teams' processors and arrivals multiplied by a
-// factor. Controllers, zones and the services' limits stay the same.
+// Scaled returns a copy of the site in which the workers, the processors of teams, the arrival
+// rates and the faults of machines and workers are multiplied by a factor. Controllers, zones
+// and the limits of the services stay the same.
 func (s *Site) Scaled(factor float64) *Site {
-	count := func(n int) int { return max(1, int(math.Round(float64(n)*factor))) }
+	scaleCount := func(n int) int { return max(1, int(math.Round(float64(n)*factor))) }
 	out := *s
-	out.Workers = max(s.Zones, count(s.Workers))
-	out.SpareWorkers = count(s.SpareWorkers)
+	out.Workers = max(s.Zones, scaleCount(s.Workers))
+	out.SpareWorkers = scaleCount(s.SpareWorkers)
 	out.Teams = slices.Clone(s.Teams)
 	for i := range out.Teams {
 		out.Teams[i].CPUs *= factor
@@ -31,7 +32,7 @@
 	for i, fault := range out.Faults {
 		switch fault.Kind {
 		case FaultKillMachines:
-			out.Faults[i].Count = count(fault.Count)
+			out.Faults[i].Count = scaleCount(fault.Count)
 		case FaultRestartWorkers:
 			out.Faults[i].EveryS /= factor
 		}
@@ -39,16 +40,17 @@
 	return &out
 }
 
-// RegionOfZone returns the region of a zone; zones are assigned to regions in turn.
+// RegionOfZone returns the region of a zone. Zones are assigned to regions round-robin.
 func (s *Site) RegionOfZone(zone int) int { return zone % s.Regions }
 
-// ZoneName returns the name of a zone, which holds its region and its number there.
+// ZoneName returns the name of a zone, which consists of its region and its number within the
+// region, both counted from 1.
 func (s *Site) ZoneName(zone int) protocol.Zone {
 	return protocol.Zone(fmt.Sprintf("r%dz%d", s.RegionOfZone(zone)+1, zone/s.Regions+1))
 }
 
-// ZoneOfController returns the zone of a controller; consecutive controllers are in
-// different regions.
+// ZoneOfController returns the zone of a controller. Consecutive controllers are in different
+// regions if there are several.
 func (s *Site) ZoneOfController(controller int) int { return controller % s.Zones }
 
 // TeamNames returns the names of all teams.
--- a/internal/scale/siteconfig/validate.go
+++ b/internal/scale/siteconfig/validate.go
@@ -9,48 +9,49 @@
 	"damsonkeel/internal/protocol"
 )
 
-// FieldError says that a field of a site is invalid.
+// FieldError reports an invalid field of a site.
 type FieldError struct {
-	Field   string // with its path, such as "load[0].tasks"
+	Field   string // path of the field, such as "load[0].tasks"
 	Problem string
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the path of the field and the problem.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// invalid returns the error of an invalid field.
-func invalid(name, format string, args ...any) error {
+// invalidField returns a FieldError with a formatted problem.
+func invalidField(name, format string, args ...any) error {
 	return &FieldError{Field: name, Problem: fmt.Sprintf(format, args...)}
 }
 
-// missing returns the error of a field that is missing or empty.
-func missing(name string) error { return invalid(name, "missing") }
+// missingField returns the FieldError of a field that is missing or empty.
+func missingField(name string) error { return invalidField(name, "missing") }
 
-// field is a number with its valid range.
-type field struct {
+// numberField is a numeric field with its valid range, bounds included.
+type numberField struct {
 	name         string
 	value        float64
 	lower, upper float64
 }
 
-// check returns an error unless the number is in its range.
-func (f field) check() error {
+// check returns a FieldError unless the value is in its range.
+func (f numberField) check() error {
 	if math.IsNaN(f.value) || f.value < f.lower || f.value > f.upper {
-		return invalid(f.name, "%v is not from %v to %v", f.value, f.lower, f.upper)
+		return invalidField(f.name, "%v is not from %v to %v", f.value, f.lower, f.upper)
 	}
 	return nil
 }
 
-// Bounds of several fields.
+// Bounds that several fields share. noUpperBound stands for fields without a meaningful upper
+// bound, minPositive for fields that must be above 0.
 const (
 	maxDurationS = 3600
 	maxWorkers   = 20_000
-	unbounded    = 1e9
-	positive     = 1e-9
+	noUpperBound = 1e9
+	minPositive  = 1e-9
 )
 
-// checkFields returns the error of the first field that is out of its range.
-func checkFields(fields []field) error {
+// checkFields returns the FieldError of the first field that is out of its range.
+func checkFields(fields []numberField) error {
 	for _, f := range fields {
 		if err := f.check(); err != nil {
 			return err
@@ -59,12 +60,13 @@
 	return nil
 }
 
-// validate returns an error that names an invalid field.
+// validate returns an error that names the invalid fields: the first one of the site's own
+// numbers or, if these are valid, the first one of each section.
 func (s *Site) validate() error {
 	if s.Name == "" {
-		return missing("name")
+		return missingField("name")
 	}
-	fields := []field{
+	fields := []numberField{
 		{"duration_s", s.DurationS, 10, maxDurationS},
 		{"controllers", float64(s.Controllers), 1, 50},
 		{"regions", float64(s.Regions), 1, 50},
@@ -80,20 +82,20 @@
 		{"timings.gang_wait_s", s.Timings.GangWaitS, 1, 600},
 		{"timings.gang_peer_s", s.Timings.GangPeerS, 1, 600},
 		{"timings.cancel_s", s.Timings.CancelS, 1, 600},
-		{"state.requests_per_s", s.State.RequestsPerS, 1, unbounded},
-		{"state.changes_per_s", s.State.ChangesPerS, 1, unbounded},
+		{"state.requests_per_s", s.State.RequestsPerS, 1, noUpperBound},
+		{"state.changes_per_s", s.State.ChangesPerS, 1, noUpperBound},
 		{"state.value_kb", s.State.ValueKB, 1, 1024},
 		{"state.txn_ops", float64(s.State.TxnOps), 2, 1000},
 		{"state.answer_ms", s.State.AnswerMS, 0, 1000},
-		{"cloud.requests_per_s", s.Cloud.RequestsPerS, 0.1, unbounded},
+		{"cloud.requests_per_s", s.Cloud.RequestsPerS, 0.1, noUpperBound},
 		{"cloud.list_lag_s", s.Cloud.ListLagS, 0, 600},
 		{"cloud.answer_ms", s.Cloud.AnswerMS, 0, 1000},
 		{"configuration.changes", float64(s.Configuration.Changes), 0, 10_000},
 		{"configuration.from_s", s.Configuration.FromS, 0, s.DurationS},
 		{"configuration.for_s", s.Configuration.ForS, 0, s.DurationS},
-		{"limits.cpu", s.Limits.CPU, positive, 64},
-		{"limits.memory_mb", s.Limits.MemoryMB, 16, unbounded},
-		{"limits.max_connections", float64(s.Limits.MaxConns), 50, unbounded},
+		{"limits.cpu", s.Limits.CPU, minPositive, 64},
+		{"limits.memory_mb", s.Limits.MemoryMB, 16, noUpperBound},
+		{"limits.max_connections", float64(s.Limits.MaxConns), 50, noUpperBound},
 	}
 	if err := checkFields(fields); err != nil {
 		return err
@@ -101,24 +103,25 @@
 	return errors.Join(s.validateTypes(), s.validateTeams(), s.validateLoad(), s.validateFaults())
 }
 
+// validateTypes returns the FieldError of the first invalid field of the machine types.
 func (s *Site) validateTypes() error {
 	if len(s.Types) == 0 {
-		return missing("types")
+		return missingField("types")
 	}
 	for i, t := range s.Types {
-		at := fmt.Sprintf("types[%d].", i)
+		prefix := fmt.Sprintf("types[%d].", i)
 		if t.Name == "" {
-			return missing(at + "name")
+			return missingField(prefix + "name")
 		}
-		err := checkFields([]field{
-			{at + "part", t.Fraction, 0, 1},
-			{at + "cpus", t.CPUs, positive, 1024},
-			{at + "memory_gb", t.MemoryGB, positive, unbounded},
-			{at + "cache_gb", t.CacheGB, 0, unbounded},
-			{at + "fetch_gb_per_s", t.FetchGBPS, positive, 1000},
-			{at + "price", t.Price, positive, unbounded},
-			{at + "spot_price", t.SpotPrice, positive, unbounded},
-			{at + "boot_s", t.BootS, 0, 600},
+		err := checkFields([]numberField{
+			{prefix + "part", t.Fraction, 0, 1},
+			{prefix + "cpus", t.CPUs, minPositive, 1024},
+			{prefix + "memory_gb", t.MemoryGB, minPositive, noUpperBound},
+			{prefix + "cache_gb", t.CacheGB, 0, noUpperBound},
+			{prefix + "fetch_gb_per_s", t.FetchGBPS, minPositive, 1000},
+			{prefix + "price", t.Price, minPositive, noUpperBound},
+			{prefix + "spot_price", t.SpotPrice, minPositive, noUpperBound},
+			{prefix + "boot_s", t.BootS, 0, 600},
 		})
 		if err != nil {
 			return err
@@ -127,16 +130,17 @@
 	return nil
 }
 
+// validateTeams returns the FieldError of the first invalid field of the teams.
 func (s *Site) validateTeams() error {
 	if len(s.Teams) == 0 {
-		return missing("teams")
+		return missingField("teams")
 	}
 	for i, t := range s.Teams {
-		at := fmt.Sprintf("teams[%d].", i)
+		prefix := fmt.Sprintf("teams[%d].", i)
 		if t.Prefix == "" {
-			return missing(at + "prefix")
+			return missingField(prefix + "prefix")
 		}
-		err := checkFields([]field{{at + "count", float64(t.Count), 1, 1000}, {at + "cpus", t.CPUs, 0, unbounded}, {at + "cpus_max", t.MaxCPUs, 0, unbounded}})
+		err := checkFields([]numberField{{prefix + "count", float64(t.Count), 1, 1000}, {prefix + "cpus", t.CPUs, 0, noUpperBound}, {prefix + "cpus_max", t.MaxCPUs, 0, noUpperBound}})
 		if err != nil {
 			return err
 		}
@@ -144,37 +148,38 @@
 	return nil
 }
 
+// validateLoad returns the FieldError of the first invalid field of the loads.
 func (s *Site) validateLoad() error {
 	if len(s.Load) == 0 {
-		return missing("load")
+		return missingField("load")
 	}
 	for i, l := range s.Load {
-		at := fmt.Sprintf("load[%d].", i)
+		prefix := fmt.Sprintf("load[%d].", i)
 		if l.Class == "" {
-			return missing(at + "class")
+			return missingField(prefix + "class")
 		}
 		if l.Kind != protocol.KindJobArray && l.Kind != protocol.KindGang {
-			return invalid(at+"kind", "%q is neither %q nor %q", l.Kind, protocol.KindJobArray, protocol.KindGang)
+			return invalidField(prefix+"kind", "%q is neither %q nor %q", l.Kind, protocol.KindJobArray, protocol.KindGang)
 		}
 		if !l.Priority.Known() {
-			return invalid(at+"priority", "%q is unknown", l.Priority)
+			return invalidField(prefix+"priority", "%q is unknown", l.Priority)
 		}
 		if len(l.Tasks) == 0 {
-			return missing(at + "tasks")
+			return missingField(prefix + "tasks")
 		}
 		if slices.Min(l.Tasks) < 1 || slices.Max(l.Tasks) > protocol.MaxTasks {
-			return invalid(at+"tasks", "%v is not from 1 to %d", l.Tasks, protocol.MaxTasks)
+			return invalidField(prefix+"tasks", "%v is not from 1 to %d", l.Tasks, protocol.MaxTasks)
 		}
-		err := checkFields([]field{
-			{at + "from_s", l.FromS, 0, s.DurationS},
-			{at + "until_s", l.UntilS, l.FromS, s.DurationS},
-			{at + "jobs_per_s", l.JobsPerS, positive, 10_000},
-			{at + "cpus", l.CPUs, positive, 1024},
-			{at + "memory_gb", l.MemoryGB, 0, unbounded},
-			{at + "image_gb", l.ImageGB, 0, 1000},
-			{at + "images", float64(l.Images), 1, 10_000},
-			{at + "run_s", l.RunS, 0.1, 1e6},
-			{at + "cancelled", l.CancelledFraction, 0, 1},
+		err := checkFields([]numberField{
+			{prefix + "from_s", l.FromS, 0, s.DurationS},
+			{prefix + "until_s", l.UntilS, l.FromS, s.DurationS},
+			{prefix + "jobs_per_s", l.JobsPerS, minPositive, 10_000},
+			{prefix + "cpus", l.CPUs, minPositive, 1024},
+			{prefix + "memory_gb", l.MemoryGB, 0, noUpperBound},
+			{prefix + "image_gb", l.ImageGB, 0, 1000},
+			{prefix + "images", float64(l.Images), 1, 10_000},
+			{prefix + "run_s", l.RunS, 0.1, 1e6},
+			{prefix + "cancelled", l.CancelledFraction, 0, 1},
 		})
 		if err != nil {
 			return err
@@ -183,25 +188,26 @@
 	return nil
 }
 
+// validateFaults returns the FieldError of the first invalid field of the faults.
 func (s *Site) validateFaults() error {
 	for i, fault := range s.Faults {
-		at := fmt.Sprintf("troubles[%d].", i)
-		fields := []field{{at + "at_s", fault.AtS, 0, s.DurationS}, {at + "for_s", fault.ForS, 0, s.DurationS}}
+		prefix := fmt.Sprintf("troubles[%d].", i)
+		fields := []numberField{{prefix + "at_s", fault.AtS, 0, s.DurationS}, {prefix + "for_s", fault.ForS, 0, s.DurationS}}
 		switch fault.Kind {
 		case FaultKillController, FaultPauseController:
-			fields = append(fields, field{at + "count", float64(fault.Count), 1, float64(s.Controllers)})
+			fields = append(fields, numberField{prefix + "count", float64(fault.Count), 1, float64(s.Controllers)})
 		case FaultKillAllControllers:
-			fields = append(fields, field{at + "every_s", fault.EveryS, 0.1, s.DurationS})
+			fields = append(fields, numberField{prefix + "every_s", fault.EveryS, 0.1, s.DurationS})
 		case FaultPauseZone:
-			fields = append(fields, field{at + "zone", float64(fault.Zone), 0, float64(s.Zones - 1)})
+			fields = append(fields, numberField{prefix + "zone", float64(fault.Zone), 0, float64(s.Zones - 1)})
 		case FaultPartitionRegion:
-			fields = append(fields, field{at + "region", float64(fault.Region), 0, float64(s.Regions - 1)})
+			fields = append(fields, numberField{prefix + "region", float64(fault.Region), 0, float64(s.Regions - 1)})
 		case FaultKillMachines:
-			fields = append(fields, field{at + "count", float64(fault.Count), 1, float64(s.Workers)})
+			fields = append(fields, numberField{prefix + "count", float64(fault.Count), 1, float64(s.Workers)})
 		case FaultRestartWorkers:
-			fields = append(fields, field{at + "every_s", fault.EveryS, 0.01, s.DurationS})
+			fields = append(fields, numberField{prefix + "every_s", fault.EveryS, 0.01, s.DurationS})
 		default:
-			return invalid(at+"kind", "%q is unknown", fault.Kind)
+			return invalidField(prefix+"kind", "%q is unknown", fault.Kind)
 		}
 		if err := checkFields(fields); err != nil {
 			return err
--- a/internal/scale/siteconfig/validate_test.go
+++ b/internal/scale/siteconfig/validate_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// TestParseSiteNamesInvalidFields: the site files of the repository are valid, and the
-// error of an invalid one names the field.
-func TestParseSiteNamesInvalidFields(t *testing.T) {
+// TestParseSiteErrorNamesInvalidField checks that the site files of the repository are valid, and
+// that the error of an invalid site names the invalid field.
+func TestParseSiteErrorNamesInvalidField(t *testing.T) {
 	for _, name := range []string{"scale-small", "scale-target", "scale-peak"} {
 		site, err := LoadSite("../../../deploy/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
 		if half := site.Scaled(0.5); half.Workers != site.Workers/2 || half.Controllers != site.Controllers {
-			t.Errorf("%s: half of it has %d workers, %d controllers", name, half.Workers, half.Controllers)
+			t.Errorf("%s: scaled by 0.5, the site has %d workers and %d controllers", name, half.Workers, half.Controllers)
 		}
 	}
-	good, err := os.ReadFile("../../../deploy/scale-small.toml")
+	valid, err := os.ReadFile("../../../deploy/scale-small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,12 +33,12 @@
 		"state.txn_ops":   {"txn_ops = 12", "txn_ops = 1"},
 		"timings.lease_s": {"lease_s = ", "lease_s = 9999"},
 	} {
-		text := strings.Replace(string(good), change[0], change[1], 1)
-		if text == string(good) {
-			t.Errorf("%s: nothing was changed", field)
+		changed := strings.Replace(string(valid), change[0], change[1], 1)
+		if changed == string(valid) {
+			t.Errorf("%s: the site file does not contain the text to change", field)
 		}
-		if _, err := ParseSite([]byte(text)); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v", field, err)
+		if _, err := ParseSite([]byte(changed)); err == nil || !strings.Contains(err.Error(), field) {
+			t.Errorf("%s: error does not name the field: %v", field, err)
 		}
 	}
 }
