--- a/internal/scale/results/builder.go
+++ b/internal/scale/results/builder.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	// schema is the version of the result's JSON format.
-	schema = 1
-	// saturatedMS is the 99th percentile of the timers' lateness, in milliseconds, above
-	// which a run is saturated: its times then are those of the machine, not those of the
-	// scheduler.
-	saturatedMS = 50
-	// maxViolations is how many violations of a run are listed.
-	maxViolations = 50
+	// schemaVersion is the version of the JSON format of results.
+	schemaVersion = 1
+	// saturationLatenessMS is the 99th percentile of the timers' lateness, in milliseconds,
+	// above which a run counts as saturated: the times that it measured then depend on the
+	// overloaded machine and not on the scheduler.
+	saturationLatenessMS = 50
+	// maxListedViolations is the number of analyzed violations that a result lists at most.
+	maxListedViolations = 50
 )
 
-// Builder composes a result.
+// Builder composes the result of a run.
 type Builder struct {
 	result  *Result
 	reports map[string]process.Report // by process name
 	roleOf  map[string]string         // by process name
 }
 
-// Options identify a run in its result.
+// Options are the properties of a run that its result contains.
 type Options struct {
 	Factor  float64 // by which the site was scaled
 	Seed    uint64
@@ -46,11 +46,11 @@
 	Need    capacity.Need
 }
 
-// NewBuilder returns the builder of the result of a site's run.
+// NewBuilder returns a builder for the result of a run of a site.
 func NewBuilder(site *siteconfig.Site, options Options) *Builder {
 	return &Builder{
 		result: &Result{
-			Schema: schema, Site: site.Name, Factor: options.Factor, Seed: options.Seed, Commit: options.Commit,
+			Schema: schemaVersion, Site: site.Name, Factor: options.Factor, Seed: options.Seed, Commit: options.Commit,
 			Machine: options.Machine, Need: options.Need,
 			Rules: []string{}, DurationS: site.DurationS, Workers: site.Workers, Controllers: site.Controllers,
 		},
@@ -58,13 +58,15 @@
 	}
 }
 
-// AddConfig adds what an operator has measured.
+// AddConfig adds the metrics of the configuration changes and the violations that an operator
+// has observed.
 func (b *Builder) AddConfig(config *operator.Metrics, violations []rules.Violation) {
 	b.result.Config = config
 	b.addViolations(violations)
 }
 
-// AddReport adds a process's report.
+// AddReport adds the report of a process. It ignores the timers' lateness of processes that were
+// paused during the run.
 func (b *Builder) AddReport(child *process.Child, report process.Report) {
 	role := child.Role
 	if process.IsSingle(child.Name) {
@@ -82,17 +84,17 @@
 	}
 }
 
-// addLateness keeps the worst lateness.
+// addLateness updates the worst lateness of all processes.
 func (b *Builder) addLateness(l metrics.Lateness) {
 	r := b.result
 	r.Lateness.P99MS = max(r.Lateness.P99MS, l.P99MS)
 	r.Lateness.WorstMS = max(r.Lateness.WorstMS, l.WorstMS)
-	r.Saturated = r.Lateness.P99MS > saturatedMS
+	r.Saturated = r.Lateness.P99MS > saturationLatenessMS
 }
 
-// addAnalysis adds the metrics of what was observed.
+// addAnalysis adds the metrics and violations from the analysis of the run.
 func (b *Builder) addAnalysis(m *analysis.Metrics) {
-	b.addViolations(m.Rules[:min(len(m.Rules), maxViolations)])
+	b.addViolations(m.Rules[:min(len(m.Rules), maxListedViolations)])
 	r := b.result
 	r.Starts, r.StartsPeakS, r.RunningPeak = m.Starts, m.StartsPeakS, m.RunningPeak
 	r.Waits, r.State, r.Faults = m.Classes, m.State, m.Faults
@@ -103,24 +105,24 @@
 	r.Timeline = m.Timeline
 }
 
-// addViolations lists violations.
+// addViolations adds violations to the list of the result.
 func (b *Builder) addViolations(violations []rules.Violation) {
 	for _, v := range violations {
 		b.result.Rules = append(b.result.Rules, fmt.Sprintf("%s: %s", v.Rule, v.Detail))
 	}
 }
 
-// Measurements are what the coordinating process has measured of a run.
+// Measurements holds the measurements of a run by the coordinating process.
 type Measurements struct {
-	Lateness        metrics.Lateness // of its own timers
+	Lateness        metrics.Lateness // of the timers of the coordinating process
 	Elapsed         time.Duration
 	Controllers     []protocol.NodeName
 	ControllersDied int
 	Usage           map[string]sampler.Usage // by process name
-	Busy            []float64                // busy fraction of all processors, each second
+	BusyFractions   []float64                // busy fraction of all processors in each second
 }
 
-// Finish adds the measurements and returns the result.
+// Finish adds the measurements of the coordinating process and returns the result.
 func (b *Builder) Finish(m Measurements) *Result {
 	r := b.result
 	b.addLateness(m.Lateness)
@@ -134,29 +136,29 @@
 	}
 	for name, usage := range m.Usage {
 		if b.roleOf[name] == process.RoleWorker {
-			b.addWorker(usage, b.reports[name].Traffic, elapsed)
+			b.addSingleWorker(usage, b.reports[name].Traffic, elapsed)
 		}
 	}
-	for _, busy := range m.Busy {
-		r.Busy += busy / float64(len(m.Busy))
+	for _, busy := range m.BusyFractions {
+		r.Busy += busy / float64(len(m.BusyFractions))
 		r.BusyPeak = max(r.BusyPeak, busy)
 	}
 	return r
 }
 
-// addWorker keeps the highest usage of a worker in a process of its own.
-func (b *Builder) addWorker(usage sampler.Usage, traffic map[string]server.Flow, elapsed float64) {
+// addSingleWorker updates the highest usage of the workers that run in a process of their own.
+func (b *Builder) addSingleWorker(usage sampler.Usage, traffic map[string]server.Flow, elapsed float64) {
 	var bytes uint64
 	for _, flow := range traffic {
 		bytes += flow.BytesIn + flow.BytesOut
 	}
 	worker := &b.result.Worker
-	worker.CPUShare = max(worker.CPUShare, usage.CPUS/elapsed)
+	worker.CPUShare = max(worker.CPUShare, usage.CPUSeconds/elapsed)
 	worker.MemoryMB = max(worker.MemoryMB, usage.MemoryMB)
 	worker.BytesS = max(worker.BytesS, float64(bytes)/elapsed)
 }
 
-// roleMetrics sums up the processes of a role.
+// roleMetrics summarizes the usage of the processes of a role.
 func (b *Builder) roleMetrics(role string, usages map[string]sampler.Usage, elapsed float64) RoleMetrics {
 	out := RoleMetrics{Role: role, Traffic: map[string]TrafficRate{}}
 	traffic := map[string]server.Flow{}
@@ -166,19 +168,19 @@
 		}
 		usage, report := usages[name], b.reports[name]
 		out.Processes++
-		out.CPU += usage.CPUS / elapsed
-		out.CPUMost = max(out.CPUMost, usage.CPUS/elapsed)
+		out.CPU += usage.CPUSeconds / elapsed
+		out.CPUMost = max(out.CPUMost, usage.CPUSeconds/elapsed)
 		out.CPUPeak = max(out.CPUPeak, usage.CPUPeak)
 		out.MemoryMB = max(out.MemoryMB, usage.MemoryMB)
 		out.Files = max(out.Files, usage.Files)
 		out.Threads = max(out.Threads, usage.Threads)
 		out.Goroutines = max(out.Goroutines, report.Goroutines)
 		for kind, flow := range report.Traffic {
-			sum := traffic[kind]
-			sum.Messages += flow.Messages
-			sum.BytesIn += flow.BytesIn
-			sum.BytesOut += flow.BytesOut
-			traffic[kind] = sum
+			total := traffic[kind]
+			total.Messages += flow.Messages
+			total.BytesIn += flow.BytesIn
+			total.BytesOut += flow.BytesOut
+			traffic[kind] = total
 		}
 	}
 	out.CPU /= float64(max(1, out.Processes))
@@ -188,5 +190,7 @@
 	return out
 }
 
-// perSecond returns a rate, rounded to a tenth.
-func perSecond(n uint64, elapsed float64) float64 { return math.Round(10*float64(n)/elapsed) / 10 }
+// perSecond returns a rate per second, rounded to one decimal.
+func perSecond(count uint64, elapsed float64) float64 {
+	return math.Round(10*float64(count)/elapsed) / 10
+}
--- a/internal/scale/results/doc.go
+++ b/internal/scale/results/doc.go
@@ -1,7 +1,7 @@
-// Package results holds the result of a scale run: how it is composed of the reports and
-// the measured resource usage of the run's processes, how it is printed, and how the
-// metrics of several results are fitted over the number of workers.
+// Package results composes the result of a scale run from the reports and the measured resource
+// usage of the run's processes, prints results as tables, and fits the metrics of several
+// results over the number of workers.
 //
-// A Builder owns a result until it is finished. The JSON keys of results are stable, as
-// stored results are read again.
+// A Builder owns a result until Finish returns it. The JSON keys of results must not change, as
+// stored results are read by later versions.
 package results
--- a/internal/scale/results/fit.go
+++ b/internal/scale/results/fit.go
@@ -13,7 +13,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Slope is a metric as a straight line over the number of workers, fitted by least squares.
+// Slope is a straight line that is fitted by least squares to the values of a metric over the
+// number of workers.
 type Slope struct {
 	Metric     string  `json:"figure"`
 	Intercept  float64 `json:"intercept"`
@@ -24,40 +25,41 @@
 	Runs       int     `json:"runs"`
 }
 
-// minSizes is how many different numbers of workers a fit needs.
-const minSizes = 3
+// minWorkerCounts is the number of different numbers of workers that a fit needs.
+const minWorkerCounts = 3
 
-// errTooFewSizes says that the results are of too few different numbers of workers.
-var errTooFewSizes = errors.New("results of at least three sizes are needed")
+// errTooFewWorkerCounts reports that the results have fewer than minWorkerCounts different numbers
+// of workers.
+var errTooFewWorkerCounts = errors.New("results of at least three sizes are needed")
 
-// Read reads files of results, each of one or several runs.
+// Read reads result files. Each file contains the result of one run or a list of results.
 func Read(paths []string) ([]*Result, error) {
-	var all []*Result
+	var results []*Result
 	for _, path := range paths {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			return nil, err //nolint:wrapcheck // the error names the file
 		}
-		var several []*Result
-		if err := json.Unmarshal(b, &several); err != nil {
-			one := &Result{}
-			if err := json.Unmarshal(b, one); err != nil {
+		var list []*Result
+		if err := json.Unmarshal(b, &list); err != nil {
+			single := &Result{}
+			if err := json.Unmarshal(b, single); err != nil {
 				return nil, fmt.Errorf("%s: %w", path, err)
 			}
-			several = []*Result{one}
+			list = []*Result{single}
 		}
-		all = append(all, several...)
+		results = append(results, list...)
 	}
-	return all, nil
+	return results, nil
 }
 
-// fittedMetric is a metric of a run that is fitted.
+// fittedMetric is a metric of results that is fitted, with the function that extracts its value.
 type fittedMetric struct {
 	name  string
 	value func(*Result) float64
 }
 
-// fittedMetrics lists the metrics that are fitted.
+// fittedMetrics returns the metrics that are fitted.
 func fittedMetrics() []fittedMetric {
 	list := []fittedMetric{
 		{"worker: cores", func(r *Result) float64 { return r.Worker.CPUShare }},
@@ -88,15 +90,15 @@
 	return list
 }
 
-// Fit fits each metric of results over the number of their workers.
+// Fit fits a line to each metric of results over the number of workers.
 func Fit(results []*Result) ([]Slope, error) {
 	var workers []float64
 	for _, r := range results {
 		workers = append(workers, float64(r.Workers))
 	}
-	sizes := slices.Compact(slices.Sorted(slices.Values(workers)))
-	if len(sizes) < minSizes {
-		return nil, errTooFewSizes
+	workerCounts := slices.Compact(slices.Sorted(slices.Values(workers)))
+	if len(workerCounts) < minWorkerCounts {
+		return nil, errTooFewWorkerCounts
 	}
 	var slopes []Slope
 	for _, f := range fittedMetrics() {
@@ -107,17 +109,17 @@
 		intercept, slope := stat.LinearRegression(workers, values, nil, false)
 		r2 := stat.RSquared(workers, values, nil, intercept, slope)
 		if slices.Max(values) == slices.Min(values) {
-			r2 = 1 // the line goes through all values; R2 is undefined then
+			r2 = 1 // the line goes through all values, for which R2 is undefined
 		}
 		slopes = append(slopes, Slope{
 			Metric: f.name, Intercept: intercept, Per1000: 1000 * slope, R2: r2,
-			MinWorkers: int(sizes[0]), MaxWorkers: int(sizes[len(sizes)-1]), Runs: len(results),
+			MinWorkers: int(workerCounts[0]), MaxWorkers: int(workerCounts[len(workerCounts)-1]), Runs: len(results),
 		})
 	}
 	return slopes, nil
 }
 
-// PrintSlopes prints slopes as a table.
+// PrintSlopes prints fitted metrics as a table.
 func PrintSlopes(out io.Writer, slopes []Slope) {
 	t := newTable(out, "figure", "intercept", "per 1,000 workers", "R2", "range", "runs")
 	for _, s := range slopes {
--- a/internal/scale/results/result.go
+++ b/internal/scale/results/result.go
@@ -9,26 +9,26 @@
 	"damsonkeel/internal/scale/operator"
 )
 
-// Result is the result of a run.
+// Result is the result of a run of a site.
 type Result struct {
 	Schema  int              `json:"schema"`
 	Site    string           `json:"site"`
-	Factor  float64          `json:"scale"`
+	Factor  float64          `json:"scale"` // by which the site was scaled
 	Seed    uint64           `json:"seed"`
 	Commit  string           `json:"commit"`
 	Machine capacity.Machine `json:"machine"`
 	Need    capacity.Need    `json:"need"`
 
-	Rules     []string         `json:"rules"` // violations
+	Rules     []string         `json:"rules"` // rule violations
 	Saturated bool             `json:"saturated"`
-	Lateness  metrics.Lateness `json:"lateness"` // worst of the processes that were not paused
-	Busy      float64          `json:"busy"`     // fraction of all processors, on average
-	BusyPeak  float64          `json:"busy_peak"`
+	Lateness  metrics.Lateness `json:"lateness"`  // worst values of all processes that were not paused
+	Busy      float64          `json:"busy"`      // mean busy fraction of all processors
+	BusyPeak  float64          `json:"busy_peak"` // busy fraction of all processors in the busiest second
 
 	DurationS       float64                      `json:"duration_s"`
 	Workers         int                          `json:"workers"`
 	Controllers     int                          `json:"controllers"`
-	ControllersDied int                          `json:"controllers_died"` // without being killed
+	ControllersDied int                          `json:"controllers_died"` // controller processes that ended without being killed
 	Starts          int                          `json:"starts"`
 	StartsPeakS     int                          `json:"starts_peak_s"`
 	RunningPeak     int                          `json:"running_peak"`
@@ -43,50 +43,51 @@
 	Timeline        []analysis.TimelinePoint     `json:"timeline"`
 }
 
-// UrgentMetrics describe how long urgent jobs waited for all of their tasks.
+// UrgentMetrics describes how long urgent jobs waited until all of their tasks ran.
 type UrgentMetrics struct {
 	Jobs   int64   `json:"jobs"`
 	P50S   float64 `json:"start_p50_s"`
 	P99S   float64 `json:"start_p99_s"`
 	WorstS float64 `json:"start_worst_s"`
-	// Calm are the jobs that were submitted outside the effect of all faults while their
-	// team was below its limit, and CalmAtLimit those whose team was at its limit.
+	// Calm summarizes the jobs that were submitted outside the effect of all faults while
+	// their team was below its limit, and CalmAtLimit those whose team was at its limit.
 	Calm        analysis.UrgentSummary `json:"calm"`
 	CalmAtLimit analysis.UrgentSummary `json:"calm_at_limit"`
-	// Stages are the stages of a task's wait.
+	// Stages splits the waits of tasks of urgent jobs into stages.
 	Stages analysis.UrgentStages `json:"stages"`
 }
 
-// WorkerMetrics are the highest usage of a worker in a process of its own.
+// WorkerMetrics holds the highest usage of the workers that run in a process of their own.
 type WorkerMetrics struct {
-	CPUShare float64 `json:"cpu_share"` // of a core
+	CPUShare float64 `json:"cpu_share"` // fraction of a core
 	MemoryMB float64 `json:"memory_mb"`
 	BytesS   float64 `json:"bytes_s"` // in both directions
 }
 
-// RoleMetrics are the resources that the processes of a role have used.
+// RoleMetrics holds the resource usage of the processes of a role. Memory, files, threads and
+// goroutines are the highest values of a single process.
 type RoleMetrics struct {
 	Role      string  `json:"role"`
 	Processes int     `json:"processes"`
-	CPU       float64 `json:"cpu"`      // cores of a process, on average
-	CPUMost   float64 `json:"cpu_most"` // of the process that used most
-	CPUPeak   float64 `json:"cpu_peak"` // of a process, in its busiest second
+	CPU       float64 `json:"cpu"`      // mean cores of a process
+	CPUMost   float64 `json:"cpu_most"` // cores of the process that used most
+	CPUPeak   float64 `json:"cpu_peak"` // cores of a process in its busiest second
 	MemoryMB  float64 `json:"memory_mb"`
 	Files     int     `json:"files"` // including sockets
 	Threads   int     `json:"threads"`
-	// Goroutines is 0 if the process does not report it.
+	// Goroutines is 0 if the processes of the role do not report it.
 	Goroutines int                    `json:"goroutines"`
-	Traffic    map[string]TrafficRate `json:"traffic"` // of all processes of the role
+	Traffic    map[string]TrafficRate `json:"traffic"` // by kind, sum of all processes of the role
 }
 
-// TrafficRate is messages and bytes per second.
+// TrafficRate holds messages and bytes per second.
 type TrafficRate struct {
 	MessagesS float64 `json:"messages_s"`
 	BytesInS  float64 `json:"bytes_in_s"`
 	BytesOutS float64 `json:"bytes_out_s"`
 }
 
-// Role returns the metrics of a role.
+// Role returns the metrics of a role, which are empty if the result has none.
 func (r *Result) Role(role string) RoleMetrics {
 	i := slices.IndexFunc(r.Roles, func(m RoleMetrics) bool { return m.Role == role })
 	if i < 0 {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -193,7 +193,7 @@
 	for _, c := range r.controllers.all {
 		m.Controllers = append(m.Controllers, c.name)
 	}
-	m.Usage, m.Busy = r.sampler.Usage()
+	m.Usage, m.BusyFractions = r.sampler.Usage()
 	m.Elapsed = clock.Now() - r.begin
 	return m
 }
--- a/internal/scale/sampler/sampler.go
+++ b/internal/scale/sampler/sampler.go
@@ -13,131 +13,135 @@
 
 const (
 	sampleInterval = time.Second
-	// fileSampleInterval is every how many samples open files are counted, which is more
-	// expensive than the rest.
-	fileSampleInterval = 3
+	// samplesPerFileCount is the number of samples per count of open files, which is more
+	// expensive than the rest of a sample.
+	samplesPerFileCount = 3
 )
 
-// Usage is what a process has used, over all of its restarts.
+// Usage is the resource usage of a process, over all of its restarts.
 type Usage struct {
-	CPUS     float64 // processor time in seconds
-	CPUPeak  float64 // cores in the busiest second
-	MemoryMB float64 // peak
-	Files    int     // peak
-	Threads  int     // peak
+	CPUSeconds float64 // processor time in seconds
+	CPUPeak    float64 // mean cores in the busiest sample interval
+	MemoryMB   float64 // peak
+	Files      int     // peak
+	Threads    int     // peak
 }
 
-// Sampler samples what processes use from procfs.
+// Sampler samples the resource usage of processes from procfs.
 type Sampler struct {
 	fs procfs.FS
 
-	mu    sync.Mutex
-	usage map[string]*Usage  // by the process's name
-	last  map[int]cpuReading // by process id
-	names map[int]string     // of the sampled processes, by process id
-	busy  []float64          // busy fraction of all processors, each second
-	total procfs.CPUStat     // of the machine, as last read
-	count int                // samples so far
+	mu              sync.Mutex
+	usage           map[string]*Usage  // by process name
+	lastReadings    map[int]cpuReading // by process id
+	names           map[int]string     // of the sampled processes, by process id
+	busyFractions   []float64          // busy fraction of all processors in each second
+	lastMachineStat procfs.CPUStat     // last reading of the whole machine
+	sampleCount     int                // number of samples so far
 
 	done    chan struct{}
 	running sync.WaitGroup
 }
 
-// cpuReading is a process's processor time at some time.
+// cpuReading is the processor time that a process had used at a time.
 type cpuReading struct {
 	cpuS float64
 	at   time.Duration
 }
 
-// Start starts to sample.
+// Start returns a sampler that samples until Close is called.
 func Start() (*Sampler, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return nil, fmt.Errorf("open procfs: %w", err)
 	}
-	s := &Sampler{fs: fs, usage: map[string]*Usage{}, last: map[int]cpuReading{}, names: map[int]string{}, done: make(chan struct{})}
+	s := &Sampler{fs: fs, usage: map[string]*Usage{}, lastReadings: map[int]cpuReading{}, names: map[int]string{}, done: make(chan struct{})}
 	s.running.Go(s.run)
 	return s, nil
 }
 
-// Add samples a process from now on.
+// Add adds a process to those that are sampled. After a restart, a process is added again by the
+// same name.
 func (s *Sampler) Add(name string, pid int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.names[pid] = name
-	s.last[pid] = cpuReading{at: clock.Now()}
+	s.lastReadings[pid] = cpuReading{at: clock.Now()}
 	if s.usage[name] == nil {
 		s.usage[name] = &Usage{}
 	}
 }
 
-// Remove takes the last sample of a process, before it is killed.
+// Remove takes a last sample of a process and stops sampling it. It is called before the process
+// is killed.
 func (s *Sampler) Remove(pid int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sample(pid, true)
 	delete(s.names, pid)
-	delete(s.last, pid)
+	delete(s.lastReadings, pid)
 }
 
-// run samples until the sampler is closed.
+// run samples all processes and the machine every sampleInterval until the sampler is closed.
 func (s *Sampler) run() {
-	every := time.NewTicker(sampleInterval)
-	defer every.Stop()
+	ticker := time.NewTicker(sampleInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.done:
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 		s.mu.Lock()
-		s.count++
+		s.sampleCount++
 		for pid := range s.names {
-			s.sample(pid, s.count%fileSampleInterval == 0)
+			s.sample(pid, s.sampleCount%samplesPerFileCount == 0)
 		}
 		s.sampleMachine()
 		s.mu.Unlock()
 	}
 }
 
-// Close ends sampling.
+// Close stops the sampling and waits until it has stopped.
 func (s *Sampler) Close() {
 	close(s.done)
 	s.running.Wait()
 }
 
-// sample samples one process. The lock is held.
-func (s *Sampler) sample(pid int, files bool) {
+// sample samples one process, and counts its open files if countFiles is set. A reading less than
+// half of sampleInterval after the previous one does not count for the peak. The caller holds
+// the lock.
+func (s *Sampler) sample(pid int, countFiles bool) {
 	proc, err := s.fs.Proc(pid)
 	if err != nil {
-		return // it has ended
+		return // the process has ended
 	}
 	stat, err := proc.Stat()
 	if err != nil {
 		return
 	}
 	usage := s.usage[s.names[pid]]
-	before, reading := s.last[pid], cpuReading{stat.CPUTime(), clock.Now()}
+	before, reading := s.lastReadings[pid], cpuReading{stat.CPUTime(), clock.Now()}
 	used := reading.cpuS - before.cpuS
-	usage.CPUS += used
+	usage.CPUSeconds += used
 	if elapsed := (reading.at - before.at).Seconds(); elapsed > sampleInterval.Seconds()/2 {
 		usage.CPUPeak = max(usage.CPUPeak, used/elapsed)
-		s.last[pid] = reading
+		s.lastReadings[pid] = reading
 	} else {
-		s.last[pid] = cpuReading{reading.cpuS, before.at}
+		s.lastReadings[pid] = cpuReading{reading.cpuS, before.at}
 	}
 	usage.MemoryMB = max(usage.MemoryMB, float64(stat.ResidentMemory())/(1<<20))
 	usage.Threads = max(usage.Threads, stat.NumThreads)
-	if !files {
+	if !countFiles {
 		return
 	}
-	if n, err := proc.FileDescriptorsLen(); err == nil {
-		usage.Files = max(usage.Files, n)
+	if openFiles, err := proc.FileDescriptorsLen(); err == nil {
+		usage.Files = max(usage.Files, openFiles)
 	}
 }
 
-// Usage returns what each process has used, by its name, and the busy fraction of all
-// processors in each second.
+// Usage returns the usage of each process by its name, and the busy fraction of all processors
+// in each second.
 func (s *Sampler) Usage() (processes map[string]Usage, busy []float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,27 +149,28 @@
 	for name, usage := range s.usage {
 		processes[name] = *usage
 	}
-	return processes, slices.Clone(s.busy)
+	return processes, slices.Clone(s.busyFractions)
 }
 
-// sampleMachine samples how busy all processors were. The lock is held.
+// sampleMachine samples the busy fraction of all processors since the last sample. The caller
+// holds the lock.
 func (s *Sampler) sampleMachine() {
 	stat, err := s.fs.Stat()
 	if err != nil {
 		return
 	}
-	now, before := stat.CPUTotal, s.total
-	s.total = now
+	now, before := stat.CPUTotal, s.lastMachineStat
+	s.lastMachineStat = now
 	if before == (procfs.CPUStat{}) {
 		return
 	}
 	idle := now.Idle + now.Iowait - before.Idle - before.Iowait
 	if total := totalTime(now) - totalTime(before); total > 0 {
-		s.busy = append(s.busy, 1-idle/total)
+		s.busyFractions = append(s.busyFractions, 1-idle/total)
 	}
 }
 
-// totalTime returns the time of all states of all processors.
+// totalTime returns the sum of the times that all processors spent in all states.
 func totalTime(c procfs.CPUStat) float64 {
 	return c.User + c.Nice + c.System + c.Idle + c.Iowait + c.IRQ + c.SoftIRQ + c.Steal
 }
