--- a/internal/scale/address.go
+++ b/internal/scale/address.go
@@ -7,18 +7,19 @@
 	"net"
 )
 
-// The ports of processes that are restarted must be free then: they are outside the range
-// from which Linux assigns ephemeral ports.
+// Range of the ports on which processes of a run listen. It lies outside the range from which
+// Linux assigns ephemeral ports, so that the port of a process is still free when the process
+// is restarted.
 const (
 	firstPort       = 12_000
 	portCount       = 20_000
 	maxPortAttempts = 1000
 )
 
-// errNoPort says that no free port was found.
-var errNoPort = errors.New("no free port on loopback")
+// errNoFreePort reports that maxPortAttempts random ports were all in use.
+var errNoFreePort = errors.New("no free port on loopback")
 
-// freeAddress returns a loopback address at which nobody listens.
+// freeAddress returns a loopback address with a random port on which no process listens.
 func freeAddress() (string, error) {
 	for range maxPortAttempts {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
@@ -31,5 +32,5 @@
 		}
 		return addr, nil
 	}
-	return "", errNoPort
+	return "", errNoFreePort
 }
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -16,41 +16,41 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// controller is a real controller of a run. Its process may be restarted.
+// controller is a real controller of a run. Its process may be killed and restarted.
 type controller struct {
-	name         protocol.NodeName
-	zone, region int
-	serve, peer  string    // addresses it listens at
-	settings     string    // path of the file
-	cmd          *exec.Cmd // nil: it is not running
+	name                protocol.NodeName
+	zone, region        int
+	serveAddr, peerAddr string    // listen addresses for workers and users, and for peers
+	settingsPath        string    // path of the file
+	cmd                 *exec.Cmd // nil if it is not running
 }
 
 // controllers starts, kills and restarts the real controllers.
 type controllers struct {
-	site         *siteconfig.Site
-	dir          string
-	program      []string // with its arguments, but for the settings file
-	extraArgs    []string
-	operatorKeys string // path of the file; empty: there is none
-	sampler      *sampler.Sampler
+	site             *siteconfig.Site
+	dir              string
+	program          []string // with its arguments, except the settings file
+	extraArgs        []string
+	operatorKeysPath string // path of the file; empty if the run has no operator
+	sampler          *sampler.Sampler
 
-	mu     sync.Mutex
-	all    []*controller
-	died   int // processes that ended without being killed
-	closed bool
+	mu              sync.Mutex
+	all             []*controller
+	unexpectedExits int  // number of processes that ended without being killed
+	closed          bool // no process is started any more
 }
 
-// newControllers assigns addresses to the controllers of a site.
+// newControllers returns the controllers of a site with free addresses assigned to them.
 func newControllers(site *siteconfig.Site, dir string, sampler *sampler.Sampler) (*controllers, error) {
 	c := &controllers{site: site, dir: dir, sampler: sampler}
 	for i := range site.Controllers {
 		zone := site.ZoneOfController(i)
 		assigned := &controller{name: process.ControllerName(i), zone: zone, region: site.RegionOfZone(zone)}
 		var err error
-		if assigned.serve, err = freeAddress(); err != nil {
+		if assigned.serveAddr, err = freeAddress(); err != nil {
 			return nil, err
 		}
-		if assigned.peer, err = freeAddress(); err != nil {
+		if assigned.peerAddr, err = freeAddress(); err != nil {
 			return nil, err
 		}
 		c.all = append(c.all, assigned)
@@ -58,14 +58,14 @@
 	return c, nil
 }
 
-// start starts a controller's process unless it runs or the run is over.
+// start starts the process of a controller, unless it is running or the run has ended.
 func (c *controllers) start(target *controller) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || target.cmd != nil {
 		return nil
 	}
-	args := append(append([]string{}, c.program[1:]...), target.settings)
+	args := append(append([]string{}, c.program[1:]...), target.settingsPath)
 	cmd := exec.Command(c.program[0], append(args, c.extraArgs...)...)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
 	cmd.Stderr = os.Stderr
@@ -75,27 +75,28 @@
 	}
 	target.cmd = cmd
 	c.sampler.Add(string(target.name), cmd.Process.Pid)
-	go c.watch(target, cmd)
+	go c.restartOnExit(target, cmd)
 	return nil
 }
 
-// watch restarts a controller whose process ends without being killed.
-func (c *controllers) watch(target *controller, cmd *exec.Cmd) {
-	_ = cmd.Wait() // however it ended
+// restartOnExit waits until the process of a controller ends, and restarts the controller if the
+// process was not killed by kill or close.
+func (c *controllers) restartOnExit(target *controller, cmd *exec.Cmd) {
+	_ = cmd.Wait() // an unexpected exit is counted, whatever its status
 	c.mu.Lock()
-	died := target.cmd == cmd && !c.closed
-	if died {
+	unexpected := target.cmd == cmd && !c.closed
+	if unexpected {
 		target.cmd = nil
-		c.died++
+		c.unexpectedExits++
 	}
 	c.mu.Unlock()
-	if died {
-		c.restart(target)
+	if unexpected {
+		c.restartLater(target)
 	}
 }
 
-// restart starts a controller after the time that a restart takes.
-func (c *controllers) restart(target *controller) {
+// restartLater starts a controller after the restart delay of the site.
+func (c *controllers) restartLater(target *controller) {
 	time.AfterFunc(clock.Seconds(c.site.RestartS), func() {
 		if err := c.start(target); err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, err)
@@ -103,7 +104,7 @@
 	})
 }
 
-// kill kills a controller's process and restarts it later.
+// kill kills the process of a controller and restarts the controller later.
 func (c *controllers) kill(target *controller) {
 	c.mu.Lock()
 	cmd := target.cmd
@@ -113,11 +114,11 @@
 		return
 	}
 	c.sampler.Remove(cmd.Process.Pid)
-	_ = cmd.Process.Kill() // it may have ended
-	c.restart(target)
+	_ = cmd.Process.Kill() // fails if the process has ended
+	c.restartLater(target)
 }
 
-// killAll kills one controller after the other.
+// killAll kills the controllers one after the other, with a pause in between.
 func (c *controllers) killAll(ctx context.Context, every time.Duration) {
 	for _, target := range c.all {
 		c.kill(target)
@@ -125,7 +126,7 @@
 	}
 }
 
-// pause pauses a controller for a while.
+// pause pauses the process of a controller for a duration.
 func (c *controllers) pause(target *controller, during time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +134,7 @@
 		return
 	}
 	paused := target.cmd.Process
-	_ = paused.Signal(syscall.SIGSTOP) // it may have ended
+	_ = paused.Signal(syscall.SIGSTOP) // fails if the process has ended
 	time.AfterFunc(during, func() { _ = paused.Signal(syscall.SIGCONT) })
 }
 
@@ -144,14 +145,14 @@
 	c.closed = true
 	for _, target := range c.all {
 		if target.cmd != nil {
-			_ = target.cmd.Process.Kill() // it may have ended
+			_ = target.cmd.Process.Kill() // fails if the process has ended
 		}
 	}
 }
 
-// diedCount returns how many processes ended without being killed.
-func (c *controllers) diedCount() int {
+// unexpectedExitCount returns the number of processes that ended without being killed.
+func (c *controllers) unexpectedExitCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.died
+	return c.unexpectedExits
 }
--- a/internal/scale/deploy.go
+++ b/internal/scale/deploy.go
@@ -11,17 +11,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// errNoProgram says that the deploy file names no program.
+// errNoProgram reports that the deploy file names no program.
 var errNoProgram = errors.New("deploy file: run is empty")
 
-// deployFile says how the service is built and started.
+// deployFile holds the commands that build and start the service.
 type deployFile struct {
 	Build string `toml:"build"`
 	Run   string `toml:"run"`
 }
 
-// buildService builds the service as its deploy file says, and returns the program with
-// its arguments.
+// buildService builds the service with the command of the deploy file, and returns the program that
+// runs a controller with its arguments.
 func buildService(root string) ([]string, error) {
 	b, err := os.ReadFile(filepath.Join(root, "deploy", "service.toml"))
 	if err != nil {
@@ -34,7 +34,7 @@
 	cmd := exec.Command("sh", "-c", deploy.Build)
 	cmd.Dir = root
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return nil, fmt.Errorf("build: %w\n%s", err, out)
+		return nil, fmt.Errorf("build service: %w\n%s", err, out)
 	}
 	program := strings.Fields(deploy.Run)
 	if len(program) == 0 {
@@ -44,8 +44,9 @@
 	return program, nil
 }
 
-// commit returns the commit of a checkout, marked if files have changed since.
-func commit(root string) string {
+// describeCommit returns the commit of a checkout, marked as dirty if the checkout has uncommitted
+// changes.
+func describeCommit(root string) string {
 	out, err := exec.Command("git", "-C", root, "describe", "--always", "--dirty", "--exclude", "*").Output()
 	if err != nil {
 		return "unknown"
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -12,10 +12,10 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// injectFault injects a fault. The monitor measures its effect, and carries out those that
-// concern machines.
+// injectFault injects a fault into controllers, zones or regions and sends it to the monitor, which
+// measures the effect of every fault and injects those that concern machines.
 func (r *run) injectFault(ctx context.Context, fault siteconfig.Fault) error {
-	r.progress("%s: %.0f s: %s", r.site.Name, fault.AtS, fault.Kind)
+	r.printProgress("%s: %.0f s: %s", r.site.Name, fault.AtS, fault.Kind)
 	switch fault.Kind {
 	case siteconfig.FaultKillController, siteconfig.FaultPauseController:
 		for _, i := range r.rng.Perm(len(r.controllers.all))[:fault.Count] {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// pauseZone pauses the shared process of a zone's workers.
+// pauseZone pauses the process that the workers of a zone share for the duration of the fault.
 func (r *run) pauseZone(fault siteconfig.Fault) {
 	name := process.SharedWorkers(r.site.ZoneName(fault.Zone))
 	for _, c := range r.workers {
@@ -53,8 +53,8 @@
 	}
 }
 
-// setPartitioned partitions a region from all others, or ends that, and tells all
-// forwarders.
+// setPartitioned starts or ends the partition of a region from all others, and sends the new list
+// of partitioned regions to all forwarders.
 func (r *run) setPartitioned(region int, partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 	for _, f := range r.forwarders {
 		if err := f.Send(process.Command{Partitioned: r.partitioned}); err != nil {
-			r.progress("%v", err)
+			r.printProgress("%v", err)
 		}
 	}
 }
--- a/internal/scale/links.go
+++ b/internal/scale/links.go
@@ -9,14 +9,14 @@
 	"damsonkeel/internal/scale/forwarder"
 )
 
-// Targets of links, beside the controllers; also the names of the services' addresses.
+// Targets of links other than controllers. They are also the keys of the services' addresses.
 const (
 	stateTarget   = "state"
 	cloudTarget   = "cloud"
 	monitorTarget = "monitor"
 )
 
-// Kinds of links, by which results name their traffic.
+// Kinds of links. Results contain the traffic by these names.
 const (
 	linkWorkers = "workers"
 	linkUsers   = "users"
@@ -25,38 +25,39 @@
 	linkCloud   = "cloud"
 )
 
-// peerTarget is the target of a controller's address for its peers.
+// peerTarget returns the target for the address of a controller at which its peers reach it.
 func peerTarget(name protocol.NodeName) string { return "peer/" + string(name) }
 
-// serveTarget is the target of a controller's address for workers and users.
+// serveTarget returns the target for the address of a controller at which workers and users reach
+// it.
 func serveTarget(name protocol.NodeName) string { return "serve/" + string(name) }
 
-// linkName names the link from a region to a target.
+// linkName returns the name of the link from a region to a target.
 func linkName(region int, target string) string { return strconv.Itoa(region) + "/" + target }
 
-// linksFrom lists the links that begin in a region.
+// linksFrom returns the links that begin in a region, or those of users for NoRegion.
 func (r *run) linksFrom(region int) []forwarder.Link {
 	var links []forwarder.Link
 	add := func(kind, target, addr string, to int) {
-		links = append(links, forwarder.Link{Name: linkName(region, target), Kind: kind, Target: addr, From: region, To: to, Delay: r.delay(region, to)})
+		links = append(links, forwarder.Link{Name: linkName(region, target), Kind: kind, Target: addr, From: region, To: to, Delay: r.latency(region, to)})
 	}
 	for _, c := range r.controllers.all {
 		if region == forwarder.NoRegion {
-			add(linkUsers, serveTarget(c.name), c.serve, c.region)
+			add(linkUsers, serveTarget(c.name), c.serveAddr, c.region)
 			continue
 		}
-		add(linkWorkers, serveTarget(c.name), c.serve, c.region)
-		add(linkPeers, peerTarget(c.name), c.peer, c.region)
+		add(linkWorkers, serveTarget(c.name), c.serveAddr, c.region)
+		add(linkPeers, peerTarget(c.name), c.peerAddr, c.region)
 	}
 	if region != forwarder.NoRegion {
-		add(linkState, stateTarget, r.addresses[stateTarget], forwarder.NoRegion)
-		add(linkCloud, cloudTarget, r.addresses[cloudTarget], forwarder.NoRegion)
+		add(linkState, stateTarget, r.serviceAddresses[stateTarget], forwarder.NoRegion)
+		add(linkCloud, cloudTarget, r.serviceAddresses[cloudTarget], forwarder.NoRegion)
 	}
 	return links
 }
 
-// delay returns the one-way latency from one region to another.
-func (r *run) delay(from, to int) time.Duration {
+// latency returns the one-way latency from one region to another, either of which may be NoRegion.
+func (r *run) latency(from, to int) time.Duration {
 	switch {
 	case from == to:
 		return 0
@@ -66,5 +67,7 @@
 	return clock.Milliseconds(r.site.BetweenRegionsMS)
 }
 
-// link returns the address at which a target is reached from a region.
-func (r *run) link(region int, target string) string { return r.links[linkName(region, target)] }
+// linkAddress returns the address at which processes of a region reach a target.
+func (r *run) linkAddress(region int, target string) string {
+	return r.linkAddresses[linkName(region, target)]
+}
--- a/internal/scale/process/child.go
+++ b/internal/scale/process/child.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// Begin sends the configuration to the process and waits until the process is ready.
-func (c *Child) Begin(cfg Config) (Ready, error) {
+// Configure sends the configuration to the process and waits until the process is ready.
+func (c *Child) Configure(cfg Config) (Ready, error) {
 	var ready Ready
 	if err := c.send(cfg); err != nil {
 		return ready, err
--- a/internal/scale/role.go
+++ b/internal/scale/role.go
@@ -19,23 +19,24 @@
 	"damsonkeel/internal/scale/workers"
 )
 
-// role is what a process of a run does.
+// role is the part of a run that one process performs.
 type role interface {
-	// Report returns what the process has observed. It is called once, at the end.
+	// Report returns the observations of the process. It is called once, at the end of the run.
 	Report() process.Report
 }
 
-// commandHandler is a role that takes commands during the run.
+// commandHandler is a role that accepts commands during the run.
 type commandHandler interface{ handle(process.Command) }
 
-// gcPercent trades a little memory for less work: worker processes use little memory.
+// gcPercent makes garbage collections rarer than by default. The processes use little memory, so
+// that the saved processor time is worth the larger heap.
 const gcPercent = 200
 
-// errUnknownRole says that a process was configured with a role that does not exist.
-var errUnknownRole = errors.New("is no role")
+// errUnknownRole reports that a process was configured with a role that does not exist.
+var errUnknownRole = errors.New("is not a known role")
 
-// RunRole plays the role that the first line of input names until it is told to finish or
-// the input ends, which it does once the coordinating process has ended.
+// RunRole runs the role that the first line of input names. It returns after a command to finish,
+// or when the input ends because the coordinating process has ended.
 func RunRole(in io.Reader, out io.Writer, log *slog.Logger) error {
 	debug.SetGCPercent(gcPercent)
 	lines := bufio.NewReader(in)
@@ -47,7 +48,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	meter := metrics.NewLatenessMeter(ctx)
-	played, addresses, err := newRole(ctx, cfg, log)
+	activeRole, addresses, err := newRole(ctx, cfg, log)
 	if err != nil {
 		return fmt.Errorf("role %s: %w", cfg.Role, err)
 	}
@@ -59,16 +60,16 @@
 		if err := readLine(lines, &command); err != nil {
 			return nil // the coordinating process has ended
 		}
-		if handler, ok := played.(commandHandler); ok {
+		if handler, ok := activeRole.(commandHandler); ok {
 			handler.handle(command)
 		}
 		if command.Finish {
-			return sendReport(answers, cfg, played.Report(), meter)
+			return sendReport(answers, cfg, activeRole.Report(), meter)
 		}
 	}
 }
 
-// sendReport completes a role's report and writes it.
+// sendReport adds the metrics of the process to the report of its role and writes it.
 func sendReport(answers *json.Encoder, cfg process.Config, report process.Report, meter *metrics.LatenessMeter) error {
 	report.Name, report.Goroutines, report.Lateness = cfg.Name, runtime.NumGoroutine(), meter.Lateness()
 	if err := answers.Encode(report); err != nil {
@@ -77,7 +78,7 @@
 	return nil
 }
 
-// readLine reads and decodes a line of input.
+// readLine reads a line of input and decodes it into v.
 func readLine(lines *bufio.Reader, v any) error {
 	line, err := lines.ReadBytes('\n')
 	if err != nil {
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// newRole starts a role and returns it with the addresses that it serves.
+// newRole starts the role of a process and returns it with the addresses that it serves.
 func newRole(ctx context.Context, cfg process.Config, log *slog.Logger) (role, map[string]string, error) {
 	switch cfg.Role {
 	case process.RoleServices:
@@ -112,20 +113,20 @@
 	return nil, nil, fmt.Errorf("%q %w", cfg.Role, errUnknownRole)
 }
 
-// forwarderRole plays a forwarder.
+// forwarderRole adapts a forwarder to the role interface.
 type forwarderRole struct{ forwarder *forwarder.Forwarder }
 
-// handle changes the partitioned regions.
+// handle updates the partitioned regions of the forwarder.
 func (r forwarderRole) handle(command process.Command) {
 	if !command.Finish {
 		r.forwarder.SetPartitioned(command.Partitioned)
 	}
 }
 
-// Report returns what has passed the links.
+// Report returns the traffic of the links.
 func (r forwarderRole) Report() process.Report { return process.Report{Traffic: r.forwarder.Traffic()} }
 
-// Logger returns the logger of a process of a run.
+// Logger returns the logger for a process of a run, which writes to standard error.
 func Logger(level slog.Level) *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -23,22 +23,23 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// progressInterval is the time between two lines of progress.
+// progressInterval is the time between two progress lines.
 const progressInterval = 10 * time.Second
 
-// Options say how a site is run.
+// Options are the options of a run.
 type Options struct {
-	// Root is the repository, whose deploy file says how the service is built.
+	// Root is the root of the repository, whose deploy file contains the build command of the
+	// service.
 	Root string
-	// Program plays the roles: this program, with its command for that.
+	// Program is the command line that runs a role: this program with its role command.
 	Program []string
 	Seed    uint64
 	Factor  float64 // by which the site was scaled, for the result
-	// Progress gets lines of progress; nil: none are written.
+	// Progress is the destination of progress lines; nil for none.
 	Progress io.Writer
 }
 
-// run is a run of a site.
+// run is the state of a run of a site.
 type run struct {
 	site    *siteconfig.Site
 	options Options
@@ -46,21 +47,22 @@
 	sampler *sampler.Sampler
 	meter   *metrics.LatenessMeter
 
-	services    *process.Child
-	users       *process.Child
-	workers     []*process.Child
-	forwarders  []*process.Child
-	links       map[string]string // addresses by linkName
-	addresses   map[string]string // of the services, by target
-	controllers *controllers
-	operator    *operator.Operator // nil: nobody changes the configuration
-	begin       time.Duration
+	services         *process.Child
+	users            *process.Child
+	workers          []*process.Child
+	forwarders       []*process.Child
+	linkAddresses    map[string]string // by linkName
+	serviceAddresses map[string]string // by target
+	controllers      *controllers
+	operator         *operator.Operator // nil if the site has no configuration changes
+	begin            time.Duration      // monotonic time at which the users started
 
 	mu          sync.Mutex
-	partitioned []int // regions
+	partitioned []int // the partitioned regions
 }
 
-// Run runs a site and returns the result.
+// Run builds the service, runs a site and returns the result. It fails before it starts any process
+// if the machine is too small for the run.
 func Run(ctx context.Context, site *siteconfig.Site, options Options) (*results.Result, error) {
 	machine, err := capacity.ThisMachine(runtime.NumCPU())
 	if err != nil {
@@ -78,8 +80,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("create directory: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what remains does no harm
-	r := &run{site: site, options: options, rng: rand.New(rand.NewPCG(options.Seed, siteconfig.StreamRun)), links: map[string]string{}}
+	defer func() { _ = os.RemoveAll(dir) }() // remaining files in the temporary directory do no harm
+	r := &run{site: site, options: options, rng: rand.New(rand.NewPCG(options.Seed, siteconfig.StreamRun)), linkAddresses: map[string]string{}}
 	meterCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.meter = metrics.NewLatenessMeter(meterCtx)
@@ -91,15 +93,15 @@
 	if err := r.startAll(dir, program); err != nil {
 		return nil, err
 	}
-	if err := r.play(ctx); err != nil {
+	if err := r.runSite(ctx); err != nil {
 		return nil, err
 	}
-	return r.finish(machine, need)
+	return r.collectResult(machine, need)
 }
 
-// play starts the users and the operator and injects the site's faults, until the site's
-// time has passed.
-func (r *run) play(ctx context.Context) error {
+// runSite starts the users and the operator and injects the faults of the site at their times. It
+// returns at the end of the site's duration.
+func (r *run) runSite(ctx context.Context) error {
 	if err := r.startUsers(ctx); err != nil {
 		return err
 	}
@@ -122,17 +124,17 @@
 		}
 		if clock.Now() >= lastProgress+progressInterval {
 			lastProgress = clock.Now()
-			r.progress("%s: %.0f of %.0f s", r.site.Name, (lastProgress - r.begin).Seconds(), r.site.DurationS)
+			r.printProgress("%s: %.0f of %.0f s", r.site.Name, (lastProgress - r.begin).Seconds(), r.site.DurationS)
 		}
 	}
 	return nil
 }
 
-// startUsers starts the users and the operator. The site's time begins.
+// startUsers starts the users and the operator. The times of the site are relative to this start.
 func (r *run) startUsers(ctx context.Context) error {
 	addresses := map[protocol.NodeName]string{}
 	for _, c := range r.controllers.all {
-		addresses[c.name] = r.link(forwarder.NoRegion, serveTarget(c.name))
+		addresses[c.name] = r.linkAddress(forwarder.NoRegion, serveTarget(c.name))
 	}
 	r.begin = clock.Now()
 	if _, err := r.startRole(&r.users, process.RoleUsers, process.RoleUsers, process.Config{Controllers: addresses, Begin: r.begin}); err != nil {
@@ -144,20 +146,22 @@
 	return nil
 }
 
-// progress writes a line of progress.
-func (r *run) progress(format string, args ...any) {
+// printProgress writes a progress line, if the options have a destination for it.
+func (r *run) printProgress(format string, args ...any) {
 	if r.options.Progress != nil {
 		_, _ = fmt.Fprintf(r.options.Progress, format+"\n", args...)
 	}
 }
 
-// finish has all processes report, and composes the result.
-func (r *run) finish(machine capacity.Machine, need capacity.Need) (*results.Result, error) {
+// collectResult requests the reports of all processes and composes the result from them. The
+// services report last, as the other processes send their last events to the monitor when they
+// report.
+func (r *run) collectResult(machine capacity.Machine, need capacity.Need) (*results.Result, error) {
 	builder := results.NewBuilder(r.site, results.Options{
-		Factor: r.options.Factor, Seed: r.options.Seed, Commit: commit(r.options.Root), Machine: machine, Need: need,
+		Factor: r.options.Factor, Seed: r.options.Seed, Commit: describeCommit(r.options.Root), Machine: machine, Need: need,
 	})
 	if r.operator != nil {
-		if err := r.finishOperator(builder); err != nil {
+		if err := r.addOperatorMetrics(builder); err != nil {
 			return nil, err
 		}
 	}
@@ -173,23 +177,24 @@
 	return builder.Finish(r.measurements()), nil
 }
 
-// finishOperator adds what the operator has measured to the result, and tells the monitor
-// of the changes of limits.
-func (r *run) finishOperator(builder *results.Builder) error {
+// addOperatorMetrics adds the operator's metrics and violations to the result, and sends the
+// operator's changes of limits to the monitor.
+func (r *run) addOperatorMetrics(builder *results.Builder) error {
 	if err := r.services.Send(process.Command{LimitChanges: r.operator.LimitChanges()}); err != nil {
 		return fmt.Errorf("send limit changes: %w", err)
 	}
 	config, err := r.operator.Metrics()
 	if err != nil {
-		return err //nolint:wrapcheck // the error says what is missing
+		return err //nolint:wrapcheck // the error names what is missing
 	}
 	builder.AddConfig(config, r.operator.Violations())
 	return nil
 }
 
-// measurements returns what this process has measured of the others.
+// measurements returns the measurements of this process: its own lateness and the resource usage of
+// the others.
 func (r *run) measurements() results.Measurements {
-	m := results.Measurements{Lateness: r.meter.Lateness(), ControllersDied: r.controllers.diedCount()}
+	m := results.Measurements{Lateness: r.meter.Lateness(), ControllersDied: r.controllers.unexpectedExitCount()}
 	for _, c := range r.controllers.all {
 		m.Controllers = append(m.Controllers, c.name)
 	}
@@ -198,7 +203,7 @@
 	return m
 }
 
-// killAll ends every process of the run.
+// killAll kills all processes of the run that were started.
 func (r *run) killAll() {
 	if r.controllers != nil {
 		r.controllers.close()
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -15,38 +15,38 @@
 	"damsonkeel/internal/transport"
 )
 
-// stateSampleInterval is the time between two samples of the state service's traffic.
+// stateSampleInterval is the time between two samples of the traffic of the state service.
 const stateSampleInterval = time.Second
 
-// errNotProvisioned says that the cloud did not provision a machine of the start.
-var errNotProvisioned = errors.New("can't be rented")
+// errNotProvisioned reports that the cloud did not provision one of the initial machines.
+var errNotProvisioned = errors.New("was not provisioned by the cloud")
 
-// services plays the state service, the cloud and the monitor.
+// services is the role that runs the state service, the cloud and the monitor.
 type services struct {
 	cfg     process.Config
 	monitor *monitor.Monitor
 	state   *server.StateService
 	cloud   *server.CloudService
-	// addresses are those of the state service, the cloud and the monitor, by target.
+	// addresses holds the addresses of the state service, the cloud and the monitor, by target.
 	addresses map[string]string
 
-	peaks chan map[string]uint64 // gets the busiest second of each kind of request, once
+	peaks chan map[string]uint64 // receives the requests in the busiest second by kind, once after done is closed
 	done  chan struct{}
 }
 
-// newServices starts the services and provisions the machines of the start.
+// newServices starts the services and provisions the initial machines.
 func newServices(cfg process.Config, log *slog.Logger) (*services, error) {
 	s := &services{cfg: cfg, monitor: monitor.New(&cfg.Site, cfg.Seed), peaks: make(chan map[string]uint64, 1), done: make(chan struct{})}
 	var err error
 	s.state, err = server.NewStateService(server.Limits{
-		Requests: cfg.Site.State.RequestsPerS, Changes: cfg.Site.State.ChangesPerS, Latency: constant(cfg.Site.State.AnswerMS),
+		Requests: cfg.Site.State.RequestsPerS, Changes: cfg.Site.State.ChangesPerS, Latency: constantLatency(cfg.Site.State.AnswerMS),
 	}, clock.Now)
 	if err != nil {
 		return nil, fmt.Errorf("start state service: %w", err)
 	}
-	capacity := cfg.Site.Workers + cfg.Site.SpareWorkers
-	cloudLimits := server.Limits{Requests: cfg.Site.Cloud.RequestsPerS, Latency: constant(cfg.Site.Cloud.AnswerMS)}
-	if s.cloud, err = server.NewCloudService(cloudLimits, catalogue(&cfg.Site), capacity, s.monitor, clock.Now); err != nil {
+	maxMachines := cfg.Site.Workers + cfg.Site.SpareWorkers
+	cloudLimits := server.Limits{Requests: cfg.Site.Cloud.RequestsPerS, Latency: constantLatency(cfg.Site.Cloud.AnswerMS)}
+	if s.cloud, err = server.NewCloudService(cloudLimits, machineCatalogue(&cfg.Site), maxMachines, s.monitor, clock.Now); err != nil {
 		return nil, fmt.Errorf("start cloud: %w", err)
 	}
 	monitorAddr, err := freeAddress()
@@ -57,20 +57,20 @@
 		return nil, fmt.Errorf("start monitor: %w", err)
 	}
 	s.addresses = map[string]string{stateTarget: s.state.Addr, cloudTarget: s.cloud.Addr, monitorTarget: monitorAddr}
-	if err := s.provisionAll(); err != nil {
+	if err := s.provisionInitial(); err != nil {
 		return nil, err
 	}
-	go s.sampleTraffic()
+	go s.trackPeakTraffic()
 	return s, nil
 }
 
-// constant returns a constant latency.
-func constant(ms float64) func() time.Duration {
+// constantLatency returns a function that returns a constant latency.
+func constantLatency(ms float64) func() time.Duration {
 	return func() time.Duration { return clock.Milliseconds(ms) }
 }
 
-// catalogue returns the machine types, each available in all zones.
-func catalogue(site *siteconfig.Site) []protocol.TypeInfo {
+// machineCatalogue returns the machine types of a site, each of which is available in all zones.
+func machineCatalogue(site *siteconfig.Site) []protocol.TypeInfo {
 	var zones []protocol.Zone
 	for z := range site.Zones {
 		zones = append(zones, site.ZoneName(z))
@@ -85,14 +85,14 @@
 	return types
 }
 
-// provisionAll provisions the machines of the start, evenly over the zones. The first of
-// each zone gets a process of its own.
-func (s *services) provisionAll() error {
+// provisionInitial provisions the initial machines, spread evenly over the zones. The first machine
+// of each zone runs in a process of its own, the others in the shared process of their zone.
+func (s *services) provisionInitial() error {
 	site := &s.cfg.Site
-	single := map[protocol.Zone]bool{}
+	hasSingleWorker := map[protocol.Zone]bool{}
 	s.monitor.SetInitialPlacement(func(z protocol.Zone) string {
-		if !single[z] {
-			single[z] = true
+		if !hasSingleWorker[z] {
+			hasSingleWorker[z] = true
 			return process.SingleWorker(z)
 		}
 		return process.SharedWorkers(z)
@@ -100,18 +100,19 @@
 	provisioned := make([]float64, len(site.Types))
 	for i := range site.Workers {
 		zone := site.ZoneName(i % site.Zones)
-		kind := neededType(site.Types, provisioned, i+1)
-		provisioned[kind]++
-		req := protocol.ProvisionRequest{Name: fmt.Sprintf("start-%d", i), Type: site.Types[kind].Name, Zone: zone, Count: 1}
+		typeIndex := neededType(site.Types, provisioned, i+1)
+		provisioned[typeIndex]++
+		req := protocol.ProvisionRequest{Name: fmt.Sprintf("start-%d", i), Type: site.Types[typeIndex].Name, Zone: zone, Count: 1}
 		if len(s.cloud.Provision(req)) == 0 {
-			return fmt.Errorf("machine %d of the start %w", i, errNotProvisioned)
+			return fmt.Errorf("initial machine %d %w", i, errNotProvisioned)
 		}
 	}
 	s.monitor.SetInitialPlacement(nil)
 	return nil
 }
 
-// neededType returns the type of which most machines are missing among a number of them.
+// neededType returns the index of the machine type that has the fewest machines compared with its
+// fraction of a total number of machines.
 func neededType(types []siteconfig.Type, provisioned []float64, machines int) int {
 	needed, most := 0, -1.0
 	for i, t := range types {
@@ -122,44 +123,45 @@
 	return needed
 }
 
-// sampleTraffic finds the busiest second of each kind of request to the state service.
-func (s *services) sampleTraffic() {
+// trackPeakTraffic samples the traffic of the state service until done is closed, and then sends the
+// number of requests in the busiest second of each kind of request.
+func (s *services) trackPeakTraffic() {
 	peaks := map[string]uint64{}
 	before := s.state.Traffic.Flows()
-	every := time.NewTicker(stateSampleInterval)
-	defer every.Stop()
+	ticker := time.NewTicker(stateSampleInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.done:
 			s.peaks <- peaks
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 		flows := s.state.Traffic.Flows()
-		for kind, f := range flows {
-			peaks[kind] = max(peaks[kind], f.Messages-before[kind].Messages)
+		for kind, flow := range flows {
+			peaks[kind] = max(peaks[kind], flow.Messages-before[kind].Messages)
 		}
 		before = flows
 	}
 }
 
-// Report returns what the services served and the analysis of the run.
+// Report returns the traffic of the services and the analysis of the run.
 func (s *services) Report() process.Report {
 	close(s.done)
 	m := s.monitor.Analyze()
 	m.State.PeakS = <-s.peaks
 	m.State.Records, m.State.Bytes = s.state.Size()
 	traffic := map[string]server.Flow{}
-	for kind, f := range s.state.Traffic.Flows() {
-		traffic["state "+kind] = f
+	for kind, flow := range s.state.Traffic.Flows() {
+		traffic["state "+kind] = flow
 	}
-	for kind, f := range s.cloud.Traffic.Flows() {
-		traffic["cloud "+kind] = f
+	for kind, flow := range s.cloud.Traffic.Flows() {
+		traffic["cloud "+kind] = flow
 	}
 	return process.Report{Traffic: traffic, Analysis: m}
 }
 
-// handle passes faults and changes of limits to the monitor.
+// handle forwards faults and changes of limits to the monitor.
 func (s *services) handle(c process.Command) {
 	if c.Fault != nil {
 		s.monitor.InjectFault(*c.Fault)
--- a/internal/scale/settings.go
+++ b/internal/scale/settings.go
@@ -12,13 +12,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// writeSettings writes the settings file of each controller. Link returns the address at
-// which a target is reached from a region.
+// writeSettings writes the operator settings, which all controllers share, and the settings file of
+// each controller. The link function returns the address at which processes of a region reach a
+// target.
 func (c *controllers) writeSettings(link func(region int, target string) string) error {
 	operatorFile := filepath.Join(c.dir, "operator.xml")
 	text := fmt.Sprintf("<idleReturn>%v</idleReturn>", clock.Seconds(c.site.IdleReturnS))
-	if c.operatorKeys != "" {
-		text += "<operatorKeys>" + c.operatorKeys + "</operatorKeys>"
+	if c.operatorKeysPath != "" {
+		text += "<operatorKeys>" + c.operatorKeysPath + "</operatorKeys>"
 	}
 	text = "<damsonkeel>" + text + "</damsonkeel>\n"
 	if err := os.WriteFile(operatorFile, []byte(text), 0o600); err != nil {
@@ -30,17 +31,17 @@
 		if err != nil {
 			return fmt.Errorf("encode settings of %s: %w", target.name, err)
 		}
-		target.settings = filepath.Join(c.dir, string(target.name)+".toml")
-		if err := os.WriteFile(target.settings, b, 0o600); err != nil {
+		target.settingsPath = filepath.Join(c.dir, string(target.name)+".toml")
+		if err := os.WriteFile(target.settingsPath, b, 0o600); err != nil {
 			return fmt.Errorf("write settings of %s: %w", target.name, err)
 		}
 	}
 	return nil
 }
 
-// settings returns the settings that the platform would give a controller.
+// settings returns the settings of a controller, as the platform would provide them.
 func (c *controllers) settings(target *controller, link func(region int, target string) string) *config.Settings {
-	s := &config.Settings{Name: target.name, Zone: c.site.ZoneName(target.zone), Listen: target.serve, PeerBind: target.peer}
+	s := &config.Settings{Name: target.name, Zone: c.site.ZoneName(target.zone), Listen: target.serveAddr, PeerBind: target.peerAddr}
 	for _, other := range c.all {
 		if other != target {
 			s.Members = append(s.Members, config.Member{Name: other.name, Zone: c.site.ZoneName(other.zone), Peer: link(target.region, peerTarget(other.name))})
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -9,26 +9,26 @@
 	"damsonkeel/internal/scale/process"
 )
 
-// startAll starts every process but the users'.
+// startAll starts all processes except that of the users.
 func (r *run) startAll(dir string, program []string) error {
 	ready, err := r.startRole(&r.services, process.RoleServices, process.RoleServices, process.Config{})
 	if err != nil {
 		return err
 	}
-	r.addresses = ready.Addresses
+	r.serviceAddresses = ready.Addresses
 	if r.controllers, err = newControllers(r.site, dir, r.sampler); err != nil {
 		return err
 	}
 	r.controllers.program = program
 	if r.site.Configuration.Changes > 0 {
-		if r.operator, r.controllers.operatorKeys, err = operator.New(r.site, dir, r.options.Seed); err != nil {
+		if r.operator, r.controllers.operatorKeysPath, err = operator.New(r.site, dir, r.options.Seed); err != nil {
 			return fmt.Errorf("create operator: %w", err)
 		}
 	}
 	if err := r.startForwarders(); err != nil {
 		return err
 	}
-	if err := r.controllers.writeSettings(r.link); err != nil {
+	if err := r.controllers.writeSettings(r.linkAddress); err != nil {
 		return err
 	}
 	for _, c := range r.controllers.all {
@@ -39,20 +39,21 @@
 	return r.startWorkers()
 }
 
-// startRole starts a process of a role, stores it and waits until it is ready.
-func (r *run) startRole(into **process.Child, role, name string, cfg process.Config) (process.Ready, error) {
+// startRole starts a process for a role, stores it in child, so that it is killed after an error, and
+// waits until it is ready.
+func (r *run) startRole(child **process.Child, role, name string, cfg process.Config) (process.Ready, error) {
 	c, err := process.Start(name, role, r.options.Program[0], r.options.Program[1:]...)
 	if err != nil {
 		return process.Ready{}, err //nolint:wrapcheck // the error names the process
 	}
-	*into = c
+	*child = c
 	r.sampler.Add(name, c.PID())
-	cfg.Role, cfg.Name, cfg.Site, cfg.Seed, cfg.Monitor = role, name, *r.site, r.options.Seed, r.addresses[monitorTarget]
-	return c.Begin(cfg) //nolint:wrapcheck // the error names the process
+	cfg.Role, cfg.Name, cfg.Site, cfg.Seed, cfg.Monitor = role, name, *r.site, r.options.Seed, r.serviceAddresses[monitorTarget]
+	return c.Configure(cfg) //nolint:wrapcheck // the error names the process
 }
 
-// startForwarders starts a forwarder for the links that begin in each region, and one for
-// those of users.
+// startForwarders starts a forwarder for each region, with the links that begin in that region, and
+// one for the links of users.
 func (r *run) startForwarders() error {
 	for region := forwarder.NoRegion; region < r.site.Regions; region++ {
 		name := fmt.Sprintf("%s-%d", process.RoleForwarder, region+1)
@@ -62,20 +63,22 @@
 			return err
 		}
 		for link, addr := range ready.Addresses {
-			r.links[link] = addr
+			r.linkAddresses[link] = addr
 		}
 	}
 	return nil
 }
 
-// startWorkers starts the processes of workers: two for each zone.
+// startWorkers starts the worker processes: in each zone, one that its workers share and one for a
+// single worker. They reach the controllers of their own region directly and all others over
+// links.
 func (r *run) startWorkers() error {
 	for z := range r.site.Zones {
 		zone, region := r.site.ZoneName(z), r.site.RegionOfZone(z)
 		addresses := map[protocol.NodeName]string{}
 		for _, c := range r.controllers.all {
-			if addresses[c.name] = c.serve; c.region != region {
-				addresses[c.name] = r.link(region, serveTarget(c.name))
+			if addresses[c.name] = c.serveAddr; c.region != region {
+				addresses[c.name] = r.linkAddress(region, serveTarget(c.name))
 			}
 		}
 		for _, name := range []string{process.SharedWorkers(zone), process.SingleWorker(zone)} {
