--- a/internal/scale/capacity/capacity.go
+++ b/internal/scale/capacity/capacity.go
@@ -26,8 +26,8 @@
 	maxMemoryFraction = 0.5
 )
 
-// singletonProcesses is the number of processes of which each run has exactly one: the
-// coordinating process, the services and the users.
+// singletonProcesses is the number of processes that exist once in each run: the coordinating
+// process, the services and the users.
 const singletonProcesses = 3
 
 // Need is an upper estimate of the resources that a run needs.
--- a/internal/scale/monitor/faults.go
+++ b/internal/scale/monitor/faults.go
@@ -24,7 +24,7 @@
 type measuredFault struct{ analysis.Fault }
 
 // InjectFault starts to measure the effect of a fault. It injects the fault itself if the
-// fault concerns machines; all others are injected elsewhere.
+// fault concerns machines; the coordinating process injects all others.
 func (m *Monitor) InjectFault(fault siteconfig.Fault) {
 	begin := clock.Now()
 	m.mu.Lock()
@@ -60,8 +60,8 @@
 	fault.Metrics.HeartbeatsRecoveredS = math.Round((clock.Now()-fault.End).Seconds()*10) / 10
 }
 
-// oldestHeartbeat returns the latest time since which every worker has had an answered
-// heartbeat, as the worker processes have reported.
+// oldestHeartbeat returns the earliest of the times at which the workers had their last answered
+// heartbeat, as reported by the worker processes.
 func (m *Monitor) oldestHeartbeat() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/scale/monitor/messages.go
+++ b/internal/scale/monitor/messages.go
@@ -23,8 +23,8 @@
 	Executed uint64
 	Machines []rules.MachineEvent
 	Users    []rules.UserEvent
-	// Oldest is the time of the last answered heartbeat of the worker of this process whose
-	// last answered heartbeat is the oldest.
+	// Oldest is the earliest of the times at which the workers of this process had their last
+	// answered heartbeat.
 	Oldest time.Duration
 	// Addresses holds the listings of the machines that have started since the last exchange.
 	Addresses map[protocol.MachineID]server.Listed
@@ -45,8 +45,8 @@
 	DirectKill                                  // kill a machine
 	DirectRestart                               // restart a machine's worker
 	DirectGangComplete                          // run a gang whose tasks have all started
-	DirectGangLost                              // end a gang of which a running task was lost
-	DirectGangDone                              // complete a gang of which a running task completed
+	DirectGangLost                              // end a running gang that lost a task
+	DirectGangDone                              // complete a running gang after one of its tasks completed
 )
 
 // Directive is an instruction to a worker process. Each process has its own sequence of
--- a/internal/scale/role.go
+++ b/internal/scale/role.go
@@ -19,7 +19,7 @@
 	"damsonkeel/internal/scale/workers"
 )
 
-// role is the part of a run that one process performs.
+// role is the part of a run that one process performs, such as the services or the users.
 type role interface {
 	// Report returns the observations of the process. It is called once, at the end of the run.
 	Report() process.Report
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -165,9 +165,9 @@
 			return nil, err
 		}
 	}
-	order := append([]*process.Child{r.users}, r.workers...)
-	order = append(append(order, r.forwarders...), r.services)
-	for _, c := range order {
+	reporting := append([]*process.Child{r.users}, r.workers...)
+	reporting = append(append(reporting, r.forwarders...), r.services)
+	for _, c := range reporting {
 		report, err := c.Finish()
 		if err != nil {
 			return nil, err //nolint:wrapcheck // the error names the process
@@ -208,8 +208,8 @@
 	if r.controllers != nil {
 		r.controllers.close()
 	}
-	all := append([]*process.Child{r.users, r.services}, r.workers...)
-	for _, c := range append(all, r.forwarders...) {
+	children := append([]*process.Child{r.users, r.services}, r.workers...)
+	for _, c := range append(children, r.forwarders...) {
 		if c != nil {
 			c.Kill()
 		}
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -127,7 +127,7 @@
 // number of requests in the busiest second of each kind of request.
 func (s *services) trackPeakTraffic() {
 	peaks := map[string]uint64{}
-	before := s.state.Traffic.Flows()
+	previous := s.state.Traffic.Flows()
 	ticker := time.NewTicker(stateSampleInterval)
 	defer ticker.Stop()
 	for {
@@ -139,9 +139,9 @@
 		}
 		flows := s.state.Traffic.Flows()
 		for kind, flow := range flows {
-			peaks[kind] = max(peaks[kind], flow.Messages-before[kind].Messages)
+			peaks[kind] = max(peaks[kind], flow.Messages-previous[kind].Messages)
 		}
-		before = flows
+		previous = flows
 	}
 }
 
--- a/internal/scale/siteconfig/site.go
+++ b/internal/scale/siteconfig/site.go
@@ -53,7 +53,7 @@
 	ReportS   float64 `toml:"report_s"`    // interval of a worker's heartbeats
 	LeaseS    float64 `toml:"lease_s"`     // length of a worker's lease
 	GangWaitS float64 `toml:"gang_wait_s"` // how long a started task waits for the rest of its gang
-	GangPeerS float64 `toml:"gang_peer_s"` // how long the rest of a gang runs on after one task was stopped
+	GangPeerS float64 `toml:"gang_peer_s"` // how long the other tasks of a gang keep running after one was stopped
 	CancelS   float64 `toml:"cancel_s"`    // how long tasks may run after their cancellation was confirmed
 }
 
