--- a/cmd/damsonkeel-scale/main.go
+++ b/cmd/damsonkeel-scale/main.go
@@ -55,11 +55,11 @@
 
 // Run fits the metrics of results and prints them.
 func (f *fitCommand) Run() error {
-	runs, err := results.Read(f.Results)
+	runs, err := results.ReadFiles(f.Results)
 	if err != nil {
 		return err //nolint:wrapcheck // the error names the file
 	}
-	slopes, err := results.Fit(runs)
+	slopes, err := results.FitMetrics(runs)
 	if err != nil {
 		return err //nolint:wrapcheck // the error names what is missing
 	}
@@ -72,7 +72,7 @@
 
 // Run runs the role that is described on the standard input.
 func (*roleCommand) Run() error {
-	return scale.RunRole(os.Stdin, os.Stdout, scale.Logger(slog.LevelError)) //nolint:wrapcheck // the error names the role
+	return scale.RunRole(os.Stdin, os.Stdout, scale.NewLogger(slog.LevelError)) //nolint:wrapcheck // the error names the role
 }
 
 // Run runs a site at each scale and prints the results. It fails if a rule was broken.
@@ -90,8 +90,8 @@
 	var runs []*results.Result
 	violations := 0
 	for _, factor := range p.Scale {
-		if !(factor > 0) || factor > siteconfig.MaxFactor {
-			return fmt.Errorf("%w: %v is not from 0 to %v", errInvalidFactor, factor, siteconfig.MaxFactor)
+		if !(factor > 0) || factor > siteconfig.MaxScaleFactor {
+			return fmt.Errorf("%w: %v is not from 0 to %v", errInvalidFactor, factor, siteconfig.MaxScaleFactor)
 		}
 		result, err := scale.Run(ctx, site.Scaled(factor), scale.Options{
 			Root: p.Root, Program: []string{program, "role"}, Seed: p.Seed, Factor: factor, Progress: os.Stderr,
@@ -121,7 +121,7 @@
 	if p.Output == "json" {
 		return writeJSON(os.Stdout, runs)
 	}
-	results.Print(os.Stdout, runs)
+	results.PrintTables(os.Stdout, runs)
 	return nil
 }
 
--- a/internal/scale/results/fit.go
+++ b/internal/scale/results/fit.go
@@ -32,8 +32,8 @@
 // of workers.
 var errTooFewWorkerCounts = errors.New("results of at least three sizes are needed")
 
-// Read reads result files. Each file contains the result of one run or a list of results.
-func Read(paths []string) ([]*Result, error) {
+// ReadFiles reads result files. Each file contains the result of one run or a list of results.
+func ReadFiles(paths []string) ([]*Result, error) {
 	var results []*Result
 	for _, path := range paths {
 		b, err := os.ReadFile(path)
@@ -90,8 +90,8 @@
 	return list
 }
 
-// Fit fits a line to each metric of results over the number of workers.
-func Fit(results []*Result) ([]Slope, error) {
+// FitMetrics fits a line to each metric of results over the number of workers.
+func FitMetrics(results []*Result) ([]Slope, error) {
 	var workers []float64
 	for _, r := range results {
 		workers = append(workers, float64(r.Workers))
--- a/internal/scale/results/fit_test.go
+++ b/internal/scale/results/fit_test.go
@@ -18,10 +18,10 @@
 			Roles: []RoleMetrics{{Role: process.RoleController, MemoryMB: 10 + 0.02*float64(workers)}},
 		})
 	}
-	if _, err := Fit(results[:2]); !errors.Is(err, errTooFewWorkerCounts) {
+	if _, err := FitMetrics(results[:2]); !errors.Is(err, errTooFewWorkerCounts) {
 		t.Errorf("two numbers of workers: error %v, want errTooFewWorkerCounts", err)
 	}
-	slopes, err := Fit(results)
+	slopes, err := FitMetrics(results)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/results/table.go
+++ b/internal/scale/results/table.go
@@ -15,8 +15,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// Print prints results as tables, followed by their warnings and rule violations.
-func Print(out io.Writer, results []*Result) {
+// PrintTables prints results as tables, followed by their warnings and rule violations.
+func PrintTables(out io.Writer, results []*Result) {
 	printRuns(out, results)
 	printRoles(out, results)
 	printTraffic(out, results)
--- a/internal/scale/role.go
+++ b/internal/scale/role.go
@@ -126,7 +126,7 @@
 // Report returns the traffic of the links.
 func (r forwarderRole) Report() process.Report { return process.Report{Traffic: r.forwarder.Traffic()} }
 
-// Logger returns the logger for a process of a run, which writes to standard error.
-func Logger(level slog.Level) *slog.Logger {
+// NewLogger returns the logger for a process of a run, which writes to standard error.
+func NewLogger(level slog.Level) *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
--- a/internal/scale/siteconfig/topology.go
+++ b/internal/scale/siteconfig/topology.go
@@ -8,8 +8,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// MaxFactor is the largest factor by which a site may be scaled.
-const MaxFactor = 4
+// MaxScaleFactor is the largest factor by which a site may be scaled.
+const MaxScaleFactor = 4
 
 // Scaled returns a copy of the site in which the workers, the processors of teams, the arrival
 // rates and the faults of machines and workers are multiplied by a factor. Controllers, zones
