--- a/internal/controller/dispatcher/directcommands.go
+++ b/internal/controller/dispatcher/directcommands.go
@@ -7,11 +7,13 @@
 	"damsonkeel/internal/protocol"
 )
 
-// DirectCommandTimeout is how long a direct command may stay unanswered. If its worker sends a
-// heartbeat after that, the fencing token is raised, which settles the command.
+// DirectCommandTimeout is how long direct commands may stay unanswered. If a start in them
+// remains unanswered and the worker's next heartbeat doesn't list its attempt, the fencing
+// token is raised, after which the start can no longer be executed.
 const DirectCommandTimeout = 4 * time.Second
 
-// directSchedule lists the queues whose commands are sent at the end of the step.
+// directSchedule lists the queues to which requestDirect was applied in this step: their
+// commands are sent at its end.
 type directSchedule struct {
 	due []*queue
 }
@@ -23,7 +25,8 @@
 	return due
 }
 
-// requestDirect schedules the queue's commands to be sent at the end of the step.
+// requestDirect schedules direct commands to the queue's worker for the end of the step;
+// they are sent only if there are any. A queue is scheduled at most once.
 func (q *queue) requestDirect() {
 	if !q.directRequested {
 		q.directRequested = true
@@ -31,11 +34,11 @@
 	}
 }
 
-// SendDirectCommands sends commands directly to workers whose queue or resources have
-// changed, without waiting for their next heartbeat. Each worker has at most one such
-// message in flight. A new term does not interrupt this: the dispatcher tracks what is on
-// the machine for as long as it holds the queue, and the commands themselves carry the new
-// term.
+// SendDirectCommands sends direct commands to the workers scheduled by requestDirect, whose
+// queue or resources have changed, without waiting for their next heartbeat. Each worker
+// has at most one such message in flight. A new term does not interrupt this: the
+// dispatcher tracks what is on the machine for as long as it holds the queue, and the
+// commands themselves carry the new term.
 func (d *Dispatcher) SendDirectCommands() {
 	if !d.HoldsLease() {
 		return
@@ -51,7 +54,8 @@
 	}
 }
 
-// reachable reports whether commands can be sent to the worker.
+// reachable reports whether direct commands can be sent to the worker: its address is
+// known, it has sent a heartbeat, and its machine is registered and inventoried.
 func (q *queue) reachable() bool {
 	return q.inventoryKnown && q.recordVersion != 0 && q.address != "" && q.everSeen
 }
@@ -68,7 +72,10 @@
 	}})
 }
 
-// HandleCommandDone handles the answer to direct commands, or the lack of one.
+// HandleCommandDone ends the flight of a worker's direct commands. If the worker answered,
+// the starts are marked as settled, the status in the answer is applied like a heartbeat,
+// and starts that the worker refused are queued again. If it did not answer, the starts
+// remain unsettled. Commands requested in the meantime are scheduled.
 func (d *Dispatcher) HandleCommandDone(result message.CommandDone) {
 	q := d.queues.get(result.Machine)
 	if q == nil {
@@ -111,8 +118,8 @@
 	return e
 }
 
-// settleAnswered marks answered starts as settled: they were either executed or refused, so
-// they can no longer be delivered.
+// settleAnswered marks the starts in answered direct commands as settled: they were either
+// executed or refused, so they can no longer be delivered.
 func (q *queue) settleAnswered(result *message.CommandDone) {
 	for _, o := range result.Orders {
 		if e := q.entryToStart(o); e != nil && e.directFencingToken == result.Term {
--- a/internal/controller/dispatcher/dispatcher.go
+++ b/internal/controller/dispatcher/dispatcher.go
@@ -24,10 +24,11 @@
 	// leaseHeldSince is the time since which this controller has continuously held its
 	// lease; 0 if it does not hold it.
 	leaseHeldSince clock.Time
-	// agentEpochFloor is the lowest agent epoch of a machine that may still be alive. A
-	// heartbeat of an earlier epoch was delayed by the network.
+	// agentEpochFloor holds, for each machine whose record was deleted, the lowest agent
+	// epoch that may still be alive. A heartbeat of an earlier epoch was delayed by the
+	// network.
 	agentEpochFloor map[protocol.MachineID]protocol.AgentEpoch
-	// lastArrival is the arrival number of the most recently queued attempt.
+	// lastArrival is the arrival number of the last attempt that was queued, counted from 1.
 	lastArrival uint64
 	// handledPlaces holds the number of the last Place message handled, by owner.
 	handledPlaces map[protocol.NodeName]uint64
@@ -40,7 +41,8 @@
 	return d
 }
 
-// Reset drops all state that belongs to this controller's session.
+// Reset drops all state that belongs to this controller's session: queues, handovers, the
+// change log and the counts of handled placements.
 func (d *Dispatcher) Reset() {
 	*d = Dispatcher{
 		environment:     newEnvironment(d.Module),
@@ -58,8 +60,9 @@
 	d.shards.clear()
 }
 
-// ForgetEndedOwnerSessions drops the placement counts of owners whose session in the present view
-// differs from their session in the old one.
+// ForgetEndedOwnerSessions drops the numbers of the last handled Place messages of owners
+// whose session in the present view differs from their session in the old one. A new
+// session numbers its messages anew.
 func (d *Dispatcher) ForgetEndedOwnerSessions(old record.View) {
 	for name := range d.handledPlaces {
 		if !clusterstate.SameMemberSession(old, d.View, name) {
@@ -74,8 +77,8 @@
 	d.MarkAllChanged()
 }
 
-// TermAdopted clears the request for a new term: one was adopted, which settles unanswered
-// starts once the workers have seen it.
+// TermAdopted clears the request for a new term (see NeedsNewTerm): one was adopted. The
+// workers no longer execute unanswered direct starts once they have seen it.
 func (d *Dispatcher) TermAdopted() { d.newTermNeeded = false }
 
 // MarkAllChanged marks the published state of every machine as changed.
@@ -85,18 +88,23 @@
 	}
 }
 
-// InvalidateQueueOrder marks all queues as unsorted because job deadlines have changed.
+// InvalidateQueueOrder marks the waiting attempts of every queue as unsorted, so that they
+// are sorted again before the next start, because job deadlines have changed.
 func (d *Dispatcher) InvalidateQueueOrder() {
 	for _, q := range d.queues.byMachine {
 		q.sorted = false
 	}
 }
 
-// levelLookup returns the level of a job, and whether the job's owner has announced it.
+// levelLookup returns the level of a job as announced by its owner; false if the owner has
+// not announced it.
 type levelLookup func(protocol.JobID) (resource.Level, bool)
 
-// MaintainQueues does the work that is due once per replication interval: it quarantines failing
-// machines, and preempts attempts in favor of waiting attempts and reservations.
+// MaintainQueues does the work that is due once per replication interval on each machine
+// that is not being handed over: it begins or ends the machine's quarantine, preempts
+// attempts in favor of waiting attempts and reservations, replaces guessed levels by
+// announced ones, and releases waiting attempts that the configuration no longer allows to
+// start.
 func (d *Dispatcher) MaintainQueues(level levelLookup, isFailing failingLookup) {
 	for _, q := range d.queues.inOrder() {
 		if q.handingOver() {
@@ -110,8 +118,9 @@
 	}
 }
 
-// AdoptConfiguration applies a new configuration: it releases waiting attempts that may no
-// longer be started to their owners.
+// AdoptConfiguration applies a new configuration: it marks the published state of all
+// machines as changed, and releases waiting attempts that may no longer be started to their
+// owners.
 func (d *Dispatcher) AdoptConfiguration() {
 	for _, q := range d.queues.inOrder() {
 		q.markChanged() // a cordon of the machine's zone or type may have begun or ended
@@ -121,8 +130,9 @@
 	}
 }
 
-// JobEnded releases or ends all attempts of a job that has ended. If the job failed on
-// every machine, its failures no longer count against any machine.
+// JobEnded releases the attempts of an ended job that were never sent, and has the workers
+// kill or forget the other ones. If failing is set, the job failed on every machine, and
+// its failures no longer count towards the quarantine of any.
 func (d *Dispatcher) JobEnded(id protocol.JobID, failing bool) {
 	for _, q := range d.queues.inOrder() {
 		if failing {
@@ -148,7 +158,8 @@
 	}
 }
 
-// notifyOwner sends an event to the current owner of an attempt's job.
+// notifyOwner sends an event to the current owner of an attempt's job, and marks the
+// machine's published state as changed. Nothing is sent if the owner is not known.
 func (q *queue) notifyOwner(e *entry, kind message.EventKind) {
 	q.markChanged()
 	owner := q.ownerOf(e)
@@ -167,10 +178,11 @@
 	q.Send(owner, message.PeerMessage{Event: event})
 }
 
-// notifyPresent notifies an owner that an attempt is on its machine, but only after a
-// heartbeat is known to belong to this term. Before that, the heartbeat may have been
-// delayed by the network for minutes and list attempts that were lost long ago, which their
-// owners would then kill. The inventory lists all attempts that are present.
+// notifyPresent notifies the owner of an attempt that it is on its machine, but only once
+// the inventory of the machine is known, since only then a heartbeat is known to belong to
+// this term. Before that, the heartbeat may have been delayed by the network for minutes
+// and list attempts that were lost long ago, which their owners would then kill. The
+// inventory lists all attempts that are present, so no owner misses one.
 func (q *queue) notifyPresent(e *entry, kind message.EventKind) {
 	if q.inventoryKnown {
 		q.notifyOwner(e, kind)
--- a/internal/controller/dispatcher/entry.go
+++ b/internal/controller/dispatcher/entry.go
@@ -58,6 +58,7 @@
 	noticeSent  bool // the owner was notified of the machine's termination notice
 }
 
+// ended reports whether the attempt is known to have ended.
 func (e *entry) ended() bool { return e.state == protocol.TaskEnded }
 
 // newWaitingEntry returns the entry of an attempt that an owner has placed on a machine.
@@ -93,7 +94,7 @@
 	s.entries[e.task] = e
 }
 
-// removeEntry removes the attempt of a task.
+// removeEntry removes the attempt of a task, if there is one.
 func (s *entrySet) removeEntry(id protocol.TaskID) {
 	if s.entries[id] == nil {
 		return
@@ -124,10 +125,10 @@
 	return e.placedBy
 }
 
-// isOutdated reports whether an attempt was placed before the limit of its team was
-// lowered. Its owner did not check it against the limit in force, so it must not be
-// started: the dispatcher checks the limit at the start, and the owner checks it when it
-// places the attempt again.
+// isOutdated reports whether an attempt was placed under a configuration revision before
+// the last one that lowered the limit of its team. Its owner did not check it against the
+// limit in force, so it must not be started: the dispatcher makes this check at the start,
+// and the owner checks the limit when it places the attempt again.
 func (env *environment) isOutdated(e *entry) bool {
 	if e.configuration >= env.Configuration.Effective().Revision {
 		return false // placed under the revision in force, or no revision is in force
@@ -150,8 +151,10 @@
 	return earliest
 }
 
-// remainingTime returns the expected remaining run time of an attempt. An attempt that
-// overruns its estimate shows that the estimate is too low, not that the attempt ends now.
+// remainingTime returns the expected remaining run time of an attempt: its estimate minus
+// the time that it has run, but at least a fixed fraction of the estimate (overrunDivisor).
+// An attempt that overruns its estimate shows that the estimate is too low, not that the
+// attempt ends now.
 func (env *environment) remainingTime(e *entry) time.Duration {
 	estimate := time.Duration(e.estimate * float64(time.Second))
 	remaining := estimate
@@ -161,7 +164,8 @@
 	return max(remaining, estimate/overrunDivisor)
 }
 
-// stopSeconds returns how long an attempt may take to end after it is stopped.
+// stopSeconds returns how long an attempt may take to end after it is stopped: its job's
+// grace time in seconds, or 1 if the job's record is missing.
 func (env *environment) stopSeconds(e *entry) float64 {
 	if job := env.Live[e.task.Job]; job != nil {
 		return clusterstate.GraceS(&job.Job)
--- a/internal/controller/dispatcher/estimates.go
+++ b/internal/controller/dispatcher/estimates.go
@@ -12,10 +12,11 @@
 // serviceSeconds is the run time assumed for a service, which has no end of its own.
 const serviceSeconds = 1e8
 
-// recordEstimateError records the estimate error of a task that was started here and ran to
-// completion. A task that was found on its machine is not counted because it may have run
-// for long before: measured from the time it was found, estimates would seem accurate, and
-// resources would be expected to be free while they are in use.
+// recordEstimateError adds the run time and the estimate of a task to the estimate errors
+// of its job's class, if the task was started here and ran to completion and the
+// reservation calendar has entries. A task that was found on its machine is not counted
+// because it may have run for long before: measured from the time it was found, estimates
+// would seem accurate, and resources would be expected to be free while they are in use.
 func (q *queue) recordEstimateError(e *entry) {
 	job := q.Live[e.task.Job]
 	if !q.Reservations.HasEntries || job == nil || e.arrival == 0 || e.runningSince == 0 || e.cause != protocol.EndDone {
@@ -29,8 +30,9 @@
 	classErrors.Note(q.Since(e.runningSince), e.estimate)
 }
 
-// reservationRuns lists the attempts on the machine, for the controller that chooses where
-// resources are reserved.
+// reservationRuns lists the attempts that are or may be on the machine, with their
+// resources and expected ends, for the controller that chooses where resources are
+// reserved. The list is nil while the reservation calendar has no entry.
 func (q *queue) reservationRuns() []reservation.Run {
 	if !q.Reservations.HasEntries {
 		return nil
@@ -52,8 +54,8 @@
 	return runs
 }
 
-// reservationFor returns the name of the first reservation that matches a job; empty if
-// there is none.
+// reservationFor returns the name of the reservation of the first hold in the list of holds
+// whose reservation matches a job; empty if there is none.
 func (env *environment) reservationFor(job *protocol.Job) (name reservation.Name) {
 	for _, hold := range env.Reservations.List {
 		if reservation.MatchesJob(env.ReservationOf(hold.For), job) {
@@ -63,8 +65,11 @@
 	return name
 }
 
-// remainingSeconds returns the expected remaining run time of an attempt, based on the
-// recorded estimate errors. The job is nil if its record is missing.
+// remainingSeconds returns the expected remaining run time of an attempt in seconds, based
+// on the recorded estimate errors; serviceSeconds stands for the run time of a service. The
+// time that the attempt has run is subtracted; an attempt that does not run yet first
+// fetches its image. The job is nil if its record is missing, and its run time then counts
+// as 0.
 func (q *queue) remainingSeconds(e *entry, job *clusterstate.LiveJob) float64 {
 	remaining := 0.0
 	if job != nil {
--- a/internal/controller/dispatcher/handoverin.go
+++ b/internal/controller/dispatcher/handoverin.go
@@ -31,9 +31,13 @@
 }
 
 // ReceiveHandover stores one piece of a shard that another controller hands over, until the
-// records assign the shard to this controller.
+// records assign the shard to this controller. A piece of another term or shard epoch is
+// dropped.
 func (d *Dispatcher) ReceiveHandover(h *message.Handover) { d.shards.receivePiece(h) }
 
+// receivePiece stores one piece of an incoming handover and requests the shard once all
+// pieces have arrived. A piece of another handover than the one in progress replaces that
+// one.
 func (s *shardSet) receivePiece(piece *message.Handover) {
 	if piece.Term != s.View.Term || !s.HoldsLease() || !s.isCurrentHandover(piece) {
 		return
@@ -51,8 +55,8 @@
 	s.changeDue = true
 }
 
-// isCurrentHandover reports whether a piece is valid and belongs to the current epoch of
-// its shard.
+// isCurrentHandover reports whether the numbers of a piece are in range, and whether its
+// shard still has the same epoch and fencing token as when the handover began.
 func (s *shardSet) isCurrentHandover(piece *message.Handover) bool {
 	if piece.Pieces < 1 || piece.Piece < 0 || piece.Piece >= piece.Pieces {
 		return false
@@ -64,8 +68,9 @@
 	return assignment.Since == piece.Tenure && assignment.Epoch == piece.Epoch
 }
 
-// acquireShards begins to hold shards: with the state that was handed over or, without a
-// complete handover, with only the records of their machines.
+// acquireShards begins to hold the machines of the shards gained. If the handover of a
+// shard is complete, its machines have the state that was handed over; otherwise only what
+// their records say. Their inventories are sent after firstInventoryDelay.
 func (d *Dispatcher) acquireShards(gained map[sharding.ID]bool, old *record.ShardTable) {
 	for id := range ordered.ByKey(gained) {
 		d.shards.byID(id)
@@ -88,7 +93,7 @@
 	}
 }
 
-// acquireHandedOverMachines begins to hold the machines of a complete handover.
+// acquireHandedOverMachines adds a queue for each machine of a complete handover.
 func (d *Dispatcher) acquireHandedOverMachines(h *incomingHandover) {
 	for _, piece := range h.pieces {
 		for i := range piece.Queues {
@@ -98,7 +103,8 @@
 }
 
 // addHandedOverQueue begins to hold one machine, with all the state that its previous
-// dispatcher had.
+// dispatcher had. The machine is skipped if it was removed, its record has changed, or it
+// is held here already; and its attempts are dropped if a newer agent epoch has begun.
 func (d *Dispatcher) addHandedOverQueue(handedOver *message.HandoverQueue) {
 	m := d.Records[handedOver.Machine]
 	if m == nil || m.Epoch != handedOver.Epoch || d.queues.get(handedOver.Machine) != nil {
@@ -124,7 +130,7 @@
 }
 
 // addHandedOverEntry adds one attempt, with all the state that its machine's previous
-// dispatcher had.
+// dispatcher had. A waiting attempt whose job has ended is not added.
 func (d *Dispatcher) addHandedOverEntry(q *queue, handedOver *message.HandoverEntry) {
 	e := entryFromHandover(handedOver, d.Now)
 	if !handedOver.Found {
--- a/internal/controller/dispatcher/handoverout.go
+++ b/internal/controller/dispatcher/handoverout.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// handoverTimeout is how long a shard may be frozen before its handover is aborted.
+	// handoverTimeout is how long a shard may be frozen, so that nothing is started on it,
+	// before its handover is aborted.
 	handoverTimeout = 2 * time.Second
 	// machinesPerHandover is the maximum number of machines in one handover message.
 	machinesPerHandover = 50
@@ -29,10 +30,11 @@
 	deferred []message.PeerMessage
 }
 
-// HandOverShards begins to hand shards over. From this point nothing is started on them, and
-// their complete state is sent to the controller that will hold them. The state includes
-// unanswered starts: the new dispatcher's fencing token settles them, as a raised token
-// would.
+// HandOverShards begins to hand shards over to another controller. From this point nothing
+// is started on them, and their complete state is sent to that controller. The state
+// includes unanswered direct starts: the new dispatcher's higher fencing token settles
+// them. Shards that are not held here are ignored, and the whole message if it is of
+// another term or names a controller that is not a member.
 func (d *Dispatcher) HandOverShards(move *message.MoveShards) {
 	if move.Term != d.View.Term || !d.HoldsLease() || move.To == d.Self || d.View.Members[move.To] == 0 {
 		return
@@ -52,8 +54,8 @@
 	}
 }
 
-// movableShards returns those of the given shards that are held here and are not being
-// handed over already.
+// movableShards returns the set of those of the given shards that this controller holds in
+// the given shard epoch and does not hand over already.
 func (s *shardSet) movableShards(shards []message.Tenured) map[sharding.ID]bool {
 	moving := map[sharding.ID]bool{}
 	for _, tenured := range shards {
@@ -65,7 +67,8 @@
 	return moving
 }
 
-// beginHandover freezes a shard and sends its queues in pieces.
+// beginHandover freezes a shard, so that nothing is started on it, and sends its queues in
+// pieces of machinesPerHandover machines.
 func (d *Dispatcher) beginHandover(id sharding.ID, queues []*queue, move *message.MoveShards) {
 	shard := d.shards.byID(id)
 	d.shards.changeDue = true
@@ -88,7 +91,9 @@
 	}
 }
 
-// buildHandover returns the complete state of the machine, for the new dispatcher.
+// buildHandover returns the complete state of the machine, for the new dispatcher. The
+// attempts that were sent or are present come first, then the waiting ones in order of
+// arrival.
 func (q *queue) buildHandover() message.HandoverQueue {
 	h := message.HandoverQueue{
 		Machine:  q.id,
@@ -155,9 +160,10 @@
 	}
 }
 
-// divertIfNotHeld handles a message about a machine that this controller must not command:
-// the message is deferred while the machine's shard is being handed over, and forwarded if
-// another controller holds the machine. It reports whether the message was handled.
+// divertIfNotHeld defers or forwards a message about a machine that this controller must
+// not command now: it is deferred while the machine's shard is being handed over, and
+// forwarded if another controller holds the machine. It returns true if it did either, and
+// false if the caller has to handle the message.
 func (d *Dispatcher) divertIfNotHeld(id protocol.MachineID, m message.PeerMessage) bool {
 	if q := d.queues.get(id); q != nil {
 		if !q.handingOver() {
@@ -178,7 +184,8 @@
 	return true
 }
 
-// handleDeferred handles a deferred message. If another controller holds the machine now,
+// handleDeferred executes a message that was deferred during a handover: a request to stop
+// or forget an attempt or to drain a machine. If another controller holds the machine now,
 // the message is forwarded to it.
 func (d *Dispatcher) handleDeferred(m message.PeerMessage) {
 	switch {
@@ -191,7 +198,9 @@
 	}
 }
 
-// abortHandover resumes normal operation of a shard whose handover was aborted.
+// abortHandover resumes the dispatch to a shard that this controller keeps: it executes the
+// deferred messages, ends the attempts of jobs that ended during the handover, schedules
+// direct commands and sends the inventories that are due.
 func (d *Dispatcher) abortHandover(shard *shardState) {
 	d.shards.recordMove(shard, true)
 	deferred := shard.handover.deferred
@@ -209,7 +218,8 @@
 	}
 }
 
-// endFinishedJobs releases or ends the attempts of all jobs that ended during a handover.
+// endFinishedJobs applies endJob to each job that has ended and has attempts in the queue:
+// attempts never sent are released, and the worker kills or forgets the other ones.
 func (q *queue) endFinishedJobs() {
 	finished := map[protocol.JobID]bool{}
 	for task := range q.entries {
--- a/internal/controller/dispatcher/heartbeat.go
+++ b/internal/controller/dispatcher/heartbeat.go
@@ -8,7 +8,11 @@
 	"damsonkeel/internal/protocol"
 )
 
-// HandleHeartbeat handles a worker's heartbeat and replies to it.
+// HandleHeartbeat updates a machine's queue from a worker's heartbeat and replies with the
+// orders that are due, which renews the worker's lease. It begins to hold a machine that it
+// doesn't hold yet and has the worker's agent epoch registered. A heartbeat of an unknown
+// machine type gets a reply that renews no lease. The content of a heartbeat that is out of
+// date, or that arrives during a handover, is not applied.
 func (d *Dispatcher) HandleHeartbeat(heartbeat protocol.Heartbeat) {
 	machineType, known := d.Types[heartbeat.Type]
 	if !known {
@@ -61,13 +65,15 @@
 	return true
 }
 
-// rejectHeartbeat replies that this controller does not renew the worker's lease.
+// rejectHeartbeat replies with status 503: this controller does not renew the worker's
+// lease.
 func (env *environment) rejectHeartbeat() {
 	env.Emit(message.ReplyHeartbeat{Status: http.StatusServiceUnavailable})
 }
 
-// recordContact records the worker's address, machine type and agent epoch, and that its
-// heartbeat is answered now.
+// recordContact stores the worker's address, machine type, zone, agent epoch and sequence
+// number and the time of the answer, and ends the machine's silence. With a higher agent
+// epoch, the attempts of the earlier one are dropped.
 func (q *queue) recordContact(heartbeat *protocol.Heartbeat, machineType protocol.TypeInfo) {
 	q.machineType, q.address, q.zone = machineType, heartbeat.Address, heartbeat.Zone
 	if heartbeat.AgentEpoch > q.agentEpoch {
@@ -86,8 +92,8 @@
 // the worker's lease is renewed from now, and the time of silence has to be counted from
 // this answer, too. Without that, a machine would be considered lost up to a heartbeat
 // interval before its lease expired. Any other heartbeat was delayed by the network, and
-// its worker no longer waits for the reply: an answer would renew no lease that is
-// tracked here, so it is rejected.
+// its worker no longer waits for the reply: an answer would renew no lease that is tracked
+// here, so it is rejected with status 503.
 func (q *queue) answerOvertaken(heartbeat *protocol.Heartbeat) {
 	if heartbeat.AgentEpoch < q.agentEpoch || heartbeat.Seq <= q.heartbeatSeq {
 		q.Log.Debug("rejected a delayed heartbeat", "machine", q.id, "agent_epoch", heartbeat.AgentEpoch, "seq", heartbeat.Seq)
@@ -97,9 +103,9 @@
 	q.answerWithKillsOnly(heartbeat)
 }
 
-// answerWithKillsOnly renews a worker's lease and orders it to kill the attempts of ended
-// jobs, but nothing else. A reply that keeps a worker alive must also kill what was
-// cancelled on it.
+// answerWithKillsOnly renews a worker's lease and orders it to kill, without a grace time,
+// the listed attempts whose jobs are not live, but nothing else. A reply that keeps a
+// worker alive must also kill what was cancelled on it.
 func (q *queue) answerWithKillsOnly(heartbeat *protocol.Heartbeat) {
 	q.lastSeq, q.heartbeatSeq, q.lastAnswer = max(q.lastSeq, heartbeat.Seq), heartbeat.Seq, q.Now
 	reply := protocol.HeartbeatReply{Term: q.fencingToken(), Orders: []protocol.Order{}}
@@ -111,8 +117,9 @@
 	q.Emit(message.ReplyHeartbeat{Status: http.StatusOK, Reply: reply})
 }
 
-// applyTerminationNotice releases the waiting attempts and notifies the owners of the
-// present ones when the cloud is about to terminate the machine.
+// applyTerminationNotice applies the heartbeat's notice that the cloud is about to
+// terminate the machine, or its absence. With the first notice the waiting attempts are
+// released; the owner of each present attempt is notified once.
 func (q *queue) applyTerminationNotice(heartbeat *protocol.Heartbeat) {
 	if heartbeat.NoticeS == nil {
 		if q.noticeSeconds != nil {
--- a/internal/controller/dispatcher/inspect.go
+++ b/internal/controller/dispatcher/inspect.go
@@ -12,15 +12,15 @@
 	Sent               bool // a start was sent: the attempt may be on the machine
 	Present            bool // the worker has listed the attempt
 	Ended              bool
-	Kill               bool
-	Forget             bool
+	Kill               bool          // the worker is to kill the attempt
+	Forget             bool          // the worker may forget the ended attempt
 	DirectFencingToken protocol.Term // fencing token of an unanswered direct start; 0 if there is none
-	StartResent        bool
-	StartInLastReply   bool
+	StartResent        bool          // the start was sent again by another path
+	StartInLastReply   bool          // the reply to the latest heartbeat contains the start
 }
 
 // Attempts lists the attempts that wait for a machine or are on it, in order of their
-// tasks.
+// tasks; nil if the machine is not held here.
 func (d *Dispatcher) Attempts(id protocol.MachineID) (list []Attempt) {
 	q := d.queues.get(id)
 	if q == nil {
@@ -50,7 +50,8 @@
 	return ids
 }
 
-// PublishedState returns the published state of a machine, if it is held here.
+// PublishedState returns the state of a machine that is sent to peers; false if the machine
+// is not held here.
 func (d *Dispatcher) PublishedState(id protocol.MachineID) (message.MachineState, bool) {
 	q := d.queues.get(id)
 	if q == nil {
@@ -59,8 +60,8 @@
 	return q.publishedState(), true
 }
 
-// InventoriedMachines returns the number of registered machines held here whose workers
-// have listed their attempts.
+// InventoriedMachines returns the number of registered machines held here whose inventory
+// is known: their workers have listed their attempts.
 func (d *Dispatcher) InventoriedMachines() (n int) {
 	for _, q := range d.queues.byMachine {
 		if q.inventoryKnown && q.recordVersion != 0 {
@@ -70,19 +71,23 @@
 	return n
 }
 
-// LastHandledPlace returns the number of the last Place message handled of an owner.
+// LastHandledPlace returns the number of the last Place message of an owner whose
+// placements were queued or refused here; 0 if there is none.
 func (d *Dispatcher) LastHandledPlace(owner protocol.NodeName) uint64 { return d.handledPlaces[owner] }
 
-// MachinesChangedSince lists the machines whose published state has changed since a version of
-// this term's change log, up to a maximum number, and returns the version that the list covers.
+// MachinesChangedSince lists the machines whose published state has changed since a version
+// of this term's change log, up to a maximum number of machines, and returns the version
+// that the list covers.
 func (d *Dispatcher) MachinesChangedSince(from uint64, limit int) ([]protocol.MachineID, uint64) {
 	return d.changes.Since(from, limit)
 }
 
-// ChangeLogVersion returns the current version of this term's change log.
+// ChangeLogVersion returns the current version of this term's change log: the number of its
+// last change, 0 before the first.
 func (d *Dispatcher) ChangeLogVersion() uint64 { return d.changes.Version() }
 
-// NeedsNewTerm reports whether an unanswered start can only be settled by a later term.
+// NeedsNewTerm reports whether an unanswered direct start can only be settled by a later
+// term, since there are no shards whose fencing token could be raised.
 func (d *Dispatcher) NeedsNewTerm() bool { return d.newTermNeeded }
 
 // ShardsHeld returns the number of shards that this controller holds.
--- a/internal/controller/dispatcher/inventory.go
+++ b/internal/controller/dispatcher/inventory.go
@@ -13,8 +13,8 @@
 const MaxInventoriesPerStep = 500
 
 // inventorySchedule lists the queues whose inventories of this term may be sent without
-// waiting for a heartbeat, because the machines have been held without a break or were
-// handed over.
+// waiting for a heartbeat, because the machines have been held without a break or belong to
+// a shard that was acquired.
 type inventorySchedule struct {
 	pending []*queue
 }
@@ -22,8 +22,7 @@
 // add schedules the inventory of a queue to be sent on one of the next ticks.
 func (s *inventorySchedule) add(q *queue) { s.pending = append(s.pending, q) }
 
-// takeBatch removes the next queues from the list, as many as one step may send, and
-// returns them.
+// takeBatch removes the first MaxInventoriesPerStep queues from the list and returns them.
 func (s *inventorySchedule) takeBatch() []*queue {
 	n := min(len(s.pending), MaxInventoriesPerStep)
 	due := s.pending[:n]
@@ -31,9 +30,10 @@
 	return due
 }
 
-// BeginInventories sends the inventories of queues that were held without a break through
-// a new view. They are sent at once if there are few, and otherwise on the next ticks,
-// because the step that adopts a view takes long enough already.
+// BeginInventories schedules the inventories of all queues at a new view; only machines
+// held without a break through it can be inventoried at once, without a heartbeat of the
+// new term. Up to MaxInventoriesPerStep inventories are sent at once, and more than that on
+// the next ticks, because the step that adopts a view takes long enough already.
 func (d *Dispatcher) BeginInventories() {
 	d.inventories.pending = slices.Clone(d.queues.inOrder())
 	if len(d.inventories.pending) <= MaxInventoriesPerStep {
@@ -41,7 +41,9 @@
 	}
 }
 
-// SendInventories sends the next scheduled inventories.
+// SendInventories sends the next batch of scheduled inventories, as far as they are due
+// (see sendInventoryIfDue). A machine that is no longer held is skipped, and one whose
+// first inventory is not allowed yet is scheduled again.
 func (d *Dispatcher) SendInventories() {
 	for _, q := range d.inventories.takeBatch() {
 		switch {
@@ -68,9 +70,9 @@
 	}
 }
 
-// mayRunEndedJobs reports whether attempts of ended jobs may still run on the machine. The
-// inventory is delayed until they have ended: it proves to the owners of teams with a limit
-// that only the attempts it lists count against the limit.
+// mayRunEndedJobs reports whether attempts of jobs that are not live may still run on the
+// machine. The inventory is delayed until they have ended: it proves to the owners of teams
+// with a limit that only the attempts it lists count against the limit.
 func (q *queue) mayRunEndedJobs() bool {
 	for id, e := range q.entries {
 		if e.sent && !e.ended() && q.Live[id.Job] == nil {
@@ -80,8 +82,8 @@
 	return false
 }
 
-// sendInventory sends every member the list of the attempts on this machine that belong to
-// its jobs.
+// sendInventory sends every member the list of the attempts of its jobs that wait for this
+// machine or are on it. From then on the machine's inventory is known.
 func (d *Dispatcher) sendInventory(q *queue) {
 	if !q.inventoryKnown {
 		q.idleSince = d.Now
--- a/internal/controller/dispatcher/orders.go
+++ b/internal/controller/dispatcher/orders.go
@@ -47,11 +47,16 @@
 	return b.orders
 }
 
-// needsOrder reports whether an attempt that was sent may need an order.
+// needsOrder reports whether an attempt that was sent may need an order: the worker lists
+// it and it has ended, is to be killed or belongs to no live job, or a direct start of it
+// is unanswered.
 func (b *orderBuilder) needsOrder(_ protocol.TaskID, e *entry) bool {
 	return e.present && (e.ended() || e.kill || b.Live[e.task.Job] == nil) || e.directFencingToken != 0
 }
 
+// addOrder adds the order that an attempt needs now, if any: to start it again if it is not
+// present and mayResend allows it, to forget it if it has ended and its owner has processed
+// that or the job is not live, or to stop it if it is to be killed or the job is not live.
 func (b *orderBuilder) addOrder(e *entry) {
 	jobLive := b.Live[e.task.Job] != nil
 	switch {
@@ -85,7 +90,8 @@
 	return !b.direct || b.fencingToken() > e.directFencingToken
 }
 
-// addStart adds an order to start an attempt.
+// addStart adds an order to start an attempt, and records whether it goes out as a direct
+// start or in a heartbeat reply.
 func (b *orderBuilder) addStart(e *entry) {
 	e.startResent = e.directFencingToken != 0
 	if b.direct {
@@ -133,8 +139,9 @@
 	decisionEnd                   // keep it and all attempts behind it waiting
 )
 
-// takeStartable removes the attempts to start from the queue and returns them: those that
-// fit the free resources, in order of service.
+// takeStartable removes the attempts to start from the waiting ones and returns them, in
+// order of service: those that fit the free resources and that decideStart allows. It
+// returns none if the machine is not registered or must not start any.
 func (q *queue) takeStartable() []*entry {
 	if q.recordVersion == 0 || q.refusesStarts() || len(q.waiting) == 0 || q.inCordonedPlace() {
 		return nil
@@ -162,9 +169,12 @@
 	return starts
 }
 
-// decideStart decides whether one waiting attempt starts, given the free resources. Once
-// an attempt has been skipped, only jobs for which resources are reserved on the machine
-// start.
+// decideStart decides whether one waiting attempt starts, given the free resources of the
+// machine. An attempt that does not fit keeps all behind it waiting (decisionEnd) if no
+// resources of the machine are held for reservations. It is skipped if some are, or if it
+// may start only after others on the machine have ended. Once an attempt has been skipped,
+// only jobs for which resources are reserved on the machine start. An attempt that is
+// outdated, or fits but must not start here, is released.
 func (q *queue) decideStart(e *entry, free resource.Amount, skipped bool) startDecision {
 	if !q.MayStart(e.task.Job) {
 		return decisionEnd // the record of the job or of its end has not arrived yet
--- a/internal/controller/dispatcher/placement.go
+++ b/internal/controller/dispatcher/placement.go
@@ -5,8 +5,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// QueuePlacements queues the placements of a message. A placement that can't be queued is
-// released at once.
+// QueuePlacements queues the placements of an owner's message, and records the message's
+// number if the owner is a member. A placement that can't be queued is released to the
+// owner at once.
 func (d *Dispatcher) QueuePlacements(from protocol.NodeName, place *message.Place) {
 	if _, member := d.View.Members[from]; member {
 		d.handledPlaces[from] = place.Number
@@ -16,7 +17,9 @@
 	}
 }
 
-// placeTask queues or refuses one placement.
+// placeTask queues one placement and schedules direct commands, or refuses it if its
+// machine is not held here or does not accept it. For a task of a gang it also preempts
+// other attempts if necessary.
 func (d *Dispatcher) placeTask(from protocol.NodeName, place *message.Place, placement *message.Placement) {
 	q := d.queues.get(placement.Machine)
 	if q == nil {
@@ -42,7 +45,10 @@
 	}
 }
 
-// acceptsPlacement reports whether a placement may be queued or is already queued.
+// acceptsPlacement reports whether a placement may be queued or is already queued: its job
+// has not ended, the owner placed it by the current term, shard epoch and machine record,
+// the machine may start attempts, no other attempt of the task is here, and a task of a
+// gang fits next to the attempts that can't be preempted for it or has a reservation.
 func (q *queue) acceptsPlacement(place *message.Place, placement *message.Placement, e *entry) bool {
 	if q.HasEnded(placement.Task.Job) || !q.isCurrentPlacement(place, placement) {
 		return false
@@ -112,8 +118,8 @@
 	}
 }
 
-// DrainMachine stops further starts on a machine and releases its waiting attempts to their
-// owners.
+// DrainMachine has a machine accept no further starts and placements, and releases its
+// waiting attempts to their owners. Running attempts continue.
 func (d *Dispatcher) DrainMachine(id protocol.MachineID) {
 	if d.divertIfNotHeld(id, message.PeerMessage{Drain: &id}) {
 		return
--- a/internal/controller/dispatcher/preempt.go
+++ b/internal/controller/dispatcher/preempt.go
@@ -22,14 +22,14 @@
 	free resource.Amount
 }
 
-// preempt stops attempts in favor of those at the head of the queue that have waited long
-// enough. It stops attempts of lower priority, and attempts beyond their team's guarantee
-// if the waiting one is within its own. Attempts that can save a checkpoint are stopped
-// first, then those that have run least. Nothing is stopped unless the waiting attempt
-// then fits. Nor is anything stopped where enough resources become free in time by
-// themselves: a stopped attempt has to run again, and where many attempts wait that
-// delays all of them. Neither the waiting time nor that check applies to a task of a
-// gang, since all other tasks of the gang would wait with it.
+// preempt stops attempts in favor of those at the head of the queue that have waited for
+// preemptAfter. It stops attempts of lower priority, and attempts beyond their team's
+// guarantee if the waiting one is within its own. Attempts that can save a checkpoint are
+// stopped first, then those that have run least. Nothing is stopped unless the waiting
+// attempt then fits. Nor is anything stopped where enough resources become free in time by
+// themselves: a stopped attempt has to run again, and where many attempts wait that delays
+// all of them. Neither the waiting time nor that check applies to a task of a gang, since
+// all other tasks of the gang would wait with it.
 func (q *queue) preempt() {
 	if len(q.waiting) == 0 || q.recordVersion == 0 || q.refusesStarts() {
 		return
@@ -57,8 +57,8 @@
 	}
 }
 
-// isDue reports whether an attempt has waited long enough and would start too late without
-// preemption.
+// isDue reports whether an attempt has waited for preemptAfter and, without preemption,
+// would fit only after the time by which it should start (startDeadline).
 func (p *preemption) isDue(e *entry, job *clusterstate.LiveJob) bool {
 	return p.Since(e.queuedSince) >= preemptAfter && p.After(p.timeUntilFits(e.need)) > p.startDeadline(e, job)
 }
@@ -114,8 +114,10 @@
 	return true
 }
 
-// victims lists the attempts that may be stopped for an attempt of a job, in the order in
-// which to stop them.
+// victims lists the attempts that may be stopped for the attempt head of a job, in the
+// order in which to stop them: present attempts of live jobs that are not being killed, and
+// that either have a lower priority and are of a lower level or of the same team, or are
+// beyond their team's guarantee while head is within that of another team.
 func (p *preemption) victims(head *entry, job *clusterstate.LiveJob) []*entry {
 	var victims []*entry
 	for _, e := range ordered.Tasks(p.entries) {
@@ -145,8 +147,8 @@
 	})
 }
 
-// preemptAttempt orders an attempt to be stopped, with enough grace time to save a
-// checkpoint.
+// preemptAttempt marks an attempt to be killed, with enough grace time to save a
+// checkpoint, and schedules direct commands.
 func (q *queue) preemptAttempt(e *entry) {
 	e.kill, e.graceSeconds = true, q.stopSeconds(e)
 	q.markChanged()
--- a/internal/controller/dispatcher/published.go
+++ b/internal/controller/dispatcher/published.go
@@ -9,7 +9,7 @@
 )
 
 // free returns the resources of the machine that are not used by attempts that are or may
-// be on it.
+// be on it: all that were sent and have not ended.
 func (q *queue) free() resource.Amount {
 	free := resource.Capacity(q.machineType)
 	for _, e := range q.entries {
@@ -33,7 +33,8 @@
 }
 
 // nonPreemptibleFree returns the resources that are free for a task of a level once all
-// attempts that may be stopped for it have ended.
+// attempts of lower levels, which may be stopped for it, and those that are being killed
+// have ended. Waiting attempts count as if they used their resources.
 func (q *queue) nonPreemptibleFree(level resource.Level) resource.Amount {
 	var uses resource.Uses
 	for _, e := range q.entries {
@@ -44,15 +45,16 @@
 	return resource.Capacity(q.machineType).Minus(uses.NonPreemptible(level))
 }
 
-// markChanged marks the machine's published state as changed. Every event that makes a
-// dispatcher notify the owner of an attempt must mark it, too: the owner may count an
-// amount against the machine until it receives the next state.
+// markChanged has the machine's state computed anew and sent to peers. Every event that
+// makes a dispatcher notify the owner of an attempt must mark it, too: the owner may count
+// an amount against the machine until it receives the next state.
 func (q *queue) markChanged() {
 	q.publishedValid = false
 	q.changes.Touch(q.id)
 }
 
-// publishedState returns the state of the machine that is sent to peers.
+// publishedState returns the state of the machine that is sent to peers. If the machine's
+// present agent epoch is not registered, only its name is set.
 func (q *queue) publishedState() message.MachineState {
 	if m := q.Records[q.id]; m == nil || q.recordVersion != m.Epoch {
 		return message.MachineState{Machine: q.id}
@@ -96,6 +98,7 @@
 	guaranteedWaiting                     bool // a waiting attempt is within its team's guarantee
 }
 
+// newStateSummary returns the state of the machine itself, to which add adds the attempts.
 func newStateSummary(q *queue) stateSummary {
 	return stateSummary{
 		state: message.MachineState{
@@ -117,7 +120,8 @@
 	}
 }
 
-// add adds an attempt that has not ended to the sums.
+// add adds an attempt that has not ended to the sums: its expected wait in processor
+// seconds, its resources and its level.
 func (s *stateSummary) add(e *entry) {
 	s.state.Wait += e.estimate * e.need.CPUs
 	if e.sent {
@@ -140,6 +144,7 @@
 	}
 }
 
+// addWaiting adds an attempt that was never sent to the sums of its level.
 func (s *stateSummary) addWaiting(e *entry) {
 	s.highestWaitingRank = max(s.highestWaitingRank, e.level.Rank())
 	s.guaranteedWaiting = s.guaranteedWaiting || e.level.Guaranteed()
@@ -149,8 +154,8 @@
 	s.state.Queue[e.level] += e.estimate * e.need.CPUs
 }
 
-// finish rounds the sums and completes the state. Rounding makes the sums independent of
-// the order of the additions, which is not fixed.
+// finish rounds the sums and writes them into the state. Rounding makes the sums
+// independent of the order of the additions, which is not fixed.
 func (s *stateSummary) finish() {
 	state := &s.state
 	free := s.free.Round()
@@ -168,7 +173,9 @@
 	state.Uses = message.LevelUses(&s.uses)
 }
 
-// preemptible reports whether an attempt on the machine might be stopped for a waiting one.
+// preemptible reports whether an attempt on the machine might be stopped for a waiting one:
+// one has a lower priority than the highest of the waiting ones, or one is beyond its
+// team's guarantee while a waiting one is within its own.
 func (s *stateSummary) preemptible() bool {
 	return s.lowestPresentRank < s.highestWaitingRank || s.guaranteedWaiting && s.exceedsGuarantee
 }
--- a/internal/controller/dispatcher/quarantine.go
+++ b/internal/controller/dispatcher/quarantine.go
@@ -36,10 +36,11 @@
 	}
 }
 
-// updateQuarantine quarantines a machine on which too many jobs failed, and ends the
-// quarantine if the jobs turn out to fail on every machine. A failure counts only after the
-// owners have had time to announce such jobs: if two arrays are faulty, nearly every
-// machine fails a task of each, and all machines would be quarantined.
+// updateQuarantine quarantines a machine on which failedJobsToQuarantine jobs failed, and
+// ends the quarantine if so many turn out to fail on every machine that fewer remain. A
+// failure counts only after two replication intervals, in which the owners have had time to
+// announce such jobs: if two arrays are faulty, nearly every machine fails a task of each,
+// and all machines would be quarantined.
 func (q *queue) updateQuarantine(isFailing failingLookup) {
 	if len(q.quarantine.failedJobs) == 0 {
 		return
@@ -56,7 +57,8 @@
 	q.setQuarantined(count >= failedJobsToQuarantine)
 }
 
-// setQuarantined begins or ends the machine's quarantine.
+// setQuarantined begins or ends the machine's quarantine. Its beginning releases all
+// waiting attempts.
 func (q *queue) setQuarantined(active bool) {
 	if q.quarantine.active == active {
 		return
@@ -71,9 +73,10 @@
 	q.releaseWaiting()
 }
 
-// recordResult records the result of an ended attempt for the quarantine of the machine.
-// The other waiting attempts of a job that failed are released to the owner, which places
-// them elsewhere.
+// recordResult counts the result of an ended attempt for the quarantine of the machine: a
+// success clears all failures and ends the quarantine, and an error counts as a failure of
+// the job. The other waiting attempts of a job that failed are released to the owner, which
+// places them elsewhere.
 func (q *queue) recordResult(e *entry) {
 	switch e.cause {
 	case protocol.EndDone:
--- a/internal/controller/dispatcher/queue.go
+++ b/internal/controller/dispatcher/queue.go
@@ -96,7 +96,8 @@
 	q.images = nil
 }
 
-// refusesStarts reports whether the machine accepts no further starts.
+// refusesStarts reports whether the machine accepts no further starts: it is drained or
+// quarantined, or the cloud is about to terminate it.
 func (q *queue) refusesStarts() bool {
 	return q.draining || q.quarantine.active || q.noticeSeconds != nil
 }
@@ -116,8 +117,9 @@
 }
 
 // requeue queues an attempt again whose start was not executed. If the machine accepts no
-// further starts, the attempt is released instead: it would wait there forever and keep the
-// machine from becoming empty and being terminated.
+// further starts, or the configuration no longer allows this one, the attempt is released
+// instead: it would wait there forever and keep the machine from becoming empty and being
+// terminated.
 func (q *queue) requeue(e *entry) {
 	e.sent = false
 	q.enqueue(e)
@@ -126,7 +128,8 @@
 	}
 }
 
-// release releases a waiting attempt to its owner, which places it elsewhere.
+// release removes a waiting attempt from the queue and notifies its owner, which places it
+// elsewhere.
 func (q *queue) release(e *entry) {
 	q.dequeue(e)
 	q.removeEntry(e.task)
@@ -175,7 +178,8 @@
 // last.
 type imageCache []string
 
-// add records that the machine has an image.
+// add records that the machine has an image, as the latest one. Beyond maxRememberedImages,
+// the oldest image is dropped.
 func (c *imageCache) add(image string) {
 	images := *c
 	if i := slices.Index(images, image); i >= 0 {
@@ -186,8 +190,8 @@
 	*c = append(images, image)
 }
 
-// fetchSeconds returns how long the machine takes to fetch a job's image; 0 if it has the
-// image.
+// fetchSeconds returns how many seconds the machine takes to fetch a job's image; 0 if the
+// image is among those that the machine fetched lately.
 func (q *queue) fetchSeconds(job *clusterstate.LiveJob) float64 {
 	if slices.Contains(q.images, job.Image) {
 		return 0
--- a/internal/controller/dispatcher/queueset.go
+++ b/internal/controller/dispatcher/queueset.go
@@ -31,11 +31,13 @@
 	return s.sorted
 }
 
+// add adds the queue of a machine, or replaces it.
 func (s *queueSet) add(q *queue) {
 	s.byMachine[q.id] = q
 	s.sorted = nil
 }
 
+// remove removes the queue of a machine, if there is one.
 func (s *queueSet) remove(id protocol.MachineID) {
 	delete(s.byMachine, id)
 	s.sorted = nil
@@ -52,7 +54,8 @@
 	return q
 }
 
-// dropQueue stops holding a machine.
+// dropQueue stops holding a machine: it drops the queue with its attempts, without
+// notifying their owners, and the machine's changes in the change log.
 func (d *Dispatcher) dropQueue(id protocol.MachineID) {
 	d.queues.remove(id)
 	d.changes.Drop(id)
--- a/internal/controller/dispatcher/reconcile.go
+++ b/internal/controller/dispatcher/reconcile.go
@@ -78,7 +78,9 @@
 	})
 }
 
-// applyTaskStatus applies the status of an attempt, and notifies its owner of a change.
+// applyTaskStatus copies the status that the worker reports into the entry of an attempt,
+// and notifies the owner if the attempt is listed for the first time, runs or has ended. An
+// attempt listed for the first time settles its start unless the start was sent twice.
 func (q *queue) applyTaskStatus(e *entry, status *protocol.TaskStatus) {
 	firstListed := !e.present
 	previousState := e.state
@@ -113,7 +115,11 @@
 }
 
 // applyMissingTask settles an attempt that was sent or present and that its worker, which
-// has seen the given fencing token, does not list.
+// has seen the given fencing token, does not list. A present one has ended: it is removed,
+// and its owner notified. One that was only sent is queued again or, if it was to be ended
+// anyway, removed and reported as released. That requires a heartbeat, since an answer to
+// direct commands settles nothing here, and that no unanswered direct start of it can be
+// executed any more.
 func (q *queue) applyMissingTask(id protocol.TaskID, e *entry, fencingTokenSeen protocol.Term, viaHeartbeat bool) {
 	switch {
 	case e.present:
--- a/internal/controller/dispatcher/registration.go
+++ b/internal/controller/dispatcher/registration.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/record"
 )
 
-// registrarRetryAfter is how long after a request the registrar is asked again if the
-// record has not changed.
+// registrarRetryAfter is how long after a request the registrar, the member that writes the
+// records of machines, is asked again if the record has not changed.
 const registrarRetryAfter = 2 * time.Second
 
 // RegisterTag identifies the registration of a machine's agent epoch.
@@ -29,9 +29,10 @@
 	requestedAt           clock.Time // when a change was last requested
 }
 
-// awaitsOutcome reports whether the outcome of a requested change is still awaited. The
-// key-value store answers each transaction of this controller. A change requested from the
-// registrar appears in the records, and is requested again if it does not.
+// awaitsOutcome reports whether the outcome of a requested change of the machine's record
+// is still awaited, so that it must not be requested again. The key-value store answers
+// each transaction of this controller. A change requested from the registrar appears in the
+// records, and is requested again if it does not within registrarRetryAfter.
 func (q *queue) awaitsOutcome(requested bool) bool {
 	return requested && (!q.UsesBlocks() || q.Since(q.requests.requestedAt) <= registrarRetryAfter)
 }
@@ -53,30 +54,33 @@
 	q.ChangeRecord(RegisterTag{q.id, heartbeat.AgentEpoch}, message.RecordChange{Machine: q.id, Have: knownVersion, To: &machine}, q.ViewUnchanged())
 }
 
-// removeRecord requests the removal of the machine's record of a version.
+// removeRecord requests the removal of the machine's record, if it still has the given
+// version.
 func (q *queue) removeRecord(version protocol.Version) {
 	q.requests.removing, q.requests.requestedAt = true, q.Now
 	change := message.RecordChange{Machine: q.id, Have: version, Tenure: q.ShardEpoch(q.id, q.zone)}
 	q.ChangeRecord(RemoveTag{q.id}, change, q.ViewUnchanged())
 }
 
-// RegistrationDone handles the outcome of a registration request. The watched record shows
-// whether the machine is registered.
+// RegistrationDone allows the registration of a machine to be requested again, whatever the
+// outcome of the last request. The watched record shows whether the machine is registered.
 func (d *Dispatcher) RegistrationDone(tag RegisterTag, _ message.Outcome) {
 	if q := d.queues.get(tag.machine); q != nil {
 		q.requests.registering = false
 	}
 }
 
-// RemovalDone handles the outcome of a removal request. The watched record shows whether it
-// was removed.
+// RemovalDone allows the removal of a machine's record to be requested again. The watched
+// record shows whether it was removed.
 func (d *Dispatcher) RemovalDone(id protocol.MachineID) {
 	if q := d.queues.get(id); q != nil {
 		q.requests.removing = false
 	}
 }
 
-// RecordUpdated applies a new or changed machine record.
+// RecordUpdated applies a new or changed machine record: a newer agent epoch drops the
+// attempts of the previous one, a record of the present agent epoch registers the machine,
+// and a machine that has no queue yet gets one if this controller is its dispatcher.
 func (d *Dispatcher) RecordUpdated(machine *clusterstate.Machine) {
 	q := d.queues.get(machine.ID)
 	if q != nil && q.agentEpoch < machine.Record.Session {
@@ -93,7 +97,8 @@
 }
 
 // RecordDeleted drops a machine whose record was deleted because nothing can run on it any
-// more.
+// more, and rejects later heartbeats of the record's agent epoch. A queue of a newer agent
+// epoch stays.
 func (d *Dispatcher) RecordDeleted(machine *clusterstate.Machine) {
 	d.agentEpochFloor[machine.ID] = max(d.agentEpochFloor[machine.ID], machine.Record.Session+1)
 	if q := d.queues.get(machine.ID); q != nil && q.agentEpoch <= machine.Record.Session {
--- a/internal/controller/dispatcher/reservations.go
+++ b/internal/controller/dispatcher/reservations.go
@@ -17,15 +17,15 @@
 const (
 	startNow         reservationVerdict = iota
 	startAfterOthers                    // once other attempts on the machine have ended
-	startElsewhere
+	startElsewhere                      // not on this machine: the attempt is released if it fits
 )
 
 // maxStopTime is an upper bound of the time that a task takes to save a checkpoint and end.
 const maxStopTime = 10 * time.Minute
 
-// checkReservations decides whether an attempt that fits may start on the machine in
-// addition to the reservations there, and reports whether resources are reserved there for
-// its job.
+// checkReservations decides when an attempt may start on the machine in the given free
+// resources, considering the holds on the machine and the maintenance windows that cover
+// it, and reports whether resources are reserved there for its job.
 func (q *queue) checkReservations(e *entry, job *clusterstate.LiveJob, free resource.Amount) (reservationVerdict, bool) {
 	reservations := q.Reservations
 	holds := reservations.Holds[q.id]
@@ -75,8 +75,8 @@
 	}
 }
 
-// preemptForHold stops the attempts that use the resources of one reservation, if it is
-// time for that.
+// preemptForHold stops attempts until the resources of one hold are free, once the hold
+// begins so soon that the slowest of them only just has the time to save its checkpoint.
 func (q *queue) preemptForHold(hold *reservation.Hold, now reservation.Moment) {
 	victims := q.reservationVictims(hold.Level, hold.For)
 	seconds := 0.0
--- a/internal/controller/dispatcher/shards.go
+++ b/internal/controller/dispatcher/shards.go
@@ -18,7 +18,8 @@
 const maxCompletedMoves = 1000
 
 // shardSet holds the state of the shards that is separate from the queues of their
-// machines.
+// machines: this controller's state of each shard, the incoming handovers and the ended
+// ones.
 type shardSet struct {
 	clusterstate.Module
 	states    map[sharding.ID]*shardState
@@ -72,8 +73,8 @@
 	return shard
 }
 
-// handingOver reports whether the shard of a machine is being handed over by this
-// controller.
+// handingOver reports whether this controller is handing over the shard of a machine in a
+// zone.
 func (s *shardSet) handingOver(machine protocol.MachineID, zone protocol.Zone) bool {
 	return s.Sharded() && s.byID(sharding.ShardOf(s.Shards, machine, zone)).handover != nil
 }
@@ -98,8 +99,9 @@
 	return n
 }
 
-// recordExclusive sets the exclusiveSince time of each shard whose record all members have
-// applied. The floor is the shard epoch up to which all members have applied the records.
+// recordExclusive sets exclusiveSince to the present time for each shard that has none yet
+// and whose assignment all members have applied. The argument is the highest shard epoch up
+// to which all members have applied the shard table.
 func (s *shardSet) recordExclusive(adoptedEpoch protocol.Term) {
 	if !s.Sharded() || !s.HoldsLease() {
 		return
@@ -111,13 +113,15 @@
 	}
 }
 
-// requestTokenRaise requests a fencing token of a shard above the token of an unanswered
-// start.
+// requestTokenRaise requests that the fencing token of a shard rises above the token of an
+// unanswered direct start.
 func (s *shardSet) requestTokenRaise(shard *shardState, above protocol.Term) {
 	shard.raiseTokenAbove, s.changeDue = above, true
 }
 
-// requestedChanges lists the shards to take and the shards whose epoch has to be raised.
+// requestedChanges lists the shards that this controller should take, since they were
+// completely handed over to it, and the shards whose fencing token has to be raised. Both
+// are nil without shards or without the lease.
 func (s *shardSet) requestedChanges() (take, raise []sharding.ID) {
 	if !s.changeDue || !s.Sharded() || !s.HoldsLease() {
 		return nil, nil
@@ -127,7 +131,8 @@
 }
 
 // completeIncoming lists the shards whose incoming handovers are complete, and drops
-// handovers that are no longer valid.
+// handovers of a shard whose epoch number in the shard table has changed and those without
+// a new piece for incomingTimeout.
 func (s *shardSet) completeIncoming() (complete []sharding.ID) {
 	for id, handover := range ordered.ByKey(s.incoming) {
 		if handover.epoch != s.Shards.List[id].Epoch || s.Since(handover.receivedAt) > incomingTimeout {
@@ -142,8 +147,9 @@
 	return complete
 }
 
-// epochsToRaise lists the shards whose epoch has to be raised to settle an unanswered start
-// or to abort an overdue handover.
+// epochsToRaise lists the shards held here whose epoch number in the shard table, the
+// fencing token, has to rise to settle an unanswered direct start or to abort a handover
+// that has taken longer than handoverTimeout.
 func (s *shardSet) epochsToRaise() (raise []sharding.ID) {
 	for id, shard := range ordered.ByKey(s.states) {
 		assignment := &s.Shards.List[id]
@@ -160,7 +166,8 @@
 	return raise
 }
 
-// recordMove records that the handover of a shard has ended.
+// recordMove logs that the handover of a shard has ended, and keeps its duration for
+// TakeCompletedMoves.
 func (s *shardSet) recordMove(shard *shardState, aborted bool) {
 	move := CompletedMove{Shard: shard.id, Pause: s.Since(shard.handover.beganAt), Aborted: aborted}
 	s.completed = append(s.completed[max(0, len(s.completed)-maxCompletedMoves):], move)
@@ -188,7 +195,7 @@
 // shardID returns the id of the shard of the queue's machine.
 func (q *queue) shardID() sharding.ID { return sharding.ShardOf(q.Shards, q.id, q.zone) }
 
-// shard returns the state of the shard of the queue's machine.
+// shard returns this controller's state of the shard of the queue's machine.
 func (q *queue) shard() *shardState { return q.shards.byID(q.shardID()) }
 
 // handingOver reports whether the shard of the queue's machine is being handed over.
@@ -206,9 +213,10 @@
 	return q.View.Term
 }
 
-// AdoptShards applies a new record of the shards. The shards that are no longer held here
-// are dropped and the shards newly assigned to this controller are taken. An epoch raised
-// by any other change only raises the fencing tokens, and aborts a handover in progress.
+// AdoptShards applies a new shard table, given the previous one. The queues of shards that
+// are no longer held here are dropped, and the machines of shards newly assigned to this
+// controller get queues. If the epoch number of a shard rose but not its holder, only its
+// fencing token rises, and a handover of it in progress is aborted.
 func (d *Dispatcher) AdoptShards(old *record.ShardTable) {
 	lost, gained := map[sharding.ID]bool{}, map[sharding.ID]bool{}
 	for i, current := range d.Shards.List {
@@ -239,8 +247,8 @@
 	d.shards.dropVoidIncoming()
 }
 
-// dropVoidIncoming drops the incoming handovers of shards whose epoch has changed: another
-// controller continues with the shard.
+// dropVoidIncoming drops the incoming handovers of shards whose epoch number in the shard
+// table has changed: the handover is void, and the shard's holder continues with it.
 func (s *shardSet) dropVoidIncoming() {
 	for id, handover := range s.incoming {
 		if handover.epoch != s.Shards.List[id].Epoch {
@@ -273,9 +281,10 @@
 	}
 }
 
-// endHandovers ends all handovers at a new view. A shard is taken in the view in which it
-// was handed over or not at all, so no other controller will take a shard that this
-// controller still holds in the new view from the state it handed over.
+// endHandovers aborts all outgoing handovers and drops all incoming ones at a new view, and
+// drops the state of shards not held here. A shard is taken in the view in which it was
+// handed over or not at all, so no other controller will take a shard that this controller
+// still holds in the new view from the state it handed over.
 func (d *Dispatcher) endHandovers() {
 	clear(d.shards.incoming)
 	if !d.Sharded() {
--- a/internal/controller/dispatcher/silence.go
+++ b/internal/controller/dispatcher/silence.go
@@ -11,11 +11,13 @@
 // intervalMargin is the factor by which a healthy worker may exceed its heartbeat interval.
 const intervalMargin = 1.25
 
-// ExpireSilentMachines detects silent machines and requests the removal of the records of those
-// whose lease has certainly expired: no controller that may answer them has done so for
-// longer than the lease lasts. This includes a worker that restarted with a new agent
-// epoch and became silent before it was registered: otherwise other controllers would
-// wait for its old record forever.
+// ExpireSilentMachines publishes how long machines have been silent, and requests the
+// removal of the records of those whose lease has certainly expired: no controller that may
+// answer them has done so for longer than the lease lasts. This includes a worker that
+// restarted with a new agent epoch and became silent before it was registered: otherwise
+// other controllers would wait for its old record forever. The arguments say whether all
+// members have adopted the current term, and up to which shard epoch they have applied the
+// shard table.
 func (d *Dispatcher) ExpireSilentMachines(allAdopted bool, adoptedShardEpoch protocol.Term) {
 	holdsLease := d.HoldsLease()
 	d.allAdoptedSince = continuousSince(d.allAdoptedSince, d.Now, holdsLease && allAdopted)
@@ -52,7 +54,9 @@
 	}
 }
 
-// mayExpire reports whether this controller may conclude that a machine's lease expired.
+// mayExpire reports whether this controller may conclude that a machine's lease expired:
+// with shards, if it holds its own lease and does not hand the machine's shard over;
+// without, if all members have adopted its term as well.
 func (d *Dispatcher) mayExpire(q *queue) bool {
 	if d.Sharded() {
 		return d.HoldsLease() && !q.handingOver()
@@ -94,12 +98,14 @@
 	return before
 }
 
-// maxHealthySilence returns the longest time between two heartbeats of a healthy worker.
+// maxHealthySilence returns the longest time between two heartbeats of a healthy worker:
+// the interval in seconds times intervalMargin, plus one second.
 func maxHealthySilence(heartbeatSeconds float64) time.Duration {
 	return time.Duration(intervalMargin*heartbeatSeconds*float64(time.Second)) + time.Second
 }
 
-// classifySilence classifies a time without heartbeats relative to the heartbeat interval.
+// classifySilence returns the degree of a silence: none up to maxHealthySilence of the
+// heartbeat interval in seconds, some up to twice that, and long beyond it.
 func classifySilence(silentFor time.Duration, heartbeatSeconds float64) message.Silence {
 	switch maxHealthy := maxHealthySilence(heartbeatSeconds); {
 	case silentFor > 2*maxHealthy:
--- a/internal/controller/dispatcher/view.go
+++ b/internal/controller/dispatcher/view.go
@@ -12,9 +12,12 @@
 // maxReleasedPerMessage is the maximum number of released attempts in one message.
 const maxReleasedPerMessage = 500
 
-// AdoptView applies a new view. If this controller was a member without a break, the queues
-// that stay here keep their state. The other state is dropped; the inventory of the
-// machine's new dispatcher will list it.
+// AdoptView applies a new view. Queues of machines that other controllers now dispatch to
+// are dropped, and machines newly dispatched to from here get queues. If this controller
+// was a member without a break (continuous), the queues that stay here keep their state;
+// otherwise their waiting attempts are dropped and their inventories count as unknown. The
+// owners of dropped attempts are notified that these are released, and all handovers end.
+// The inventory of a machine's new dispatcher will list the state that is dropped here.
 func (d *Dispatcher) AdoptView(_ record.View, continuous bool) {
 	released := map[protocol.NodeName][]message.TaskRef{}
 	for _, q := range d.queues.inOrder() {
@@ -50,9 +53,11 @@
 }
 
 // dropLostWaiting drops the waiting attempts that do not outlast a new view, and returns
-// them. An attempt whose job has another owner now stays in the queue: the inventory lists
-// it. Releasing it made the new owner place it again only after all machines had sent
-// heartbeats, and restarted gangs whose other tasks had already started.
+// them: all if this controller was not a member without a break (continuous), and otherwise
+// those of jobs that are not live. An attempt whose job has another owner now stays in the
+// queue: the inventory lists it. Releasing it made the new owner place it again only after
+// all machines had sent heartbeats, and restarted gangs whose other tasks had already
+// started.
 func (q *queue) dropLostWaiting(continuous bool) (dropped []*entry) {
 	lost := func(e *entry) bool { return !continuous || q.Live[e.task.Job] == nil }
 	if !slices.ContainsFunc(q.waiting, lost) {
