--- a/internal/controller/workerregistry/registrar.go
+++ b/internal/controller/workerregistry/registrar.go
@@ -29,8 +29,8 @@
 	g.pending = newPendingWrites()
 }
 
-// StartTerm handles the adoption of a new view: it discards the pending writes of the
-// previous term.
+// StartTerm discards the pending writes and requests of the previous term, when a new view
+// is adopted.
 func (g *Registrar) StartTerm() { g.pending = newPendingWrites() }
 
 // InBlock reports whether a machine's record is in a block.
@@ -39,12 +39,13 @@
 	return in
 }
 
-// BlockCount returns the number of blocks.
+// BlockCount returns the number of stored blocks that the watch has delivered.
 func (g *Registrar) BlockCount() int { return g.blocks.Len() }
 
-// RequestChange queues a change that a dispatcher requested. The change replaces an
-// earlier one for the same machine. Requests of other terms are dropped, and so are all
-// requests on a controller that is not the registrar.
+// RequestChange queues a change that a dispatcher (the argument from) requested;
+// WriteRequestedChanges writes it. The change replaces an earlier one for the same machine.
+// Requests of other terms are dropped, and so are all requests on a controller that is not
+// the registrar.
 func (g *Registrar) RequestChange(from protocol.NodeName, change message.RecordChange) {
 	change.From = from
 	if change.Term == g.View.Term && g.UsesBlocks() && g.Registrar() == g.Self {
@@ -52,15 +53,16 @@
 	}
 }
 
-// BlockUpdated installs the stored content of a block in the index. It returns the records
-// that are new or changed, and the machines whose records were removed from the block.
+// BlockUpdated installs the stored content of a block, as delivered by the watch, in the
+// index, and allows the block to be written again. It returns the records that are new or
+// changed, and the machines whose records were removed from the block.
 func (g *Registrar) BlockUpdated(name string, block record.Block, version protocol.Version) (changed []record.BlockEntry, removed []protocol.MachineID) {
 	delete(g.pending.unobserved, name)
 	return g.blocks.Set(name, version, block.Machines)
 }
 
-// BlockDeleted removes a deleted block from the index, and returns the machines whose
-// records it held.
+// BlockDeleted removes a deleted block from the index, and allows a block of that name to
+// be written again. It returns the machines whose records the block held.
 func (g *Registrar) BlockDeleted(name string) (removed []protocol.MachineID) {
 	delete(g.pending.unobserved, name)
 	return g.blocks.Drop(name)
--- a/internal/controller/workerregistry/write.go
+++ b/internal/controller/workerregistry/write.go
@@ -33,8 +33,8 @@
 
 // pendingWrites is the state of the registrar's writes in one term.
 type pendingWrites struct {
-	requested map[protocol.MachineID]message.RecordChange
-	inFlight  bool // a transaction was sent and its outcome is not known yet
+	requested map[protocol.MachineID]message.RecordChange // the latest request for each machine
+	inFlight  bool                                        // a transaction was sent and its outcome is not known yet
 	// unobserved holds the blocks with a write that the watch has not delivered yet, and
 	// the time of that write.
 	unobserved map[string]clock.Time
@@ -43,8 +43,8 @@
 	// the machine may be added to no other block: of two writes of the same block on the
 	// condition of the same version, at most one takes effect.
 	attemptedBlock map[protocol.MachineID]string
-	epochCounter   uint64 // number of epochs assigned in this term
-	retryAt        clock.Time
+	epochCounter   uint64     // number of epochs assigned in this term
+	retryAt        clock.Time // no transaction is sent before this time
 }
 
 // newPendingWrites returns the state at the start of a term: nothing is pending.
@@ -56,7 +56,8 @@
 	}
 }
 
-// batch is a transaction under construction.
+// batch is a transaction under construction, and the changes of records that are still to
+// be packed into blocks.
 type batch struct {
 	txn     protocol.Transaction
 	tag     Tag
@@ -92,11 +93,12 @@
 	}
 }
 
-// WriteRequestedChanges sends the requested changes, as many as fit into one transaction. It
-// sends nothing while an earlier transaction is unanswered. Like every write of a machine's
-// record, the transaction is conditional on the present view: a controller that reads the
-// records after a new view misses none of them, and a registrar that was replaced writes
-// nothing.
+// WriteRequestedChanges sends the requested changes, as many as fit into one transaction;
+// the others stay queued. It sends nothing while an earlier transaction is unanswered,
+// until retryPause after a failed one, or without the lease. Like every write of a
+// machine's record, the transaction is conditional on the present view: a controller that
+// reads the records after a new view misses none of them, and a registrar that was replaced
+// writes nothing.
 func (g *Registrar) WriteRequestedChanges() {
 	p := &g.pending
 	if len(p.requested) == 0 || p.inFlight || g.Now < p.retryAt || !g.HoldsLease() {
@@ -121,10 +123,10 @@
 	g.Emit(message.Commit{Tag: b.tag, Transaction: b.txn})
 }
 
-// collectChanges adds the changes that are still needed to a batch, and discards the
-// other requests. To remove a machine that is in no block, only its single record is
-// deleted, which needs no write of a block; such deletions fill at most half of a
-// transaction.
+// collectChanges adds the requested changes that are still needed to a batch (see
+// neededChange), and discards the other requests. To remove a machine that is in no block,
+// only its single record is deleted, which needs no write of a block; such deletions fill
+// at most half of the operations of a transaction.
 func (g *Registrar) collectChanges(b *batch, limits recordblock.Limits) {
 	for id, request := range ordered.ByKey(g.pending.requested) {
 		change, needed := g.neededChange(id, request)
@@ -154,8 +156,9 @@
 	return ok && g.Since(at) < observeTimeout
 }
 
-// trackWrite records that a write of a block was sent, and that the machines it adds may
-// be in no other block.
+// trackWrite records that a write of a block was sent, so that the block is not written
+// again before the watch delivers that write, and that the machines it adds may be added to
+// no other block.
 func (g *Registrar) trackWrite(write recordblock.Write) {
 	g.pending.unobserved[write.Block] = g.Now
 	for _, change := range write.Changes {
@@ -165,8 +168,8 @@
 	}
 }
 
-// isSentByDispatcher reports whether the sender of a request is still the dispatcher of
-// the machine, in the shard epoch that the request names.
+// isSentByDispatcher reports whether the sender of a request is still the dispatcher of the
+// machine, in the shard epoch that the request names; false if the machine has no record.
 func (g *Registrar) isSentByDispatcher(request message.RecordChange) bool {
 	machine := g.Records[request.Machine]
 	if machine == nil {
@@ -177,9 +180,9 @@
 }
 
 // neededChange returns the change of a machine's record that fulfils a request, and whether
-// a change is still needed. A record that has changed since the request was sent stays as
-// it is: if it still differs from what the dispatcher needs, the dispatcher sends another
-// request.
+// a change is still needed. It is not if there is nothing to delete, or if the record has
+// changed since the request was sent. Such a record stays as it is: if it still differs
+// from what the dispatcher needs, the dispatcher sends another request.
 func (g *Registrar) neededChange(id protocol.MachineID, request message.RecordChange) (change recordblock.Change, needed bool) {
 	machine := g.Records[id]
 	var epoch protocol.Version
@@ -199,17 +202,19 @@
 	return change, machine != nil || request.To != nil
 }
 
-// nextEpoch returns an epoch above all earlier ones and above the versions of all single
-// records: terms start at 1, and revisions of the key-value store stay far below 2^32.
+// nextEpoch returns an epoch for a new record, above all earlier ones and above the
+// versions of all single records: the term is in its upper bits, terms start at 1, and
+// revisions of the key-value store stay far below 2^32.
 func (g *Registrar) nextEpoch() protocol.Version {
 	g.pending.epochCounter++
 	return protocol.Version(uint64(g.View.Term)<<epochTermShift | g.pending.epochCounter)
 }
 
-// WriteCompleted handles the outcome of a transaction. A request for a change of a block stays
-// queued until the watch delivers that change. After success the blocks are not written
-// again before the watch delivers them or observeTimeout passes; after any other outcome
-// they may be written again after retryPause.
+// WriteCompleted ends the wait for a transaction, so that the next one may be sent. After
+// success the requests for deletions of single records are dropped. A request for a change
+// of a block stays queued until the watch delivers that change, and the blocks are not
+// written again before that or until observeTimeout passes. After any other outcome all
+// requests stay queued, and the blocks may be written again after retryPause.
 func (g *Registrar) WriteCompleted(tag Tag, outcome message.Outcome) {
 	g.pending.inFlight = false
 	if outcome == message.OutcomeDone {
