--- a/internal/controller/recordblock/draft.go
+++ b/internal/controller/recordblock/draft.go
@@ -8,7 +8,7 @@
 	"damsonkeel/internal/record"
 )
 
-// draft is a block with pending changes applied.
+// draft is a block with changes that are to be stored by the next transaction.
 type draft struct {
 	name    string
 	version protocol.Version // of the stored block; 0: the block is new
@@ -30,7 +30,8 @@
 	return d
 }
 
-// apply applies a change to the draft.
+// apply replaces, adds or removes the entry of the change's machine in the draft, and
+// counts the operations and bytes.
 func (d *draft) apply(c Change) {
 	if old, ok := d.entries[c.Machine]; ok {
 		d.bytes -= estimateSize(old)
--- a/internal/controller/recordblock/index.go
+++ b/internal/controller/recordblock/index.go
@@ -7,11 +7,11 @@
 	"damsonkeel/internal/record"
 )
 
-// Index holds all blocks as they are stored.
+// Index holds all blocks as they are stored, as far as they were passed to Set and Drop.
 type Index struct {
-	blocks        map[string]*block // by name
-	blockOf       map[protocol.MachineID]string
-	highestNumber uint64 // highest block number seen
+	blocks        map[string]*block             // by name
+	blockOf       map[protocol.MachineID]string // name of the block that holds a machine's record
+	highestNumber uint64                        // highest block number seen
 }
 
 // block is one stored block.
@@ -36,9 +36,10 @@
 	return name, ok
 }
 
-// Set adds or replaces a block. It returns the entries that are new or have another epoch,
-// in the given order, and the machines that were removed from the block, sorted by ID. A
-// machine that another block holds by now doesn't count as removed.
+// Set adds a block of the given name and version, or replaces its content. It returns the
+// entries that are new or have another epoch, in the given order, and the machines that
+// were removed from the block, sorted by ID. A machine that another block holds by now
+// doesn't count as removed.
 func (x *Index) Set(name string, version protocol.Version, entries []record.BlockEntry) (changed []record.BlockEntry, removed []protocol.MachineID) {
 	before := x.blocks[name]
 	if before == nil {
@@ -67,7 +68,8 @@
 	return changed, removed
 }
 
-// Drop removes a block, and returns the machines whose records it held.
+// Drop removes a block, and returns the machines whose records it held, sorted by ID. A
+// machine that another block holds by now is not returned.
 func (x *Index) Drop(name string) (removed []protocol.MachineID) {
 	_, removed = x.Set(name, 0, nil)
 	delete(x.blocks, name)
--- a/internal/controller/recordblock/limits.go
+++ b/internal/controller/recordblock/limits.go
@@ -3,8 +3,8 @@
 // Limits bounds the size of one block and of one transaction.
 type Limits struct {
 	Entries          int // machines in one block
-	ValueBytes       int // size of one block in JSON
-	TransactionBytes int // size of all blocks of one transaction in JSON
+	ValueBytes       int // size of one block in JSON, in bytes
+	TransactionBytes int // size of all blocks of one transaction in JSON, in bytes
 	Ops              int // puts and deletes of one transaction
 }
 
@@ -12,7 +12,7 @@
 	// maxEntries is the maximum number of machines in a block. It is small because a
 	// change of one machine sends the whole block to every controller.
 	maxEntries = 64
-	// maxTxnBytes is the maximum size of all blocks of one transaction.
+	// maxTxnBytes is the maximum size of all blocks of one transaction, in bytes.
 	maxTxnBytes = 48 << 10
 )
 
--- a/internal/controller/recordblock/pack.go
+++ b/internal/controller/recordblock/pack.go
@@ -21,8 +21,8 @@
 	RequiredBlock string
 }
 
-// ops returns the number of operations that a change adds to a transaction, without the
-// put of its block.
+// ops returns the number of operations that a change adds to a transaction, without the put
+// of its block: 1 if it deletes a single record, else 0.
 func (c *Change) ops() int {
 	if c.Single != 0 {
 		return 1
@@ -39,9 +39,11 @@
 }
 
 // Pack plans the writes of the next transaction. It writes the blocks with the most pending
-// changes first, and adds new machines to these blocks, then to the emptiest blocks, then
-// to new blocks. It does not write busy blocks, which an earlier transaction is writing.
-// Changes that exceed the limits remain for a later transaction.
+// changes first, and adds new machines to these blocks, then to the blocks with the fewest
+// entries, then to new blocks. It does not write blocks for which busy returns true, since
+// an earlier transaction is writing them or its result has not been observed. Changes that
+// exceed the limits remain for a later transaction: they are in none of the writes
+// returned.
 func (x *Index) Pack(changes []Change, busy func(block string) bool, limits Limits) []Write {
 	p := &packer{index: x, limits: limits, busy: busy, byBlock: map[string][]Change{}, highestNumber: x.highestNumber}
 	added := p.splitChanges(changes)
@@ -55,9 +57,9 @@
 	return p.writes()
 }
 
-// emptiest lists the free blocks that are at most half full, those with the fewest
-// entries first. Fuller blocks are not used, since the write of a block that is nearly
-// full would add only few machines.
+// emptiest lists the names of the blocks for which free returns true and that are at most
+// half full, by entries and by bytes, those with the fewest entries first. Fuller blocks
+// are not used, since the write of a block that is nearly full would add only few machines.
 func (x *Index) emptiest(free func(block string) bool, limits Limits) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(x.blocks)) {
@@ -76,7 +78,7 @@
 type packer struct {
 	index  *Index
 	limits Limits
-	busy   func(block string) bool
+	busy   func(block string) bool // an earlier transaction writes the block, or its result has not been observed
 
 	byBlock       map[string][]Change // changes that are tied to a block, by block
 	emptiest      []string            // blocks to add machines to next
@@ -84,10 +86,11 @@
 
 	drafts []*draft
 	ops    int // puts and deletes of the drafts
-	bytes  int // estimated size of the drafts
+	bytes  int // estimated size of the drafts, in bytes of JSON
 }
 
-// splitChanges groups the changes that are tied to a block by that block, and returns the
+// splitChanges groups the changes that are tied to a block by that block (byBlock): the one
+// that holds the machine's record or that Change.RequiredBlock names. It returns the
 // additions of machines that may go into any block. It leaves out changes of busy blocks
 // and removals of machines that are in no block.
 func (p *packer) splitChanges(changes []Change) (added []Change) {
@@ -111,7 +114,9 @@
 	return p.byBlock[block] == nil && !p.busy(block)
 }
 
-// changeBlocks drafts the blocks with pending changes, those with the most changes first.
+// changeBlocks drafts the blocks with pending changes, those with the most changes first,
+// and applies their changes as far as the operations of the transaction allow. A block that
+// would exceed the bytes of the transaction is left out, unless it is the first.
 func (p *packer) changeBlocks() {
 	names := slices.Sorted(maps.Keys(p.byBlock))
 	slices.SortStableFunc(names, func(a, b string) int {
@@ -131,15 +136,16 @@
 	}
 }
 
-// addDraft adds a draft to the transaction.
+// addDraft adds a draft to the transaction, and its operations and bytes to the sums.
 func (p *packer) addDraft(d *draft) {
 	p.drafts = append(p.drafts, d)
 	p.ops += d.ops
 	p.bytes += d.bytes
 }
 
-// addMachine adds a new machine to the first draft with capacity, or to a further draft if
-// there is none. It reports whether the transaction has capacity for the machine.
+// addMachine adds the entry of a new machine to the first draft that it fits into, or to a
+// further draft if there is none. It returns false, and adds no entry, if the limits of the
+// transaction don't allow the addition.
 func (p *packer) addMachine(c Change) bool {
 	growth := estimateSize(*c.Entry)
 	d := p.draftWithCapacity(growth)
@@ -158,8 +164,8 @@
 	return true
 }
 
-// draftWithCapacity returns the first draft that one more entry of the given size fits
-// into, or nil if there is none.
+// draftWithCapacity returns the first draft that one more entry of the given size in bytes
+// fits into, or nil if there is none.
 func (p *packer) draftWithCapacity(growth int) *draft {
 	for _, d := range p.drafts {
 		if len(d.entries) < p.limits.Entries && d.bytes+growth <= p.limits.ValueBytes {
@@ -169,8 +175,9 @@
 	return nil
 }
 
-// openDraft adds a draft of a further block for an entry of the given size. It returns nil
-// if the transaction has no capacity for both.
+// openDraft adds a draft of a further block, the emptiest or a new one, for an entry of the
+// given size in bytes whose change adds the given number of operations. It returns nil if
+// the limits of the transaction don't allow both.
 func (p *packer) openDraft(ops, growth int) *draft {
 	if p.ops+1+ops > p.limits.Ops {
 		return nil
@@ -183,8 +190,8 @@
 	return d
 }
 
-// nextBlock returns the name of the emptiest block that is not drafted yet, or else the
-// name of a new block.
+// nextBlock returns the name of the block with the fewest entries that is not drafted yet
+// (from the list emptiest), or else the name of a new block.
 func (p *packer) nextBlock() string {
 	if len(p.emptiest) > 0 {
 		name := p.emptiest[0]
