--- a/internal/controller/message/action.go
+++ b/internal/controller/message/action.go
@@ -14,48 +14,50 @@
 type (
 	// ReplyHeartbeat answers the heartbeat that the step handled.
 	ReplyHeartbeat struct {
-		Status int // the HTTP status
+		Status int // the HTTP status; any but 200 renews no lease
 		Reply  protocol.HeartbeatReply
-		Leader protocol.NodeName // the controller to which a redirect refers the worker
+		Leader protocol.NodeName // the controller to which a redirect (status 421) refers the worker
 	}
 	// ReplyBatch answers the batch that the step handled.
 	ReplyBatch struct{ Reply BatchReply }
 	// Send sends a message to a peer's session. Messages are delivered in order, and each is
 	// retried until the peer accepts it or one of the sessions has ended.
 	Send struct {
-		To          protocol.NodeName
-		From        protocol.LeaseID // the session of the sender
-		Session     protocol.LeaseID // the session of the receiver
-		Term        protocol.Term
-		ShardsEpoch protocol.Term // epoch of the shard table
+		To          protocol.NodeName // the receiver
+		From        protocol.LeaseID  // the session of the sender
+		Session     protocol.LeaseID  // the session of the receiver
+		Term        protocol.Term     // of the sender's view
+		ShardsEpoch protocol.Term     // epoch of the shard table
 		Message     PeerMessage
 	}
-	// Commit executes a transaction.
+	// Commit executes a transaction on the key-value store. CommitDone answers it.
 	Commit struct {
 		Tag         any // identifies the transaction in its CommitDone
 		Transaction protocol.Transaction
 	}
-	// LoadBitmap reads the bitmap of a job's finished tasks.
+	// LoadBitmap reads the bitmap of a job's finished tasks from the key-value store.
+	// BitmapLoaded answers it.
 	LoadBitmap struct{ Job protocol.JobID }
-	// Command sends commands directly to a worker.
+	// Command sends commands directly to a worker, without waiting for its next heartbeat.
+	// CommandDone answers it.
 	Command struct {
 		Machine  protocol.MachineID
 		Address  string
 		Commands protocol.Commands
 	}
-	// Provision requests machines from the cloud.
+	// Provision requests machines from the cloud. ProvisionDone answers it.
 	Provision struct{ Request protocol.ProvisionRequest }
-	// Terminate terminates machines of the cloud.
+	// Terminate terminates machines of the cloud. TerminateDone answers it.
 	Terminate struct{ Machines []protocol.MachineID }
-	// SetRateAllotment sets the rates at which this controller may use the key-value
-	// store: All, which includes the grants of peers, until the time Until, and Own from
-	// then on.
+	// SetRateAllotment sets the rates of requests and writes per second at which this
+	// controller may use the key-value store: All, which includes the grants of peers,
+	// until the time Until, and Own from then on.
 	SetRateAllotment struct {
 		Own, All ratelimit.Amount
 		Until    clock.Time
 	}
 	// ConfigurationChanged notifies the node that the configuration in force has changed.
 	ConfigurationChanged struct{ Effective *dynamicconfig.Effective }
-	// ListMachines reads the cloud's list of machines.
+	// ListMachines reads the cloud's list of machines. MachinesListed answers it.
 	ListMachines struct{}
 )
--- a/internal/controller/message/handover.go
+++ b/internal/controller/message/handover.go
@@ -14,7 +14,7 @@
 	Tenure protocol.Term // the epoch at which its holder took it over
 }
 
-// MoveShards asks the holder of shards to hand them over.
+// MoveShards asks the holder of shards to hand them over to another controller.
 type MoveShards struct {
 	Term   protocol.Term
 	Shares []Tenured         // the shards to hand over
@@ -30,8 +30,8 @@
 	// Epoch is the shard's epoch at the start of the handover. If the old holder keeps the
 	// shard, it raises the epoch, which invalidates the handover.
 	Epoch         protocol.Term
-	Piece, Pieces int // index of this piece and number of pieces
-	Queues        []HandoverQueue
+	Piece, Pieces int             // index of this piece, from 0, and number of pieces of the handover
+	Queues        []HandoverQueue // one for each machine in this piece
 }
 
 // HandoverQueue is a dispatcher's state of one machine. Times are sent as ages, since the
@@ -52,7 +52,7 @@
 	Draining bool             // no more attempts are started on the machine
 	Suspect  bool             // the machine is quarantined
 	Failed   []protocol.JobID // jobs that have failed there since a task last succeeded
-	Images   []string         // fetched lately
+	Images   []string         // images fetched lately, the latest last
 	Idle     time.Duration    // time since the machine became idle
 }
 
@@ -60,7 +60,7 @@
 type HandoverEntry struct {
 	Task      protocol.TaskID
 	Attempt   protocol.Attempt
-	EstimateS float64         // estimated run time
+	EstimateS float64         // estimated run time in seconds
 	Need      resource.Amount // resources of the task
 	Found     bool            // the worker reported the attempt; otherwise its owner placed it
 	Age       time.Duration   // time since the attempt was queued or first reported
@@ -75,12 +75,12 @@
 	// Direct is the fencing token of an unanswered direct start, which the worker may
 	// execute until it sees a later token; 0: none.
 	Direct  protocol.Term
-	Present bool // the worker has listed the attempt
-	State   protocol.TaskState
-	Cause   protocol.EndCause
-	Saved   bool    // a checkpoint was saved
-	Kill    bool    // the attempt is to be killed, with a grace period of GraceS
-	GraceS  float64 // seconds
-	Reap    bool    // the owner has processed the end: the worker may forget the attempt
-	Noticed bool    // the owner was notified of the machine's termination notice
+	Present bool               // the worker has listed the attempt; State, Cause and Saved are as it reported
+	State   protocol.TaskState // state on the worker
+	Cause   protocol.EndCause  // why it ended
+	Saved   bool               // a checkpoint was saved
+	Kill    bool               // the attempt is to be killed, with a grace period of GraceS
+	GraceS  float64            // seconds
+	Reap    bool               // the owner has processed the end: the worker may forget the attempt
+	Noticed bool               // the owner was notified of the machine's termination notice
 }
--- a/internal/controller/message/peermessage.go
+++ b/internal/controller/message/peermessage.go
@@ -7,25 +7,25 @@
 
 // PeerMessage is one message between controllers. Exactly one field is set.
 type PeerMessage struct {
-	Place     *Place
-	Stop      *Stop
-	Event     *TaskEvent
-	Released  []TaskRef // the attempts of several EventReleased in one message
-	Forget    *TaskRef  // the owner has processed the attempt's end: the worker may forget it
-	Inventory *Inventory
-	Added     *WaitsAdded
-	Relay     *StateUpdate
+	Place     *Place              // queues attempts on machines of the receiver
+	Stop      *Stop               // ends an attempt on a machine of the receiver
+	Event     *TaskEvent          // notifies the receiver of an event of an attempt of its job
+	Released  []TaskRef           // the attempts of several EventReleased in one message
+	Forget    *TaskRef            // the owner has processed the attempt's end: the worker may forget it
+	Inventory *Inventory          // lists the attempts of the receiver's jobs on a machine
+	Added     *WaitsAdded         // changes the receiver's wait table
+	Relay     *StateUpdate        // the regular state update of the sender
 	Drain     *protocol.MachineID // the machine that its dispatcher is to drain
-	Record    *RecordChange
-	AskTable  bool // requests a copy of the receiver's wait table
-	Done      *CompletedTasks
-	Move      *MoveShards
-	Hand      *Handover
-	Table     []WaitChange // answers AskTable: the wait of each machine, without uses
+	Record    *RecordChange       // asks the receiver, as registrar, to change a machine's record
+	AskTable  bool                // requests a copy of the receiver's wait table
+	Done      *CompletedTasks     // completed tasks that the job's previous owner could not record
+	Move      *MoveShards         // asks the receiver to hand shards over
+	Hand      *Handover           // a piece of a shard that the sender hands over
+	Table     []WaitChange        // answers AskTable: the wait of each machine, without uses
 }
 
-// Batch carries messages in order from one session to another. The number of a message
-// identifies it when it is sent again.
+// Batch carries messages in order from one session to another. A message's number
+// identifies it when it is sent again: the numbers in a batch ascend by one from First.
 type Batch struct {
 	From        protocol.NodeName
 	FromSession protocol.LeaseID
@@ -47,7 +47,8 @@
 	BatchExcluded            // as BatchStale, and the receiver holds its lease in a view without the sender
 )
 
-// RecordChange asks the registrar to write a machine's record, or to delete it.
+// RecordChange asks the registrar to write a machine's record, or to delete it. It is valid
+// only in the term that it names and while the record still has the version Have.
 type RecordChange struct {
 	Term    protocol.Term
 	Machine protocol.MachineID
--- a/internal/controller/message/placement.go
+++ b/internal/controller/message/placement.go
@@ -12,7 +12,7 @@
 	Attempt   protocol.Attempt
 	Machine   protocol.MachineID
 	Epoch     protocol.Version // version of the machine's record that the owner has observed
-	EstimateS float64          // estimated run time
+	EstimateS float64          // estimated run time in seconds
 	CPUs      float64
 	GPUs      float64
 	GB        float64
@@ -29,7 +29,8 @@
 	return resource.Amount{CPUs: p.CPUs, GPUs: p.GPUs, GB: p.GB}
 }
 
-// Place sends placements from the owner of jobs to the dispatcher of machines.
+// Place sends placements from the owner of jobs to the dispatcher of machines, which queues
+// each of them or reports it as released.
 type Place struct {
 	Number uint64 // sequence number of the sender's Place messages
 	Term   protocol.Term
@@ -50,7 +51,7 @@
 type Stop struct {
 	TaskRef
 	Kill   bool
-	GraceS float64 // grace period before the kill
+	GraceS float64 // grace period before the kill, in seconds
 }
 
 // EventKind is the kind of a TaskEvent. Its numbers are sent to peers.
@@ -61,7 +62,7 @@
 	EventPresent  EventKind = iota + 1 // the worker has listed the attempt
 	EventRunning                       // the attempt runs
 	EventEnded                         // the attempt has ended
-	EventReleased                      // the attempt was never sent to its worker, and never will be
+	EventReleased                      // the attempt was never executed and never will be: the owner may place it again
 	EventNotice                        // the machine of the attempt is about to be reclaimed
 )
 
@@ -79,8 +80,8 @@
 	Task    protocol.TaskID
 	Attempt protocol.Attempt
 	State   protocol.TaskState // empty: queued, never sent to its worker
-	Cause   protocol.EndCause
-	Saved   bool // a checkpoint was saved
+	Cause   protocol.EndCause  // why it ended, if State says so
+	Saved   bool               // a checkpoint was saved
 	// Team and Need state what the attempt counts against its team's limit, if the team has
 	// one. They are sent because the owner may have observed the end of the job already.
 	Team protocol.Team
@@ -88,8 +89,8 @@
 }
 
 // Inventory lists all attempts of the receiver's jobs on a machine and in its queue. It is
-// complete because a worker that has observed the term has listed its attempts in a
-// heartbeat.
+// complete because a worker that has observed the term or, with shards, a fencing token of
+// the sender has listed its attempts in a heartbeat.
 type Inventory struct {
 	Term    protocol.Term
 	Tenure  protocol.Term // epoch at which the sender took over the machine's shard
--- a/internal/controller/message/stateupdate.go
+++ b/internal/controller/message/stateupdate.go
@@ -31,7 +31,7 @@
 
 	Demand []Demand // the sender's complete demand, in each update
 
-	Load Load // of the sender
+	Load Load // the sender's report on itself
 
 	// Ask requests a part of the receiver's rates of the key-value store, and Loan grants
 	// the receiver a part of the sender's (package ratelimit).
@@ -47,14 +47,14 @@
 
 // Load is a controller's report on itself, for the balancing of shards.
 type Load struct {
-	LateMS  float64 // average lateness of its ticks
+	LateMS  float64 // moving average of the delay of its ticks, in milliseconds
 	Leaving bool    // the controller is shutting down
 }
 
 // Progress is the progress of a job.
 type Progress struct {
 	Job           protocol.JobID
-	Done, Running uint32 // numbers of tasks
+	Done, Running uint32 // numbers of completed and of running tasks
 	// Level is the job's level plus 1, and is sent while reservations exist: otherwise
 	// dispatchers that find the job's tasks on machines have to guess the level. 0: not
 	// sent.
@@ -63,14 +63,15 @@
 	Failing bool
 }
 
-// Demand is the demand of one job's tasks that no machine has started.
+// Demand is the demand of one job's tasks that may start now and that no machine has
+// started.
 type Demand struct {
 	Job       protocol.JobID
 	Unstarted int           // number of these tasks
 	Level     int           // the job's resource.Level
-	EstimateS float64       // estimated run time of a task
-	OldestS   float64       // how long the oldest of these tasks has waited
-	Zone      protocol.Zone // the only possible zone, since other tasks of the job are there
+	EstimateS float64       // estimated run time of a task, in seconds
+	OldestS   float64       // how long the oldest of these tasks has waited: seconds since the job was submitted
+	Zone      protocol.Zone // the only possible zone, since other tasks of the job are there; empty: any
 }
 
 // ReservationHolds lists all resources that are held for reservations.
--- a/internal/controller/message/step.go
+++ b/internal/controller/message/step.go
@@ -12,13 +12,15 @@
 	Snapshot struct {
 		Session protocol.LeaseID
 		Items   []protocol.Item // the watched records
-		WallMS  int64           // the time of day
+		WallMS  int64           // the time of day, in milliseconds of the Unix epoch
 	}
-	// RecordChanged is one change of a watched record.
+	// RecordChanged is one change of a watched record of the key-value store.
 	RecordChanged struct{ Event protocol.Event }
-	// LeaseExtended reports until when this controller holds its lease.
+	// LeaseExtended reports until when this controller's lease of the key-value store
+	// lasts, by its own clock.
 	LeaseExtended struct{ Until clock.Time }
-	// SessionEnded reports that the session has ended.
+	// SessionEnded reports that this controller's session with the key-value store has
+	// ended.
 	SessionEnded struct{}
 	// CatalogueRead carries the machine types of the catalogue.
 	CatalogueRead struct{ Types []protocol.TypeInfo }
@@ -31,12 +33,13 @@
 	JobCancelled struct{ Job protocol.JobID }
 	// Tick triggers the work that is due by the clock.
 	Tick struct {
-		WallMS int64 // the time of day; 0: unknown
+		WallMS int64 // the time of day, in milliseconds of the Unix epoch; 0: unknown
 	}
 	// Shutdown requests the end of the process, which first hands over its shards.
 	Shutdown struct{}
-	// StoreRateUsed reports the requests and writes to the key-value store that were
-	// attempted in the last second, including those beyond this controller's allotment.
+	// StoreRateUsed reports the numbers of requests and writes to the key-value store that
+	// were attempted in the last second, including those beyond this controller's
+	// allotment.
 	StoreRateUsed struct{ Amount ratelimit.Amount }
 	// CommitDone answers a Commit.
 	CommitDone struct {
@@ -50,7 +53,7 @@
 	BitmapLoaded struct {
 		Job    protocol.JobID
 		Chunks []protocol.Item
-		OK     bool // the bitmap was read
+		OK     bool // the bitmap was read; otherwise Chunks is not valid
 	}
 	// CommandDone answers a Command.
 	CommandDone struct {
@@ -58,8 +61,8 @@
 		Term       protocol.Term
 		AgentEpoch protocol.AgentEpoch
 		Orders     []protocol.Order
-		Answered   bool
-		Executed   bool
+		Answered   bool               // the worker answered; otherwise the outcome is unknown
+		Executed   bool               // the worker accepted the orders; if false in an answer, it refused them
 		Heartbeat  protocol.Heartbeat // if answered
 	}
 	// PeerLeads reports that a peer holds its lease in a view without this controller.
@@ -82,13 +85,14 @@
 	}
 )
 
-// Outcome is the outcome of a request, as far as it is known.
+// Outcome is the outcome of a request to the key-value store or the cloud, as far as it is
+// known.
 type Outcome uint8
 
 // The outcomes of requests.
 const (
-	OutcomeDone    Outcome = iota + 1
-	OutcomeFailed          // a condition does not hold, or there is no capacity
-	OutcomeRefused         // not executed
-	OutcomeUnknown         // may have been executed, or may still be executed
+	OutcomeDone    Outcome = iota + 1 // executed
+	OutcomeFailed                     // a condition does not hold, or there is no capacity
+	OutcomeRefused                    // not executed
+	OutcomeUnknown                    // may have been executed, or may still be executed
 )
--- a/internal/controller/message/validate.go
+++ b/internal/controller/message/validate.go
@@ -16,7 +16,8 @@
 	maxCount  = 1 << 30
 )
 
-// OutOfRangeError reports a value in a peer's message that is out of bounds.
+// OutOfRangeError reports a value in a peer's message that is out of bounds, and the field
+// or kind of value that it was found in.
 type OutOfRangeError struct {
 	Field string
 	Value any // a float64 or an int
@@ -25,8 +26,9 @@
 // Error implements error.
 func (e *OutOfRangeError) Error() string { return fmt.Sprintf("%s: %v", e.Field, e.Value) }
 
-// Validate reports the values of a peer's message that are out of bounds. The core
-// calculates with the values that pass, and uses them as indexes.
+// Validate returns an error that joins an OutOfRangeError for each value of a peer's
+// message that is out of bounds, or nil if there is none. The core calculates with the
+// values that pass, and uses them as indexes.
 func (m *PeerMessage) Validate() error {
 	v := &validator{}
 	if m.Place != nil {
@@ -54,7 +56,8 @@
 // validator collects the values of a message that are out of bounds.
 type validator struct{ errs []error }
 
-// amounts checks decimal numbers, which must be at least minimum and at most maxAmount.
+// amounts checks decimal numbers, which must be at least minimum and at most maxAmount, and
+// collects those that are not, under the given field.
 func (v *validator) amounts(field string, minimum float64, values ...float64) {
 	for _, value := range values {
 		if math.IsNaN(value) || value < minimum || value > maxAmount {
@@ -63,7 +66,8 @@
 	}
 }
 
-// counts checks integers, which must be at least 0 and below bound.
+// counts checks integers, which must be at least 0 and below bound, and collects those that
+// are not, under the given field.
 func (v *validator) counts(field string, bound int, values ...int) {
 	for _, value := range values {
 		if value < 0 || value >= bound {
@@ -77,7 +81,7 @@
 	v.amounts(field, 0, need.CPUs, need.GPUs, need.GB)
 }
 
-// place checks placements.
+// place checks the level, run time and resources of each placement.
 func (v *validator) place(p *Place) {
 	for i := range p.Tasks {
 		task := &p.Tasks[i]
@@ -87,7 +91,7 @@
 	}
 }
 
-// waits checks changes of expected waits.
+// waits checks the processor seconds and resources of changes of expected waits.
 func (v *validator) waits(changes []WaitChange) {
 	for i := range changes {
 		v.amounts("wait", 0, changes[i].Add)
@@ -95,7 +99,7 @@
 	}
 }
 
-// uses checks the resources in use on a machine.
+// uses checks the level and amounts of the resources in use on a machine.
 func (v *validator) uses(uses []LevelUse) {
 	for _, use := range uses {
 		v.counts("level", resource.Levels, use.Level)
@@ -103,7 +107,7 @@
 	}
 }
 
-// stateUpdate checks a state update.
+// stateUpdate checks the machine states, levels, demands and the load in a state update.
 func (v *validator) stateUpdate(update *StateUpdate) {
 	for i := range update.States {
 		v.machineState(&update.States[i])
