--- a/internal/controller/admission/admission.go
+++ b/internal/controller/admission/admission.go
@@ -15,7 +15,9 @@
 const (
 	// MaxRequests is the maximum number of requests waiting for an answer at a time.
 	MaxRequests = 256
-	// requestBudget is how long a request may take. Users time out a poll after 2 s.
+	// requestBudget is how long a request of a user may take before it is answered with
+	// 503; one forwarded by a peer may take ForwardTimeout. Users time out a poll after 2
+	// s.
 	requestBudget = 1800 * time.Millisecond
 	// writeRecheckDelay is how long a write may remain unanswered before the record is
 	// read instead. It exceeds the usual response time of the key-value store, so a write
@@ -39,17 +41,17 @@
 	configurable  bool
 	machineTypes  []protocol.TypeInfo // nil: not read yet
 
-	requests map[RequestID]*request
+	requests map[RequestID]*request // not answered yet
 
 	queries   map[QueryID]coreQuery
 	lastQuery QueryID
 
-	waitingPolls     []*request // polls that are not part of a comparison yet
-	comparisons      map[QueryID]*pollComparison
-	nextComparisonAt clock.Time
+	waitingPolls     []*request                  // polls that are not part of a comparison yet
+	comparisons      map[QueryID]*pollComparison // those that the store has not answered
+	nextComparisonAt clock.Time                  // no comparison starts before this time
 
-	finalRecords  map[protocol.JobID]record.JobRecord
-	announcements map[protocol.JobID]*announcement
+	finalRecords  map[protocol.JobID]record.JobRecord // cached records of finished jobs
+	announcements map[protocol.JobID]*announcement    // of cancellations, by job
 }
 
 // request is a user's request that has not been answered yet.
@@ -64,8 +66,8 @@
 	fallback *Answer
 
 	// writePending is set while a write has no answer yet. recheckAt is when the record
-	// is read to find out whether the write was executed; 0: no write is pending, or the
-	// record has been read already.
+	// is read to find out whether the write was executed; 0: no write is pending, or its
+	// record has been requested already.
 	writePending bool
 	recheckAt    clock.Time
 
@@ -92,8 +94,9 @@
 	}
 }
 
-// Step handles one message and returns the resulting actions. The argument now is the
-// time of a monotonic clock.
+// Step handles one message and returns the resulting actions, which the caller executes.
+// The argument now is the time of a monotonic clock. A message of an unknown type has no
+// effect of its own.
 func (a *Admission) Step(now clock.Time, msg any) []Action {
 	a.now, a.actions = now, nil
 	switch m := msg.(type) {
@@ -135,7 +138,9 @@
 	}
 }
 
-// handleRequest registers a user's request and starts its operation.
+// handleRequest registers a user's request and starts its operation: a submission is
+// checked, a poll queued, and for a cancellation the job's record is read. While
+// MaxRequests requests are pending, further ones are answered with 503.
 func (a *Admission) handleRequest(m Request) {
 	if len(a.requests) >= MaxRequests {
 		a.emit(Reply{m.ID, Failure(statusUnavailable, "too many requests at once")})
@@ -156,8 +161,9 @@
 	}
 }
 
-// tick ends announcements and requests whose deadline has passed, and reads the records
-// of writes that have been unanswered for writeRecheckDelay.
+// tick ends announcements whose deadline has passed, answers requests whose deadline has
+// passed as unavailable, and reads the records of writes that have been unanswered for
+// writeRecheckDelay.
 func (a *Admission) tick() {
 	for id, announcement := range ordered.ByKey(a.announcements) {
 		a.finishAnnouncement(id, announcement)
--- a/internal/controller/admission/cancellation.go
+++ b/internal/controller/admission/cancellation.go
@@ -14,7 +14,8 @@
 // it: controllers also observe cancellations by watching the records.
 const AnnounceTimeout = 250 * time.Millisecond
 
-// announcement is a cancellation that controllers have yet to acknowledge.
+// announcement is the notification of all controllers that a job is cancelled, until the
+// members of the view have acknowledged it.
 type announcement struct {
 	record   record.JobRecord
 	pending  map[protocol.NodeName]bool // controllers without acknowledgement; nil: not sent yet
@@ -22,9 +23,10 @@
 	waiting  []*request // answered when the announcement ends
 }
 
-// CancelTransaction returns the transaction that cancels a job. It is conditional on the
-// version at which the job was read. One version covers both records of the job, since
-// they always change in the same transaction.
+// CancelTransaction returns the transaction that cancels a job: it marks the job's record r
+// as cancelled and deletes its record as a live job. It is conditional on the version at
+// which the job was read. One version covers both records of the job, since they always
+// change in the same transaction.
 func CancelTransaction(id protocol.JobID, version protocol.Version, r record.JobRecord) protocol.Transaction {
 	r.State = record.RecordCancelled
 	return protocol.Transaction{
@@ -34,9 +36,10 @@
 }
 
 // answerCancelled answers that a job is cancelled. Before the first such answer it
-// announces the cancellation to all controllers: each watches the records, but with a lag
-// of milliseconds to seconds, during which it may still start a task. After the answer no
-// controller may start one.
+// announces the cancellation to all controllers, and the answer is delayed until all
+// members have acknowledged it, at most for AnnounceTimeout: each controller watches the
+// records, but with a lag of milliseconds to seconds, during which it may still start a
+// task. After the answer no controller may start one.
 func (a *Admission) answerCancelled(r *request, rec record.JobRecord) {
 	if _, ok := a.finalRecords[r.Job]; ok {
 		a.reply(r, finalAnswer(r, rec))
@@ -60,8 +63,9 @@
 }
 
 // announce sends a cancellation to all controllers. Only members of the view have to
-// acknowledge it, since other controllers can't start anything. Until the view excludes
-// it, a member that has ended or hangs delays the answer up to the deadline.
+// acknowledge it, since other controllers can't start anything; if the members are not
+// known, all controllers have to. Until the view excludes it, a member that has ended or
+// hangs delays the answer up to the deadline.
 func (a *Admission) announce(id protocol.JobID, members []protocol.NodeName) {
 	current := a.announcements[id]
 	if current == nil {
@@ -80,7 +84,8 @@
 	}
 }
 
-// handleAcknowledgement records that a controller has acknowledged a cancellation.
+// handleAcknowledgement records that a controller has acknowledged a cancellation, and ends
+// the announcement if that was the last one.
 func (a *Admission) handleAcknowledgement(m AnnouncementAcknowledged) {
 	if current := a.announcements[m.Job]; current != nil {
 		delete(current.pending, m.By)
@@ -89,7 +94,8 @@
 }
 
 // finishAnnouncement ends an announcement once all members have acknowledged it or its
-// deadline has passed, and answers the waiting requests.
+// deadline has passed: it caches the job's final record and answers the waiting requests.
+// Before that it does nothing.
 func (a *Admission) finishAnnouncement(id protocol.JobID, current *announcement) {
 	acknowledged := current.pending != nil && len(current.pending) == 0
 	if !acknowledged && a.now < current.deadline {
--- a/internal/controller/admission/configuration.go
+++ b/internal/controller/admission/configuration.go
@@ -7,8 +7,9 @@
 	"damsonkeel/internal/record"
 )
 
-// applyConfiguration installs the configuration in force. It decides again each submission
-// whose transaction may have failed because the configuration had changed.
+// applyConfiguration installs the configuration in force. Each submission whose transaction
+// has failed, possibly because the configuration had changed, is checked again if the
+// configuration differs from the one that it was decided by.
 func (a *Admission) applyConfiguration(effective *dynamicconfig.Effective) {
 	a.configuration = effective
 	// A stored version means that the configuration may change, even if this controller's
@@ -21,8 +22,9 @@
 	}
 }
 
-// conditionOnConfiguration makes a transaction conditional on the configuration that the
-// submission was decided by. However late the store executes the transaction, it can't
+// conditionOnConfiguration returns a submission's transaction with the condition that the
+// configuration is still the one that the submission was decided by; unchanged if the
+// configuration can't change. However late the store executes the transaction, it can't
 // accept a job by a configuration that has been replaced.
 func (a *Admission) conditionOnConfiguration(r *request, txn protocol.Transaction) protocol.Transaction {
 	if !a.configurable {
@@ -34,8 +36,9 @@
 	return txn
 }
 
-// refuseByConfiguration refuses a submission, unless a job with its ID has been accepted
-// or the configuration has changed.
+// refuseByConfiguration answers a submission with the given refusal, unless a job with its
+// ID has been accepted or the configuration has changed. A transaction that changes nothing
+// checks both.
 func (a *Admission) refuseByConfiguration(r *request, refusal Answer) {
 	if !a.configurable {
 		a.refuse(r, refusal)
@@ -49,8 +52,9 @@
 	a.write(r, a.conditionOnConfiguration(r, unknownJob))
 }
 
-// resubmit decides a submission again if the configuration in force differs from the one
-// that it was decided by.
+// resubmit checks a submission again and accepts or refuses it, if the configuration in
+// force differs from the one that it was decided by. Otherwise the submission stays pending
+// until applyConfiguration installs another one or its deadline passes.
 func (a *Admission) resubmit(r *request) {
 	if r.configurationVersion != a.configuration.Version {
 		a.submit(r)
--- a/internal/controller/admission/jobrecord.go
+++ b/internal/controller/admission/jobrecord.go
@@ -7,15 +7,18 @@
 )
 
 const (
-	// maxFinalRecords is the capacity of the cache of finished jobs' records.
+	// maxFinalRecords is the maximum number of records in the cache of finished jobs'
+	// records.
 	maxFinalRecords = 20000
-	// maxWriteAttempts is the number of unsettled writes after which a request is not
-	// retried any more.
+	// maxWriteAttempts is the number of writes that were answered without settling a
+	// request (failed, or with unknown outcome) after which the request is answered with
+	// 503.
 	maxWriteAttempts = 3
 )
 
-// finalRecord returns a job's record if the job is known to be finished, which includes a
-// job whose cancellation is still being announced.
+// finalRecord returns a job's record if the job is known here to be finished, which
+// includes a job whose cancellation is still being announced; false if it is not known to
+// be.
 func (a *Admission) finalRecord(id protocol.JobID) (record.JobRecord, bool) {
 	if current := a.announcements[id]; current != nil {
 		return current.record, true
@@ -24,7 +27,8 @@
 	return rec, ok
 }
 
-// cacheFinalRecord caches the record of a finished job, which never changes again.
+// cacheFinalRecord caches the record of a finished job, which never changes again. If the
+// cache is full, any other record is evicted.
 func (a *Admission) cacheFinalRecord(id protocol.JobID, rec record.JobRecord) {
 	if len(a.finalRecords) >= maxFinalRecords {
 		for evicted := range a.finalRecords { // any record: it can be read again
@@ -35,8 +39,8 @@
 	a.finalRecords[id] = rec
 }
 
-// readRecord reads a job's record from the cache if the job is finished, and from the
-// key-value store otherwise.
+// readRecord answers a request from the cache if its job is known to be finished, and
+// otherwise reads the job's record from the key-value store.
 func (a *Admission) readRecord(r *request) {
 	if rec, ok := a.finalRecord(r.Job); ok {
 		a.answerFromRecord(r, rec)
@@ -45,7 +49,10 @@
 	a.emit(GetRecord{r.ID, r.Job})
 }
 
-// handleRecordRead continues a request after the job's record has been read.
+// handleRecordRead continues a request after the job's record has been read: it writes the
+// cancellation of a live job, answers other requests from the record, and answers 503 if
+// the store could not be read. While a write is pending, only a record that shows the
+// result of the request answers it.
 func (a *Admission) handleRecordRead(m RecordRead) {
 	r := a.requests[m.ID]
 	if r == nil {
@@ -67,7 +74,9 @@
 	}
 }
 
-// handleMissingRecord continues a request for a job that has no record.
+// handleMissingRecord continues a request for a job that has no record: a refused
+// submission is refused, one whose transaction failed is checked again, any other gets 503,
+// and polls and cancellations get 404.
 func (a *Admission) handleMissingRecord(r *request) {
 	switch {
 	case r.refusal != nil:
@@ -82,15 +91,18 @@
 	}
 }
 
-// write executes a transaction for a request. If the answer is late, tick reads the record
-// to find out whether the transaction was executed.
+// write executes a transaction for a request. If there is no answer within
+// writeRecheckDelay, tick reads the job's record to find out whether the transaction was
+// executed.
 func (a *Admission) write(r *request, txn protocol.Transaction) {
 	r.writePending, r.recheckAt = true, a.timeAfter(writeRecheckDelay)
 	a.emit(Write{r.ID, txn})
 	a.wakeBy(r.recheckAt)
 }
 
-// handleWritten continues a request after its transaction has been answered.
+// handleWritten continues a request after its transaction has been answered: an executed
+// transaction settles the request, one that was certainly not executed leads to 503, and
+// any other outcome to handleUnsettledWrite.
 func (a *Admission) handleWritten(m Written) {
 	r := a.requests[m.ID]
 	if r == nil {
@@ -112,9 +124,10 @@
 	}
 }
 
-// handleUnsettledWrite continues a request whose transaction failed or whose outcome is
-// unknown. The job has changed since it was read, or its ID is in use already, or the
-// transaction may have been executed: the record shows which.
+// handleUnsettledWrite reads the record of a request whose transaction failed or whose
+// outcome is unknown. The job has changed since it was read, or its ID is in use already,
+// or the transaction may have been executed: the record shows which. After maxWriteAttempts
+// such writes the request is answered with 503.
 func (a *Admission) handleUnsettledWrite(r *request, outcome message.Outcome) {
 	r.attempts++
 	if r.attempts >= maxWriteAttempts {
@@ -128,7 +141,8 @@
 	a.readRecord(r)
 }
 
-// answerFromRecord answers a request from a job's record.
+// answerFromRecord answers a request from a job's record: with the progress of a live job,
+// with the cancellation once it is announced, or that the job is done.
 func (a *Admission) answerFromRecord(r *request, rec record.JobRecord) {
 	switch rec.State {
 	case record.RecordLive:
--- a/internal/controller/admission/message.go
+++ b/internal/controller/admission/message.go
@@ -35,10 +35,10 @@
 		Forwarded bool           // forwarded by a peer, and not to be forwarded again
 		WallMS    int64          // the time of day, in milliseconds of the Unix epoch
 	}
-	// RecordRead answers a Get.
+	// RecordRead answers a GetRecord.
 	RecordRead struct {
 		ID      RequestID
-		Outcome message.Outcome // OutcomeFailed: there is no such record
+		Outcome message.Outcome // OutcomeDone: the record was read; OutcomeFailed: there is none
 		Record  record.JobRecord
 		Version protocol.Version
 	}
@@ -79,7 +79,8 @@
 	Tick struct{}
 )
 
-// LiveJob is the state of a live job in this controller's core.
+// LiveJob is the state of a live job in this controller's core: the version of its record
+// that the core has observed, and its progress.
 type LiveJob struct {
 	Version  protocol.Version
 	Progress message.Progress
@@ -103,12 +104,12 @@
 		ID     RequestID
 		Answer Answer
 	}
-	// GetRecord reads a job's record.
+	// GetRecord reads a job's record from the key-value store.
 	GetRecord struct {
 		ID  RequestID
 		Job protocol.JobID
 	}
-	// Write executes a transaction.
+	// Write executes a transaction on the key-value store.
 	Write struct {
 		ID          RequestID
 		Transaction protocol.Transaction
@@ -119,7 +120,8 @@
 		Query QueryID
 		Jobs  []protocol.JobID
 	}
-	// Compare executes a transaction that has conditions and changes nothing.
+	// Compare executes a transaction on the key-value store that has conditions and changes
+	// nothing.
 	Compare struct {
 		Query      QueryID
 		Conditions []protocol.Condition
--- a/internal/controller/admission/polling.go
+++ b/internal/controller/admission/polling.go
@@ -15,8 +15,8 @@
 	// pollRateFraction is the fraction of a controller's request rate to the key-value
 	// store that polls for live jobs may use.
 	pollRateFraction = 0.25
-	// pollsPerTransactionOp is the maximum number of polls in one comparison for each
-	// operation that a transaction may hold.
+	// pollsPerTransactionOp is the maximum number of polls in one comparison, divided by
+	// the number of operations that a transaction may hold.
 	pollsPerTransactionOp = 4
 )
 
@@ -28,15 +28,16 @@
 	repeated bool                       // this is the second comparison
 }
 
-// resume starts the comparison once the core has returned the versions it has observed.
+// resume sends the comparison to the store once the core has returned the versions it has
+// observed.
 func (c *pollComparison) resume(a *Admission, id QueryID, m CoreAnswered) {
 	c.jobs = m.Jobs
 	a.comparisons[id] = c
 	a.compare(id, c)
 }
 
-// poll answers a poll at once if the job is known to be finished, and otherwise queues it
-// for the next comparison.
+// poll answers a poll at once if the job is known here to be finished, and otherwise queues
+// it for the next comparison.
 func (a *Admission) poll(r *request) {
 	if rec, ok := a.finalRecord(r.Job); ok {
 		a.answerFromRecord(r, rec)
@@ -45,11 +46,13 @@
 	a.waitingPolls = append(a.waitingPolls, r)
 }
 
-// startComparison checks whether the jobs of waiting polls are still live, many of them in
-// one request: a transaction without changes compares the versions of their records with
-// those that the core has observed. The comparison starts after all polls that it answers
-// have arrived, so its result is as fresh as a separate read for each of them would be.
-// Users of hundreds of jobs poll more often than the key-value store accepts requests:
+// startComparison begins to check whether the jobs of waiting polls are still live, many of
+// them in one request: a transaction without changes compares the versions of their records
+// with those that the core has observed. It does nothing if no poll waits, and requests a
+// tick if comparisonInterval has not passed since the last comparison. The comparison
+// starts after all polls that it answers have arrived, so its result is as fresh as a
+// separate read for each of them would be. Users of hundreds of jobs poll more often than
+// the key-value store accepts requests:
 // docs/incidents/2026-12-01-small-jobs-use-up-a-controller.md.
 func (a *Admission) startComparison() {
 	if len(a.waitingPolls) == 0 {
@@ -73,7 +76,9 @@
 	}
 }
 
-// comparisonInterval returns the minimum time between two comparisons.
+// comparisonInterval returns the minimum time between the starts of two comparisons, so
+// that they use at most pollRateFraction of this controller's allotment of requests; at
+// most one second.
 func (a *Admission) comparisonInterval() time.Duration {
 	site := &a.settings.Site
 	allotment := kvstore.EqualAllotment(site.State.RPS, site.State.WriteRPS, site.Count)
@@ -105,8 +110,9 @@
 	a.emit(Compare{id, slices.Compact(conditions)}) // several polls may be for the same job
 }
 
-// handleCompared answers the polls of a comparison, or repeats the comparison without the
-// records that differ.
+// handleCompared answers the polls of a comparison with the progress of their jobs if all
+// versions match, and with 503 if the store didn't answer. If versions differ, it repeats
+// the comparison without those jobs, whose records are read instead.
 func (a *Admission) handleCompared(m Compared) {
 	c := a.comparisons[m.Query]
 	if c == nil {
@@ -127,8 +133,9 @@
 	}
 }
 
-// dropDiffering drops the jobs whose records differ. It drops all jobs if no key is named,
-// or if this was already the second comparison that failed.
+// dropDiffering drops the jobs whose records differ from the comparison, so that compare
+// reads their records. It drops all jobs if no key is named, or if this was already the
+// second comparison that failed.
 func (c *pollComparison) dropDiffering(differingKeys []string) {
 	all := c.repeated || len(differingKeys) == 0
 	for _, r := range c.polls {
--- a/internal/controller/admission/submission.go
+++ b/internal/controller/admission/submission.go
@@ -7,8 +7,9 @@
 	"damsonkeel/internal/record"
 )
 
-// submit checks a submission and accepts or refuses it. If a job with the same ID has been
-// accepted before, its record answers the submission: submissions are idempotent.
+// submit parses and checks a submission, and writes the transaction that accepts the job or
+// refuses the submission. If a job with the same ID has been accepted before, its record
+// answers the submission: submissions are idempotent.
 func (a *Admission) submit(r *request) {
 	j, err := protocol.ParseSubmission(r.Body)
 	if err != nil {
@@ -32,7 +33,8 @@
 	a.write(r, a.conditionOnConfiguration(r, AcceptTransaction(&j)))
 }
 
-// refuseMalformed refuses a submission that can't be parsed.
+// refuseMalformed refuses a submission that can't be parsed with status 400. If the job's
+// ID can be read, a job that was accepted under that ID answers it instead.
 func (a *Admission) refuseMalformed(r *request, err error) {
 	refusal := Failure(statusBadRequest, err.Error())
 	id, ok := protocol.SubmittedID(r.Body)
@@ -44,13 +46,17 @@
 	a.refuse(r, refusal)
 }
 
-// refuse refuses a submission, unless a job with its ID has been accepted.
+// refuse answers a submission with the given refusal, unless the store has a record of a
+// job with its ID, which answers it then.
 func (a *Admission) refuse(r *request, refusal Answer) {
 	r.refusal = &refusal
 	a.readRecord(r)
 }
 
-// infeasibleReason returns why a job can't be accepted, or "" if it can.
+// infeasibleReason returns why a job can't be accepted under the configuration in force, or
+// "" if it can: its team is unknown or closed, its tasks fit no machine type that it
+// allows, or the tasks that must run at once (one of an array, otherwise all) exceed the
+// team's limit.
 func (a *Admission) infeasibleReason(j *protocol.Job) string {
 	team, ok := a.configuration.Team(j.Team)
 	if !ok {
@@ -85,7 +91,8 @@
 	return false
 }
 
-// exceeds reports whether an amount is above a team's limit. A limit of 0 means none.
+// exceeds reports whether an amount of CPUs or GPUs is above a team's limit. A limit of 0
+// means none.
 func exceeds(amount, limit float64) bool { return limit > 0 && amount > limit+resource.Tolerance }
 
 // AcceptTransaction returns the transaction that accepts a job. It is conditional on there
