--- a/internal/controller/jobs/attempt.go
+++ b/internal/controller/jobs/attempt.go
@@ -12,9 +12,10 @@
 	Task    protocol.TaskID
 	Number  protocol.Attempt
 	Machine protocol.MachineID
-	Epoch   protocol.Version // of the machine
-	Zone    protocol.Zone    // of the machine
-	// PlaceNumber is the number of the Place message that carried the attempt.
+	Epoch   protocol.Version // version of the machine's record
+	Zone    protocol.Zone    // zone of the machine
+	// PlaceNumber is the number of the Place message that carried the attempt. If it is 0, any
+	// inventory of the machine decides whether the attempt exists.
 	PlaceNumber uint64
 	// Estimate is the expected run time in seconds.
 	Estimate float64
@@ -40,8 +41,9 @@
 	ReleaseRequested bool
 }
 
-// IsMovable reports whether the dispatcher may still release the attempt, so that the task
-// can be placed on another machine.
+// IsMovable reports whether the dispatcher may still release the attempt, so that the task can
+// be placed on another machine: the attempt is known to exist, has not started, and no stop or
+// release of it has been requested.
 func (a *Attempt) IsMovable() bool {
 	return !a.Started && !a.Stopping && !a.ReleaseRequested && !a.Unverified
 }
--- a/internal/controller/jobs/attemptindex.go
+++ b/internal/controller/jobs/attemptindex.go
@@ -6,7 +6,7 @@
 	"damsonkeel/internal/protocol"
 )
 
-// AttemptIndex maps each machine to the attempts that may exist on it, by task.
+// AttemptIndex maps each machine to the attempts of owned jobs that may exist on it, by task.
 type AttemptIndex map[protocol.MachineID]map[protocol.TaskID]*Attempt
 
 // add adds an attempt to the entry of its machine.
@@ -27,7 +27,8 @@
 	}
 }
 
-// markUnverified marks the attempts on a machine as unverified.
+// markUnverified marks the attempts on a machine as unverified: the machine's next inventory
+// decides whether they exist.
 func (x AttemptIndex) markUnverified(id protocol.MachineID) {
 	for _, attempt := range x[id] {
 		attempt.Unverified = true
--- a/internal/controller/jobs/attempts.go
+++ b/internal/controller/jobs/attempts.go
@@ -17,7 +17,8 @@
 	return protocol.Attempt(uint64(o.View.Term)<<32 | o.attemptCounter)
 }
 
-// AddAttempt adds an attempt to a job. From now on the attempt may exist.
+// AddAttempt adds an unstarted attempt to a job and to AttemptsByMachine. Its task is no longer
+// pending.
 func (o *Owned) AddAttempt(job *Job, attempt *Attempt) {
 	job.Placed[attempt.Task] = attempt
 	job.Pending.Clear(uint(attempt.Task.Index))
@@ -25,8 +26,8 @@
 	o.AttemptsByMachine.add(attempt)
 }
 
-// RemoveAttempt drops an attempt that is proven not to exist, or that no longer belongs to
-// the job.
+// RemoveAttempt drops an attempt that is proven not to exist, or that no longer belongs to the
+// job, from the job and from AttemptsByMachine. It does not make the task pending.
 func (o *Owned) RemoveAttempt(job *Job, attempt *Attempt) {
 	if job.Placed[attempt.Task] == attempt {
 		delete(job.Placed, attempt.Task)
@@ -42,8 +43,9 @@
 	o.AttemptsByMachine.remove(attempt)
 }
 
-// handleLostAttempt removes an attempt that is proven not to exist any more, and makes its
-// task pending again. If the job is a gang, its other attempts are stopped.
+// handleLostAttempt removes an attempt that is proven not to exist any more, and makes its task
+// pending again, unless the task is done or the job is unverified. If the job is a gang, its
+// other attempts are killed with the job's grace period.
 func (o *Owned) handleLostAttempt(job *Job, attempt *Attempt) {
 	index := uint(attempt.Task.Index)
 	if attempt.Started {
@@ -64,9 +66,10 @@
 	}
 }
 
-// SendStop asks the dispatcher of an attempt's machine to end the attempt. If kill is set,
-// the attempt is killed with a grace period in seconds; otherwise it is only released, and
-// only if it has not been sent to the worker.
+// SendStop asks the dispatcher of an attempt's machine to end the attempt. If the attempt has
+// not been sent to the worker, it is released. Otherwise it is killed with a grace period in
+// seconds if kill is set, and continues if not. A kill with a grace period is not sent again to
+// an attempt that is being killed.
 func (o *Owned) SendStop(attempt *Attempt, kill bool, graceSeconds float64) {
 	if attempt.Stopping && kill && graceSeconds > 0 {
 		return
@@ -84,8 +87,9 @@
 	}
 }
 
-// HandleMachineLost drops all attempts on a machine whose record has been removed: they were
-// placed under that record.
+// HandleMachineLost drops all attempts on a machine whose record has been removed, and makes
+// their tasks pending again: the attempts were placed under that record. The inventory of the
+// machine is no longer awaited.
 func (o *Owned) HandleMachineLost(m *waittable.Machine) {
 	delete(o.AwaitedInventories, m.ID)
 	o.dropEndedJobAttempts(m.ID, math.MaxUint64)
--- a/internal/controller/jobs/bitmap.go
+++ b/internal/controller/jobs/bitmap.go
@@ -13,8 +13,11 @@
 	chunks []int
 }
 
-// WriteBitmaps writes the changed bitmap chunks of the owned jobs. Each call writes those of
-// a limited number of jobs.
+// WriteBitmaps starts the writes of the changed bitmap chunks of the owned jobs, with one
+// transaction for each job and for at most as many jobs per call as the site's TxnOps setting
+// says. It skips a job whose bitmap is being written or has to be read first, and a job whose
+// final record is about to be written, which deletes the bitmap. Without the lease it writes
+// nothing.
 func (o *Owned) WriteBitmaps() {
 	if !o.HoldsLease() {
 		return
@@ -31,7 +34,8 @@
 	}
 }
 
-// writeBitmap writes the changed chunks of a job's bitmap in one transaction.
+// writeBitmap starts the write of the changed chunks of a job's bitmap in one transaction. It
+// fails if the view, the job's live record or a chunk has changed.
 func (o *Owned) writeBitmap(job *Job) {
 	tag := BitmapTag{Job: job.ID}
 	txn := protocol.Transaction{Conditions: []protocol.Condition{
@@ -53,9 +57,10 @@
 	o.Emit(message.Commit{Tag: tag, Transaction: txn})
 }
 
-// HandleBitmapWritten handles the outcome of a write of a job's bitmap. After a failed write
-// the chunks are dirty again; if the stored versions are uncertain, the bitmap is read
-// again first.
+// HandleBitmapWritten handles the outcome of a write of a job's bitmap. After a success it
+// records at, the revision of the write, as the version of the written chunks. Otherwise the
+// chunks are dirty again; after OutcomeUnknown or OutcomeFailed, which leave the stored
+// versions uncertain, the bitmap is read again before the next write.
 func (o *Owned) HandleBitmapWritten(tag BitmapTag, outcome message.Outcome, at protocol.Revision) {
 	job := o.ByID[tag.Job]
 	if job == nil {
@@ -79,7 +84,8 @@
 }
 
 // HandleBitmapLoaded merges the stored bitmap of a job, as read from the records, into its
-// state.
+// state, and kills the attempts of tasks that the bitmap says are done. If the read failed,
+// Retry repeats it.
 func (o *Owned) HandleBitmapLoaded(loaded message.BitmapLoaded) {
 	job := o.ByID[loaded.Job]
 	if job == nil || job.Loaded && !job.bitmap.rereadNeeded {
@@ -103,8 +109,9 @@
 	o.resolveUnverified()
 }
 
-// mergeChunks marks the tasks as done that are done in the stored chunks of a job's bitmap,
-// and replaces the known chunk versions by those of the stored chunks.
+// mergeChunks marks the tasks as done that are done in the stored chunks of a job's bitmap, and
+// replaces the known chunk versions by those of the stored chunks. A chunk that can't be
+// decoded is logged.
 func (o *Owned) mergeChunks(job *Job, items []protocol.Item) {
 	clear(job.bitmap.stored)
 	for _, item := range items {
--- a/internal/controller/jobs/events.go
+++ b/internal/controller/jobs/events.go
@@ -8,10 +8,16 @@
 	"damsonkeel/internal/protocol"
 )
 
-// retryAfterUnknown is the backoff of a job after an attempt ended for an unknown cause.
+// retryAfterUnknown is how long no task of a job is placed after an attempt ended with
+// protocol.EndUnknown: its worker found no description of the job.
 const retryAfterUnknown = 2 * time.Second
 
-// HandleTaskEvent handles a dispatcher's report about an attempt.
+// HandleTaskEvent handles a dispatcher's report about an attempt of an owned job. It handles
+// each end of an attempt, and then has the worker remove the attempt from its status. Other
+// events change only the current attempt of a task: the one in Job.Placed, with the same number
+// and machine. An attempt that exists and is not the current one is killed, once the job's
+// bitmap and all inventories have been received. For a job that is not owned here, an end or a
+// release only drops the attempt from EndedJobAttempts.
 func (o *Owned) HandleTaskEvent(event message.TaskEvent) {
 	job := o.ByID[event.Task.Job]
 	if job == nil {
@@ -49,7 +55,7 @@
 }
 
 // handleCurrentAttemptEvent handles an event, other than the end, of the current attempt of a
-// task.
+// task: its release, its start, or the notice that the cloud is about to reclaim its machine.
 func (o *Owned) handleCurrentAttemptEvent(job *Job, attempt *Attempt, event message.TaskEvent) {
 	switch event.What {
 	case message.EventReleased:
@@ -61,8 +67,10 @@
 	}
 }
 
-// handleReleasedAttempt handles an attempt that its dispatcher has released without having
-// sent it to the worker.
+// handleReleasedAttempt removes an attempt that its dispatcher has released without having sent
+// it to the worker, and makes its task pending again. The other tasks of a gang are stopped,
+// unless the released one can be placed again under its number (see Job.refillable). If no
+// release was requested, the machine gets no further tasks until its next update.
 func (o *Owned) handleReleasedAttempt(job *Job, attempt *Attempt) {
 	if !attempt.Stopping && !attempt.ReleaseRequested {
 		// The dispatcher refused the attempt because of a state of the machine that the
@@ -93,8 +101,8 @@
 	o.SendStop(&Attempt{Task: event.Task, Number: event.Attempt, Machine: event.Machine}, true, 0)
 }
 
-// markStarted records that an attempt has been sent to its worker and, if running is set,
-// that it runs.
+// markStarted records that an attempt has been sent to its worker. If running is set, it also
+// records that the attempt runs from now on and schedules its first check for a late task.
 func (o *Owned) markStarted(job *Job, attempt *Attempt, running bool) {
 	if !attempt.Started {
 		job.Unstarted--
@@ -108,9 +116,11 @@
 	}
 }
 
-// handleTerminationNotice stops a task on a machine that the cloud is about to reclaim, so
-// that it can run elsewhere. A task that can't save a checkpoint continues if it may finish
-// in time: if it can't, running until the reclaim would only delay its next attempt.
+// handleTerminationNotice kills an attempt on a machine that the cloud reclaims in secondsLeft,
+// so that the task can run elsewhere. A task that saves checkpoints and a task of a service are
+// killed with the job's grace period, and all attempts of a gang are. A task that can't save a
+// checkpoint continues if its estimate says that it ends in time, and is killed at once
+// otherwise: running until the reclaim would only delay its next attempt.
 func (o *Owned) handleTerminationNotice(job *Job, attempt *Attempt, secondsLeft float64) {
 	if job.Kind == protocol.KindGang {
 		o.StopAttempts(job)
@@ -129,8 +139,12 @@
 	}
 }
 
-// handleEndedAttempt handles the end of an attempt, which may not be the current attempt of
-// its task.
+// handleEndedAttempt handles the end of an attempt, which may not be the current attempt of its
+// task. After a success the task is done, except that of a service. After any other end of the
+// current attempt, the task becomes pending again; an error counts as a failure of the job,
+// protocol.EndUnknown delays its next placement by retryAfterUnknown, and a machine that had
+// too few free resources or reported protocol.EndInUse gets no further tasks until its next
+// update. Any other end of an attempt that is not current is ignored.
 func (o *Owned) handleEndedAttempt(job *Job, attempt *Attempt, current bool, event message.TaskEvent) {
 	if event.Cause == protocol.EndDone && job.Kind != protocol.KindService {
 		o.handleCompletedAttempt(job, attempt, current, event.Task.Index)
@@ -151,8 +165,10 @@
 	o.handleLostAttempt(job, attempt)
 }
 
-// handleCompletedAttempt handles the successful end of an attempt. If another attempt of the
-// task is current, that attempt is killed, since the task is done.
+// handleCompletedAttempt handles the successful end of an attempt: its task is done, and so are
+// all tasks of a gang. attempt is the current attempt of the task, nil if there is none;
+// current is set if it is the attempt that ended. Otherwise attempt is killed, since its task
+// is done.
 func (o *Owned) handleCompletedAttempt(job *Job, attempt *Attempt, current bool, index uint32) {
 	o.markTaskDone(job, index)
 	if current {
--- a/internal/controller/jobs/failingjob.go
+++ b/internal/controller/jobs/failingjob.go
@@ -25,9 +25,9 @@
 	trialFactor, trialSlack = 3, 5 * time.Second
 )
 
-// handleFailedAttempt records that an attempt ended in an error and decides whether its job
-// is failing (see hasFailedEverywhere). Of a failing job one task at a time is tried, with a
-// backoff that doubles after each failed trial.
+// handleFailedAttempt records that an attempt ended in an error and decides whether its job is
+// failing (see hasFailedEverywhere). Of a failing job one task at a time is placed as a trial,
+// or the whole gang, with a backoff that doubles after each failed trial up to maxTrialBackoff.
 func (o *Owned) handleFailedAttempt(job *Job, attempt *Attempt) {
 	job.FailedOn[attempt.Machine] = true
 	job.failure.count++
@@ -43,8 +43,8 @@
 	}
 }
 
-// markFailing marks a job as failing, sets the backoff of its first trial and releases its
-// queued attempts.
+// markFailing marks a job as failing, sets the backoff of its first trial and requests the
+// release of its queued attempts, except those of a gang.
 func (o *Owned) markFailing(job *Job) {
 	job.Failing, job.failure.backoff = true, minTrialBackoff
 	if job.IsGang() { // a trial uses the resources of all its tasks
@@ -60,8 +60,9 @@
 	}
 }
 
-// clearFailures resets the failure count of a job after a success, and ends the trials if the
-// job was failing.
+// clearFailures resets the failure count of a job after a success. If the job was failing, it
+// no longer is: its backoff and its list of machines with failures are cleared, and all its
+// tasks may be placed.
 func (o *Owned) clearFailures(job *Job) {
 	job.failure.count = 0
 	if !job.Failing {
@@ -74,8 +75,8 @@
 	o.Log.Info("job no longer fails", "job", job.ID)
 }
 
-// endTrialsAfterLongRun ends the trials of a failing job once a trial has run for much longer
-// than the job's tasks ran before they failed.
+// endTrialsAfterLongRun clears the failures of a failing job once a trial has run for longer
+// than trialFactor times the longest run of a failed attempt plus trialSlack.
 func (o *Owned) endTrialsAfterLongRun(job *Job) {
 	if !job.Failing {
 		return
@@ -89,16 +90,18 @@
 	}
 }
 
-// IsFailing reports whether the owner of a live job has classified it as failing.
+// IsFailing reports whether the owner of a live job has classified it as failing. It is false
+// if the owner, a peer, has not reported the job's progress yet.
 func (o *Owned) IsFailing(id protocol.JobID) bool {
 	progress, ok := o.JobProgress(id)
 	return ok && progress.Failing
 }
 
-// FailedOnAllMachines reports whether a job has failed on all usable machines that suit it.
-// The job may then be placed again on machines where it has failed. Otherwise a job that
-// failed once on the only machine of a zone would never be retried: no other machine is
-// provisioned while that machine has free resources.
+// FailedOnAllMachines reports whether a job has failed on some machine, and on all machines
+// that accept placements (see waittable.Table.Usable) and that its requirements of type, zone,
+// purchase option and size allow. The job may then be placed again on machines where it has
+// failed. Otherwise a job that failed once on the only machine of a zone would never be
+// retried: no other machine is provisioned while that machine has free resources.
 func (o *Owned) FailedOnAllMachines(job *Job) bool {
 	if len(job.FailedOn) == 0 {
 		return false
@@ -111,9 +114,10 @@
 	return true
 }
 
-// hasFailedEverywhere reports whether a job has failed on several machines, with at least as
-// many failures as running tasks, or on all machines that suit it. The number of running
-// tasks is ignored for a gang, since its tasks fail together.
+// hasFailedEverywhere reports whether a job has failed on at least minFailedMachines machines,
+// with at least as many failures since a task was last done as it has running tasks, or on all
+// machines on which it may run (see FailedOnAllMachines). The number of running tasks is
+// ignored for a gang, since its tasks fail together.
 func (o *Owned) hasFailedEverywhere(job *Job) bool {
 	failedOnSeveral := len(job.FailedOn) >= minFailedMachines && (job.IsGang() || job.failure.count >= int(job.runningCount))
 	return failedOnSeveral || o.FailedOnAllMachines(job)
--- a/internal/controller/jobs/finish.go
+++ b/internal/controller/jobs/finish.go
@@ -10,7 +10,8 @@
 // FinishTag identifies the write of a job's final record.
 type FinishTag struct{ Job protocol.JobID }
 
-// markTaskDone records that a task is done, and marks its chunk of the bitmap as dirty.
+// markTaskDone records that a task is done, marks its chunk of the bitmap as dirty, and clears
+// the job's failures. It does nothing for a task that is done already.
 func (o *Owned) markTaskDone(job *Job, index uint32) {
 	job.Pending.Clear(uint(index))
 	if job.Done.Test(uint(index)) {
@@ -23,8 +24,8 @@
 	o.clearFailures(job)
 }
 
-// finishIfDone starts the write of a job's final record once all its tasks are done. The end
-// of the job is not announced before the write is durable.
+// finishIfDone starts the write of a job's final record once the job's bitmap has been read and
+// all its tasks are done. The end of the job is not announced before the write is durable.
 func (o *Owned) finishIfDone(job *Job) {
 	if !job.Loaded || job.DoneCount < job.Tasks || job.FinishDue {
 		return
@@ -33,7 +34,9 @@
 	o.writeFinish(job)
 }
 
-// writeFinish writes a job's final record, and deletes its live record and its bitmap.
+// writeFinish starts the transaction that writes a job's final record and deletes its live
+// record and its bitmap. It does nothing without the lease, or if that transaction is in flight
+// or has succeeded.
 func (o *Owned) writeFinish(job *Job) {
 	if job.finishInFlight || !o.HoldsLease() {
 		return
@@ -42,7 +45,8 @@
 	o.Emit(message.Commit{Tag: FinishTag{job.ID}, Transaction: job.finishTransaction()})
 }
 
-// finishTransaction returns the transaction that records the job as done.
+// finishTransaction returns the transaction that records the job as done and deletes its live
+// record and its stored bitmap. It fails if the job's records have changed.
 func (j *Job) finishTransaction() protocol.Transaction {
 	txn := protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.LiveKey(j.ID), Version: j.Version}, {Key: record.JobKey(j.ID), Version: j.Version}},
--- a/internal/controller/jobs/inventory.go
+++ b/internal/controller/jobs/inventory.go
@@ -8,7 +8,10 @@
 )
 
 // HandleInventory handles a dispatcher's inventory of a machine, which lists all attempts of
-// this owner's jobs there. Attempts that the inventory should list and does not are lost.
+// this owner's jobs there that were placed by its Place messages up to the number in the
+// inventory. It applies the reported state of each listed attempt. Unlisted attempts are lost
+// if they are unverified or were placed by these messages. An inventory that isCurrentInventory
+// rejects is ignored.
 func (o *Owned) HandleInventory(from protocol.NodeName, inventory *message.Inventory) {
 	m := o.table.Machines[inventory.Machine]
 	if m == nil || !o.isCurrentInventory(from, inventory, m) {
@@ -57,8 +60,9 @@
 	}
 }
 
-// adoptAttempt handles one attempt of an inventory: it restores the attempt after a takeover,
-// verifies it, and applies its reported state.
+// adoptAttempt handles one attempt of an inventory: it restores the attempt if the job is
+// unverified and has no attempt of the task, marks it as verified, and applies its reported
+// state as a task event.
 func (o *Owned) adoptAttempt(job *Job, m *waittable.Machine, held message.HeldAttempt) {
 	ref := message.TaskRef{Task: held.Task, Attempt: held.Attempt, Machine: m.ID}
 	attempt := job.Placed[held.Task]
@@ -82,7 +86,8 @@
 	}
 }
 
-// restoreAttempt adds an attempt that an inventory lists to a job after a takeover.
+// restoreAttempt adds an attempt that an inventory lists to a job after a takeover. If the task
+// is done, the attempt is killed.
 func (o *Owned) restoreAttempt(job *Job, m *waittable.Machine, held message.HeldAttempt) *Attempt {
 	attempt := &Attempt{
 		Task: held.Task, Number: held.Attempt, Machine: m.ID, Epoch: m.Epoch, Zone: m.Record.Zone,
@@ -95,8 +100,10 @@
 	return attempt
 }
 
-// resolveUnverified makes the unlisted tasks of jobs taken over pending, once every machine
-// that might have an attempt has either sent its inventory or been lost.
+// resolveUnverified ends the verification after a takeover, once every machine that might have
+// an attempt has either sent its inventory or been lost: tasks of unverified jobs that are
+// neither done nor listed become pending, and the usage of the limited teams is complete. A job
+// whose bitmap has not been read stays unverified.
 func (o *Owned) resolveUnverified() {
 	if len(o.AwaitedInventories) > 0 {
 		return
--- a/internal/controller/jobs/job.go
+++ b/internal/controller/jobs/job.go
@@ -28,11 +28,11 @@
 	DoneCount uint32
 	// Pending is the set of tasks that are to be placed.
 	Pending *bitset.BitSet
-	// Placed holds the attempts that may exist, and Unstarted is the number of them that
-	// have not started.
+	// Placed holds the current attempt of each task that has one, which may exist, and Unstarted
+	// is the number of these that have not been sent to their workers.
 	Placed    map[protocol.TaskID]*Attempt
 	Unstarted int
-	// runningCount is the number of attempts that were reported to run.
+	// runningCount is the number of attempts in Placed that were reported to run.
 	runningCount uint32
 	// interrupted is the set of tasks that lost an attempt after it had started.
 	interrupted *bitset.BitSet
@@ -45,20 +45,20 @@
 	bitmap         bitmapState
 
 	// SearchFailed is set for a gang if the last placement search, at SearchedAt, examined
-	// machines and found no place for it. ClaimedMachines were claimed for it in that search.
+	// machines and could not place the gang. ClaimedMachines were claimed for it in that search.
 	SearchFailed    bool
 	SearchedAt      clock.Time
 	ClaimedMachines []*waittable.Machine
-	// IncompleteSince is when placement first found no place for released tasks of a gang;
-	// 0 if no task is missing.
+	// IncompleteSince is when placement first found no machines for released tasks of a gang
+	// whose other tasks are still placed; 0 if no task is missing.
 	IncompleteSince clock.Time
 
-	// Level is the job's resource level at the last placement.
+	// Level is the job's resource level, set at the beginning of the last placing round.
 	Level resource.Level
 	// ConfinedToHeadroom is set if the job was confined to the headroom at the last placement.
 	// The headroom is the capacity that jobs with an objective are not expected to need.
 	ConfinedToHeadroom bool
-	// NotBefore is the earliest time at which tasks may be placed; 0 means at once.
+	// NotBefore is the end of the job's backoff: no task is placed before it; 0 means none.
 	NotBefore clock.Time
 	// WaitingSince is when the job was submitted, in the time of this controller's clock.
 	WaitingSince clock.Time
@@ -134,13 +134,16 @@
 }
 
 // Allows reports whether a task of the job may run on a machine, considering the machine's
-// type, zone, kind and size, and the number of the job's attempts in each zone.
+// type, zone, purchase option and size, and the number of the job's attempts in each zone. It
+// does not consider which resources of the machine are free.
 func (j *Job) Allows(m *waittable.Machine, zones map[protocol.Zone]int) bool {
 	return j.AllowsKind(m.Info, m.Record.Zone, m.Record.Spot) && j.AllowsZone(m, zones)
 }
 
-// AllowsZone reports whether another attempt may be placed in the zone of a machine, given
-// the number of the job's attempts in each zone.
+// AllowsZone reports whether another attempt may be placed in the zone of a machine, given the
+// number of the job's attempts in each zone. A job that must run in one zone may only use the
+// zone of its other attempts; of a job that must be spread, each zone may have at most half of
+// the tasks, rounded up.
 func (j *Job) AllowsZone(m *waittable.Machine, zones map[protocol.Zone]int) bool {
 	if j.OneZone {
 		for zone, n := range zones {
@@ -152,14 +155,15 @@
 	return !j.Spread || zones[m.Record.Zone] < int(j.Tasks+1)/2
 }
 
-// MedianRunSeconds returns the median run time of the job's tasks, once enough tasks are done
-// to estimate it.
+// MedianRunSeconds returns the median run time of the job's tasks in seconds. ok is false as
+// long as only few tasks, or no more than are running, have ended with a known run time (see
+// forecast.RunTimes.Median).
 func (j *Job) MedianRunSeconds() (seconds float64, ok bool) {
 	return j.runTimes.Median(int(j.runningCount))
 }
 
-// MaxPlaceable returns how many of n tasks of the job may be placed now: at most one while
-// the job is failing.
+// MaxPlaceable returns how many of n tasks of the job may be placed now: n, but while the job
+// is failing only one, and none as long as one of its attempts may exist.
 func (j *Job) MaxPlaceable(n int) int {
 	switch {
 	case !j.Failing:
@@ -171,9 +175,9 @@
 }
 
 // refillable reports whether a task of a gang can be placed again under the same attempt
-// number, after its dispatcher released the attempt without having sent it to the worker.
-// This is possible as long as no task of the gang is being stopped: until then the other
-// tasks only wait for the missing one.
+// number, after its dispatcher released the attempt without having sent it to the worker. This
+// is possible if the release was not requested, other tasks of the gang are placed under that
+// number, and none of them is being stopped: until then they only wait for the missing one.
 func (j *Job) refillable(attempt *Attempt) bool {
 	if !j.IsGang() || j.Unverified || attempt.Started || attempt.ReleaseRequested || len(j.Placed) < 2 {
 		return false
@@ -186,7 +190,9 @@
 	return true
 }
 
-// hasUnwrittenState reports whether a part of the job's state is not in its records yet.
+// hasUnwrittenState reports whether a part of the job's state may not be in its records yet: a
+// bitmap chunk is dirty or being written, or the write of the final record is in flight or has
+// succeeded.
 func (j *Job) hasUnwrittenState() bool {
 	return len(j.bitmap.dirty) > 0 || j.bitmap.writing || j.finishInFlight
 }
--- a/internal/controller/jobs/owned.go
+++ b/internal/controller/jobs/owned.go
@@ -17,10 +17,11 @@
 )
 
 const (
-	// HeadroomOnlyDuration is how long a job without an objective is confined to the headroom
-	// before it is started like any other job of its level.
+	// HeadroomOnlyDuration is how long a job without an objective may use only the headroom
+	// before its first task, or the whole gang, is placed like that of any other job of its
+	// level.
 	HeadroomOnlyDuration = time.Minute
-	// retryInterval is the time between two retries of failed reads and writes.
+	// retryInterval is the shortest time between two runs of Retry.
 	retryInterval = time.Second
 )
 
@@ -33,17 +34,17 @@
 
 	// ByID holds the owned jobs by their IDs.
 	ByID map[protocol.JobID]*Job
-	// AttemptsByMachine holds the attempts on each machine that were placed under the machine's
-	// present record.
+	// AttemptsByMachine holds the attempts of owned jobs on each machine that were placed under
+	// the machine's present record.
 	AttemptsByMachine AttemptIndex
 	// AwaitedInventories is the set of machines whose inventory of this term has not been
 	// received.
 	AwaitedInventories map[protocol.MachineID]bool
-	// EndedJobAttempts holds the attempts of ended jobs of limited teams, until each attempt is
-	// proven to have ended.
+	// EndedJobAttempts holds the attempts of ended jobs of limited teams, which count against the
+	// limits, until each attempt is proven to have ended.
 	EndedJobAttempts EndedJobAttempts
-	// UnverifiedTeams is the set of limited teams that were just taken over and whose usage
-	// is incomplete until all inventories have been received.
+	// UnverifiedTeams is the set of limited teams whose jobs were just taken over: the attempts
+	// of a team are not completely known until all inventories have been received.
 	UnverifiedTeams map[protocol.Team]bool
 
 	sorted         []*Job // the jobs in order of placement; nil if they have to be sorted again
@@ -67,7 +68,8 @@
 	o.changes = replication.ChangeLog[protocol.JobID]{}
 }
 
-// DropAll drops all owned jobs. It is called when this controller is not in the view.
+// DropAll drops all owned jobs and what is kept about ended jobs, teams and awaited
+// inventories. It is called when this controller is not in the view.
 func (o *Owned) DropAll() {
 	o.ByID, o.sorted = map[protocol.JobID]*Job{}, nil
 	o.AwaitedInventories = map[protocol.MachineID]bool{}
@@ -86,8 +88,11 @@
 	return true
 }
 
-// AddAccepted adds a job whose live record was read, either as a change of the records or in
-// a snapshot of all records. A new job that this controller owns becomes pending at once.
+// AddAccepted adds a job whose live record was read to the live jobs, and records its arrival
+// for the workload statistics. If snapshot is not set, the record is a new one, read as a
+// change of the records: if this controller owns the job, all its tasks become pending at once.
+// If snapshot is set, the record was read with all records, and AdoptView takes the job over
+// later. A job that is live already is ignored.
 func (o *Owned) AddAccepted(accepted protocol.Job, version protocol.Version, snapshot bool) {
 	if o.Live[accepted.ID] != nil {
 		return
@@ -106,7 +111,8 @@
 	o.Log.Debug("job accepted", "job", accepted.ID, "class", accepted.Class, "team", accepted.Team, "tasks", accepted.Tasks)
 }
 
-// AdoptJob adds a live job to the owned jobs, without any attempts or finished tasks.
+// AdoptJob adds a live job to the owned jobs, without any attempts or finished tasks and with
+// no task pending.
 func (o *Owned) AdoptJob(live *clusterstate.LiveJob) *Job {
 	job := newJob(live)
 	o.ByID[live.ID] = job
@@ -116,8 +122,9 @@
 	return job
 }
 
-// RemoveEnded drops an owned job whose record says that it has ended, and asks the
-// dispatchers to kill its attempts.
+// RemoveEnded drops an owned job that has ended, so that its live record was deleted, and asks
+// the dispatchers to kill its attempts without a grace period. Those of a limited team are kept
+// in EndedJobAttempts. It does nothing for a job that is not owned here.
 func (o *Owned) RemoveEnded(id protocol.JobID) {
 	job := o.ByID[id]
 	if job == nil {
@@ -140,8 +147,10 @@
 	o.table.PlacementDue = true
 }
 
-// Retry repeats the reads and writes that the key-value store did not carry out, triggers the
-// placement of jobs whose backoff has ended, and ends trials that have run for long enough.
+// Retry repeats the reads of bitmaps and the writes of final records that are due and not in
+// flight, triggers the placement of jobs whose backoff has ended, and clears the failures of
+// failing jobs with a long trial (see endTrialsAfterLongRun). It does so at most once per
+// retryInterval, and only while this controller holds its lease.
 func (o *Owned) Retry() {
 	if o.Now < o.retryAt || !o.HoldsLease() {
 		return
@@ -193,10 +202,11 @@
 	return o.sorted
 }
 
-// CurrentDeadline returns the time by which a job should be done. A job without an objective
-// that has not started any task within HeadroomOnlyDuration is ordered by its submission time
-// until a task starts, which puts it first. Otherwise it would not start for minutes where
-// there is more work than resources, since jobs with earlier deadlines keep arriving.
+// CurrentDeadline returns the time by which a job is ordered among the jobs of its priority:
+// normally its Deadline. For a job without an objective or deadline that has started no task
+// within HeadroomOnlyDuration, it is the submission time, which puts the job ahead of those
+// that arrive later, until a task starts. Otherwise it would not start for minutes where there
+// is more work than resources, since jobs with earlier deadlines keep arriving.
 func (o *Owned) CurrentDeadline(live *clusterstate.LiveJob) clock.Time {
 	if o.Since(live.SubmittedAt) > HeadroomOnlyDuration && len(o.ObjectiveTimes(&live.Job)) == 0 && !o.HasStartObjective(&live.Job) {
 		if progress, _ := o.JobProgress(live.ID); progress.Running == 0 && progress.Done == 0 {
--- a/internal/controller/jobs/progress.go
+++ b/internal/controller/jobs/progress.go
@@ -11,7 +11,9 @@
 // members.
 func (o *Owned) MarkProgressChanged(job *Job) { o.changes.Touch(job.ID) }
 
-// progressOf returns the progress of an owned job.
+// progressOf returns the progress of an owned job: how many of its tasks are done and how many
+// run, and whether it is failing. It includes the job's level, plus one, only while the
+// calendar has reservations or maintenance windows.
 func (o *Owned) progressOf(job *Job) message.Progress {
 	progress := message.Progress{Job: job.ID, Done: job.DoneCount, Running: job.runningCount, Failing: job.Failing}
 	if o.Reservations.HasEntries {
@@ -35,8 +37,9 @@
 	return message.Progress{}, false
 }
 
-// FillUpdate adds the progress of changed jobs to a state update for a peer, and advances the
-// peer's cursor. It adds those that changed since the last update, up to limit jobs.
+// FillUpdate adds the progress of the owned jobs that changed since the last state update for a
+// peer, up to limit jobs, to the next update, and advances the peer's cursor, which holds the
+// number of the last change that was sent to it.
 func (o *Owned) FillUpdate(update *message.StateUpdate, cursor *replication.Cursor, limit int) {
 	ids, upto := o.changes.Since(cursor.SentUpTo(), limit)
 	update.Jobs = replication.Range{Stream: uint64(o.View.Term), From: cursor.SentUpTo(), Upto: upto}
@@ -49,7 +52,7 @@
 }
 
 // BeginProgressStream begins the change stream of a new term, with all owned jobs marked as
-// changed.
+// changed, so that peers receive the progress of each of them again.
 func (o *Owned) BeginProgressStream() {
 	o.changes = replication.ChangeLog[protocol.JobID]{}
 	for id := range ordered.ByKey(o.ByID) {
--- a/internal/controller/jobs/runtimes.go
+++ b/internal/controller/jobs/runtimes.go
@@ -13,8 +13,8 @@
 }
 
 // EstimateRunSeconds returns the expected run time of a job's tasks in seconds: the median run
-// time of its finished tasks once enough of them are done, and the submitted estimate before
-// that.
+// time of its finished tasks once MedianRunSeconds has one, and before that the submitted
+// estimate, or the default estimate if none was submitted.
 func (o *Owned) EstimateRunSeconds(job *Job) float64 {
 	if seconds, ok := job.MedianRunSeconds(); ok {
 		return seconds
--- a/internal/controller/jobs/slowmachines.go
+++ b/internal/controller/jobs/slowmachines.go
@@ -30,12 +30,13 @@
 	// drainingMachineDivisor limits the machines that are drained at the same time to
 	// one in this number. If more machines seem slow, the machines are not the cause.
 	drainingMachineDivisor = 10
-	// maxRunChecks bounds the tasks checked in one call of DetectSlowMachines.
+	// maxRunChecks is the maximum number of tasks checked in one call of DetectSlowMachines.
 	maxRunChecks = 500
-	// runRecheckDelay is the time until a task is checked again if its machine could not be
-	// assessed.
+	// runRecheckDelay is the time until a task is checked again if its job had no median run
+	// time, or its end might not have been observed.
 	runRecheckDelay = 5 * time.Second
-	// maxStateAgeUpdates is the largest age of a usable machine state, in replication intervals.
+	// maxStateAgeUpdates is the largest age, in replication intervals, of the dispatcher's last
+	// update with which a task may be counted as late.
 	maxStateAgeUpdates = 3
 )
 
@@ -69,8 +70,8 @@
 	return last
 }
 
-// lateThreshold returns how long a task may run before it is late, for a median run time in
-// seconds.
+// lateThreshold returns how long a task may run before it is late, given the median run time of
+// its job's tasks in seconds.
 func lateThreshold(medianSeconds float64) clock.Time {
 	return clock.Time(lateRunFactor*medianSeconds*float64(time.Second)) + clock.Time(reportDelayTolerance)
 }
@@ -83,8 +84,9 @@
 	}
 }
 
-// DetectSlowMachines checks the tasks that run longer than the other tasks of their job, and
-// drains the machines on which several tasks do.
+// DetectSlowMachines checks the running tasks whose check is due, and drains the machines on
+// which at least minLateRuns tasks are late: they run for more than lateRunFactor times the
+// median run time of their job.
 func (o *Owned) DetectSlowMachines() {
 	deadlines := &o.runDeadlines
 	for range maxRunChecks {
@@ -95,7 +97,9 @@
 	}
 }
 
-// checkRun checks whether a task runs too long, and schedules its next check.
+// checkRun checks whether a running task is late. If it is, the task is counted against its
+// machine; if it is not, or can't be assessed yet, its next check is scheduled. An attempt that
+// is no longer current, running or on a registered machine is not checked again.
 func (o *Owned) checkRun(attempt *Attempt) {
 	job := o.ByID[attempt.Task.Job]
 	m := o.table.Machines[attempt.Machine]
@@ -120,14 +124,16 @@
 }
 
 // observesTaskEnds reports whether this controller would have observed the ends of tasks on a
-// machine: it has received the machine's inventory, the dispatcher's updates are recent, and
-// the machine's heartbeats are not overdue.
+// machine: it has received the machine's inventory, the dispatcher's last update is at most
+// maxStateAgeUpdates replication intervals old, and the machine's heartbeats are not overdue.
 func (o *Owned) observesTaskEnds(m *waittable.Machine) bool {
 	return !o.AwaitedInventories[m.ID] && o.table.IsStateRecent(m, maxStateAgeUpdates*o.Operator.ReplicationInterval) && m.State.Silence == message.SilenceNone
 }
 
-// countLateRun counts a late task against its machine, and drains the machine once it has
-// minLateRuns of them.
+// countLateRun counts a late task against its machine. Once the machine has minLateRuns of
+// them, it asks the dispatcher to drain the machine, so that no more tasks are placed there,
+// and kills the tasks of arrays there that can resume from a checkpoint. It drains no machine
+// while more than one in drainingMachineDivisor is draining.
 func (o *Owned) countLateRun(m *waittable.Machine) {
 	if o.Since(m.LastLateRun) > lateRunExpiry {
 		m.LateRuns = 0
@@ -146,8 +152,8 @@
 	}
 }
 
-// tooManyDraining reports whether more than one in drainingMachineDivisor machines is
-// draining.
+// tooManyDraining reports whether more than one in drainingMachineDivisor of all registered
+// machines is draining.
 func (o *Owned) tooManyDraining() bool {
 	draining := 0
 	for _, other := range o.table.Machines {
--- a/internal/controller/jobs/takeover.go
+++ b/internal/controller/jobs/takeover.go
@@ -8,10 +8,12 @@
 	"damsonkeel/internal/record"
 )
 
-// AdoptView applies a new view. Jobs that stay with this owner are retained, and their
-// attempts become unverified where the dispatcher has changed; other jobs are taken over or
-// released. continuous is set if this controller has followed the records without a gap
-// since the old view. If it is not set, all earlier state of the jobs is discarded.
+// AdoptView applies a new view. Jobs that stay with this owner are retained, and their attempts
+// become unverified where the dispatcher has changed. Jobs that this controller now owns are
+// taken over: their bitmaps are read, and their tasks are unverified. Jobs that another
+// controller now owns are released. The inventories of all machines are awaited. continuous is
+// set if this controller has followed the records without a gap since the old view. If it is
+// not set, all earlier state of the jobs is discarded.
 func (o *Owned) AdoptView(oldView record.View, continuous bool) {
 	previousJobs := o.ByID
 	o.ByID = map[protocol.JobID]*Job{}
@@ -43,7 +45,8 @@
 	o.resolveUnverified()
 }
 
-// unverifyTeams marks the limited teams whose jobs this controller has just taken over.
+// unverifyTeams adds the limited teams whose jobs this controller has just taken over to
+// UnverifiedTeams: their usage is an upper bound until all inventories have been received.
 func (o *Owned) unverifyTeams(oldView record.View, continuous bool) {
 	for _, team := range o.Configuration.Effective().TeamsIncludingRemoved() {
 		job := &protocol.Job{Team: team}
@@ -53,8 +56,9 @@
 	}
 }
 
-// awaitInventories marks the inventory of every machine as awaited, and marks the attempts
-// that the inventories have to verify.
+// awaitInventories marks the inventory of every machine as awaited, and marks the attempts on
+// machines whose dispatcher has changed as unverified. If continuous is not set, it drops all
+// attempts instead.
 func (o *Owned) awaitInventories(oldView record.View, continuous bool) {
 	for id := range o.table.Machines {
 		o.AwaitedInventories[id] = true
@@ -79,7 +83,8 @@
 }
 
 // dispatcherChanged reports whether a machine's dispatcher, or the session of its dispatcher,
-// differs from that of an earlier view.
+// differs from that of an earlier view. It is false where dispatchers depend on the shard
+// table, whose changes HandleShardsMoved handles.
 func (o *Owned) dispatcherChanged(oldView record.View, id protocol.MachineID) bool {
 	if oldView.Layout >= record.LayoutShards && o.Sharded() {
 		return false // the shard table decides: see HandleShardsMoved
@@ -88,8 +93,9 @@
 	return clusterstate.RendezvousDispatcher(oldView, id) != dispatcher || !clusterstate.SameMemberSession(oldView, o.View, dispatcher)
 }
 
-// HandleShardsMoved marks the attempts on the machines of moved shards as unverified until the
-// inventories of the new dispatchers have been received.
+// HandleShardsMoved handles a change of the dispatchers of the given shards: it marks the
+// attempts on their machines as unverified until the inventories of the new dispatchers have
+// been received, which also decide on the attempts of ended jobs there.
 func (o *Owned) HandleShardsMoved(moved map[sharding.ID]bool) {
 	o.EndedJobAttempts.resetPlaceNumbers(func(id protocol.MachineID) bool {
 		m := o.table.Machines[id]
--- a/internal/controller/jobs/usage.go
+++ b/internal/controller/jobs/usage.go
@@ -45,7 +45,8 @@
 	return resource.Capacity(m.Info)
 }
 
-// AddUsage adds the resources of n tasks of a job to the usage of its team.
+// AddUsage adds the processors and GPUs of n tasks of a job to the usage of its team. Memory is
+// not counted.
 func (o *Owned) AddUsage(job *Job, usage map[protocol.Team]resource.Amount, n int) {
 	used := usage[job.Team]
 	used.CPUs += job.CPUs * float64(n)
