--- a/internal/controller/placement/array.go
+++ b/internal/controller/placement/array.go
@@ -8,7 +8,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// placeArray places pending tasks of a job one by one, at most maxTasks.
+// placeArray places pending tasks of a job one by one, at most maxTasks, and returns the
+// placements. It stops at the first task that would exceed the team's limit or the headroom or
+// for which there is no machine. It adds the placed tasks to usage.
 func (p *Placer) placeArray(job *jobs.Job, usage map[protocol.Team]resource.Amount, maxTasks int, claims *Claims) []message.Placement {
 	var placed []message.Placement
 	zones := job.ZoneCounts()
--- a/internal/controller/placement/candidates.go
+++ b/internal/controller/placement/candidates.go
@@ -14,10 +14,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// MaxQueueWait is the longest expected wait for which a task is queued on a machine. A
-// task that would wait longer stays pending with its job's owner. Without this bound, a job
-// of 100,000 tasks on a small fleet would fill the memory of every controller and delay all
-// tasks that are queued after it.
+// MaxQueueWait is the longest expected wait for which a task is queued on a machine, unless it
+// can preempt enough other tasks there. A task that would wait longer stays pending with its
+// job's owner. Without this bound, a job of 100,000 tasks on a small fleet would fill the
+// memory of every controller and delay all tasks that are queued after it.
 const MaxQueueWait = 2 * time.Minute
 
 // microsecondsPerSecond converts expected waits to whole microseconds.
@@ -48,8 +48,9 @@
 type candidate struct {
 	machine *waittable.Machine
 	rank    rank
-	// wait is the expected wait per processor in whole microseconds: sums of decimal
-	// fractions are not exact, and equal waits must compare as equal.
+	// wait is the expected wait per processor with the additions for spot risk and price, in
+	// whole microseconds: sums of decimal fractions are not exact, and equal waits must compare
+	// as equal.
 	wait       int64
 	tieBreaker uint32 // random, breaks ties
 }
@@ -87,8 +88,8 @@
 	return last
 }
 
-// candidatesFor examines all machines and returns those that may run tasks of a job whose
-// other tasks are in the given zones.
+// candidatesFor examines all machines and returns those on which a task of a job can start now
+// or be queued, given how many other tasks of the job are in each zone.
 func (p *Placer) candidatesFor(job *jobs.Job, zones map[protocol.Zone]int, claims *Claims) *candidates {
 	c := &candidates{
 		job:             job,
@@ -116,8 +117,9 @@
 }
 
 // Feasible returns a predicate for the machines on which a job may have a task at present,
-// given the zones of its other tasks. A machine on which the job has failed is feasible only
-// if the job has failed on all other machines as well.
+// given how many of its other tasks are in each zone: machines that accept placements and meet
+// the job's requirements. It ignores which resources are free. A machine on which the job has
+// failed is feasible only if the job has failed on all other machines as well.
 func (p *Placer) Feasible(job *jobs.Job, zones map[protocol.Zone]int) func(*waittable.Machine) bool {
 	failedOnAll := p.jobs.FailedOnAllMachines(job)
 	return func(m *waittable.Machine) bool {
@@ -125,10 +127,11 @@
 	}
 }
 
-// evaluate returns a machine as a candidate for the job's next task, and whether it is a
-// candidate at all. A task of a gang is placed only on a machine on which it can start once
-// tasks of lower levels are preempted: if it were queued behind other tasks, the machines of
-// the whole gang would be idle until those tasks end.
+// evaluate returns a machine as a candidate for the job's next task, and false if it is none:
+// reservations exclude the job from it, or the job is a gang whose task could not start there
+// even if tasks of lower levels were preempted. A task of a gang is placed only on a machine on
+// which it can start once tasks of lower levels are preempted: if it were queued behind other
+// tasks, the machines of the whole gang would be idle until those tasks end.
 func (c *candidates) evaluate(m *waittable.Machine, tieBreaker uint32) (candidate, bool) {
 	if c.excluded != nil && c.excluded(m) {
 		return candidate{}, false
@@ -171,15 +174,16 @@
 	return rankFree
 }
 
-// restrict drops the candidates whose machines do not meet a condition.
+// restrict drops the candidates for whose machines meets returns false.
 func (c *candidates) restrict(meets func(*waittable.Machine) bool) {
 	c.heap = slices.DeleteFunc(c.heap, func(entry candidate) bool { return !meets(entry.machine) })
 	heap.Init(c)
 }
 
-// queueTooLong reports whether the job's tasks must not be queued on a candidate because of
-// its expected wait. Tasks may always be queued on a machine on which other tasks can be
-// preempted for them. A job that is confined to the headroom is never queued.
+// queueTooLong reports whether the job's tasks must not be queued on a candidate because its
+// expected wait exceeds MaxQueueWait. It is false for a candidate that needs no queue. Tasks
+// may always be queued on a machine on which other tasks can be preempted for them. A job that
+// is confined to the headroom is never queued.
 func (c *candidates) queueTooLong(entry *candidate) bool {
 	if entry.rank != rankQueue {
 		return false
@@ -188,10 +192,11 @@
 		entry.wait > MaxQueueWait.Microseconds() && !entry.machine.NonPreemptibleFree(c.job.Level).Covers(c.need)
 }
 
-// best returns the machine with the best rank and, within it, the smallest expected wait
-// per processor, with ties broken at random; nil if no candidate is left. Candidates that
-// are no longer suitable are dropped permanently: while a job is placed, the zones and
-// queues only fill, and the spare capacity of the class reserves only shrinks.
+// best returns the machine with the best rank and, within it, the smallest expected wait per
+// processor, with ties broken at random; nil if no candidate is left. Candidates whose zone or
+// queue no longer allows the task, or on which it would use a class reserve, are dropped
+// permanently: while a job is placed, the zones and queues only fill, and the spare capacity of
+// the class reserves only shrinks.
 func (c *candidates) best(zones map[protocol.Zone]int) *waittable.Machine {
 	for len(c.heap) > 0 {
 		top := &c.heap[0]
@@ -211,7 +216,8 @@
 	return entry.rank != rankQueue && entry.rank != rankReserved && !c.claims.LeavesClassReserves(c.job, entry.machine, c.need)
 }
 
-// reevaluateTop evaluates the first candidate again after a task was placed on its machine.
+// reevaluateTop evaluates the first candidate again after a task was placed on its machine, and
+// moves it to its new position or drops it.
 func (p *Placer) reevaluateTop(c *candidates) {
 	p.ExaminedMachines++
 	found, ok := c.evaluate(c.heap[0].machine, p.rng.Uint32())
--- a/internal/controller/placement/claims.go
+++ b/internal/controller/placement/claims.go
@@ -10,9 +10,10 @@
 	"damsonkeel/internal/controller/waittable"
 )
 
-// Claims is the unused capacity that is not available to every job. Claims are valid for one
-// step and are recomputed in the next, so that no claim remains after its purpose or its
-// owner is gone.
+// Claims is the unused capacity that is not available to every job: the reserves of classes,
+// the machines claimed by gangs, and the headroom that is left. Claims are valid for one step
+// and are recomputed in the next, so that no claim remains after its purpose or its owner is
+// gone.
 type Claims struct {
 	// Classes are the capacity reserves of classes; they are not bound to certain machines.
 	Classes []ClassReserve
@@ -26,15 +27,16 @@
 	headroomCPUs float64
 }
 
-// Blocks reports whether a machine is claimed by a gang that could not preempt a job: one of
+// Blocks reports whether a machine is claimed by a gang that could not preempt a job: a gang of
 // the job's level or a lower one.
 func (c *Claims) Blocks(job *jobs.Job, m *waittable.Machine) bool {
 	claimed, ok := c.Gangs[m]
 	return ok && job.Level >= claimed
 }
 
-// LeavesClassReserves reports whether a task of a job can use a machine's resources without using
-// the reserves of other classes.
+// LeavesClassReserves reports whether a task of a job can use a machine's resources and leave
+// enough free for the reserves of all classes that restrict the job (see
+// ClassReserve.restricts).
 func (c *Claims) LeavesClassReserves(job *jobs.Job, m *waittable.Machine, need resource.Amount) bool {
 	for i := range c.Classes {
 		reserve := &c.Classes[i]
@@ -59,7 +61,8 @@
 	return false
 }
 
-// deduct deducts the resources of a task that is about to be placed from the spare capacity.
+// deduct deducts the resources of a task that is about to be placed on a machine from the spare
+// tasks of each class reserve that can use the machine.
 func (c *Claims) deduct(m *waittable.Machine, need resource.Amount) {
 	for i := range c.Classes {
 		if reserve := &c.Classes[i]; reserve.canUse(m) {
@@ -68,8 +71,8 @@
 	}
 }
 
-// DeductMachine deducts a whole machine from the spare capacity and reports whether the
-// reserves allow that. If they don't, it deducts nothing.
+// DeductMachine deducts a whole machine from the spare tasks of the class reserves and reports
+// whether none of them would have fewer than 0 spare tasks. Otherwise it deducts nothing.
 func (c *Claims) DeductMachine(m *waittable.Machine) bool {
 	capacity := resource.Capacity(m.Info)
 	for i := range c.Classes {
@@ -97,8 +100,9 @@
 	SpareTasks int                   // tasks that fit beyond the reserved number; negative if too few fit
 }
 
-// NewClaims returns the claims at the beginning of a step: the reserves of the classes and
-// their spare capacity. Claims of gangs are added while the gangs are tried.
+// NewClaims returns the claims at the beginning of a step: the reserves of the classes and how
+// many more of their tasks fit into the free resources of the machines. Claims of gangs are
+// added while the gangs are tried. The headroom is 0.
 func (p *Placer) NewClaims() *Claims {
 	claims := &Claims{Gangs: map[*waittable.Machine]resource.Level{}}
 	for _, class := range ordered.ByKey(p.workload.Classes) {
@@ -125,7 +129,9 @@
 	return free.CountFitting(r.Need) - free.Minus(need).CountFitting(r.Need)
 }
 
-// canUse reports whether a task of the class could ever run on a machine.
+// canUse reports whether a task of the class could run on a machine if the machine were empty:
+// the job's requirements of type, zone, purchase option and size allow it, and it is not a spot
+// machine that the class avoids.
 func (r *ClassReserve) canUse(m *waittable.Machine) bool {
 	if r.avoidsSpot && m.Record.Spot {
 		return false
--- a/internal/controller/placement/demand.go
+++ b/internal/controller/placement/demand.go
@@ -2,12 +2,13 @@
 
 import "damsonkeel/internal/controller/message"
 
-// maxDemandPerJob bounds the tasks of one job that count as demand. The autoscaler provisions
-// for far fewer tasks at once.
+// maxDemandPerJob is the maximum number of pending tasks of one job that count as demand. The
+// autoscaler provisions for far fewer tasks at once.
 const maxDemandPerJob = 1000
 
-// Demand lists, for the autoscaler, the tasks of owned jobs that have not started and may
-// start now. It omits tasks that the limit of their team prevents from starting.
+// Demand lists, for the autoscaler, how many tasks of each owned job have not started and may
+// start now: queued attempts, and pending tasks that the limit of the job's team allows. It
+// omits jobs that are in backoff or whose bitmap or inventories have not all been received.
 func (p *Placer) Demand() []message.Demand {
 	usage := p.jobs.TeamUsage()
 	var demands []message.Demand
--- a/internal/controller/placement/failedsearch.go
+++ b/internal/controller/placement/failedsearch.go
@@ -28,14 +28,17 @@
 }
 
 const (
-	// MaxExaminedForArrays is how many machines may be examined per step for arrays that are
-	// unlikely to be placeable.
+	// MaxExaminedForArrays is how many machines may be examined on average per step for arrays
+	// whose last search failed. It determines when a failed search expires.
 	MaxExaminedForArrays = 3000
-	// maxFailedSearches bounds the failed searches that are recorded.
+	// maxFailedSearches is the maximum number of recorded failed searches.
 	maxFailedSearches = 64
 )
 
-// recordFailedSearch records that the search for a job's next task found no machine.
+// recordFailedSearch records that the search for a job's next task found no machine. It records
+// nothing if the job must run in one zone or be spread, if it has failed on a machine, if the
+// calendar has reservations or maintenance windows, or if maxFailedSearches are recorded. The
+// more searches are recorded and the more machines there are, the later the search expires.
 func (p *Placer) recordFailedSearch(job *jobs.Job) {
 	if job.OneZone || job.Spread || len(job.FailedOn) > 0 || p.reservations.HasEntries || len(p.failedSearches) >= maxFailedSearches {
 		return // the job's feasible machines depend on more than a failedSearch records
@@ -61,7 +64,8 @@
 }
 
 // searchWouldFail reports whether the search for a job's next task would fail because a
-// recorded search that could use at least the same machines has failed.
+// recorded search for no larger task that could use at least the same machines has failed. It
+// is false while the calendar has reservations or maintenance windows.
 func (p *Placer) searchWouldFail(job *jobs.Job) bool {
 	if p.reservations.HasEntries {
 		return false
@@ -87,7 +91,8 @@
 }
 
 // mayUseNoOtherReserve reports whether a job may use no class reserve that the failed search
-// could not use: the reserve of a class may be used by the jobs of that class.
+// could not use: the reserve of a class may be used by the jobs of that class. Either both have
+// the same class, or the job's class has no start objective and thus no reserve.
 func (p *Placer) mayUseNoOtherReserve(job *jobs.Job, s *failedSearch) bool {
 	return s.class == job.Class || !p.HasStartObjective(&job.Job)
 }
--- a/internal/controller/placement/gang.go
+++ b/internal/controller/placement/gang.go
@@ -17,8 +17,10 @@
 // remaining tasks were stopped at once, gangs would start over while all their shards moved.
 const refillTimeout = 3 * time.Second
 
-// PlaceGang places all tasks of a gang under one attempt number, once no attempt with the
-// last number is left. If only some tasks of the gang were released, it places these again.
+// PlaceGang places all tasks of a gang under one attempt number, once no attempt with the last
+// number is left, and adds them to usage. If only some tasks of the gang were released, it
+// places these again. It returns nil if it places nothing; a gang for which there are no
+// machines then claims some, unless it has waited for longer than claimDuration.
 func (p *Placer) PlaceGang(job *jobs.Job, usage map[protocol.Team]resource.Amount, claims *Claims) []message.Placement {
 	tasks := int(job.Tasks)
 	if len(job.Placed) > 0 && job.IsGang() {
@@ -40,8 +42,10 @@
 	return nil
 }
 
-// placeAllOrNone places all pending tasks of a gang under one attempt number, or none, given
-// the zones of its other tasks. An empty zone allows machines of all zones.
+// placeAllOrNone places all pending tasks of a gang under one attempt number on machines of a
+// zone, or of any zone if zone is empty, and returns the placements. zones counts the gang's
+// other tasks in each zone. If one task fits nowhere, it places none and returns nil. It uses
+// no machine that another gang of the same or a lower level has claimed.
 func (p *Placer) placeAllOrNone(job *jobs.Job, attempt protocol.Attempt, zones map[protocol.Zone]int, zone protocol.Zone, claims *Claims) []message.Placement {
 	undo := claims.savepoint()
 	suitable := p.candidatesFor(job, zones, claims)
@@ -63,7 +67,8 @@
 	return placed
 }
 
-// undoPlacements undoes placements of this step that have not been sent.
+// undoPlacements undoes placements of this step that have not been sent: it removes their
+// attempts and the waits that these added, and makes their tasks pending again.
 func (p *Placer) undoPlacements(job *jobs.Job, placed []message.Placement) {
 	for _, placement := range placed {
 		attempt := job.Placed[placement.Task]
@@ -74,7 +79,9 @@
 }
 
 // refillGang places the released tasks of a gang under the attempt number of its remaining
-// tasks. If that has been impossible for refillTimeout, it stops the remaining tasks.
+// tasks. If that has been impossible for refillTimeout, it stops the remaining tasks. It
+// returns nil if it places nothing, and does nothing while tasks of the gang are being stopped,
+// or are neither placed nor pending.
 func (p *Placer) refillGang(job *jobs.Job, usage map[protocol.Team]resource.Amount, claims *Claims) []message.Placement {
 	missing := int(job.Pending.Count())
 	if job.Unverified || missing+len(job.Placed) != int(job.Tasks) {
@@ -124,7 +131,7 @@
 	return zones
 }
 
-// zonesWithCapacity lists the zones in which at least the given number of tasks fit.
+// zonesWithCapacity lists the zones in which at least the given number of tasks fit, by name.
 func zonesWithCapacity(fitting map[protocol.Zone]int, tasks int) []protocol.Zone {
 	var zones []protocol.Zone
 	for zone := range ordered.ByKey(fitting) {
@@ -135,8 +142,9 @@
 	return zones
 }
 
-// countFittingByZone returns, by zone, how many tasks of a gang fit now, and how many would
-// fit once tasks of lower levels are preempted. It can leave out spot machines.
+// countFittingByZone returns, by zone, how many tasks of a gang fit now, and how many would fit
+// once tasks of lower levels are preempted. It counts only feasible machines that no claim of
+// another gang blocks (see Claims.Blocks), and no spot machines if withoutSpot is set.
 func (p *Placer) countFittingByZone(job *jobs.Job, claims *Claims, withoutSpot bool) (now, preempting map[protocol.Zone]int) {
 	now, preempting = map[protocol.Zone]int{}, map[protocol.Zone]int{}
 	need, noZones := resource.Need(&job.Job), map[protocol.Zone]int{}
@@ -157,8 +165,10 @@
 	return now, preempting
 }
 
-// claimMachines claims as many machines as a gang needs. A gang that must run in one zone
-// claims machines in the zone in which most of its tasks would fit.
+// claimMachines claims as many machines as a gang needs if tasks of lower levels are preempted,
+// or fewer if there are not enough. Until the end of the step, gangs that the claiming gang
+// could not preempt must use other machines. A gang that must run in one zone claims machines
+// in the zone in which most of its tasks would fit.
 func (p *Placer) claimMachines(job *jobs.Job, claims *Claims) {
 	need, noZones := resource.Need(&job.Job), map[protocol.Zone]int{}
 	var best protocol.Zone
@@ -198,12 +208,13 @@
 	}
 }
 
-// claimDurationBoots is the time for which a gang claims machines, in boot times of the
-// slowest suitable machine type.
+// claimDurationBoots is the time for which a gang claims machines, in boot times of the slowest
+// machine type that the gang may use.
 const claimDurationBoots = 4
 
-// claimDuration bounds how long a gang claims machines: machines that have not been
-// provisioned within several boot times may never be.
+// claimDuration returns how long after its submission a gang claims machines:
+// claimDurationBoots boot times of the slowest machine type that it may use. Machines that have
+// not been provisioned within several boot times may never be.
 func (p *Placer) claimDuration(job *jobs.Job) time.Duration {
 	bootSeconds := 0.0
 	for _, machineType := range p.Types {
--- a/internal/controller/placement/headroom.go
+++ b/internal/controller/placement/headroom.go
@@ -9,15 +9,16 @@
 	"damsonkeel/internal/protocol"
 )
 
-// minHeadroomFraction is the fraction of all usable processors that jobs without an
-// objective may use, however much demand is expected from the other jobs. Without it, they
-// would starve where the expected demand always equals the whole capacity.
+// minHeadroomFraction is the fraction of the processors of all usable machines that jobs
+// without an objective may use, however much demand is expected from the other jobs. Without
+// it, they would starve where the expected demand always equals the whole capacity.
 const minHeadroomFraction = 0.1
 
-// headroom returns how many processors the jobs without an objective that are owned here
-// may use now. It is this owner's share of the usable processors that jobs with an
-// objective are not expected to need, in proportion to the pending work. The headroom is
-// unlimited until a class with an objective has been seen.
+// headroom returns how many processors the jobs without an objective that are owned here may
+// use now, beyond those of their placed tasks. It is this owner's share of the processors of
+// usable machines that jobs with an objective are not expected to need, in proportion to the
+// pending work. It is infinite until a job of a class with an objective has arrived, and 0 if
+// no task without an objective is pending here.
 func (p *Placer) headroom() float64 {
 	if len(p.workload.Classes) == 0 {
 		return math.Inf(1)
@@ -70,7 +71,7 @@
 	return sums
 }
 
-// usableCPUs sums the processors of all usable machines.
+// usableCPUs sums the processors, free or not, of all machines that accept placements.
 func (p *Placer) usableCPUs() float64 {
 	cpus := 0.0
 	for _, m := range p.table.InOrder() {
@@ -96,10 +97,11 @@
 	return true
 }
 
-// startOverdue reports whether no task of a job has been placed for jobs.HeadroomOnlyDuration.
-// The first task, or the whole gang, is then placed like that of any other job and may be
-// queued; the remaining tasks stay confined to the headroom. Otherwise such jobs would never
-// start while all usable machines are likely to be needed for other jobs.
+// startOverdue reports whether a job has waited for longer than jobs.HeadroomOnlyDuration and
+// has no task that is placed or done. The first task, or the whole gang, is then placed like
+// that of any other job and may be queued; the remaining tasks stay confined to the headroom.
+// Otherwise such jobs would never start while all usable machines are likely to be needed for
+// other jobs.
 func (p *Placer) startOverdue(job *jobs.Job) bool {
 	return p.hasWaitedUnplaced(job, jobs.HeadroomOnlyDuration)
 }
--- a/internal/controller/placement/levels.go
+++ b/internal/controller/placement/levels.go
@@ -9,8 +9,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// SetLevels sets the levels of the owned jobs. A job is within its team's guarantee if the
-// guarantee covers it together with the team's earlier unfinished jobs.
+// SetLevels sets the levels of the owned jobs by their priority and their team's guarantee. A
+// job is within the guarantee if the guaranteed processors and GPUs cover all unfinished tasks
+// of the job and of the team's jobs that were submitted earlier.
 func (p *Placer) SetLevels() {
 	used := map[protocol.Team]resource.Amount{}
 	bySubmission := slices.Clone(p.jobs.InPlacementOrder())
--- a/internal/controller/placement/limits.go
+++ b/internal/controller/placement/limits.go
@@ -15,7 +15,9 @@
 // other jobs of the team.
 const LimitSharedAfter = 30 * time.Second
 
-// withinLimit reports whether n more tasks keep the team within its limit.
+// withinLimit reports whether n more tasks of a job keep its team within its limits of
+// processors and GPUs, given the usage of the teams and the parts of the limits that
+// reservations claim for other jobs. It is false if the team is not in the configuration.
 func (p *Placer) withinLimit(job *jobs.Job, usage map[protocol.Team]resource.Amount, n int) bool {
 	team, ok := p.Team(job.Team)
 	if !ok {
@@ -35,13 +37,13 @@
 	return p.reservations.ClaimedByOthers(&job.Job, p.jobs.EstimateRunSeconds(job))
 }
 
-// mayQueueWithinLimit reports whether one more task of a job may be queued on a machine
-// within its team's limit. Queued tasks count against the limit, and the part of it that one
-// task needs is left to the longest-waiting other job of the team, unless the job itself has
-// waited longer. Otherwise that other job would be pending while machines have free
-// resources, because tasks that do not run have used up the limit. If a part were left to
-// each waiting job, no task would be queued when many jobs wait, and jobs with large tasks
-// would get all resources that become free.
+// mayQueueWithinLimit reports whether one more task of a job may be queued on a machine within
+// its team's limit. longestWaiting is the result of Placer.longestWaiting. Queued tasks count
+// against the limit, and the part of it that one task needs is left to the longest-waiting
+// other job of the team, unless the job itself has waited longer. Otherwise that other job
+// would be pending while machines have free resources, because tasks that do not run have used
+// up the limit. If a part were left to each waiting job, no task would be queued when many jobs
+// wait, and jobs with large tasks would get all resources that become free.
 func (p *Placer) mayQueueWithinLimit(job, longestWaiting *jobs.Job, usage map[protocol.Team]resource.Amount) bool {
 	total := map[protocol.Team]resource.Amount{job.Team: usage[job.Team]}
 	waitsLongest := longestWaiting == nil || p.isDueLimitShare(job) && compareWaiting(job, longestWaiting) < 0
@@ -69,7 +71,8 @@
 	return longest
 }
 
-// isDueLimitShare reports whether a job is an array with no task placed for LimitSharedAfter.
+// isDueLimitShare reports whether a job is an array that has waited for longer than
+// LimitSharedAfter and has no task that is placed or done.
 func (p *Placer) isDueLimitShare(job *jobs.Job) bool {
 	return job.Kind != protocol.KindGang && p.hasWaitedUnplaced(job, LimitSharedAfter)
 }
@@ -79,13 +82,15 @@
 	return cmp.Or(cmp.Compare(a.WaitingSince, b.WaitingSince), cmp.Compare(a.ID, b.ID))
 }
 
-// countWithinLimit returns how many of n more tasks keep the team within its limit.
+// countWithinLimit returns how many of n more tasks of a job keep its team within its limit, as
+// checked by withinLimit.
 func (p *Placer) countWithinLimit(job *jobs.Job, usage map[protocol.Team]resource.Amount, n int) int {
 	return sort.Search(n, func(k int) bool { return !p.withinLimit(job, usage, k+1) })
 }
 
-// excludedByReservations returns a predicate for the machines on which a job's tasks may
-// not be placed because of reservations or maintenance windows; nil if none are active.
+// excludedByReservations returns a predicate for the machines on which a job's tasks may not be
+// placed, because they would run into a maintenance window or use resources that are held for
+// others. It is nil if there are neither holds nor open windows.
 func (p *Placer) excludedByReservations(job *jobs.Job) func(m *waittable.Machine) bool {
 	if !p.reservations.Active() {
 		return nil
--- a/internal/controller/placement/placer.go
+++ b/internal/controller/placement/placer.go
@@ -18,8 +18,9 @@
 	// Interval is the shortest time between two placing rounds. Tasks that become pending
 	// within it are placed in one round.
 	Interval = 100 * time.Millisecond
-	// MaxPerStep bounds the placements of one step, so that a huge job does not delay the
-	// other work of the controller. The remaining tasks are placed in the next steps.
+	// MaxPerStep is the number of placements after which a step places no further tasks, except
+	// the rest of a gang, so that a huge job does not delay the other work of the controller. The
+	// remaining tasks are placed in the next steps.
 	MaxPerStep = 2000
 	// MaxExaminedForGangs is how many machines may be examined per step for gangs whose
 	// last placement attempt failed. See failedSearch for arrays.
@@ -52,17 +53,19 @@
 	return &Placer{Module: module, table: table, workload: work, reservations: reservations, jobs: owned, rng: rng}
 }
 
-// Reset drops the failed searches and the time of the next round of an earlier session.
+// Reset drops the failed searches and the time of the next placing round of an earlier session.
 func (p *Placer) Reset() {
 	p.DropFailedSearches()
 	p.nextRoundAt = 0
 }
 
-// DropFailedSearches drops the recorded searches that found no machine.
+// DropFailedSearches drops the recorded searches that found no machine, so that the next
+// placing round searches for all arrays again.
 func (p *Placer) DropFailedSearches() { p.failedSearches = nil }
 
-// PlaceIfDue places pending tasks if a placing round is due, at most once per Interval. It
-// reports whether it ran a round.
+// PlaceIfDue runs a placing round if a task may have become placeable since the last one, this
+// controller holds its lease, and the last round is at least Interval ago. It reports whether
+// it ran a round.
 func (p *Placer) PlaceIfDue() bool {
 	if !p.table.PlacementDue || !p.HoldsLease() || p.Now < p.nextRoundAt {
 		return false
--- a/internal/controller/placement/rebalance.go
+++ b/internal/controller/placement/rebalance.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// MaxMovesPerStep bounds the tasks moved in one step. When thousands of machines become
-	// available again at once, the remaining tasks are moved in the next ticks.
+	// MaxMovesPerStep is the maximum number of tasks moved in one step. When thousands of
+	// machines become available again at once, the remaining tasks are moved in the next ticks.
 	MaxMovesPerStep = 500
-	// maxMovable bounds the queued tasks examined in one step; those of the longest queues
-	// are examined.
+	// maxMovable is the number of movable tasks after which a step examines no further queue; the
+	// longest queues are examined first.
 	maxMovable = 20000
 )
 
@@ -103,10 +103,13 @@
 	return minNeed
 }
 
-// waitPerCPU returns the expected wait on a machine per processor.
+// waitPerCPU returns the expected wait on a machine in seconds: processor seconds per
+// processor.
 func waitPerCPU(m *waittable.Machine) float64 { return m.Wait() / m.Info.CPUs }
 
-// movableTasksByJob lists the queued tasks of the owned jobs that may be moved, by job.
+// movableTasksByJob lists the queued tasks of the owned jobs that the dispatchers may still
+// release, by job, and within a job those with the longest expected wait first. Tasks of gangs
+// are not moved.
 func (p *Placer) movableTasksByJob() []*movableTasks {
 	byJob := map[protocol.JobID]*movableTasks{}
 	var all []*movableTasks
@@ -152,9 +155,10 @@
 	return queued
 }
 
-// moveTasksTo requests the release of queued tasks, at most maxMoves, until they would use
-// all idle resources of a machine. Tasks of the highest priority come first, then those of
-// the longest queues. It returns the number of tasks.
+// moveTasksTo requests the release of queued tasks, at most maxMoves, until they would use all
+// idle resources of a machine. Tasks of the highest priority come first, then those of the
+// longest queues. Where other tasks are queued on the machine, only tasks with resources held
+// for them there are moved to it. It returns the number of releases requested.
 func (p *Placer) moveTasksTo(m *waittable.Machine, movable []*movableTasks, claims *Claims, maxMoves int) (moved int) {
 	free := m.Idle()
 	for ; moved < maxMoves; moved++ {
@@ -180,7 +184,8 @@
 	return moved
 }
 
-// movesBefore reports whether the first task of a job is moved before that of another job.
+// movesBefore reports whether the first task of a job is moved before that of another job: the
+// one with the higher priority, then with the longer expected wait, then the last placed.
 func (t *movableTasks) movesBefore(other *movableTasks) bool {
 	a, b := t.tasks[0], other.tasks[0]
 	return cmp.Or(
@@ -188,7 +193,9 @@
 		cmp.Compare(b.wait, a.wait), cmp.Compare(b.Number, a.Number)) < 0
 }
 
-// mayMove reports whether the next of a job's movable tasks may be moved to a machine.
+// mayMove reports whether the next of a job's movable tasks may be moved to a machine: it is
+// another machine on which the job has not failed, and neither the job's requirements nor
+// reservations or class reserves exclude the task from it.
 func (p *Placer) mayMove(tasks *movableTasks, m *waittable.Machine, claims *Claims) bool {
 	job, next := tasks.job, tasks.tasks[0]
 	if next.Machine == m.ID || job.FailedOn[m.ID] {
--- a/internal/controller/placement/round.go
+++ b/internal/controller/placement/round.go
@@ -22,8 +22,11 @@
 	unplacedGangs int                                                // pending gangs whose last placement attempt failed
 }
 
-// PlacePending places the pending tasks of the owned jobs, each once and on the machine with
-// the smallest expected wait per processor among those that can run it.
+// PlacePending runs one placing round: it places the pending tasks of the owned jobs, each once
+// and on the machine with the smallest expected wait per processor among those that can run it.
+// It then sends the placements to the dispatchers and announces the added waits to the peers.
+// After MaxPerStep placements it leaves the remaining jobs to the next round. It does nothing
+// before the machine types have been read.
 func (p *Placer) PlacePending() {
 	p.table.PlacementDue = false
 	if len(p.Types) == 0 {
@@ -72,7 +75,9 @@
 	return Interval * time.Duration(unplacedGangs*len(p.table.InOrder())/MaxExaminedForGangs)
 }
 
-// placeJob places the pending tasks of one job.
+// placeJob places the pending tasks of one job and returns the placements. It does not search
+// for machines if a recorded failed search shows that there are none, or, for a gang, within
+// retryInterval of its own failed search; the gang then renews its claims.
 func (p *Placer) placeJob(job *jobs.Job, r *round) []message.Placement {
 	job.ConfinedToHeadroom = !math.IsInf(r.claims.headroomCPUs, 1) && p.workload.WithoutObjective(&job.Job) && !p.reservations.IsReserved(&job.Job)
 	maxTasks := r.remaining
@@ -99,7 +104,7 @@
 	return placed
 }
 
-// recordPlacements adds the placements of a job to a round.
+// recordPlacements adds the placements of a job to the batches and the added waits of a round.
 func (p *Placer) recordPlacements(r *round, placed []message.Placement) {
 	r.remaining -= len(placed)
 	for _, placement := range placed {
@@ -115,7 +120,8 @@
 	}
 }
 
-// sendPlacements sends the placements to the dispatchers of their machines.
+// sendPlacements sends each dispatcher its placements in one Place message, and records the
+// number of the message in the attempts.
 func (p *Placer) sendPlacements(batches map[protocol.NodeName][]message.Placement) {
 	revision := p.Configuration.Effective().Revision
 	for dispatcher, tasks := range ordered.ByKey(batches) {
