--- a/internal/controller/waittable/machine.go
+++ b/internal/controller/waittable/machine.go
@@ -25,8 +25,8 @@
 	Reserved         resource.Amount      // free resources of the machine that are held for reservations now
 	copiedWait       float64              // wait in processor seconds copied from a peer's table, until a state is published
 	AnnouncedUses    resource.Uses        // resources of the attempts that the dispatcher has queued or started on the machine
-	PlacementRefused bool                 // the dispatcher refused a placement and has published no state since
-	LateRuns         int                  // tasks owned here that recently ran too long on the machine
+	PlacementRefused bool                 // the dispatcher or the worker refused a task, and no state was published since
+	LateRuns         int                  // late tasks of jobs owned here that were recently counted against the machine; see package jobs
 	LastLateRun      clock.Time           // when the last task in LateRuns was detected
 }
 
@@ -81,8 +81,8 @@
 	return free
 }
 
-// FreeBelow is the resources of a machine that are not used by attempts of a higher priority
-// rank than the given one.
+// FreeBelow is the resources of a machine that are not used by queued, started or pending
+// attempts of a higher priority rank than the given one.
 func (m *Machine) FreeBelow(rank int) resource.Amount {
 	return resource.Capacity(m.Info).Minus(m.AnnouncedUses.AboveRank(rank)).Minus(m.PendingUses.AboveRank(rank))
 }
@@ -109,18 +109,20 @@
 	return clusterstate.FetchS(m.Info, job)
 }
 
-// Open reports whether the machine's dispatcher accepts placements on it.
+// Open reports whether the machine's dispatcher accepts placements on it, by the state last
+// published: it has not closed the machine, and neither drains nor quarantines it. It is false
+// if the machine's type is unknown.
 func (m *Machine) Open() bool {
 	return m.Info.Name != "" && !m.State.Closed && !m.State.Draining && !m.State.Suspect
 }
 
-// Kind is the machine's type, zone and purchase option.
+// Kind is the machine's type, zone and purchase option (spot or not).
 func (m *Machine) Kind() binpack.Kind {
 	return binpack.Kind{Type: m.Record.Type, Zone: m.Record.Zone, Spot: m.Record.Spot}
 }
 
-// recomputeWait recomputes the sums over all pending placements. If the dropped placements
-// were subtracted instead, rounding errors would accumulate.
+// recomputeWait recomputes PendingSum and PendingUses from all pending placements. If the
+// dropped placements were subtracted instead, rounding errors would accumulate.
 func (m *Machine) recomputeWait() {
 	m.PendingSum, m.PendingUses = 0, resource.Uses{}
 	for _, w := range m.PendingWaits {
--- a/internal/controller/waittable/pending.go
+++ b/internal/controller/waittable/pending.go
@@ -20,7 +20,8 @@
 }
 
 // AddPending adds a placement to the machine's pending placements, where it is counted until
-// the state published by the machine's dispatcher includes it.
+// the state published by the machine's dispatcher includes it. It does nothing if the
+// dispatcher is not in the view.
 func (t *Table) AddPending(m *Machine, w PendingWait) {
 	peer := t.Peers[t.DispatcherOf(m.ID)]
 	if peer == nil {
@@ -34,7 +35,8 @@
 
 // ApplyWaitsAdded adds the placements that another controller announced, except those that a
 // published state of their dispatcher already includes: the messages of the other controller
-// and of the dispatcher may arrive in either order.
+// and of the dispatcher may arrive in either order. It ignores announcements of other terms and
+// placements on machines that are not registered.
 func (t *Table) ApplyWaitsAdded(from protocol.NodeName, announcement *message.WaitsAdded) {
 	if announcement.Term != t.View.Term {
 		return // the dispatcher refuses the placements, or its state of this term includes them
@@ -69,7 +71,9 @@
 	Uses       resource.Uses // resources that the placements use
 }
 
-// AnnounceWaits announces the placements of one placing round to every peer, in one message.
+// AnnounceWaits sends every peer one message with the waits and resource uses that the
+// placements of one placing round add to each machine, so that the peers count them before the
+// dispatchers publish them. It sends nothing if there are none.
 func (t *Table) AnnounceWaits(added map[protocol.MachineID]*UnannouncedWaits) {
 	if len(added) == 0 {
 		return
@@ -124,9 +128,9 @@
 	return remaining
 }
 
-// DropIncludedWaits drops the pending placements that the published state of a dispatcher now
-// includes. handled is, by owner, the number of the last Place message that the dispatcher
-// has handled.
+// DropIncludedWaits drops the pending placements that the published states of a dispatcher,
+// peer, now include. handled is, by owner, the number of the last Place message that the
+// dispatcher has handled.
 func (t *Table) DropIncludedWaits(peer *Peer, handled map[protocol.NodeName]uint64) {
 	for owner, number := range handled {
 		peer.Updates.handledPlaces[owner] = max(peer.Updates.handledPlaces[owner], number)
--- a/internal/controller/waittable/table.go
+++ b/internal/controller/waittable/table.go
@@ -62,7 +62,8 @@
 	t.PlacementDue = true
 }
 
-// InOrder lists the machines by ID. The slice belongs to the table.
+// InOrder lists the machines, sorted by ID. The slice belongs to the table: callers must not
+// change it.
 func (t *Table) InOrder() []*Machine { return t.sortedMachines }
 
 // Add registers a machine and replaces one with the same ID, if there is one.
@@ -76,7 +77,8 @@
 	}
 }
 
-// Remove drops a machine, if it is registered.
+// Remove drops a machine from the table and from the machine records of the cluster state, if
+// it is registered.
 func (t *Table) Remove(id protocol.MachineID) {
 	m := t.Machines[id]
 	if m == nil {
@@ -99,7 +101,9 @@
 	return slices.BinarySearchFunc(t.sortedMachines, id, compare)
 }
 
-// Usable reports whether tasks may be placed on a machine.
+// Usable reports whether tasks may be placed on a machine: it is open (see Machine.Open), no
+// placement on it was refused since its last published state, and neither its type nor its zone
+// is cordoned.
 func (t *Table) Usable(m *Machine) bool {
 	return m.Open() && !m.PlacementRefused && !t.PlaceCordoned(m.Record.Type, m.Record.Zone)
 }
@@ -154,8 +158,8 @@
 	}
 }
 
-// IsStateRecent reports whether a machine's state was published by its present dispatcher in this
-// term, and was up to date at most maxAge ago.
+// IsStateRecent reports whether a machine's state was published by its present dispatcher in
+// this term, and that dispatcher's machine stream was last received at most maxAge ago.
 func (t *Table) IsStateRecent(m *Machine, maxAge time.Duration) bool {
 	return m.StateFrom != nil && m.StateFrom == t.Peers[t.DispatcherOf(m.ID)] && t.Since(m.StateFrom.Updates.MachinesReceivedAt) <= maxAge
 }
--- a/internal/controller/waittable/tablecopy.go
+++ b/internal/controller/waittable/tablecopy.go
@@ -17,8 +17,9 @@
 	received     bool                // whether a copy has arrived
 }
 
-// RequestCopy starts a restarted controller's search for a copy of a table: it sends requests
-// to two random peers, and RequestMoreCopies sends two more each time no reply arrives in time.
+// RequestCopy starts a restarted controller's search for a copy of a table, that is, of the
+// expected wait of each machine. It sends requests to two random peers, and RequestMoreCopies
+// sends two more each time no reply arrives within the CopyWait setting.
 func (t *Table) RequestCopy() {
 	t.copySearch = copySearch{}
 	for name := range ordered.ByKey(t.Peers) {
@@ -31,8 +32,8 @@
 	t.RequestMoreCopies()
 }
 
-// RequestMoreCopies requests the tables of the next peers, unless a copy has been received, all
-// peers have been asked, or the peers asked last may still reply.
+// RequestMoreCopies requests the tables of the next two peers, unless a copy has been received,
+// all peers have been asked, or the last requests were sent less than CopyWait ago.
 func (t *Table) RequestMoreCopies() {
 	awaitingReply := t.copySearch.requestedAt != 0 && t.Since(t.copySearch.requestedAt) < t.Operator.CopyWait
 	if t.copySearch.received || len(t.copySearch.unaskedPeers) == 0 || awaitingReply {
@@ -45,8 +46,8 @@
 	t.copySearch.unaskedPeers, t.copySearch.requestedAt = t.copySearch.unaskedPeers[count:], t.Now
 }
 
-// SendCopy sends a restarted controller a copy of this table, unless the table holds no
-// published state of any machine.
+// SendCopy sends a restarted controller the expected waits of the machines with a published
+// state. It sends nothing if there are none.
 func (t *Table) SendCopy(to protocol.NodeName) {
 	var waits []message.WaitChange
 	for id, m := range ordered.ByKey(t.Machines) {
@@ -59,8 +60,9 @@
 	}
 }
 
-// AdoptCopy adopts the first copy of a table that arrives and ignores later copies. States
-// published by the machines' dispatchers replace the copied waits.
+// AdoptCopy adopts the expected waits of the first copy of a table that arrives and ignores
+// later copies. A copied wait applies only to a machine without a published state, and the
+// first state that its dispatcher publishes replaces it.
 func (t *Table) AdoptCopy(waits []message.WaitChange) {
 	if t.copySearch.received {
 		return
--- a/internal/controller/waittable/updates.go
+++ b/internal/controller/waittable/updates.go
@@ -9,13 +9,13 @@
 	"damsonkeel/internal/protocol"
 )
 
-// maxEarlyStates bounds the states that are kept for machines whose records have not
-// arrived. It exceeds the number of machines that are registered while a watch request is
-// open.
+// maxEarlyStates is the maximum number of states of one peer that are kept for machines whose
+// records have not arrived. It exceeds the number of machines that are registered while a watch
+// request is open.
 const maxEarlyStates = 4096
 
-// PeerUpdates is the positions in the replicated streams between this controller and one
-// peer, in both directions, and the machines of the peer with pending placements.
+// PeerUpdates is the positions in the replicated streams between this controller and one peer,
+// in both directions, and what is kept about the machines to which the peer dispatches.
 type PeerUpdates struct {
 	// MachinesTo and JobsTo are the peer's positions in this controller's streams;
 	// MachinesFrom and JobsFrom are this controller's positions in the peer's streams.
@@ -24,7 +24,7 @@
 	// HoldsTo is the number of this controller's list of holds that the peer has received,
 	// and HoldsFrom the number of the peer's list that this controller has received.
 	HoldsTo, HoldsFrom uint64
-	Truncated          bool       // the last update to the peer could not hold all machine changes
+	Truncated          bool       // the last state update to the peer could not hold all machine changes
 	MachinesReceivedAt clock.Time // when the peer's machine stream was last received in this term
 	// handledPlaces is, by owner, the number of the last Place message that the peer's
 	// published states include.
@@ -44,8 +44,9 @@
 }
 
 // ApplyMachineState applies the state that a dispatcher published for one of its machines.
-// Epoch 0 means that the peer no longer dispatches to the machine. The state of a machine
-// whose record has not arrived is kept for ApplyEarlyState.
+// Epoch 0 means that the peer no longer dispatches to the machine. The state of a machine whose
+// record of that epoch has not arrived is kept for ApplyEarlyState. A state of an earlier epoch
+// is ignored, and so is one from a controller that does not dispatch to the machine.
 func (t *Table) ApplyMachineState(from protocol.NodeName, peer *Peer, state message.MachineState) {
 	m := t.Machines[state.Machine]
 	switch {
@@ -64,6 +65,7 @@
 }
 
 // replaceState replaces the state of a machine by the one that peer, its dispatcher, published.
+// If the machine may accept placements again, or has its first state, placement becomes due.
 func (t *Table) replaceState(m *Machine, peer *Peer, state message.MachineState) {
 	if (m.State.Closed || m.PlacementRefused) && !state.Closed || m.State.Epoch == 0 {
 		t.PlacementDue = true
@@ -78,8 +80,8 @@
 	message.AddLevelUses(&m.AnnouncedUses, state.Uses)
 }
 
-// ApplyEarlyState applies the state that a machine's dispatcher published before the
-// machine's record arrived.
+// ApplyEarlyState applies the state, if there is one, that a machine's dispatcher published
+// before the machine's record arrived.
 func (t *Table) ApplyEarlyState(m *Machine) {
 	dispatcher := t.DispatcherOf(m.ID)
 	peer := t.Peers[dispatcher]
