--- a/internal/controller/workload/classes.go
+++ b/internal/controller/workload/classes.go
@@ -12,12 +12,13 @@
 // Class holds this controller's observations of a job class with an objective.
 type Class struct {
 	Job               protocol.Job // the last job of the class that arrived
-	ObjectiveShare    float64      // the share of the class's jobs that should meet the objective
+	ObjectiveShare    float64      // the largest share of the class's jobs that should meet an objective
 	HasStartObjective bool         // an objective limits the time until a task starts
 	Arrivals          forecast.Arrivals
 }
 
-// RecordArrival records the arrival of a job if its class has an objective.
+// RecordArrival adds a job to the arrivals of its class and makes it the class's last job, if
+// the class has an objective; otherwise it does nothing.
 func (w *Workload) RecordArrival(j *protocol.Job) {
 	share, hasStart := w.objectiveShare(j.Class)
 	if share == 0 {
@@ -33,8 +34,8 @@
 	class.Arrivals.Note(forecast.Arrival{At: w.Now, Tasks: float64(j.Tasks), Work: work})
 }
 
-// BootSeconds returns the time in seconds that the fastest machine type that a job may use
-// takes to boot and to fetch the job's image. It is infinite if there is no such type.
+// BootSeconds returns the time in seconds that the fastest machine type that a job may use in
+// any zone takes to boot and to fetch the job's image. It is infinite if there is no such type.
 func (w *Workload) BootSeconds(j *protocol.Job) float64 {
 	fastest := math.Inf(1)
 	for _, machineType := range w.Types {
@@ -47,19 +48,21 @@
 	return fastest
 }
 
-// arrivalWork and arrivalTasks return the size of an arrival for a forecast: its work in
-// processor seconds, and its number of tasks.
+// arrivalWork and arrivalTasks are the two measures of the size of an arrival in a forecast:
+// its work in processor seconds, and its number of tasks.
 func arrivalWork(a forecast.Arrival) float64  { return a.Work }
 func arrivalTasks(a forecast.Arrival) float64 { return a.Tasks }
 
 // forecastArrivals forecasts the arrivals of a class, measured by size, from the observed
-// arrivals.
+// arrivals. Resources planned by the forecast should suffice for the share of jobs that the
+// class's objective covers.
 func (w *Workload) forecastArrivals(class *Class, size func(forecast.Arrival) float64) forecast.ArrivalForecast {
 	return class.Arrivals.Forecast(w.Now, w.BootSeconds(&class.Job), class.ObjectiveShare, size)
 }
 
-// ExpectedWork returns the work in processor seconds that is likely to arrive in a class
-// while a machine boots. It is 0 for a class with a start objective.
+// ExpectedWork returns the work in processor seconds that the jobs of a class that arrive while
+// a machine boots are likely not to exceed. It is 0 for a class with a start objective, for
+// which TasksToReserve is used.
 func (w *Workload) ExpectedWork(class *Class) float64 {
 	if class.HasStartObjective {
 		return 0
@@ -67,10 +70,10 @@
 	return w.forecastArrivals(class, arrivalWork).SizeWithin(w.BootSeconds(&class.Job))
 }
 
-// TasksToReserve returns the number of tasks of a class with a start objective for which
+// TasksToReserve returns the number of tasks of a class with a start objective for which free
 // resources are reserved: the tasks that are likely to arrive while a machine boots, less those
-// that fit into the resources that become free in that time. It is 0 for a class without a
-// start objective.
+// that fit into the resources that become free in that time, rounded up. It is 0 for a class
+// without a start objective.
 func (w *Workload) TasksToReserve(class *Class) int {
 	if !class.HasStartObjective {
 		return 0
@@ -79,9 +82,10 @@
 	return int(math.Ceil(tasks))
 }
 
-// freedTasksPerSecond returns the number of a job's tasks for which resources become free
-// each second as other tasks end. It is 0 for a gang, which can't use these resources: there
-// are never enough of them at the same time.
+// freedTasksPerSecond returns the number of a job's tasks for which resources become free each
+// second as other tasks end on the machines that accept placements and that the job may use. It
+// is 0 for a service, and for a gang, which can't use these resources: there are never enough
+// of them at the same time.
 func (w *Workload) freedTasksPerSecond(j *protocol.Job) float64 {
 	if j.Kind != protocol.KindJobArray {
 		return 0
--- a/internal/controller/workload/objectives.go
+++ b/internal/controller/workload/objectives.go
@@ -15,8 +15,9 @@
 	objectiveFinished = "finished" // a job ends within a given time
 )
 
-// objectiveShare returns the largest share of a class's jobs that an objective covers, and
-// whether the class has a start objective. The share is 0 if the class has no objective.
+// objectiveShare returns the largest share of a class's jobs, from 0 to 1, that should meet an
+// objective, and whether the class has a start objective. The share is 0 if the class has no
+// objective of the kinds above.
 func (w *Workload) objectiveShare(class string) (share float64, hasStart bool) {
 	for _, o := range w.Objectives() {
 		switch {
@@ -41,8 +42,8 @@
 	return share == 0 && !w.HasGuarantee(j.Team) && w.Estimate(j) > w.BootSeconds(j) && w.hasClassOfPriority(j)
 }
 
-// hasClassOfPriority reports whether any class with an objective has at least the priority
-// of a job.
+// hasClassOfPriority reports whether, in any class with an objective, the job that arrived last
+// has at least the priority of a job.
 func (w *Workload) hasClassOfPriority(j *protocol.Job) bool {
 	for _, class := range w.Classes {
 		if class.Job.Priority.Rank() >= j.Priority.Rank() {
@@ -52,13 +53,14 @@
 	return false
 }
 
-// ReservedForObjectives returns the number of processors that the classes with objectives
-// are likely to need: their average use, plus the processors needed to finish in time the
-// work that arrives beyond the average. The deviations of the classes from their averages are
-// treated as independent. Until arrivals have been observed for long enough, the result is at
-// least usableCPUs, the processors of all usable machines. Otherwise tasks without an
-// objective that start in that period would occupy for minutes the machines that were
-// provisioned for the classes with objectives.
+// ReservedForObjectives returns the number of processors that the classes with objectives are
+// likely to need: their average use, plus the processors needed to finish or start in time the
+// work that arrives beyond the average. Classes whose jobs no machine type can run are left
+// out. The deviations of the classes from their averages are treated as independent. Until the
+// session has lasted for forecast.MinObservedBoots boot times of each class, the result is at
+// least usableCPUs, the processors of all machines that accept placements. Otherwise tasks
+// without an objective that start in that period would occupy for minutes the machines that
+// were provisioned for the classes with objectives.
 func (w *Workload) ReservedForObjectives(usableCPUs float64) (cpus float64) {
 	excessSquares, minCPUs := 0.0, 0.0
 	for _, class := range ordered.ByKey(w.Classes) {
@@ -81,8 +83,9 @@
 	return math.Max(cpus+math.Sqrt(excessSquares), minCPUs)
 }
 
-// slackSeconds returns how long the tasks of an arriving job may wait and still end in time,
-// in seconds. It is at least bootS, the time that a machine takes to boot.
+// slackSeconds returns how long the tasks of an arriving job may wait and still end by the
+// earliest of the job's objective times, in seconds. It is at least bootS, the time that a
+// machine takes to boot, and equal to it if the job has no such time.
 func (w *Workload) slackSeconds(j *protocol.Job, bootS float64) float64 {
 	slack := math.Inf(1)
 	for _, withinSeconds := range w.ObjectiveTimes(j) {
--- a/internal/controller/workload/spot.go
+++ b/internal/controller/workload/spot.go
@@ -12,16 +12,17 @@
 // down a gang; above it the gang avoids spot machines.
 const maxSpotSlowdown = 0.1
 
-// RecordSpotLoss counts a preemption for a machine whose record was deleted, if the machine
-// seems to be a spot machine that was preempted.
+// RecordSpotLoss counts a preemption for a machine whose record was deleted, if it was a spot
+// machine that was not draining, and the cloud had given notice of the preemption or its worker
+// had been silent for more than twice as long as a healthy worker may be.
 func (w *Workload) RecordSpotLoss(m *waittable.Machine) {
 	if m.Record.Spot && !m.State.Draining && (m.State.Noticed || m.State.Silence == message.SilenceLong) {
 		w.SpotPreemptions.NotePreemption()
 	}
 }
 
-// RecordSpotUptime adds the uptime of the present spot machines to the estimate of the preemption
-// rate. It must be called once in each replication interval.
+// RecordSpotUptime adds one replication interval of uptime for each registered spot machine to
+// the estimate of the preemption rate. It must be called once in each replication interval.
 func (w *Workload) RecordSpotUptime() {
 	w.SpotPreemptions.NoteUptime(w.table.SpotMachines, w.Operator.ReplicationInterval)
 }
@@ -44,8 +45,8 @@
 	return w.SpotPreemptions.PreemptionRate() * lostS
 }
 
-// AvoidsSpot reports whether a job should not run on spot machines, since they would slow it
-// down too much.
+// AvoidsSpot reports whether a job should not run on spot machines: with each of its tasks on a
+// spot machine, they would lengthen its run time by more than maxSpotSlowdown.
 func (w *Workload) AvoidsSpot(j *protocol.Job) bool {
 	return w.SpotSlowdown(j)*float64(j.Tasks) > maxSpotSlowdown
 }
--- a/internal/controller/workload/workload.go
+++ b/internal/controller/workload/workload.go
@@ -18,7 +18,7 @@
 	SpotPreemptions forecast.SpotPreemptions
 }
 
-// New returns a workload without observations. Reset must be called before use.
+// New returns a Workload without observations. Reset must be called before use.
 func New(module clusterstate.Module, table *waittable.Table) *Workload {
 	return &Workload{Module: module, table: table}
 }
