--- a/internal/controller/heartbeat/queue.go
+++ b/internal/controller/heartbeat/queue.go
@@ -8,9 +8,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// maxMachines bounds the machines whose last answers are recorded. It is several times the
-// expected number of machines. When it is reached, all records are dropped, and each machine
-// counts as never answered until its next answer.
+// maxMachines is the maximum number of machines for which the time of the last answer is
+// recorded. It is several times the expected number of machines. When it is reached, all these
+// times are dropped, and each machine counts as never answered until its next answer.
 const maxMachines = 1 << 16
 
 // QueuedHeartbeat is a queued heartbeat that has not been answered yet.
@@ -22,13 +22,14 @@
 	arrival    uint64     // position in the order of arrival
 }
 
-// Queue holds the heartbeats that have not been answered yet.
+// Queue holds the heartbeats that have not been answered yet, and the times of the last
+// answers. It is not safe for concurrent use.
 type Queue[T any] struct {
-	capacity     int
-	maxWait      time.Duration
-	waiting      waitingHeap[T]
-	lastAnswers  map[protocol.MachineID]clock.Time
-	arrivalCount uint64
+	capacity     int                               // maximum number of waiting heartbeats
+	maxWait      time.Duration                     // time after which a waiting heartbeat expires
+	waiting      waitingHeap[T]                    // the waiting heartbeats
+	lastAnswers  map[protocol.MachineID]clock.Time // time of each machine's last answer
+	arrivalCount uint64                            // number of heartbeats added so far
 }
 
 // NewQueue returns a queue that holds at most capacity heartbeats. A heartbeat that has been
@@ -41,8 +42,8 @@
 func (q *Queue[T]) Len() int { return len(q.waiting) }
 
 // Add queues a heartbeat. If the queue exceeds its capacity, it removes and returns the
-// heartbeat that would be answered last, which the caller refuses at once. That may be the
-// heartbeat that was just added.
+// heartbeat that would be answered last, which the caller refuses at once, and full is true.
+// That may be the heartbeat that was just added.
 func (q *Queue[T]) Add(now clock.Time, machine protocol.MachineID, heartbeat T) (refused T, full bool) {
 	q.arrivalCount++
 	heap.Push(&q.waiting, QueuedHeartbeat[T]{
@@ -64,8 +65,9 @@
 	return heap.Remove(&q.waiting, leastUrgent).(QueuedHeartbeat[T]).Heartbeat, true
 }
 
-// Next removes and returns the heartbeat to be answered next. The caller refuses the expired
-// heartbeats: their workers no longer wait for an answer.
+// Next removes and returns the heartbeat to be answered next; ok is false if there is none. It
+// also removes the expired heartbeats that come before it and returns them. The caller refuses
+// these: their workers no longer wait for an answer.
 func (q *Queue[T]) Next(now clock.Time) (next QueuedHeartbeat[T], ok bool, expired []T) {
 	for len(q.waiting) > 0 {
 		w := heap.Pop(&q.waiting).(QueuedHeartbeat[T])
@@ -77,7 +79,8 @@
 	return next, false, expired
 }
 
-// RecordAnswer records that a machine's heartbeat was answered and its lease thereby renewed.
+// RecordAnswer records that a machine's heartbeat was answered at the time now and its lease
+// thereby renewed. Heartbeats of the machine that arrive later are ordered by this time.
 func (q *Queue[T]) RecordAnswer(now clock.Time, machine protocol.MachineID) {
 	if len(q.lastAnswers) >= maxMachines {
 		clear(q.lastAnswers)
