--- a/internal/controller/frontend/actor.go
+++ b/internal/controller/frontend/actor.go
@@ -17,11 +17,13 @@
 	"damsonkeel/internal/transport"
 )
 
-// tickInterval is the time between two ticks of Admission.
+// tickInterval is the time between two ticks, each of which has Admission do the work that is
+// due by the clock.
 const tickInterval = 100 * time.Millisecond
 
-// Run runs the actor around Admission. It returns when the context ends, and so do the
-// goroutines that it has started.
+// Run runs the actor around Admission: it passes users' requests, results of actions,
+// configurations and ticks to Admission one at a time, and executes the actions that Admission
+// returns. It returns when the context ends, and so do the goroutines that it has started.
 func (f *Frontend) Run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -59,8 +61,8 @@
 	f.post(ctx, admission.TypesRead{Types: types})
 }
 
-// enqueueRequest puts a request into the mailbox, or refuses it at once if the mailbox is
-// full.
+// enqueueRequest gives a user's request an ID and the time of day and puts it into the mailbox,
+// or refuses it at once with 503 if the mailbox is full.
 func (f *Frontend) enqueueRequest(request admission.Request, reply transport.Reply) {
 	request.ID, request.WallMS = admission.RequestID(f.lastRequest.Add(1)), time.Now().UnixMilli()
 	select {
@@ -70,7 +72,8 @@
 	}
 }
 
-// post sends a message to the actor. It blocks while the mailbox is full.
+// post sends a message to the actor. It blocks while the mailbox is full, and drops the message
+// if the context ends meanwhile.
 func (f *Frontend) post(ctx context.Context, msg any) {
 	select {
 	case f.mailbox <- msg:
@@ -91,8 +94,10 @@
 	}
 }
 
-// executeAction executes an action of Admission. It never blocks: a goroutine executes each
-// action that takes time, and posts the result.
+// executeAction executes an action of Admission: it answers a request, reads or writes records,
+// queries the core, forwards a submission, announces a cancellation, or requests a tick at a
+// given time. It never blocks: a goroutine executes each action that takes time, and posts the
+// result.
 func (f *Frontend) executeAction(ctx context.Context, action admission.Action) {
 	switch a := action.(type) {
 	case admission.Reply:
@@ -115,8 +120,8 @@
 	}
 }
 
-// queryCore asks the core for the state of live jobs. If the core is too busy, Admission
-// gets an empty answer.
+// queryCore asks the core for the state of live jobs, the peers that hold their lease and the
+// members. If the core is too busy, Admission gets an answer without any of these.
 func (f *Frontend) queryCore(ctx context.Context, query admission.QueryCore) {
 	answer := func(answered admission.CoreAnswered) { f.post(ctx, answered) }
 	if !f.controller.QueryCore(query, answer) {
@@ -124,7 +129,8 @@
 	}
 }
 
-// announce notifies a controller, which may be this one, of a cancellation.
+// announce notifies a controller, which may be this one, of a cancellation, and posts the
+// acknowledgement to Admission. If the controller does not acknowledge it, nothing is posted.
 func (f *Frontend) announce(ctx context.Context, a admission.Announce) {
 	announced := func() { f.post(ctx, admission.AnnouncementAcknowledged{Job: a.Job, By: a.To}) }
 	if a.To == f.settings.Name {
@@ -140,6 +146,7 @@
 	}()
 }
 
+// write executes a transaction on job records and returns its outcome.
 func (f *Frontend) write(ctx context.Context, a admission.Write) admission.Written {
 	_, err := f.store.CompareAndSwap(ctx, a.Transaction, kvstore.PriorityHigh)
 	if errors.Is(err, serviceclient.ErrMalformed) {
@@ -148,12 +155,15 @@
 	return admission.Written{ID: a.ID, Outcome: outcome.Of(err)}
 }
 
+// compare asks the key-value store whether conditions hold, and returns the keys that it
+// reported to differ.
 func (f *Frontend) compare(ctx context.Context, a admission.Compare) admission.Compared {
 	differingKeys, err := f.store.Compare(ctx, a.Conditions)
 	return admission.Compared{Query: a.Query, Outcome: outcome.Of(err), Differing: differingKeys}
 }
 
-// forward sends a submission to a peer. The answer is empty if the peer did not answer.
+// forward sends a submission to a peer and waits for the peer's answer, which is empty (status
+// 0) if the peer did not answer.
 func (f *Frontend) forward(a admission.Forward) admission.Forwarded {
 	answer, err := f.controller.ForwardSubmission(a.To, a.Body)
 	if err != nil {
@@ -162,7 +172,9 @@
 	return admission.Forwarded{ID: a.ID, Answer: answer}
 }
 
-// readJob reads a job's record. OutcomeFailed means that the record does not exist.
+// readJob reads a job's record. OutcomeDone means that it was read, OutcomeFailed that it does
+// not exist, OutcomeRefused that the request was not executed, and OutcomeUnknown any other
+// error, such as a record that can't be decoded.
 func (f *Frontend) readJob(ctx context.Context, a admission.GetRecord) admission.RecordRead {
 	item, err := f.store.Get(ctx, record.JobKey(a.Job))
 	read := admission.RecordRead{ID: a.ID, Outcome: outcome.Of(err), Version: item.Version}
--- a/internal/controller/frontend/confighistory.go
+++ b/internal/controller/frontend/confighistory.go
@@ -12,11 +12,12 @@
 	"damsonkeel/internal/transport"
 )
 
-// maxHistoryBytes is the maximum size of the changes in one answer, well below the limit
-// for the body of an answer.
+// maxHistoryBytes is the maximum size in bytes, as stored, of the changes in one answer, well
+// below the limit for the body of an answer.
 const maxHistoryBytes = 40 << 10
 
-// configurationHistory answers with the latest changes of the configuration, newest first.
+// configurationHistory answers with the latest changes of the configuration, newest first, and
+// the revision of the newest one. The answer is 503 if the key-value store can't be read.
 func (f *Frontend) configurationHistory(ctx context.Context) *transport.Message {
 	items, _, err := f.store.List(ctx, record.ConfigurationHistoryPrefix)
 	if err != nil {
@@ -31,8 +32,9 @@
 	return operatorResponse(reply)
 }
 
-// latestChanges decodes changes of the configuration. It returns the latest changes that
-// fit into an answer, newest first, and whether there are more.
+// latestChanges decodes changes of the configuration. It returns the latest changes whose size
+// does not exceed maxHistoryBytes in total, newest first, and whether there are more. A change
+// that can't be decoded is logged and left out.
 func (f *Frontend) latestChanges(items []protocol.Item) (history []record.ConfigurationChange, more bool) {
 	sizes := map[record.ConfigurationRevision]int{}
 	for _, item := range items {
--- a/internal/controller/frontend/doc.go
+++ b/internal/controller/frontend/doc.go
@@ -7,6 +7,19 @@
 // requests. Statuses and bodies of the answers are part of the service's interface and
 // must stay the same byte for byte.
 //
+// Terms:
+//   - actor: a goroutine that alone accesses a state and handles one message at a time from its
+//     mailbox, the queue of its messages.
+//   - core: the single-threaded state machine of the controller, which runs in an actor of its
+//     own and schedules the jobs.
+//   - Admission, action: the state machine that decides the answers to users, and what it
+//     requests in a step, such as a read of a record or a reply.
+//   - tick: a message by which Admission does the work that is due by the clock.
+//   - configuration in force: the settings with the operators' changes that the core has
+//     observed in the records.
+//   - peer: another controller of the same service.
+//   - record: a value in the key-value store.
+//
 // The package reaches everything else through Controller. It must not access the state of
 // the controller's core, and makes no decisions about jobs, machines or the configuration.
 package frontend
--- a/internal/controller/frontend/frontend.go
+++ b/internal/controller/frontend/frontend.go
@@ -21,19 +21,21 @@
 type Controller interface {
 	// Now returns the time of the controller's monotonic clock.
 	Now() clock.Time
-	// Ready reports whether the load balancer may send requests to this controller.
+	// Ready reports whether the load balancer may send requests to this controller: the answer to
+	// health checks.
 	Ready() bool
 	// QueueHeartbeat queues a worker's heartbeat for the core; reply receives the answer.
 	// It never blocks.
 	QueueHeartbeat(heartbeat protocol.Heartbeat, reply transport.Reply)
-	// QueryCore asks the core for the state of live jobs. It never blocks. If the core
-	// is too busy, it returns false and answer is not called.
+	// QueryCore asks the core for the state of live jobs, the peers that hold their lease and the
+	// members, and calls answer with them. It never blocks. If the core is too busy, since its
+	// mailbox is full, it returns false and answer is not called.
 	QueryCore(query admission.QueryCore, answer func(admission.CoreAnswered)) bool
-	// CancelJob notifies the core of a cancelled job, unless the core is too busy. It
-	// calls done once the core has handled the notification, and never blocks.
+	// CancelJob notifies the core of a cancelled job, unless the core is too busy. It calls done
+	// once the core has handled the notification, and never otherwise. It never blocks.
 	CancelJob(job protocol.JobID, done func())
-	// DecideOperation has the core decide an operator's request, and waits for the
-	// decision. It returns false if the core is too busy.
+	// DecideOperation has the core decide an operator's request, made with the key named by, and
+	// waits for the decision. It returns false if the core is too busy or has ended.
 	DecideOperation(by string, request *operatorapi.Request) (operatorrequest.Decision, bool)
 	// ForwardSubmission sends a submission to a peer and waits for the answer, which is
 	// empty if there is an error.
@@ -55,7 +57,8 @@
 // maxOperatorRequests is the maximum number of concurrent operators' requests.
 const maxOperatorRequests = 64
 
-// Frontend routes HTTP requests, and is the actor around an admission.Admission.
+// Frontend routes HTTP requests, and is the actor around an admission.Admission, which answers
+// users' requests. It passes heartbeats to the core, which also decides operators' requests.
 type Frontend struct {
 	controller Controller
 	settings   *config.Settings
@@ -65,13 +68,13 @@
 
 	// Only the actor's goroutine, Run, accesses these fields.
 	admission *admission.Admission
-	stepQueue []any // messages that the current step has not handled yet
-	replies   map[admission.RequestID]transport.Reply
+	stepQueue []any                                   // messages that the current step has not handled yet
+	replies   map[admission.RequestID]transport.Reply // replies to the requests without an answer
 
-	mailbox chan any
+	mailbox chan any // messages to the actor
 	// configurations holds the configuration in force until Admission has received it.
 	configurations chan *dynamicconfig.Effective
-	lastRequest    atomic.Uint64
+	lastRequest    atomic.Uint64 // ID of the last user's request
 	operatorSlots  chan struct{} // holds one element for each operator's request in progress
 }
 
@@ -97,7 +100,8 @@
 	}
 }
 
-// Handle routes a request. It runs on the server's event loop and never blocks.
+// Handle routes a request by its path to the code that answers it, and refuses an unknown path
+// with 404 and a wrong method with 405. It runs on the server's event loop and never blocks.
 func (f *Frontend) Handle(m *transport.Message, reply transport.Reply) {
 	switch {
 	case m.Path == pathHeartbeat:
@@ -123,13 +127,15 @@
 	}
 }
 
-// SubmitForwarded handles a submission that a peer could not settle and has forwarded. Any
-// goroutine may call it.
+// SubmitForwarded handles a submission that a peer has forwarded because it could not settle
+// it, for example while the key-value store is unreachable from the peer. It is not forwarded
+// again. Any goroutine may call it.
 func (f *Frontend) SubmitForwarded(body []byte, reply transport.Reply) {
 	f.enqueueRequest(admission.Request{Operation: admission.Submit, Body: body, Forwarded: true}, reply)
 }
 
-// handleJobRequest handles a poll or a cancellation of one job.
+// handleJobRequest passes a poll or a cancellation of one job to Admission. It refuses a path
+// without a valid job ID with 404.
 func (f *Frontend) handleJobRequest(m *transport.Message, reply transport.Reply) {
 	name, cancel := strings.CutSuffix(strings.TrimPrefix(m.Path, pathJobs), suffixCancel)
 	request, method := admission.Request{Operation: admission.Poll}, http.MethodGet
@@ -149,7 +155,7 @@
 }
 
 // allowOnly reports whether a request has the method that its path allows. It refuses the
-// request otherwise.
+// request with 405 otherwise.
 func allowOnly(method string, m *transport.Message, reply transport.Reply) bool {
 	if m.Method != method {
 		reply(Failure(http.StatusMethodNotAllowed, "method not allowed"))
@@ -158,11 +164,11 @@
 	return true
 }
 
-// handleHealthCheck answers health checks. The status is 200 while this controller is a
-// member, has read the machine types, and holds its lease. It remains 200 while the
-// key-value store is unavailable to all controllers: requests get a 503 with a retry time
-// at once, and the load balancer doesn't have to find every controller healthy again when
-// the outage is over.
+// handleHealthCheck answers health checks. The status is 200 while this controller is a member,
+// has read the machine types, holds its lease and is not shutting down, and 503 otherwise. It
+// remains 200 while the key-value store is unavailable to all controllers: requests get a 503
+// with a retry time at once, and the load balancer doesn't have to find every controller
+// healthy again when the outage is over.
 func (f *Frontend) handleHealthCheck(reply transport.Reply) {
 	if !f.controller.Ready() {
 		reply(Failure(http.StatusServiceUnavailable, "not ready"))
@@ -171,6 +177,8 @@
 	reply(&transport.Message{Status: http.StatusOK})
 }
 
+// handleHeartbeat queues a worker's heartbeat for the core, which answers it. It refuses a
+// heartbeat that is not valid with 400.
 func (f *Frontend) handleHeartbeat(m *transport.Message, reply transport.Reply) {
 	heartbeat, err := protocol.ParseHeartbeat(m.Body)
 	if err != nil {
--- a/internal/controller/frontend/operators.go
+++ b/internal/controller/frontend/operators.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// operatorBudget is the maximum duration of an operator's request.
+	// operatorBudget is the maximum duration of an operator's request, with all retries.
 	operatorBudget = 1800 * time.Millisecond
 	// operatorRetryDelay is the time before a change is retried, in which the core can
 	// observe the changes of others.
@@ -21,7 +21,8 @@
 )
 
 // handleOperatorRequest answers an operator's request in a separate goroutine, which ends
-// within operatorBudget.
+// within operatorBudget. It refuses the request with 503 if maxOperatorRequests others are in
+// progress.
 func (f *Frontend) handleOperatorRequest(body []byte, reply transport.Reply) {
 	select {
 	case f.operatorSlots <- struct{}{}:
@@ -39,7 +40,8 @@
 	}()
 }
 
-// answerOperatorRequest verifies an operator's request and answers it.
+// answerOperatorRequest verifies the seal of an operator's request and answers the request. The
+// answer is 403 if the seal is not valid, and 503 if the keys can't be read.
 func (f *Frontend) answerOperatorRequest(ctx context.Context, body []byte) *transport.Message {
 	keys, err := operatorapi.ReadKeys(f.operator.OperatorKeys) // read for each request: keys may change without a restart
 	if err != nil {
@@ -57,9 +59,11 @@
 	return f.commitDecision(ctx, by, &request)
 }
 
-// commitDecision has the core decide an operator's request, and commits the decided change.
-// It retries while others change the same records, or while the outcome of the transaction
-// is unknown: by the request's ID the core detects a change that has been made already.
+// commitDecision has the core decide an operator's request, commits the decided change, if
+// there is one, and answers. It answers 503 if the core is too busy, the key-value store does
+// not execute the transaction or ctx ends, and refuses a change that the store finds malformed.
+// It retries while others change the same records, or while the outcome of the transaction is
+// unknown: by the request's ID the core detects a change that has been made already.
 func (f *Frontend) commitDecision(ctx context.Context, by string, request *operatorapi.Request) *transport.Message {
 	for ctx.Err() == nil {
 		decision, ok := f.controller.DecideOperation(by, request)
