--- a/internal/controller/membership/peers.go
+++ b/internal/controller/membership/peers.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// contactIntervals is the number of replication intervals after which a peer that
-	// has sent no update no longer counts as in contact.
+	// contactIntervals is the number of replication intervals after which a peer that has
+	// sent no state update no longer counts as in contact, and its report that it holds its
+	// lease no longer counts as recent.
 	contactIntervals = 3
 	// isolationTimeout is how long after the end of its lease a controller that receives
 	// nothing from any peer still accepts users' connections.
 	isolationTimeout = 10 * time.Second
 )
 
-// peer is the state of the current session of a member of the view.
+// peer is what this controller has received from the current session of a member of the view.
 type peer struct {
 	session             protocol.LeaseID
-	adoptedTerm         protocol.Term // highest term that it has reported to have adopted
+	adoptedTerm         protocol.Term // highest term whose view it has reported to have adopted
 	observedShardsEpoch protocol.Term // highest epoch of the shard table that it has reported to have observed
 	nextMessage         uint64        // number of the next message expected from it
 	leaseHeldAt         clock.Time    // when it last reported that it holds its lease
@@ -30,7 +31,8 @@
 	firstContact, lastContact clock.Time
 }
 
-// NoteLoad records the load that a peer, or this controller itself, has reported.
+// NoteLoad records the load that a peer, or this controller itself, has reported in a state
+// update, and that the member is in contact now. It ignores controllers that are not members.
 func (ms *Members) NoteLoad(name protocol.NodeName, load message.Load) {
 	p := ms.peers[name]
 	if p == nil {
@@ -43,14 +45,15 @@
 	p.lastContact = ms.Now
 }
 
-// NoteHoldsLease records that a peer has reported that it holds its lease.
+// NoteHoldsLease records that a peer has reported now that it holds its lease. It ignores
+// controllers that are not members.
 func (ms *Members) NoteHoldsLease(name protocol.NodeName) {
 	if p := ms.peers[name]; p != nil {
 		p.leaseHeldAt = ms.Now
 	}
 }
 
-// leaving reports whether a member is shutting down.
+// leaving reports whether a member has reported that it is shutting down.
 func (ms *Members) leaving(name protocol.NodeName) bool {
 	p := ms.peers[name]
 	return p != nil && p.load.Leaving
@@ -62,9 +65,9 @@
 	return at != 0 && ms.Since(at) < contactIntervals*ms.Operator.ReplicationInterval
 }
 
-// AcceptBatch replies to a peer's batch and returns the messages in it that were not
-// received before. Batches of sessions that have ended are dropped: the network may
-// deliver them minutes late.
+// AcceptBatch emits the reply to a peer's batch (see classify) and returns the messages in it
+// that were not received before; there are none unless the reply is BatchAccepted. Batches of
+// sessions that have ended are dropped: the network may deliver them minutes late.
 func (ms *Members) AcceptBatch(batch message.Batch) (newMessages []message.PeerMessage) {
 	reply := ms.classify(&batch)
 	if reply == message.BatchAccepted {
@@ -82,8 +85,11 @@
 	return newMessages
 }
 
-// classify decides by a batch's sessions, term and shard table epoch whether it is
-// accepted.
+// classify returns the reply to a batch. A batch that is not for the current session of this
+// controller is stale. If the sender has observed a later view or shard table, this controller
+// is behind, and the sender sends the batch again. Otherwise the batch is accepted if this
+// controller and the sender's session are members of the view. If not, the reply states
+// whether this controller holds its lease (excluded) or not (stale).
 func (ms *Members) classify(batch *message.Batch) message.BatchReply {
 	if batch.ToSession != ms.Session {
 		return message.BatchStale
@@ -99,8 +105,8 @@
 	return message.BatchStale
 }
 
-// AllAdoptedTerm reports whether every member has reported that it adopted the current term,
-// so that no member answers workers by an older term any more.
+// AllAdoptedTerm reports whether every member has reported that it adopted the view of the
+// current term, so that no member answers workers by an older term any more.
 func (ms *Members) AllAdoptedTerm() bool {
 	for _, p := range ms.peers {
 		if p.adoptedTerm < ms.View.Term {
@@ -110,8 +116,8 @@
 	return true
 }
 
-// ObservedShardEpoch returns the epoch of the shard table that all other members have
-// reported to have observed.
+// ObservedShardEpoch returns the highest epoch of the shard table that this controller has
+// observed and all other members have reported to have observed.
 func (ms *Members) ObservedShardEpoch() protocol.Term {
 	floor := ms.ShardTableEpoch()
 	for name, p := range ms.peers {
@@ -122,8 +128,9 @@
 	return floor
 }
 
-// PeersHoldingLease lists the other controllers that have recently reported that they hold
-// their leases. They report it in their state updates, and to a controller that is
+// PeersHoldingLease lists the other members of this controller's view that have reported
+// within the last contactIntervals replication intervals that they hold their leases, in order
+// of their names. They report it in their state updates, and to a controller that is
 // excluded from their view in their replies to its batches.
 func (ms *Members) PeersHoldingLease() []protocol.NodeName {
 	var names []protocol.NodeName
@@ -135,10 +142,10 @@
 	return names
 }
 
-// AnyPeerHoldsLease reports whether another controller has recently reported that it holds its
-// lease. If one holds its lease while this controller does not, the key-value store
-// refuses only this controller; otherwise the store is down for all controllers, or no
-// peer can be reached.
+// AnyPeerHoldsLease reports whether another member has reported within the last
+// contactIntervals replication intervals that it holds its lease. If one holds its lease while
+// this controller does not, the key-value store refuses only this controller; otherwise the
+// store is down for all controllers, or no peer can be reached.
 func (ms *Members) AnyPeerHoldsLease() bool { return len(ms.PeersHoldingLease()) > 0 }
 
 // ShouldWaitForLease reports whether this controller, while it does not hold its lease,
--- a/internal/controller/membership/reachability.go
+++ b/internal/controller/membership/reachability.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// redirectWindow is how long a redirected heartbeat counts: workers wait 4 s for an
-	// answer before they try the next controller.
+	// redirectWindow is how long an attempt of a worker that was redirected counts: workers
+	// wait 4 s for an answer before they try the next controller.
 	redirectWindow = 15 * time.Second
 	// attemptInterval is the time within which further heartbeats of a worker count as
 	// the same attempt.
 	attemptInterval = time.Second
-	// minRedirects is how many attempts of a worker must have been redirected before
-	// the worker counts as redirected.
+	// minRedirects is how many attempts of a worker this controller must have redirected
+	// before it counts the worker as redirected.
 	minRedirects = 2
-	// minWorkers is how many workers of a controller must be redirected before it counts
-	// as unreachable, and minWorkersDivisor defines their minimum fraction: one in so
-	// many of its machines. The fraction is low because the redirected workers are spread
-	// over several controllers, so that each controller observes only some of them.
+	// minWorkers is how many workers of another controller must be redirected before that
+	// controller counts as unreachable, and minWorkersDivisor defines their minimum fraction:
+	// one in so many of its machines. The fraction is low because the redirected workers are
+	// spread over several controllers, so that each controller observes only some of them.
 	minWorkers        = 2
 	minWorkersDivisor = 5
 	// firstRetryPause is how long an unreachable controller waits before it tries again
@@ -31,12 +31,12 @@
 	maxRetryPause   = 8 * time.Minute
 )
 
-// reachability detects members that workers can't reach although these members renew
-// their leases. Their workers repeatedly send heartbeats to other controllers, and would
-// lose their own leases if no other controller took them over.
+// reachability is the state for the detection of members that workers can't reach although
+// these members renew their leases. Their workers repeatedly send heartbeats to other
+// controllers, and would lose their own leases if no other controller took over their shards.
 type reachability struct {
 	redirected    map[protocol.MachineID]redirectedWorker
-	excluded      bool          // the view lists this controller as unreachable
+	excluded      bool          // the current view lists this controller as unreachable
 	excludedSince clock.Time    // when the view first listed it
 	retryPause    time.Duration // how long this controller stays listed before it tries again
 }
@@ -45,7 +45,7 @@
 // another controller dispatches to it.
 type redirectedWorker struct {
 	lastAttemptAt clock.Time // when its last attempt began
-	attempts      int
+	attempts      int        // attempts that this controller redirected: see NoteRedirected
 	zone          protocol.Zone
 	// shardEpoch is the epoch since which its shard has had its holder. Workers are
 	// redirected to another controller when the holder changes, which starts the count
@@ -58,7 +58,8 @@
 }
 
 // adoptView resets the counts of redirected workers, since a new view redirects workers
-// to other controllers, and updates whether this controller is excluded.
+// to other controllers, and updates whether this controller is excluded. If the view newly
+// lists it, the pause until it tries again starts, twice as long as the last one.
 func (r *reachability) adoptView(view record.View, self protocol.NodeName, now clock.Time) {
 	clear(r.redirected)
 	excluded := slices.Contains(view.Deaf, self)
@@ -75,7 +76,10 @@
 	return len(view.Deaf) < len(view.Members) && slices.Contains(view.Deaf, name)
 }
 
-// NoteRedirected counts a heartbeat that should have been sent to another controller.
+// NoteRedirected counts a heartbeat of a worker whose machine another controller dispatches to.
+// Heartbeats less than attemptInterval after the last attempt began count as the same attempt.
+// The count of attempts restarts if the last one began more than redirectWindow ago, or if the
+// machine's shard has a new holder.
 func (ms *Members) NoteRedirected(machine protocol.MachineID, zone protocol.Zone) {
 	worker := ms.reachability.redirected[machine]
 	shardEpoch := ms.ShardEpoch(machine, zone)
@@ -93,8 +97,10 @@
 	}
 }
 
-// unreachableNodes lists the members that the next view should list as unreachable, in
-// order of their names.
+// unreachableNodes lists those of the given members that the next view should list as
+// unreachable, in order of their names: those that remain listed, and other controllers of
+// whose workers at least minWorkers, and at least one in minWorkersDivisor of their machines,
+// were redirected by this controller.
 func (ms *Members) unreachableNodes(members map[protocol.NodeName]protocol.LeaseID) []protocol.NodeName {
 	nodes := ms.stillUnreachable(members)
 	redirected := ms.redirectedByDispatcher()
@@ -133,8 +139,9 @@
 	return nodes
 }
 
-// redirectedByDispatcher counts, for each dispatcher, its workers that were recently
-// redirected several times.
+// redirectedByDispatcher counts, for each controller that dispatches to machines, the workers
+// of these machines that made at least minRedirects attempts here, the last one within
+// redirectWindow, while the shard had its present holder.
 func (ms *Members) redirectedByDispatcher() map[protocol.NodeName]int {
 	count := map[protocol.NodeName]int{}
 	for machine, worker := range ms.reachability.redirected {
@@ -146,7 +153,8 @@
 	return count
 }
 
-// machinesByDispatcher counts the registered machines of each dispatcher.
+// machinesByDispatcher counts, for each controller, the registered machines that it dispatches
+// to.
 func (ms *Members) machinesByDispatcher() map[protocol.NodeName]int {
 	count := map[protocol.NodeName]int{}
 	for machine := range ms.Records {
--- a/internal/controller/membership/rebalance.go
+++ b/internal/controller/membership/rebalance.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// warmUpTime is how long a controller must be in contact before shards move to it, or
-	// between other members on its account: by then it has received its peers' state of
-	// all machines.
+	// warmUpTime is the time after a controller's first state update from which it counts as
+	// warmed up: by then it has received its peers' state of all machines. While any member
+	// is not warmed up, the balancer moves no shards, unless a member is shutting down.
 	warmUpTime = 3 * time.Second
 	// balancerKey is the rendezvous key that selects the member that runs the balancer.
 	balancerKey = "shares"
 )
 
-// RequestMoves queues moves that an operator requested. They are sent on the next tick.
+// RequestMoves queues moves of shards that an operator requested. SendRequestedMoves sends them
+// on the next tick.
 func (ms *Members) RequestMoves(moves []sharding.Move) {
 	ms.requestedMoves = append(ms.requestedMoves, moves...)
 }
 
-// SendRequestedMoves sends the moves that operators requested. They are dropped if there
-// is no shard table in use or this controller does not hold its lease.
+// SendRequestedMoves asks the holders of shards to make the moves that operators requested. The
+// requests are dropped if there is no shard table in use or this controller does not hold its
+// lease.
 func (ms *Members) SendRequestedMoves() {
 	moves := ms.requestedMoves
 	ms.requestedMoves = nil
@@ -35,8 +37,9 @@
 	}
 }
 
-// Balance runs the balancer if this controller is the member selected for it in this
-// view, and asks the holder of each shard that should move to hand it over.
+// Balance runs the balancer if this controller holds its lease and is the member that
+// rendezvous hashing selects for it in this view, and asks the holder of each shard that
+// should move to hand it over. On all other members it discards the balancer's state.
 func (ms *Members) Balance() {
 	if !ms.Sharded() || !ms.HoldsLease() || clusterstate.Rendezvous(ms.View, balancerKey) != ms.Self {
 		ms.balancer = sharding.Balancer{}
@@ -51,7 +54,9 @@
 	ms.sendMoves(ms.balancer.Step(ms.Now, ms.Shards, load, members))
 }
 
-// memberLoad returns the balancer's input for a member.
+// memberLoad returns the balancer's input for a member. The member counts as warmed up if it
+// has adopted the current view, sent its first state update at least warmUpTime ago, and is
+// still in contact.
 func (ms *Members) memberLoad(name protocol.NodeName, zone protocol.Zone, p *peer) sharding.MemberLoad {
 	adopted := p.adoptedTerm >= ms.View.Term
 	warmedUp := p.firstContact != 0 && ms.Since(p.firstContact) >= warmUpTime
--- a/internal/controller/membership/shardtable.go
+++ b/internal/controller/membership/shardtable.go
@@ -19,10 +19,12 @@
 	shardsRetryPause = 100 * time.Millisecond
 )
 
-// ShardTableTag marks a transaction that changes the holders or epochs of shards.
+// ShardTableTag marks a transaction that changes the holders or epochs of shards: its outcome is
+// passed to ShardsWritten.
 type ShardTableTag struct{}
 
-// AdoptShardTable installs a shard table.
+// AdoptShardTable installs a shard table that was read from the key-value store, and the version
+// of its record.
 func (ms *Members) AdoptShardTable(table *record.ShardTable, version protocol.Version) {
 	ms.Shards = table
 	ms.ShardsVersion = version
@@ -30,8 +32,10 @@
 
 // ChangeShards writes the changes that the dispatcher requests: this controller becomes
 // the holder of the shards in takeOver, and the epochs of its own shards in raiseEpoch
-// rise. The transaction is conditional on the shard table and the view that this
-// controller has observed. If the table was lost, it is written anew.
+// rise. All new epochs are above every fencing token that a worker has reported. The
+// transaction is conditional on the shard table and the view that this controller has
+// observed. If the record of the table was deleted, it is written anew. Nothing is sent if
+// there is no change to make or mayWriteShards is false: the dispatcher repeats its request.
 func (ms *Members) ChangeShards(takeOver, raiseEpoch []sharding.ID) {
 	nothingToDo := len(takeOver)+len(raiseEpoch) == 0 && ms.ShardsVersion != 0
 	if nothingToDo || !ms.mayWriteShards() {
@@ -57,9 +61,10 @@
 	}})
 }
 
-// mayWriteShards reports whether a change of the shard table may be sent now: this
-// controller holds its lease, and the previous change has been answered and observed or
-// its observation has timed out.
+// mayWriteShards reports whether a change of the shard table may be sent now: the table is in
+// use, this controller holds its lease, no transaction on the view or the table is in flight,
+// the pause after a failed one has passed, and the watch has delivered the previous change of
+// this controller or observeTimeout has passed since it was sent.
 func (ms *Members) mayWriteShards() bool {
 	if !ms.Sharded() || !ms.HoldsLease() || ms.writeInFlight || ms.Now < ms.retryAt {
 		return false
@@ -68,8 +73,9 @@
 	return !unobserved || ms.Since(ms.lastWriteAt) >= observeTimeout
 }
 
-// ShardsWritten handles the outcome of a change of the shard table. It does not install
-// the new table: the watch delivers it.
+// ShardsWritten ends the transaction of a change of the shard table, so that the next one may be
+// sent: after a success once the watch has delivered the change, after a failure or an unknown
+// outcome in shardsRetryPause. It does not install the new table: the watch delivers it.
 func (ms *Members) ShardsWritten(outcome message.Outcome) {
 	ms.writeInFlight = false
 	if outcome != message.OutcomeDone {
@@ -79,8 +85,8 @@
 }
 
 // shardTableFor returns the shard table for a new view. Shards whose holders are not in
-// the view, or should hold no shards, are assigned to members of the view; all others
-// keep their holders. It returns nil if nothing changes.
+// the view, or should hold no shards (see shardHolders), are assigned to members of the view;
+// all others keep their holders. It returns nil if the table exists and no shard changes.
 func (ms *Members) shardTableFor(view record.View) *record.ShardTable {
 	table := ms.Shards
 	if table == nil {
@@ -99,8 +105,8 @@
 	return next
 }
 
-// shardHolders lists the members of a view. Members that should hold no shards have the
-// weight 0.
+// shardHolders lists the members of a view with the weights by which shards are assigned to
+// them: 0 for members that are unreachable, shutting down or cordoned, else 1.
 func (ms *Members) shardHolders(view record.View, table *record.ShardTable) []sharding.Member {
 	var list []sharding.Member
 	zones := ms.zones()
--- a/internal/controller/membership/view.go
+++ b/internal/controller/membership/view.go
@@ -13,10 +13,12 @@
 // viewRetryPause is the time between a failed write of the view and the next attempt.
 const viewRetryPause = 300 * time.Millisecond
 
-// ViewTag marks the transaction that writes a view.
+// ViewTag marks the transaction that writes a view: its outcome is passed to ViewWritten.
 type ViewTag struct{}
 
-// AdoptView installs a new view.
+// AdoptView installs a view that was read from the key-value store, and the version of its
+// record. It drops the state of peers whose sessions are not in the view, starts that of new
+// ones, and clears the cached dispatchers.
 func (ms *Members) AdoptView(view record.View, version protocol.Version) {
 	ms.View = view
 	ms.ViewVersion = version
@@ -39,9 +41,11 @@
 }
 
 // UpdateView writes a view of the next term if the members, unreachable members or layout
-// of the current view are not the desired ones, if a shard table is missing, or if
-// forceNewTerm is set. A controller that refuses connections stays a member; only the
-// expiry of its lease removes it.
+// of the current view differ from those that desiredMembers and unreachableNodes return, if
+// the layout requires a shard table and there is none, or if forceNewTerm is set. It does
+// nothing while this controller's lease has expired or it is not registered, or while a
+// transaction on the view or the shard table is in flight or its retry pause lasts. A
+// controller that refuses connections stays a member; only the end of its lease removes it.
 func (ms *Members) UpdateView(forceNewTerm bool) {
 	if ms.Session == 0 || ms.Now >= ms.LeaseDeadline || ms.writeInFlight || ms.Now < ms.retryAt {
 		return
@@ -89,9 +93,9 @@
 }
 
 // desiredMembers returns the controllers that should be in the view, and its layout: the
-// latest that all of them support. Once a layout is in use, controllers that do not
-// support it are excluded: they would not read the records of all machines that may run
-// tasks.
+// latest that all of them support. These are the registered controllers that support the
+// current view's layout. Once a layout is in use, controllers that do not support it are
+// excluded: they would not read the records of all machines that may run tasks.
 func (ms *Members) desiredMembers() (map[protocol.NodeName]protocol.LeaseID, record.Layout) {
 	members := map[protocol.NodeName]protocol.LeaseID{}
 	supported := record.LatestLayout
@@ -106,8 +110,9 @@
 	return members, max(supported, ms.View.Layout)
 }
 
-// ViewWritten handles the outcome of writing a view. It does not install the view: the
-// watch delivers it.
+// ViewWritten ends the transaction that writes a view, so that the next one may be sent: at once
+// after a success, in viewRetryPause after a failure or an unknown outcome. It does not
+// install the view: the watch delivers it.
 func (ms *Members) ViewWritten(outcome message.Outcome) {
 	ms.writeInFlight = false
 	if outcome != message.OutcomeDone {
