--- a/internal/controller/sharding/assignment.go
+++ b/internal/controller/sharding/assignment.go
@@ -20,12 +20,13 @@
 // Move is a planned change of the holder of a shard.
 type Move struct {
 	Shard ID
-	To    protocol.LeaseID
-	Cause string
+	To    protocol.LeaseID // session of the new holder
+	Cause string           // reason, for operators and logs; the Balancer fills it in
 }
 
-// OrphanMoves lists the moves of shards whose holder is not a member or should hold no
-// shards. All other shards keep their holders.
+// OrphanMoves lists the moves of shards whose holder is not one of the members or has the
+// weight 0, each to a member whose weight is not 0. All other shards keep their holders. load
+// is the load of each shard. There are no moves if all members have the weight 0.
 func OrphanMoves(table *record.ShardTable, load []float64, members []Member) []Move {
 	a := newAssignment(table, load, members)
 	a.assignOrphans()
@@ -33,8 +34,9 @@
 }
 
 // RebalancingMoves lists the moves that distribute the load over the members by their weights,
-// in the order in which they should be made. If only the first few of them are made, the
-// next call still returns the rest.
+// in the order in which they should be made: those of OrphanMoves, then those that bring the
+// members near their targets, then those that bring shards to members of their zones. If only
+// the first few of them are made, the next call still returns the rest.
 func RebalancingMoves(table *record.ShardTable, load []float64, members []Member) []Move {
 	a := newAssignment(table, load, members)
 	a.assignOrphans()
@@ -43,7 +45,7 @@
 	return a.changes()
 }
 
-// toleranceFraction is the fraction of its target by which a member's load may differ
+// toleranceFraction is the fraction of its target load by which a member's load may differ
 // from the target before a shard moves. Without it, each machine that is added or removed
 // would move some shards.
 const toleranceFraction = 0.15
@@ -55,16 +57,17 @@
 	noShard  = -1
 )
 
-// assignment is a working copy of the holders of the shards.
+// assignment is a working copy of the holders of the shards, on which moves are planned.
+// Shards and members are identified by their indices in the table and in members.
 type assignment struct {
 	*record.ShardTable
 	load        []float64 // load of each shard
 	largestLoad float64   // the largest load of a shard
 	members     []Member  // in order of their names
-	targetLoad  []float64 // load that each member should hold
+	targetLoad  []float64 // load that each member should hold; 0 for the weight 0
 	heldLoad    []float64 // load that each member holds
 	holder      []int     // index of each shard's holder in members, or noMember
-	moveOrder   []ID      // shards whose holder changes, in the order in which they should move
+	moveOrder   []ID      // shards that were assigned here, in the order in which they should move
 }
 
 func newAssignment(table *record.ShardTable, load []float64, members []Member) *assignment {
@@ -107,7 +110,8 @@
 	}
 }
 
-// changes lists the shards whose holder differs from the table's.
+// changes lists the moves of the shards whose holder here differs from the holder in the table,
+// in the order in which they were first assigned.
 func (a *assignment) changes() (moves []Move) {
 	for _, id := range a.moveOrder {
 		to := a.members[a.holder[id]].Session
@@ -118,7 +122,7 @@
 	return moves
 }
 
-// assign makes a member the holder of a shard.
+// assign makes a member the holder of a shard in the working copy.
 func (a *assignment) assign(id, to int) {
 	if from := a.holder[id]; from != noMember {
 		a.heldLoad[from] -= a.load[id]
@@ -130,7 +134,8 @@
 	}
 }
 
-// utilization returns the load of a member plus some more, relative to its target.
+// utilization returns the load of a member plus some more, divided by the member's target: 1
+// means at the target. It is infinite for a member whose target is 0.
 func (a *assignment) utilization(i int, more float64) float64 {
 	if a.targetLoad[i] == 0 {
 		return math.Inf(1)
@@ -138,12 +143,13 @@
 	return (a.heldLoad[i] + more) / a.targetLoad[i]
 }
 
-// tolerance returns how much the load of a member may differ from its target.
+// tolerance returns by how much the load of a member may differ from its target before shards
+// move: toleranceFraction of the target, but at least the largest load of a shard.
 func (a *assignment) tolerance(i int) float64 {
 	return max(toleranceFraction*a.targetLoad[i], a.largestLoad)
 }
 
-// limit returns the highest load that a member may hold.
+// limit returns the load above which shards of a member move to others.
 func (a *assignment) limit(i int) float64 { return a.targetLoad[i] + a.tolerance(i) }
 
 // isLocal reports whether a member is in a shard's zone. A shard that is held in its own
@@ -153,12 +159,14 @@
 	return a.members[i].Zone != "" && a.members[i].Zone == ZoneOf(a.ShardTable, ID(id))
 }
 
-// fitsLocally reports whether a member is in a shard's zone and has capacity for it.
+// fitsLocally reports whether a member is in a shard's zone and stays within its limit if the
+// shard is added.
 func (a *assignment) fitsLocally(id, i int) bool {
 	return a.isLocal(id, i) && a.heldLoad[i]+a.load[id] <= a.limit(i)
 }
 
-// firstLocal returns the first member in a shard's zone that may hold shards, or noMember.
+// firstLocal returns the first member in a shard's zone, by name, whose target is not 0, or
+// noMember.
 func (a *assignment) firstLocal(id int) int {
 	for i := range a.members {
 		if a.targetLoad[i] > 0 && a.isLocal(id, i) {
@@ -168,9 +176,9 @@
 	return noMember
 }
 
-// assignOrphans assigns the shards without a holder, or whose holder should hold none, to
-// other members: to one in the shard's zone that has capacity, else to the one with the
-// lowest utilization.
+// assignOrphans assigns the shards without a holder, or whose holder has the weight 0, to
+// other members: to one in the shard's zone that stays within its limit, else to any. Of
+// several such members it takes the one whose utilization with the shard is the lowest.
 func (a *assignment) assignOrphans() {
 	for id, holder := range a.holder {
 		if holder != noMember && a.members[holder].Weight > 0 {
@@ -182,7 +190,8 @@
 	}
 }
 
-// bestHolder returns the member that an orphaned shard should be assigned to.
+// bestHolder returns the member that an orphaned shard should be assigned to by the rule of
+// assignOrphans, or noMember if all members have the weight 0.
 func (a *assignment) bestHolder(id int) int {
 	best := noMember
 	for i, m := range a.members {
@@ -194,7 +203,8 @@
 }
 
 // isBetterHolder reports whether member i is a better holder of a shard than another
-// member.
+// member: only i fits locally, or both or neither do and i has the lower utilization with the
+// shard.
 func (a *assignment) isBetterHolder(id, i, other int) bool {
 	fits, otherFits := a.fitsLocally(id, i), a.fitsLocally(id, other)
 	if fits != otherFits {
@@ -204,7 +214,9 @@
 }
 
 // balanceLoad moves shards from members above their limit to the one with the lowest
-// utilization, and to members far below their target.
+// utilization, and to members further below their target than their tolerance. It ends when
+// there is no such member or no shard that should move, at the latest after as many moves as
+// there are shards.
 func (a *assignment) balanceLoad() {
 	for range a.holder {
 		from, to := a.nextSourceAndTarget()
@@ -219,7 +231,10 @@
 	}
 }
 
-// nextSourceAndTarget returns the members between which a shard should move next.
+// nextSourceAndTarget returns the members between which a shard should move next: from is the
+// member with the highest utilization of those above their limits, to the one with the lowest
+// utilization. If none is above its limit, but to is further below its target than its
+// tolerance, from is the member with the highest utilization. Either may be noMember.
 func (a *assignment) nextSourceAndTarget() (from, to int) {
 	to = a.leastUtilized()
 	from = a.mostUtilized(func(i int) bool { return a.heldLoad[i] > a.limit(i) })
@@ -232,7 +247,7 @@
 }
 
 // mostUtilized returns the member with the highest utilization of those that match a
-// condition.
+// condition, or noMember if none does.
 func (a *assignment) mostUtilized(match func(i int) bool) int {
 	most := noMember
 	for i := range a.members {
@@ -243,8 +258,8 @@
 	return most
 }
 
-// leastUtilized returns the member with the lowest utilization of those that may hold
-// shards.
+// leastUtilized returns the member with the lowest utilization of those whose target is not 0,
+// or noMember if there is none.
 func (a *assignment) leastUtilized() int {
 	least := noMember
 	for i := range a.members {
@@ -272,7 +287,8 @@
 	return best
 }
 
-// moveScore ranks a move by its effect on the locality of the shard.
+// moveScore ranks a move by its effect on the locality of the shard, from 1 to 4: higher if the
+// shard is local to the target, and if it is not local to the source. The former counts more.
 func (a *assignment) moveScore(id, from, to int) int {
 	score := 1
 	if a.isLocal(id, to) {
@@ -284,8 +300,9 @@
 	return score
 }
 
-// localize moves shards to a member of their zone that has capacity, or that holds a
-// shard of another zone to exchange for them.
+// localize moves shards whose holder is not in their zone to the first member of their zone: if
+// canMove allows it the shard alone, else in exchange for another one (see exchange). A shard
+// stays if neither is possible.
 func (a *assignment) localize() {
 	for id, holder := range a.holder {
 		if holder == noMember || a.isLocal(id, holder) {
@@ -303,7 +320,9 @@
 	}
 }
 
-// canMove reports whether both members stay near their target loads when a shard moves.
+// canMove reports whether both members stay near their target loads when a shard moves: the
+// receiver at most the largest load of a shard above its target, and the giver within its
+// tolerance below its target.
 func (a *assignment) canMove(id, from, to int) bool {
 	return a.heldLoad[to]+a.load[id] <= a.targetLoad[to]+a.largestLoad &&
 		a.heldLoad[from]-a.load[id] >= a.targetLoad[from]-a.tolerance(from)
--- a/internal/controller/sharding/balancer.go
+++ b/internal/controller/sharding/balancer.go
@@ -16,7 +16,9 @@
 	Leaving      bool          // it is shutting down
 	Cordoned     bool          // operators have requested that it holds no shards
 	Unreachable  bool          // workers can't reach it
-	WarmedUp     bool          // it has adopted the view, has been in contact for a while, and still is
+	// WarmedUp is set if the member has adopted the current view, has been in contact for long
+	// enough to have received its peers' state of all machines, and still is in contact.
+	WarmedUp bool
 }
 
 // Causes of moves, as they are sent to the holder of a shard and shown to operators.
@@ -29,13 +31,12 @@
 )
 
 const (
-	// maxMoves bounds the number of moves in flight, and maxLeavingMoves the number of
-	// those from members that are shutting down.
+	// maxMoves bounds the number of moves in flight. For moves from members that are shutting
+	// down, maxLeavingMoves applies in its place.
 	maxMoves        = 8
 	maxLeavingMoves = 64
-	// moveTimeout is how long a move may take before it no longer counts as in flight. A
-	// move that was not made by then is requested again no sooner than moveCooldown after
-	// its request.
+	// moveTimeout is the time from its request after which a move that was not made no longer
+	// counts as in flight. It is requested again no sooner than moveCooldown after its request.
 	moveTimeout  = 5 * time.Second
 	moveCooldown = 20 * time.Second
 	// minBatchInterval is the minimum time between one batch of moves and the next.
@@ -45,9 +46,13 @@
 // Balancer decides which shards move. It holds the moves that it has requested and the
 // slowness of each member. The zero value is ready to use.
 type Balancer struct {
+	// requestedMoves holds the moves that were requested up to moveCooldown ago and are not
+	// made yet.
 	requestedMoves map[ID]requestedMove
-	pauseUntil     clock.Time
-	slownessOf     map[protocol.LeaseID]slowness
+	// pauseUntil is the time before which only moves from members that are shutting down are
+	// requested.
+	pauseUntil clock.Time
+	slownessOf map[protocol.LeaseID]slowness // by the member's session
 }
 
 // requestedMove is a move that the holder of a shard was asked to make.
@@ -56,7 +61,11 @@
 	requestedAt clock.Time
 }
 
-// Step lists the moves that should be requested now.
+// Step lists the moves that should be requested from the holders now, given the load of each
+// shard and the state of each member, and counts them as requested. It lists none while a move
+// is in flight, until minBatchInterval after the last moves were requested or made, or while a
+// member is not warmed up. If a member is shutting down, none of this delays its moves, and
+// only moves from such members are listed. See maxMoves for the number of moves.
 func (b *Balancer) Step(now clock.Time, table *record.ShardTable, load []float64, members []MemberLoad) []Move {
 	b.updateSlowness(now, members)
 	inFlight := b.updateInFlight(now, table)
@@ -92,7 +101,8 @@
 	return moves
 }
 
-// maxMovesFrom returns the maximum number of moves in flight for a move from a holder.
+// maxMovesFrom returns the number of moves in flight at which no further move from a holder is
+// requested.
 func maxMovesFrom(holder *MemberLoad) int {
 	if holder.Leaving {
 		return maxLeavingMoves
@@ -100,7 +110,8 @@
 	return maxMoves
 }
 
-// cause returns why shards of a holder move.
+// cause returns why shards of a holder move: the state of the holder that gives it a lower
+// weight than others, or causeBalance if there is none.
 func (b *Balancer) cause(holder *MemberLoad) string {
 	switch {
 	case holder.Leaving:
@@ -115,8 +126,9 @@
 	return causeBalance
 }
 
-// updateInFlight deletes the moves that were made, or that were requested long enough ago
-// to be requested again, and counts those in flight.
+// updateInFlight deletes the requested moves that were made (the shard has a new holder) or
+// were requested more than moveCooldown ago, and returns the number of those in flight. A move
+// that was made within moveTimeout delays the next ones by minBatchInterval.
 func (b *Balancer) updateInFlight(now clock.Time, table *record.ShardTable) (inFlight int) {
 	if b.requestedMoves == nil {
 		b.requestedMoves = map[ID]requestedMove{}
@@ -148,7 +160,8 @@
 	return list
 }
 
-// weight returns the capacity of a member relative to the other members'.
+// weight returns the capacity of a member relative to the other members': 0 if it is shutting
+// down, cordoned or unreachable, else a weight that falls with the step of its slowness.
 func (b *Balancer) weight(m *MemberLoad) float64 {
 	if m.Leaving || m.Cordoned || m.Unreachable {
 		return 0
--- a/internal/controller/sharding/slowness.go
+++ b/internal/controller/sharding/slowness.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minSlowLateness is the minimum lateness of a slow member's ticks, and slowFactor is
-	// how many times as late as the median member's they must be: if the ticks of all
-	// members are late, moving shards does not help.
+	// A member is slow if its ticks are later than minSlowLateness and later than slowFactor
+	// times the lateness of the median member's: if the ticks of all members are late, moving
+	// shards does not help.
 	minSlowLateness = 150 * time.Millisecond
 	slowFactor      = 3
 	// slowStepAfter is how long a member has to be slow before its weight falls by a step,
@@ -32,7 +32,9 @@
 	notSlowSince clock.Time // since when it has not been slow at this step; 0 if it is slow
 }
 
-// observe returns the slowness after one more observation.
+// observe returns the slowness after the observation whether the member is slow now. The step
+// rises by 1 each time the member has been slow for slowStepAfter, and falls by 1 each time it
+// has not been slow for recoverStepAfter.
 func (s slowness) observe(now clock.Time, slow bool) slowness {
 	if slow {
 		s.notSlowSince = 0
@@ -57,7 +59,9 @@
 	return s
 }
 
-// updateSlowness records which members are slower than the others now.
+// updateSlowness updates the slowness of each member by whether its ticks are later than the
+// threshold now, and deletes that of sessions that are no longer members. A single member is
+// never slow.
 func (b *Balancer) updateSlowness(now clock.Time, members []MemberLoad) {
 	if b.slownessOf == nil {
 		b.slownessOf = map[protocol.LeaseID]slowness{}
@@ -77,7 +81,8 @@
 	}
 }
 
-// slowThreshold returns the lateness of ticks above which a member is slow.
+// slowThreshold returns the lateness of ticks above which a member is slow: slowFactor times the
+// median of the members' lateness, but at least minSlowLateness.
 func slowThreshold(members []MemberLoad) time.Duration {
 	if len(members) == 0 {
 		return minSlowLateness
--- a/internal/controller/sharding/table.go
+++ b/internal/controller/sharding/table.go
@@ -16,11 +16,14 @@
 	// shardsPerZone is the number of shards of each zone, unless the shards of all zones
 	// together would exceed maxShards.
 	shardsPerZone = 32
-	// maxShards bounds the shards of a site.
+	// maxShards bounds the number of shards of a site, unless it has more zones: each zone has
+	// at least one shard.
 	maxShards = 512
 )
 
-// InitialTable returns the shard table of a site; no shard has a holder.
+// InitialTable returns the first shard table of a site with the given zones: each zone has the
+// same number of shards, no shard has a holder, and all epochs are 0. A site without zones
+// counts as one zone with an empty name.
 func InitialTable(zones []protocol.Zone) *record.ShardTable {
 	table := &record.ShardTable{Zones: slices.Clone(zones), Slots: shardsPerZone}
 	slices.Sort(table.Zones)
@@ -35,8 +38,8 @@
 	return table
 }
 
-// ShardOf returns the shard of a machine: one of its zone's, or one of all shards if the
-// table does not contain the zone.
+// ShardOf returns the shard of a machine, chosen by a hash of the machine's ID: one of its
+// zone's shards, or one of all shards if the table does not contain the zone.
 func ShardOf(table *record.ShardTable, machine protocol.MachineID, zone protocol.Zone) ID {
 	hash := xxhash.Sum64String(string(machine))
 	if i, ok := slices.BinarySearch(table.Zones, zone); ok {
@@ -50,7 +53,8 @@
 	return table.Zones[int(id)/table.Slots]
 }
 
-// Copy returns a copy of a table whose assignments can be changed.
+// Copy returns a copy of a table whose assignments can be changed without an effect on the
+// original.
 func Copy(table *record.ShardTable) *record.ShardTable {
 	c := *table
 	c.List = slices.Clone(table.List)
@@ -58,7 +62,8 @@
 	return &c
 }
 
-// Assign makes a member the holder of a shard, with an epoch above all previous ones.
+// Assign makes the member with a session the holder of a shard, and raises the epochs of the
+// table and of the shard above all previous ones.
 func Assign(table *record.ShardTable, id ID, holder protocol.LeaseID) {
 	table.Epoch++
 	table.List[id] = record.ShardAssignment{Holder: holder, Since: table.Epoch, Epoch: table.Epoch}
@@ -76,9 +81,9 @@
 	table.Epoch = max(table.Epoch, token)
 }
 
-// Loads estimates the load of each shard from the number of machines in each zone. The
-// load is the same for all shards of a zone, since machines are distributed over them by
-// hash.
+// Loads estimates the load of each shard from the number of machines in each zone: 1 plus the
+// shard's equal part of these machines. The load is the same for all shards of a zone, since
+// machines are distributed over them by hash.
 func Loads(table *record.ShardTable, machines map[protocol.Zone]int) []float64 {
 	load := make([]float64, len(table.List))
 	for id := range load {
