--- a/internal/controller/clusterstate/deadline.go
+++ b/internal/controller/clusterstate/deadline.go
@@ -10,23 +10,25 @@
 
 const (
 	// noDeadlineS is the time, in seconds after its submission, by which a job without a
-	// deadline or objective should be finished. It is later than that of jobs expected
-	// sooner, but early enough that jobs submitted later are not all ordered first.
+	// deadline or objective should be finished, for its place in the order of jobs. It is
+	// later than that of jobs expected sooner, but early enough that jobs submitted later are
+	// not all ordered first.
 	noDeadlineS = 600.0
 	// minEstimateS is the minimum run time assumed, in seconds, since rates are divided by
 	// the run time.
 	minEstimateS = 0.001
 )
 
-// Kinds of objectives.
+// Kinds of objectives, as the settings name them.
 const (
-	objectiveWait     = "wait"
-	objectiveFinished = "finished"
-	objectiveDeadline = "deadline"
+	objectiveWait     = "wait"     // jobs start within a time
+	objectiveFinished = "finished" // jobs are finished within a time
+	objectiveDeadline = "deadline" // jobs are finished within a multiple of their deadlines
 )
 
 // ObjectiveTimes returns the times, in seconds after its submission, by which a job should
-// be finished: its deadline and the objectives of its class, in any order.
+// be finished: its deadline and those that the objectives of its class set, in any order. It
+// returns none for a job with neither.
 func (s *State) ObjectiveTimes(job *protocol.Job) []float64 {
 	var times []float64
 	if job.DeadlineS > 0 {
@@ -44,7 +46,9 @@
 	return times
 }
 
-// Deadline returns the time by which a job is ordered among the jobs of its level.
+// Deadline returns the time by which a job is ordered among the jobs of its level, the
+// earliest first: its submission if its class has an objective for the start of jobs, else
+// the time when it should be finished.
 func (s *State) Deadline(job *LiveJob) clock.Time {
 	if s.HasStartObjective(&job.Job) {
 		return job.SubmittedAt // the job that has waited longest for its start is first
@@ -98,7 +102,8 @@
 }
 
 // ExpectedRunSeconds returns the run time, in seconds, that a task very likely does not
-// exceed: its estimate times the factor of observed estimation errors of the job's class.
+// exceed: estimateS times a factor, at least 1, that follows from the estimation errors observed
+// in the job's class.
 func (s *State) ExpectedRunSeconds(job *protocol.Job, estimateS float64) float64 {
 	return estimateS * s.Reservations.Errors[job.Class].Factor()
 }
--- a/internal/controller/clusterstate/jobs.go
+++ b/internal/controller/clusterstate/jobs.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxEndedJobs is the number of remembered ended jobs above which those that ended
+	// maxEndedJobs is the number of ended jobs in State.endedJobs above which those that ended
 	// longer than endedRetention ago are deleted.
 	maxEndedJobs   = 4096
 	endedRetention = 10 * time.Minute
@@ -17,7 +17,8 @@
 	cancelledRetention = time.Minute
 )
 
-// MarkEnded records that a job has ended, for messages about it that are still in transit.
+// MarkEnded records that a job was observed to end, so that HasEnded reports it for messages
+// about the job that are still in transit. It also deletes the mark of MarkCancelled.
 func (s *State) MarkEnded(id protocol.JobID) {
 	s.endedJobs[id] = s.Now
 	delete(s.cancelledJobs, id)
@@ -26,7 +27,7 @@
 	}
 }
 
-// forgetOlderThan deletes the jobs that were marked longer ago than an age.
+// forgetOlderThan deletes the jobs from a map whose time in it is longer ago than an age.
 func (s *State) forgetOlderThan(jobs map[protocol.JobID]clock.Time, age time.Duration) {
 	for id, at := range jobs {
 		if s.Since(at) > age {
@@ -35,17 +36,19 @@
 	}
 }
 
-// HasEnded reports whether a job was observed to end, as opposed to not having been
-// observed yet.
+// HasEnded reports whether this controller has observed the end of a job in this session and
+// still remembers it (see maxEndedJobs). It is false for a job that was not observed yet.
 func (s *State) HasEnded(id protocol.JobID) bool {
 	_, ended := s.endedJobs[id]
 	return ended && s.Live[id] == nil
 }
 
-// MarkCancelled prevents further starts of a job's tasks. The cancellation is recorded, but
-// this controller may not have observed the record yet, while the user is about to be
-// notified. All other effects of the cancellation are delayed until the record is observed,
-// so that they happen in the order of the records.
+// MarkCancelled makes MayStart false for a job, so that no more of its tasks are started. It
+// has no effect on a job that was observed to end.
+//
+// The cancellation is recorded, but this controller may not have observed the record yet,
+// while the user is about to be notified. All other effects of the cancellation are delayed
+// until the record is observed, so that they happen in the order of the records.
 func (s *State) MarkCancelled(id protocol.JobID) {
 	if s.HasEnded(id) {
 		return
--- a/internal/controller/clusterstate/livejob.go
+++ b/internal/controller/clusterstate/livejob.go
@@ -15,18 +15,20 @@
 	graceSlackS           = 1
 )
 
-// LiveJob is an accepted job as it is recorded.
+// LiveJob is an accepted job, neither done nor cancelled, as it is recorded.
 type LiveJob struct {
 	protocol.Job
-	Version     protocol.Version
+	Version     protocol.Version  // version of the job's record
 	SubmittedAt clock.Time        // when it was submitted
 	Deadline    clock.Time        // result of State.Deadline when it was last calculated
 	owner       protocol.NodeName // cached owner in the view of ownerTerm
 	ownerTerm   protocol.Term
 }
 
-// AllowsKind reports whether the job's own requirements allow machines of a type in a zone.
-// It considers no reservation, window or configuration.
+// AllowsKind reports whether the job's own requirements allow machines of a type in a zone, spot
+// machines or others: the job's lists of types and zones, whether it accepts spot machines, and
+// whether one of its tasks fits into an empty machine. It considers no reservation, window or
+// configuration.
 func (j *LiveJob) AllowsKind(machineType protocol.TypeInfo, zone protocol.Zone, spot bool) bool {
 	if len(j.Types) > 0 && !slices.Contains(j.Types, machineType.Name) {
 		return false
@@ -36,7 +38,8 @@
 	return zoneAllowed && spotAllowed && resource.Capacity(machineType).Covers(resource.Need(&j.Job))
 }
 
-// FetchS returns how long a machine of a type takes to fetch a job's image, in seconds.
+// FetchS returns how long a machine of a type takes to fetch a job's image, in seconds; 0 if
+// the type's fetch rate is not known.
 func FetchS(machineType protocol.TypeInfo, job *protocol.Job) float64 {
 	if machineType.FetchGBPS <= 0 {
 		return 0
@@ -44,8 +47,8 @@
 	return job.ImageGB / machineType.FetchGBPS
 }
 
-// GraceS returns the grace period in which a task of a job may save a checkpoint, in
-// seconds.
+// GraceS returns the grace period, in seconds, that a task of a job gets between the request to
+// stop and its end, so that it can save a checkpoint.
 func GraceS(job *protocol.Job) float64 {
 	return graceCheckpointFactor*job.CheckpointDurationS + graceSlackS
 }
--- a/internal/controller/clusterstate/module.go
+++ b/internal/controller/clusterstate/module.go
@@ -28,7 +28,7 @@
 	Local   []message.PeerMessage // messages to this controller, handled before the step ends
 }
 
-// Emit requests an action.
+// Emit adds an action to those that the current step requests. It is executed after the step.
 func (m Module) Emit(action message.Action) { m.Actions = append(m.Actions, action) }
 
 // Send sends a message to a member of the view, which may be this controller. A message to
@@ -52,9 +52,11 @@
 	})
 }
 
-// ChangeRecord requests that a machine's record is written or deleted: by the registrar if
-// machines are recorded in blocks, else by this controller. In the latter case the
-// transaction is conditional on the given conditions and on the version of the record.
+// ChangeRecord requests that a machine's record is written, or deleted if change.To is nil. If
+// machines are recorded in blocks, it sends the change to the registrar, and neither tag nor
+// conditions are used. Otherwise it emits a transaction of this controller, which is
+// conditional on the given conditions and on the version change.Have of the record, and whose
+// outcome arrives with the tag.
 func (m Module) ChangeRecord(tag any, change message.RecordChange, conditions ...protocol.Condition) {
 	if m.UsesBlocks() {
 		change.Term = m.View.Term
--- a/internal/controller/clusterstate/rendezvous.go
+++ b/internal/controller/clusterstate/rendezvous.go
@@ -8,12 +8,15 @@
 )
 
 // Rendezvous returns the member of a view that is responsible for a key, by highest random
-// weight: every controller with the same view returns the same member.
+// weight: every controller with the same view returns the same member. It returns "" if the
+// view has no members.
 func Rendezvous(view record.View, key string) protocol.NodeName {
 	return RendezvousExcluding(view, nil, key)
 }
 
-// RendezvousExcluding is Rendezvous without some of the members.
+// RendezvousExcluding returns the member of a view that is responsible for a key if the excluded
+// members can't be: the one with the highest hash of its name and the key. It returns "" if
+// all members are excluded.
 func RendezvousExcluding(view record.View, excluded []protocol.NodeName, key string) protocol.NodeName {
 	var best protocol.NodeName
 	var bestScore uint64
@@ -29,8 +32,9 @@
 	return best
 }
 
-// RendezvousDispatcher returns the controller that dispatches to a machine if there is no
-// shard table: a member that workers can reach, unless they can reach none.
+// RendezvousDispatcher returns the controller that dispatches to a machine in views whose layout
+// has no shard table: a member that the view does not list as unreachable for workers, unless
+// it lists all members.
 func RendezvousDispatcher(view record.View, machine protocol.MachineID) protocol.NodeName {
 	key := "machine " + string(machine)
 	if len(view.Deaf) >= len(view.Members) {
@@ -45,9 +49,9 @@
 	fnvPrime  = 1099511628211
 )
 
-// fnv1a adds a string to a hash. Package hash/fnv takes bytes, which costs a copy of each
-// string: when thousands of machines change dispatchers, the copies cost more than the
-// hashing.
+// fnv1a returns the 64-bit FNV-1a hash that results when a string is added to a hash. Package
+// hash/fnv takes bytes, which costs a copy of each string: when thousands of machines change
+// dispatchers, the copies cost more than the hashing.
 func fnv1a(hash uint64, text string) uint64 {
 	for i := range len(text) {
 		hash = (hash ^ uint64(text[i])) * fnvPrime
--- a/internal/controller/clusterstate/reservations.go
+++ b/internal/controller/clusterstate/reservations.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// LeadSlack is added to the time of leadBoots boots by which the resources of a
-	// reservation must be free before its start: enough for one more boot if a machine
-	// fails to boot.
+	// LeadSlack is added to the time that leadBoots boots take, to give the time before the
+	// start of a reservation from which its resources must be free: enough for one more boot
+	// if a machine fails to boot.
 	LeadSlack = 20 * time.Second
 	// HoldsSettleTime is the maximum time from a restart of all controllers until resources
-	// are held again: machines have to be in contact first.
+	// are held for reservations again: machines have to send heartbeats first.
 	HoldsSettleTime = 20 * time.Second
 	// settleSlack is how much longer than HoldsSettleTime this controller waits for the list
 	// of holds.
@@ -37,22 +37,22 @@
 type Reservations struct {
 	Calendar *reservation.Calendar
 	Version  protocol.Version // version of the calendar's own record
-	Changes  uint64           // number of changes that this record counts
+	Changes  uint64           // number of accepted changes of the calendar that this record counts
 	// HasEntries is set if the calendar has an entry. While it has none, all decisions and
 	// messages are the same as in a cluster without a calendar.
 	HasEntries bool
 
 	Holds       map[protocol.MachineID][]reservation.Hold
-	List        []reservation.Hold // all holds
-	HoldsListed bool               // List was received in this session
-	Windows     []OpenWindow       // windows that are open now or soon
+	List        []reservation.Hold // all holds, as the controller that chooses them listed them
+	HoldsListed bool               // List was chosen, received from a peer or read in this session
+	Windows     []OpenWindow       // maintenance windows that are open or open soon
 
 	Errors map[string]*forecast.EstimateErrors // errors of run time estimates, by class
 	Boots  forecast.BootTimes                  // errors of boot time estimates
 }
 
-// forNewSession returns the state for a new session. The observed errors of run time and
-// boot time estimates are kept.
+// forNewSession returns an empty state for a new session that keeps only the observed errors of
+// run time and boot time estimates. The receiver may be nil: then nothing is kept.
 func (r *Reservations) forNewSession() *Reservations {
 	next := &Reservations{
 		Calendar: reservation.NewCalendar(),
@@ -66,13 +66,14 @@
 	return next
 }
 
-// OpenWindow is a maintenance window that is open, or will be.
+// OpenWindow is an occurrence of a maintenance window that is open or opens soon.
 type OpenWindow struct {
 	Spec       *record.WindowSpec
 	Start, End reservation.Moment // extended by a margin for clock differences
 }
 
-// ReservationFilter returns a function that reports whether a reservation matches a job.
+// ReservationFilter returns a function that reports whether a job may use the resources of the
+// current occurrence of a reservation. It is false for a name without a reservation.
 func (s *State) ReservationFilter(job *protocol.Job) func(reservation.Name) bool {
 	return func(name reservation.Name) bool {
 		entry := s.Reservations.Calendar.Reservation(name)
@@ -108,8 +109,9 @@
 
 // OverlapsUnlistedReservation reports whether a task that ends at a given time could use
 // resources of a reservation that were held before all controllers restarted and are not held
-// again yet. Such a task waits until the list of holds is received, or until HoldsSettleTime
-// and settleSlack have passed since the start of the session.
+// again yet: the reservation is accepted or held, it does not match the job, and its resources
+// must be free before the task ends. Such a task waits until the list of holds is received, or
+// until HoldsSettleTime and settleSlack have passed since the start of the session.
 func (s *State) OverlapsUnlistedReservation(job *protocol.Job, ends reservation.Moment) bool {
 	if s.Reservations.HoldsListed || s.Since(s.SessionStart) > HoldsSettleTime+settleSlack {
 		return false
@@ -144,7 +146,8 @@
 	return task.Ends
 }
 
-// ReservedAmount returns the amount of a machine's resources that its holds reserve now.
+// ReservedAmount returns the amount of a machine's resources that its holds reserve now, that
+// is, those whose period from Clear to Until contains the given time.
 func ReservedAmount(holds []reservation.Hold, now reservation.Moment) (sum resource.Amount) {
 	for _, hold := range holds {
 		if now >= hold.Clear && now < hold.Until {
--- a/internal/controller/clusterstate/responsibility.go
+++ b/internal/controller/clusterstate/responsibility.go
@@ -13,13 +13,14 @@
 // registrarKey is the rendezvous key that selects the registrar.
 const registrarKey = "machine records"
 
-// Sharded reports whether machines are assigned to dispatchers by the shard table in this
-// term.
+// Sharded reports whether the shard table assigns the machines to dispatchers in this term: the
+// view's layout uses a shard table, and this controller has observed it.
 func (s *State) Sharded() bool {
 	return s.View.Layout >= record.LayoutShards && s.Shards != nil
 }
 
-// DispatcherOf returns the controller that dispatches to a registered machine.
+// DispatcherOf returns the controller that dispatches to a registered machine, or "" while the
+// machine's shard has no holder in the view.
 func (s *State) DispatcherOf(machine protocol.MachineID) protocol.NodeName {
 	var zone protocol.Zone
 	if m := s.Records[machine]; m != nil {
@@ -28,8 +29,9 @@
 	return s.DispatcherInZone(machine, zone)
 }
 
-// DispatcherInZone returns the controller that dispatches to a machine of a zone, or "" while
-// its shard has no holder.
+// DispatcherInZone returns the controller that dispatches to a machine of a zone, registered or
+// not: the holder of its shard, or a member by rendezvous hashing if the view's layout has no
+// shard table. It returns "" while the shard has no holder in the view or the table is missing.
 func (s *State) DispatcherInZone(machine protocol.MachineID, zone protocol.Zone) protocol.NodeName {
 	switch {
 	case s.Sharded():
@@ -40,7 +42,8 @@
 	return s.rendezvousDispatcher(machine)
 }
 
-// rendezvousDispatcher is RendezvousDispatcher for the current view, cached.
+// rendezvousDispatcher returns the result of RendezvousDispatcher for the current view from the
+// cache, and adds it if it is missing.
 func (s *State) rendezvousDispatcher(machine protocol.MachineID) protocol.NodeName {
 	name, ok := s.DispatcherCache[machine]
 	if !ok {
@@ -84,8 +87,8 @@
 	return s.View.Term
 }
 
-// ShardEpoch returns the epoch since which a machine's shard has had its holder. It is 0 if
-// there are no shards, since the dispatcher then depends on the term alone.
+// ShardEpoch returns the epoch at which the present holder of a machine's shard took the shard
+// over. It is 0 if there are no shards, since the dispatcher then depends on the term alone.
 func (s *State) ShardEpoch(machine protocol.MachineID, zone protocol.Zone) protocol.Term {
 	if s.Sharded() {
 		return s.Shards.List[sharding.ShardOf(s.Shards, machine, zone)].Since
@@ -93,7 +96,8 @@
 	return 0
 }
 
-// ShardTableEpoch returns the epoch of the shard table that was last observed.
+// ShardTableEpoch returns the epoch of the shard table that was last observed, or 0 if there is
+// none.
 func (s *State) ShardTableEpoch() protocol.Term {
 	if s.Shards == nil {
 		return 0
@@ -101,7 +105,8 @@
 	return s.Shards.Epoch
 }
 
-// OwnerOf is JobOwner for the current view, cached.
+// OwnerOf returns the controller that owns a job in the current view. The job caches it until
+// the term changes.
 func (s *State) OwnerOf(job *LiveJob) protocol.NodeName {
 	if job.ownerTerm != s.View.Term {
 		job.owner = s.JobOwner(s.View, &job.Job)
@@ -110,8 +115,9 @@
 	return job.owner
 }
 
-// JobOwner returns the controller that owns a job in a view. All jobs of a team that may
-// have a limit have the same owner, so that the limit is checked in one place.
+// JobOwner returns the member that owns a job in a view, by rendezvous hashing of the job's ID, or
+// of its team if the team may have a limit: all jobs of such a team have the same owner, so that
+// the limit is checked in one place.
 func (s *State) JobOwner(view record.View, job *protocol.Job) protocol.NodeName {
 	if s.mayHaveLimitIn(view, job.Team) {
 		return Rendezvous(view, "team "+string(job.Team))
@@ -122,5 +128,5 @@
 // Registrar returns the member that writes the blocks of machine records.
 func (s *State) Registrar() protocol.NodeName { return Rendezvous(s.View, registrarKey) }
 
-// UsesBlocks reports whether machines are recorded in blocks in this term.
+// UsesBlocks reports whether this term's layout records machines in blocks, several in a record.
 func (s *State) UsesBlocks() bool { return s.View.Layout >= record.LayoutBlocks }
--- a/internal/controller/clusterstate/state.go
+++ b/internal/controller/clusterstate/state.go
@@ -18,13 +18,13 @@
 	Operator config.Operator // operator settings in force
 	Log      *slog.Logger
 	Now      clock.Time
-	WallMS   int64 // time of day when Now was 0, in milliseconds, as last set
+	WallMS   int64 // Unix time when Now was 0, in milliseconds, as last set; 0 if unknown
 
 	Types map[protocol.MachineType]protocol.TypeInfo
 
 	Session       protocol.LeaseID
 	SessionStart  clock.Time
-	LeaseDeadline clock.Time // when this controller's lease expires by its own clock
+	LeaseDeadline clock.Time // when this controller must stop acting on its lease, by its own clock
 	View          record.View
 	ViewVersion   protocol.Version
 	// DispatcherCache holds the dispatchers of machines in the current view that were
@@ -49,7 +49,8 @@
 	Configuration *dynamicconfig.Tracker
 }
 
-// NewState returns a state that has nothing but the settings.
+// NewState returns the state of a controller before its first session: it has the settings and
+// no records, view or machine types.
 func NewState(settings *config.Settings, op config.Operator, log *slog.Logger) *State {
 	s := &State{
 		Self:          settings.Name,
@@ -63,8 +64,9 @@
 	return s
 }
 
-// Reset discards the state of the previous session. Durable state is recorded in the
-// key-value store.
+// Reset discards the state of the previous session: the view, the shard table and the records
+// that were observed. Durable state is recorded in the key-value store. The machine types, the
+// observed estimation errors and the highest fencing token are kept.
 func (s *State) Reset() {
 	s.Session = 0
 	s.LeaseDeadline = 0
@@ -86,7 +88,7 @@
 type Machine struct {
 	ID     protocol.MachineID
 	Record record.Machine
-	Epoch  protocol.Version
+	Epoch  protocol.Version // version of the record; all tasks are lost when it changes
 	Info   protocol.TypeInfo
 }
 
@@ -101,7 +103,8 @@
 	return s.Session != 0 && s.View.Members[s.Self] == s.Session
 }
 
-// ViewUnchanged returns the transaction condition that the view is unchanged.
+// ViewUnchanged returns the condition of a transaction that the record of the view still has
+// the version that this controller has observed.
 func (s *State) ViewUnchanged() protocol.Condition {
 	return protocol.Condition{Key: record.ViewKey, Version: s.ViewVersion}
 }
