--- a/internal/controller/replication/changelog.go
+++ b/internal/controller/replication/changelog.go
@@ -6,7 +6,7 @@
 type ChangeLog[K comparable] struct {
 	version uint64 // number of the last change
 	changes map[K]*change[K]
-	newest  *change[K]
+	newest  *change[K] // end of the linked list; nil if the list is empty
 }
 
 // change is the last change of a key, in a linked list ordered by number.
@@ -19,7 +19,8 @@
 // Version returns the number of the last change; 0 before the first.
 func (l *ChangeLog[K]) Version() uint64 { return l.version }
 
-// Touch records that a key has changed.
+// Touch records that a key has changed, or is new: the change gets the next number and replaces
+// the earlier change of the key.
 func (l *ChangeLog[K]) Touch(key K) {
 	if l.changes == nil {
 		l.changes = map[K]*change[K]{}
@@ -40,8 +41,8 @@
 	l.newest = c
 }
 
-// Drop removes a key. The removal is not replicated: receivers observe it in the records
-// of the key-value store.
+// Drop removes a key and its last change, so that Since no longer lists it. The removal is not
+// replicated: receivers observe it in the records of the key-value store.
 func (l *ChangeLog[K]) Drop(key K) {
 	if c := l.changes[key]; c != nil {
 		l.unlink(c)
@@ -49,7 +50,7 @@
 	}
 }
 
-// unlink removes a change from the list.
+// unlink removes a change from the linked list.
 func (l *ChangeLog[K]) unlink(c *change[K]) {
 	if c.older != nil {
 		c.older.newer = c.newer
@@ -62,9 +63,10 @@
 	c.older, c.newer = nil, nil
 }
 
-// Since lists the keys that changed after a number, the oldest change first and at most
-// limit keys. It also returns the number up to which a receiver has all changes once it
-// has received these. It visits only the changes after the number, not all keys.
+// Since lists the keys whose last change is after a number, the oldest change first and at most
+// limit keys. It also returns the number up to which a receiver that has all changes up to the
+// given number has all changes once it has received these keys: less than Version if the limit
+// left out any. It visits only the changes after the number, not all keys.
 func (l *ChangeLog[K]) Since(number uint64, limit int) (keys []K, upto uint64) {
 	oldest, count := l.oldestAfter(number)
 	complete := count <= limit
--- a/internal/controller/replication/range.go
+++ b/internal/controller/replication/range.go
@@ -10,8 +10,8 @@
 	From, Upto uint64
 }
 
-// Follows reports whether the range continues an earlier one without a gap, so that both
-// can be sent as one.
+// Follows reports whether the range begins within or directly after an earlier one of the same
+// stream, so that both can be sent as one range from the beginning of the earlier one.
 func (r Range) Follows(before Range) bool {
 	return r.Stream == before.Stream && before.From <= r.From && r.From <= before.Upto
 }
--- a/internal/controller/replication/replica.go
+++ b/internal/controller/replication/replica.go
@@ -6,7 +6,8 @@
 	have   uint64 // number up to which all changes were applied
 }
 
-// Begin starts receiving a stream from its beginning.
+// Begin starts receiving a stream from its beginning, and stops receiving the previous one:
+// ranges of other streams are no longer accepted.
 func (r *Replica) Begin(stream uint64) {
 	r.stream = stream
 	r.have = 0
@@ -15,10 +16,10 @@
 // Have returns the number up to which the receiver has all changes.
 func (r *Replica) Have() uint64 { return r.have }
 
-// Accept reports whether a range of changes may be applied, and if so counts it as applied.
-// A range that leaves a gap is rejected: a key that changed in the gap would keep its old
-// state forever. A range that ends before what the receiver has is rejected too: it could
-// restore an older state.
+// Accept reports whether a range of changes of the current stream may be applied, and if so
+// counts it as applied: Have then returns its last number. A range that leaves a gap is
+// rejected: a key that changed in the gap would keep its old state forever. A range that ends
+// before what the receiver has is rejected too: it could restore an older state.
 func (r *Replica) Accept(changes Range) bool {
 	if changes.Stream != r.stream || changes.From > r.have || changes.Upto < r.have {
 		return false
