--- a/internal/controller/ratelimit/amount.go
+++ b/internal/controller/ratelimit/amount.go
@@ -9,7 +9,8 @@
 // Times returns a multiple of an amount.
 func (a Amount) Times(factor float64) Amount { return Amount{a.Requests * factor, a.Writes * factor} }
 
-// combine applies f to the requests of two amounts, and to their writes.
+// combine returns an amount whose requests are the result of f for the requests of two amounts,
+// and whose writes are the result of f for their writes.
 func combine(a, b Amount, f func(a, b float64) float64) Amount {
 	return Amount{f(a.Requests, b.Requests), f(a.Writes, b.Writes)}
 }
--- a/internal/controller/ratelimit/doc.go
+++ b/internal/controller/ratelimit/doc.go
@@ -12,6 +12,15 @@
 // longer has a record of its grants: for that longer duration it holds back all that an
 // earlier process may have granted.
 //
+// The comments of this package use these terms:
+//   - allotment: the requests and writes a second that one controller may send to the store;
+//   - base allotment: the equal part of the limits that each controller has without borrowing
+//     and lending;
+//   - need: an estimate of the requests and writes a second that a controller makes;
+//   - request: the rates beyond its base allotment that a controller could use;
+//   - grant: rates that a lender allows a borrower to use for a few seconds;
+//   - outstanding: a grant is outstanding until its lender uses the granted rates again.
+//
 // A Ledger owns one controller's requests, grants and measured need. It reads no clock,
 // sends nothing and does not limit requests itself.
 package ratelimit
--- a/internal/controller/ratelimit/ledger.go
+++ b/internal/controller/ratelimit/ledger.go
@@ -30,14 +30,16 @@
 	// maxGrantedFraction is the largest fraction of its base allotment that a controller
 	// lends.
 	maxGrantedFraction = 0.5
-	// headroomFactor is the multiple of its need that a controller keeps for itself.
+	// headroomFactor is the multiple of its need that a controller keeps for itself, and
+	// requests from its peers as far as it exceeds the base allotment.
 	headroomFactor = 2.0
 	// needDecay is the weight of the previous need, against the use in the last second,
 	// while the need falls.
 	needDecay = 0.7
 )
 
-// MaxGrantDuration is the longest time that a lender does without an amount it has granted.
+// MaxGrantDuration is how long after a grant its lender does not use the granted amount. The
+// borrower uses it for a shorter time.
 const MaxGrantDuration = time.Duration(reclaimAfter)
 
 // Ledger is one controller's account of its rates. A key of type K identifies one session
@@ -47,10 +49,10 @@
 	base Amount // the controller's allotment without borrowing and lending
 	// startupHoldEnd is the time from which no grant of an earlier process is in use.
 	startupHoldEnd clock.Time
-	need           Amount
+	need           Amount                   // see NoteUse
 	requests       map[K]peerRequest        // requests of peers that were not answered yet
 	outstanding    map[K][]outstandingGrant // grants to peers that they may be using
-	borrowed       map[K]Grant              // grants of peers to this controller
+	borrowed       map[K]Grant              // the last grant of each peer to this controller
 }
 
 // peerRequest is the last request of a peer, and the time at which it was received.
@@ -65,8 +67,9 @@
 	until  clock.Time
 }
 
-// NewLedger returns a ledger with a base allotment. Until MaxGrantDuration has passed, the
-// ledger holds back as much as an earlier process may have lent.
+// NewLedger returns a ledger with a base allotment. Until MaxGrantDuration has passed or
+// EndStartupHold is called, the ledger holds back as much as an earlier process may have lent:
+// it counts maxGrantedFraction of the base as lent and grants nothing.
 func NewLedger[K comparable](base Amount, now clock.Time) *Ledger[K] {
 	return &Ledger[K]{
 		base:           base,
@@ -77,19 +80,21 @@
 	}
 }
 
-// EndStartupHold ends the hold of NewLedger: the caller asserts that no grant of an
-// earlier process is in use.
+// EndStartupHold makes the whole base allotment available at once, of which NewLedger holds back
+// a part: the caller asserts that no grant of an earlier process is in use.
 func (b *Ledger[K]) EndStartupHold() { b.startupHoldEnd = 0 }
 
-// NoteUse records the requests to the store that were demanded in the last second, within
-// the allotment or not. The need rises at once and falls slowly.
+// NoteUse updates the need by the requests and writes that were demanded in the last second,
+// within the allotment or not. The need rises to a higher demand at once and falls slowly to a
+// lower one. It is to be called once a second.
 func (b *Ledger[K]) NoteUse(last Amount) {
 	b.need = combine(b.need, last, func(need, last float64) float64 {
 		return math.Max(last, needDecay*need+(1-needDecay)*last)
 	})
 }
 
-// Request returns the request to send to all peers now.
+// Request returns the request to send to all peers now: the amount by which headroomFactor times
+// the need exceeds the base allotment, or zero.
 func (b *Ledger[K]) Request(now clock.Time) Request {
 	want := combine(b.need, b.base, func(need, base float64) float64 {
 		return math.Max(0, headroomFactor*need-base)
@@ -102,8 +107,10 @@
 	b.requests[peer] = peerRequest{request, now}
 }
 
-// GrantRequests answers the last request of each peer from the part of the allotment that
-// this controller does not need. It returns the grants to send.
+// GrantRequests returns the grants to send to peers, and counts them as outstanding. It answers
+// the last request of each peer that was received no more than grantDuration ago, from the part
+// of the allotment that this controller does not need. It drops all requests: a peer without a
+// grant sends a new one.
 func (b *Ledger[K]) GrantRequests(now clock.Time) map[K]Grant {
 	b.expire(now)
 	fraction := b.grantableFraction(now)
@@ -120,7 +127,9 @@
 	return grants
 }
 
-// grantableFraction returns the fraction of the requested amounts that can be granted now.
+// grantableFraction returns the fraction, at most 1, of the peers' requested amounts that can be
+// granted now: what the base allotment exceeds headroomFactor times the need by, but at most
+// maxGrantedFraction of it, less the outstanding grants, divided by the sum of the requests.
 func (b *Ledger[K]) grantableFraction(now clock.Time) Amount {
 	unused := combine(b.base, b.need, func(base, need float64) float64 { return base - headroomFactor*need })
 	available := combine(b.base.Times(maxGrantedFraction), unused, math.Min)
@@ -148,15 +157,15 @@
 	return combine(total, want, math.Min)
 }
 
-// NoteGrant records a peer's grant. It replaces the last grant of that peer only if it
-// answers a later request.
+// NoteGrant records a peer's grant, which Allotment includes until the grant expires. It replaces
+// the last grant of that peer only if it answers a later request.
 func (b *Ledger[K]) NoteGrant(peer K, grant Grant) {
 	if last, ok := b.borrowed[peer]; !ok || grant.Asked > last.Asked {
 		b.borrowed[peer] = grant
 	}
 }
 
-// Allotment returns the rates that this controller may use now, including borrowed ones.
+// Allotment returns the rates that this controller may use now: its own and the borrowed ones.
 func (b *Ledger[K]) Allotment(now clock.Time) Amount {
 	sum := b.OwnAllotment(now)
 	for _, grant := range b.borrowed {
@@ -165,8 +174,8 @@
 	return sum
 }
 
-// OwnAllotment returns the part of the allotment that is not borrowed: the base without what is
-// lent.
+// OwnAllotment returns the rates that this controller may use now without borrowed ones: the base
+// allotment less what it has lent.
 func (b *Ledger[K]) OwnAllotment(now clock.Time) Amount {
 	b.expire(now)
 	return combine(b.base, b.outstandingAt(now), subtract)
@@ -184,8 +193,9 @@
 	return until, ok
 }
 
-// outstandingAt returns the amount lent to all peers. Before startupHoldEnd it returns the
-// largest amount that an earlier process may have lent.
+// outstandingAt returns the amount lent to all peers that they may be using, from the grants that
+// expire has left. Before startupHoldEnd it returns the largest amount that an earlier process
+// may have lent.
 func (b *Ledger[K]) outstandingAt(now clock.Time) Amount {
 	if now < b.startupHoldEnd {
 		return b.base.Times(maxGrantedFraction)
@@ -207,7 +217,8 @@
 	return largest
 }
 
-// expire removes the grants that have expired.
+// expire removes the grants to peers that this controller no longer has to hold back, and those
+// of peers that it may no longer use.
 func (b *Ledger[K]) expire(now clock.Time) {
 	for peer, grants := range b.outstanding {
 		var active []outstandingGrant
