--- a/internal/controller/outcome/outcome.go
+++ b/internal/controller/outcome/outcome.go
@@ -10,8 +10,10 @@
 	"damsonkeel/internal/serviceclient"
 )
 
-// Of returns the outcome of a call that returned err. The outcome is unknown if the call may
-// have had its effect although no answer was received.
+// Of returns the outcome of a call that returned err: done for no error, failed if the service
+// rejected the call for good (a condition does not hold, or the request is malformed), refused
+// if the call was certainly not executed, and unknown for all other errors: the call may have
+// had its effect although no answer was received.
 func Of(err error) message.Outcome {
 	switch {
 	case err == nil:
