--- a/internal/controller/ordered/ordered.go
+++ b/internal/controller/ordered/ordered.go
@@ -9,18 +9,20 @@
 	"damsonkeel/internal/protocol"
 )
 
-// ByKey iterates over a map in the order of its keys.
+// ByKey returns an iterator over the entries of a map in ascending order of its keys. The order
+// is determined at the call.
 func ByKey[K cmp.Ordered, V any](m map[K]V) iter.Seq2[K, V] {
 	return byKeys(m, slices.Sorted(maps.Keys(m)))
 }
 
-// Tasks iterates over a map in the order of its tasks: by job, then by index.
+// Tasks returns an iterator over the entries of a map in the order of the tasks that are its keys:
+// by job, then by index.
 func Tasks[V any](m map[protocol.TaskID]V) iter.Seq2[protocol.TaskID, V] {
 	return byKeys(m, slices.SortedFunc(maps.Keys(m), compareTasks))
 }
 
-// TasksWhere is Tasks for the entries that match a condition at the time of the call. Only
-// these entries are sorted.
+// TasksWhere returns an iterator like Tasks over the entries that match a condition at the time
+// of the call. Only these entries are sorted.
 func TasksWhere[V any](m map[protocol.TaskID]V, match func(protocol.TaskID, V) bool) iter.Seq2[protocol.TaskID, V] {
 	var tasks []protocol.TaskID
 	for task, v := range m {
