--- a/internal/controller/resource/amount.go
+++ b/internal/controller/resource/amount.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// Tolerance is the tolerance for rounding errors in comparisons of amounts, which are sums
-	// of decimal numbers.
+	// Tolerance is how much a need may exceed an amount, in processors, accelerators or
+	// gigabytes, and still fit into it: amounts are sums of decimal numbers with rounding
+	// errors.
 	Tolerance = 1e-6
 	// maxFitting bounds the result of CountFitting, since any number of tasks that use
 	// nothing fit.
@@ -18,7 +19,7 @@
 // Amount is an amount of resources that a task uses or a machine has. It is part of
 // messages between controllers.
 type Amount struct {
-	CPUs, GPUs float64
+	CPUs, GPUs float64 // numbers of processors and accelerators
 	GB         float64 // gigabytes of memory
 }
 
@@ -30,15 +31,15 @@
 	return Amount{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
 }
 
-// Round rounds a sum of decimal numbers to a multiple of the tolerance of comparisons. This
+// Round rounds a sum of decimal numbers to the nearest multiple of Tolerance. This
 // removes the rounding errors that depend on the order of the summands, so that equal sums
 // compare as equal and simulations are repeatable.
 func Round(x float64) float64 { return math.Round(x/Tolerance) * Tolerance }
 
-// Round rounds each resource.
+// Round returns the amount with each resource rounded to the nearest multiple of Tolerance.
 func (a Amount) Round() Amount { return Amount{Round(a.CPUs), Round(a.GPUs), Round(a.GB)} }
 
-// Covers reports whether a need fits into the amount, with a tolerance for rounding errors.
+// Covers reports whether no resource of a need exceeds that of the amount by more than Tolerance.
 func (a Amount) Covers(need Amount) bool {
 	return need.CPUs <= a.CPUs+Tolerance && need.GPUs <= a.GPUs+Tolerance && need.GB <= a.GB+Tolerance
 }
@@ -68,7 +69,8 @@
 }
 
 // FractionalFit returns how many tasks with a need fit into the amount, including fractions
-// of a task. It is 0 for a task that uses nothing.
+// of a task: the least quotient of an available and a needed resource. It is 0 for a task that
+// uses nothing.
 func (a Amount) FractionalFit(need Amount) float64 {
 	count := math.Inf(1)
 	for _, r := range [...]struct{ available, need float64 }{
--- a/internal/controller/resource/level.go
+++ b/internal/controller/resource/level.go
@@ -2,8 +2,9 @@
 
 import "damsonkeel/internal/protocol"
 
-// Level is the order in which machines serve tasks: those within their team's guarantee
-// first, then by priority. Tasks of lower levels may be preempted.
+// Level is the order in which machines serve tasks, the highest level first: those within their
+// team's guarantee before all others, and by priority within each of the two groups. Tasks of
+// lower levels may be preempted. It is a number from 0 to Levels-1.
 type Level int
 
 const (
@@ -23,17 +24,17 @@
 	return Level(priority.Rank())
 }
 
-// Guaranteed reports whether tasks of a level are within their team's guarantee.
+// Guaranteed reports whether a level is one of those for tasks within their team's guarantee.
 func (l Level) Guaranteed() bool { return l >= Ranks }
 
-// Rank returns the rank of the level's priority.
+// Rank returns the rank of the level's priority, from 0 for the lowest to Ranks-1.
 func (l Level) Rank() int { return int(l) % Ranks }
 
-// Uses holds the resources that attempts use on a machine, by level.
+// Uses holds the sum of the resources that the attempts of each level use on a machine.
 type Uses [Levels]Amount
 
 // NonPreemptible returns the resources that attempts of a level or above use: a task of that
-// level can't preempt them.
+// level can't preempt these attempts. For a level above all it returns nothing.
 func (u *Uses) NonPreemptible(level Level) Amount {
 	var sum Amount
 	for _, used := range u[min(max(level, 0), Levels):] {
@@ -54,8 +55,8 @@
 	return sum
 }
 
-// Add adds the resources that an attempt of a level uses. A level out of range counts as the
-// nearest one in range.
+// Add adds an amount to the resources that attempts of a level use. A level out of range counts
+// as the nearest one in range.
 func (u *Uses) Add(level Level, amount Amount) {
 	level = min(max(level, 0), Levels-1)
 	u[level] = u[level].Plus(amount)
