--- a/internal/controller/actions.go
+++ b/internal/controller/actions.go
@@ -20,8 +20,9 @@
 // bitmapTimeout bounds the time for reading a job's bitmap.
 const bitmapTimeout = 10 * time.Second
 
-// executeActions executes the actions of a step. It never blocks: an action that takes time
-// runs in a goroutine, which posts its result and ends with its call or with the context.
+// executeActions executes the actions of a step, except the replies, which the envelope's reply
+// function sends. It never blocks: an action that takes time runs in a goroutine, which posts
+// its result to the core and ends with its call or with the context.
 func (n *Node) executeActions(ctx context.Context, actions []message.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -49,8 +50,9 @@
 	}
 }
 
-// transactionPriority returns the priority of a transaction, by its tag. It orders
-// transactions when the allotment of writes to the key-value store runs short.
+// transactionPriority returns the priority of a transaction by its tag: low for bitmaps, normal
+// for machine records, else high. It orders transactions when this controller's allotment of
+// writes to the key-value store runs short.
 func transactionPriority(tag any) kvstore.Priority {
 	switch tag.(type) {
 	case jobs.BitmapTag:
@@ -70,13 +72,13 @@
 	n.post(message.CommitDone{Tag: a.Tag, Outcome: outcome.Of(err), Revision: revision})
 }
 
-// provision requests machines from the cloud and posts the answer.
+// provision requests machines from the cloud and posts the machines and the outcome.
 func (n *Node) provision(ctx context.Context, request protocol.ProvisionRequest) {
 	machines, err := n.cloud.Provision(ctx, request)
 	n.post(message.ProvisionDone{Request: request, Machines: machines, Outcome: outcome.Of(err)})
 }
 
-// terminate has the cloud terminate machines and posts whether it confirmed that.
+// terminate requests that the cloud terminates machines, and posts whether it confirmed that.
 func (n *Node) terminate(ctx context.Context, machines []protocol.MachineID) {
 	err := n.cloud.Terminate(ctx, machines)
 	if err != nil {
@@ -85,7 +87,7 @@
 	n.post(message.TerminateDone{Machines: machines, OK: err == nil})
 }
 
-// listMachines reads the list of machines from the cloud and posts it.
+// listMachines reads the list of machines from the cloud and posts it, or that this failed.
 func (n *Node) listMachines(ctx context.Context) {
 	machines, err := n.cloud.ListMachines(ctx)
 	if err != nil {
@@ -94,7 +96,8 @@
 	n.post(message.MachinesListed{Machines: machines, OK: err == nil})
 }
 
-// loadBitmap reads the chunks of a job's bitmap from the key-value store and posts them.
+// loadBitmap reads the chunks of a job's bitmap of finished tasks from the key-value store, and
+// posts them, or that this failed.
 func (n *Node) loadBitmap(ctx context.Context, id protocol.JobID) {
 	ctx, cancel := context.WithTimeout(ctx, bitmapTimeout)
 	defer cancel()
@@ -105,8 +108,9 @@
 	n.post(message.BitmapLoaded{Job: id, Chunks: items, OK: err == nil})
 }
 
-// executeCommand sends direct commands to a worker as soon as one of the command slots is
-// free, and posts the result: whether the worker has answered and executed them.
+// executeCommand sends direct commands to a worker as soon as one of the command slots, which
+// limit the direct commands in progress, is free. It posts the result: whether the worker has
+// answered, and whether it has executed them. If the context ends first, nothing is sent.
 func (n *Node) executeCommand(ctx context.Context, a message.Command) {
 	done := message.CommandDone{Machine: a.Machine, Term: a.Commands.Term, AgentEpoch: a.Commands.AgentEpoch, Orders: a.Commands.Orders}
 	select {
@@ -118,8 +122,9 @@
 	n.post(done)
 }
 
-// sendCommands sends direct commands to a worker and stores its answer, if there is one, in
-// done.
+// sendCommands sends direct commands to a worker and stores its answer, a heartbeat, in done. An
+// answer with the status 409 means that the worker did not execute the commands. Without a
+// valid answer, done stays unchanged.
 func (n *Node) sendCommands(ctx context.Context, a message.Command, done *message.CommandDone) {
 	body, err := protocol.Encode(a.Commands)
 	if err != nil {
--- a/internal/controller/catalogue.go
+++ b/internal/controller/catalogue.go
@@ -14,8 +14,9 @@
 	catalogueInterval = time.Minute
 )
 
-// readCatalogue reads the machine types and their prices from the cloud periodically, until
-// the context ends.
+// readCatalogue reads the machine types and their prices from the cloud periodically and passes
+// them to the frontend and the core, until the context ends. An empty catalogue counts as a
+// failed read, after which the last catalogue stays in use.
 func (n *Node) readCatalogue(ctx context.Context) {
 	for ctx.Err() == nil {
 		delay := catalogueInterval
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -7,7 +7,9 @@
 	"damsonkeel/internal/record"
 )
 
-// applyConfigurationRecord applies a followed record of the configuration.
+// applyConfigurationRecord adds a followed record of the configuration, a revision or an entry,
+// and switches to the resulting configuration if the one in force has changed. It returns an
+// error for a record that can't be decoded.
 func (c *Core) applyConfigurationRecord(key record.FollowedKey, value protocol.RawValue, version protocol.Version) error {
 	var changed bool
 	if key.Configuration {
@@ -29,11 +31,14 @@
 	return nil
 }
 
-// ConfigurationInForce returns the configuration that this controller applies.
+// ConfigurationInForce returns the configuration that this controller applies: that of the
+// settings files, with the changes of the last revision whose records it has read completely.
 func (c *Core) ConfigurationInForce() *dynamicconfig.Effective { return c.Configuration.Effective() }
 
-// applyConfiguration switches to the configuration that is in force now, in a single step:
-// decisions that were based on the previous one and have not taken effect are made again.
+// applyConfiguration switches all modules and the frontend to the configuration that is in force
+// now, in a single step. Decisions that were based on the previous one and have not taken
+// effect are made again: the jobs' deadlines, the order of jobs and queues, the placement of
+// pending tasks, and queued attempts that may no longer be started.
 func (c *Core) applyConfiguration() {
 	effective := c.Configuration.Effective()
 	c.Operator = effective.Operator
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -23,8 +23,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Core is the complete state of one controller between two messages: its modules, and the
-// connections between them. It is not safe for concurrent use: one actor owns it.
+// Core is the complete decision-making state of one controller between two messages: its
+// modules, and the connections between them. It is not safe for concurrent use: one actor
+// owns it.
 type Core struct {
 	clusterstate.Module
 	members      *membership.Members
@@ -40,11 +41,11 @@
 	operations   *operatorrequest.Handler
 
 	// rates is kept across sessions: grants to peers of an earlier session stay in force.
-	rates              *ratelimit.Ledger[protocol.LeaseID]
-	rateAllotment      message.SetRateAllotment // the last one emitted
-	tickLatenessMS     float64                  // moving average of the delay of ticks
+	rates              *ratelimit.Ledger[protocol.LeaseID] // nil before the first step
+	rateAllotment      message.SetRateAllotment            // the last one emitted
+	tickLatenessMS     float64                             // moving average of the delay of ticks
 	lastTick           Time
-	lastFullUpdate     Time // when state updates were last sent to all peers
+	lastFullUpdate     Time // when runPeriodicWork last ran and sent state updates to all peers
 	lastInvalidMessage Time // when a peer's invalid message was last logged
 }
 
@@ -77,8 +78,8 @@
 	return c
 }
 
-// reset drops the state that belongs to a session. State that must outlive the session is in
-// the records.
+// reset drops the state of all modules that belongs to a session. State that must outlive the
+// session is in the records.
 func (c *Core) reset() {
 	c.Reset() // of the cluster state that the modules share
 	c.members.Reset()
@@ -93,8 +94,8 @@
 	c.reservations.Reset()
 }
 
-// Step handles one message at a given time of the monotonic clock, and returns the actions
-// that result from it.
+// Step handles one message of package message at a given time of the monotonic clock, and
+// returns the actions that result from it. It ignores messages of other types.
 func (c *Core) Step(now Time, msg any) []message.Action {
 	c.Now = now
 	c.Actions = nil
@@ -150,8 +151,8 @@
 	}
 }
 
-// beginSession starts a session from a snapshot of the records that was read before this
-// controller wrote its own node record.
+// beginSession drops the state of the previous session and starts a new one from a snapshot of
+// the followed records. The snapshot was read before this controller wrote its own node record.
 func (c *Core) beginSession(m message.Snapshot) {
 	c.reset()
 	c.Session, c.SessionStart = m.Session, c.Now
@@ -168,7 +169,7 @@
 }
 
 // maxLocalRounds bounds how often a step places tasks and handles the messages of this
-// controller to itself that result from it. The next step handles the remaining ones.
+// controller to itself that result from it. The next step handles the remaining messages.
 const maxLocalRounds = 8
 
 // processLocalMessages handles the messages of this controller to itself, and places the
@@ -186,7 +187,8 @@
 	}
 }
 
-// handleCatalogue stores the machine types and their prices.
+// handleCatalogue stores the machine types and their prices, and updates the state that
+// depends on them: the placer's prices and the types of the machines in the wait table.
 func (c *Core) handleCatalogue(types []protocol.TypeInfo) {
 	for _, t := range types {
 		c.Types[t.Name] = t
@@ -195,8 +197,10 @@
 	c.waitTable.RefreshTypes()
 }
 
-// handleHeartbeat answers a worker, or redirects it to the controller that dispatches to its
-// machine.
+// handleHeartbeat answers a worker's heartbeat if this controller dispatches to its machine.
+// Otherwise it redirects the worker to the controller that does. It refuses the heartbeat if
+// this controller does not hold its lease, or if the worker has received a fencing token above
+// the one that this controller has read.
 func (c *Core) handleHeartbeat(heartbeat protocol.Heartbeat) {
 	c.HighestFencingToken = max(c.HighestFencingToken, heartbeat.Term)
 	if heartbeat.Term > c.FencingToken(heartbeat.Machine, heartbeat.Zone) || !c.HoldsLease() {
@@ -213,8 +217,8 @@
 	c.dispatcher.HandleHeartbeat(heartbeat)
 }
 
-// HandedOver reports whether a controller that is shutting down may exit: it holds no
-// shards, and the results of its jobs have been written.
+// HandedOver reports whether a controller that is shutting down may exit: it holds no shards and
+// the state of its jobs has been written, or it is not a member of the view.
 func (c *Core) HandedOver() bool {
 	if !c.Leaving {
 		return false // the request to shut down has not been handled yet
@@ -225,9 +229,9 @@
 	return c.jobs.AllWritten() && c.dispatcher.ShardsHeld() == 0
 }
 
-// DecideOperatorRequest decides an operator's request on the basis of the records that this controller has
-// followed so far. It returns the answer and, if the decision changes anything, the
-// transaction that must succeed before the answer is sent.
+// DecideOperatorRequest decides an operator's request on the basis of the records that this
+// controller has read so far; by is the name of the operator's key. It returns the answer and,
+// if the decision changes records, the transaction that must succeed before the answer is sent.
 func (c *Core) DecideOperatorRequest(by string, r *operatorapi.Request) (operatorapi.Reply, *protocol.Transaction) {
 	d := c.operations.Decide(by, r)
 	return d.Reply, d.Transaction
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -11,6 +11,33 @@
 // actors hold the session with the key-value store (lease and watch), deliver messages to
 // each peer, send commands to workers, and serve HTTP (package frontend).
 //
+// The comments of this package use these terms:
+//   - record: a value in the key-value store. Every controller follows all records under one
+//     prefix, that is, reads them at the beginning of a session and then watches them;
+//   - session: the time during which a controller runs under one lease of the key-value
+//     store; its number is the lease's;
+//   - member, view, term: a controller in the current view; the view lists the members with
+//     their sessions, and each new view has the next higher number, its term;
+//   - peer: another member of the view (the wait table's peers include this controller itself);
+//   - shard, holder, shard table: a fixed part of the machines, the member that dispatches to
+//     them, and the record of all holders;
+//   - dispatcher: of a machine, the member that queues tasks for it, sends commands to its
+//     worker and answers the worker's heartbeats;
+//   - fencing token: a number in each command to a worker, which refuses commands with a lower
+//     number than it has received;
+//   - owner: of a job, the member that places its tasks and records its end;
+//   - registrar: the member that writes the blocks, records that hold many machines;
+//   - attempt: one placement of a task on a machine; it is unverified until an inventory of its
+//     machine decides whether it exists, and a task is unverified while an attempt of it may
+//     exist that its owner has no record of: such a task must not be placed;
+//   - inventory: the list of the attempts of one owner's jobs on a machine, which the machine's
+//     dispatcher sends to the owner;
+//   - wait table: the expected wait on each machine, by the states that dispatchers publish;
+//   - hold: resources of a machine that are kept free for a reservation;
+//   - tick: a message every tickInterval; state updates to all peers, and the work that is due
+//     with them, follow once per replication interval, a setting of the operators;
+//   - direct command: a request to a worker outside of the answers to its heartbeats.
+//
 // The decisions are made by the packages below. Each of them imports only packages that are
 // listed before it or beside it:
 //
--- a/internal/controller/frontendcontroller.go
+++ b/internal/controller/frontendcontroller.go
@@ -26,18 +26,21 @@
 	return !n.leaving.Load() && (n.holdsLease() || n.shouldWaitForLease.Load()) && n.catalogueReceived.Load()
 }
 
-// QueueHeartbeat queues a worker's heartbeat for the core.
+// QueueHeartbeat queues a worker's heartbeat for the core. reply is called with the core's answer
+// or with a refusal.
 func (fc *frontendController) QueueHeartbeat(heartbeat protocol.Heartbeat, reply transport.Reply) {
 	fc.node.heartbeats.add(fc.node.now(), pendingHeartbeat{heartbeat, reply})
 }
 
-// QueryCore queries the core about live jobs. If the mailbox of the core is full, it returns
-// false and answer is not called.
+// QueryCore queries the core about live jobs; answer is called on the core's goroutine. If the
+// mailbox of the core is full, it returns false and answer is not called.
 func (fc *frontendController) QueryCore(query admission.QueryCore, answer func(admission.CoreAnswered)) bool {
 	return fc.node.tryDeliver(envelope{query: func(c *Core) { answer(c.AnswerAdmissionQuery(query)) }})
 }
 
-// CancelJob notifies the core of a cancelled job, unless its mailbox is full.
+// CancelJob notifies the core of a cancelled job, so that it starts no more of the job's tasks,
+// and calls done when the core has handled that. If the mailbox of the core is full, it does
+// neither.
 func (fc *frontendController) CancelJob(job protocol.JobID, done func()) {
 	fc.node.tryDeliver(envelope{msg: message.JobCancelled{Job: job}, reply: func([]message.Action) { done() }})
 }
@@ -48,7 +51,8 @@
 	return queryCore(fc.node, func(c *Core) operatorrequest.Decision { return c.operations.Decide(by, request) })
 }
 
-// ForwardSubmission sends a submission to a peer and waits for the answer.
+// ForwardSubmission sends a user's submission of a job to a peer and waits for the answer, at most
+// admission.ForwardTimeout.
 func (fc *frontendController) ForwardSubmission(to protocol.NodeName, body []byte) (admission.Answer, error) {
 	var answer admission.Answer
 	if err := fc.node.peers[to].Call("Peer.Submit", ForwardedSubmission{body}, &answer, admission.ForwardTimeout); err != nil {
@@ -58,7 +62,7 @@
 }
 
 // AnnounceCancellation notifies a peer of a cancelled job and waits until the peer has
-// handled the notification.
+// handled the notification, at most admission.AnnounceTimeout.
 func (fc *frontendController) AnnounceCancellation(to protocol.NodeName, job protocol.JobID) error {
 	if err := fc.node.peers[to].Call("Peer.Halt", job, new(bool), admission.AnnounceTimeout); err != nil {
 		return fmt.Errorf("announce the cancellation of %s to %s: %w", job, to, err)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -21,14 +21,15 @@
 	maxHeartbeatWait = 3500 * time.Millisecond
 )
 
-// pendingHeartbeat is a heartbeat that is queued for the core.
+// pendingHeartbeat is a heartbeat that is queued for the core, and the function that answers it.
 type pendingHeartbeat struct {
 	heartbeat protocol.Heartbeat
 	reply     transport.Reply
 }
 
 // heartbeatQueue passes workers' heartbeats from the server to the core. If it receives more
-// of them than the core can handle, the workers whose leases expire first are served first.
+// of them than the core can handle, the workers that were answered longest ago, and whose
+// leases therefore expire first, are served first.
 type heartbeatQueue struct {
 	ready chan struct{} // holds an element while heartbeats are queued
 
@@ -40,7 +41,8 @@
 	return &heartbeatQueue{ready: make(chan struct{}, 1), queue: heartbeat.NewQueue[pendingHeartbeat](maxPendingHeartbeats, maxHeartbeatWait)}
 }
 
-// add queues a heartbeat. It runs on the server's event loop and never blocks.
+// add queues a heartbeat. If the queue is full, it refuses the heartbeat that would be answered
+// last, which may be this one. It runs on the server's event loop and never blocks.
 func (q *heartbeatQueue) add(now Time, pending pendingHeartbeat) {
 	q.mu.Lock()
 	refused, full := q.queue.Add(now, pending.heartbeat.Machine, pending)
@@ -51,7 +53,7 @@
 	q.signal()
 }
 
-// signal wakes the core actor. It never blocks.
+// signal wakes the core actor, which then takes the next heartbeat. It never blocks.
 func (q *heartbeatQueue) signal() {
 	select {
 	case q.ready <- struct{}{}:
@@ -91,7 +93,8 @@
 	return envelope{msg: message.HeartbeatReceived{Heartbeat: pending.Heartbeat.heartbeat}, reply: reply}, true
 }
 
-// recordAnswer records that a worker's lease has been renewed.
+// recordAnswer records that a worker's lease has been renewed now by an answer to its heartbeat,
+// which puts its next heartbeat behind those of workers that were answered earlier.
 func (q *heartbeatQueue) recordAnswer(now Time, machine protocol.MachineID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -7,8 +7,9 @@
 	"damsonkeel/internal/record"
 )
 
-// handleMachineRegistered adopts a machine's record. A changed record proves that no attempt
-// that was placed on the machine under the previous record runs any longer.
+// handleMachineRegistered adds a machine with the given record, or replaces its record. It ignores
+// a version of the record that is not newer. A changed record proves that no attempt that was
+// placed on the machine under the previous record runs any longer.
 func (c *Core) handleMachineRegistered(id protocol.MachineID, registration record.Machine, version protocol.Version) {
 	machine := c.waitTable.Machines[id]
 	if machine != nil && machine.Epoch >= version {
@@ -26,8 +27,9 @@
 	c.waitTable.ApplyEarlyState(machine)
 }
 
-// handleMachineDeregistered handles the deletion of a machine's record. A record is deleted
-// only after proof that no attempt runs on the machine.
+// handleMachineDeregistered removes a machine whose record was deleted from all modules; the jobs
+// that this controller owns count their attempts on it as lost. A record is deleted only after
+// proof that no attempt runs on the machine.
 func (c *Core) handleMachineDeregistered(id protocol.MachineID) {
 	machine := c.waitTable.Machines[id]
 	if machine == nil {
--- a/internal/controller/mergeupdates.go
+++ b/internal/controller/mergeupdates.go
@@ -5,7 +5,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// mergeUpdates returns a state update that has the effect of two consecutive ones.
+// mergeUpdates returns a state update that has the effect of two consecutive ones to the same
+// peer. If their terms differ, that is the later one. Otherwise it is the later one with the
+// earlier grant of rates if it has none itself, and with the earlier states of machines and
+// jobs that it does not contain if its ranges of changes continue those of the earlier one.
 func mergeUpdates(before, after *message.StateUpdate) *message.StateUpdate {
 	if before.Term != after.Term {
 		return after // a new term restarts the streams
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -39,24 +39,28 @@
 	log      *slog.Logger
 	start    time.Time
 
-	core         *Core // only the core actor, runCore, accesses it
-	mailbox      chan envelope
-	coreStopped  chan struct{} // closed when the core actor has ended
-	heartbeats   *heartbeatQueue
-	outboxes     map[protocol.NodeName]*Outbox
-	peers        map[protocol.NodeName]*transport.Peer // for users' requests, so that no call of an outbox delays them
+	core        *Core // only the core actor, runCore, accesses it
+	mailbox     chan envelope
+	coreStopped chan struct{} // closed when the core actor has ended
+	heartbeats  *heartbeatQueue
+	outboxes    map[protocol.NodeName]*Outbox
+	// peers has separate connections for users' requests, so that no call of an outbox delays
+	// them.
+	peers        map[protocol.NodeName]*transport.Peer
 	workers      *workerClients
 	commandSlots chan struct{} // holds an element for each direct command in progress
 	frontend     *frontend.Frontend
 
-	leaseDeadline      atomic.Int64  // a Time; 0 if this controller is not a member
-	shouldWaitForLease atomic.Bool   // a member that should keep its users until it holds its lease again: see Members.ShouldWaitForLease
+	leaseDeadline atomic.Int64 // the core's LeaseDeadline; 0 if this controller is not a member
+	// shouldWaitForLease is set for a member that should keep its users until it holds its
+	// lease again: see Members.ShouldWaitForLease.
+	shouldWaitForLease atomic.Bool
 	leaving            atomic.Bool   // set when the shutdown begins
 	leaveDone          chan struct{} // closed when Leave has completed
-	catalogueReceived  atomic.Bool
+	catalogueReceived  atomic.Bool   // set once the machine types were read from the cloud
 }
 
-// NewNode returns a controller that Run starts.
+// NewNode returns a controller that is not running yet: Run starts it.
 func NewNode(settings *config.Settings, operator config.Operator, log *slog.Logger) *Node {
 	n := &Node{
 		settings:    settings,
@@ -86,7 +90,7 @@
 	return n
 }
 
-// now returns the time of the monotonic clock. It is never 0, which means never.
+// now returns the time since NewNode by the monotonic clock. It is never 0, which means never.
 func (n *Node) now() Time { return Time(time.Since(n.start)) + 1 }
 
 // Run serves until the context ends, Leave has completed, or the controller can't listen for
@@ -143,8 +147,9 @@
 	}
 }
 
-// handleEnvelope runs a query on the core, or has the core handle a message and executes the
-// resulting actions.
+// handleEnvelope runs a query on the core, or has the core handle a message, executes the
+// resulting actions and calls the envelope's reply. After a message it also publishes to other
+// goroutines until when this controller holds its lease, and whether it should wait for it.
 func (n *Node) handleEnvelope(ctx context.Context, e envelope) {
 	if e.query != nil {
 		e.query(n.core)
@@ -166,8 +171,9 @@
 // holdsLease reports whether this controller is a member that currently holds its lease.
 func (n *Node) holdsLease() bool { return int64(n.now()) < n.leaseDeadline.Load() }
 
-// runTicker sends ticks to the core and, once a second, the demand for calls to the key-value
-// store. It drops what the mailbox has no room for.
+// runTicker sends a tick to the core every tickInterval and, once a second, the number of calls to
+// the key-value store that were demanded since the last one. It drops what it can't put into a
+// full mailbox.
 func (n *Node) runTicker(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -22,8 +22,8 @@
 	peerBehindDelay = 30 * time.Millisecond
 )
 
-// Outbox is the actor that delivers messages to one peer, in order. It sends each message
-// again until the peer has accepted it or one of the two sessions has ended.
+// Outbox is the actor that delivers messages to one peer, in order and in batches. It sends each
+// message again until the peer has accepted it or one of the two sessions has ended.
 type Outbox struct {
 	self protocol.NodeName
 	peer *transport.Peer
@@ -36,8 +36,9 @@
 	mu                     sync.Mutex
 	fromSession, toSession protocol.LeaseID // the current sessions of this controller and of the peer
 	firstNumber            uint64           // number of the message queue[0]
-	inFlight               int              // number of messages at the head of the queue that the last batch contains
-	queue                  []message.Send
+	// inFlight is the number of messages at the head of the queue that the last batch contains.
+	inFlight int
+	queue    []message.Send // messages that the peer has not accepted yet
 }
 
 // NewOutbox returns an outbox of the controller self. The peer may be nil if the caller
@@ -46,7 +47,9 @@
 	return &Outbox{self: self, peer: peer, log: log, wake: make(chan struct{}, 1)}
 }
 
-// Add queues a message. It merges a state update with a queued one that is not in flight.
+// Add queues a message. If its session of either side differs from that of the queued messages,
+// it drops those and numbers the messages from 0 again. It merges a state update with a queued
+// one that is not part of the last batch.
 func (o *Outbox) Add(s message.Send) {
 	o.mu.Lock()
 	if s.From != o.fromSession || s.Session != o.toSession {
@@ -64,7 +67,7 @@
 }
 
 // mergeQueuedUpdate removes the last state update that is not in flight from the queue, and
-// returns its merge with a newer one. The caller holds mu.
+// returns its merge with a newer one, or the newer one if there is none. The caller holds mu.
 func (o *Outbox) mergeQueuedUpdate(update *message.StateUpdate) *message.StateUpdate {
 	for i := len(o.queue) - 1; i >= o.inFlight; i-- {
 		if before := o.queue[i].Message.Relay; before != nil {
@@ -75,7 +78,8 @@
 	return update
 }
 
-// NextBatch returns the messages to be sent next, without removing them from the queue.
+// NextBatch returns the messages to be sent next, at most maxBatchMessages, and marks them as in
+// flight without removing them from the queue. It returns false if the queue is empty.
 func (o *Outbox) NextBatch() (message.Batch, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -92,8 +96,9 @@
 	return b, true
 }
 
-// HandleReply removes the messages of a batch that the peer has accepted, or all messages if
-// one of the sessions has ended.
+// HandleReply removes the messages of a batch from the queue if the peer has accepted them, or
+// all messages if the peer replied that one of the sessions has ended. If the peer is behind,
+// the messages stay queued and are sent again.
 func (o *Outbox) HandleReply(b message.Batch, r message.BatchReply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -126,7 +131,8 @@
 	}
 }
 
-// deliver sends a batch once, and waits for the retry delay if it has to be sent again.
+// deliver sends a batch once and handles the reply. If the batch has to be sent again, it waits
+// first: peerRetryDelay after a failed call, peerBehindDelay if the peer is behind.
 func (o *Outbox) deliver(ctx context.Context, batch message.Batch) {
 	var reply message.BatchReply
 	if err := o.peer.Call("Peer.Deliver", batch, &reply, PeerTimeout); err != nil {
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -11,7 +11,8 @@
 // messages of peers.
 const invalidMessageLogInterval = time.Minute
 
-// handleBatch handles the messages of a batch that have not been received before.
+// handleBatch replies to a peer's batch and handles the messages in it that have not been received
+// before. It skips invalid messages.
 func (c *Core) handleBatch(batch message.Batch) {
 	for _, received := range c.members.AcceptBatch(batch) {
 		if err := received.Validate(); err != nil {
@@ -31,7 +32,8 @@
 	}
 }
 
-// handlePeerMessage handles a single message of a peer, or of this controller to itself.
+// handlePeerMessage passes a single message of a peer, or of this controller to itself, to the
+// module that it concerns.
 func (c *Core) handlePeerMessage(from protocol.NodeName, m message.PeerMessage) { //nolint:gocyclo // a plain dispatching switch
 	switch {
 	case m.Place != nil:
--- a/internal/controller/peerservice.go
+++ b/internal/controller/peerservice.go
@@ -11,8 +11,8 @@
 // its methods and the fields of their arguments must stay compatible with earlier versions.
 type peerService struct{ node *Node }
 
-// Deliver passes a batch of messages to the core and returns its reply. If the core replies
-// nothing, the batch counts as stale.
+// Deliver passes a batch of messages to the core and sets reply to the core's reply, or to
+// BatchStale if there is none. It returns an error if the core actor has ended.
 func (s *peerService) Deliver(b message.Batch, reply *message.BatchReply) error {
 	done := make(chan message.BatchReply, 1)
 	answer := func(actions []message.Action) {
@@ -35,10 +35,11 @@
 	}
 }
 
-// ForwardedSubmission is a user's submission that a peer forwards.
+// ForwardedSubmission is the body of a user's request to submit a job, which a peer forwards.
 type ForwardedSubmission struct{ Body []byte }
 
-// Submit handles a submission that a peer forwards because it could not accept it itself.
+// Submit decides a submission that a peer forwards because it could not accept it itself, and
+// returns the answer to the user.
 func (s *peerService) Submit(submission ForwardedSubmission, reply *admission.Answer) error {
 	answers := make(chan *transport.Message, 1)
 	s.node.frontend.SubmitForwarded(submission.Body, func(answer *transport.Message) { answers <- answer })
@@ -51,7 +52,8 @@
 	}
 }
 
-// Halt marks a job as cancelled, so that this controller starts no more of its tasks.
+// Halt marks a job as cancelled, so that this controller starts no more of its tasks. It sets
+// halted once the core has done that, and returns an error if the core actor has ended.
 func (s *peerService) Halt(id protocol.JobID, halted *bool) error {
 	done := make(chan struct{})
 	if !s.node.deliver(envelope{msg: message.JobCancelled{Job: id}, reply: func([]message.Action) { close(done) }}) {
--- a/internal/controller/rates.go
+++ b/internal/controller/rates.go
@@ -13,8 +13,8 @@
 	return ratelimit.Amount(kvstore.EqualAllotment(site.State.RPS, site.State.WriteRPS, site.Count))
 }
 
-// emitRateAllotment emits the rates that this controller may use now if they have changed
-// since the last call.
+// emitRateAllotment emits an action that sets the rates at which this controller may use the
+// key-value store, with and without borrowed ones, if they have changed since the last call.
 func (c *Core) emitRateAllotment() {
 	allotment := message.SetRateAllotment{Own: c.rates.OwnAllotment(c.Now), All: c.rates.Allotment(c.Now)}
 	if until, ok := c.rates.BorrowedUntil(c.Now); ok {
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -7,7 +7,8 @@
 	"damsonkeel/internal/record"
 )
 
-// handleRecordEvent handles an event of the watch on the key-value store.
+// handleRecordEvent applies an event of the watch on the key-value store: a written or a deleted
+// record. It ignores deletions of keys that this version does not support.
 func (c *Core) handleRecordEvent(event protocol.Event) {
 	if event.Put != "" {
 		c.handleRecordUpdate(event.Put, event.Value, event.Version, false)
@@ -18,7 +19,8 @@
 	}
 }
 
-// handleRecordDeletion handles the deletion of a followed record.
+// handleRecordDeletion passes the deletion of a followed record to the modules that use records
+// of its kind. Deletions of other kinds, such as the view, have no effect.
 func (c *Core) handleRecordDeletion(key record.FollowedKey) {
 	switch {
 	case key.Node != "":
@@ -41,9 +43,9 @@
 	}
 }
 
-// handleRecordUpdate handles the value of a followed record, which comes from the snapshot at
-// the beginning of a session or from the watch. It logs and skips a record that can't be
-// decoded.
+// handleRecordUpdate applies the value of a followed record, which comes from the snapshot at
+// the beginning of a session or from the watch. It ignores keys that this version does not
+// support, and logs and skips a record that can't be decoded.
 func (c *Core) handleRecordUpdate(key string, value protocol.RawValue, version protocol.Version, snapshot bool) {
 	followed, ok := record.ParseFollowedKey(key)
 	if !ok {
@@ -54,7 +56,8 @@
 	}
 }
 
-// applyRecord passes a record to the modules that use records of its kind.
+// applyRecord decodes a record and passes it to the modules that use records of its kind. It
+// returns an error for a record that can't be decoded.
 func (c *Core) applyRecord(key record.FollowedKey, value protocol.RawValue, version protocol.Version, snapshot bool) error {
 	switch {
 	case key.View:
@@ -79,7 +82,7 @@
 	return nil
 }
 
-// applyViewRecord adopts the view if it is newer than the current one.
+// applyViewRecord adopts the view if its record is newer than that of the current one.
 func (c *Core) applyViewRecord(value protocol.RawValue, version protocol.Version) error {
 	view, err := decodeRecord[record.View](value)
 	if err == nil && version > c.ViewVersion {
@@ -102,7 +105,7 @@
 	return nil
 }
 
-// applyJobRecord adds an accepted job.
+// applyJobRecord adds an accepted job to the live jobs.
 func (c *Core) applyJobRecord(value protocol.RawValue, version protocol.Version, snapshot bool) error {
 	job, err := decodeRecord[protocol.Job](value)
 	if err == nil {
@@ -137,7 +140,8 @@
 	return nil
 }
 
-// applyShardTableRecord adopts the shard table if it is newer than the current one.
+// applyShardTableRecord adopts the shard table if its record is newer than that of the current
+// one.
 func (c *Core) applyShardTableRecord(value protocol.RawValue, version protocol.Version) error {
 	shards, err := decodeRecord[record.ShardTable](value)
 	if err == nil && version > c.ShardsVersion {
@@ -146,7 +150,7 @@
 	return err
 }
 
-// decodeRecord decodes the value of a record.
+// decodeRecord decodes the value of a record as a T.
 func decodeRecord[T any](value protocol.RawValue) (decoded T, err error) {
 	if err := protocol.Decode(value, &decoded); err != nil {
 		return decoded, fmt.Errorf("decode %T: %w", decoded, err)
@@ -162,7 +166,8 @@
 	return nil
 }
 
-// handleJobEnded handles the deletion of a live job's record: the job is done or cancelled.
+// handleJobEnded removes a job from all modules after its live record was deleted, which means
+// that the job is done or cancelled.
 func (c *Core) handleJobEnded(id protocol.JobID) {
 	c.reservations.CountEndedJob(c.Live[id])
 	failing := c.jobs.IsFailing(id)
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -20,8 +20,8 @@
 	sessionRetryDelay = 250 * time.Millisecond
 	// recordsTimeout bounds the time for reading all followed records.
 	recordsTimeout = 20 * time.Second
-	// keepAlivesPerLease is the number of extensions within the duration of a lease, and
-	// keepAliveRetryDelay the time until the next attempt after a failed one.
+	// keepAlivesPerLease is the number of extensions of the lease within its duration, and
+	// keepAliveRetryDelay the time until the next extension after a failed one.
 	keepAlivesPerLease  = 5
 	keepAliveRetryDelay = 300 * time.Millisecond
 	// watchRetryDelay is the time until a watch is opened again after a failure.
@@ -40,7 +40,8 @@
 var errLeaseLost = errors.New("lease lost")
 
 // runSessions makes this controller a candidate for membership: it runs one session after
-// another, each until its lease ends.
+// another, each until its lease is lost or its watch fails, until the context ends or the
+// controller is shutting down.
 func (n *Node) runSessions(ctx context.Context) {
 	for ctx.Err() == nil && !n.leaving.Load() { // a controller that is shutting down begins no session
 		if err := n.runSession(ctx); err != nil && ctx.Err() == nil {
@@ -52,7 +53,8 @@
 }
 
 // runSession reads the records, writes this controller's own node record under a new lease,
-// and follows the records while it keeps the lease alive.
+// and follows the records while it keeps the lease alive. It returns why the session ended or
+// could not begin.
 func (n *Node) runSession(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -79,7 +81,8 @@
 	return n.keepLeaseAlive(ctx, lease, leaseTimes, watchEnded)
 }
 
-// readRecords reads all followed records.
+// readRecords reads all followed records, and returns the revision from which a watch misses no
+// change of them.
 func (n *Node) readRecords(ctx context.Context) ([]protocol.Item, protocol.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, recordsTimeout)
 	defer cancel()
@@ -90,8 +93,9 @@
 	return items, revision, nil
 }
 
-// registerNode writes this controller's node record under a new lease. It replaces the record
-// among the items, and fails if that has changed since it was read.
+// registerNode writes this controller's node record under a new lease, and returns the lease. It
+// replaces the node record among the items, if there is one, and fails if the record has
+// changed since the items were read.
 func (n *Node) registerNode(ctx context.Context, items []protocol.Item) (protocol.LeaseID, error) {
 	lease, err := n.store.GrantLease(ctx, n.operator.NodeLease)
 	if err != nil {
@@ -114,8 +118,8 @@
 	return lease, nil
 }
 
-// layout returns the latest layout of the records that this controller uses, by the
-// operator's settings.
+// layout returns the latest layout of the records that the operator's settings let this
+// controller use. Its node record states it.
 func (n *Node) layout() record.Layout {
 	switch {
 	case n.operator.SingleRecords:
@@ -130,12 +134,13 @@
 
 // leaseClock holds the times from which the deadline of a session's lease is computed.
 type leaseClock struct {
-	ttl             time.Duration
-	extensionSentAt atomic.Int64 // when the last extension that was answered was sent
-	watchOpenedAt   atomic.Int64 // when the last watch that was answered was opened
+	ttl             time.Duration // duration of the lease
+	extensionSentAt atomic.Int64  // when the last extension that was answered was sent
+	watchOpenedAt   atomic.Int64  // when the last watch that was answered was opened
 }
 
-// deadline returns the time until which the session holds its lease.
+// deadline returns the time until which the session holds its lease and may act: see
+// LeaseDeadline.
 func (l *leaseClock) deadline() Time {
 	return LeaseDeadline(l.ttl, Time(l.extensionSentAt.Load()), Time(l.watchOpenedAt.Load()))
 }
@@ -153,7 +158,9 @@
 	return min(leaseEnd, watchOpenedAt+Time(config.MaxWatchStaleness(ttl)))
 }
 
-// keepLeaseAlive extends the lease until it is lost or the watch ends.
+// keepLeaseAlive extends the lease keepAlivesPerLease times in its duration and reports each new
+// deadline to the core, until the key-value store no longer has the lease, the watch ends, or
+// the context ends. It returns which of these it was. Other failures are retried.
 func (n *Node) keepLeaseAlive(ctx context.Context, lease protocol.LeaseID, leaseTimes *leaseClock, watchEnded <-chan error) error {
 	delay := leaseTimes.ttl / keepAlivesPerLease
 	failing := false
@@ -186,9 +193,12 @@
 	}
 }
 
-// watchRecords passes the changes of records after a revision to the core, in order.
+// watchRecords passes the changes of followed records after a revision to the core, in order. It
+// returns when the store has dropped the changes since that revision, or the context ends. Other
+// failures are retried.
 func (n *Node) watchRecords(ctx context.Context, fromRevision protocol.Revision, leaseTimes *leaseClock) error {
-	timeout := min(watchTimeout, leaseTimes.ttl) // a short lease requires more frequent proof from the watch
+	// A short lease requires more frequent proof from the watch.
+	timeout := min(watchTimeout, leaseTimes.ttl)
 	for ctx.Err() == nil {
 		openedAt := n.now()
 		events, err := n.store.Watch(ctx, record.FollowedPrefix, fromRevision, timeout)
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -19,9 +19,10 @@
 	revokeTimeout = 2 * time.Second
 )
 
-// Shutdown hands over all shards that this controller holds, revokes its lease and makes Run
-// return. Meanwhile the health check reports that the controller is not ready, so that users
-// open no new connections to it.
+// Shutdown hands over all shards that this controller holds, for at most handoverTimeout, revokes
+// its lease, makes Run return and then returns itself. A second call returns at once. Meanwhile
+// the health check reports that the controller is not ready, so that users open no new
+// connections to it.
 func (n *Node) Shutdown() {
 	if n.leaving.Swap(true) {
 		return
@@ -40,7 +41,8 @@
 	close(n.leaveDone)
 }
 
-// revokeLease revokes this controller's lease, if it has one.
+// revokeLease revokes the lease of this controller's session, if it has one. A failure is only
+// logged: the lease then expires.
 func (n *Node) revokeLease() {
 	session, ok := queryCore(n, func(c *Core) protocol.LeaseID { return c.Session })
 	if !ok || session == 0 {
--- a/internal/controller/stateupdates.go
+++ b/internal/controller/stateupdates.go
@@ -13,17 +13,18 @@
 // beginning of each term is sent in several updates, one per tick.
 const maxStatesPerUpdate = 1000
 
-// beginUpdateStreams begins the streams of a new term and marks everything as changed: in the
-// last term, state may have been sent to or by a controller that no longer holds the machine
-// or the job.
+// beginUpdateStreams begins the streams of changes of a new term, by which machines' and jobs'
+// states are replicated to the peers, and marks all these states as changed: in the last term,
+// state may have been sent to or by a controller that no longer holds the machine or the job.
 func (c *Core) beginUpdateStreams() {
 	c.dispatcher.BeginTerm()
 	c.jobs.BeginProgressStream()
 	c.waitTable.BeginStreams()
 }
 
-// sendStateUpdates sends the changed state to the peers: once per update period to all of
-// them, and on other ticks only to the peers whose last update was truncated.
+// sendStateUpdates sends the changed state to the peers: once per replication interval to all of
+// them, and on other ticks only to the peers whose last update was truncated, that is, did not
+// contain the changed states of all machines.
 func (c *Core) sendStateUpdates(toAllPeers bool) {
 	var grants map[protocol.LeaseID]ratelimit.Grant
 	if toAllPeers {
@@ -79,9 +80,10 @@
 	return number != 0 && number>>32 == uint64(c.View.Term)
 }
 
-// fillMachineStates adds the changed states of machines to an update. Most peers need the
-// same changes, so the states of the previous peer's update are reused if its range starts at
-// the same version.
+// fillMachineStates adds the states of the machines that have changed since the last update to
+// the peer, at most maxStatesPerUpdate, to an update. If these are all, it also sets Handled.
+// Most peers need the same changes, so the states of the previous peer's update are reused if
+// its range starts at the same change.
 func (c *Core) fillMachineStates(update *message.StateUpdate, cursor *replication.Cursor, previous *message.StateUpdate) {
 	if previous != nil && previous.Machines.From == cursor.SentUpTo() {
 		update.Machines, update.States, update.Handled = previous.Machines, previous.States, previous.Handled
@@ -106,7 +108,10 @@
 	}
 }
 
-// handleStateUpdate handles the state update of a peer.
+// handleStateUpdate records the content of a peer's state update: its load, its lease, its
+// configuration, its demand, its request and grant of rates and, if the update is of the current
+// term, the changes of its machines, jobs and holds. If an owned job has a task to place, it
+// makes the next placing round due. An update of a controller that is not a peer is ignored.
 func (c *Core) handleStateUpdate(from protocol.NodeName, update *message.StateUpdate) {
 	peer := c.waitTable.Peers[from]
 	if peer == nil {
@@ -132,8 +137,9 @@
 	}
 }
 
-// applyStreams applies the streams of the current term in a peer's state update: its
-// machines, its jobs and the holds of reservations.
+// applyStreams applies the part of a peer's state update that depends on the term: what the peer
+// acknowledges of this controller's changes, and the peer's changes of its machines, its jobs
+// and the holds of reservations. Changes that leave a gap or are outdated are ignored.
 func (c *Core) applyStreams(from protocol.NodeName, peer *waittable.Peer, update *message.StateUpdate) {
 	streams := &peer.Updates
 	streams.MachinesTo.HandleAcknowledgement(update.HaveMachines)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -16,18 +16,18 @@
 type Status struct {
 	Term                protocol.Term
 	QueuesHeld          int // machines whose queues this controller holds
-	InventoriedMachines int // registered machines among these whose inventory is complete
+	InventoriedMachines int // registered ones among these whose workers have listed their attempts
 	Holds               []reservation.Hold
 	IsRegistrar         bool // this controller writes the machines' records
 	Shards              int  // shards that this controller holds; 0 if machines are not sharded
 	// Misplaced lists machines whose queues this controller holds although another one
 	// holds their shards.
 	Misplaced []protocol.MachineID
-	// Quarantined lists machines with queues here that are cordoned because the tasks started
-	// on them fail.
+	// Quarantined lists machines with queues here that are quarantined because the tasks
+	// started on them fail.
 	Quarantined []protocol.MachineID
-	// MachinesWithWait lists the machines with a wait in the wait table: they have work, or a
-	// placement on them has been announced.
+	// MachinesWithWait lists the machines with a wait in the wait table: they have attempts, or
+	// a placement on them has been announced that their published state does not include yet.
 	MachinesWithWait []protocol.MachineID
 }
 
@@ -69,8 +69,10 @@
 	return misplaced
 }
 
-// DescribeJob describes this controller's state of a job, for the report on a job that does
-// not end.
+// DescribeJob returns a text of several lines on this controller's state of a job, for the report
+// on a job that does not end: if this controller owns the job, the job's state, its attempts and
+// all machines; and in any case the attempts in the queues here that are of the job or on
+// draining machines.
 func (c *Core) DescribeJob(id protocol.JobID) string {
 	var b strings.Builder
 	if job := c.jobs.ByID[id]; job != nil {
@@ -97,8 +99,9 @@
 // call.
 func (c *Core) CompletedMoves() []dispatcher.CompletedMove { return c.dispatcher.TakeCompletedMoves() }
 
-// AnswerAdmissionQuery answers a query of package admission about live jobs and the members of
-// the cluster.
+// AnswerAdmissionQuery answers a query of package admission: the versions and the progress of
+// those of the given jobs that are live, the members of the view, and those peers among them that
+// recently reported to hold their leases.
 func (c *Core) AnswerAdmissionQuery(query admission.QueryCore) admission.CoreAnswered {
 	found := make(map[protocol.JobID]admission.LiveJob, len(query.Jobs))
 	for _, id := range query.Jobs {
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -11,7 +11,10 @@
 // tickInterval is the time between two ticks.
 const tickInterval = 100 * time.Millisecond
 
-// handleTick does the periodic work that is due.
+// handleTick does the work that is due by the clock. Every tick sets the rate allotment, sends
+// requested moves of shards and updates the view. If this controller is a member, it also runs
+// runPeriodicWork if the replication interval has passed, else runIncrementalWork, and repeats
+// writes and requests that are outstanding.
 func (c *Core) handleTick(m message.Tick) {
 	c.measureTickLateness()
 	c.SetWallClock(m.WallMS)
@@ -32,8 +35,8 @@
 	c.jobs.Retry()
 }
 
-// runPeriodicWork does the work that is due once per update period, and sends state updates to
-// all peers.
+// runPeriodicWork does the work that is due once per replication interval, and sends state
+// updates to all peers.
 func (c *Core) runPeriodicWork() {
 	c.refreshDeadlines()
 	c.reservations.Refresh()
@@ -48,7 +51,10 @@
 	c.autoscaler.Step()
 }
 
-// runIncrementalWork does the work of the ticks between two runs of runPeriodicWork.
+// runIncrementalWork does the work of the ticks between two runs of runPeriodicWork: it continues
+// a rebalance that stopped at the maximum number of moves in a step, sends the rest of truncated
+// state updates and the scheduled inventories, and writes bitmaps while this controller is
+// shutting down.
 func (c *Core) runIncrementalWork() {
 	c.placer.ContinueRebalance()
 	if c.Leaving {
@@ -58,8 +64,8 @@
 	c.dispatcher.SendInventories() // not in the step of runPeriodicWork: both together take too long
 }
 
-// refreshDeadlines recomputes the jobs' deadlines. If one has changed, the jobs and the queues
-// are sorted again.
+// refreshDeadlines recomputes the deadlines of all live jobs. If one has changed, the jobs and the
+// queues are sorted again before they are next used.
 func (c *Core) refreshDeadlines() {
 	changed := false
 	for _, job := range c.Live {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -6,7 +6,8 @@
 	"damsonkeel/internal/record"
 )
 
-// updateView writes a view of the next term if the current view has to change.
+// updateView writes a view of the next term if the current one has to change (see
+// Members.UpdateView) or the dispatcher needs a new term to settle the outcome of a start.
 func (c *Core) updateView() { c.members.UpdateView(c.dispatcher.NeedsNewTerm()) }
 
 // adoptView adopts a new view. Work whose dispatcher and owner have the same sessions in both
@@ -39,8 +40,8 @@
 	c.autoscaler.RecordViewAdoption(c.Now)
 }
 
-// dropWork drops the jobs and queues of a controller that is no longer a member: the members
-// take them over.
+// dropWork drops the owned jobs and the queues of a controller that is not a member of the view:
+// the members take them over.
 func (c *Core) dropWork() {
 	c.jobs.DropAll()
 	c.placer.DropFailedSearches()
@@ -48,8 +49,9 @@
 	c.dispatcher.DropAllQueues()
 }
 
-// adoptShards adopts a new shard table. Only attempts that were placed through the previous
-// holder of a moved shard become unverified; all other work continues.
+// adoptShards adopts a new shard table. A shard has moved if the epoch at which its holder took
+// it over has changed. Only attempts that were placed through the previous holder of a moved
+// shard become unverified; all other work continues.
 func (c *Core) adoptShards(shards *record.ShardTable, version protocol.Version) {
 	old := c.Shards
 	wasSharded := c.Sharded()
--- a/internal/controller/workerclients.go
+++ b/internal/controller/workerclients.go
@@ -18,8 +18,8 @@
 	minCommandSockets     = 8
 )
 
-// socketLimits returns the limits of the server and of direct commands, given the number of
-// sockets that the platform allows.
+// socketLimits returns the maximum numbers of sockets of the server and of direct commands, given
+// the number of sockets that the platform allows.
 func socketLimits(limit int) (server, commands int) {
 	return max(minServerSockets, limit*serverSocketsPercent/100), max(minCommandSockets, limit/commandSocketsDivisor)
 }
@@ -36,8 +36,8 @@
 	return &workerClients{limit: limit, byAddress: map[string]*transport.Client{}}
 }
 
-// get returns the client for a worker. If the limit is reached, it removes the client of
-// another worker first.
+// get returns the client for the worker at an address, and creates it if it is missing. If there
+// are as many clients as the limit allows, it removes that of another worker first.
 func (w *workerClients) get(address string) *transport.Client {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,7 +45,8 @@
 		return client
 	}
 	if len(w.byAddress) >= w.limit {
-		for other, client := range w.byAddress { // an arbitrary one: it is created again when it is needed
+		// An arbitrary client is removed: it is created again when it is needed.
+		for other, client := range w.byAddress {
 			client.CloseIdleConnections()
 			delete(w.byAddress, other)
 			break
