--- a/internal/record/bitmap.go
+++ b/internal/record/bitmap.go
@@ -18,9 +18,10 @@
 
 const (
 	bitsPerByte = 8
-	// chunkBytes is the size of a full chunk.
+	// chunkBytes is the size of a full chunk in bytes, before base64.
 	chunkBytes = ChunkTasks / bitsPerByte
-	// initialChunkBytes is the initial capacity of the buffer that a chunk is encoded into.
+	// initialChunkBytes is the initial capacity, in bytes, of the buffer that a chunk is
+	// encoded into.
 	initialChunkBytes = 64
 )
 
@@ -31,11 +32,13 @@
 
 // BitmapChunk is the record of one chunk of a job's bitmap of finished tasks.
 type BitmapChunk struct {
-	Bits string `cbor:"bits"` // in base64, since the store accepts no binary values
+	// Bits has one bit for each task, the lowest bit of the first byte for the first task. It
+	// is in base64, since the store accepts no binary values.
+	Bits string `cbor:"bits"`
 }
 
-// EncodeChunk encodes one chunk of the bitmap of finished tasks. Trailing zero bytes are
-// omitted.
+// EncodeChunk encodes the chunk with a number, counted from 0, of the bitmap of finished tasks.
+// Trailing zero bytes are omitted.
 func EncodeChunk(done *bitset.BitSet, chunk int) BitmapChunk {
 	bits := make([]byte, 0, initialChunkBytes)
 	base := uint(chunk * ChunkTasks)
@@ -57,7 +60,8 @@
 }
 
 // DecodeChunk adds the finished tasks of the chunk stored at key to done. It ignores bits
-// beyond the number of tasks of the job.
+// beyond tasks, the number of tasks of the job. It returns an error if the key has no valid
+// chunk number, or the bits are not valid base64 or longer than a chunk; done is then unchanged.
 func DecodeChunk(key string, b BitmapChunk, done *bitset.BitSet, tasks uint32) error {
 	chunk, ok := ChunkNumber(key)
 	if !ok {
--- a/internal/record/configuration.go
+++ b/internal/record/configuration.go
@@ -33,11 +33,11 @@
 
 // The kinds of entries.
 const (
-	EntryTeam    EntryKind = "team"
-	EntryClass   EntryKind = "class"
-	EntryZone    EntryKind = "zone"
-	EntryType    EntryKind = "type"
-	EntrySetting EntryKind = "setting"
+	EntryTeam    EntryKind = "team"    // guarantee and limit of a team
+	EntryClass   EntryKind = "class"   // objectives of a class of jobs
+	EntryZone    EntryKind = "zone"    // whether a zone is cordoned
+	EntryType    EntryKind = "type"    // whether a machine type is cordoned
+	EntrySetting EntryKind = "setting" // value of an operator setting
 )
 
 // EntryID identifies an entry of the configuration: its kind, a slash, and the name of the
@@ -47,7 +47,7 @@
 // NewEntryID returns the ID of the entry for the object of the given kind and name.
 func NewEntryID(kind EntryKind, name string) EntryID { return EntryID(string(kind) + "/" + name) }
 
-// Split returns the kind and the name in the ID.
+// Split returns the kind and the name in the ID; the name is empty if the ID has no slash.
 func (id EntryID) Split() (EntryKind, string) {
 	kind, name, _ := strings.Cut(string(id), "/")
 	return EntryKind(kind), name
@@ -68,7 +68,7 @@
 	// Entries are the entries that this revision changed. A controller applies the
 	// revision once it has read all of them.
 	Entries  []EntryID              `cbor:"entries"`
-	Requests []ConfigurationRequest `cbor:"requests"` // latest requests
+	Requests []ConfigurationRequest `cbor:"requests"` // latest requests, the newest last
 }
 
 // ConfigurationRequest is an executed request and the revision that it resulted in.
@@ -80,8 +80,8 @@
 // ConfigurationEntry is the record of an entry. Exactly one of Reset, Team, Class, Place and
 // Value is set.
 type ConfigurationEntry struct {
-	Revision ConfigurationRevision `cbor:"revision" json:"revision"` // that wrote the entry
-	// Reset means that the configuration file of the platform applies. For a team, Lowered
+	Revision ConfigurationRevision `cbor:"revision" json:"revision"` // the one that wrote the entry
+	// Reset means that the settings files apply to the object again. For a team, Lowered
 	// then holds the last revision that lowered its limit.
 	Reset   bool                  `cbor:"reset,omitempty" json:"reset,omitempty"`
 	Lowered ConfigurationRevision `cbor:"lowered,omitempty" json:"lowered,omitempty"`
@@ -101,8 +101,8 @@
 	MaxCPUs float64 `cbor:"cpus_max" json:"cpus_max"`
 	GPUs    float64 `cbor:"gpus" json:"gpus"`
 	MaxGPUs float64 `cbor:"gpus_max" json:"gpus_max"`
-	Closed  bool    `cbor:"closed,omitempty" json:"closed,omitempty"` // new jobs are rejected
-	Removed bool    `cbor:"removed,omitempty" json:"removed,omitempty"`
+	Closed  bool    `cbor:"closed,omitempty" json:"closed,omitempty"`   // new jobs are rejected
+	Removed bool    `cbor:"removed,omitempty" json:"removed,omitempty"` // the team was deleted
 	// Lowered is the last revision that lowered the limit. Tasks that were placed under an
 	// earlier revision must not be started.
 	Lowered ConfigurationRevision `cbor:"lowered,omitempty" json:"lowered,omitempty"`
@@ -114,7 +114,8 @@
 }
 
 // ObjectiveEntry is a service-level objective of a class, with the fields of the platform's
-// file.
+// file: the fraction Share of the class's jobs meets it. WithinS is a time in seconds and Times
+// a multiple of a job's deadline; which of them counts depends on Kind.
 type ObjectiveEntry struct {
 	Kind    string  `cbor:"kind" json:"kind" toml:"kind"`
 	WithinS float64 `cbor:"within_s" json:"within_s" toml:"within_s"`
@@ -144,7 +145,8 @@
 	To    ConfigurationEntry `cbor:"to" json:"to"`
 }
 
-// parseConfigurationEntryKey parses the key of a ConfigurationEntry.
+// parseConfigurationEntryKey returns the ID in the key of a ConfigurationEntry, or false for
+// another key.
 func parseConfigurationEntryKey(key string) (EntryID, bool) {
 	id, ok := strings.CutPrefix(key, configurationEntryPrefix)
 	return EntryID(id), ok
--- a/internal/record/followedkey.go
+++ b/internal/record/followedkey.go
@@ -7,12 +7,12 @@
 )
 
 // FollowedKey is a parsed key under FollowedPrefix, which every controller watches. Exactly
-// one field is set.
+// one field is set: true for a key without a name, else the name or ID in the key.
 type FollowedKey struct {
 	View    bool
 	Node    protocol.NodeName
-	Job     protocol.JobID
-	Machine protocol.MachineID
+	Job     protocol.JobID     // of a live job's record
+	Machine protocol.MachineID // of a single record
 	Block   string
 
 	ShardTable       bool
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -9,6 +9,6 @@
 // The states of job records.
 const (
 	RecordLive      = "live" // accepted and neither done nor cancelled
-	RecordDone      = "done"
+	RecordDone      = "done" // all tasks are finished
 	RecordCancelled = "aborted"
 )
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -22,16 +22,17 @@
 	bitsPrefix    = "bits/"
 )
 
-// NodeKey is the key of a controller's Node.
+// NodeKey is the key of a controller's node record, a Node.
 func NodeKey(n protocol.NodeName) string { return nodePrefix + string(n) }
 
-// LiveKey is the key of an accepted job that is neither done nor cancelled.
+// LiveKey is the key of a live job's record, a protocol.Job, which is deleted when the job is
+// done or cancelled.
 func LiveKey(j protocol.JobID) string { return livePrefix + string(j) }
 
-// JobKey is the key of a JobRecord, which is never deleted.
+// JobKey is the key of the JobRecord of a job, live or not. It is never deleted.
 func JobKey(j protocol.JobID) string { return jobPrefix + string(j) }
 
-// BlockKey is the key of a Block.
+// BlockKey is the key of the Block with a name.
 func BlockKey(name string) string { return blockPrefix + name }
 
 // BlockName returns the name of the block with the given number. Numbers start at 1.
@@ -53,7 +54,7 @@
 // BitmapPrefix is the prefix of the keys of the chunks of a job's bitmap of finished tasks.
 func BitmapPrefix(j protocol.JobID) string { return bitsPrefix + string(j) + "/" }
 
-// BitmapChunkKey is the key of one chunk of a job's bitmap.
+// BitmapChunkKey is the key of the chunk with a number, counted from 0, of a job's bitmap.
 func BitmapChunkKey(j protocol.JobID, chunk int) string {
 	return fmt.Sprintf("%s%d", BitmapPrefix(j), chunk)
 }
--- a/internal/record/reservation.go
+++ b/internal/record/reservation.go
@@ -7,8 +7,8 @@
 	// conditional on the version of this record. So they are serialized: each is decided
 	// on the result of those before it.
 	CalendarKey = "c/calendar"
-	// ReservationHoldsKey is the key of a recent copy of the resources that are held for
-	// reservations. Controllers that restart read it.
+	// ReservationHoldsKey is the key of a recent copy of the list of the resources that are
+	// held for reservations. Controllers that start after all of them have ended read it.
 	ReservationHoldsKey = "c/held"
 	reservationPrefix   = "c/reservation/"
 	windowPrefix        = "c/window/"
@@ -45,7 +45,7 @@
 	Accepted ReservationState = "accepted"
 	// Holding means that resources are held for the reservation.
 	Holding ReservationState = "holding"
-	// Used means that the job of the reservation has started.
+	// Used means that the job of the reservation, or a job that matches it, has started.
 	Used ReservationState = "used"
 	// Expired means that resources were held for HoldS and no job was submitted.
 	Expired ReservationState = "expired"
@@ -69,14 +69,16 @@
 	HoldS   float64 `json:"hold_s"`
 	LengthS float64 `json:"length_s"`
 
+	// Tasks is the number of tasks for which resources are held, and CPUs, GPUs and MemoryGB
+	// are what each of them uses.
 	Tasks    int                    `json:"tasks"`
 	CPUs     float64                `json:"cpus"`
 	GPUs     float64                `json:"gpus,omitempty"`
 	MemoryGB float64                `json:"memory_gb,omitempty"`
-	Types    []protocol.MachineType `json:"types,omitempty"`
-	Zone     protocol.Zone          `json:"zone,omitempty"`
-	OneZone  bool                   `json:"one_zone,omitempty"`
-	Spot     bool                   `json:"spot,omitempty"`
+	Types    []protocol.MachineType `json:"types,omitempty"`    // allowed types; empty: all
+	Zone     protocol.Zone          `json:"zone,omitempty"`     // allowed zone; empty: all
+	OneZone  bool                   `json:"one_zone,omitempty"` // all tasks run in the same zone
+	Spot     bool                   `json:"spot,omitempty"`     // spot machines are allowed too
 	Priority protocol.Priority      `json:"priority"`
 }
 
@@ -85,8 +87,8 @@
 	Spec    ReservationSpec  `json:"spec"`
 	Request string           `json:"request"` // idempotency key of the request that created it
 	By      string           `json:"by"`      // name of the operator's key
-	MadeMS  Moment           `json:"made_ms"`
-	Order   uint64           `json:"order"` // position in the order of acceptance
+	MadeMS  Moment           `json:"made_ms"` // time of the acceptance
+	Order   uint64           `json:"order"`   // position in the order of acceptance
 	State   ReservationState `json:"state"`
 	StartMS Moment           `json:"start_ms"` // of the current occurrence
 	// Risk is the reason why the current occurrence is at risk, and RiskMS the time since
--- a/internal/record/shardtable.go
+++ b/internal/record/shardtable.go
@@ -11,13 +11,13 @@
 // ShardTableKey is the key of the ShardTable.
 const ShardTableKey = "c/shares"
 
-// ShardTable assigns the shards of the machines to controllers. Each zone has the same
-// number of shards. Zones and Slots never change once the table is written.
+// ShardTable is the record that assigns the shards of the machines to controllers. Each zone
+// has the same number of shards. Zones and Slots never change once the table is written.
 type ShardTable struct {
 	// Epoch is the highest epoch that any shard has or had.
 	Epoch protocol.Term
-	Zones []protocol.Zone
-	Slots int // number of shards of each zone
+	Zones []protocol.Zone // in ascending order of their names
+	Slots int             // number of shards of each zone
 	// Away are the controllers that operators have cordoned. They hold no shards.
 	Away []protocol.NodeName
 	// List has Slots assignments for each zone, in the order of Zones.
@@ -26,11 +26,13 @@
 
 // ShardAssignment is the assignment of one shard.
 type ShardAssignment struct {
-	Holder protocol.LeaseID // lease of the controller that holds the shard
+	// Holder is the lease of the controller that holds the shard; 0 before the first one.
+	Holder protocol.LeaseID
 	// Since is the epoch at which the holder took the shard over.
 	Since protocol.Term
 	// Epoch is the fencing token of commands to the machines of the shard. It rises when
-	// the holder changes, and when the unknown outcome of a start has to be settled.
+	// the holder changes, when the unknown outcome of a start has to be settled, and when a
+	// handover of the shard is aborted.
 	Epoch protocol.Term
 }
 
@@ -69,7 +71,8 @@
 
 var errShardColumns = errors.New("shard table: columns of different lengths")
 
-// UnmarshalCBOR decodes a table from a shardTableRecord.
+// UnmarshalCBOR decodes a table from a shardTableRecord. It returns an error if the columns do
+// not have one element for each shard, or refer to a session that is not in Sessions.
 func (s *ShardTable) UnmarshalCBOR(b []byte) error {
 	var r shardTableRecord
 	if err := protocol.Decode(b, &r); err != nil {
--- a/internal/record/view.go
+++ b/internal/record/view.go
@@ -26,8 +26,8 @@
 	LatestLayout = LayoutConfiguration
 )
 
-// View is the membership of a term: the controllers that hold shards or own jobs, each
-// with its lease.
+// View is the record of the membership of a term: the controllers that may hold shards and own
+// jobs, each with its lease.
 type View struct {
 	Term    protocol.Term
 	Members map[protocol.NodeName]protocol.LeaseID
@@ -55,7 +55,7 @@
 // they would treat a machine whose record is in a block as never registered.
 const membersPlaceholder = "who"
 
-// MarshalCBOR encodes the view in the form of its layout.
+// MarshalCBOR encodes the view in the form of its layout: see viewRecord.
 func (v View) MarshalCBOR() ([]byte, error) {
 	r := viewRecord{Term: v.Term, Members: v.Members, Deaf: v.Deaf}
 	if v.Layout >= LayoutBlocks {
@@ -68,7 +68,7 @@
 	return b, nil
 }
 
-// UnmarshalCBOR decodes a view of any layout.
+// UnmarshalCBOR decodes a view of any layout. A view without a layout has LayoutSingle.
 func (v *View) UnmarshalCBOR(b []byte) error {
 	r := struct {
 		viewRecord
@@ -87,7 +87,8 @@
 	return nil
 }
 
-// Node is the record of a running controller, which is attached to its lease.
+// Node is the record of a running controller. It is attached to the controller's lease, so that
+// it is deleted when the lease ends.
 type Node struct {
 	Session protocol.LeaseID `cbor:"session"`          // the controller's lease
 	Layout  Layout           `cbor:"layout,omitempty"` // highest layout that the controller supports
--- a/internal/record/window.go
+++ b/internal/record/window.go
@@ -19,6 +19,6 @@
 	Spec      WindowSpec `json:"spec"`
 	Request   string     `json:"request"` // idempotency key of the request that created it
 	By        string     `json:"by"`      // name of the operator's key
-	MadeMS    Moment     `json:"made_ms"`
+	MadeMS    Moment     `json:"made_ms"` // time of the acceptance
 	Cancelled bool       `json:"cancelled,omitempty"`
 }
