--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -16,10 +16,11 @@
 )
 
 const (
+	// callTimeout is how long the store may take to answer a request other than a watch.
 	callTimeout = 1500 * time.Millisecond
 	// watchGrace is how long after its hold time the store may take to answer a watch.
 	watchGrace = 3 * time.Second
-	// watchFraction is the fraction of the allotment of requests that watches may use.
+	// watchFraction is the fraction of the equal allotment of requests that watches may use.
 	watchFraction = 1.0 / 4
 	// pageSize is the number of keys in a page of a list.
 	pageSize = 500
@@ -29,14 +30,14 @@
 // allotment.
 type Client struct {
 	calls        *transport.Client // connections for all requests but watches
-	watches      *transport.Client
+	watches      *transport.Client // connections for watches
 	budget       *rateBudget
 	watchLimiter *rate.Limiter // rate at which watches are opened
 }
 
-// NewClient returns a client of the store at addr. The rates are those of all count
-// controllers together. The client limits itself to an equal part of them until
-// SetAllotment is called.
+// NewClient returns a client of the store at addr. rps and writeRPS are the requests and the
+// writes a second that the store grants to all count controllers together. The client limits
+// itself to an equal part of them until SetAllotment is called.
 func NewClient(addr string, rps, writeRPS float64, count int) *Client {
 	allotment := EqualAllotment(rps, writeRPS, count)
 	return &Client{
@@ -53,11 +54,12 @@
 	c.budget.set(own, all, until)
 }
 
-// TakeDemandedRate returns the number of requests and writes that were demanded since the last
-// call, within the allotment or not, and resets the count.
+// TakeDemandedRate returns the numbers of requests and writes that callers have demanded since
+// the last call, whether they were sent or refused, and resets the counts.
 func (c *Client) TakeDemandedRate() RateAllotment { return c.budget.takeDemanded() }
 
-// do sends one request and decodes its response into out.
+// do sends one request with in as its body and decodes its response into out; either may be nil.
+// The errors are those of serviceclient.Call. It does not use the budget.
 func (c *Client) do(ctx context.Context, method, target string, in, out any) error {
 	if err := serviceclient.Call(ctx, c.calls, callTimeout, method, target, in, out); err != nil {
 		return fmt.Errorf("key-value store: %w", err)
@@ -65,7 +67,8 @@
 	return nil
 }
 
-// Get reads a key.
+// Get reads a key. It returns serviceclient.ErrNotFound if the key does not exist, and
+// serviceclient.ErrRefused without sending a request if the budget is exhausted.
 func (c *Client) Get(ctx context.Context, key string) (protocol.Item, error) {
 	var item protocol.Item
 	if !c.budget.allow(0, PriorityHigh) {
@@ -75,8 +78,9 @@
 	return item, err
 }
 
-// List reads all keys with a prefix, page by page. It returns the revision of the first
-// page: a watch from that revision misses no change.
+// List reads all keys with a prefix, page by page, and waits for the budget before each page. It
+// returns the revision of the first page: a watch from that revision misses no change. The
+// pages are read at different times, so the items are not a snapshot of one revision.
 func (c *Client) List(ctx context.Context, prefix string) ([]protocol.Item, protocol.Revision, error) {
 	var items []protocol.Item
 	var revision protocol.Revision
@@ -113,7 +117,9 @@
 	return page, err
 }
 
-// CompareAndSwap executes a transaction and returns its revision.
+// CompareAndSwap executes a transaction and returns its revision. It returns
+// serviceclient.ErrConflict if a condition does not hold, and serviceclient.ErrRefused without
+// sending a request if the budget, or the part of it for transactions of priority p, is exhausted.
 func (c *Client) CompareAndSwap(ctx context.Context, t protocol.Transaction, p Priority) (protocol.Revision, error) {
 	if !c.budget.allow(len(t.Changes), p) {
 		return 0, serviceclient.ErrRefused
@@ -131,7 +137,8 @@
 }
 
 // Compare checks the versions of records in one request. If some differ from the expected
-// ones, it returns their keys and serviceclient.ErrConflict.
+// ones, it returns their keys and serviceclient.ErrConflict. It returns
+// serviceclient.ErrRefused without sending a request if the budget is exhausted.
 func (c *Client) Compare(ctx context.Context, conditions []protocol.Condition) ([]string, error) {
 	if !c.budget.allow(0, PriorityHigh) {
 		return nil, serviceclient.ErrRefused
@@ -144,9 +151,12 @@
 	return reply.Failed, err
 }
 
-// Watch waits up to hold for changes of keys with a prefix after a revision. Each change
-// ends the watch, and the next watch is a further request: many changes in a row would use
-// up the rate that leases need. So watches are opened at a limited rate, and a watch
+// Watch waits up to hold for changes of keys with a prefix after a revision, and returns them in
+// order with the revision from which to watch next. It returns serviceclient.ErrCompacted if
+// the store no longer has the changes after the revision.
+//
+// Each change ends the watch, and the next watch is a further request: many changes in a row
+// would use up the rate that leases need. So watches are opened at a limited rate, and a watch
 // returns several changes at once.
 func (c *Client) Watch(ctx context.Context, prefix string, after protocol.Revision, hold time.Duration) (protocol.Events, error) {
 	var events protocol.Events
--- a/internal/kvstore/ratebudget.go
+++ b/internal/kvstore/ratebudget.go
@@ -12,7 +12,8 @@
 const leaseReserve = 0.1
 
 // RateAllotment is a controller's part of the store's rates: requests of all kinds, and
-// writes, per second. A write is one put or delete of a transaction.
+// writes, per second. A write is one put or delete of a transaction. As a result of
+// TakeDemandedRate it holds numbers of requests and writes.
 type RateAllotment struct{ Requests, Writes float64 }
 
 // EqualAllotment returns the allotment of each of count controllers while no controller has
@@ -36,11 +37,12 @@
 // those of higher priorities, for each step of its priority below PriorityHigh.
 const reservedPerPriority = 1.0 / 4
 
-// rateBudget limits requests to an allotment, a part of which may be borrowed until a time.
+// rateBudget limits requests and writes to an allotment, a part of which may be borrowed until a
+// time, and counts the demand.
 type rateBudget struct {
 	mu            sync.Mutex
-	requests      *rate.Limiter
-	writes        *rate.Limiter
+	requests      *rate.Limiter // of requests of all kinds
+	writes        *rate.Limiter // of puts and deletes
 	own           RateAllotment // applies again when borrowedUntil has passed
 	borrowedUntil time.Time     // zero if nothing is borrowed
 	demanded      RateAllotment // requests and writes since the last takeDemanded
@@ -54,10 +56,12 @@
 	}
 }
 
-// burst returns how much of a rate may be used at once: the amount of one second.
+// burst returns how many requests or writes may be sent at once at a rate: those of one second,
+// but at least one.
 func burst(perSecond float64) int { return max(1, int(perSecond)) }
 
-// set applies all until the given time, and own from then on.
+// set makes all the allotment until the given time, and own from then on. If the time has passed,
+// own applies at once.
 func (b *rateBudget) set(own, all RateAllotment, until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,8 +93,9 @@
 	return demanded
 }
 
-// allow takes a request with a number of writes out of the budget, and reports whether the
-// request may be sent.
+// allow takes a request with a number of writes out of the budget and adds it to the demand. It
+// reports whether the request may be sent: the budgets of requests and of writes suffice, and
+// mustDefer does not reserve the rest of the writes for higher priorities.
 func (b *rateBudget) allow(writes int, p Priority) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,8 +104,8 @@
 	return !b.mustDefer(now, writes, p) && b.requests.AllowN(now, 1) && b.writes.AllowN(now, writes)
 }
 
-// takeUnconditionally takes a request without writes out of the budget. The request may be
-// sent even if the budget is exhausted; other requests have to wait instead.
+// takeUnconditionally takes a request without writes out of the budget and adds it to the demand.
+// The request may be sent even if the budget is exhausted; other requests have to wait instead.
 func (b *rateBudget) takeUnconditionally() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -137,8 +142,9 @@
 }
 
 // mustDefer reports whether a transaction has to leave the remaining budget of writes to
-// transactions of a higher priority. While the full burst is available, no transaction has
-// to.
+// transactions of a higher priority: it would leave less of the burst than
+// reservedPerPriority for each step of its priority below PriorityHigh. While the full burst is
+// available, no transaction has to.
 func (b *rateBudget) mustDefer(now time.Time, writes int, p Priority) bool {
 	available, full := b.writes.TokensAt(now), float64(b.writes.Burst())
 	reserved := full * float64(p) * reservedPerPriority
