--- a/internal/controller/autoscaler/autoscaler.go
+++ b/internal/controller/autoscaler/autoscaler.go
@@ -20,9 +20,10 @@
 
 // These intervals follow from the boot time of machines and the lag of the cloud's list.
 const (
-	// PlanInterval is the interval between two plans.
+	// PlanInterval is the minimum time between two regular plans of an autoscaler.
 	PlanInterval = 2 * time.Second
-	// SettleTime is how long a view has to be in force before its autoscaler makes plans.
+	// SettleTime is how long after this controller adopted a view it makes no plans as the
+	// view's autoscaler.
 	SettleTime = 4 * time.Second
 	// listInterval is the interval between two requests for the cloud's list of machines.
 	listInterval = 5 * time.Second
@@ -35,7 +36,9 @@
 	listedFailed  = "failed"
 )
 
-// Autoscaler is the state of the controller that provisions and terminates machines.
+// Autoscaler provisions and terminates machines while this controller is the autoscaler of
+// the view. It holds the cloud's last list of machines, the requests without an answer, the
+// booting machines and the kinds that can't be requested now.
 type Autoscaler struct {
 	clusterstate.Module
 	table        *waittable.Table
@@ -92,11 +95,13 @@
 	}
 }
 
-// RecordViewAdoption records when the current view was adopted: the autoscaler of a view makes
-// its first plan SettleTime later.
+// RecordViewAdoption records that a view was adopted now. If this controller is its
+// autoscaler, it makes its first plan SettleTime later.
 func (a *Autoscaler) RecordViewAdoption(now clock.Time) { a.viewAdoptedAt = now }
 
-// Step scales the cluster out and in if this controller is the autoscaler.
+// Step does the due work of the autoscaler, and nothing on any other controller: it requests
+// the cloud's list of machines, repeats requests without an answer and, every PlanInterval,
+// chooses holds for reservations and scales the cluster out and in.
 func (a *Autoscaler) Step() {
 	if !a.isElected() {
 		return
@@ -113,14 +118,14 @@
 	a.scaleIn()
 }
 
-// isElected reports whether this controller is the autoscaler of the view, holds its lease
-// and has the catalogue of machine types.
+// isElected reports whether this controller is the autoscaler of the view, holds its own
+// lease as a controller, and has received the catalogue of machine types.
 func (a *Autoscaler) isElected() bool {
 	return a.HoldsLease() && len(a.Types) > 0 && clusterstate.Rendezvous(a.View, rendezvousKey) == a.Self
 }
 
 // mayPlan reports whether this controller is the autoscaler and may make plans: it has
-// received a list of machines, and the view has been in force for SettleTime.
+// received a list of machines in this session, and adopted the view at least SettleTime ago.
 func (a *Autoscaler) mayPlan() bool {
 	return a.isElected() && a.ListReceived && a.Since(a.viewAdoptedAt) >= SettleTime
 }
@@ -135,11 +140,13 @@
 	a.Emit(message.ListMachines{})
 }
 
-// terminatedRetention is how long after its termination a machine is remembered at least.
-// It is remembered for as long as the cloud lists it.
+// terminatedRetention is the minimum time for which a machine is remembered as terminated. It
+// is remembered longer if the cloud still lists it.
 const terminatedRetention = 5 * time.Minute
 
-// HandleMachinesListed handles the result of a request for the cloud's list of machines.
+// HandleMachinesListed adopts the cloud's list of machines in place of the previous one, and
+// forgets the terminated machines that are no longer listed after terminatedRetention. If the
+// request failed, the previous list is kept.
 func (a *Autoscaler) HandleMachinesListed(m message.MachinesListed) {
 	a.listRequestInFlight = false
 	a.listRequestEndedAt = a.Now
--- a/internal/controller/autoscaler/booting.go
+++ b/internal/controller/autoscaler/booting.go
@@ -10,8 +10,8 @@
 )
 
 // maxOverdueBoots is the number of overdue machines of a kind from which on only one machine
-// of the kind is requested at a time. Fewer are no sign of a fault: a small share of
-// machines never boots.
+// of the kind is requested at a time, if none has registered for the boot timeout. Fewer are
+// no sign of a fault: a small share of machines never boots.
 const maxOverdueBoots = 3
 
 // Constant parts of the times after which a booting machine counts as overdue
@@ -31,15 +31,16 @@
 // bootHistory describes the recent boots of machines of a kind.
 type bootHistory struct {
 	lastRegisteredAt clock.Time // when a machine of the kind last registered
-	// canaryOnly is set while too many machines are overdue and none has registered for
+	// canaryOnly is set when maxOverdueBoots machines are overdue and none has registered for
 	// the boot timeout. Until one registers, only one is requested at a time, and plans
 	// don't count on booting machines of the kind.
 	canaryOnly bool
 }
 
 // updateBooting adds the machines that the cloud lists as booting, and drops those that
-// have registered, have exceeded their boot deadline or were terminated. It restricts kinds
-// with too many overdue machines to one machine at a time.
+// have registered, have exceeded their boot deadline or were terminated. It restricts a kind
+// to one machine at a time if maxOverdueBoots of its machines are overdue and none has
+// registered for the boot timeout.
 func (a *Autoscaler) updateBooting() {
 	a.addListedBooting()
 	overdue := map[binpack.Kind]int{}
@@ -63,7 +64,9 @@
 	}
 }
 
-// addListedBooting adds the booting machines that an earlier autoscaler provisioned.
+// addListedBooting adds the machines that the cloud lists as booting and that are neither
+// registered, terminated nor among the booting ones already: an earlier autoscaler
+// provisioned them. Their time of provisioning follows from the age in the list.
 func (a *Autoscaler) addListedBooting() {
 	for id, listed := range a.listed {
 		_, known := a.booting[id]
@@ -88,7 +91,7 @@
 }
 
 // canaryOnly reports whether only one machine of a kind may be requested at a time, since
-// the recent ones did not register.
+// several recent ones did not register in time (bootHistory.canaryOnly).
 func (a *Autoscaler) canaryOnly(kind binpack.Kind) bool {
 	history := a.bootHistories[kind]
 	return history != nil && history.canaryOnly
@@ -113,14 +116,14 @@
 	return false
 }
 
-// bootTimeout is how long after it was provisioned a machine of a type counts as overdue if
-// it has not registered.
+// bootTimeout returns the time after its provisioning from which on an unregistered machine
+// of a type counts as overdue: twice the type's boot time plus bootTimeoutSlack.
 func (a *Autoscaler) bootTimeout(t protocol.MachineType) time.Duration {
 	return config.Seconds(2*a.Types[t].BootS) + bootTimeoutSlack
 }
 
-// bootDeadline is how long after it was provisioned a machine of a type counts as failed if
-// it has not registered.
+// bootDeadline returns the time after its provisioning from which on an unregistered machine
+// of a type counts as failed: four times the type's boot time plus bootDeadlineSlack.
 func (a *Autoscaler) bootDeadline(t protocol.MachineType) time.Duration {
 	return time.Duration(4*a.Types[t].BootS*float64(time.Second)) + bootDeadlineSlack
 }
--- a/internal/controller/autoscaler/doc.go
+++ b/internal/controller/autoscaler/doc.go
@@ -17,4 +17,22 @@
 // The package must not place tasks or change the queues of dispatchers. The only records
 // that it writes are those of reservations; the only ones that it deletes are those of
 // terminated machines.
+//
+// Terms:
+//   - view: the record that lists the controllers that take part, with a term that counts
+//     its versions; a session is one membership of a controller in it.
+//   - kind: a machine type in a zone, spot or on-demand ([binpack.Kind]).
+//   - booting machine: provisioned, but its worker has not registered yet; it is overdue
+//     after its boot timeout and counts as failed after its boot deadline.
+//   - canary: the only machine of a kind that is requested at a time after several machines
+//     of the kind were overdue. Its registration ends the restriction.
+//   - state of a machine: what its dispatcher, the controller that queues and starts the
+//     attempts on it, last published about it; kept in the wait table.
+//   - demand: the unstarted tasks of one job, or of one reserved occurrence.
+//   - hold: the resources of one machine that are kept for a reservation.
+//   - start objective: an objective for the time until the jobs of a class start.
+//   - headroom: processors beyond those that present and expected work needs; idle machines
+//     are drained only within it.
+//   - drain: no more attempts are started on a machine, which is then terminated.
+//   - window: a maintenance window, during which the machines it covers start no new tasks.
 package autoscaler
--- a/internal/controller/autoscaler/offers.go
+++ b/internal/controller/autoscaler/offers.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// provisionableTypes returns the machine types with only those zones in which the
-// configuration allows machines of the type to be provisioned.
+// provisionableTypes returns the machine types, each with only those of its zones in which
+// neither the zone nor the type is cordoned by the configuration.
 func (a *Autoscaler) provisionableTypes() map[protocol.MachineType]protocol.TypeInfo {
 	if !a.Configuration.Effective().AnyPlaceCordoned() {
 		return a.Types
@@ -30,19 +30,22 @@
 	return provisionable
 }
 
-// pricePerCPU is the price of a machine of a kind per processor and hour.
+// pricePerCPU returns the price of a machine of a kind per processor and hour.
 func (a *Autoscaler) pricePerCPU(kind binpack.Kind) float64 {
 	return binpack.PricePerCPU(a.Types[kind.Type], kind.Spot)
 }
 
-// offer is a kind of machine that may be provisioned for a job, with its price per task.
+// offer is a kind of machine that may be provisioned for a job, with its price per hour
+// divided by the number of the job's tasks that fit on it. The price of a spot machine is
+// raised by the expected slowdown of the job.
 type offer struct {
 	binpack.Kind
 	pricePerTask float64
 }
 
-// offers lists the kinds of machines that may be provisioned for a job, the cheapest per
-// task first.
+// offers lists the kinds of machines that may be provisioned for a job now, the cheapest per
+// task first: the job allows the kind and fits on it, spot machines would not slow the job
+// down too much, and the kind is available.
 func (a *Autoscaler) offers(j *clusterstate.LiveJob) []binpack.Kind {
 	var offers []offer
 	spotSlowdown, avoidsSpot := a.workload.SpotSlowdown(&j.Job)*float64(j.Tasks), a.workload.AvoidsSpot(&j.Job)
--- a/internal/controller/autoscaler/provision.go
+++ b/internal/controller/autoscaler/provision.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// provisionRetryAfter is the time after which a request without an answer is
-	// repeated, and maxProvisionTries the number of repetitions before it is dropped.
+	// provisionRetryAfter is the minimum time after which a request whose outcome is
+	// unknown is repeated, and maxProvisionTries the number of repetitions before it is
+	// dropped.
 	provisionRetryAfter = 2 * time.Second
 	maxProvisionTries   = 5
 	// minRefusalPause and maxRefusalPause bound the backoff after which a kind that the
@@ -27,17 +28,17 @@
 // refusal is the exponential backoff of a kind of which the cloud had too few machines for a
 // request.
 type refusal struct {
-	until clock.Time
-	pause time.Duration
+	until clock.Time    // when the kind may be requested again
+	pause time.Duration // length of this backoff
 }
 
-// provisionCall is a request to provision machines that has no final answer yet.
+// provisionCall is a request to provision machines whose outcome is not known yet.
 type provisionCall struct {
 	request     protocol.ProvisionRequest
 	sentAt      clock.Time       // when it was last sent
 	reservation reservation.Name // the reservation that the machines are for, if any
-	tries       int
-	inFlight    bool
+	tries       int              // how often it was sent
+	inFlight    bool             // the last sending has not ended yet
 }
 
 // kind returns the kind of the requested machines.
@@ -45,9 +46,10 @@
 	return binpack.Kind{Type: c.request.Type, Zone: c.request.Zone, Spot: c.request.Spot}
 }
 
-// retryProvisionCalls repeats the requests that have no answer. Their machines may have been
-// provisioned, and only a request of the same name can find that out without provisioning
-// more.
+// retryProvisionCalls repeats each request whose last sending ended with an unknown outcome
+// and began at least provisionRetryAfter ago, and drops it after maxProvisionTries
+// repetitions. Its machines may have been provisioned, and only a request of the same name
+// can find that out without provisioning more.
 func (a *Autoscaler) retryProvisionCalls() {
 	for name, call := range ordered.ByKey(a.provisionCalls) {
 		switch {
@@ -60,7 +62,7 @@
 	}
 }
 
-// provision sends a request or repeats it.
+// provision sends a request to the cloud, for the first time or again, and counts the try.
 func (a *Autoscaler) provision(call *provisionCall) {
 	call.inFlight, call.sentAt = true, a.Now
 	call.tries++
@@ -69,8 +71,9 @@
 	a.Emit(message.Provision{Request: r})
 }
 
-// sendPlannedRequests sends the plan's requests to the cloud. The requests without an answer
-// are limited to as many as the cloud accepts in a second; the next plan requests the rest.
+// sendPlannedRequests sends the plan's requests to the cloud, for one machine only if the kind
+// is restricted to canaries. The requests without an answer are limited to as many as the
+// cloud accepts in a second, but at least one; the next plan requests the rest.
 func (a *Autoscaler) sendPlannedRequests(plan *binpack.Plan) {
 	for _, order := range plan.Orders() {
 		if float64(len(a.provisionCalls)) >= math.Max(1, a.Settings.Site.Cloud.RPS) {
@@ -90,9 +93,10 @@
 	}
 }
 
-// HandleProvisionDone handles the answer to a request to provision machines. A request with an
-// unknown outcome is repeated later under the same name. A kind of which the cloud has
-// fewer machines than requested is not requested until an exponential backoff has passed.
+// HandleProvisionDone adds the machines that a request has provisioned to the booting ones,
+// chooses holds on them and plans again. A request with an unknown outcome is repeated later
+// under the same name. A kind whose request failed or was refused, or of which the cloud has
+// fewer machines than requested, is not requested until an exponential backoff has passed.
 func (a *Autoscaler) HandleProvisionDone(m message.ProvisionDone) {
 	call := a.provisionCalls[m.Request.Name]
 	if call == nil {
@@ -124,8 +128,8 @@
 	}
 }
 
-// backOff excludes a kind from requests for twice as long as the last time, between
-// minRefusalPause and maxRefusalPause.
+// backOff excludes a kind from requests for twice as long as its last backoff, but at least
+// minRefusalPause, which is also the first one after a success, and at most maxRefusalPause.
 func (a *Autoscaler) backOff(kind binpack.Kind) {
 	pause := min(max(2*a.refusals[kind].pause, minRefusalPause), maxRefusalPause)
 	a.refusals[kind] = refusal{until: a.After(pause), pause: pause}
--- a/internal/controller/autoscaler/reservationdemand.go
+++ b/internal/controller/autoscaler/reservationdemand.go
@@ -16,15 +16,17 @@
 )
 
 const (
-	// holdLookahead is how long before an occurrence resources are held for it on running
-	// machines. Tasks that don't end before the occurrence then start on other machines.
+	// holdLookahead is how long before the start of an occurrence resources are first held
+	// for it on machines. Tasks that don't end before the occurrence then start on other
+	// machines.
 	holdLookahead = 2 * time.Hour
-	// expectedOverrun is how much longer an attempt is expected to run after its expected
-	// end has passed.
+	// expectedOverrun is how much longer from now an attempt is expected to run whose
+	// expected end has passed.
 	expectedOverrun = time.Minute
 )
 
-// jobFromSpec returns the job that a reservation describes, for on-demand machines.
+// jobFromSpec returns a job array with the tasks that a reservation describes. It may not use
+// spot machines: those provisioned for a reservation are on-demand.
 func jobFromSpec(s *record.ReservationSpec) *clusterstate.LiveJob {
 	return &clusterstate.LiveJob{Job: protocol.Job{
 		Class: s.Class, Team: s.Team, Kind: protocol.KindJobArray, Priority: s.Priority, Tasks: uint32(s.Tasks),
@@ -33,7 +35,9 @@
 }
 
 // reservationDemands lists the occurrences for which resources have to be held now, with the
-// number of their tasks that have not started.
+// number of their tasks that have not started: the current occurrences of accepted or holding
+// reservations that are in progress or begin within holdLookahead. Occurrences all of whose
+// tasks have started are left out.
 func (p *ReservationPlanner) reservationDemands() []reservation.Demand {
 	now := p.WallTime()
 	var demands []reservation.Demand
@@ -75,9 +79,11 @@
 	return machines
 }
 
-// isReservable reports whether resources can be held on a registered machine. The machine's
-// state has to be recent unless there are holds on it already: otherwise the machines of an
-// unreachable controller would lose their holds, and other work would fill them.
+// isReservable reports whether resources can be held on a registered machine: it is neither
+// closed, draining nor quarantined, and its published state belongs to its present agent
+// epoch (the version of its record). The state has to be at most three replication intervals
+// old unless there are holds on the machine already: otherwise the machines of an unreachable
+// controller would lose their holds, and other work would fill them.
 func (p *ReservationPlanner) isReservable(m *waittable.Machine) bool {
 	if !m.Open() || m.State.Epoch != m.Epoch {
 		return false
@@ -85,8 +91,9 @@
 	return p.table.IsStateRecent(m, 3*p.Operator.ReplicationInterval) || len(p.reservations.Holds[m.ID]) > 0
 }
 
-// expectedRuns returns the attempts on a machine with their expected end times. End times in
-// the past are moved to the future by expectedOverrun.
+// expectedRuns returns the attempts on a machine with their expected end times. An attempt
+// whose start is not confirmed ends no later than was expected when a hold for other work was
+// chosen on the machine. End times in the past are replaced by expectedOverrun from now.
 func (p *ReservationPlanner) expectedRuns(m *waittable.Machine, now reservation.Moment) []reservation.Run {
 	runs := slices.Clone(m.State.Runs)
 	for i := range runs {
@@ -103,8 +110,10 @@
 	return runs
 }
 
-// provisionForReservations plans machines, one boot time ahead, for the reserved tasks for
-// which no resources could be held.
+// provisionForReservations plans machines for the reserved tasks that have no reliable
+// resources held for them and that the machines already requested for the reservation don't
+// cover. It does so from the occurrence's ClearBy on, the reservation's lead time before the
+// start.
 func (p *ReservationPlanner) provisionForReservations(plan *binpack.Plan) {
 	now := p.WallTime()
 	for _, d := range p.demands {
@@ -121,8 +130,8 @@
 	}
 }
 
-// requestedTasks returns how many tasks of a reservation fit on the machines that have been
-// requested for it.
+// requestedTasks returns how many tasks of a reservation fit on the machines in those requests
+// for it whose outcome is not known yet.
 func (p *ReservationPlanner) requestedTasks(spec *record.ReservationSpec) (tasks int) {
 	for _, call := range p.autoscaler.provisionCalls {
 		if call.reservation == spec.Name {
--- a/internal/controller/autoscaler/reservationplanner.go
+++ b/internal/controller/autoscaler/reservationplanner.go
@@ -18,17 +18,18 @@
 	// retainBeforeHold is how long before a hold begins its machine is kept although it is
 	// idle: the cloud may have no other machine when the hold begins.
 	retainBeforeHold = 10 * time.Minute
-	// maxListAge is the maximum age of the cloud's last list of machines. If no newer one
-	// is received, reservations that need more machines are at risk.
+	// maxListAge is the maximum age of the cloud's last list of machines. If it is older, a
+	// reservation that needs more machines and has to be clear soon is reported at risk.
 	maxListAge = 30 * time.Second
-	// sweepInterval is the interval between checks of all reservations for missed
-	// state transitions.
+	// sweepInterval is the minimum time between checks of all started reservations for
+	// missed state transitions.
 	sweepInterval = time.Minute
 )
 
 // ReservationPlanner runs on the controller that is the autoscaler. It chooses the machines
-// on which resources are held for reservations, provisions missing machines one boot time
-// ahead, and advances the reservations through their states. All controllers receive the
+// on which resources are held for reservations, plans missing machines a lead time ahead (the
+// time to boot one and then a replacement), and advances the reservations through their
+// states. All controllers receive the
 // chosen holds, and place and start tasks according to them. The holds are chosen anew with
 // each plan, so none of this state outlives a session.
 type ReservationPlanner struct {
@@ -51,8 +52,9 @@
 // ReservationTag identifies a transaction that advances a reservation.
 type ReservationTag struct{ name reservation.Name }
 
-// WriteCompleted handles the end of a transaction on a reservation, whatever its outcome: the
-// next plan repeats a transaction that failed.
+// WriteCompleted records that a transaction on a reservation has ended, whatever its outcome,
+// so that the reservation may be written again: the next plan repeats a transaction that
+// failed.
 func (p *ReservationPlanner) WriteCompleted(tag ReservationTag) { delete(p.pendingWrites, tag.name) }
 
 // Reset drops the state of the previous session.
@@ -63,9 +65,11 @@
 	p.sweptAt = 0
 }
 
-// planReservations chooses the holds, updates the risks and writes changed reservation
-// states. In a session that has received no list of holds it first waits until most machines
-// have been inventoried or the view has been in force for HoldsSettleTime.
+// planReservations chooses the holds, has the list of holds recorded, updates the risks and
+// writes changed reservation states. It does nothing if this controller may not make plans, or
+// if there are neither calendar entries nor holds. In a session that has received no list of
+// holds it first waits until most machines have been inventoried or the view has been adopted
+// for HoldsSettleTime.
 func (p *ReservationPlanner) planReservations() {
 	reservations := p.reservations
 	if !reservations.HasEntries && len(reservations.List) == 0 || !p.autoscaler.mayPlan() {
@@ -82,7 +86,10 @@
 	p.advanceReservations()
 }
 
-// chooseHolds chooses the machines on which resources are held for reservations.
+// chooseHolds determines the occurrences that need resources, chooses the machines on which
+// these are held, and adopts the chosen holds as this controller's list. A machine is usable
+// for an occurrence if it is up by the start, or within a minute if that is later, and in no
+// window during the occurrence.
 func (p *ReservationPlanner) chooseHolds() {
 	now := p.WallTime()
 	p.demands = p.reservationDemands()
@@ -97,8 +104,9 @@
 	reservations.AdoptChosenList(plan.Holds)
 }
 
-// mostMachinesInventoried reports whether at least nine of ten machines have a recent state
-// that includes all attempts on the machine.
+// mostMachinesInventoried reports whether at least nine of ten registered machines have a
+// state that includes all attempts on the machine and is at most three replication intervals
+// old.
 func (p *ReservationPlanner) mostMachinesInventoried() bool {
 	inventoried := 0
 	for _, m := range p.table.Machines {
@@ -110,7 +118,8 @@
 }
 
 // mustRetain reports whether a machine must not be drained although it is idle: a hold on it
-// is in force or begins soon, or an open maintenance window covers it.
+// has to be clear within retainBeforeHold and has not ended, or an open maintenance window
+// covers it.
 func (p *ReservationPlanner) mustRetain(m *waittable.Machine) bool {
 	now := p.WallTime()
 	for _, h := range p.reservations.Holds[m.ID] {
@@ -121,14 +130,17 @@
 	return len(p.reservations.Windows) > 0 && p.InWindow(m.ID, m.Record.Type, m.Record.Zone, now, now)
 }
 
-// Risk returns why a reservation's current occurrence may not be kept, and whether there is
-// such a risk.
+// Risk returns the reason, as operators read it, why a reservation's current occurrence may
+// lack resources for some of its tasks, and whether there is such a risk.
 func (p *ReservationPlanner) Risk(name reservation.Name) (risk string, ok bool) {
 	risk, ok = p.risks[name]
 	return risk, ok
 }
 
-// updateRisks determines why current occurrences may not be kept.
+// updateRisks determines which occurrences of the last plan may not be kept, and why: tasks
+// lack reliable resources, ClearBy is less than retainBeforeHold away and the cloud's list is
+// older than maxListAge; or ClearBy has passed and tasks are unlikely to get resources in
+// time.
 func (p *ReservationPlanner) updateRisks() {
 	now := p.WallTime()
 	clear(p.risks)
@@ -145,8 +157,9 @@
 	}
 }
 
-// advanceReservations advances the reservations that are due and, every sweepInterval, all
-// that have started.
+// advanceReservations writes the next state of the reservations whose current occurrence is in
+// progress or begins within holdLookahead and, every sweepInterval, of all whose occurrence
+// has started.
 func (p *ReservationPlanner) advanceReservations() {
 	now := p.WallTime()
 	calendar := p.reservations.Calendar
@@ -165,7 +178,8 @@
 }
 
 // advanceReservation writes a reservation's next state if it differs, in one transaction
-// that is conditional on the reservation's record and on the view.
+// that is conditional on the reservation's record and on the view. It does nothing for a
+// cancelled reservation or while an earlier transaction on the reservation has not ended.
 func (p *ReservationPlanner) advanceReservation(e *reservation.Entry, now reservation.Moment) {
 	name := e.Name()
 	if p.pendingWrites[name] || e.State == record.Cancelled {
@@ -187,8 +201,8 @@
 	}})
 }
 
-// RecordBootTime records the boot time of a machine that registers for the first time, if
-// it is among the autoscaler's booting machines.
+// RecordBootTime adds the boot time of a machine that registers for the first time to the
+// sample of boot times, if it is among the autoscaler's booting machines.
 func (p *ReservationPlanner) RecordBootTime(id protocol.MachineID, rec record.Machine) {
 	if m, isBooting := p.autoscaler.booting[id]; isBooting && rec.Session == 1 {
 		p.reservations.Boots.Note(p.Since(m.provisionedAt), p.Types[m.Type].BootS)
--- a/internal/controller/autoscaler/scalein.go
+++ b/internal/controller/autoscaler/scalein.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// shortIdleTimeout is the idle timeout while arrivals can be forecast. It is longer
-	// than the gap between two tasks on a machine that is in use.
+	// shortIdleTimeout is the maximum idle timeout while arrivals can be forecast. It is
+	// longer than the gap between two tasks on a machine that is in use.
 	shortIdleTimeout = 2 * PlanInterval
 	// maxStateAge is the maximum age of a machine's state on which a decision to scale in
 	// may be based.
@@ -37,8 +37,11 @@
 	a.terminate(ids)
 }
 
-// scaleInRegistered returns the registered machines to terminate, and drains idle machines
-// that the headroom covers, the most expensive first.
+// scaleInRegistered returns the registered machines to terminate: silent ones that were
+// probably preempted, and empty ones that are draining or quarantined. It asks the dispatchers
+// to drain idle machines, the most expensive first, as long as the headroom covers their
+// processors, the resources reserved for classes with a start objective allow it and nothing
+// requires the machine to be retained. Machines without a recent state are left alone.
 func (a *Autoscaler) scaleInRegistered() (ids []protocol.MachineID) {
 	claims, headroom := a.placer.NewClaims(), a.headroomProcessors()
 	for _, m := range a.mostExpensiveFirst() {
@@ -74,8 +77,9 @@
 	return ids
 }
 
-// isEmpty reports whether a machine certainly has no running, queued or announced attempts.
-// A machine may have some if its dispatcher has received no heartbeat from it.
+// isEmpty reports whether a machine certainly has no running or queued attempts and no
+// placements that its dispatcher has not confirmed. A machine may have some if its dispatcher
+// has received no heartbeat from it.
 func isEmpty(m *waittable.Machine) bool {
 	return m.State.Heard && m.State.Held == 0 && m.PendingSum == 0
 }
@@ -91,8 +95,8 @@
 }
 
 // seemsPreempted reports whether the cloud has probably preempted a machine whose worker is
-// silent: the cloud announced the preemption, or has listed the machine as running and no
-// longer lists it.
+// silent for so long that nothing is placed on its machine (message.SilenceLong): the cloud
+// announced the preemption, or has listed the machine as running and no longer lists it.
 func (a *Autoscaler) seemsPreempted(m *waittable.Machine) bool {
 	if m.State.Silence != message.SilenceLong {
 		return false
@@ -101,13 +105,14 @@
 	return m.State.Noticed || a.seenRunning[m.ID] && !isListed
 }
 
-// mayDrain reports whether an empty machine has been idle for long enough and the headroom
-// covers its processors.
+// mayDrain reports whether an empty machine has been idle for longer than its idle timeout and
+// the headroom, in processors, covers its processors.
 func (a *Autoscaler) mayDrain(m *waittable.Machine, headroom float64) bool {
 	return a.idleSeconds(m) > a.idleTimeout(m.Info, headroom) && headroom >= m.Info.CPUs
 }
 
-// idleSeconds returns how long a machine has been idle, in seconds.
+// idleSeconds returns for how many seconds a machine has had no attempts: the time in its last
+// published state plus the time since that state was received.
 func (a *Autoscaler) idleSeconds(m *waittable.Machine) float64 {
 	return m.State.IdleS + a.Since(m.StateReceivedAt).Seconds()
 }
@@ -126,11 +131,11 @@
 	return timeout
 }
 
-// headroomProcessors returns the number of processors on usable machines beyond those that
-// are needed by unstarted tasks, by the work that is likely to arrive, in classes without a
-// start objective, while a machine boots, and by running or queued work of a higher priority
-// than these classes. The headroom is infinite if there are no unstarted tasks and no such
-// work is expected.
+// headroomProcessors returns the number of processors, on machines on which tasks may be
+// placed, beyond those that are needed by unstarted tasks, by the work that is likely to
+// arrive, in classes without a start objective, while a machine boots, and by running or
+// queued work of a higher priority than these classes. The headroom is infinite if there are
+// no unstarted tasks and no such work is expected.
 func (a *Autoscaler) headroomProcessors() float64 {
 	topRank, headroom, expected := 0, 0.0, false
 	for _, class := range ordered.ByKey(a.workload.Classes) {
@@ -194,8 +199,9 @@
 	return ids
 }
 
-// isFailedOrOverdue reports whether an unregistered machine has failed or should have
-// registered by now. A running machine has, beyond the bound of its worker's lease, as long
+// isFailedOrOverdue reports whether the cloud lists an unregistered machine as failed, or
+// whether it should have registered by now. A booting machine has until its boot deadline. A
+// running machine has, beyond the time in which its worker's lease certainly expires, as long
 // as a replacement would take to boot: if the whole zone is partitioned, a replacement could
 // not register either.
 func (a *Autoscaler) isFailedOrOverdue(listed protocol.ListedMachine) bool {
@@ -205,8 +211,9 @@
 		a.Since(a.unregisteredSince[listed.ID]) > a.WorkerLeaseBound()+config.Seconds(a.Types[listed.Type].BootS)
 }
 
-// terminate requests the termination of machines, except those whose termination was
-// requested recently and has no answer yet.
+// terminate requests the termination of at most maxTerminations machines in one request,
+// except those whose termination was requested less than terminateRetryAfter ago and has no
+// answer yet.
 func (a *Autoscaler) terminate(ids []protocol.MachineID) {
 	ids = slices.DeleteFunc(ids, func(id protocol.MachineID) bool {
 		return a.terminationRequestedAt[id] != 0 && a.Since(a.terminationRequestedAt[id]) < terminateRetryAfter
@@ -221,8 +228,9 @@
 	a.Emit(message.Terminate{Machines: ids})
 }
 
-// HandleTerminateDone handles the cloud's answer to a termination. It deletes the records of the
-// terminated machines, from which every job owner concludes that the tasks there have ended.
+// HandleTerminateDone records which machines the cloud has terminated and requests the deletion
+// of their records, from which every job owner concludes that the tasks there have ended. If
+// the request failed, the machines may be requested again at once.
 func (a *Autoscaler) HandleTerminateDone(m message.TerminateDone) {
 	for _, id := range m.Machines {
 		delete(a.terminationRequestedAt, id)
@@ -238,7 +246,8 @@
 	}
 }
 
-// deleteRecord requests the deletion of a terminated machine's record.
+// deleteRecord requests the deletion of a terminated machine's record in the key-value store,
+// which takes effect only if the record still has the version in the wait table.
 func (a *Autoscaler) deleteRecord(m *waittable.Machine) {
 	a.ChangeRecord(dispatcher.RemoveTag{Machine: m.ID}, message.RecordChange{Machine: m.ID, Have: m.Epoch})
 }
--- a/internal/controller/autoscaler/scaleout.go
+++ b/internal/controller/autoscaler/scaleout.go
@@ -22,8 +22,9 @@
 // machine, in seconds. It applies to machines that have exceeded their boot time.
 const minBootRemainingS = 1
 
-// PlanScaleOut requests the machines that unstarted and expected work needs in addition to
-// those that are registered, booting or requested.
+// PlanScaleOut makes one plan and sends its requests to the cloud: for the machines that
+// unstarted tasks, reservations and expected work need in addition to those that are
+// registered, booting or requested.
 func (a *Autoscaler) PlanScaleOut() {
 	plan := binpack.New(a.provisionableTypes(), a.slots(), a.requestedMachines())
 	// Tasks with a start objective come first, then the resources reserved for further
@@ -46,9 +47,10 @@
 	return counts
 }
 
-// slots lists the resources of all machines that are usable and in no open maintenance
-// window, booting or requested. It leaves out booting machines of kinds that recently failed
-// to register.
+// slots lists the machines on which a plan may count, with their free resources: the
+// registered ones on which tasks may be placed and that are in no open maintenance window, the
+// booting and the requested ones. It leaves out booting machines of kinds that are restricted
+// to canaries. Resources held for reservations don't count as free.
 func (a *Autoscaler) slots() []binpack.Slot {
 	var usable binpack.SlotGroups
 	for _, m := range a.table.InOrder() {
@@ -77,7 +79,8 @@
 	return slots
 }
 
-// demands lists the unstarted work of all job owners, the oldest first.
+// demands lists the unstarted tasks that all job owners last reported, by job, the longest
+// waiting first.
 func (a *Autoscaler) demands() []message.Demand {
 	var demands []message.Demand
 	for _, p := range a.table.Peers {
@@ -89,8 +92,9 @@
 	return demands
 }
 
-// reserveForStartObjectives plans machines for the demands whose class has a start
-// objective, and returns the other demands.
+// reserveForStartObjectives plans machines, such that all tasks start at once, for the demands
+// whose class has a start objective. It returns the other demands, without those of jobs that
+// this controller does not list as live.
 func (a *Autoscaler) reserveForStartObjectives(plan *binpack.Plan, demands []message.Demand) (rest []message.Demand) {
 	for _, d := range demands {
 		switch j := a.jobOfDemand(d); {
@@ -105,7 +109,8 @@
 }
 
 // reserveForExpectedTasks plans machines for the tasks that are likely to arrive, in classes
-// with a start objective, while a machine boots.
+// with a start objective, while a machine boots, less those that resources becoming free in
+// that time can serve.
 func (a *Autoscaler) reserveForExpectedTasks(plan *binpack.Plan) {
 	for _, class := range ordered.ByKey(a.workload.Classes) {
 		j := &clusterstate.LiveJob{Job: class.Job}
@@ -126,7 +131,8 @@
 	})
 }
 
-// planBacklog plans machines for the demands that the existing machines can't finish in time.
+// planBacklog plans machines for those of the given demands, in their order, whose tasks the
+// existing machines can't start early enough to finish by the jobs' deadlines.
 func (a *Autoscaler) planBacklog(plan *binpack.Plan, demands []message.Demand) {
 	topRank, runS, tasks := 0, 0.0, 0.0
 	for _, d := range demands {
@@ -154,7 +160,8 @@
 	}
 }
 
-// workFor returns the tasks of a job in the form that a plan packs them.
+// workFor returns the tasks of a job in the form that a plan packs them, at a level and with
+// an estimated run time in seconds.
 func (a *Autoscaler) workFor(j *clusterstate.LiveJob, level resource.Level, estimateS float64) binpack.Work {
 	return binpack.Work{
 		Need: resource.Need(&j.Job), Level: level, OneZone: j.OneZone && j.Zone == "", AvoidsSpot: a.workload.AvoidsSpot(&j.Job),
