--- a/internal/controller/binpack/plan.go
+++ b/internal/controller/binpack/plan.go
@@ -10,7 +10,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// MaxPerRequest is the maximum number of machines of a kind that are requested at once.
+// MaxPerRequest is the maximum number of machines of a kind in requests without an answer,
+// those of the plan included.
 const MaxPerRequest = 50
 
 // Kind is a kind of machine that the cloud offers: a type in a zone, spot or on-demand.
@@ -24,7 +25,7 @@
 type MachineProfile struct {
 	Kind
 	Free           resource.Amount // free resources of each, now or once it is ready
-	Used           resource.Uses   // used on each by running and queued attempts
+	Used           resource.Uses   // used on each by running and queued attempts, by level
 	ReadyInSeconds float64         // time until they are ready; 0 if they are
 }
 
@@ -37,7 +38,8 @@
 	Machines int // number of machines
 }
 
-// NewSlot returns a slot of empty machines that have just been requested.
+// NewSlot returns a slot of empty machines that are ready after the type's boot time, as if
+// they had just been requested.
 func NewSlot(info protocol.TypeInfo, k Kind, count int) Slot {
 	return Slot{MachineProfile: MachineProfile{Kind: k, Free: resource.Capacity(info), ReadyInSeconds: info.BootS}, Info: info, Machines: count}
 }
@@ -53,7 +55,7 @@
 	return s
 }
 
-// SlotGroups groups machines into slots.
+// SlotGroups groups machines into slots: machines with equal profiles share a slot.
 type SlotGroups struct {
 	List  []Slot
 	index map[MachineProfile]int // index in List
@@ -75,9 +77,9 @@
 
 // Work describes tasks of one size that need resources.
 type Work struct {
-	Need    resource.Amount
-	Level   resource.Level
-	OneZone bool // all tasks have to run in the same zone, which may be any
+	Need    resource.Amount // of one task
+	Level   resource.Level  // rank by guarantee and priority
+	OneZone bool            // all tasks have to run in the same zone, which may be any
 	// AvoidsSpot says that the tasks are not placed on existing spot machines.
 	AvoidsSpot bool
 	// EstimateSeconds is the estimated run time of a task. FetchSeconds returns how long a
@@ -91,7 +93,8 @@
 	Offers []Kind
 }
 
-// canUse reports whether the tasks may run on the machines of a slot.
+// canUse reports whether the tasks may run on the machines of a slot, whether or not these
+// have free resources.
 func (w *Work) canUse(s *Slot) bool {
 	return (!w.AvoidsSpot || !s.Spot) && w.Allows(s.Info, s.Zone, s.Spot)
 }
@@ -111,24 +114,26 @@
 	Purpose string // what the machines are dedicated to, empty if they may be used by all work
 }
 
-// Plan is the state of one round of planning.
+// Plan is the state of one round of planning: the machines that work is packed into, and the
+// machines to be requested.
 type Plan struct {
 	types            map[protocol.MachineType]protocol.TypeInfo
 	slots            []Slot
 	pools            map[Kind]*pool
 	requested        map[Kind]int // number of machines that the plan requests for all work
-	alreadyRequested map[Kind]int // number of machines in the requests without an answer and in dedicated
+	alreadyRequested map[Kind]int // number of machines in requests sent before without an answer, and in dedicated
 	dedicated        []Order      // orders for one purpose each
 }
 
-// New returns a plan that starts with the existing machines. Machines that are already
-// requested are both counted in alreadyRequested and contained in slots.
+// New returns a plan that starts with the machines in slots: running, booting and requested
+// ones. The requested ones are counted by kind in alreadyRequested, too, and their number is
+// changed there by ProvisionDedicated.
 func New(types map[protocol.MachineType]protocol.TypeInfo, slots []Slot, alreadyRequested map[Kind]int) *Plan {
 	return &Plan{types: types, slots: slots, pools: map[Kind]*pool{}, requested: map[Kind]int{}, alreadyRequested: alreadyRequested}
 }
 
-// Fill packs tasks into the existing machines without requesting any, and returns the number
-// of tasks that do not fit.
+// Fill packs tasks into the plan's machines without requesting any, and returns the number of
+// tasks that do not fit. Work for one zone is packed into the zone that fits the most tasks.
 func (p *Plan) Fill(w Work, tasks int) (unplaced int) {
 	if tasks > 0 && w.OneZone {
 		w = w.inZone(p.bestZone(&w, tasks))
@@ -136,8 +141,9 @@
 	return p.fill(&w, tasks)
 }
 
-// Reserve packs tasks that have to start at once into the existing machines, and requests
-// machines for the tasks that do not fit.
+// Reserve packs tasks that have to start at once into the free resources of the plan's
+// machines, and requests machines for the tasks that do not fit, of the cheapest offered kind
+// first and of the next one if MaxPerRequest is reached. Tasks that then don't fit are left out.
 func (p *Plan) Reserve(w Work, tasks int) {
 	if tasks > 0 && w.OneZone {
 		w = w.inZone(p.bestZone(&w, tasks)) // as if the user had specified the zone
@@ -196,7 +202,7 @@
 	return tasks
 }
 
-// fillSlot packs up to the given number of tasks into a slot and returns the number that it
+// fillSlot packs up to the given number of tasks into slot i and returns the number that it
 // has packed. It fills whole machines first, and then one more in part. The full machines
 // and the partially filled one become separate slots.
 func (p *Plan) fillSlot(i int, w *Work, tasks int) (placed int) {
@@ -253,8 +259,8 @@
 	return best
 }
 
-// addRequest adds machines to the plan's requests and returns the number added, on which the
-// plan may count. Of each kind no more than MaxPerRequest machines are in unanswered
+// addRequest adds up to count machines to the plan's requests and returns the number added,
+// on which the plan may count. Of each kind no more than MaxPerRequest machines are in unanswered
 // requests at a time: the answer shows whether the cloud has more.
 func (p *Plan) addRequest(k Kind, count int) int {
 	count = max(0, min(count, MaxPerRequest-p.requested[k]-p.alreadyRequested[k]))
@@ -269,7 +275,8 @@
 	return resource.Capacity(p.types[k.Type]).CountFitting(w.Need)
 }
 
-// machinesNeeded returns the number of machines that the tasks need.
+// machinesNeeded returns the number of machines that the tasks need if perMachine of them fit
+// on each.
 func machinesNeeded(tasks, perMachine int) int { return (tasks + perMachine - 1) / perMachine }
 
 // inPriceOrder lists kinds by price per processor, then by type and zone.
--- a/internal/controller/binpack/pools.go
+++ b/internal/controller/binpack/pools.go
@@ -11,7 +11,7 @@
 const negligibleTasks = 0.5
 
 // pool combines the capacity of the machines of one kind for tasks that need not start at
-// once.
+// once: they are served one after another, as if all machines were a single large one.
 type pool struct {
 	info              protocol.TypeInfo
 	capacity          resource.Amount // of all machines together
@@ -19,8 +19,9 @@
 }
 
 // BuildPools adds to the pools the capacity that the slots have for work of a priority
-// rank or below, and the remaining time of such work that is running. A running task has, on
-// average, half of the given run time still to run.
+// rank or below, and the processor seconds until machines are ready and until such work that
+// is running has ended. A running task has, on average, half of taskRunS, a run time in
+// seconds, still to run.
 func (p *Plan) BuildPools(rank int, taskRunS float64) {
 	for _, s := range p.slots {
 		pooled := p.pool(s.Kind)
@@ -37,8 +38,9 @@
 	}
 }
 
-// ReserveWithin assigns tasks that have to start within a time, in seconds, to the pools,
-// and requests machines for the tasks that the pools can't start in time.
+// ReserveWithin assigns tasks that have to start within a time, in seconds, to the pools, the
+// cheapest kind first, and requests machines of the offered kinds for the tasks that the pools
+// can't start in time.
 func (p *Plan) ReserveWithin(w Work, tasks int, startWithinS float64) {
 	remaining := float64(tasks)
 	if len(w.Offers) > 0 {
@@ -84,7 +86,7 @@
 	return pooled
 }
 
-// addMachines adds machines that are ready to run tasks after a time.
+// addMachines adds the capacity of machines that are ready to run tasks after readySeconds.
 func (pl *pool) addMachines(count int, readySeconds float64) {
 	for range count {
 		pl.capacity = pl.capacity.Plus(resource.Capacity(pl.info))
@@ -92,8 +94,9 @@
 	pl.backlogCPUSeconds += float64(count) * pl.info.CPUs * readySeconds
 }
 
-// assign assigns to the pool as many of the tasks as it can start within a time, in seconds,
-// and returns their number.
+// assign assigns to the pool as many of the tasks as it can start within a time, in seconds
+// and after its earlier work, and returns their number, which may be a fraction. It returns 0
+// if the pool is too small for one task.
 func (pl *pool) assign(tasks float64, need resource.Amount, estimateS, startWithinS float64) float64 {
 	parallelTasks := pl.capacity.FractionalFit(need)
 	if parallelTasks < 1 {
