--- a/internal/controller/forecast/arrivals.go
+++ b/internal/controller/forecast/arrivals.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// maxArrivals is the maximum number of arrivals of a class that are kept.
+	// maxArrivals is the maximum number of arrivals of a class that are kept; the oldest are
+	// dropped.
 	maxArrivals = 512
 	// simultaneousWithin is the time after an arrival within which further jobs count as
 	// part of it: no headroom suffices for jobs that arrive at once.
@@ -26,15 +27,15 @@
 	unlikelySilenceGaps = 3
 	// equalSizeVariance is the relative variance below which sizes count as equal.
 	equalSizeVariance = 1e-6
-	// windowHalvings is the number of times, each half as long as the one before, for which
-	// ExcessWithin calculates the excess.
+	// windowHalvings is the number of periods, each half as long as the one before, for
+	// which ExcessWithin calculates the excess.
 	windowHalvings = 8
 	// maxPoissonQuantile is the maximum of the calculated quantiles of Poisson variables.
 	maxPoissonQuantile = 100
 )
 
-// Arrival is the arrival of a job. It also stands for the jobs that arrive simultaneously with
-// the job, whose tasks and work it does not include.
+// Arrival is the arrival of a job. It also stands for the jobs that arrive within
+// simultaneousWithin after it, whose tasks and work it does not include.
 type Arrival struct {
 	At    clock.Time
 	Tasks float64
@@ -44,7 +45,8 @@
 // Arrivals is a list of the latest arrivals of one class of jobs, in order of time.
 type Arrivals []Arrival
 
-// Note adds an arrival unless it is simultaneous with the last arrival that was added.
+// Note adds an arrival, unless it is within simultaneousWithin after the last arrival that was
+// added.
 func (as *Arrivals) Note(arrival Arrival) {
 	if n := len(*as); n > 0 && arrival.At.Since((*as)[n-1].At) < simultaneousWithin {
 		return
@@ -59,15 +61,17 @@
 // are.
 type ArrivalForecast struct {
 	rate         float64 // arrivals per second
-	meanSize     float64
+	meanSize     float64 // mean size of an arrival, in the unit of the size
 	meanSquare   float64 // mean of the squared sizes
 	probability  float64 // probability with which there should be resources for the arrivals
 	sizeQuantile float64 // size that an arrival does not exceed with this probability
 }
 
-// Forecast estimates from the arrivals until now how jobs arrive. Resources that are planned by
-// the result should suffice for the given share of the jobs. bootS is how long a machine takes
-// to be ready for them, in seconds, and size measures an arrival.
+// Forecast estimates from the arrivals of the last windowBoots boot times how jobs arrive. It
+// expects none if there were no arrivals in that time, or if bootS is infinite. Resources that
+// are planned by the result should suffice for the given share of the jobs, from 0 to 1. bootS
+// is how long a machine takes to be ready for them, in seconds, and size returns the size of an
+// arrival, such as its tasks or its work.
 func (as Arrivals) Forecast(now clock.Time, bootS, share float64, size func(Arrival) float64) ArrivalForecast {
 	if math.IsInf(bootS, 1) {
 		return ArrivalForecast{}
@@ -101,7 +105,7 @@
 }
 
 // sizesWithin returns the sizes of the arrivals in a window, in seconds, that ends now, and
-// the time of the first of them.
+// the time of the first of them, or now if there are none.
 func (as Arrivals) sizesWithin(now clock.Time, window float64, size func(Arrival) float64) (sizes []float64, first clock.Time) {
 	first = now
 	for _, a := range as {
@@ -123,12 +127,13 @@
 	return rate
 }
 
-// MeanPerSecond returns the mean size that arrives per second.
+// MeanPerSecond returns the mean total size of the jobs that arrive per second.
 func (a ArrivalForecast) MeanPerSecond() float64 { return a.rate * a.meanSize }
 
 // SizeWithin returns the total size that the arrivals in a time, in seconds, do not exceed with
-// the required probability. It is a quantile of a compound Poisson distribution with the
-// observed sizes.
+// the probability that follows from the share given to Forecast. It is a quantile of a compound
+// Poisson distribution with the observed sizes: exact for equal sizes, up to
+// maxPoissonQuantile arrivals, else by a normal approximation.
 func (a ArrivalForecast) SizeWithin(seconds float64) float64 {
 	if a.rate == 0 {
 		return 0
@@ -142,7 +147,7 @@
 
 // ExcessWithin returns the largest amount by which, at any time within the given seconds, the
 // total size of the arrivals is likely to exceed the resources that have become free meanwhile
-// at freeingRate per second.
+// at freeingRate per second, in the unit of the size.
 func (a ArrivalForecast) ExcessWithin(seconds, freeingRate float64) float64 {
 	excess := 0.0
 	if freeingRate > 0 && a.rate*seconds > 1-a.probability {
--- a/internal/controller/forecast/errors.go
+++ b/internal/controller/forecast/errors.go
@@ -15,8 +15,8 @@
 	// errorQuantile is the share of tasks that run no longer than their estimate times
 	// the factor.
 	errorQuantile = 0.98
-	// defaultErrorFactor is the factor while too few tasks have been observed, and
-	// maxErrorFactor is the maximum of the calculated factor.
+	// defaultErrorFactor is the factor while fewer than minErrors tasks have been observed,
+	// and maxErrorFactor is the maximum of the calculated factor.
 	defaultErrorFactor = 3.0
 	maxErrorFactor     = 5.0
 )
@@ -27,7 +27,8 @@
 	factor float64   // 0 if it has to be calculated again
 }
 
-// Note adds a task that ran to its end. A task without an estimate is ignored.
+// Note adds the run time of a task that ran to its end, and its estimate in seconds. Only the
+// latest maxErrors tasks are kept. A task without an estimate (0 or less) is ignored.
 func (e *EstimateErrors) Note(runTime time.Duration, estimateS float64) {
 	if estimateS <= 0 {
 		return
@@ -36,11 +37,13 @@
 	e.factor = 0
 }
 
-// hasEnough reports whether enough tasks have been observed to calculate a factor.
+// hasEnough reports whether at least minErrors tasks have been observed, so that a factor can
+// be calculated.
 func (e *EstimateErrors) hasEnough() bool { return len(e.ratios) >= minErrors }
 
-// Factor returns the factor, at least 1, for which tasks are very likely to end within their
-// estimate times the factor. A nil EstimateErrors is an empty sample.
+// Factor returns the factor for which tasks are very likely to end within their estimate times
+// the factor: the errorQuantile of the sample, between 1 and maxErrorFactor, or
+// defaultErrorFactor if the sample is too small. A nil EstimateErrors is an empty sample.
 func (e *EstimateErrors) Factor() float64 {
 	if e == nil || !e.hasEnough() {
 		return defaultErrorFactor
--- a/internal/controller/forecast/runtimes.go
+++ b/internal/controller/forecast/runtimes.go
@@ -23,7 +23,9 @@
 	median   float64 // of the sample; 0 if it has to be calculated again
 }
 
-// Note adds the run time of a task to the sample by reservoir sampling.
+// Note adds the run time of a task, in seconds, to the sample. Once the sample is full, the run
+// time replaces a random one, with such a probability that the sample represents all observed
+// tasks equally (reservoir sampling).
 func (r *RunTimes) Note(seconds float64, rng *rand.Rand) {
 	r.observed++
 	r.median = 0
@@ -36,9 +38,9 @@
 	}
 }
 
-// Median returns the median run time of a job's tasks. It returns false until enough tasks
-// have ended, and while no more tasks have ended than are running: the tasks that end first
-// are the short ones.
+// Median returns the median run time of a job's tasks, in seconds and at least minMedianS. It
+// returns false until minRunTimes tasks have ended, and while no more tasks have ended than
+// are running: the tasks that end first are the short ones.
 func (r *RunTimes) Median(running int) (seconds float64, ok bool) {
 	if r.observed < minRunTimes || r.observed <= running {
 		return 0, false
