--- a/internal/controller/reservation/calendar.go
+++ b/internal/controller/reservation/calendar.go
@@ -30,6 +30,7 @@
 )
 
 // Calendar holds all reservations and windows, with an index of their occurrences by time.
+// Cancelled entries are kept, but their occurrences are not indexed.
 type Calendar struct {
 	reservations      map[Name]*Entry
 	windows           map[Name]*Entry
@@ -51,8 +52,9 @@
 	return c.reservations
 }
 
-// PutReservation adds the reservation of a record. It replaces an earlier record of the
-// same name.
+// PutReservation adds the reservation of a record, of the given version. It replaces an earlier
+// record of the same name. It returns an error, and changes nothing, if the reservation's
+// schedule can't be parsed.
 func (c *Calendar) PutReservation(r record.Reservation, v protocol.Version, now Moment) error {
 	schedule, err := ParseSchedule(r.Spec.When)
 	if err != nil {
@@ -68,7 +70,9 @@
 	return nil
 }
 
-// PutWindow adds the window of a record. It replaces an earlier record of the same name.
+// PutWindow adds the window of a record, of the given version. It replaces an earlier record
+// of the same name. It returns an error, and changes nothing, if the window's schedule can't be
+// parsed.
 func (c *Calendar) PutWindow(w record.Window, v protocol.Version, now Moment) error {
 	schedule, err := ParseSchedule(w.Spec.When)
 	if err != nil {
@@ -78,8 +82,9 @@
 	return nil
 }
 
-// putEntry adds an entry in place of an earlier one of its name, and indexes its first
-// occurrences unless it is cancelled.
+// putEntry adds an entry in place of an earlier one of its name, and indexes its occurrences
+// unless it is cancelled: up to initialIndexSpan from now if it recurs, with the others left to
+// ExtendIndex, else up to singleIndexSpan.
 func (c *Calendar) putEntry(e *Entry, now Moment) {
 	window := e.Window != nil
 	c.DropEntry(window, e.Name())
@@ -110,7 +115,8 @@
 	e.indexedUntil = max(e.indexedUntil, to)
 }
 
-// DropEntry removes an entry and its occurrences.
+// DropEntry removes the window (if window is set) or reservation of a name and its indexed
+// occurrences. It does nothing if there is none.
 func (c *Calendar) DropEntry(window bool, n Name) {
 	dropped := c.entries(window)[n]
 	if dropped == nil {
@@ -124,8 +130,10 @@
 	c.pendingExtension = slices.DeleteFunc(c.pendingExtension, func(e *Entry) bool { return e == dropped })
 }
 
-// ExtendIndex indexes further occurrences, for a few entries per call, and drops those that
-// ended long ago. It has to be called regularly.
+// ExtendIndex indexes further occurrences, up to indexMargin beyond Horizon, for at most
+// maxEntriesPerExtension entries per call. Once per indexMargin it looks for entries to be
+// indexed further, and drops the occurrences that ended more than retainPast ago. It has to be
+// called regularly.
 func (c *Calendar) ExtendIndex(now Moment) {
 	for range min(maxEntriesPerExtension, len(c.pendingExtension)) {
 		e := c.pendingExtension[0]
@@ -158,14 +166,15 @@
 	}
 }
 
-// IndexComplete reports whether the occurrences of all entries are indexed up to Horizon. Until
-// they are, no further entry can be accepted.
+// IndexComplete reports whether the occurrences of each entry have been indexed up to Horizon
+// since it was added, and the index has space for more. Otherwise no further entry can be
+// accepted.
 func (c *Calendar) IndexComplete() bool {
 	return !c.index.full() && !slices.ContainsFunc(c.pendingExtension, func(e *Entry) bool { return e.indexIncomplete })
 }
 
-// Overlapping returns the occurrences that overlap a period, ordered by start. An empty
-// period counts as one millisecond.
+// Overlapping returns the indexed occurrences that overlap the period from one moment until
+// before another, ordered by start. An empty period counts as one millisecond.
 func (c *Calendar) Overlapping(from, to Moment) []Occurrence {
 	return c.index.overlapping(from, max(to, from+1))
 }
--- a/internal/controller/reservation/capacity.go
+++ b/internal/controller/reservation/capacity.go
@@ -9,17 +9,18 @@
 	"damsonkeel/internal/record"
 )
 
-// startDelay is how much later than estimated a task may end that was allowed to start: it
-// begins to run only after its image has been fetched and its start has been reported.
+// startDelay is how much later than estimated a task may end that was allowed to start, and
+// still count as ended by ClearBy: it begins to run only after its image has been fetched and
+// its start has been reported.
 const startDelay = 15 * time.Second
 
-// Machine describes a machine on which resources may be held.
+// Machine describes a running or booting machine on which resources may be held.
 type Machine struct {
 	ID   protocol.MachineID
 	Info protocol.TypeInfo
 	Zone protocol.Zone
 	Spot bool
-	// UpAt is when the machine is expected to be up; 0 if it is up already.
+	// UpAt is when the machine is expected to have booted and registered; 0 if it has.
 	UpAt Moment
 	Runs []Run
 }
@@ -52,8 +53,8 @@
 
 // freeAtClear returns the free resources of a machine that an occurrence can rely on. Up to
 // ClearBy, tasks that are likely to end by then count as ended. After ClearBy, all tasks
-// that are still there count as running. With preempting, tasks that can be stopped for the
-// occurrence count as ended at any time.
+// that are still there count as running. With preempting, tasks of a lower level, which can
+// be stopped for the occurrence, count as ended at any time.
 func (m *machineCapacity) freeAtClear(d *Demand, now Moment, preempting bool) resource.Amount {
 	at := Moment(0)
 	if now <= d.ClearBy {
@@ -83,8 +84,10 @@
 	return free
 }
 
-// earliestCapacity returns the earliest moment from which tasks of an occurrence are likely
-// to fit on a machine, and how many; 0 tasks if none ever will.
+// earliestCapacity returns the earliest moment, now or later, from which tasks of an
+// occurrence are likely to fit on a machine if tasks of lower levels are preempted, and how
+// many fit by the start of the occurrence or by that moment, whichever is later; 0 tasks if
+// none ever will.
 func (m *machineCapacity) earliestCapacity(d *Demand, now Moment) (at Moment, tasks int) {
 	ends := []Moment{max(now, m.UpAt)}
 	for _, r := range m.Runs {
--- a/internal/controller/reservation/decision.go
+++ b/internal/controller/reservation/decision.go
@@ -12,7 +12,7 @@
 	"damsonkeel/internal/record"
 )
 
-// maxListedTimes bounds the occurrences that an answer lists.
+// maxListedTimes is the maximum number of occurrences whose starts an Answer lists.
 const maxListedTimes = 3
 
 // errNoOccurrenceAhead means that an entry has no occurrence from now until Horizon.
@@ -20,12 +20,12 @@
 
 // SiteFacts describes the site, as the input of a decision.
 type SiteFacts struct {
-	Types map[protocol.MachineType]protocol.TypeInfo
-	Team  func(protocol.Team) (config.Team, bool)
+	Types map[protocol.MachineType]protocol.TypeInfo // catalogue of the machine types
+	Team  func(protocol.Team) (config.Team, bool)    // returns a team, and whether it exists
 	// MaxMachines is the largest number of machines of a type that operators count on. A
 	// type without a number has no bound, as the cloud does not report its capacity.
 	MaxMachines map[protocol.MachineType]int
-	// Machine returns the type and zone of a machine, and whether it is up.
+	// Machine returns the type and zone of a machine, and whether it is up, that is, registered.
 	Machine func(protocol.MachineID) (protocol.MachineType, protocol.Zone, bool)
 }
 
@@ -33,8 +33,8 @@
 type Answer struct {
 	OK     bool
 	Reason string // why the entry is refused, or which resources it gets
-	// Conflicts names the entries that conflict with the requested one, Overlapping the
-	// reservations that overlap it without a conflict.
+	// Conflicts names the entries because of which the requested one is refused, Overlapping
+	// the reservations that overlap an accepted one in time.
 	Conflicts   []Name
 	Overlapping []Name
 	FirstTimes  []Moment // starts of its first occurrences
@@ -52,7 +52,11 @@
 }
 
 // DecideReservation decides whether a reservation can be accepted in addition to all entries
-// that have been accepted before.
+// that have been accepted before: a task fits an allowed machine type, its team exists, it has
+// an occurrence within Horizon, and during each of these it fits, together with all other
+// reservations, within the team's limit and on the machines of the site that are in no window.
+// A reservation of its own name does not count: the new one would replace it. The calendar is
+// not changed.
 func (c *Calendar) DecideReservation(s *record.ReservationSpec, f *SiteFacts, now Moment) Answer {
 	if !feasibleInCatalogue(s, f) {
 		return refused(nil, "a task fits no allowed machine type of the catalogue")
@@ -76,8 +80,9 @@
 	return accepted(describeAcceptance(s, f), times, overlapping)
 }
 
-// DecideWindow decides whether a window leaves enough resources for all reservations that
-// have been accepted.
+// DecideWindow decides whether a window can be accepted: its machine type, if it names one,
+// exists, it has an occurrence within Horizon, and no reservation that overlaps it would lack
+// resources for more tasks than without the window. The calendar is not changed.
 func (c *Calendar) DecideWindow(s *record.WindowSpec, f *SiteFacts, now Moment) Answer {
 	if s.Type != "" {
 		if _, ok := f.Types[s.Type]; !ok {
@@ -98,8 +103,9 @@
 	return accepted("nothing new starts there then; what runs is let run", times, overlapping)
 }
 
-// feasibleInCatalogue reports whether a task of a reservation fits an allowed machine type
-// of the catalogue.
+// feasibleInCatalogue reports whether a task of a reservation fits on an empty ordinary
+// machine of some type of the catalogue in a zone where both the reservation and the
+// catalogue allow the type.
 func feasibleInCatalogue(s *record.ReservationSpec, f *SiteFacts) bool {
 	for _, t := range f.Types {
 		for _, z := range t.AllowZones {
--- a/internal/controller/reservation/entry.go
+++ b/internal/controller/reservation/entry.go
@@ -25,8 +25,8 @@
 	indexIncomplete bool    // the occurrences are not indexed up to Horizon yet
 }
 
-// MaxOccurrenceDuration returns how long an occurrence of a reservation keeps its resources at
-// the most: they are held for its job first, and then used by it.
+// MaxOccurrenceDuration returns the longest time for which an occurrence of a reservation keeps
+// its resources: they are held for its job for up to HoldS, and then used by it for LengthS.
 func MaxOccurrenceDuration(s *record.ReservationSpec) time.Duration {
 	return config.Seconds(s.HoldS + s.LengthS)
 }
@@ -39,7 +39,7 @@
 	return e.Reservation.Spec.Name
 }
 
-// CreatedAt returns when the entry was requested.
+// CreatedAt returns when a controller decided to add the entry.
 func (e *Entry) CreatedAt() Moment {
 	if e.Window != nil {
 		return e.Window.MadeMS
@@ -55,8 +55,9 @@
 	return e.State != record.Cancelled
 }
 
-// Active reports whether the current occurrence of a reservation is still to be served: it
-// is accepted or its resources are held.
+// Active reports whether the current occurrence of a reservation still needs its resources:
+// its state is accepted (the start is not near yet) or holding. It must not be called for a
+// window.
 func (e *Entry) Active() bool {
 	return e.State == record.Accepted || e.State == record.Holding
 }
--- a/internal/controller/reservation/feasibility.go
+++ b/internal/controller/reservation/feasibility.go
@@ -14,7 +14,9 @@
 const unlimitedMachines = 1 << 20
 
 // checkCapacity decides whether a reservation fits in addition to the entries that are
-// active at the same time. Reservations that were accepted earlier are packed first.
+// active at the same time: within the limit of its team, and on the machines of the site that
+// are in no active window. Reservations that were accepted earlier are packed first. A refusal
+// names the active windows and the reservations that could use the same machines.
 func (c *Calendar) checkCapacity(s *record.ReservationSpec, active []Occurrence, f *SiteFacts) Answer {
 	windows, others := c.splitActive(active)
 	if a := checkTeamLimit(s, others, f); !a.OK {
@@ -40,7 +42,8 @@
 	return refused(conflicts, "no room for %d of its %d tasks", unplaced, s.Tasks)
 }
 
-// mayShareMachines reports whether two reservations could be held on the same machines.
+// mayShareMachines reports whether two reservations could be held on the same machines: they
+// have an allowed type in common, and neither the zone of one nor of the other rules it out.
 func mayShareMachines(a, b *record.ReservationSpec) bool {
 	if a.Zone != "" && b.Zone != "" && a.Zone != b.Zone {
 		return false
@@ -49,8 +52,9 @@
 		slices.ContainsFunc(a.Types, func(t protocol.MachineType) bool { return slices.Contains(b.Types, t) })
 }
 
-// checkTeamLimit checks that the resources reserved for a team at the same time, including
-// those of a new reservation, stay within the team's limit.
+// checkTeamLimit checks that the processors and GPUs reserved for a team at the same time,
+// including those of a new reservation, stay within the team's limits. Others are the
+// reservations that are active at that time; a refusal names those of the team.
 func checkTeamLimit(s *record.ReservationSpec, others []*Entry, f *SiteFacts) Answer {
 	team, ok := f.Team(s.Team)
 	if !ok || !team.Limited() {
@@ -87,7 +91,9 @@
 	return names
 }
 
-// availableSlots returns the machines that can be in use while windows are open.
+// availableSlots returns the machines of the site that can be in use while windows are open,
+// as empty slots by type and zone: the maximum number, less the machines that windows name.
+// Types and zones that a window covers as a whole are left out.
 func availableSlots(windows []*Entry, f *SiteFacts) []binpack.Slot {
 	var slots []binpack.Slot
 	for _, name := range slices.Sorted(maps.Keys(f.Types)) {
@@ -103,9 +109,10 @@
 	return slots
 }
 
-// maxMachines returns how many machines of a type there can be in one of its zones. If the
-// total is known, it is split evenly among the zones, as it is not known in which of them
-// the cloud has the machines.
+// maxMachines returns how many machines of a type there can be in one of its zones, given the
+// index of the zone and the number of zones. If the total is known, it is split evenly among
+// the zones, as it is not known in which of them the cloud has the machines; otherwise the
+// result is unlimitedMachines.
 func (f *SiteFacts) maxMachines(t protocol.MachineType, zone, zones int) int {
 	total, known := f.MaxMachines[t]
 	if !known {
@@ -118,7 +125,8 @@
 	return count
 }
 
-// machinesInWindows returns how many machines of a type in a zone are named by windows.
+// machinesInWindows returns how many registered machines of a type in a zone are named by
+// windows.
 func (f *SiteFacts) machinesInWindows(windows []*Entry, t protocol.MachineType, z protocol.Zone) int {
 	count := 0
 	for _, e := range windows {
--- a/internal/controller/reservation/hold.go
+++ b/internal/controller/reservation/hold.go
@@ -26,14 +26,14 @@
 // them until Clear, and those that may be stopped for the reservation until shortly before
 // From.
 type Hold struct {
-	For     Name               `cbor:"for"`
+	For     Name               `cbor:"for"` // the reservation
 	Machine protocol.MachineID `cbor:"machine"`
-	Tasks   int                `cbor:"tasks"`
-	Need    resource.Amount    `cbor:"need"` // of all these tasks together
-	Level   resource.Level     `cbor:"level"`
-	Clear   Moment             `cbor:"clear"`
-	From    Moment             `cbor:"from"`
-	Until   Moment             `cbor:"until"`
+	Tasks   int                `cbor:"tasks"` // number of tasks that the resources are for
+	Need    resource.Amount    `cbor:"need"`  // of all these tasks together
+	Level   resource.Level     `cbor:"level"` // of the reserved work
+	Clear   Moment             `cbor:"clear"` // when work that can't be stopped has to have ended
+	From    Moment             `cbor:"from"`  // start of the occurrence
+	Until   Moment             `cbor:"until"` // when the job of the occurrence should have ended at the latest
 	// Ends is when the last task on the machine that can't be stopped for the reservation
 	// is likely to have ended.
 	Ends Moment `cbor:"ends"`
@@ -48,8 +48,9 @@
 	Ends            Moment // when the task is likely to have ended if it starts now
 }
 
-// AllowsStart reports whether the holds of a machine allow a task to start in its free
-// resources.
+// AllowsStart reports whether a task fits into a machine's free resources less those that the
+// holds of the machine keep from it: all that are for other work, unless the task may use them
+// in the meantime or they begin only when its own hold has ended.
 func AllowsStart(holds []Hold, t *Task, free resource.Amount, now Moment) bool {
 	until := ReservedUntil(holds, t.IsOf)
 	for i := range holds {
@@ -60,10 +61,11 @@
 	return free.Covers(t.Need)
 }
 
-// ReservedUntil returns until when resources are held for a task, or 0 if none are; isOf
-// reports whether the task belongs to a reservation. A hold on the same machine that begins
-// at that moment or later was accepted with the task's own hold taken into account. It does
-// not keep the task from starting, however inaccurate the estimates for such tasks are.
+// ReservedUntil returns the latest moment until which any of the holds is for a task, or 0 if
+// none is; isOf reports whether the task belongs to a reservation. A hold on the same machine
+// that begins at that moment or later was accepted with the task's own hold taken into
+// account. It does not keep the task from starting, however inaccurate the estimates for such
+// tasks are.
 func ReservedUntil(holds []Hold, isOf func(Name) bool) Moment {
 	until := Moment(0)
 	for i := range holds {
@@ -76,17 +78,18 @@
 
 // allows reports whether a task may use the held resources: because they are held for it or
 // no longer held, because it is likely to end before they have to be clear, or because it
-// saves checkpoints and can still be stopped in time.
+// saves checkpoints, is of a lower level and can still be stopped in time.
 func (h *Hold) allows(t *Task, now Moment) bool {
 	return t.IsOf(h.For) || now >= h.Until || t.Ends <= h.Clear && now <= h.Clear ||
 		t.SavesCheckpoint && t.Level < h.Level && now < h.stopAt(stopLead)
 }
 
-// stopAt returns the moment that precedes the start of the hold by a lead.
+// stopAt returns the moment that precedes From by a lead.
 func (h *Hold) stopAt(lead time.Duration) Moment { return After(h.From, -lead) }
 
-// ShouldStop reports whether it is time to stop a task that uses the resources of a hold,
-// given how long the task takes to save a checkpoint.
+// ShouldStop reports whether a task that uses the resources of a hold should be stopped now,
+// given how long the task takes to save a checkpoint: the hold has not ended, and begins
+// within that time plus stopLead.
 func (h *Hold) ShouldStop(checkpoint time.Duration, now Moment) bool {
 	return now >= h.stopAt(stopLead+checkpoint) && now < h.Until
 }
--- a/internal/controller/reservation/holdchoice.go
+++ b/internal/controller/reservation/holdchoice.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// tasksPerHeadroomEarly is the number of tasks for which resources for one extra task
-	// are held before ClearBy, as some of the work on the machines will not have ended by
-	// then.
+	// tasksPerHeadroomEarly is the number of remaining tasks per extra task for which
+	// resources are held before ClearBy, as some of the work on the machines will not have
+	// ended by then.
 	tasksPerHeadroomEarly = 4
 	// tasksPerHeadroom is the same number from ClearBy on, when the extra resources make up
 	// for lost machines.
@@ -23,7 +23,8 @@
 	maxDelay = 30 * time.Second
 )
 
-// Plan is the result of ChooseHolds: the holds, and the tasks without resources.
+// Plan is the result of ChooseHolds: the holds, and the numbers of tasks without resources by
+// reservation.
 type Plan struct {
 	Holds []Hold
 	// Short is the number of tasks without resources that can be relied on: machines have
@@ -45,9 +46,9 @@
 // ChooseHolds chooses the machines on which resources are held for occurrences. Demands are
 // served in the order of their starts, and those with the same start in the order in which
 // they were accepted.
-// Previous holds stay where they are as long as they suffice. The function usable reports
-// whether a machine may be held for a demand: not if it is being released, or in a window at
-// that time.
+// Previous holds, given as before, are kept as far as their machines still have the resources.
+// The function usable reports whether a machine may be held for a demand: not if it is being
+// released, or in a window at that time.
 func ChooseHolds(demands []Demand, machines []Machine, before []Hold, usable func(*Machine, *Demand) bool, now Moment) Plan {
 	c := &holdChooser{
 		plan:     Plan{Short: map[Name]int{}, Missing: map[Name]int{}, Zones: map[Name]protocol.Zone{}},
@@ -81,7 +82,8 @@
 	return tasks
 }
 
-// chooseHolds chooses the holds of one occurrence.
+// chooseHolds chooses the holds of one occurrence: first resources that can be relied on, and
+// for the remaining tasks those that become free the earliest.
 func (c *holdChooser) chooseHolds(d *Demand) {
 	machines := c.candidateMachines(d)
 	if short := c.holdReliableCapacity(d, machines); short > 0 {
@@ -90,8 +92,9 @@
 	}
 }
 
-// candidateMachines returns the machines that may be held for an occurrence, all in one zone
-// if it needs that.
+// candidateMachines returns the machines that may be held for an occurrence: its reservation
+// allows their kind, and they are usable for it. If the reservation names a zone or needs all
+// resources in one zone, they are all in that zone, which is recorded in the plan.
 func (c *holdChooser) candidateMachines(d *Demand) []*machineCapacity {
 	var machines []*machineCapacity
 	for _, m := range c.machines {
@@ -110,8 +113,11 @@
 	return machines
 }
 
-// holdReliableCapacity holds resources that can be relied on, with some headroom, and returns
-// the number of tasks for which there are none.
+// holdReliableCapacity holds resources that are free by ClearBy, or free now after ClearBy,
+// where work of lower levels counts as free. It holds them for the remaining tasks and for one
+// extra task plus one per tasksPerHeadroom (before ClearBy tasksPerHeadroomEarly) of them. It
+// returns the number of tasks for which there are no such resources; it is 0 or less if there
+// are enough.
 //
 // It keeps previous holds first and only then holds further resources. Dispatchers receive
 // a change of the holds with a delay, and until then other tasks start both in the resources
@@ -143,9 +149,10 @@
 	return short
 }
 
-// holdEarliestCapacity holds resources that are likely to become free, for tasks without
-// resources that can be relied on. It holds them at once, as other tasks would use them
-// otherwise.
+// holdEarliestCapacity holds resources that are likely to become free, the earliest first, for
+// the given number of tasks without resources that can be relied on. It holds them at once, as
+// other tasks would use them otherwise. Tasks whose resources become free later than maxDelay
+// after the start, or not at all, are counted as missing in the plan.
 func (c *holdChooser) holdEarliestCapacity(d *Demand, machines []*machineCapacity, short int) {
 	name := d.Spec.Name
 	latest := After(max(d.StartMS, c.now), maxDelay)
@@ -163,7 +170,8 @@
 	}
 }
 
-// hold adds a hold for a number of tasks on a machine, and returns that number.
+// hold adds a hold for a number of tasks on a machine, and returns that number. It adds none if
+// the number is 0 or less, and then returns 0.
 func (c *holdChooser) hold(d *Demand, m *machineCapacity, tasks int) int {
 	if tasks <= 0 {
 		return 0
--- a/internal/controller/reservation/lifecycle.go
+++ b/internal/controller/reservation/lifecycle.go
@@ -42,7 +42,8 @@
 	return r, began || ended || risk || recurred
 }
 
-// beginHolding begins to hold resources once the start is near.
+// beginHolding changes an accepted reservation to holding once its start is no further away
+// than the lead. It reports whether it has changed the record.
 func beginHolding(r *record.Reservation, observed Observation) bool {
 	if r.State != record.Accepted || observed.Now < After(r.StartMS, -observed.Lead) {
 		return false
@@ -51,7 +52,10 @@
 	return true
 }
 
-// endHolding stops holding resources once the job has started or was not submitted in time.
+// endHolding changes a holding reservation to used once all tasks that it covers of an accepted
+// job have started. It changes it to expired if no job was accepted within HoldS after the
+// start plus the clock error, or once the longest duration of an occurrence has passed. It
+// reports whether it has changed the record.
 func endHolding(r *record.Reservation, observed Observation) bool {
 	if r.State != record.Holding {
 		return false
@@ -69,7 +73,8 @@
 	return true
 }
 
-// updateRisk records why an active reservation may not be kept, and since when.
+// updateRisk records the observed risk of an accepted or holding reservation, and since when
+// there has been one. It reports whether it has changed the record.
 func updateRisk(r *record.Reservation, observed Observation) bool {
 	if observed.Risk == r.Risk || r.State != record.Holding && r.State != record.Accepted {
 		return false
@@ -84,9 +89,10 @@
 	return true
 }
 
-// startNextOccurrence moves a recurring reservation from an occurrence that has ended to the
-// next one that can still be served. It skips those that passed while no controller was
-// active.
+// startNextOccurrence changes a recurring reservation that is used or expired to accepted for
+// its next occurrence whose time to hold resources has not passed, and adds the outcome of the
+// ended one to the record. It skips occurrences that passed while no controller was active. It
+// reports whether it has changed the record.
 func startNextOccurrence(r *record.Reservation, schedule Schedule, observed Observation) bool {
 	if r.State != record.Used && r.State != record.Expired || !schedule.Recurs() {
 		return false
--- a/internal/controller/reservation/occurrenceindex.go
+++ b/internal/controller/reservation/occurrenceindex.go
@@ -15,8 +15,8 @@
 
 // Occurrence is one of the periods in which a reservation or a window is in effect.
 type Occurrence struct {
-	Name   Name
-	Window bool
+	Name   Name // of the entry
+	Window bool // it is of a window, not of a reservation
 	Start  Moment
 	End    Moment // for a reservation: when its job should have ended at the latest
 }
@@ -53,7 +53,8 @@
 	x.size--
 }
 
-// overlapping returns the occurrences that overlap a period, ordered by start.
+// overlapping returns the occurrences that overlap the period from one moment until before
+// another, ordered by start.
 func (x *occurrenceIndex) overlapping(from, to Moment) []Occurrence {
 	var found []Occurrence
 	for _, item := range x.tree.Overlaps(firstKeyAt(from), firstKeyAt(to)) {
--- a/internal/controller/reservation/overlap.go
+++ b/internal/controller/reservation/overlap.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// distinctActiveSets iterates over the sets of occurrences that are active at the same time
-// as an entry, whose occurrences begin at the given times and have the given length. Within
-// an occurrence, it checks each moment at which another one begins, as only then there can
-// be fewer resources. Equal sets are yielded once, since most days have the same ones.
+// distinctActiveSets iterates over the sets of occurrences that are active (in effect) at the
+// same time as an entry, whose occurrences begin at the given times and have the given length.
+// It yields a moment and the set that is active then. Within an occurrence, it checks each
+// moment at which another one begins, as only then there can be fewer resources. Equal sets are
+// yielded once, since most days have the same ones.
 // The reservation named excluded is left out. All other reservations that are active are
 // added to overlapping.
 func (c *Calendar) distinctActiveSets(times []Moment, length time.Duration, excluded Name, overlapping map[Name]bool) iter.Seq2[Moment, []Occurrence] {
--- a/internal/controller/reservation/schedule.go
+++ b/internal/controller/reservation/schedule.go
@@ -34,7 +34,8 @@
 // Recurs reports whether the schedule is a recurring one.
 func (s Schedule) Recurs() bool { return s.daily || len(s.weekdays) > 0 }
 
-// Occurrences returns the starts of the occurrences, from a moment until before another.
+// Occurrences returns the starts of the occurrences from a moment until before another, in
+// order of time.
 func (s Schedule) Occurrences(from, to Moment) []Moment {
 	if !s.Recurs() {
 		if m := s.moment(s.date); m >= from && m < to {
@@ -60,8 +61,8 @@
 	return occurrences
 }
 
-// rule returns the rule for the dates of a recurring schedule from a moment until before
-// another, with a margin for the zone on both sides; nil if there are no dates.
+// rule returns the rule that yields the dates of a recurring schedule from a moment until
+// before another, with a margin for the zone on both sides; nil if there are no dates.
 func (s Schedule) rule(from, to Moment) *rrule.RRule {
 	start := time.UnixMilli(int64(from)).UTC().Truncate(day).Add(-zoneMargin)
 	if s.from.After(start) {
--- a/internal/controller/reservation/scheduleparser.go
+++ b/internal/controller/reservation/scheduleparser.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// maxScheduleLength bounds the length of the text of a schedule.
+	// maxScheduleLength is the maximum length of the text of a schedule, in bytes.
 	maxScheduleLength = 200
-	// weekdayLetters is how many letters of a day of the week are significant.
+	// weekdayLetters is the number of first letters by which a day of the week is recognised;
+	// the others are ignored.
 	weekdayLetters = 3
 )
 
@@ -54,7 +55,8 @@
 	"mon": rrule.MO, "tue": rrule.TU, "wed": rrule.WE, "thu": rrule.TH, "fri": rrule.FR, "sat": rrule.SA, "sun": rrule.SU,
 }
 
-// ParseSchedule parses a schedule. Its errors describe what could not be parsed.
+// ParseSchedule parses the text of a schedule, in the form shown at Schedule. Its errors quote
+// the text, unless it is too long, and describe what could not be parsed.
 func ParseSchedule(text string) (Schedule, error) {
 	if len(text) > maxScheduleLength {
 		return Schedule{}, invalidField("time", "longer than %d characters", maxScheduleLength)
--- a/internal/controller/reservation/validation.go
+++ b/internal/controller/reservation/validation.go
@@ -12,16 +12,17 @@
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9.-]{0,59}$`)
 
 const (
-	// maxLength is the greatest length of a reservation or a window, and the longest time
-	// for which resources are held for a job.
+	// maxLength is the maximum length of a reservation's job or of a window, and the longest
+	// time for which resources are held for a job that has not started.
 	maxLength = 7 * day
-	// minHold is the shortest time for which resources are held for a job.
+	// minHold is the shortest time for which resources may be held for a job that has not
+	// started.
 	minHold = time.Minute
-	// minLength is the least length of a reservation or a window.
+	// minLength is the minimum length of a reservation's job or of a window.
 	minLength = time.Second
-	// maxTasks bounds the tasks of a reservation.
+	// maxTasks is the maximum number of tasks of a reservation.
 	maxTasks = 10_000
-	// maxListItems bounds the machines or types that an entry names.
+	// maxListItems is the maximum number of machines or of types that an entry names.
 	maxListItems = 200
 )
 
@@ -38,8 +39,9 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// CheckReservation checks a reservation as far as that depends neither on the site nor on
-// other entries. Its errors name the field.
+// CheckReservation checks the fields of a requested reservation, as far as that depends neither
+// on the site nor on other entries: its name, time, job or class, tasks and durations. An
+// error names the first invalid field.
 func CheckReservation(s *record.ReservationSpec) error {
 	if err := checkName(s.Name); err != nil {
 		return err
@@ -65,8 +67,9 @@
 	return checkSeconds("length", s.LengthS, minLength)
 }
 
-// CheckWindow checks a window as far as that depends neither on the site nor on other
-// entries. Its errors name the field.
+// CheckWindow checks the fields of a requested window, as far as that depends neither on the
+// site nor on other entries: its name, time, machines and length. An error names the first
+// invalid field.
 func CheckWindow(s *record.WindowSpec) error {
 	if err := checkName(s.Name); err != nil {
 		return err
@@ -90,7 +93,8 @@
 	return nil
 }
 
-// checkTarget checks that a reservation is for one job or for one class of jobs.
+// checkTarget checks that a reservation is for either one job or one class of jobs, and that
+// one for a job does not recur.
 func checkTarget(s *record.ReservationSpec, schedule Schedule) error {
 	if (s.Job == "") == (s.Class == "") {
 		return invalidField("job, class", "one of the two is needed")
