--- a/internal/controller/holds/calendar.go
+++ b/internal/controller/holds/calendar.go
@@ -10,12 +10,13 @@
 	"damsonkeel/internal/record"
 )
 
-// calendarLookahead is how far ahead windows and reservations are considered when a task is
-// placed. It is longer than tasks are likely to run.
+// calendarLookahead is how far ahead of now windows and reservations are considered when a
+// task is placed. It is longer than tasks are likely to run.
 const calendarLookahead = 24 * time.Hour
 
-// AdoptCalendarRecord adopts a new version of a record of the calendar: the calendar's own
-// record, a reservation or a window.
+// AdoptCalendarRecord adopts a new version of a record of the calendar that was read from the
+// key-value store: the calendar's own record, a reservation or a window, as the key states.
+// It returns an error if the record can't be decoded or its schedule can't be parsed.
 func (h *Holds) AdoptCalendarRecord(f record.FollowedKey, value protocol.RawValue, version protocol.Version) (err error) {
 	switch {
 	case f.Calendar:
@@ -30,7 +31,7 @@
 }
 
 // adoptCalendar adopts the calendar's own record, which counts the changes of all other
-// records. Its version is adopted even if the record can't be decoded.
+// records of the calendar. Its version is adopted even if the record can't be decoded.
 func (h *Holds) adoptCalendar(value protocol.RawValue, version protocol.Version) error {
 	var r record.Calendar
 	err := protocol.Decode(value, &r)
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// AdoptCalendarDeletion adopts the deletion of a record of the calendar.
+// AdoptCalendarDeletion removes the reservation or window whose record was deleted from the
+// calendar, and the holds of the reservation.
 func (h *Holds) AdoptCalendarDeletion(f record.FollowedKey) {
 	if f.Reservation != "" {
 		h.Calendar.DropEntry(false, f.Reservation)
@@ -92,8 +94,9 @@
 	h.republish()
 }
 
-// Refresh computes the open windows, the resources held now and the claims on teams' limits.
-// It is called once per replication interval.
+// Refresh computes the open windows, the live jobs by class, the claims on teams' limits and
+// the amount of each machine's resources that is held now. It does nothing if there are neither
+// calendar entries nor holds. It is called once per replication interval.
 func (h *Holds) Refresh() {
 	if !h.HasEntries && len(h.List) == 0 {
 		return
@@ -111,8 +114,8 @@
 	h.computeReserved()
 }
 
-// openWindows returns the windows that are open or will open soon, extended on both sides by
-// the amount that clocks may be off.
+// openWindows returns the windows among the occurrences, which are open or will open within
+// calendarLookahead, extended on both sides by the amount that clocks may be off.
 func (h *Holds) openWindows(occurrences []reservation.Occurrence, clockError time.Duration) (windows []clusterstate.OpenWindow) {
 	for _, o := range occurrences {
 		if !o.Window {
--- a/internal/controller/holds/doc.go
+++ b/internal/controller/holds/doc.go
@@ -10,4 +10,11 @@
 // team claims and the jobs by class are recomputed once per replication interval.
 //
 // The package must not choose holds, place tasks or write the records of reservations.
+//
+// Terms: a hold is the resources of one machine that are held for a reservation. An
+// occurrence is one period in which a reservation or a window is in effect; the current one
+// of a reservation starts at the time in its record. A live job is one that has not ended. A
+// team claim is the part of a team's limit that a reservation of the team will use. The
+// replication interval is the time between two state updates that a controller sends to its
+// peers.
 package holds
--- a/internal/controller/holds/exclusion.go
+++ b/internal/controller/holds/exclusion.go
@@ -9,8 +9,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Exclusion returns a function that reports whether a job's tasks may not be placed on a
-// machine, because they would run into a window or use resources that are held for others.
+// Exclusion returns a function that reports whether a task of a job, of a level and with an
+// estimated run time in seconds, may not be placed on a machine: because it would run while
+// the machine is in a window, or use resources that are held for others. The task's end is
+// expected after its wait on the machine and the run time that it very likely does not exceed.
 func (h *Holds) Exclusion(j *protocol.Job, level resource.Level, estimateS float64) func(m *waittable.Machine) bool {
 	now := h.WallTime()
 	expectedRunS := h.ExpectedRunSeconds(j, estimateS)
--- a/internal/controller/holds/holds.go
+++ b/internal/controller/holds/holds.go
@@ -11,7 +11,9 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Holds is the state of reservations and windows that a controller uses to place tasks.
+// Holds is the state of reservations and windows that a controller uses to place tasks: the
+// calendar, the list of holds and the open windows, shared through clusterstate, and the team
+// claims and progress of reservations.
 type Holds struct {
 	clusterstate.Module
 	*clusterstate.Reservations
@@ -26,19 +28,19 @@
 	ListNumber uint64
 
 	recordWrittenAt clock.Time       // when the last write of the record was issued
-	recordStale     bool             // a write of the list is due
+	recordStale     bool             // the record does not have the present list
 	recordVersion   protocol.Version // latest version of the record that was adopted
 
-	teamClaims map[protocol.Team][]teamClaim
+	teamClaims map[protocol.Team][]teamClaim // as of the last replication interval
 	// liveByClass contains the live jobs of the classes with an occurrence within
 	// calendarLookahead, as of the last replication interval.
 	liveByClass map[string][]*clusterstate.LiveJob
-	endedTasks  map[reservation.Name]*endedTasks
+	endedTasks  map[reservation.Name]*endedTasks // of the jobs that have ended in this session
 }
 
-// New returns a state on which Reset has to be called before use. The function progress
-// returns the progress of a job, and republish causes the states of all machines to be
-// published again.
+// New returns a Holds on which Reset has to be called before use. The function progress
+// returns the latest progress of a live job that this controller has received, and whether
+// there is any; republish causes the states of all machines to be published again.
 func New(module clusterstate.Module, table *waittable.Table, progress func(protocol.JobID) (message.Progress, bool), republish func()) *Holds {
 	return &Holds{Module: module, table: table, progress: progress, republish: republish}
 }
@@ -51,7 +53,8 @@
 	}
 }
 
-// Active reports whether there are holds or open windows at present.
+// Active reports whether there are any holds, or any windows that are open or will open within
+// calendarLookahead.
 func (h *Holds) Active() bool { return len(h.Windows) > 0 || len(h.List) > 0 }
 
 // AdoptChosenList adopts the list that this controller has chosen while it runs the autoscaler.
@@ -66,7 +69,8 @@
 	h.ListNumber = max(h.ListNumber+1, term<<32|1)
 }
 
-// ReplaceList replaces the list of holds.
+// ReplaceList replaces the list of holds, recomputes which resources are held now and requests
+// that the tasks that wait for a machine are tried again.
 func (h *Holds) ReplaceList(list []reservation.Hold) {
 	h.List = list
 	h.Holds = map[protocol.MachineID][]reservation.Hold{}
@@ -86,7 +90,8 @@
 	}
 }
 
-// computeReserved computes which amount of each machine's resources is held now.
+// computeReserved sets for each machine of the wait table which amount of its resources its
+// holds reserve now.
 func (h *Holds) computeReserved() {
 	now := h.WallTime()
 	for _, m := range h.table.Machines {
@@ -94,13 +99,15 @@
 	}
 }
 
-// IsReserved reports whether resources are held for a job on any machine.
+// IsReserved reports whether resources are held on any machine for a reservation that matches
+// a job.
 func (h *Holds) IsReserved(j *protocol.Job) bool {
 	isFor := h.ReservationFilter(j)
 	return slices.ContainsFunc(h.List, func(hold reservation.Hold) bool { return isFor(hold.For) })
 }
 
-// HeldFor reports whether resources are held for a job on a machine.
+// HeldFor reports whether resources are held on a given machine for a reservation that matches
+// a job.
 func (h *Holds) HeldFor(j *protocol.Job, m *waittable.Machine) bool {
 	return reservation.ReservedUntil(h.Holds[m.ID], h.ReservationFilter(j)) != 0
 }
--- a/internal/controller/holds/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -25,8 +25,9 @@
 // Tag marks the transaction that writes the record of the holds.
 type Tag struct{}
 
-// WriteRecord writes the list of holds if it has changed. If they do not all fit into a record,
-// it writes those that begin first. The record only serves to hold the same resources again
+// WriteRecord writes the list of holds if it has changed since the last write and that was at
+// least writeInterval ago. If the holds do not all fit into a record, it writes those that
+// begin first. The record only serves to hold the same resources again
 // soon after all controllers have ended. Without it, other tasks would fill the machines before
 // any controller has a list of holds.
 func (h *Holds) WriteRecord() {
@@ -41,13 +42,15 @@
 	}})
 }
 
-// HandleRecordWritten handles the outcome of a write. A failed write is retried.
+// HandleRecordWritten has the list written again by WriteRecord unless the write, whose outcome
+// is out, was carried out.
 func (h *Holds) HandleRecordWritten(out message.Outcome) {
 	h.recordStale = h.recordStale || out != message.OutcomeDone
 }
 
 // AdoptRecord adopts the recorded list, unless this controller has a list already: only the
-// first record of a session is adopted, and a list received from a peer is newer.
+// first record of a session is adopted, and a list received from a peer is newer. It returns an
+// error if the record can't be decoded.
 func (h *Holds) AdoptRecord(value protocol.RawValue, version protocol.Version) error {
 	h.recordVersion = version
 	var r Record
--- a/internal/controller/holds/occurrence.go
+++ b/internal/controller/holds/occurrence.go
@@ -8,14 +8,14 @@
 	"damsonkeel/internal/record"
 )
 
-// A job that ends is counted for the occurrences that overlap the period from endedLookback
-// ago until endedLookahead from now.
+// The tasks of a job that ends count as started for the reservations that match it and whose
+// current occurrence overlaps the period from endedLookback ago until endedLookahead from now.
 const (
 	endedLookback  = time.Minute
 	endedLookahead = time.Hour
 )
 
-// endedTasks is the number of tasks of the ended jobs of one occurrence.
+// endedTasks is the number of tasks of the ended jobs of one occurrence of a reservation.
 type endedTasks struct {
 	start reservation.Moment // start of the occurrence
 	tasks int
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// CountEndedJob adds the tasks of a job that has ended to the occurrences that were for it.
+// CountEndedJob adds the tasks of a job that has ended to the ended tasks of the current
+// occurrences that match it. It does nothing for a nil job.
 func (h *Holds) CountEndedJob(l *clusterstate.LiveJob) {
 	if !h.HasEntries || l == nil {
 		return
--- a/internal/controller/holds/teamclaims.go
+++ b/internal/controller/holds/teamclaims.go
@@ -15,7 +15,8 @@
 }
 
 // addTeamClaim adds the claim of a reservation on its team's limit: the resources of its
-// tasks that have not started.
+// tasks that have not started. It adds none if the current occurrence needs no resources any
+// more, the team can't have a limit or all tasks have started.
 func (h *Holds) addTeamClaim(e *reservation.Entry) {
 	spec := &e.Reservation.Spec
 	if !e.Active() || !h.MayHaveLimit(spec.Team) {
