--- a/internal/controller/dynamicconfig/class.go
+++ b/internal/controller/dynamicconfig/class.go
@@ -13,7 +13,8 @@
 // objectiveKinds lists the kinds of objectives that the platform's file defines.
 var objectiveKinds = []string{"wait", "finished", "deadline", "guarantee"}
 
-// classAfter returns the entry of a class after a change.
+// classAfter returns the entry of a class after a change, which resets it or replaces all its
+// objectives. It refuses more than maxObjectives objectives and invalid ones.
 func classAfter(c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	if c.Reset {
 		return record.ConfigurationEntry{Reset: true}, nil
@@ -30,7 +31,8 @@
 	return record.ConfigurationEntry{Class: &record.ClassEntry{Objectives: objectives}}, nil
 }
 
-// checkObjective refuses an objective of an unknown kind or with a number out of range.
+// checkObjective returns a RefusedError for an objective of an unknown kind, with a share that
+// is not above 0 and at most 1, or with a time or factor that is not from 0 to maxAmount.
 func checkObjective(o record.ObjectiveEntry) error {
 	inRange := func(v float64) bool { return v >= 0 && v <= maxAmount } // false for NaN
 	validShare := o.Share > 0 && o.Share <= 1
--- a/internal/controller/dynamicconfig/decide.go
+++ b/internal/controller/dynamicconfig/decide.go
@@ -16,8 +16,8 @@
 	// nonEntryChanges is the number of changes of a transaction that do not write entries:
 	// they write the record of the revision and the record of its history.
 	nonEntryChanges = 2
-	// maxEntries bounds the number of entries, so that the configuration does not grow
-	// without limit.
+	// maxEntries is the maximum number of entries that were ever changed, so that the
+	// configuration does not grow without limit.
 	maxEntries = 2000
 )
 
@@ -31,10 +31,12 @@
 	Types []protocol.MachineType // all machine types of the catalogue
 	// LiveJobs returns the number of a team's jobs that have not ended.
 	LiveJobs func(protocol.Team) int
-	// Processors is the number of processors that is available for guarantees. If it is 0,
-	// the number is unknown and guarantees are not checked against it.
+	// Processors is the number of processors of all machines that operators count on, which
+	// the teams' guarantees may not exceed. If it is 0, the number is unknown and guarantees
+	// are not checked against it.
 	Processors float64
-	// MaxChanges is the largest number of changes that a transaction may have.
+	// MaxChanges is the largest number of changes that a transaction on the key-value store
+	// may have.
 	MaxChanges int
 }
 
@@ -73,7 +75,9 @@
 	return plan, f.checkGuarantees(facts, plan)
 }
 
-// entryAfter returns an entry after a change.
+// entryAfter returns the value that an entry has after a change. It returns an error if the
+// entry's name or kind is invalid or its fields don't fit the kind, or if the kind's own rules
+// refuse the change.
 func (f *Tracker) entryAfter(facts *Facts, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	none := record.ConfigurationEntry{}
 	kind, name := c.Entry.Split()
@@ -98,8 +102,8 @@
 	return none, refused("%q is no kind of entry: team, class, zone, type or setting", kind)
 }
 
-// placeAfter returns the entry of a zone or a machine type after a change. It refuses the
-// change unless the zone or the type exists.
+// placeAfter returns the entry of a zone or a machine type after a change that closes (cordons)
+// it or opens it again. It refuses the change unless the zone or the type exists.
 func placeAfter(c operatorapi.ConfigChange, exists bool) (record.ConfigurationEntry, error) {
 	if !exists {
 		return record.ConfigurationEntry{}, refused("there is none of this name")
--- a/internal/controller/dynamicconfig/errors.go
+++ b/internal/controller/dynamicconfig/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// RefusedError is the error for a change that can't be made. The reply to the operator has
-// its reason.
+// RefusedError is the error for a requested change that can't be made because it is invalid or
+// against a rule. The reply to the operator contains its reason.
 type RefusedError struct{ Reason string }
 
 // Error implements error.
--- a/internal/controller/dynamicconfig/plan.go
+++ b/internal/controller/dynamicconfig/plan.go
@@ -20,7 +20,8 @@
 	baseVersion protocol.Version     // version of the record base
 }
 
-// add adds the change of an entry, unless the two values are the same.
+// add adds the change of an entry from one value to another, with the plan's revision, unless
+// the two values are the same.
 func (p *Plan) add(id record.EntryID, from, to record.ConfigurationEntry) {
 	if sameEntry(from, to) {
 		return
@@ -29,7 +30,7 @@
 	p.Changes = append(p.Changes, record.EntryChange{Entry: id, From: from, To: to})
 }
 
-// sameEntry reports whether two entries are equal apart from their revisions.
+// sameEntry reports whether two entries are equal apart from the revisions that wrote them.
 func sameEntry(a, b record.ConfigurationEntry) bool {
 	a.Revision, b.Revision = 0, 0
 	encodedA, errA := protocol.Encode(a)
@@ -37,9 +38,9 @@
 	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
 
-// Transaction returns the compare-and-swap transaction that writes the entries, the
-// history and the record of the revision. It fails if the record of the revision has
-// changed since the decision.
+// Transaction returns the compare-and-swap transaction that writes the changed entries, a
+// record of the history of changes, and the record of the revision in force with the latest
+// executed requests. It fails if the record of the revision has changed since the decision.
 func (p *Plan) Transaction() protocol.Transaction {
 	next := record.Configuration{Revision: p.Revision, Requests: slices.Clone(p.base.Requests)}
 	txn := protocol.Transaction{Conditions: []protocol.Condition{{Key: record.ConfigurationKey, Version: p.baseVersion}}}
@@ -60,8 +61,9 @@
 	return txn
 }
 
-// RevisionOfRequest returns the revision that a request created, and whether the request was
-// carried out. Only the latest requests are recorded.
+// RevisionOfRequest returns the revision that the request with an idempotency key created, and
+// whether a request with this key was carried out. Only the latest requests are recorded; an
+// empty key matches none.
 func (f *Tracker) RevisionOfRequest(request string) (Revision, bool) {
 	for _, r := range f.current.Requests {
 		if request != "" && r.ID == request {
--- a/internal/controller/dynamicconfig/settings.go
+++ b/internal/controller/dynamicconfig/settings.go
@@ -19,11 +19,12 @@
 	"idleReturn":      func(o *config.Operator) *time.Duration { return &o.IdleTimeout },
 }
 
-// ChangeableSettings returns the names of the settings that may change, in order.
+// ChangeableSettings returns the names of the operators' settings that may change while
+// controllers run, in alphabetical order.
 func ChangeableSettings() []string { return slices.Sorted(maps.Keys(changeableSettings)) }
 
-// Setting returns the value in force of a setting; it is empty for a setting that can't
-// change.
+// Setting returns the value in force of an operators' setting, as text; it is empty for a
+// setting that can't change while controllers run.
 func (e *Effective) Setting(name string) record.SettingText {
 	field := changeableSettings[name]
 	if field == nil {
@@ -32,7 +33,8 @@
 	return record.SettingText(field(&e.Operator).String())
 }
 
-// setSetting parses the value of a setting into the operators' settings.
+// setSetting parses the text of a setting's value and sets the setting to it. It returns an
+// error if the setting can't change while controllers run, or if the value is invalid.
 func setSetting(operator *config.Operator, name string, text record.SettingText) error {
 	field := changeableSettings[name]
 	if field == nil {
@@ -45,7 +47,8 @@
 // that is to be reset exists.
 const validDuration = record.SettingText("1s")
 
-// settingAfter returns the entry of a setting after a change.
+// settingAfter returns the entry of a setting after a change, which resets it or gives it a
+// value. It refuses an invalid value and a setting that can't change while controllers run.
 func (f *Tracker) settingAfter(name string, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	value := validDuration
 	if !c.Reset {
--- a/internal/controller/dynamicconfig/team.go
+++ b/internal/controller/dynamicconfig/team.go
@@ -10,10 +10,14 @@
 	"damsonkeel/internal/record"
 )
 
-// maxAmount bounds guarantees, limits and the times and factors of objectives.
+// maxAmount is the largest value of guarantees and limits, in processors or GPUs, and of the
+// times, in seconds, and factors of objectives.
 const maxAmount = 1e9
 
-// teamAfter returns a team's entry after a change.
+// teamAfter returns a team's entry after a change, which resets or removes the team, or sets
+// some of its guarantees, limits and whether it is closed; the others keep their values in
+// force. If the change lowers a limit, the entry states the new revision as the last one that
+// did.
 func (f *Tracker) teamAfter(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) (record.ConfigurationEntry, error) {
 	none := record.ConfigurationEntry{}
 	current, known := f.effective.Team(name)
@@ -48,7 +52,8 @@
 	return record.ConfigurationEntry{Team: &team}, nil
 }
 
-// setAmounts copies the guarantees and limits that a change sets to a team's entry.
+// setAmounts copies the guarantees and limits that a change sets to a team's entry. It refuses
+// values that are not from 0 to maxAmount.
 func setAmounts(team *record.TeamEntry, c operatorapi.ConfigChange) error {
 	for _, amount := range []struct {
 		name string
@@ -82,14 +87,15 @@
 	return entry.Lowered
 }
 
-// lowersLimit reports whether an entry lowers a limit of a team. A limit of 0 is none.
+// lowersLimit reports whether an entry lowers a limit of a team, of processors or of GPUs,
+// below its current one. A limit of 0 is none, so that a first limit lowers it.
 func lowersLimit(current Team, entry *record.TeamEntry) bool {
 	less := func(to, from float64) bool { return to > 0 && (from == 0 || to < from) }
 	return less(entry.MaxCPUs, current.MaxCPUs) || less(entry.MaxGPUs, current.MaxGPUs)
 }
 
-// checkLimits checks that a team's limits are not below its guarantees, and that a team
-// with a limit has a single owner of its jobs, which can enforce it.
+// checkLimits checks that a team's limits are not below its guarantees, and that the jobs of a
+// team with a limit are all owned by one controller, which can enforce the limit.
 func (f *Tracker) checkLimits(name protocol.Team, t *record.TeamEntry) error {
 	if t.MaxCPUs > 0 && t.MaxCPUs < t.CPUs || t.MaxGPUs > 0 && t.MaxGPUs < t.GPUs {
 		return refused("the limit (cpus_max %v, gpus_max %v) is below the guarantee (cpus %v, gpus %v)", t.MaxCPUs, t.MaxGPUs, t.CPUs, t.GPUs)
@@ -101,10 +107,11 @@
 	return nil
 }
 
-// checkRemoveOrReset checks that a team can be removed or reset. A team that is not in the
-// platform's file must be closed to new jobs and have no live jobs. Some time after it was
-// closed, this controller tracks all jobs of the team that are left, so that the number of
-// its live jobs is complete.
+// checkRemoveOrReset checks that a team can be removed or reset. A team that is to be removed,
+// or to be reset and is not in the platform's file, must be closed to new jobs and have no
+// live jobs, that is, jobs that have not ended. Some time after it was closed, this controller
+// tracks all jobs of the team that are left, so that the number of its live jobs is complete.
+// A reset of a team of the platform's file must not lower its limit.
 func (f *Tracker) checkRemoveOrReset(facts *Facts, name protocol.Team, c operatorapi.ConfigChange) error {
 	current, known := f.effective.Team(name)
 	inFile := slices.ContainsFunc(f.site.Teams, func(t config.Team) bool { return t.Name == name })
@@ -136,12 +143,13 @@
 	return nil
 }
 
-// HasSingleOwner reports whether all jobs of a team have the same owner, which enforces the
-// team's limit. The result depends only on the platform's file, which is the same on all
-// controllers, and on the layout: if it could change with a revision, a job would have two
-// owners while some controllers act on the previous revision. Teams that are not in the
-// file have a single owner from LayoutConfiguration on: in views of that layout, every
-// member implements this rule.
+// HasSingleOwner reports whether all jobs of a team have the same owner, the controller
+// that places their tasks and enforces the team's limit. Of the teams in the platform's
+// file, only those with a limit have one. The result depends only on the platform's file,
+// which is the same on all controllers, and on the layout: if it could change with a
+// revision, a job would have two owners while some controllers act on the previous
+// revision. Teams that are not in the file have a single owner from LayoutConfiguration
+// on: in views of that layout, every member implements this rule.
 func HasSingleOwner(site *config.Site, layout record.Layout, name protocol.Team) bool {
 	for _, t := range site.Teams {
 		if t.Name == name {
--- a/internal/controller/dynamicconfig/tracker.go
+++ b/internal/controller/dynamicconfig/tracker.go
@@ -32,7 +32,8 @@
 	return f
 }
 
-// Reset discards all records. The caller then lists them again.
+// Reset discards all records that were read, so that the files' configuration is in force. The
+// caller then lists the records again.
 func (f *Tracker) Reset() {
 	*f = Tracker{site: f.site, operator: f.operator}
 	f.entries = map[record.EntryID]record.ConfigurationEntry{}
@@ -40,11 +41,12 @@
 	f.effective = Base(f.site, f.operator)
 }
 
-// Effective returns the configuration in force.
+// Effective returns the configuration in force: that of the last revision all of whose records
+// have been read.
 func (f *Tracker) Effective() *Effective { return f.effective }
 
-// Entry returns an entry in force. For an entry that was never changed it returns the same
-// as for one that was reset.
+// Entry returns the entry in force with an ID. If the entry was never changed, it returns one
+// with Reset set.
 func (f *Tracker) Entry(id record.EntryID) record.ConfigurationEntry {
 	if entry, ok := f.entries[id]; ok {
 		return entry
@@ -52,11 +54,14 @@
 	return record.ConfigurationEntry{Reset: true}
 }
 
-// Entries returns all entries that were ever changed, including those that were reset.
+// Entries returns the entries in force that were ever changed, including those that were
+// reset. The caller must not change the map.
 func (f *Tracker) Entries() map[record.EntryID]record.ConfigurationEntry { return f.entries }
 
 // ApplyEntry adds the record of an entry that was read from the key-value store, and
-// reports whether the configuration in force has changed.
+// reports whether the configuration in force was rebuilt. An entry of a later revision than
+// the one in force takes effect together with that revision. A record that is not newer than
+// the known one is ignored.
 func (f *Tracker) ApplyEntry(id record.EntryID, entry record.ConfigurationEntry) bool {
 	if known, ok := f.pendingEntries[id]; ok && known.Revision >= entry.Revision {
 		return false
@@ -77,7 +82,8 @@
 }
 
 // ApplyRevision adds the record of a revision that was read from the key-value store, and
-// reports whether the configuration in force has changed.
+// reports whether the revision was put in force, which happens once all its entries have been
+// read. A record that is not newer than the known one is ignored.
 func (f *Tracker) ApplyRevision(revision record.Configuration, version protocol.Version) bool {
 	if version <= f.currentVersion || f.pending != nil && version <= f.pendingVersion {
 		return false
@@ -86,8 +92,8 @@
 	return f.applyPending()
 }
 
-// applyPending puts the pending revision in force if all of its entries have been read, and
-// reports whether it has.
+// applyPending puts the pending revision in force, with the entries of it and of earlier
+// revisions, if all entries that it changed have been read. It reports whether it has.
 func (f *Tracker) applyPending() bool {
 	if f.pending == nil {
 		return false
@@ -108,7 +114,8 @@
 	return true
 }
 
-// revisionOf returns the latest revision of an entry that has been read.
+// revisionOf returns the revision of the latest record of an entry that has been read; 0 if
+// none has.
 func (f *Tracker) revisionOf(id record.EntryID) Revision {
 	if entry, ok := f.pendingEntries[id]; ok {
 		return entry.Revision
