--- a/internal/controller/operatorrequest/calendar.go
+++ b/internal/controller/operatorrequest/calendar.go
@@ -9,7 +9,8 @@
 )
 
 // calendarFacts returns the inputs of decisions on reservations and windows other than the
-// calendar.
+// calendar: the catalogue of machine types, the numbers of machines that operators count on,
+// the teams in force and the registered machines.
 func (h *Handler) calendarFacts() *reservation.SiteFacts {
 	return &reservation.SiteFacts{
 		Types: h.Types, MaxMachines: h.Operator.Machines,
@@ -27,9 +28,10 @@
 	}
 }
 
-// addReservation decides whether a reservation can be guaranteed, and if so, adds it to the
-// calendar. A repeated request that was accepted before is accepted again, without a
-// further change.
+// addReservation decides whether a reservation can be guaranteed, and if so, returns a
+// transaction that adds it to the calendar; none for a dry run. A repeated request that was
+// accepted before is accepted again, without a further change. A reservation of the same name
+// is replaced only if it has ended or the request says so.
 func (h *Handler) addReservation(operator string, r *operatorapi.Request) Decision {
 	calendar, spec := h.reservations.Calendar, *r.Reservation
 	if err := reservation.CheckReservation(&spec); err != nil {
@@ -62,14 +64,16 @@
 	return decision
 }
 
-// hasEnded reports whether a reservation holds no resources any more and will hold none.
+// hasEnded reports whether the current occurrence of a reservation is over, so that it holds
+// no resources: it is cancelled, used or expired.
 func hasEnded(e *reservation.Entry) bool {
 	return e.State == record.Cancelled || e.State == record.Used || e.State == record.Expired
 }
 
 // addWindow decides whether all reservations can still be guaranteed with a maintenance
-// window, and if so, adds it to the calendar. A repeated request that was accepted before
-// is accepted again, without a further change.
+// window, and if so, returns a transaction that adds it to the calendar; none for a dry run. A
+// repeated request that was accepted before is accepted again, without a further change. A
+// window of the same name is replaced only if it is cancelled or the request says so.
 func (h *Handler) addWindow(operator string, r *operatorapi.Request) Decision {
 	calendar, spec := h.reservations.Calendar, *r.Spec
 	if err := reservation.CheckWindow(&spec); err != nil {
@@ -98,7 +102,8 @@
 	return decision
 }
 
-// calendarDecision converts an answer of the calendar to a decision without a transaction.
+// calendarDecision converts the calendar's answer to a requested entry to a decision with the
+// same reply and no transaction.
 func calendarDecision(answer reservation.Answer) Decision {
 	code := operatorapi.Done
 	if !answer.OK {
@@ -107,7 +112,7 @@
 	return Decision{Reply: operatorapi.Reply{Code: code, Reason: answer.Reason, Conflicts: answer.Conflicts, Overlapping: answer.Overlapping, FirstMS: answer.FirstTimes}}
 }
 
-// versionOf returns the version of an entry's record; 0 if there is no entry.
+// versionOf returns the version of the record of an entry; 0 if the entry is nil.
 func versionOf(e *reservation.Entry) protocol.Version {
 	if e == nil {
 		return 0
@@ -115,9 +120,10 @@
 	return e.Version
 }
 
-// changeCalendar returns the transaction that writes a record of the calendar, on the
-// condition that neither this record nor any other record of the calendar has changed since
-// the decision.
+// changeCalendar returns the transaction that writes a record of the calendar under a key and
+// counts the change in the calendar's own record, on the condition that neither this record,
+// which had the given version, nor any other record of the calendar has changed since the
+// decision.
 func (h *Handler) changeCalendar(key string, version protocol.Version, value any) *protocol.Transaction {
 	return &protocol.Transaction{
 		Conditions: []protocol.Condition{{Key: record.CalendarKey, Version: h.reservations.Version}, {Key: key, Version: version}},
@@ -128,7 +134,10 @@
 	}
 }
 
-// cancelEntry cancels a reservation or a window.
+// cancelEntry decides on cancelling the reservation or window that a request names, and returns
+// the transaction that marks its record as cancelled. An entry that is cancelled already is
+// left as it is. If the request states when the entry was made, an entry of the same name that
+// was made later is not cancelled.
 func (h *Handler) cancelEntry(r *operatorapi.Request) Decision {
 	done := operatorapi.Reply{Code: operatorapi.Done, Reason: "cancelled"}
 	entry, kind := h.entry(r), "reservation"
--- a/internal/controller/operatorrequest/calendarview.go
+++ b/internal/controller/operatorrequest/calendarview.go
@@ -9,7 +9,7 @@
 	"damsonkeel/internal/record"
 )
 
-// Bounds of one reply, which may not be larger than a request.
+// Maximum numbers of items in one reply, which may not be larger than a request.
 const (
 	maxCalendarEntries = 40 // reservations or windows
 	maxOverruns        = 50 // machines that overrun a window
@@ -23,7 +23,8 @@
 	return h.reservations.Calendar.Reservation(r.Name)
 }
 
-// showEntry returns one reservation or window with all details.
+// showEntry returns the reservation or window that a request names, with its machines and past
+// occurrences.
 func (h *Handler) showEntry(r *operatorapi.Request) Decision {
 	reply := operatorapi.Reply{Code: operatorapi.Done}
 	switch entry := h.entry(r); {
@@ -37,8 +38,9 @@
 	return Decision{Reply: reply}
 }
 
-// listCalendar returns a page of the reservations or windows whose names follow the name in
-// the request, without their machines.
+// listCalendar returns a page of at most maxCalendarEntries reservations or windows, sorted by
+// name, whose names follow the name in the request. They lack the lists of machines and of past
+// occurrences.
 func (h *Handler) listCalendar(r *operatorapi.Request) Decision {
 	reply := operatorapi.Reply{Code: operatorapi.Done}
 	entries := h.reservations.Calendar.Reservations()
@@ -66,8 +68,9 @@
 	return Decision{Reply: reply}
 }
 
-// reservationView returns a reservation as shown to operators: its record with its current
-// holds, risk and progress.
+// reservationView returns a reservation as shown to operators: its record with the machines
+// and the number of tasks of its current holds, the reason why it may not be kept, and how many
+// of its tasks have started.
 func (h *Handler) reservationView(entry *reservation.Entry) operatorapi.Reservation {
 	view := operatorapi.Reservation{Reservation: *entry.Reservation}
 	for _, hold := range h.reservations.List {
@@ -83,8 +86,9 @@
 	return view
 }
 
-// windowView returns a window as shown to operators: its record with its current or next
-// occurrence.
+// windowView returns a window as shown to operators: its record with the start of its current
+// or next occurrence, whether that is open now, and the machines that overrun it. A cancelled
+// window has just its record.
 func (h *Handler) windowView(entry *reservation.Entry) operatorapi.Window {
 	now := h.WallTime()
 	view := operatorapi.Window{Window: *entry.Window}
@@ -99,8 +103,8 @@
 	return view
 }
 
-// overruns lists the machines with attempts that are expected to end only after a window
-// has opened, the longest overrun first.
+// overruns lists at most maxOverruns machines that a window covers and that have attempts
+// which are expected to end only after the window opens, the longest overrun first.
 func (h *Handler) overruns(spec *record.WindowSpec, opening reservation.Moment) []operatorapi.Overrun {
 	var overruns []operatorapi.Overrun
 	for _, m := range h.table.InOrder() {
--- a/internal/controller/operatorrequest/configuration.go
+++ b/internal/controller/operatorrequest/configuration.go
@@ -12,8 +12,10 @@
 	"damsonkeel/internal/record"
 )
 
-// configure decides on a change of the configuration. A repeated request that was carried
-// out before gets the revision that it created, without a further change.
+// configure decides on a change of the configuration and, if it is accepted, makes a difference
+// and is no dry run, returns the transaction that writes it. A repeated request that was
+// carried out before gets the revision that it created, without a further change. A request
+// that names a revision is refused if another one is in force.
 func (h *Handler) configure(operator string, r *operatorapi.Request) Decision {
 	configuration := h.Configuration
 	if revision, done := configuration.RevisionOfRequest(r.ID); done {
@@ -54,7 +56,8 @@
 }
 
 // configurationFacts returns the inputs of decisions on the configuration other than the
-// configuration itself.
+// configuration itself: the zones, the machine types, the numbers of live jobs by team, the
+// processors of the machines that operators count on, and the size limit of a transaction.
 func (h *Handler) configurationFacts() *dynamicconfig.Facts {
 	facts := &dynamicconfig.Facts{
 		Zones: h.Settings.Site.Zones, Types: slices.Sorted(maps.Keys(h.Types)), MaxChanges: h.Settings.Site.State.TxnOps,
--- a/internal/controller/operatorrequest/configurationview.go
+++ b/internal/controller/operatorrequest/configurationview.go
@@ -11,11 +11,12 @@
 	"damsonkeel/internal/record"
 )
 
-// maxConfigEntries bounds the number of entries in one reply.
+// maxConfigEntries is the maximum number of entries of the configuration in one reply.
 const maxConfigEntries = 200
 
-// showConfiguration returns a page of the selected entries in force that follow the entry
-// named as After in the request.
+// showConfiguration returns a page of at most maxConfigEntries entries in force that the
+// request selects and whose IDs follow the one named as After in the request. It refuses a
+// request for one entry that does not exist.
 func (h *Handler) showConfiguration(r *operatorapi.Request) Decision {
 	effective := h.Configuration.Effective()
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: effective.Revision}}
@@ -35,8 +36,9 @@
 	return Decision{Reply: reply}
 }
 
-// configurationIDs lists the IDs of all entries, in order: those of the platform's file and
-// those that were ever changed.
+// configurationIDs lists the IDs of all entries, in alphabetical order: those of the teams and
+// classes in force, of all zones, machine types and settings that may change while controllers
+// run, and those that were ever changed.
 func (h *Handler) configurationIDs() []record.EntryID {
 	ids := map[record.EntryID]bool{}
 	for _, team := range h.Configuration.Effective().Teams() {
@@ -86,9 +88,10 @@
 	return view
 }
 
-// configurationStatus lists all controllers with the revisions that they act on: the
-// members of the view, the controllers that are excluded from it because they do not
-// support its layout, and those of the settings file.
+// configurationStatus lists all controllers with the revisions of the configuration that they
+// last reported to act on: the members of the view (the record of the controllers that take
+// part), the controllers that are excluded from it because they do not support its layout, the
+// format of the shared records, and those of the settings file.
 func (h *Handler) configurationStatus() Decision {
 	reply := operatorapi.Reply{Code: operatorapi.Done, Config: &operatorapi.ConfigReply{Revision: h.Configuration.Effective().Revision, WithinS: h.propagationLimitS()}}
 	outdated := h.members.OutdatedNodes()
@@ -109,7 +112,8 @@
 }
 
 // appliedRevision returns the revision that a controller last reported to be in force on
-// it, and the time since that report. Both are 0 if it has never reported one.
+// it, and the time since that report. Both are 0 if it has never reported one. For this
+// controller it returns the revision in force and 0.
 func (h *Handler) appliedRevision(name protocol.NodeName) (record.ConfigurationRevision, time.Duration) {
 	if name == h.Self {
 		return h.Configuration.Effective().Revision, 0
--- a/internal/controller/operatorrequest/doc.go
+++ b/internal/controller/operatorrequest/doc.go
@@ -10,4 +10,10 @@
 // truth for its decisions is the records, whose versions are conditions of its
 // transactions. It must not change any of this state itself; it passes requested moves of
 // shards to package membership.
+//
+// Terms: an entry of the calendar is a reservation or a window; an entry of the
+// configuration is a team, class, zone, machine type or setting. A revision is one accepted
+// change of the configuration. A shard is a part of the machines, which one controller, its
+// holder, serves; on the wire it is called a share. A controller is cordoned if it is to hold
+// no shards. A dry run is decided but changes nothing.
 package operatorrequest
--- a/internal/controller/operatorrequest/handler.go
+++ b/internal/controller/operatorrequest/handler.go
@@ -22,7 +22,8 @@
 	return Decision{Reply: operatorapi.Reply{Code: code, Reason: reason}}
 }
 
-// Handler decides on operators' requests.
+// Handler decides on operators' requests from the state of this controller. It changes none of
+// it, but passes requested moves of shards to package membership.
 type Handler struct {
 	clusterstate.Module
 	members      *membership.Members
@@ -40,8 +41,9 @@
 // its arguments.
 const noSuchOperation = "no such operation"
 
-// Decide decides on a request. The operator is identified by the name of the key that
-// sealed the request.
+// Decide decides on a request by its operation. The operator is identified by the name of the
+// key that sealed the request. The request is refused, to be repeated later, while this
+// controller has no session, no catalogue of machine types or no wall-clock time.
 func (h *Handler) Decide(operator string, r *operatorapi.Request) Decision {
 	if h.Session == 0 || len(h.Types) == 0 || h.WallMS == 0 {
 		return refuse(operatorapi.RetryLater, "not ready")
@@ -74,7 +76,8 @@
 	return refuse(operatorapi.Refused, noSuchOperation)
 }
 
-// addEntry decides on adding a reservation or a window.
+// addEntry decides on adding the reservation or window that a request contains, and refuses a
+// request that lacks it.
 func (h *Handler) addEntry(operator string, r *operatorapi.Request) Decision {
 	switch {
 	case !r.Window && r.Reservation != nil:
--- a/internal/controller/operatorrequest/shards.go
+++ b/internal/controller/operatorrequest/shards.go
@@ -9,11 +9,12 @@
 	"damsonkeel/internal/record"
 )
 
-// notSharded refuses requests on shards where the machines are not divided into shards.
+// notSharded is the decision that refuses requests on shards where the machines are not divided
+// into shards.
 var notSharded = refuse(operatorapi.Refused, "machines are not kept by shares here")
 
-// listShards lists the shards with their holders and the controllers with the numbers of
-// their shards and machines.
+// listShards lists the shards with their zones, holders and numbers of machines, and the
+// controllers with the numbers of the shards and machines that they hold.
 func (h *Handler) listShards() Decision {
 	if !h.Sharded() {
 		return notSharded
@@ -40,8 +41,9 @@
 	return Decision{Reply: reply}
 }
 
-// moveShards requests the handover of shards to a controller. Their current holders carry
-// out the moves; the list of shards shows the progress.
+// moveShards requests the handover of shards to a controller, which must be a member of the
+// view and not cordoned. Shards that it holds already stay. The current holders carry out the
+// moves; the list of shards shows the progress.
 func (h *Handler) moveShards(r *operatorapi.Request) Decision {
 	lease := h.View.Members[r.Controller]
 	switch {
@@ -69,8 +71,9 @@
 	return Decision{Reply: operatorapi.Reply{Code: operatorapi.Done, Reason: "asked of their keepers"}}
 }
 
-// cordonController cordons a controller, which excludes it from holding shards, or ends the
-// cordon.
+// cordonController returns the transaction that cordons a controller, which excludes it from
+// holding shards, or that ends the cordon. It changes nothing if the controller is in the
+// requested state already, and refuses to cordon the last controller that may hold shards.
 func (h *Handler) cordonController(r *operatorapi.Request) Decision {
 	switch {
 	case !h.Sharded():
