--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,6 +1,7 @@
 package protocol
 
-// TypeInfo describes a machine type of the cloud.
+// TypeInfo describes a machine type of the cloud: its size, prices, boot time and the rate at
+// which it fetches container images. AllowZones lists the zones in which the cloud has it.
 type TypeInfo struct {
 	Name       MachineType `cbor:"sku"`
 	CPUs       float64     `cbor:"cores"`
@@ -19,8 +20,8 @@
 	Types []TypeInfo `cbor:"hulls"`
 }
 
-// ProvisionRequest requests Count new machines of one type in one zone. Name is the
-// idempotency key of the request.
+// ProvisionRequest requests Count new machines of one type in one zone, spot or on-demand.
+// Name is the idempotency key of the request: a repetition provisions no further machines.
 type ProvisionRequest struct {
 	Name  string      `cbor:"charter"`
 	Type  MachineType `cbor:"hull"`
@@ -35,7 +36,8 @@
 	Machines []MachineID `cbor:"fleet"`
 }
 
-// ListedMachine is one machine in the cloud's list of machines.
+// ListedMachine is one machine in the cloud's list of machines. State is booting, running or
+// failed.
 type ListedMachine struct {
 	ID      MachineID   `cbor:"id"`
 	Address string      `cbor:"address"`
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -6,7 +6,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxNestedLevels limits the nesting depth of received CBOR data.
+// maxNestedLevels is the maximum nesting depth of received CBOR data.
 const maxNestedLevels = 12
 
 var (
@@ -36,7 +36,7 @@
 	return mode
 }
 
-// Encode encodes v as CBOR.
+// Encode encodes v as CBOR, equal values always to the same bytes.
 func Encode(v any) ([]byte, error) {
 	b, err := encoder.Marshal(v)
 	if err != nil {
@@ -45,8 +45,9 @@
 	return b, nil
 }
 
-// Decode decodes one CBOR item into v and ignores unknown fields. Its error texts contain
-// the name of the type of v.
+// Decode decodes b, which must be a single CBOR item, into v and ignores unknown fields. It
+// refuses duplicate map keys and items nested deeper than maxNestedLevels. Its error texts
+// contain the name of the type of v.
 func Decode(b []byte, v any) error {
 	if err := decoder.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("decode %T: %w", v, err)
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -5,12 +5,13 @@
 
 // Operations of commands.
 const (
-	OpStart  Op = "start"
-	OpStop   Op = "kill"
-	OpForget Op = "reap" // the worker may drop the state of an ended task: the controller has received it
+	OpStart  Op = "start" // the worker fetches the task's image and starts the attempt
+	OpStop   Op = "kill"  // the worker ends the attempt
+	OpForget Op = "reap"  // the worker may drop the state of an ended task: the controller has received it
 )
 
-// Order is one command to a worker. GraceS is the grace period of OpStop, in seconds.
+// Order is one command to a worker, for one attempt of a task. GraceS is the grace period of
+// OpStop, in seconds, in which the task may save a checkpoint.
 type Order struct {
 	Op      Op       `cbor:"order"`
 	Task    TaskID   `cbor:"haul"`
@@ -18,7 +19,8 @@
 	GraceS  *float64 `cbor:"slack_s,omitempty"`
 }
 
-// HeartbeatReply is the response to an accepted heartbeat.
+// HeartbeatReply is the response to an accepted heartbeat: the commands that the worker is to
+// execute, with their fencing token (Term).
 type HeartbeatReply struct {
 	Term   Term    `cbor:"helm"`
 	Orders []Order `cbor:"orders"`
@@ -32,8 +34,8 @@
 	Orders     []Order    `cbor:"orders"`
 }
 
-// Redirect is the response to a heartbeat that was sent to the wrong controller. Leader is
-// the controller that holds the worker's shard.
+// Redirect is the response to a heartbeat that was sent to a controller that does not hold the
+// worker's shard. Leader is the controller that does; it is empty if that is unknown.
 type Redirect struct {
 	Leader NodeName `cbor:"harbormaster,omitempty"`
 }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -6,6 +6,22 @@
 // never change. Field names never change either, because some of these types are embedded
 // in messages between controllers, which net/rpc encodes by field name.
 //
+// Terms:
+//   - worker: the agent on a machine, which starts and stops tasks there; an agent epoch is
+//     the time from one start of the agent to the next, numbered from 1.
+//   - heartbeat: the regular report of a worker to the controller that holds its shard. Each
+//     accepted one renews the worker's lease; when that expires, the worker ends its tasks.
+//   - shard: a part of the machines, served by one controller, its holder.
+//   - attempt: one start of a task on a machine.
+//   - gang: a job whose tasks all run at the same time.
+//   - fencing token: a number that only increases; workers refuse commands with a lower one
+//     than they have observed. It is the epoch of the worker's shard or, without shards, the
+//     term: the number of the view, the list of the controllers that take part.
+//   - idempotency key: names a request, so that a repetition of it has no further effect.
+//   - on-demand and spot machines: the cloud may reclaim the latter at short notice.
+//   - lease of the key-value store: keys that were written under it are deleted when it
+//     expires.
+//
 // Fields of jobs:
 //
 //	id            ID           id of the job
@@ -40,7 +56,7 @@
 //	hull          Type          machine type
 //	watch         AgentEpoch    incarnation of the agent
 //	logline       Seq           sequence number of the heartbeat
-//	helm          Term          term of the leader, the fencing token of commands
+//	helm          Term          fencing token of commands (shard epoch, or term of the view)
 //	recall_s      NoticeS       time until the cloud reclaims the spot machine
 //	haul          Task          task id
 //	launch        Attempt       attempt number of a task
@@ -74,12 +90,12 @@
 //	sku            Name        name of a machine type
 //	cache_gb       CacheGB     size of the image cache
 //	pull_gb_per_s  FetchGBPS   rate at which images are fetched
-//	price          Price       price of an on-demand machine
-//	market_price   SpotPrice   price of a spot machine
+//	price          Price       price of an on-demand machine per hour
+//	market_price   SpotPrice   price of a spot machine per hour
 //	ready_s        BootS       time to provision a machine
 //	quays          AllowZones  zones that have the machine type
 //	charter        Name        idempotency key of a provision request
 //	number         Count       number of machines
 //	fleet          Machines    ids or descriptions of machines
-//	held_s         AgeS        age of a machine
+//	held_s         AgeS        age of a machine, as the cloud states it
 package protocol
--- a/internal/protocol/fieldchecker.go
+++ b/internal/protocol/fieldchecker.go
@@ -30,7 +30,8 @@
 
 var errEmptySubmission = errors.New("empty submission")
 
-// fieldChecker converts and checks the fields of a submission. It keeps the first error.
+// fieldChecker converts and checks the fields of a submission. It keeps the error of the first
+// field that is missing or invalid.
 type fieldChecker struct{ err error }
 
 // fail records a problem of a field, unless an earlier one is recorded.
@@ -40,7 +41,8 @@
 	}
 }
 
-// convertRequired converts the mandatory fields.
+// convertRequired copies the fields that a submission must have to a job, and records a problem
+// for each that is missing or invalid.
 func (c *fieldChecker) convertRequired(s *submission, job *Job) {
 	job.Class = c.text("berth", s.Class)
 	job.Team = Team(c.text("crew", s.Team))
@@ -59,7 +61,8 @@
 	job.CheckpointDurationS = c.amount("stow_s", s.CheckpointDurationS)
 }
 
-// convertOptional converts the fields that a submission may omit.
+// convertOptional copies the fields that a submission may omit (deadline, zone and machine
+// types) to a job, and records a problem for each that is invalid.
 func (c *fieldChecker) convertOptional(s *submission, job *Job) {
 	if s.DeadlineS != nil {
 		job.DeadlineS = c.amount("landfall_s", s.DeadlineS)
@@ -78,7 +81,8 @@
 	}
 }
 
-// convertTaskCount converts and checks the number of tasks.
+// convertTaskCount copies the number of tasks to a job if it is from 1 to MaxTasks, and records
+// a problem otherwise.
 func (c *fieldChecker) convertTaskCount(count *uint64, job *Job) {
 	switch {
 	case count == nil:
@@ -90,8 +94,8 @@
 	}
 }
 
-// checkValues checks that the kind and the priority exist and that a task requests processors
-// or GPUs.
+// checkValues records a problem if the kind or the priority does not exist or a task requests
+// neither processors nor GPUs.
 func (c *fieldChecker) checkValues(job *Job) {
 	if !job.Kind.known() {
 		c.fail("rig", "unknown kind")
@@ -104,7 +108,8 @@
 	}
 }
 
-// text returns the value of a text field.
+// text returns the value of a text field, or an empty text if it is missing. It records a
+// problem if the value is missing, empty or longer than maxTextLength bytes.
 func (c *fieldChecker) text(field string, value *string) string {
 	switch {
 	case value == nil:
@@ -116,7 +121,8 @@
 	return *value
 }
 
-// amount returns the value of a numeric field, or 0 if it is invalid.
+// amount returns the value of a numeric field. If the value is missing or not from 0 to
+// maxAmount, it returns 0 and records a problem.
 func (c *fieldChecker) amount(field string, value *float64) float64 {
 	switch {
 	case value == nil:
@@ -129,7 +135,8 @@
 	return *value
 }
 
-// flag returns the value of a boolean field.
+// flag returns the value of a boolean field. If the value is missing, it returns false and
+// records a problem.
 func (c *fieldChecker) flag(field string, value *bool) bool {
 	if value == nil {
 		c.fail(field, problemMissing)
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -31,17 +31,17 @@
 
 // Reasons why a task ended.
 const (
-	EndDone       EndCause = "done"
-	EndStopped    EndCause = "stopped"
+	EndDone       EndCause = "done"       // it completed
+	EndStopped    EndCause = "stopped"    // a controller stopped it
 	EndGangLost   EndCause = "mates_gone" // another task of its gang was lost
 	EndIncomplete EndCause = "incomplete" // the other tasks of its gang did not start in time
-	EndError      EndCause = "error"
-	EndFull       EndCause = "full" // the machine had too few free resources
+	EndError      EndCause = "error"      // it failed
+	EndFull       EndCause = "full"       // the machine had too few free resources
 	EndInUse      EndCause = "in_use"
 	EndUnknown    EndCause = "unknown" // the worker found no description of the job
 )
 
-// TaskStatus is the state of one task in a heartbeat.
+// TaskStatus is the state of one task in a heartbeat. Cause is set once the task has ended.
 type TaskStatus struct {
 	Task         TaskID    `cbor:"haul"`
 	Attempt      Attempt   `cbor:"launch"`
@@ -50,8 +50,9 @@
 	Checkpointed bool      `cbor:"saved,omitempty"`
 }
 
-// Heartbeat reports the state of a worker's machine and of its tasks. Workers receive
-// error texts of Decode that contain the name of this type, so it must not change.
+// Heartbeat reports the state of a worker's machine and of its tasks. NoticeS is nil unless the
+// cloud has announced that it will reclaim the machine. Workers receive error texts of Decode
+// that contain the name of this type, so it must not change.
 type Heartbeat struct {
 	Machine    MachineID    `cbor:"vessel"`
 	Address    string       `cbor:"address"`
@@ -76,7 +77,9 @@
 	errTaskState    = errors.New("unknown state")
 )
 
-// ParseHeartbeat decodes and validates a heartbeat.
+// ParseHeartbeat decodes a heartbeat. It returns an error if the heartbeat can't be decoded,
+// lacks the machine, agent epoch, type or zone, or has an invalid notice or an unknown task
+// state.
 func ParseHeartbeat(body []byte) (Heartbeat, error) {
 	var h Heartbeat
 	if err := Decode(body, &h); err != nil {
--- a/internal/protocol/ids.go
+++ b/internal/protocol/ids.go
@@ -23,7 +23,7 @@
 // MachineType names a type of machine in the cloud's catalogue.
 type MachineType string
 
-// Zone names a failure domain.
+// Zone names a failure domain of the cloud's machines.
 type Zone string
 
 // Team names a team of users.
@@ -32,20 +32,24 @@
 // NodeName names a controller.
 type NodeName string
 
-// Term is the term of a leader. It is the fencing token of commands to workers.
+// Term numbers the views, which list the controllers that take part, and the epochs of shards.
+// In messages with workers it is the fencing token of commands: the epoch of the worker's
+// shard, or the term of the view if there are no shards. Workers refuse commands with a lower
+// one than they have observed.
 type Term uint64
 
-// Attempt numbers the starts of a task. It only ever increases.
+// Attempt numbers the starts of a task. It only ever increases for a task.
 type Attempt uint64
 
-// AgentEpoch numbers the incarnations of the agent on a machine.
+// AgentEpoch numbers the incarnations of the agent on a machine: it increases whenever the
+// agent starts anew, without its earlier tasks.
 type AgentEpoch uint64
 
 // Seq is the sequence number of a heartbeat within an agent epoch.
 type Seq uint64
 
-// Version is the key-value store's version of a key. A key that does not exist has
-// version 0.
+// Version is the key-value store's version of a key, which increases with each write of it. A
+// key that does not exist has version 0.
 type Version uint64
 
 // Revision counts the changes of the key-value store.
@@ -69,7 +73,8 @@
 	errTaskIndex      = errors.New("bad index")
 )
 
-// ParseJobID checks that s is a valid job id and returns it.
+// ParseJobID checks that s is a valid job id and returns it: "job-" and at least one letter,
+// digit, dash or underscore, in at most maxJobIDLength bytes.
 func ParseJobID(s string) (JobID, error) {
 	suffix, ok := strings.CutPrefix(s, jobIDPrefix)
 	if !ok || suffix == "" || len(s) > maxJobIDLength {
@@ -94,7 +99,8 @@
 // String returns the wire form of the id: the job id, a slash and the index.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.FormatUint(uint64(t.Index), 10) }
 
-// ParseTaskID parses the wire form of a task id.
+// ParseTaskID parses the wire form of a task id: a valid job id, a slash and an index below
+// MaxTasks without leading zeros.
 func ParseTaskID(s string) (TaskID, error) {
 	job, index, ok := strings.Cut(s, "/")
 	if !ok {
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -21,13 +21,14 @@
 // Priority orders jobs for preemption.
 type Priority string
 
-// priorityRanks lists all priorities. The most urgent one has the highest rank.
+// priorityRanks lists all priorities with their ranks. The most urgent one has the highest rank.
 var priorityRanks = map[Priority]int{"production": 3, "high": 2, "standard": 1, "best_effort": 0}
 
-// Rank returns the rank of the priority; a more urgent priority has a higher rank.
+// Rank returns the rank of the priority; a more urgent priority has a higher rank. It is 0, the
+// lowest, for an unknown priority.
 func (p Priority) Rank() int { return priorityRanks[p] }
 
-// Known reports whether the priority exists.
+// Known reports whether the priority is one of those in priorityRanks.
 func (p Priority) Known() bool {
 	_, ok := priorityRanks[p]
 	return ok
@@ -63,10 +64,10 @@
 
 // States of a job.
 const (
-	JobQueued    JobState = "queued"
-	JobRunning   JobState = "running"
-	JobDone      JobState = "done"
-	JobCancelled JobState = "aborted"
+	JobQueued    JobState = "queued"  // no task runs
+	JobRunning   JobState = "running" // some task runs
+	JobDone      JobState = "done"    // all tasks are finished
+	JobCancelled JobState = "aborted" // its user cancelled it
 )
 
 // JobStatus is the response to submissions, polls and cancellations. Done and Running
--- a/internal/protocol/kvstore.go
+++ b/internal/protocol/kvstore.go
@@ -1,6 +1,7 @@
 package protocol
 
-// Item is a key of the key-value store with its value and version.
+// Item is a key of the key-value store with its value and version, and the lease under which it
+// was written, if any.
 type Item struct {
 	Key     string   `cbor:"path"`
 	Value   RawValue `cbor:"value"`
@@ -8,7 +9,8 @@
 	Lease   *LeaseID `cbor:"mooring,omitempty"`
 }
 
-// Page is a page of items. More reports whether another page follows.
+// Page is a page of items. More reports whether another page follows, and Revision is the
+// store's revision when the page was read.
 type Page struct {
 	Items    []Item   `cbor:"entries"`
 	More     bool     `cbor:"more"`
@@ -22,7 +24,7 @@
 	Version Version `cbor:"entry"`
 }
 
-// Change writes the key Put, or deletes the key Delete.
+// Change writes Value to the key Put, under Lease if that is set, or deletes the key Delete.
 type Change struct {
 	Put    string   `cbor:"write,omitempty"`
 	Value  any      `cbor:"value,omitempty"`
@@ -44,7 +46,7 @@
 	Revision Revision `cbor:"ledgerline"`
 }
 
-// LeaseRequest requests a new lease.
+// LeaseRequest requests a new lease, which expires TTLMS milliseconds after it was last renewed.
 type LeaseRequest struct {
 	TTLMS int64 `cbor:"ttl_ms"`
 }
@@ -62,7 +64,8 @@
 	Version Version  `cbor:"entry"`
 }
 
-// Events is the response to a watch.
+// Events is the response to a watch, a request for the changes after a revision: the changes,
+// and the revision up to which they are complete.
 type Events struct {
 	Revision Revision `cbor:"ledgerline"`
 	Events   []Event  `cbor:"news"`
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -26,9 +26,9 @@
 	DeadlineS           *float64  `cbor:"landfall_s"`
 }
 
-// SubmittedID reads only the id of a submission and ignores all other fields, even
-// malformed ones. Callers use it so that a repeated submission of an accepted job is never
-// refused.
+// SubmittedID reads only the id of an encoded submission and ignores all other fields, even
+// malformed ones. It returns false if the id can't be decoded or is invalid. Callers use it so
+// that a repeated submission of an accepted job is never refused.
 func SubmittedID(body []byte) (JobID, bool) {
 	var s struct {
 		ID string `cbor:"id"`
@@ -40,8 +40,8 @@
 	return id, err == nil
 }
 
-// ParseSubmission decodes and validates a submission. Its error names the first invalid
-// field.
+// ParseSubmission decodes and validates a submission. Its error names the first field that is
+// missing or invalid.
 func ParseSubmission(body []byte) (Job, error) {
 	if len(body) == 0 {
 		return Job{}, errEmptySubmission
