--- a/internal/transport/chunks.go
+++ b/internal/transport/chunks.go
@@ -17,7 +17,8 @@
 var errMalformedChunk = &StatusError{http.StatusBadRequest, "malformed chunk"}
 
 // readChunks decodes the chunked body at the start of buf. It returns the body and the
-// number of bytes that it consumed, which is 0 if the body is incomplete.
+// number of bytes that it consumed, which is 0 if the body is incomplete. It returns an error
+// if a chunk is malformed or the body is longer than maxBody bytes.
 func readChunks(buf []byte, maxBody int) (body []byte, consumed int, err error) {
 	rest := buf
 	for {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -12,15 +12,16 @@
 
 const (
 	dialTimeout = time.Second
-	// idleConnTimeout is how long an idle connection may be reused.
+	// idleConnTimeout is how long after its last response a connection may be used again.
 	idleConnTimeout = 20 * time.Second
-	// maxIdleConns is the maximum number of idle connections of a client.
+	// maxIdleConns is the maximum number of idle connections that a client keeps open.
 	maxIdleConns = 8
 	// readSize is the size of the read buffer of a connection, in bytes.
 	readSize = 8 << 10
 )
 
-// Client sends requests to one address and reuses its connections.
+// Client sends HTTP requests to one address and reuses its connections. It is safe for
+// concurrent use: concurrent requests use different connections.
 type Client struct {
 	addr string
 
@@ -43,8 +44,9 @@
 // NewClient returns a client that sends its requests to addr.
 func NewClient(addr string) *Client { return &Client{addr: addr} }
 
-// Do sends a request and waits for its response until ctx ends. After an error the
-// outcome is unknown: the server may have executed the request, or may still execute it.
+// Do sends a request and waits for its response until the deadline of ctx. The target is the
+// path with the query. A response with any status is no error. After an error the outcome is
+// unknown: the server may have executed the request, or may still execute it.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Message, error) {
 	cc, err := c.connection(ctx)
 	if err != nil {
@@ -63,7 +65,8 @@
 	return m, nil
 }
 
-// connection returns an idle connection, or opens a new one.
+// connection returns an idle connection, or opens a new one within dialTimeout if there is none
+// that may be reused.
 func (c *Client) connection(ctx context.Context) (*clientConn, error) {
 	if cc := c.takeIdle(time.Now()); cc != nil {
 		return cc, nil
@@ -77,7 +80,7 @@
 }
 
 // takeIdle removes and returns the most recently used idle connection, or nil if there is
-// none. It closes the connections that were idle for too long.
+// none. It closes connections that were idle for idleConnTimeout.
 func (c *Client) takeIdle(now time.Time) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +95,7 @@
 	return nil
 }
 
-// release adds a connection to the idle ones, or closes it if there are enough of them.
+// release adds a connection to the idle ones, or closes it if there are maxIdleConns already.
 func (c *Client) release(cc *clientConn) {
 	cc.lastUsed = time.Now()
 	c.mu.Lock()
@@ -115,7 +118,8 @@
 	c.idle = nil
 }
 
-// roundTrip sends an encoded request and reads its response.
+// roundTrip sends an encoded request and reads its final response; it skips interim ones
+// (status 1xx). The connection must not be used any more after an error.
 //
 //nolint:wrapcheck // Do wraps all errors with the request and the address
 func (cc *clientConn) roundTrip(ctx context.Context, request []byte) (*Message, error) {
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -15,7 +15,7 @@
 	// informationalClass is the first digit of the status codes of interim responses.
 	informationalClass = 1
 
-	// lengthBits limits Content-Length so that it fits into an int.
+	// lengthBits is the maximum size of a Content-Length in bits, so that it fits into an int.
 	lengthBits = 62
 	// unknownLength is the framing length of a message without a Content-Length field.
 	unknownLength = -1
@@ -37,8 +37,9 @@
 	maxBody int
 }
 
-// parseHead parses the head of a message. The head must not include the empty line at its
-// end.
+// parseHead parses the head of a message, without the empty line at its end. It returns the
+// message without its body and the framing of the body, or a StatusError if the head is
+// malformed or announces a body of more than maxBody bytes.
 func parseHead(head string, isResponse bool, maxBody int) (*Message, framing, error) {
 	h := headParser{message: &Message{}, framing: framing{length: unknownLength}, maxBody: maxBody}
 	line, fields, _ := strings.Cut(head, lineEnd)
@@ -57,7 +58,8 @@
 	return h.message, h.framing, nil
 }
 
-// parseStartLine parses the first line of a request or a response.
+// parseStartLine parses the first line of a request or a response. It refuses other versions
+// than HTTP/1.1 and HTTP/1.0; with the latter, the connection is closed after the message.
 func (h *headParser) parseStartLine(line string, isResponse bool) error {
 	if isResponse {
 		if err := h.parseStatusLine(line); err != nil {
@@ -76,7 +78,8 @@
 	return nil
 }
 
-// parseRequestLine parses the method, the target and the version.
+// parseRequestLine parses the method, the target and the version. It refuses a target that is
+// not a path with an optional query.
 func (h *headParser) parseRequestLine(line string) error {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
@@ -99,7 +102,8 @@
 	return nil
 }
 
-// parseField parses one header field. It ignores unknown fields.
+// parseField parses one header field. It ignores all fields but Content-Length,
+// Transfer-Encoding, Connection and Retry-After.
 func (h *headParser) parseField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
@@ -154,7 +158,9 @@
 	}
 }
 
-// determineFraming determines the framing of the body after all header fields are parsed.
+// determineFraming determines where the body ends after all header fields are parsed. Without
+// a length and chunks, a request has no body, and the body of a response extends to the end of
+// the stream if its status allows one.
 func (h *headParser) determineFraming(isResponse bool) error {
 	known := h.framing.length != unknownLength
 	switch {
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -42,7 +42,8 @@
 	http.StatusGatewayTimeout:              "Gateway Timeout",
 }
 
-// AppendResponse appends the encoded response m to b.
+// AppendResponse appends the response m, encoded as HTTP/1.1, to b and returns the extended
+// slice.
 func AppendResponse(b []byte, m *Message) []byte {
 	text := statusText[m.Status]
 	if text == "" {
@@ -64,7 +65,8 @@
 	return append(b, m.Body...)
 }
 
-// AppendRequest appends an encoded request to b. The target is the path with the query.
+// AppendRequest appends a request, encoded as HTTP/1.1, to b and returns the extended slice.
+// The target is the path with the query. A nil body is left out, except for POST.
 func AppendRequest(b []byte, method, host, target string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -78,7 +80,7 @@
 	return append(b, body...)
 }
 
-// appendBodyFields appends the header fields that describe a body.
+// appendBodyFields appends the header fields that state the type (CBOR) and length of a body.
 func appendBodyFields(b, body []byte) []byte {
 	b = append(b, "\r\nContent-Type: application/cbor\r\nContent-Length: "...)
 	return strconv.AppendInt(b, int64(len(body)), 10)
--- a/internal/transport/parser.go
+++ b/internal/transport/parser.go
@@ -11,8 +11,8 @@
 	endOfHead = "\r\n\r\n"
 )
 
-// StatusError reports a malformed message. Status is the status code of the response to
-// its sender.
+// StatusError reports a message that is malformed, too large or of an unsupported form. Status
+// is the status code of the response to its sender.
 type StatusError struct {
 	Status  int
 	Problem string
@@ -36,23 +36,23 @@
 	framing    framing  // framing of the body of head
 }
 
-// NewRequestParser returns a parser of requests.
+// NewRequestParser returns a parser of requests, with bodies of up to MaxRequestBody bytes.
 func NewRequestParser() *Parser { return &Parser{maxBody: MaxRequestBody} }
 
-// NewResponseParser returns a parser of responses.
+// NewResponseParser returns a parser of responses, with bodies of up to maxResponseBody bytes.
 func NewResponseParser() *Parser { return &Parser{isResponse: true, maxBody: maxResponseBody} }
 
 // Feed appends the next bytes of the stream to the buffer.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Buffered returns the number of bytes that are not parsed yet.
+// Buffered returns the number of bytes in the buffer, which are not parsed yet.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// Partial reports whether the parser holds an incomplete message.
+// Partial reports whether the parser holds any part of a message that Next has not returned.
 func (p *Parser) Partial() bool { return p.head != nil || len(p.buf) > 0 }
 
-// Next returns the next complete message, or nil if there is none yet. After an error
-// the rest of the stream can't be parsed.
+// Next removes and returns the next complete message, or nil if there is none yet. After an
+// error the rest of the stream can't be parsed.
 func (p *Parser) Next() (*Message, error) {
 	if p.head == nil {
 		if complete, err := p.readHead(); !complete || err != nil {
@@ -84,7 +84,8 @@
 	return m
 }
 
-// readHead parses a head and removes it from the buffer, if it is complete.
+// readHead parses the next head and removes it from the buffer, if it is complete, and reports
+// whether it is. It returns an error if the head is malformed or longer than MaxHead bytes.
 func (p *Parser) readHead() (complete bool, err error) {
 	if !p.isResponse {
 		p.skipEmptyLines()
@@ -110,8 +111,9 @@
 	}
 }
 
-// readBody decodes the body of the message in head and removes it from the buffer, if it
-// is complete.
+// readBody decodes the body of the message in head and removes it from the buffer, if it is
+// complete, and reports whether it is. A body that extends to the end of the stream is never
+// complete: EOF returns it.
 func (p *Parser) readBody() (body []byte, complete bool, err error) {
 	switch {
 	case p.framing.chunked:
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -10,14 +10,16 @@
 	"time"
 )
 
-// acceptRetry is the delay before the server accepts again after a failure.
+// acceptRetry is the delay after a failure before the server accepts the next connection of a
+// peer.
 const acceptRetry = 100 * time.Millisecond
 
-// ErrTimeout reports that a peer did not respond within the timeout of a call.
+// ErrTimeout reports that a peer did not respond within the timeout of a call, or that no
+// connection to it was opened by another call in that time.
 var ErrTimeout = errors.New("peer did not answer in time")
 
 // ServePeers registers service under name and serves the calls of other controllers on
-// addr. It returns once it listens.
+// addr, with net/rpc. It returns once it listens, and serves until the process ends.
 func ServePeers(addr, name string, service any, log *slog.Logger) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(name, service); err != nil {
@@ -43,7 +45,8 @@
 	}
 }
 
-// Peer is a client of one other controller. All calls share one connection.
+// Peer is a client of one other controller. All calls share one connection, which is opened by
+// the first one and after an error. It is safe for concurrent use.
 type Peer struct {
 	addr string
 	dial func(addr string, timeout time.Duration) (net.Conn, error)
@@ -60,9 +63,10 @@
 	}}
 }
 
-// Call calls a method of the peer. It waits at most timeout for a connection, and as long
-// again for the reply. After an error the outcome is unknown: the peer may have executed
-// the call.
+// Call calls a method of the peer and stores its result in reply. It waits at most timeout for
+// a connection, and as long again for the reply. After an error the outcome is unknown: the
+// peer may have executed the call. After any error but one that the method returned, the
+// connection is closed.
 func (p *Peer) Call(method string, args, reply any, timeout time.Duration) error {
 	client, err := p.connect(timeout)
 	if err != nil {
@@ -116,7 +120,8 @@
 	return p.client, nil
 }
 
-// awaitConnection waits for the connection attempt of another call.
+// awaitConnection waits at most timeout for the connection attempt of another call, which ends
+// when done is closed, and returns its connection. It returns ErrTimeout if there is none.
 func (p *Peer) awaitConnection(done <-chan struct{}, timeout time.Duration) (*rpc.Client, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -132,7 +137,8 @@
 	return p.client, nil
 }
 
-// drop closes a connection after an error, so that the next call opens a new one.
+// drop closes the connection of client after an error, so that the next call opens a new one.
+// A newer connection of another call is left open.
 func (p *Peer) drop(client *rpc.Client) {
 	p.mu.Lock()
 	if p.client == client {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,8 +14,8 @@
 const (
 	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 3 * time.Minute
-	// partialTimeout is the time after which a connection with an incomplete request is
-	// closed.
+	// partialTimeout is the time without further bytes after which a connection with an
+	// incomplete request is closed.
 	partialTimeout = 15 * time.Second
 	// sweepInterval is the interval at which the timeouts are checked.
 	sweepInterval = time.Second
@@ -26,7 +26,7 @@
 
 var errLoopEnded = errors.New("the event loop ended")
 
-// Reply sends the response to a request. It may be called from any goroutine. Only the
+// Reply sends the response to one request. It may be called from any goroutine. Only the
 // first call has an effect.
 type Reply func(*Message)
 
@@ -34,7 +34,8 @@
 // after it has returned.
 type Handler func(*Message, Reply)
 
-// Server serves HTTP requests on one evio event loop.
+// Server serves HTTP requests on one evio event loop. Each connection has one request in
+// progress at a time.
 type Server struct {
 	handler  Handler
 	maxConns int
@@ -51,14 +52,16 @@
 	parser   *Parser
 	busy     bool // a request is being processed
 	lastUsed time.Time
-	closing  bool
+	closing  bool // the connection is closed once no request is being processed
 
 	mu       sync.Mutex
 	inLoop   bool // whether onData is running, which sends the response without a wake-up
 	response *Message
 }
 
-// NewServer returns a server that keeps at most maxConns connections open.
+// NewServer returns a server that passes requests to handler and keeps at most maxConns
+// connections open: for a new one it closes the connection that was idle longest, or the new
+// one if no other is idle.
 func NewServer(handler Handler, maxConns int, log *slog.Logger) *Server {
 	return &Server{handler: handler, maxConns: maxConns, log: log, conns: map[*serverConn]struct{}{}}
 }
@@ -114,7 +117,8 @@
 	return true
 }
 
-// closeOnLoop marks the connection for closing and wakes up the event loop, which closes it.
+// closeOnLoop marks the connection for closing and wakes up the event loop, which closes it
+// unless a request is being processed.
 func (sc *serverConn) closeOnLoop() {
 	sc.closing = true
 	sc.conn.Wake()
@@ -127,8 +131,10 @@
 	return evio.None
 }
 
-// onData is the evio callback for received bytes; after a wake-up there are none. It returns
-// the bytes to write.
+// onData is the evio callback for received bytes; after a wake-up there are none. It passes
+// complete requests to the handler, one after the other, and returns the bytes of the responses
+// that the handler has given, and whether the connection is to be closed. A malformed request
+// is answered with the status of its error, and its connection closed.
 func (s *Server) onData(c evio.Conn, in []byte) ([]byte, evio.Action) {
 	sc, ok := c.Context().(*serverConn)
 	if !ok {
@@ -213,7 +219,9 @@
 	}
 }
 
-// sweep closes the connections that have exceeded their timeout.
+// sweep is the evio callback that runs once per sweepInterval. It closes the connections
+// without a request in progress that have neither received bytes nor sent a response for
+// idleTimeout, or for partialTimeout if they hold an incomplete request.
 func (s *Server) sweep() (time.Duration, evio.Action) {
 	now := time.Now()
 	for sc := range s.conns {
