--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -9,6 +9,8 @@
 // Cloud models the cloud: its machines, and its replies to provision requests. The name
 // of a request is its idempotency key.
 type Cloud struct {
+	// Machines holds the existing machines with the requests that provisioned them. The
+	// caller deletes those that it terminates.
 	Machines map[protocol.MachineID]protocol.ProvisionRequest
 	Capacity int // maximum number of machines
 	PerZone  int // maximum number of machines per zone; 0 means no limit
@@ -22,9 +24,9 @@
 	return &Cloud{Machines: map[protocol.MachineID]protocol.ProvisionRequest{}, Capacity: capacity, provisioned: map[string][]protocol.MachineID{}}
 }
 
-// Provision provisions as many of the requested machines as the capacity allows and
-// returns them. A repeated request returns the machines of the first one. The result fresh
-// lists only the machines that this call has provisioned.
+// Provision provisions as many of the requested machines as Capacity and PerZone allow, and
+// returns their ids as both all and fresh. If an earlier request of the same name got any
+// machines, it provisions none and returns that request's machines as all.
 func (c *Cloud) Provision(r protocol.ProvisionRequest) (all, fresh []protocol.MachineID) {
 	if machines, ok := c.provisioned[r.Name]; ok {
 		return machines, nil
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -5,4 +5,9 @@
 // time and delivers the messages. Models are deterministic: the same calls in the same
 // order have the same effects and results, because simulations must be reproducible.
 // Package server serves the models over HTTP.
+//
+// Terms: an agent epoch is the time from one start of a machine's agent to the next. An
+// attempt is one start of a task. A worker's lease is the time, after the sending of its last
+// answered heartbeat, for which its tasks may run. Times are durations since an arbitrary
+// start that the caller chooses.
 package fake
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -9,11 +9,12 @@
 	"damsonkeel/internal/protocol"
 )
 
-// KeyValueStore models the key-value store: versioned items, leases and a log of changes.
+// KeyValueStore models the key-value store: versioned items, leases and a log of changes. A
+// key that is written under a lease is deleted with the lease.
 type KeyValueStore struct {
-	Revision         protocol.Revision
-	Log              []protocol.Event // the most recent changes, oldest first
-	CompactedChanges int              // number of older changes that were dropped from Log
+	Revision         protocol.Revision // number of executed transactions and of keys deleted with a lease
+	Log              []protocol.Event  // the most recent changes, oldest first
+	CompactedChanges int               // number of older changes that were dropped from Log
 
 	items     map[string]storedItem
 	leases    map[protocol.LeaseID]lease
@@ -36,7 +37,7 @@
 	return &KeyValueStore{items: map[string]storedItem{}, leases: map[protocol.LeaseID]lease{}}
 }
 
-// Changes returns the total number of changes, including those dropped from the log.
+// Changes returns the total number of changes of keys, including those dropped from the log.
 func (s *KeyValueStore) Changes() int { return s.CompactedChanges + len(s.Log) }
 
 // Change returns the change with number i, counted from 0. It must still be in the log.
@@ -55,7 +56,7 @@
 	return s.lastLease
 }
 
-// ExtendLease renews a lease and reports whether the lease still exists.
+// ExtendLease renews a lease for its full time to live and reports whether it still exists.
 func (s *KeyValueStore) ExtendLease(now time.Duration, id protocol.LeaseID) bool {
 	l, ok := s.leases[id]
 	if ok {
@@ -64,7 +65,8 @@
 	return ok
 }
 
-// ExpireLeases removes the leases that have expired and deletes their keys.
+// ExpireLeases removes the leases that were last renewed at least their time to live ago, and
+// deletes their keys.
 func (s *KeyValueStore) ExpireLeases(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if s.leases[id].expiresAt <= now {
@@ -81,7 +83,8 @@
 	}
 }
 
-// ReleaseLease removes a lease and deletes its keys.
+// ReleaseLease removes a lease and deletes the keys that were written under it. It does nothing
+// if the lease does not exist.
 func (s *KeyValueStore) ReleaseLease(id protocol.LeaseID) {
 	if _, ok := s.leases[id]; !ok {
 		return
@@ -131,7 +134,7 @@
 	return true
 }
 
-// put writes one key at the current revision.
+// put writes one key, with the current revision as its version, and adds the change to the log.
 func (s *KeyValueStore) put(c protocol.Change) {
 	value, err := protocol.Encode(c.Value)
 	if err != nil {
@@ -145,7 +148,7 @@
 	s.Log = append(s.Log, protocol.Event{Put: c.Put, Value: value, Version: it.version})
 }
 
-// remove deletes a key at the current revision, if it exists.
+// remove deletes a key if it exists, and adds the change at the current revision to the log.
 func (s *KeyValueStore) remove(key string) {
 	if _, ok := s.items[key]; ok {
 		delete(s.items, key)
@@ -165,7 +168,7 @@
 	return keys
 }
 
-// Get returns the item of a key and reports whether the key exists.
+// Get returns the item of a key, without its lease, and reports whether the key exists.
 func (s *KeyValueStore) Get(key string) (protocol.Item, bool) {
 	it, ok := s.items[key]
 	return protocol.Item{Key: key, Value: it.value, Version: it.version}, ok
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -15,19 +15,20 @@
 	Info   protocol.TypeInfo
 	Zone   protocol.Zone
 	Spot   bool
-	LeaseS float64
+	LeaseS float64 // duration of the worker's lease, in seconds
 	// GangWait is how long a task waits for the other tasks of its gang.
 	GangWait time.Duration
-	Dead     bool
+	Dead     bool // whether the machine has stopped
 	Faulty   bool // whether every task on the machine fails
 	// IsFaultyJob, if set, reports whether a job is faulty. The tasks of a faulty job fail on
 	// every machine, one second after their start.
 	IsFaultyJob func(protocol.JobID) bool
-	Notice      *float64
-	Epoch       protocol.AgentEpoch
-	Term        protocol.Term
-	Seq         protocol.Seq
+	Notice      *float64            // seconds until the cloud reclaims the machine; nil if it has not announced that
+	Epoch       protocol.AgentEpoch // present agent epoch
+	Term        protocol.Term       // highest fencing token of the commands received
+	Seq         protocol.Seq        // sequence number of the last heartbeat in this epoch
 
+	// JobByID returns the description of a job, and whether it is known.
 	JobByID func(protocol.JobID) (protocol.Job, bool)
 	// OnStartAccepted, if set, is called when the worker has accepted the start of a task, before
 	// it fetches the image.
@@ -63,7 +64,7 @@
 	lastTick       time.Duration
 }
 
-// Start starts the first agent epoch of the worker.
+// Start starts the first agent epoch of the worker, without tasks and with a new lease.
 func (w *Worker) Start(now time.Duration) {
 	w.Epoch, w.leaseRenewedAt, w.lastTick = 1, now, now
 	w.tasks, w.cachedImages = map[protocol.TaskID]*workerTask{}, map[string]bool{}
@@ -77,7 +78,7 @@
 }
 
 // Tasks returns the tasks on the machine that have not ended, including those that are
-// fetching their image.
+// fetching their image, in no particular order.
 func (w *Worker) Tasks() []protocol.TaskID {
 	if w.Dead {
 		return nil
@@ -103,7 +104,8 @@
 // StateChanges returns the total number of task starts and ends on the machine.
 func (w *Worker) StateChanges() int { return w.stateChanges }
 
-// Tick advances the worker and its tasks to the time now.
+// Tick advances the worker and its tasks to the time now. If the lease has expired, it ends all
+// tasks and starts the next agent epoch.
 func (w *Worker) Tick(now time.Duration) {
 	elapsed := now - w.lastTick
 	if w.TickStalled(now); w.Dead {
@@ -115,8 +117,8 @@
 }
 
 // TickStalled advances the worker to the time now without running its tasks, as if the machine
-// had stalled since the last tick. The lease may expire meanwhile; tasks do not outlive
-// it.
+// had stalled since the last tick. If the lease has expired meanwhile, it ends all tasks, which
+// do not outlive the lease, and starts the next agent epoch.
 func (w *Worker) TickStalled(now time.Duration) {
 	w.lastTick = now
 	if !w.Dead && (now-w.leaseRenewedAt).Seconds() > w.LeaseS {
@@ -124,7 +126,7 @@
 	}
 }
 
-// Restart starts the next agent epoch. All tasks are lost.
+// Restart ends all tasks, which are lost, and starts the next agent epoch with a new lease.
 func (w *Worker) Restart(now time.Duration) {
 	for id, t := range w.tasks {
 		if t.state != protocol.TaskEnded {
@@ -137,8 +139,8 @@
 	w.leaseRenewedAt = now
 }
 
-// NextChangeAt returns the time of the next change of the worker's state if no command
-// arrives before.
+// NextChangeAt returns the time of the next change of the worker's state if no command and no
+// reply arrives before: a task's next change, or just after the lease expires.
 func (w *Worker) NextChangeAt() time.Duration {
 	next := w.LeaseExpiresAt() + 1
 	for _, t := range w.tasks {
@@ -160,7 +162,8 @@
 	return w.sortedTasks
 }
 
-// Heartbeat returns the next heartbeat to send.
+// Heartbeat returns the next heartbeat to send, with the next sequence number and the states of
+// all tasks, including ended ones that the controller has not acknowledged yet.
 func (w *Worker) Heartbeat() protocol.Heartbeat {
 	w.Seq++
 	heartbeat := protocol.Heartbeat{
@@ -177,8 +180,8 @@
 }
 
 // ProcessReply processes the reply to the heartbeat that was sent at the time sent in the
-// given agent epoch. It renews the lease and executes the orders. It ignores replies of an
-// earlier epoch or an earlier term.
+// given agent epoch. It renews the lease from that time and executes the orders. It ignores
+// replies to an earlier epoch, or with a lower fencing token than the highest received.
 func (w *Worker) ProcessReply(epoch protocol.AgentEpoch, sent time.Duration, reply protocol.HeartbeatReply) {
 	if w.Dead || epoch != w.Epoch || reply.Term < w.Term {
 		return
--- a/internal/fake/workerorders.go
+++ b/internal/fake/workerorders.go
@@ -6,8 +6,8 @@
 // of the machine.
 const cpuTolerance = 1e-9
 
-// Execute executes direct commands and reports whether it did. It refuses commands of an
-// earlier term or for another agent epoch.
+// Execute executes direct commands and reports whether it did. It refuses commands with a lower
+// fencing token than the highest received, or for another agent epoch.
 func (w *Worker) Execute(c protocol.Commands) bool {
 	if c.Term < w.Term || c.AgentEpoch != w.Epoch {
 		return false
@@ -17,8 +17,9 @@
 	return true
 }
 
-// execute executes orders. Stop and forget orders for another attempt than the current one
-// have no effect.
+// execute executes orders to start, stop and forget attempts. Stop and forget orders for
+// another attempt than the task's latest one on the machine have no effect, nor have forget
+// orders for an attempt that has not ended.
 func (w *Worker) execute(orders []protocol.Order) {
 	for _, o := range orders {
 		t := w.tasks[o.Task]
@@ -76,8 +77,9 @@
 	return free
 }
 
-// stop stops a task. If the grace period is long enough to save a checkpoint, the task
-// saves one first.
+// stop ends a task at once, unless it runs, its job saves checkpoints and the grace period is
+// long enough for one: it then saves one before it ends. A task that is saving one already
+// continues unless the grace period is 0.
 func (w *Worker) stop(o protocol.Order, t *workerTask) {
 	j, _ := w.JobByID(o.Task.Job)
 	grace := 0.0
--- a/internal/fake/workertask.go
+++ b/internal/fake/workertask.go
@@ -17,12 +17,12 @@
 type workerTask struct {
 	attempt            protocol.Attempt
 	state              protocol.TaskState
-	cause              protocol.EndCause
-	checkpointed       bool
-	timeLeft           time.Duration // run time left; for a waiting task, time until its gang wait expires
-	runTime            time.Duration // run time since the start
-	fetchTimeLeft      time.Duration // time left to fetch the image
-	checkpointTimeLeft time.Duration // time left to save the checkpoint
+	cause              protocol.EndCause // why it ended
+	checkpointed       bool              // it has saved a checkpoint
+	timeLeft           time.Duration     // run time left; for a waiting task, time until its gang wait expires
+	runTime            time.Duration     // run time since the start
+	fetchTimeLeft      time.Duration     // time left to fetch the image
+	checkpointTimeLeft time.Duration     // time left to save the checkpoint
 }
 
 // nextChange returns the time until the next change of the task's state. It reports false
@@ -41,7 +41,8 @@
 	return in, in >= 0
 }
 
-// tickTask advances a task by the time that has passed.
+// tickTask advances a task by the time that has passed, and changes its state when its fetch,
+// gang wait, checkpoint or run is over.
 func (w *Worker) tickTask(id protocol.TaskID, t *workerTask, elapsed time.Duration) {
 	switch t.state {
 	case protocol.TaskFetching:
@@ -80,8 +81,9 @@
 	}
 }
 
-// endIfFailedOrDone ends a running task that fails or completes. The tasks of a gang complete
-// together. The tasks of a service never complete.
+// endIfFailedOrDone ends a running task if its machine or job is faulty, or if it has run for
+// its run time. The first task of a gang to do so marks all its tasks as completed. The tasks
+// of a service never complete.
 func (w *Worker) endIfFailedOrDone(id protocol.TaskID, t *workerTask) {
 	j, _ := w.JobByID(id.Job)
 	jobFailureDue := w.IsFaultyJob != nil && w.IsFaultyJob(id.Job) && t.runTime >= faultyJobRunTime
@@ -99,7 +101,7 @@
 	}
 }
 
-// end ends a task and notifies the observers.
+// end notifies the observers and ends a task for the given cause.
 func (w *Worker) end(id protocol.TaskID, t *workerTask, cause protocol.EndCause) {
 	w.stateChanges++
 	w.OnEnded(w, id, cause)
@@ -109,8 +111,8 @@
 	t.state, t.cause = protocol.TaskEnded, cause
 }
 
-// TaskAttempt returns the attempt and the state of a task and reports whether the machine has
-// the task.
+// TaskAttempt returns the latest attempt of a task on the machine and its state, which may be
+// ended, and reports whether the machine runs and has the task.
 func (w *Worker) TaskAttempt(id protocol.TaskID) (protocol.Attempt, protocol.TaskState, bool) {
 	t := w.tasks[id]
 	if w.Dead || t == nil {
@@ -119,16 +121,16 @@
 	return t.attempt, t.state, true
 }
 
-// StartGangTask starts to run a waiting task of a gang. The caller calls it once all tasks
-// of the attempt are waiting.
+// StartGangTask starts to run a task that waits for the others of its gang; a task in another
+// state is left alone. The caller calls it once all tasks of the attempt are waiting.
 func (w *Worker) StartGangTask(id protocol.TaskID) {
 	if t := w.tasks[id]; t.state == protocol.TaskWaiting {
 		t.state, t.timeLeft = protocol.TaskRunning, w.RunTime(id)
 	}
 }
 
-// StopGangTask ends a running task of a gang because the gang has lost another task or is
-// done.
+// StopGangTask ends a running task of a gang: as completed if its result exists, else because
+// the gang has lost another task. A task in another state is left alone.
 func (w *Worker) StopGangTask(id protocol.TaskID) {
 	if t := w.tasks[id]; t.state == protocol.TaskRunning {
 		cause := protocol.EndGangLost
