--- a/internal/fake/server/cloudservice.go
+++ b/internal/fake/server/cloudservice.go
@@ -19,11 +19,13 @@
 	cloudBurst = 2
 )
 
-// Fleet runs the machines of a CloudService.
+// Fleet runs the machines of a CloudService. Its methods are called concurrently; Provisioned
+// and Machine are called while the service is locked, so they must not call the service.
 type Fleet interface {
-	// Provisioned boots a machine that the cloud has provisioned.
+	// Provisioned starts to boot a machine that the cloud has provisioned for a request.
 	Provisioned(protocol.MachineID, protocol.TypeInfo, protocol.ProvisionRequest)
-	// Terminate terminates machines and all tasks on them before it returns.
+	// Terminate terminates machines, including booting ones, and all tasks on them before it
+	// returns. After an error the cloud keeps the machines.
 	Terminate([]protocol.MachineID) error
 	// Machine returns the list entry of a machine and reports whether the machine has
 	// booted.
@@ -38,10 +40,11 @@
 	Failed  bool // whether the machine has stopped by itself
 }
 
-// CloudService serves the model of the cloud over HTTP.
+// CloudService serves the model of the cloud over HTTP: the catalogue, and requests to
+// provision, terminate and list machines.
 type CloudService struct {
-	Addr    string
-	Traffic *Traffic
+	Addr    string   // address of the HTTP server
+	Traffic *Traffic // requests by kind
 
 	throttle
 	server *http.Server
@@ -53,7 +56,9 @@
 	model *fake.Cloud
 }
 
-// NewCloudService starts a cloud on loopback that can provision up to capacity machines.
+// NewCloudService starts a cloud on loopback that can provision up to capacity machines of the
+// given types, which fleet runs. The function clock must return the time by which fleet states
+// the ends of boots.
 func NewCloudService(limits Limits, types []protocol.TypeInfo, capacity int, fleet Fleet, clock func() time.Duration) (*CloudService, error) {
 	limits.Burst = cmp.Or(limits.Burst, cloudBurst)
 	throttle := newThrottle(limits)
@@ -75,19 +80,21 @@
 // Close stops the service.
 func (c *CloudService) Close() { _ = c.server.Close() } // an error does not matter at shutdown
 
-// Provision provisions machines without an HTTP request, outside the rate limit.
+// Provision provisions machines without an HTTP request, outside the rate limit, and returns
+// all machines of the request, including those of an earlier one with the same name.
 func (c *CloudService) Provision(req protocol.ProvisionRequest) []protocol.MachineID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.provisionLocked(req)
 }
 
-// catalogue serves the machine types.
+// catalogue serves a request for the catalogue of machine types.
 func (c *CloudService) catalogue(w http.ResponseWriter, _ *http.Request) {
 	writeResponse(w, http.StatusOK, protocol.Catalogue{Types: c.types})
 }
 
-// provision serves a provision request. The lock is held.
+// provision serves a provision request and returns the status code and body of the response:
+// the machines, or status 503 if there are none. The lock is held.
 func (c *CloudService) provision(req protocol.ProvisionRequest) (status int, body any) {
 	machines := c.provisionLocked(req)
 	if len(machines) == 0 {
@@ -97,7 +104,8 @@
 }
 
 // provisionLocked provisions machines and boots the new ones. It returns all machines of
-// the request, including those of an earlier request with the same name. The lock is held.
+// the request, including those of an earlier request with the same name, and none for an
+// unknown machine type. The lock is held.
 func (c *CloudService) provisionLocked(req protocol.ProvisionRequest) []protocol.MachineID {
 	i := slices.IndexFunc(c.types, func(t protocol.TypeInfo) bool { return t.Name == req.Type })
 	if i < 0 {
@@ -111,7 +119,7 @@
 }
 
 // terminate serves a request to terminate machines. All tasks on them have ended before it
-// responds.
+// responds with success. If the fleet fails, it responds with status 503.
 func (c *CloudService) terminate(w http.ResponseWriter, r *http.Request) {
 	req, ok := decodeRequest[protocol.MachineNames](w, r)
 	if !ok {
@@ -129,7 +137,8 @@
 	writeResponse(w, http.StatusOK, struct{}{})
 }
 
-// list serves a page of the machines, sorted by id.
+// list serves a page of the machines, sorted by id: those after the id in the query field
+// "from", and at most as many as the field "page" says and maxMachinesPerPage.
 func (c *CloudService) list(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	pageSize, _ := strconv.Atoi(query.Get("page"))
@@ -153,7 +162,8 @@
 	writeResponse(w, http.StatusOK, list)
 }
 
-// listEntry returns the list entry of a machine. The lock is held.
+// listEntry returns the entry of a machine in the list, as booting, running or failed. Its age
+// counts from the end of its boot. The lock is held.
 func (c *CloudService) listEntry(id protocol.MachineID, req protocol.ProvisionRequest) protocol.ListedMachine {
 	entry := protocol.ListedMachine{ID: id, Type: req.Type, Zone: req.Zone, Spot: req.Spot, State: "booting"}
 	booted, ok := c.fleet.Machine(id)
--- a/internal/fake/server/host.go
+++ b/internal/fake/server/host.go
@@ -16,18 +16,18 @@
 	// tickInterval is the interval at which the models of the workers are advanced.
 	tickInterval = 100 * time.Millisecond
 	// stallThreshold is the time since its last tick after which a worker counts as
-	// stalled. Its tasks have made no progress meanwhile.
+	// stalled: its tasks then make no progress for that time.
 	stallThreshold = time.Second
 )
 
-// Kinds of traffic of a worker.
+// Kinds of traffic of a worker, by which a Host counts its messages.
 const (
 	trafficHeartbeats = "reports"
 	trafficCommands   = "commands"
 )
 
-// Host runs workers. Each worker is a separate client of the controllers, and its tasks
-// are timers. A Host is safe for concurrent use.
+// Host runs the workers of machines in service. Each worker is a separate client of the
+// controllers, and its tasks are timers. A Host is safe for concurrent use.
 type Host struct {
 	Traffic *Traffic
 
@@ -36,7 +36,7 @@
 
 	mu      sync.Mutex
 	workers map[protocol.MachineID]*worker
-	jobs    map[protocol.JobID]protocol.Job
+	jobs    map[protocol.JobID]protocol.Job // descriptions of jobs that were read
 }
 
 // worker is a machine that is in service, with its agent.
@@ -61,7 +61,8 @@
 	return h
 }
 
-// Close stops all workers.
+// Close ends the heartbeats and the command servers of all workers and the ticks of their
+// models.
 func (h *Host) Close() {
 	close(h.done)
 	h.mu.Lock()
@@ -71,7 +72,8 @@
 	}
 }
 
-// StartMachine puts a machine into service and starts its worker.
+// StartMachine puts a machine into service and starts its worker, which sends heartbeats and
+// serves direct commands. It returns an error if the worker's server can't listen.
 func (h *Host) StartMachine(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool) error {
 	w := &worker{heartbeatRequested: make(chan struct{}, 1)}
 	mux := http.NewServeMux()
@@ -126,7 +128,8 @@
 	h.cfg.Observer.TaskEnded(w.ID, task, attempt, cause, min(h.cfg.Clock(), w.LeaseExpiresAt()))
 }
 
-// StopMachines stops machines and all tasks on them.
+// StopMachines takes machines out of service, which ends their workers and tasks at once, and
+// notifies the observer. It ignores unknown machines.
 func (h *Host) StopMachines(ids ...protocol.MachineID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -143,7 +146,8 @@
 }
 
 // Restart makes a worker start its next agent epoch. Its tasks are lost, and it neither
-// sends heartbeats nor executes commands during the downtime.
+// sends heartbeats nor executes commands during the downtime. It does nothing if the machine is
+// unknown or its worker is restarting already.
 func (h *Host) Restart(id protocol.MachineID, downtime time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -163,8 +167,8 @@
 	})
 }
 
-// Machine returns the list entry of a machine and reports whether the machine is in
-// service.
+// Machine returns the entry of a machine for the cloud's list and reports whether the machine
+// is in service.
 func (h *Host) Machine(id protocol.MachineID) (MachineListing, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,7 +191,8 @@
 	return oldest
 }
 
-// tick advances all workers at each tickInterval until the host is closed.
+// tick advances all workers at each tickInterval until the host is closed. A worker whose task
+// has started or ended sends its next heartbeat early.
 func (h *Host) tick() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -209,7 +214,8 @@
 	}
 }
 
-// advance advances the model of a worker to the current time. The lock is held.
+// advance advances the model of a worker to the current time, without progress of its tasks if
+// it has stalled. It does nothing for a restarting worker. The lock is held.
 func (h *Host) advance(w *worker) {
 	now := h.cfg.Clock()
 	if w.restarting {
--- a/internal/fake/server/hostcommands.go
+++ b/internal/fake/server/hostcommands.go
@@ -8,8 +8,10 @@
 	"damsonkeel/internal/protocol"
 )
 
-// serveCommands serves a request with direct commands for a worker. A worker that is not in
-// service closes the connection without a response.
+// serveCommands serves a request with direct commands for a worker. It responds with a
+// heartbeat that shows their effect, with status 200, or 409 if the worker refuses the
+// commands. A worker that has stopped or is restarting closes the connection without a
+// response.
 func (h *Host) serveCommands(w *worker, rw http.ResponseWriter, r *http.Request) {
 	commands, ok := decodeRequest[protocol.Commands](rw, r)
 	if !ok {
@@ -25,8 +27,8 @@
 	writeResponse(rw, status, heartbeat)
 }
 
-// execute makes a worker execute commands if it is in service. It returns the status code
-// and the body of the response.
+// execute makes a worker execute commands, and returns the status code and the body of the
+// response. The result up is false if the worker has stopped or is restarting.
 func (h *Host) execute(w *worker, commands protocol.Commands) (status int, heartbeat protocol.Heartbeat, up bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,8 +43,9 @@
 	return status, w.nextHeartbeat(), true
 }
 
-// readJobs reads the missing descriptions of the jobs whose tasks the orders start. If it
-// can't read a description, the worker ends the task as one of an unknown job.
+// readJobs reads those descriptions of the jobs whose tasks the orders start that the host does
+// not have yet. If it can't read a description, the worker ends the task as one of an unknown
+// job.
 func (h *Host) readJobs(orders []protocol.Order) {
 	unknown := h.unknownJobs(orders)
 	if len(unknown) == 0 {
--- a/internal/fake/server/hostconfig.go
+++ b/internal/fake/server/hostconfig.go
@@ -24,7 +24,7 @@
 
 // JobSource provides the descriptions of the jobs that users have submitted.
 type JobSource interface {
-	// Describe returns the descriptions of jobs. The result omits unknown jobs.
+	// Describe returns the descriptions of jobs by id. The result omits unknown jobs.
 	Describe([]protocol.JobID) (map[protocol.JobID]protocol.Job, error)
 }
 
@@ -42,6 +42,6 @@
 	RunTime  func(protocol.Job, protocol.TaskID) time.Duration
 	Jobs     JobSource
 	Observer Observer
-	Clock    func() time.Duration
-	Results  map[protocol.TaskID]bool // tasks that have completed
+	Clock    func() time.Duration     // returns the time of a monotonic clock
+	Results  map[protocol.TaskID]bool // tasks that have completed, which the host adds to
 }
--- a/internal/fake/server/hostgang.go
+++ b/internal/fake/server/hostgang.go
@@ -5,20 +5,20 @@
 	"damsonkeel/internal/protocol"
 )
 
-// GangComplete starts to run the waiting tasks of an attempt of a gang. It is called once
-// all tasks of the attempt are waiting.
+// GangComplete starts to run the waiting tasks of an attempt of a gang on this host. It is
+// called once all tasks of the attempt are waiting.
 func (h *Host) GangComplete(job protocol.JobID, attempt protocol.Attempt) {
 	h.forEachGangTask(job, attempt, (*fake.Worker).StartGangTask)
 }
 
-// GangLost ends the running tasks of an attempt of a gang, because the attempt has lost a
-// task.
+// GangLost ends the running tasks of an attempt of a gang on this host. It is called when the
+// attempt has lost a task.
 func (h *Host) GangLost(job protocol.JobID, attempt protocol.Attempt) {
 	h.forEachGangTask(job, attempt, (*fake.Worker).StopGangTask)
 }
 
-// GangDone marks all tasks of a gang as completed and ends them, because one of them has
-// completed.
+// GangDone marks all tasks of a gang as completed and ends those that an attempt runs on this
+// host. It is called when one of them has completed.
 func (h *Host) GangDone(job protocol.JobID, attempt protocol.Attempt) {
 	h.mu.Lock()
 	for i := range h.jobs[job].Tasks {
@@ -28,7 +28,8 @@
 	h.forEachGangTask(job, attempt, (*fake.Worker).StopGangTask)
 }
 
-// forEachGangTask calls do for each task of an attempt of a gang on this host.
+// forEachGangTask calls do for each task of an attempt of a gang on this host that has not
+// ended, and requests a heartbeat of its worker.
 func (h *Host) forEachGangTask(job protocol.JobID, attempt protocol.Attempt, do func(*fake.Worker, protocol.TaskID)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fake/server/hostheartbeat.go
+++ b/internal/fake/server/hostheartbeat.go
@@ -19,7 +19,8 @@
 	heartbeatMinInterval = 500 * time.Millisecond
 	// heartbeatTimeout is the time limit for a response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// retryDelay is the delay after a failure before the worker tries the next controller.
+	// retryDelay is the delay before a worker sends the next heartbeat after one that failed
+	// or was refused.
 	retryDelay = time.Second
 	// heartbeatJitter is the random deviation of the time between heartbeats, as a fraction
 	// of HostConfig.HeartbeatInterval in both directions.
@@ -60,8 +61,9 @@
 	}
 }
 
-// waitUntilDue waits until the next heartbeat is due, or until heartbeatMinInterval has
-// passed if an early one is requested. It reports false if the host is closed.
+// waitUntilDue waits until the next heartbeat is due, after pause, or, if an early one is
+// requested, until heartbeatMinInterval (or pause, if that is shorter) after startedAt. It
+// reports false if the host is closed.
 func (s *heartbeatSender) waitUntilDue(startedAt time.Time, pause time.Duration) bool {
 	due := time.NewTimer(pause)
 	defer due.Stop()
@@ -75,8 +77,10 @@
 	return true
 }
 
-// send sends one heartbeat and returns the time until the next one is due. After any error
-// but errMachineDown the next heartbeat goes to the next controller.
+// send sends one heartbeat to the current controller, processes the reply, and returns the time
+// until the next heartbeat is due. After any error but errMachineDown, or a refusal, that one
+// goes to the next controller; after a redirect it goes to the controller named there. While
+// the worker restarts, none is sent.
 func (s *heartbeatSender) send() (pause time.Duration, err error) {
 	h, w := s.host, s.worker
 	h.mu.Lock()
@@ -111,9 +115,9 @@
 	return retryDelay
 }
 
-// followRedirect selects the leader that a redirect names; the next heartbeat is then due
-// at once. If the redirect names an unknown controller or the current one, it selects the
-// next controller.
+// followRedirect selects the controller that a redirect names as the leader; the next heartbeat
+// is then due at once. If the redirect names an unknown controller or the current one, it
+// selects the next controller.
 func (s *heartbeatSender) followRedirect(body []byte) (pause time.Duration, err error) {
 	var redirect protocol.Redirect
 	if err := protocol.Decode(body, &redirect); err != nil {
@@ -127,8 +131,9 @@
 	return 0, nil
 }
 
-// processReply processes the reply to a heartbeat and returns the time until the next one is
-// due.
+// processReply renews a worker's lease and executes the orders of the reply to the heartbeat
+// that was sent at the given time and epoch, and returns the time until the next one is due.
+// After orders it requests an early one. A restarting worker ignores the reply.
 func (h *Host) processReply(w *worker, epoch protocol.AgentEpoch, sent time.Duration, body []byte) time.Duration {
 	var reply protocol.HeartbeatReply
 	if err := protocol.Decode(body, &reply); err != nil {
@@ -168,7 +173,8 @@
 	return reply, nil
 }
 
-// nextHeartbeat returns the next heartbeat with the worker's real address.
+// nextHeartbeat returns the next heartbeat of the model, with the address at which the worker
+// serves direct commands.
 func (w *worker) nextHeartbeat() protocol.Heartbeat {
 	heartbeat := w.Heartbeat()
 	heartbeat.Address = w.addr
@@ -178,7 +184,8 @@
 	return heartbeat
 }
 
-// requestHeartbeat requests that the worker sends its next heartbeat before it is due.
+// requestHeartbeat requests that the worker sends its next heartbeat before it is due. It never
+// blocks; a request in addition to an unserved one has no effect.
 func (w *worker) requestHeartbeat() {
 	select {
 	case w.heartbeatRequested <- struct{}{}:
--- a/internal/fake/server/platform.go
+++ b/internal/fake/server/platform.go
@@ -41,7 +41,8 @@
 }
 
 // New starts a platform that can provision up to machines machines of the given types.
-// The map nodes has the addresses of the controllers.
+// The map nodes has the addresses of the controllers by name. A task runs for the estimate of
+// its job.
 func New(types []protocol.TypeInfo, machines int, nodes map[protocol.NodeName]string) (*Platform, error) {
 	p := &Platform{
 		startedAt: time.Now(), terminated: map[protocol.MachineID]bool{}, jobs: map[protocol.JobID]protocol.Job{},
@@ -77,7 +78,8 @@
 	p.jobs[j.ID] = j
 }
 
-// Describe returns the registered descriptions of jobs.
+// Describe returns the descriptions of those of the given jobs that were registered. It never
+// returns an error.
 func (p *Platform) Describe(ids []protocol.JobID) (map[protocol.JobID]protocol.Job, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +117,8 @@
 // now returns the time of the platform's monotonic clock.
 func (p *Platform) now() time.Duration { return time.Since(p.startedAt) }
 
-// Provisioned puts a provisioned machine into service after its boot time.
+// Provisioned puts a provisioned machine into service after a random boot time around that of
+// its type, unless it is terminated before.
 func (p *Platform) Provisioned(id protocol.MachineID, info protocol.TypeInfo, req protocol.ProvisionRequest) {
 	boot := seconds((minBootFactor + bootSpread*rand.Float64()) * info.BootS)
 	time.AfterFunc(boot, func() {
@@ -131,14 +134,15 @@
 	})
 }
 
-// isTerminated reports whether a machine was terminated.
+// isTerminated reports whether Terminate was called for a machine.
 func (p *Platform) isTerminated(id protocol.MachineID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.terminated[id]
 }
 
-// Terminate terminates machines, including those that are still booting.
+// Terminate terminates machines, including those that are still booting. It never returns an
+// error.
 func (p *Platform) Terminate(ids []protocol.MachineID) error {
 	p.mu.Lock()
 	for _, id := range ids {
@@ -149,7 +153,8 @@
 	return nil
 }
 
-// Machine returns the list entry of a machine and reports whether it is in service.
+// Machine returns the entry of a machine for the cloud's list and reports whether the machine
+// is in service.
 func (p *Platform) Machine(id protocol.MachineID) (MachineListing, bool) { return p.host.Machine(id) }
 
 // MachineUp ignores the event.
@@ -163,7 +168,7 @@
 func (p *Platform) TaskStartAccepted(protocol.MachineID, protocol.TaskID, protocol.Attempt, time.Duration) {
 }
 
-// TaskStarted counts the start and records the time of a task's first start.
+// TaskStarted counts the start and records the wall-clock time of a task's first start.
 func (p *Platform) TaskStarted(_ protocol.MachineID, task protocol.TaskID, _ protocol.Attempt, _ time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/server/stateservice.go
+++ b/internal/fake/server/stateservice.go
@@ -21,14 +21,15 @@
 	expiryInterval = 50 * time.Millisecond
 )
 
-// StateService serves the model of the key-value store over HTTP.
+// StateService serves the model of the key-value store over HTTP: reads, lists, transactions,
+// leases and watches.
 type StateService struct {
-	Addr    string
-	Traffic *Traffic
+	Addr    string   // address of the HTTP server
+	Traffic *Traffic // requests by kind, and the number of changes
 
 	throttle
 	server  *http.Server
-	changes *rate.Limiter
+	changes *rate.Limiter // of the changes in transactions
 	clock   func() time.Duration
 	done    chan struct{}
 
@@ -78,7 +79,8 @@
 	return len(items), bytes
 }
 
-// expireLeases removes expired leases until the service is closed.
+// expireLeases removes expired leases with their keys every expiryInterval until the service is
+// closed, and wakes up the watches if keys were deleted.
 func (s *StateService) expireLeases() {
 	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
@@ -97,7 +99,8 @@
 	}
 }
 
-// get serves the item of one key.
+// get serves the item of one key, or status 404 with the store's revision if the key does not
+// exist.
 func (s *StateService) get(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	it, ok := s.state.Get(r.PathValue("key"))
@@ -110,7 +113,8 @@
 	writeResponse(w, http.StatusOK, it)
 }
 
-// list serves a page of the items with a prefix.
+// list serves a page of the items whose keys have the prefix in the query field "starts" and
+// follow the key in "from", sorted by key. The field "page" limits their number.
 func (s *StateService) list(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	pageSize, _ := strconv.Atoi(query.Get("page"))
@@ -132,7 +136,8 @@
 	writeResponse(w, http.StatusOK, page)
 }
 
-// transaction serves a transaction, unless its changes exceed the rate limit of changes.
+// transaction serves a transaction. It refuses one whose changes exceed the rate limit of
+// changes, without executing it.
 func (s *StateService) transaction(w http.ResponseWriter, r *http.Request) {
 	t, ok := decodeRequest[protocol.Transaction](w, r)
 	if !ok {
@@ -149,7 +154,9 @@
 	writeResponse(w, status, body)
 }
 
-// execute executes a transaction and returns the response. The lock is held.
+// execute executes a transaction and returns the status code and body of the response: 400 if
+// a lease of a change does not exist, 409 if a condition does not hold, without the keys of the
+// failed conditions. The lock is held.
 func (s *StateService) execute(t protocol.Transaction) (status int, body any) {
 	if s.state.UsesMissingLease(t) {
 		return http.StatusBadRequest, protocol.ErrorBody{Error: "no such lease"}
@@ -166,7 +173,7 @@
 	return http.StatusOK, protocol.LeaseReply{Lease: s.state.GrantLease(s.clock(), time.Duration(l.TTLMS)*time.Millisecond)}
 }
 
-// extendLease serves a request to renew a lease.
+// extendLease serves a request to renew a lease, with status 404 if the lease does not exist.
 func (s *StateService) extendLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
@@ -179,7 +186,8 @@
 	writeResponse(w, http.StatusOK, protocol.LeaseReply{Lease: protocol.LeaseID(id)})
 }
 
-// releaseLease serves a request to remove a lease.
+// releaseLease serves a request to remove a lease and delete its keys. It succeeds if the lease
+// does not exist.
 func (s *StateService) releaseLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
--- a/internal/fake/server/throttle.go
+++ b/internal/fake/server/throttle.go
@@ -9,15 +9,16 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits configures the rate limits and the latency of a fake service.
+// Limits configures the rate limits and the latency of a fake service. The zero value means
+// neither.
 type Limits struct {
-	// Requests and Changes are the maximum numbers of requests and of changes per second.
-	// 0 means no limit.
+	// Requests and Changes are the maximum numbers of requests and, for a StateService, of
+	// changes in transactions per second. 0 means no limit.
 	Requests, Changes float64
 	// Burst is the size of a burst, in seconds of the rate. Values below 1 mean 1, except
 	// that 0 means cloudBurst for a CloudService.
 	Burst float64
-	// Latency returns the delay of a response. Nil means no delay.
+	// Latency returns the delay before a request is served. Nil means no delay.
 	Latency func() time.Duration
 }
 
@@ -42,8 +43,8 @@
 	return throttle{limits, limits.limiter(limits.Requests), NewTraffic()}
 }
 
-// limited returns a handler that serves requests of a kind within the limits and counts
-// them.
+// limited returns a handler that passes requests to the given one after the latency, and counts
+// them as of a kind with the bytes of their bodies. Requests beyond the rate limit are refused.
 func (t throttle) limited(kind string, handler http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !t.requests.Allow() {
@@ -59,7 +60,8 @@
 	}
 }
 
-// refuse responds to a request that exceeds a limit.
+// refuse responds with status 429 to a request that exceeds a rate limit, and counts it as
+// refused.
 func (t throttle) refuse(w http.ResponseWriter, reason string) {
 	t.traffic.Add("refused", 1, 0, 0)
 	writeResponse(w, http.StatusTooManyRequests, protocol.ErrorBody{Error: reason})
--- a/internal/fake/server/traffic.go
+++ b/internal/fake/server/traffic.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Flow counts the messages of one kind and their bytes. The directions in and out are those
-// of the process that counts.
+// Flow counts the messages of one kind and their bytes. BytesIn were received and BytesOut sent
+// by the process that counts.
 type Flow struct {
 	Messages uint64 `json:"messages"`
 	BytesIn  uint64 `json:"bytes_in"`
@@ -35,21 +35,21 @@
 	t.flows[kind] = f
 }
 
-// Flows returns the current counts by kind.
+// Flows returns a copy of the current counts by kind.
 func (t *Traffic) Flows() map[string]Flow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.flows)
 }
 
-// countedListener counts the bytes of all connections that it accepts.
+// countedListener adds the bytes of all connections that it accepts to the traffic of a kind.
 type countedListener struct {
 	net.Listener
 	kind    string
 	traffic *Traffic
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and returns it as a countedConn.
 func (l countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -58,7 +58,7 @@
 	return countedConn{c, l.kind, l.traffic}, nil
 }
 
-// countedConn counts the bytes of a connection.
+// countedConn adds the bytes that a connection receives and sends to the traffic of a kind.
 type countedConn struct {
 	net.Conn
 	kind    string
--- a/internal/fake/server/watch.go
+++ b/internal/fake/server/watch.go
@@ -18,8 +18,8 @@
 	maxWatchTime = 60 * time.Second
 )
 
-// notifyWatches wakes up all watches, so that they look for changes, and drops old
-// changes. The lock is held.
+// notifyWatches wakes up all watches, so that they look for changes, and drops all but the
+// keptChanges latest changes once there are more than twice as many. The lock is held.
 func (s *StateService) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -28,8 +28,10 @@
 	}
 }
 
-// watch serves the changes after a revision. If there are none, it waits for a change
-// until the requested time has passed.
+// watch serves the changes, after the revision in the query field "from", of keys with the
+// prefix in "starts". If there are none, it waits for one, but no longer than the milliseconds
+// in "hold_ms" and maxWatchTime, and then serves an empty list. It responds with status 410 if
+// changes after the revision may have been dropped.
 func (s *StateService) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	from, _ := strconv.ParseUint(query.Get("from"), 10, 64)
