--- a/internal/controller/autoscaler/autoscaler.go
+++ b/internal/controller/autoscaler/autoscaler.go
@@ -14,8 +14,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// rendezvousKey is the rendezvous hashing key that selects the member of the view that is
-// the autoscaler. All controllers of a cluster have to use the same key.
+// rendezvousKey is the rendezvous hashing key that selects which member of the view is the
+// autoscaler. All controllers of a cluster have to use the same key.
 const rendezvousKey = "fleet"
 
 // These intervals follow from the boot time of machines and the lag of the cloud's list.
--- a/internal/controller/autoscaler/doc.go
+++ b/internal/controller/autoscaler/doc.go
@@ -19,8 +19,9 @@
 // terminated machines.
 //
 // Terms:
-//   - view: the record that lists the controllers that take part, with a term that counts
-//     its versions; a session is one membership of a controller in it.
+//   - view: the record that lists the controllers that take part, its members, and is
+//     numbered by its term; a session is the time for which a controller holds one lease in
+//     the key-value store.
 //   - kind: a machine type in a zone, spot or on-demand ([binpack.Kind]).
 //   - booting machine: provisioned, but its worker has not registered yet; it is overdue
 //     after its boot timeout and counts as failed after its boot deadline.
--- a/internal/controller/autoscaler/reservationplanner.go
+++ b/internal/controller/autoscaler/reservationplanner.go
@@ -27,11 +27,11 @@
 )
 
 // ReservationPlanner runs on the controller that is the autoscaler. It chooses the machines
-// on which resources are held for reservations, plans missing machines a lead time ahead (the
-// time to boot one and then a replacement), and advances the reservations through their
-// states. All controllers receive the
-// chosen holds, and place and start tasks according to them. The holds are chosen anew with
-// each plan, so none of this state outlives a session.
+// on which resources are held for reservations, plans missing machines a lead time ahead
+// (the time to boot one and then a replacement), and advances the reservations through
+// their states. All controllers receive the chosen holds, and place and start tasks
+// according to them. The holds are chosen anew with each plan, so none of this state
+// outlives a session.
 type ReservationPlanner struct {
 	clusterstate.Module
 	table        *waittable.Table
--- a/internal/controller/holds/holdsrecord.go
+++ b/internal/controller/holds/holdsrecord.go
@@ -25,11 +25,11 @@
 // Tag marks the transaction that writes the record of the holds.
 type Tag struct{}
 
-// WriteRecord writes the list of holds if it has changed since the last write and that was at
-// least writeInterval ago. If the holds do not all fit into a record, it writes those that
-// begin first. The record only serves to hold the same resources again
-// soon after all controllers have ended. Without it, other tasks would fill the machines before
-// any controller has a list of holds.
+// WriteRecord writes the list of holds if it has changed since the last write and that was
+// at least writeInterval ago. If the holds do not all fit into a record, it writes those
+// that begin first. The record only serves to hold the same resources again soon after all
+// controllers have ended. Without it, other tasks would fill the machines before any
+// controller has a list of holds.
 func (h *Holds) WriteRecord() {
 	if !h.recordStale || h.Since(h.recordWrittenAt) < writeInterval {
 		return
