--- a/internal/controller/stateupdates_test.go
+++ b/internal/controller/stateupdates_test.go
@@ -324,11 +324,10 @@
 	}
 }
 
-// TestWaitTableConvergesToDispatcherState: a third controller receives the announcements of an
-// owner and the states of a dispatcher independently, and they may be delayed, lost or
-// reordered relative to each other. The wait table of the third controller never counts a
-// placement twice, once as announced and once in the dispatcher's state. Finally it equals the
-// dispatcher's state.
+// TestWaitTableConvergesToDispatcherState: a third controller receives an owner's announcements
+// and a dispatcher's states independently; they may be delayed, lost or reordered relative to
+// each other. Its wait table never counts a placement twice, once as announced and once in the
+// dispatcher's state, and finally equals the dispatcher's state.
 func TestWaitTableConvergesToDispatcherState(t *testing.T) {
 	outer := t
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -155,10 +155,9 @@
 }
 
 // TestInventoryNotAwaitedFromContinuousDispatcher: a dispatcher that has held a machine's queue
-// without a break since the worker received one of its terms has a complete list of the
-// attempts that may be on the machine. It sends the inventory at once in a new term. After a
-// missed term, or in a new agent epoch, the list is complete only after the worker's next
-// heartbeat.
+// without a break since the worker received one of its terms lists all attempts that may be on
+// the machine, and sends the inventory at once in a new term. After a missed term, or in a new
+// agent epoch, the list is complete only after the worker's next heartbeat.
 func TestInventoryNotAwaitedFromContinuousDispatcher(t *testing.T) {
 	h := newHarness(t, "node-1")
 	id := h.machineDispatchedBy("node-0")
--- a/internal/fake/server/host_test.go
+++ b/internal/fake/server/host_test.go
@@ -83,9 +83,9 @@
 }
 
 // TestWorkerFollowsRedirectAndExecutesOrders checks that a worker follows a redirect to
-// the leader, starts a task as ordered in a heartbeat reply, reports the running task in
-// its next heartbeats, and stops it after a direct command. It also checks that the worker
-// refuses a command of an earlier term.
+// the holder of its shard, starts a task as ordered in a heartbeat reply, reports the running
+// task in its next heartbeats, and stops it after a direct command. It also checks that the
+// worker refuses a command of an earlier term.
 func TestWorkerFollowsRedirectAndExecutesOrders(t *testing.T) {
 	redirected := startController(t, func(protocol.Heartbeat) (int, any) {
 		return http.StatusMisdirectedRequest, protocol.Redirect{Leader: "node-1"}
--- a/internal/fake/server/hostheartbeat.go
+++ b/internal/fake/server/hostheartbeat.go
@@ -115,9 +115,9 @@
 	return retryDelay
 }
 
-// followRedirect selects the controller that a redirect names as the leader; the next heartbeat
-// is then due at once. If the redirect names an unknown controller or the current one, it
-// selects the next controller.
+// followRedirect selects the controller that a redirect names as the holder of the worker's
+// shard; the next heartbeat is then due at once. If the redirect names an unknown controller or
+// the current one, it selects the next controller.
 func (s *heartbeatSender) followRedirect(body []byte) (pause time.Duration, err error) {
 	var redirect protocol.Redirect
 	if err := protocol.Decode(body, &redirect); err != nil {
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -1,7 +1,9 @@
 package protocol
 
 // TypeInfo describes a machine type of the cloud: its size, prices, boot time and the rate at
-// which it fetches container images. AllowZones lists the zones in which the cloud has it.
+// which it fetches container images. Prices are per hour; a machine is charged by the second
+// from its request until it is gone, boot time included. AllowZones lists the zones in which
+// the cloud has the type.
 type TypeInfo struct {
 	Name       MachineType `cbor:"sku"`
 	CPUs       float64     `cbor:"cores"`
@@ -37,7 +39,8 @@
 }
 
 // ListedMachine is one machine in the cloud's list of machines. State is booting, running or
-// failed.
+// failed. AgeS is the time in seconds since the machine was requested, as of the moment that
+// the list describes.
 type ListedMachine struct {
 	ID      MachineID   `cbor:"id"`
 	Address string      `cbor:"address"`
--- a/internal/protocol/command.go
+++ b/internal/protocol/command.go
@@ -35,7 +35,8 @@
 }
 
 // Redirect is the response to a heartbeat that was sent to a controller that does not hold the
-// worker's shard. Leader is the controller that does; it is empty if that is unknown.
+// worker's shard. Leader is the name of the controller that holds it, to which the worker has
+// to send its heartbeats; it is empty if that is unknown.
 type Redirect struct {
 	Leader NodeName `cbor:"harbormaster,omitempty"`
 }
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -90,12 +90,12 @@
 //	sku            Name        name of a machine type
 //	cache_gb       CacheGB     size of the image cache
 //	pull_gb_per_s  FetchGBPS   rate at which images are fetched
-//	price          Price       price of an on-demand machine per hour
-//	market_price   SpotPrice   price of a spot machine per hour
+//	price          Price       price of an on-demand machine per hour, charged by the second (see TypeInfo)
+//	market_price   SpotPrice   price of a spot machine per hour, charged in the same way
 //	ready_s        BootS       time to provision a machine
 //	quays          AllowZones  zones that have the machine type
 //	charter        Name        idempotency key of a provision request
 //	number         Count       number of machines
 //	fleet          Machines    ids or descriptions of machines
-//	held_s         AgeS        age of a machine, as the cloud states it
+//	held_s         AgeS        seconds from the request of a machine to the moment that the list describes
 package protocol
--- a/internal/protocol/heartbeat.go
+++ b/internal/protocol/heartbeat.go
@@ -37,8 +37,8 @@
 	EndIncomplete EndCause = "incomplete" // the other tasks of its gang did not start in time
 	EndError      EndCause = "error"      // it failed
 	EndFull       EndCause = "full"       // the machine had too few free resources
-	EndInUse      EndCause = "in_use"
-	EndUnknown    EndCause = "unknown" // the worker found no description of the job
+	EndInUse      EndCause = "in_use"     // the start was refused: another attempt of the task is already on the machine
+	EndUnknown    EndCause = "unknown"    // the worker found no description of the job
 )
 
 // TaskStatus is the state of one task in a heartbeat. Cause is set once the task has ended.
