--- a/internal/scale/rules/answers.go
+++ b/internal/scale/rules/answers.go
@@ -19,8 +19,9 @@
 	minAnsweredFraction = 0.5
 )
 
-// answerHistory holds when a job was first reported as accepted, and when and in which
-// state it was first reported as finished.
+// answerHistory holds when a job was first reported as accepted, by any response with status
+// 200 or 201, and when and in which state it was first reported as finished, which means done
+// or cancelled.
 type answerHistory struct {
 	acceptedAt, finalAt time.Duration
 	finalState          protocol.JobState
@@ -29,7 +30,7 @@
 }
 
 // checkAnswers checks every answer against the answers about the same job that arrived
-// before its request was sent.
+// before its request was sent. It skips requests without a response.
 func (c *checker) checkAnswers(users []UserEvent) {
 	histories := map[protocol.JobID]*answerHistory{}
 	events := slices.Clone(users)
@@ -45,7 +46,11 @@
 	}
 }
 
-// checkAnswer checks one answer against the earlier answers about its job.
+// checkAnswer checks one answer against the earlier answers about its job, and adds it to the
+// history if its status is 200 or 201. Violations are an answer about a job that was never
+// submitted, status 404 or a rejected submission after the job was accepted, a state other than
+// the final state that was reported before, and a final state that contradicts the events of the
+// tasks or the cancellation requests.
 func (c *checker) checkAnswer(e UserEvent, history *answerHistory) {
 	accepted := history.isAccepted && history.acceptedAt <= e.RequestedAt
 	success := e.Status == http.StatusOK || e.Status == http.StatusCreated
@@ -90,7 +95,8 @@
 	}
 }
 
-// recordAnswer adds an answer to the history of its job.
+// recordAnswer adds a successful answer to the history of its job. Only the first acceptance and
+// the first final state are kept.
 func recordAnswer(e UserEvent, history *answerHistory) {
 	if !history.isAccepted {
 		history.isAccepted, history.acceptedAt = true, e.AnsweredAt
@@ -101,7 +107,7 @@
 }
 
 // checkUnanswered finds jobs whose polls all failed for longer than maxUnanswered while most
-// polls of the same period were answered.
+// polls by all users in the same period were answered. It adds at most one violation per job.
 func (c *checker) checkUnanswered(users []UserEvent) {
 	polls := map[protocol.JobID][]UserEvent{}
 	for _, e := range users {
@@ -127,12 +133,14 @@
 	}
 }
 
-// isAnswered reports whether a request got a response other than a server error.
+// isAnswered reports whether a request got a response other than a server error, that is, a status
+// below 500.
 func isAnswered(e UserEvent) bool {
 	return e.Status != 0 && e.Status < http.StatusInternalServerError
 }
 
-// answeredFraction returns the fraction of the polls in a period that were answered.
+// answeredFraction returns the fraction of the polls by all users in a period that were answered,
+// or 0 if there were none. A poll is in the period if its request and its response are.
 func answeredFraction(users []UserEvent, from, until time.Duration) float64 {
 	all, answered := 0, 0
 	for _, e := range users {
--- a/internal/scale/rules/checker.go
+++ b/internal/scale/rules/checker.go
@@ -10,7 +10,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Check replays the events of a run and returns every rule violation, in order of time.
+// Check replays the events of a run and returns every rule violation, in order of time. The result
+// is empty if no rule was violated. It does not change its arguments.
 func Check(requirements Requirements, machines []MachineEvent, users []UserEvent) []Violation {
 	c := newChecker(requirements, users)
 	events := slices.Clone(machines)
--- a/internal/scale/rules/event.go
+++ b/internal/scale/rules/event.go
@@ -11,17 +11,17 @@
 
 // The kinds of machine events.
 const (
-	MachineUp MachineEventKind = iota + 1
-	MachineLost
-	TaskStarted       // the task's image is present and the task occupies the machine
-	TaskEnded         // the task no longer occupies the machine
-	TaskStartAccepted // the worker accepted the command to start the task
+	MachineUp         MachineEventKind = iota + 1 // the machine has started
+	MachineLost                                   // the machine has stopped, and its tasks no longer occupy it
+	TaskStarted                                   // the task's image is present and the task occupies the machine
+	TaskEnded                                     // the task no longer occupies the machine
+	TaskStartAccepted                             // the worker accepted the command to start the task
 	// GangRunning is recorded once all tasks of one attempt of a gang have started.
 	GangRunning
 )
 
-// MachineEvent is one event observed on a worker. All workers of a run stamp their events
-// with the same monotonic clock.
+// MachineEvent is one event observed on a worker, which is the agent that runs the tasks of a
+// machine. All workers of a run stamp their events with the same monotonic clock.
 type MachineEvent struct {
 	At      time.Duration
 	Kind    MachineEventKind
@@ -46,7 +46,7 @@
 )
 
 // UserEvent is one request of a user with its response. Status is the HTTP status; 0 means
-// that no response arrived.
+// that no response arrived. State is the job's state in a successful response.
 type UserEvent struct {
 	RequestedAt, AnsweredAt time.Duration
 	Kind                    UserEventKind
@@ -74,8 +74,8 @@
 // Requirements are the parameters of the rules.
 type Requirements struct {
 	Teams        []Team
-	CancelGraceS float64 // how long tasks may keep running after a confirmed cancellation
-	// LimitChanges are the changes of limits, in order. For LimitGraceS after the response
+	CancelGraceS float64 // how many seconds tasks may keep running after a confirmed cancellation
+	// LimitChanges are the changes of limits, in order. For LimitGraceS seconds after the response
 	// to a change, controllers may still order starts under the previous limit.
 	LimitChanges []LimitChange
 	LimitGraceS  float64
--- a/internal/scale/rules/placement.go
+++ b/internal/scale/rules/placement.go
@@ -11,7 +11,7 @@
 const cpuTolerance = 1e-6
 
 // checkPlacement checks the machine on which a task starts against the constraints of the
-// task's job.
+// task's job: spot machines, zone, machine types, and the one-zone and spread constraints.
 func (c *checker) checkPlacement(e MachineEvent, job protocol.Job) {
 	machine := c.machines[e.Machine]
 	switch {
@@ -28,7 +28,8 @@
 }
 
 // checkZones checks the one-zone and spread constraints of a job when one of its tasks
-// starts in a zone. With the spread constraint, at most half of the tasks, rounded up, may
+// starts in a zone. With the one-zone constraint, all tasks that are on machines must be in the
+// same zone. With the spread constraint, at most half of the tasks, rounded up, may
 // run in one zone.
 func (c *checker) checkZones(e MachineEvent, job protocol.Job, zone protocol.Zone) {
 	zones := map[protocol.Zone]int{zone: 1}
--- a/internal/scale/rules/replay.go
+++ b/internal/scale/rules/replay.go
@@ -50,7 +50,9 @@
 	}
 }
 
-// taskStarted checks the rules for the start of a task and adds the task to its machine.
+// taskStarted checks the rules for the start of a task and adds the task to its machine, unless
+// its job was never submitted. The rules concern tasks on two machines, cancelled jobs,
+// placement constraints and the limit of the team.
 func (c *checker) taskStarted(e MachineEvent) {
 	c.starts++
 	if other, running := c.machineOf[e.Task]; running && other != e.Machine {
@@ -71,7 +73,8 @@
 	c.addTask(e, job)
 }
 
-// addTask adds a task to its machine and checks its team's limit.
+// addTask adds a task to its machine and its processors to those that its team uses, and checks
+// their sum against the team's limit.
 func (c *checker) addTask(e MachineEvent, job protocol.Job) {
 	if c.tasksOn[e.Machine] == nil {
 		c.tasksOn[e.Machine] = map[protocol.TaskID]bool{}
@@ -84,7 +87,8 @@
 	}
 }
 
-// taskEnded removes a task from its machine.
+// taskEnded removes a task from its machine and its processors from those that its team uses, and
+// checks the cancellation grace. It does nothing if the task is not on the machine.
 func (c *checker) taskEnded(machine protocol.MachineID, task protocol.TaskID, at time.Duration) {
 	if !c.tasksOn[machine][task] {
 		return
--- a/internal/scale/rules/violation.go
+++ b/internal/scale/rules/violation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Rule names a rule of the protocol.
+// Rule names a rule of the protocol between the scheduler, its users and its workers.
 type Rule string
 
 // The rules that are checked.
