--- a/internal/scale/monitor/client.go
+++ b/internal/scale/monitor/client.go
@@ -9,7 +9,7 @@
 	"damsonkeel/internal/transport"
 )
 
-// callTimeout bounds an RPC to the monitor.
+// callTimeout bounds the duration of an RPC to the monitor.
 const callTimeout = 10 * time.Second
 
 // Client calls the monitor from a worker process or from the process of the users.
@@ -29,7 +29,8 @@
 
 // Exchange sends the events that the process has observed and returns the directives that it
 // has to execute. The collect function gathers the events; it is not called when an earlier
-// exchange has to be repeated.
+// exchange has to be repeated. After an error, the next call repeats the exchange with the same
+// events.
 func (c *Client) Exchange(collect func() Exchange) ([]Directive, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/monitor/faults.go
+++ b/internal/scale/monitor/faults.go
@@ -23,7 +23,8 @@
 // measuredFault is a fault whose effect is being measured.
 type measuredFault struct{ analysis.Fault }
 
-// InjectFault starts to measure the effect of a fault. It injects the fault itself if the
+// InjectFault starts to measure the effect of a fault and returns without waiting for the end of
+// the fault. It injects the fault itself if the
 // fault concerns machines; the coordinating process injects all others.
 func (m *Monitor) InjectFault(fault siteconfig.Fault) {
 	begin := clock.Now()
@@ -49,7 +50,7 @@
 }
 
 // awaitHeartbeats waits until every worker has had an answered heartbeat since the end of a
-// fault, and records how long that took.
+// fault, and records how many seconds that took from the end of the fault.
 func (m *Monitor) awaitHeartbeats(fault *measuredFault) {
 	time.Sleep(fault.End - clock.Now())
 	for m.oldestHeartbeat() < fault.End {
@@ -61,7 +62,7 @@
 }
 
 // oldestHeartbeat returns the earliest of the times at which the workers had their last answered
-// heartbeat, as reported by the worker processes.
+// heartbeat, as reported by the worker processes, or the present time if there are none.
 func (m *Monitor) oldestHeartbeat() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -88,8 +89,8 @@
 	}
 }
 
-// randomMachine returns a random machine of a shared process that is up and is not to be
-// terminated, or nil if there is none. The caller holds the lock.
+// randomMachine returns a random machine of a shared process that is up, was not killed by a fault
+// and is not to be terminated, or nil if there is none. The caller holds the lock.
 func (m *Monitor) randomMachine() (protocol.MachineID, *machine) {
 	var ids []protocol.MachineID
 	for id, machine := range m.machines {
--- a/internal/scale/monitor/gangs.go
+++ b/internal/scale/monitor/gangs.go
@@ -44,7 +44,8 @@
 }
 
 // taskEnded removes an ended task and returns the directive for the other tasks of the attempt:
-// DirectGangDone, DirectGangLost, or 0 for none.
+// DirectGangDone if the task completed, DirectGangLost if it ended otherwise, and 0 for none if
+// not all tasks of the attempt had started.
 func (g *gangTracker) taskEnded(key gangAttemptKey, id protocol.TaskID, cause protocol.EndCause) DirectiveKind {
 	attempt := g.attempts[key]
 	if attempt == nil {
--- a/internal/scale/monitor/machines.go
+++ b/internal/scale/monitor/machines.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// terminationTimeout bounds how long Terminate waits for the worker processes.
+	// terminationTimeout bounds how long Terminate waits until the worker processes have executed
+	// its directives.
 	terminationTimeout = 3 * time.Second
 	// minBootFactor and maxBootFactor bound the random boot time of a machine, as factors of
 	// the boot time in the catalogue.
@@ -65,7 +66,8 @@
 }
 
 // Terminate terminates machines and waits until their worker processes have executed the
-// directives. It returns an error after terminationTimeout.
+// directives. Machines that are not in the inventory are ignored. After terminationTimeout it
+// returns an error and leaves the machines in the inventory.
 func (m *Monitor) Terminate(ids []protocol.MachineID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -104,7 +106,8 @@
 	return true
 }
 
-// Machine returns the listing of a machine, if the machine has started.
+// Machine returns the listing of a machine, or false if the machine has not started or is not in
+// the inventory.
 func (m *Monitor) Machine(id protocol.MachineID) (server.MachineListing, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/scale/monitor/monitor.go
+++ b/internal/scale/monitor/monitor.go
@@ -75,7 +75,7 @@
 	return d.Number
 }
 
-// enqueueForAllWorkers adds a directive for every process that runs workers. The caller holds
+// enqueueForAllWorkers adds a directive for every process to which a machine was ever assigned. The caller holds
 // the lock.
 func (m *Monitor) enqueueForAllWorkers(d Directive) {
 	for _, p := range m.processes {
@@ -117,8 +117,9 @@
 	}
 }
 
-// storeMachineEvent stores an event and updates the gangs that it concerns. The caller holds
-// the lock.
+// storeMachineEvent stores an event and updates the gangs that it concerns. When the last task of
+// a gang's attempt has started, it also stores a GangRunning event and directs the workers to run
+// the gang. The caller holds the lock.
 func (m *Monitor) storeMachineEvent(e rules.MachineEvent) {
 	m.machineEvents = append(m.machineEvents, e)
 	job := m.jobs[e.Task.Job]
@@ -140,8 +141,9 @@
 	}
 }
 
-// gangTaskEnded sends the directive for the other tasks of a gang after one of its tasks has
-// ended. If that task was stopped, the directive is delayed by the gang peer timeout of the
+// gangTaskEnded sends all worker processes the directive for the other tasks of a gang after one
+// of its tasks has ended: to complete them or to end them. It sends none if the gang was not
+// running. If that task was stopped, the directive is delayed by the gang peer timeout of the
 // site, so that the controllers have the time to stop the other tasks as well. The caller
 // holds the lock.
 func (m *Monitor) gangTaskEnded(key gangAttemptKey, task protocol.TaskID, cause protocol.EndCause) {
@@ -185,7 +187,8 @@
 	return nil
 }
 
-// SetLimitChanges stores the changes that the operator has made to teams' limits.
+// SetLimitChanges replaces the stored list of the changes that the operator has made to teams'
+// limits on processors.
 func (m *Monitor) SetLimitChanges(changes []rules.LimitChange) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
