--- a/internal/scale/siteconfig/fault.go
+++ b/internal/scale/siteconfig/fault.go
@@ -9,7 +9,7 @@
 	FaultKillController FaultKind = "kill_controller"
 	// FaultKillAllControllers kills all controllers, one every EveryS.
 	FaultKillAllControllers FaultKind = "kill_all"
-	// FaultPauseController pauses Count controllers for ForS.
+	// FaultPauseController pauses the processes of Count controllers for ForS.
 	FaultPauseController FaultKind = "stop_controller"
 	// FaultPauseZone pauses the shared worker process of a zone for ForS.
 	FaultPauseZone FaultKind = "stop_zone"
@@ -22,8 +22,10 @@
 	FaultRestartWorkers FaultKind = "restart_workers"
 )
 
-// Fault is a fault that is injected into a run at AtS. Its kind determines which of the other
-// fields apply.
+// Fault is a fault that is injected into a run at AtS, in seconds since the start of the run. Its
+// kind determines which of EveryS, Count, Zone and Region apply. The effect of every fault is
+// measured from its injection, and its recovery from ForS seconds later; for
+// FaultKillAllControllers, EveryS times the number of controllers takes the place of ForS.
 type Fault struct {
 	AtS    float64   `toml:"at_s"`
 	Kind   FaultKind `toml:"kind"`
--- a/internal/scale/siteconfig/load.go
+++ b/internal/scale/siteconfig/load.go
@@ -7,7 +7,8 @@
 	"damsonkeel/internal/config"
 )
 
-// LoadSite reads and validates a site file.
+// LoadSite reads and validates a site file in TOML. Its errors name the file, or the unknown or
+// invalid field.
 func LoadSite(path string) (*Site, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/scale/siteconfig/settings.go
+++ b/internal/scale/siteconfig/settings.go
@@ -2,11 +2,12 @@
 
 import "damsonkeel/internal/config"
 
-// clockErrorMS is the clock error that controllers are configured to tolerate.
+// clockErrorMS is the clock error in milliseconds that controllers are configured to tolerate.
 const clockErrorMS = 50
 
 // ControllerSettings returns the part of the settings that is the same for all controllers of a
-// site.
+// site: zones, teams, objectives, timings of workers, and the limits of the services and of a
+// controller's resources.
 func ControllerSettings(site *Site) config.Site {
 	out := config.Site{Count: site.Controllers, ClockErrorMS: clockErrorMS}
 	for z := range site.Zones {
--- a/internal/scale/siteconfig/site.go
+++ b/internal/scale/siteconfig/site.go
@@ -40,24 +40,27 @@
 	Configuration Configuration `toml:"configuration"`
 }
 
-// Configuration describes the configuration changes by operators: their number and the period
-// over which they are spread evenly.
+// Configuration describes the configuration changes by operators: Changes is their number, and
+// they are spread evenly over the ForS seconds that begin FromS seconds after the start.
 type Configuration struct {
 	Changes int     `toml:"changes"`
 	FromS   float64 `toml:"from_s"`
 	ForS    float64 `toml:"for_s"`
 }
 
-// Timings holds the timings of the worker protocol.
+// Timings holds the timings of the worker protocol in seconds.
 type Timings struct {
 	ReportS   float64 `toml:"report_s"`    // interval of a worker's heartbeats
-	LeaseS    float64 `toml:"lease_s"`     // length of a worker's lease
+	LeaseS    float64 `toml:"lease_s"`     // length of a worker's lease: how long its tasks may run without an answered heartbeat
 	GangWaitS float64 `toml:"gang_wait_s"` // how long a started task waits for the rest of its gang
 	GangPeerS float64 `toml:"gang_peer_s"` // how long the other tasks of a gang keep running after one was stopped
 	CancelS   float64 `toml:"cancel_s"`    // how long tasks may run after their cancellation was confirmed
 }
 
-// State holds the rate and size limits and the response latency of the state service.
+// State holds the limits of the state service (requests and changes per second, the size of a value in
+// units of 1024 bytes, changes per transaction) and its response latency in milliseconds. The
+// simulated service applies the rates and the latency; the other limits only reach the
+// controllers' settings.
 type State struct {
 	RequestsPerS float64 `toml:"requests_per_s"`
 	ChangesPerS  float64 `toml:"changes_per_s"`
@@ -66,21 +69,25 @@
 	AnswerMS     float64 `toml:"answer_ms"`
 }
 
-// Cloud holds the rate limit, the listing lag and the response latency of the cloud.
+// Cloud holds the limit of the cloud in requests per second, the lag of its list of machines in seconds
+// and its response latency in milliseconds. The lag only reaches the controllers' settings.
 type Cloud struct {
 	RequestsPerS float64 `toml:"requests_per_s"`
 	ListLagS     float64 `toml:"list_lag_s"`
 	AnswerMS     float64 `toml:"answer_ms"`
 }
 
-// Limits holds the resources that a controller is configured to use at most.
+// Limits holds the resources that a controller is configured to use at most: cores, memory in MB and
+// connections.
 type Limits struct {
 	CPU      float64 `toml:"cpu"`
 	MemoryMB float64 `toml:"memory_mb"`
 	MaxConns int     `toml:"max_connections"`
 }
 
-// Type is a machine type. Fraction is the fraction of the initial machines that have this type.
+// Type is a machine type. Fraction is the fraction of the initial machines that have this type,
+// CacheGB the size of the image cache, FetchGBPS the rate at which images are fetched, Price and
+// SpotPrice the prices of an on-demand and a spot machine per hour, and BootS the usual boot time.
 type Type struct {
 	Name      protocol.MachineType `toml:"name"`
 	Fraction  float64              `toml:"part"`
@@ -94,7 +101,7 @@
 }
 
 // Teams describes Count teams with the same settings: CPUs is the guarantee and MaxCPUs the
-// limit of each. Their names are the prefix with a number.
+// limit of each, in processors; a limit of 0 is none. Their names are the prefix with a number.
 type Teams struct {
 	Prefix  string  `toml:"prefix"`
 	Count   int     `toml:"count"`
@@ -103,7 +110,7 @@
 }
 
 // Objective is a service-level objective for the jobs of a class: Fraction of them must meet the
-// time WithinS.
+// time WithinS, in seconds. Kind names the time that is measured, as in the controllers' settings.
 type Objective struct {
 	Kind     string  `toml:"kind"`
 	Class    string  `toml:"class"`
@@ -112,7 +119,8 @@
 }
 
 // Load describes the jobs of a class, which arrive at random from FromS until UntilS with an
-// average rate of JobsPerS.
+// average rate of JobsPerS. CPUs and MemoryGB are the needs of each task, RunS is the mean estimate
+// of its run time, and each job uses one of Images different images of ImageGB.
 type Load struct {
 	Class             string            `toml:"class"`
 	Kind              protocol.Kind     `toml:"kind"`
--- a/internal/scale/siteconfig/validate.go
+++ b/internal/scale/siteconfig/validate.go
@@ -60,8 +60,10 @@
 	return nil
 }
 
-// validate returns an error that names the invalid fields: the first one of the site's own
-// numbers or, if these are valid, the first one of each section.
+// validate returns an error that names the invalid fields: a missing name or the first invalid one of
+// the numbers of the site, timings, services, configuration changes and controller limits or, if
+// these are valid, the first one each of the types, teams, loads and faults. It returns nil if the
+// site is valid.
 func (s *Site) validate() error {
 	if s.Name == "" {
 		return missingField("name")
