--- a/internal/scale/results/builder.go
+++ b/internal/scale/results/builder.go
@@ -30,7 +30,8 @@
 	maxListedViolations = 50
 )
 
-// Builder composes the result of a run.
+// Builder composes the result of a run from the reports of its processes, which are added one by
+// one, and the measurements of the coordinating process.
 type Builder struct {
 	result  *Result
 	reports map[string]process.Report // by process name
@@ -84,7 +85,7 @@
 	}
 }
 
-// addLateness updates the worst lateness of all processes.
+// addLateness updates the worst lateness of all processes and whether the run counts as saturated.
 func (b *Builder) addLateness(l metrics.Lateness) {
 	r := b.result
 	r.Lateness.P99MS = max(r.Lateness.P99MS, l.P99MS)
@@ -105,7 +106,7 @@
 	r.Timeline = m.Timeline
 }
 
-// addViolations adds violations to the list of the result.
+// addViolations adds violations, as texts of rule and detail, to the list of the result.
 func (b *Builder) addViolations(violations []rules.Violation) {
 	for _, v := range violations {
 		b.result.Rules = append(b.result.Rules, fmt.Sprintf("%s: %s", v.Rule, v.Detail))
@@ -122,7 +123,8 @@
 	BusyFractions   []float64                // busy fraction of all processors in each second
 }
 
-// Finish adds the measurements of the coordinating process and returns the result.
+// Finish adds the measurements of the coordinating process, the usage of each role and the highest
+// usage of a single worker, and returns the result. It is called after all reports were added.
 func (b *Builder) Finish(m Measurements) *Result {
 	r := b.result
 	b.addLateness(m.Lateness)
@@ -158,7 +160,8 @@
 	worker.BytesS = max(worker.BytesS, float64(bytes)/elapsed)
 }
 
-// roleMetrics summarizes the usage of the processes of a role.
+// roleMetrics summarizes the usage and the traffic of the processes of a role over a run of the
+// given number of seconds.
 func (b *Builder) roleMetrics(role string, usages map[string]sampler.Usage, elapsed float64) RoleMetrics {
 	out := RoleMetrics{Role: role, Traffic: map[string]TrafficRate{}}
 	traffic := map[string]server.Flow{}
@@ -190,7 +193,8 @@
 	return out
 }
 
-// perSecond returns a rate per second, rounded to one decimal.
+// perSecond returns the rate per second of a count over a number of seconds, rounded to one
+// decimal.
 func perSecond(count uint64, elapsed float64) float64 {
 	return math.Round(10*float64(count)/elapsed) / 10
 }
--- a/internal/scale/results/fit.go
+++ b/internal/scale/results/fit.go
@@ -14,7 +14,8 @@
 )
 
 // Slope is a straight line that is fitted by least squares to the values of a metric over the
-// number of workers.
+// number of workers. Intercept is its value at 0 workers, Per1000 its increase per 1,000 workers
+// and R2 its coefficient of determination; 1 means that it goes through all values.
 type Slope struct {
 	Metric     string  `json:"figure"`
 	Intercept  float64 `json:"intercept"`
@@ -32,7 +33,8 @@
 // of workers.
 var errTooFewWorkerCounts = errors.New("results of at least three sizes are needed")
 
-// ReadFiles reads result files. Each file contains the result of one run or a list of results.
+// ReadFiles reads result files in JSON. Each file contains the result of one run or a list of
+// results. An error means that one of the files could not be read; no results are returned then.
 func ReadFiles(paths []string) ([]*Result, error) {
 	var results []*Result
 	for _, path := range paths {
@@ -90,7 +92,8 @@
 	return list
 }
 
-// FitMetrics fits a line to each metric of results over the number of workers.
+// FitMetrics fits a line to each metric of results over the number of workers. It returns an error
+// if the results have fewer than minWorkerCounts different numbers of workers.
 func FitMetrics(results []*Result) ([]Slope, error) {
 	var workers []float64
 	for _, r := range results {
