--- a/internal/scale/analysis/analysis.go
+++ b/internal/scale/analysis/analysis.go
@@ -26,9 +26,9 @@
 // Metrics are the results of a run's analysis.
 type Metrics struct {
 	Rules       []rules.Violation
-	Starts      int
-	StartsPeakS int
-	RunningPeak int
+	Starts      int                          // number of task starts
+	StartsPeakS int                          // highest number of task starts within one second
+	RunningPeak int                          // highest number of tasks on machines at the same time
 	Classes     map[string]metrics.Quantiles // waits of tasks from submission to start by class, see AllClasses
 	UrgentJobs  metrics.Quantiles            // waits of urgent jobs until all of their tasks run
 	// Calm summarizes the urgent jobs that were submitted outside the effect of all faults
@@ -79,7 +79,8 @@
 	return out
 }
 
-// isOutsideFaults reports whether a job was submitted outside the effect of all faults.
+// isOutsideFaults reports whether a job was submitted outside the effect of all faults, which lasts
+// from the start of a fault until faultEffectTail after its end.
 func (r *Run) isOutsideFaults(w urgentWait) bool {
 	return !slices.ContainsFunc(r.Faults, func(fault Fault) bool { return fault.affects(w) })
 }
--- a/internal/scale/analysis/faults.go
+++ b/internal/scale/analysis/faults.go
@@ -21,7 +21,8 @@
 	recoveredFraction = 0.9
 )
 
-// Fault is a fault that was injected into a run.
+// Fault is a fault that was injected into a run, with its start and end on the monotonic clock of
+// the run and its measured effect.
 type Fault struct {
 	Start, End time.Duration
 	Metrics    FaultMetrics
@@ -52,7 +53,7 @@
 
 // recoveryTimeOfStarts returns how many seconds after the end of a fault the number of starts
 // per startsWindow reached recoveredFraction of the number before its beginning again, or
-// NotRecovered.
+// NotRecovered if that did not happen before the last start of the run.
 func recoveryTimeOfStarts(starts []time.Duration, begin, end time.Duration) float64 {
 	if len(starts) == 0 {
 		return NotRecovered
--- a/internal/scale/analysis/timeline.go
+++ b/internal/scale/analysis/timeline.go
@@ -19,8 +19,9 @@
 	Machines int     `json:"machines"` // machines that are up at the end of the period
 }
 
-// timeline returns the rate of task starts and the numbers of running tasks and machines over
-// time.
+// timeline returns the rate of task starts and the numbers of running tasks and machines for each
+// period of timelineStep that ended no later than the last machine event. It returns nil if there are no
+// user events.
 func (r *Run) timeline() []TimelinePoint {
 	if len(r.Users) == 0 {
 		return nil
--- a/internal/scale/analysis/tracker.go
+++ b/internal/scale/analysis/tracker.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// remove removes a task from its machine.
+// remove removes a task from its machine and calls onChange. It does nothing if the task is on no
+// machine.
 func (t *taskTracker) remove(task protocol.TaskID) {
 	if _, placed := t.machineOf[task]; placed {
 		delete(t.machineOf, task)
--- a/internal/scale/analysis/urgent.go
+++ b/internal/scale/analysis/urgent.go
@@ -36,7 +36,8 @@
 // of its tasks ran.
 type urgentWait struct {
 	submitted, wait time.Duration
-	// atLimit is true if the job was submitted while its team was at its limit.
+	// atLimit is true if the job was submitted while its team was at its limit; see
+	// submittedAtLimit.
 	atLimit bool
 }
 
@@ -69,7 +70,8 @@
 }
 
 // measureUrgentStages measures the stages of the waits of urgent tasks. It leaves out tasks for
-// which one of the events is missing.
+// which one of the events is missing: the acceptance of the job, the acceptance of the start by the
+// worker, or the start.
 func (r *Run) measureUrgentStages() UrgentStages {
 	submitted, accepted := r.submitAndAcceptTimes()
 	ordered := firstEventTimes(r.Machines, rules.TaskStartAccepted)
