--- a/internal/scale/process/child.go
+++ b/internal/scale/process/child.go
@@ -20,7 +20,7 @@
 )
 
 var (
-	// errTimeout reports that a process did not answer in time.
+	// errTimeout reports that a process did not answer within readyTimeout or finishTimeout.
 	errTimeout = errors.New("timed out waiting for an answer of the process")
 	// errEnded reports that a process ended before it answered.
 	errEnded = errors.New("process ended before it answered")
@@ -72,7 +72,8 @@
 	}
 }
 
-// Send sends a command to the process.
+// Send writes a command to the input of the process. It does not wait until the process has
+// executed the command.
 func (c *Child) Send(command Command) error { return c.send(command) }
 
 // send writes a value as a line of JSON to the input of the process.
@@ -88,7 +89,7 @@
 }
 
 // receive decodes the next line of the process's output into v. It fails if there is none within
-// the timeout.
+// the timeout, or if the process ends first.
 func (c *Child) receive(v any, timeout time.Duration) error {
 	select {
 	case line, ok := <-c.lines:
@@ -104,7 +105,8 @@
 	}
 }
 
-// Configure sends the configuration to the process and waits until the process is ready.
+// Configure sends the configuration to the process and waits for at most readyTimeout until the
+// process is ready. It returns the addresses that the process serves.
 func (c *Child) Configure(cfg Config) (Ready, error) {
 	var ready Ready
 	if err := c.send(cfg); err != nil {
@@ -113,7 +115,8 @@
 	return ready, c.receive(&ready, readyTimeout)
 }
 
-// Finish requests the report of the process, after which the process ends, and returns it.
+// Finish requests the report of the process, after which the process ends, and returns it. It waits
+// for at most finishTimeout.
 func (c *Child) Finish() (Report, error) {
 	var report Report
 	if err := c.Send(Command{Finish: true}); err != nil {
--- a/internal/scale/process/config.go
+++ b/internal/scale/process/config.go
@@ -30,7 +30,8 @@
 
 // Ready is the first line of output of a process.
 type Ready struct {
-	// Addresses holds the addresses that the process serves, by name.
+	// Addresses holds the addresses that the process serves: of the services by target, of a
+	// forwarder by the name of the link.
 	Addresses map[string]string
 }
 
@@ -48,7 +49,8 @@
 	Finish bool `json:",omitempty"`
 }
 
-// Report is the last line of output of a process.
+// Report is the last line of output of a process. Traffic holds the counted messages and bytes by
+// kind, and Goroutines the number of goroutines at the end of the run.
 type Report struct {
 	Name       string
 	Traffic    map[string]server.Flow
--- a/internal/scale/process/names.go
+++ b/internal/scale/process/names.go
@@ -36,7 +36,7 @@
 // IsSingle reports whether a process runs a single worker of a zone, by its name.
 func IsSingle(name string) bool { return strings.HasPrefix(name, singlePrefix) }
 
-// ControllerName returns the name of a controller with a number.
+// ControllerName returns the name of the controller with number i, which has at least two digits.
 func ControllerName(i int) protocol.NodeName {
 	return protocol.NodeName(fmt.Sprintf("controller-%02d", i))
 }
