--- a/internal/scale/address.go
+++ b/internal/scale/address.go
@@ -19,7 +19,8 @@
 // errNoFreePort reports that maxPortAttempts random ports were all in use.
 var errNoFreePort = errors.New("no free port on loopback")
 
-// freeAddress returns a loopback address with a random port on which no process listens.
+// freeAddress returns a loopback address with a random port on which no process listens. It fails
+// after maxPortAttempts ports that were in use.
 func freeAddress() (string, error) {
 	for range maxPortAttempts {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+rand.IntN(portCount))
--- a/internal/scale/controllers.go
+++ b/internal/scale/controllers.go
@@ -104,7 +104,8 @@
 	})
 }
 
-// kill kills the process of a controller and restarts the controller later.
+// kill kills the process of a controller and restarts the controller after the restart delay of the
+// site. It does nothing if the controller is not running.
 func (c *controllers) kill(target *controller) {
 	c.mu.Lock()
 	cmd := target.cmd
@@ -118,7 +119,8 @@
 	c.restartLater(target)
 }
 
-// killAll kills the controllers one after the other, with a pause in between.
+// killAll kills the controllers one after the other, with a pause in between, which ends early if the
+// context ends.
 func (c *controllers) killAll(ctx context.Context, every time.Duration) {
 	for _, target := range c.all {
 		c.kill(target)
@@ -126,7 +128,8 @@
 	}
 }
 
-// pause pauses the process of a controller for a duration.
+// pause pauses the process of a controller for a duration, by signals. It does nothing if the
+// controller is not running.
 func (c *controllers) pause(target *controller, during time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scale/deploy.go
+++ b/internal/scale/deploy.go
@@ -21,7 +21,8 @@
 }
 
 // buildService builds the service with the command of the deploy file, and returns the program that
-// runs a controller with its arguments.
+// runs a controller with its arguments. The deploy file is deploy/service.toml in the given root
+// of the repository; the build command runs in that root.
 func buildService(root string) ([]string, error) {
 	b, err := os.ReadFile(filepath.Join(root, "deploy", "service.toml"))
 	if err != nil {
@@ -45,7 +46,7 @@
 }
 
 // describeCommit returns the commit of a checkout, marked as dirty if the checkout has uncommitted
-// changes.
+// changes, or "unknown" if git does not report one.
 func describeCommit(root string) string {
 	out, err := exec.Command("git", "-C", root, "describe", "--always", "--dirty", "--exclude", "*").Output()
 	if err != nil {
--- a/internal/scale/faults.go
+++ b/internal/scale/faults.go
@@ -54,7 +54,7 @@
 }
 
 // setPartitioned starts or ends the partition of a region from all others, and sends the new list
-// of partitioned regions to all forwarders.
+// of partitioned regions to all forwarders. A failed send is only printed as progress.
 func (r *run) setPartitioned(region int, partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scale/links.go
+++ b/internal/scale/links.go
@@ -35,7 +35,9 @@
 // linkName returns the name of the link from a region to a target.
 func linkName(region int, target string) string { return strconv.Itoa(region) + "/" + target }
 
-// linksFrom returns the links that begin in a region, or those of users for NoRegion.
+// linksFrom returns the links that begin in a region, or those of users for NoRegion. From a region,
+// they lead to the worker and peer addresses of all controllers, the state service and the cloud;
+// from the users, to the addresses of all controllers for workers and users.
 func (r *run) linksFrom(region int) []forwarder.Link {
 	var links []forwarder.Link
 	add := func(kind, target, addr string, to int) {
@@ -57,6 +59,7 @@
 }
 
 // latency returns the one-way latency from one region to another, either of which may be NoRegion.
+// It is 0 within a region.
 func (r *run) latency(from, to int) time.Duration {
 	switch {
 	case from == to:
--- a/internal/scale/role.go
+++ b/internal/scale/role.go
@@ -36,7 +36,7 @@
 var errUnknownRole = errors.New("is not a known role")
 
 // RunRole runs the role that the first line of input names. It returns after a command to finish,
-// or when the input ends because the coordinating process has ended.
+// or without an error when the input ends because the coordinating process has ended.
 func RunRole(in io.Reader, out io.Writer, log *slog.Logger) error {
 	debug.SetGCPercent(gcPercent)
 	lines := bufio.NewReader(in)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -61,8 +61,9 @@
 	partitioned []int // the partitioned regions
 }
 
-// Run builds the service, runs a site and returns the result. It fails before it starts any process
-// if the machine is too small for the run.
+// Run builds the service, runs a site and returns the result. It kills all processes of the run before
+// it returns. It fails before it starts any process if the run needs more processes, memory or open
+// files than it may use of the machine, and returns the error of the context if that ends early.
 func Run(ctx context.Context, site *siteconfig.Site, options Options) (*results.Result, error) {
 	machine, err := capacity.ThisMachine(runtime.NumCPU())
 	if err != nil {
@@ -100,7 +101,7 @@
 }
 
 // runSite starts the users and the operator and injects the faults of the site at their times. It
-// returns at the end of the site's duration.
+// returns at the end of the site's duration, or with the error of the context if that ends first.
 func (r *run) runSite(ctx context.Context) error {
 	if err := r.startUsers(ctx); err != nil {
 		return err
--- a/internal/scale/services.go
+++ b/internal/scale/services.go
@@ -34,7 +34,8 @@
 	done  chan struct{}
 }
 
-// newServices starts the services and provisions the initial machines.
+// newServices starts the state service, the cloud and the monitor, provisions the initial machines,
+// and starts to track the peak traffic of the state service.
 func newServices(cfg process.Config, log *slog.Logger) (*services, error) {
 	s := &services{cfg: cfg, monitor: monitor.New(&cfg.Site, cfg.Seed), peaks: make(chan map[string]uint64, 1), done: make(chan struct{})}
 	var err error
@@ -64,7 +65,7 @@
 	return s, nil
 }
 
-// constantLatency returns a function that returns a constant latency.
+// constantLatency returns a function that returns a constant latency, given in milliseconds.
 func constantLatency(ms float64) func() time.Duration {
 	return func() time.Duration { return clock.Milliseconds(ms) }
 }
--- a/internal/scale/start.go
+++ b/internal/scale/start.go
@@ -9,7 +9,9 @@
 	"damsonkeel/internal/scale/process"
 )
 
-// startAll starts all processes except that of the users.
+// startAll starts all processes except that of the users, in the order services, forwarders,
+// controllers, workers. It writes the controllers' settings into dir; program is the command of a
+// controller.
 func (r *run) startAll(dir string, program []string) error {
 	ready, err := r.startRole(&r.services, process.RoleServices, process.RoleServices, process.Config{})
 	if err != nil {
