--- a/internal/scale/users/balancer.go
+++ b/internal/scale/users/balancer.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// recordProbe updates the health of a controller after a probe.
+// recordProbe updates the health of a controller after a probe: healthThreshold consecutive probes
+// with the opposite outcome change it. At the start, one successful probe suffices.
 func (b *balancer) recordProbe(name protocol.NodeName, success bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,7 +109,8 @@
 }
 
 // send sends a request to a random healthy controller. If the request fails within
-// failoverWindow, send tries further controllers, up to maxAttempts in all.
+// failoverWindow, send tries further controllers, up to maxAttempts in all. A response with any
+// status is returned without an error.
 func (b *balancer) send(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
 	names := b.shuffledHealthy()
 	if len(names) == 0 {
--- a/internal/scale/users/doc.go
+++ b/internal/scale/users/doc.go
@@ -4,4 +4,10 @@
 //
 // Users owns the outcomes of the users' requests until they are sent to the monitor. The
 // package does not depend on workers.
+//
+// Terms of the comments:
+//   - controller: a scheduler process that serves the requests of users
+//   - probe: a request by which the load balancer checks the health of a controller
+//   - poll: a request for the state of a job
+//   - accepted: a job whose submission got status 200 or 201
 package users
--- a/internal/scale/users/users.go
+++ b/internal/scale/users/users.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// submit submits a job, with retries, and reports whether it was accepted.
+// submit submits a job, with retries, and reports whether it was accepted. It records the time from
+// the first attempt to the acceptance, or counts the job as not accepted.
 func (u *Users) submit(ctx context.Context, job protocol.Job) bool {
 	body, err := protocol.EncodeSubmission(job)
 	if err != nil {
@@ -128,8 +129,8 @@
 	return true
 }
 
-// sendWithRetries repeats a request until it succeeds, is rejected or retryPeriod has passed, and
-// reports whether it succeeded.
+// sendWithRetries repeats a request until it succeeds with status 200 or 201, is rejected with status
+// 400 or 422, or retryPeriod has passed, and reports whether it succeeded.
 func (u *Users) sendWithRetries(ctx context.Context, r request) bool {
 	for deadline := clock.Now() + retryPeriod; clock.Now() < deadline && ctx.Err() == nil; time.Sleep(retryDelay) {
 		switch u.send(ctx, r).Status {
@@ -165,7 +166,8 @@
 // isSuccess reports whether an HTTP status code is in the 2xx range.
 func isSuccess(status int) bool { return status/100 == 2 }
 
-// recordPoll records the response time of a successful poll, and counts a poll that failed.
+// recordPoll records the response time of a successful poll, which has status 200, and counts any
+// other poll as unanswered.
 func (u *Users) recordPoll(e rules.UserEvent) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
