--- a/internal/scale/operator/change.go
+++ b/internal/scale/operator/change.go
@@ -57,7 +57,8 @@
 }
 
 // sendChange sends a change to the controllers until one of them has carried it out, and records
-// the outcome.
+// the outcome: the change with its revision, or one failed change if it was rejected or not carried
+// out within changeTimeout.
 func (o *Operator) sendChange(ctx context.Context, id string, requested operatorapi.ConfigChange, limit *rules.LimitChange) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
--- a/internal/scale/operator/metrics.go
+++ b/internal/scale/operator/metrics.go
@@ -37,7 +37,8 @@
 // errNoChanges reports that no change of the configuration succeeded during the run.
 var errNoChanges = errors.New("no change of the configuration was carried out")
 
-// Metrics computes how long the changes took to come into force.
+// Metrics computes how long the changes took to come into force. It returns an error if no change was
+// carried out.
 func (o *Operator) Metrics() (*Metrics, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
