--- a/internal/scale/forwarder/forwarder.go
+++ b/internal/scale/forwarder/forwarder.go
@@ -44,7 +44,8 @@
 	partitioned []int
 }
 
-// New returns a forwarder that listens for connections to each link.
+// New returns a forwarder that listens for connections to each link, on a loopback address with a
+// port of its own, until the process ends.
 func New(links []Link) (*Forwarder, error) {
 	f := &Forwarder{traffic: server.NewTraffic(), addresses: map[string]string{}}
 	for _, link := range links {
@@ -72,7 +73,8 @@
 	f.partitioned = regions
 }
 
-// isPartitioned reports whether a partition blocks a link.
+// isPartitioned reports whether a partition blocks a link, that is, whether its ends differ and one of
+// them is a partitioned region.
 func (f *Forwarder) isPartitioned(link Link) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
