--- a/internal/scale/sampler/sampler.go
+++ b/internal/scale/sampler/sampler.go
@@ -27,7 +27,8 @@
 	Threads    int     // peak
 }
 
-// Sampler samples the resource usage of processes from procfs.
+// Sampler samples the resource usage of processes and the busy fraction of the machine from procfs,
+// every sampleInterval.
 type Sampler struct {
 	fs procfs.FS
 
