--- a/internal/scale/workers/observer.go
+++ b/internal/scale/workers/observer.go
@@ -7,7 +7,8 @@
 	"damsonkeel/internal/scale/rules"
 )
 
-// MachineUp records that a machine has started.
+// MachineUp records that a machine has started. The next exchange with the monitor also sends the
+// machine's listing.
 func (w *Workers) MachineUp(id protocol.MachineID, info protocol.TypeInfo, zone protocol.Zone, spot bool, at time.Duration) {
 	w.record(rules.MachineEvent{At: at, Kind: rules.MachineUp, Machine: id, Type: info.Name, Zone: zone, Spot: spot})
 	w.mu.Lock()
@@ -15,7 +16,7 @@
 	w.startedMachines = append(w.startedMachines, id)
 }
 
-// MachineLost records that a machine was lost.
+// MachineLost records that a machine has stopped.
 func (w *Workers) MachineLost(id protocol.MachineID, at time.Duration) {
 	w.record(rules.MachineEvent{At: at, Kind: rules.MachineLost, Machine: id})
 }
--- a/internal/scale/workers/workers.go
+++ b/internal/scale/workers/workers.go
@@ -161,7 +161,8 @@
 	return w.terminatedMachines[id]
 }
 
-// Report sends the last events to the monitor and returns the traffic of the process.
+// Report sends the last events to the monitor and returns the traffic of the process. If the
+// exchange fails, the failure is only logged.
 func (w *Workers) Report() process.Report {
 	if err := w.exchange(); err != nil {
 		w.log.Error("last exchange with monitor failed", "err", err)
