--- a/internal/simulator/actions.go
+++ b/internal/simulator/actions.go
@@ -12,18 +12,21 @@
 	"damsonkeel/internal/record"
 )
 
-// States of machines in the cloud's list.
+// States of machines in the list that the cloud returns.
 const (
 	machineBooting = "booting"
 	machineRunning = "running"
 )
 
-// isWatched reports whether controllers watch the record that was changed.
+// isWatched reports whether a change of the key-value store is to a record that every
+// controller watches, that is, whose key begins with record.FollowedPrefix.
 func isWatched(ev protocol.Event) bool {
 	return strings.HasPrefix(ev.Put+ev.Delete, record.FollowedPrefix)
 }
 
-// execute executes actions that the core has returned.
+// execute carries out the actions that the core has returned: it queues messages to peers,
+// applies transactions, and sends commands to workers and requests to the cloud. The outcomes
+// reach the core later, as messages.
 func (n *node) execute(actions []message.Action) {
 	w := n.world
 	for _, a := range actions {
@@ -50,10 +53,13 @@
 	}
 }
 
-// isCloudSilent reports whether the cloud does not answer.
+// isCloudSilent reports whether the cloud currently does not answer, because of an injected
+// fault.
 func (w *world) isCloudSilent() bool { return w.cloudSilentUntil > w.now }
 
-// provision requests machines from the cloud. Each new machine boots after its boot time.
+// provision requests machines from the cloud and passes the outcome to the core: unknown if
+// the cloud does not answer, failed if it grants no machine. Each new machine boots after its
+// boot time, unless it has been terminated by then.
 func (n *node) provision(a message.Provision) {
 	w := n.world
 	if w.isCloudSilent() {
@@ -76,7 +82,8 @@
 	n.deliver(message.ProvisionDone{Request: a.Request, Machines: machines, Outcome: outcome})
 }
 
-// terminate requests that the cloud terminate machines.
+// terminate makes the cloud terminate machines at once and reports the outcome to the core. If
+// the cloud does not answer, the machines stay and the outcome is not OK.
 func (n *node) terminate(a message.Terminate) {
 	w := n.world
 	if w.isCloudSilent() {
@@ -90,7 +97,8 @@
 	n.deliver(message.TerminateDone{Machines: a.Machines, OK: true})
 }
 
-// listMachines requests the list of machines from the cloud.
+// listMachines passes the cloud's list of all existing machines, booting or running, to the
+// core; if the cloud does not answer, an empty list that is not OK.
 func (n *node) listMachines() {
 	w := n.world
 	if w.isCloudSilent() {
@@ -120,7 +128,8 @@
 	finished    bool
 }
 
-// sendCommands sends commands to a worker.
+// sendCommands sends commands to a worker and passes the reply to the core; without a reply
+// within dispatcher.DirectCommandTimeout, it reports the commands as unanswered.
 func (n *node) sendCommands(a message.Command) {
 	w := n.world
 	x := &commandExchange{
@@ -137,7 +146,9 @@
 	})
 }
 
-// execute makes the worker execute the commands and reply.
+// execute makes the worker execute the commands and reply. A terminated worker, or one that
+// commands do not reach, does nothing; a paused one executes them when it resumes. One reply
+// in thirty is lost.
 func (x *commandExchange) execute() {
 	m, w := x.worker, x.node.world
 	if m.Dead || w.now < m.inboundLostUntil {
@@ -159,8 +170,8 @@
 	w.after(w.workerDelay(), x.finish)
 }
 
-// finish passes the outcome to the core, at most once, unless the process that sent the
-// commands has ended.
+// finish passes the outcome of the commands to the core, at most once and only if the process
+// that sent them still runs.
 func (x *commandExchange) finish() {
 	if !x.finished && x.node.incarnation == x.incarnation {
 		x.finished = true
--- a/internal/simulator/checks.go
+++ b/internal/simulator/checks.go
@@ -17,7 +17,10 @@
 	maxMachinesForMisplacedCheck = 1000
 )
 
-// checkStart checks the rules for a task that is starting on a machine.
+// checkStart is called when a task starts on a machine. It counts the start and checks that
+// the task runs on no other machine, that its job was not cancelled too long ago (see
+// isOverdue), that the machine has the zone, type and purchase option (spot or not) that the
+// job allows, and the rules of checkQuotaAndZones.
 func (w *world) checkStart(m *fake.Worker, id protocol.TaskID, _ protocol.Attempt) {
 	w.starts++
 	w.onTaskStarted(m.ID, id)
@@ -36,15 +39,17 @@
 	w.checkQuotaAndZones(m, j)
 }
 
-// isOverdue reports whether a job was cancelled so long ago that all of its tasks must have
-// been stopped by now.
+// isOverdue reports whether a job was cancelled more than the setting CancelS ago. By then all
+// of its tasks must have been stopped.
 func (w *world) isOverdue(id protocol.JobID) bool {
 	at, cancelled := w.cancelled[id]
 	return cancelled && (w.now-at).Seconds() > w.settings.Site.Workers.CancelS
 }
 
-// checkQuotaAndZones checks, after a task of the job has started on a machine, the limit of
-// the job's team and the zones of the job's running tasks.
+// checkQuotaAndZones is called after a task of the job has started on a machine. It checks
+// that the running tasks of the job's team use no more processors than the team's limit, that
+// all tasks of a one-zone job run in one zone, and that at most half of the tasks of a spread
+// job, rounded up, run in the zone of the machine.
 func (w *world) checkQuotaAndZones(m *fake.Worker, j protocol.Job) {
 	var used float64
 	zones := map[protocol.Zone]int{}
@@ -64,7 +69,9 @@
 	}
 }
 
-// checkRules checks the rules after a step.
+// checkRules is called after each step. It runs checkMisplaced once per simulated second,
+// checks that no task of an overdue job (see isOverdue) is on a machine, and runs checkChange
+// on the new changes of the key-value store.
 func (w *world) checkRules() {
 	if w.now%time.Second == 0 && len(w.machineOrder) <= maxMachinesForMisplacedCheck {
 		w.checkMisplaced()
@@ -79,7 +86,8 @@
 	}
 }
 
-// checkMisplaced checks that no controller manages machines of shards that it does not hold.
+// checkMisplaced checks that no controller keeps the queue of a machine whose shard another
+// controller holds.
 func (w *world) checkMisplaced() {
 	for _, n := range w.nodes {
 		if n.core == nil {
--- a/internal/simulator/driver.go
+++ b/internal/simulator/driver.go
@@ -17,13 +17,13 @@
 const (
 	// warmUpTime is how long the load runs before the measured part of a run begins.
 	warmUpTime = time.Hour
-	// maxViolations is how many violations the result of a run lists.
+	// maxViolations is how many violations the result of a run lists; later ones are dropped.
 	maxViolations = 50
-	// maxFinishedJobs is how many finished jobs are retained, because late heartbeats may
-	// still refer to them.
+	// maxFinishedJobs is for how many finished jobs, the latest ones, the data is retained,
+	// because late heartbeats may still refer to them.
 	maxFinishedJobs = 500
-	// minDiscardedChanges is the smallest number of changes of the key-value store that are
-	// discarded at once.
+	// minDiscardedChanges is the number of changes of the key-value store that must be exceeded
+	// before changes are discarded.
 	minDiscardedChanges = 1000
 )
 
@@ -39,7 +39,8 @@
 	onStart, onEnd func(*driver) // called by tests before and after the run
 }
 
-// driver drives a world as the description of a site specifies.
+// driver drives a world as the description of a site specifies: it submits the load, makes the
+// operators' requests, injects the faults and collects the result.
 type driver struct {
 	*world
 	site   *Site
@@ -85,7 +86,8 @@
 	estimateS     float64
 }
 
-// Run simulates a site and returns the result, including rule violations.
+// Run simulates a site for the warm-up time and o.Duration and returns the result, which
+// includes the violations of rules.
 func Run(s *Site, o Options) *Result {
 	result := &Result{Seed: o.Seed, WithoutReservations: o.WithoutReservations, Days: o.Duration.Hours() / 24, Classes: map[string]*Class{}, Violations: []string{}}
 	addViolation := func(format string, args ...any) {
@@ -119,7 +121,9 @@
 	return d.result
 }
 
-// setUpWorld configures the world as the site describes it.
+// setUpWorld configures the world as the site describes it (step, start time, machine types,
+// capacity of the cloud), sets the hooks that the driver uses, and restarts the nodes with
+// these settings. The world is event-driven.
 func (d *driver) setUpWorld() {
 	w := d.world
 	w.step, w.eventDriven = time.Duration(d.site.StepMS)*time.Millisecond, true
@@ -159,8 +163,9 @@
 	return config.Seconds(factor * d.machineInfo[r.Type].BootS)
 }
 
-// drawRunTime draws how long a task runs, or returns the remaining run time if the task has
-// saved a checkpoint. The tasks of a job have similar run times.
+// drawRunTime draws how long a task runs: the job's estimate times its run time factor, varied
+// by up to 15% either way. It returns the remaining run time if the task has saved a
+// checkpoint, and one second for a job without data.
 func (d *driver) drawRunTime(id protocol.TaskID) time.Duration {
 	if remaining, ok := d.remainingRunTime[id]; ok {
 		return remaining
@@ -172,7 +177,8 @@
 	return config.Seconds(j.estimateS * j.runTimeFactor * (0.85 + 0.3*d.world.rng.Float64()))
 }
 
-// machineProvisioned starts to account for the cost of a machine.
+// machineProvisioned records the time from which a machine is paid for and its price per hour,
+// spot or on demand.
 func (d *driver) machineProvisioned(id protocol.MachineID, r protocol.ProvisionRequest) {
 	info := d.machineInfo[r.Type]
 	price := info.Price
@@ -182,7 +188,8 @@
 	d.provisioned[id] = provisionedMachine{d.now, price}
 }
 
-// machineTerminated adds the cost of a machine to the result.
+// machineTerminated adds the cost of a machine since it was provisioned to the result. It has
+// no effect on a machine whose cost has been added already.
 func (d *driver) machineTerminated(id protocol.MachineID) {
 	if m, ok := d.provisioned[id]; ok {
 		delete(d.provisioned, id)
@@ -190,9 +197,10 @@
 	}
 }
 
-// taskStarted records that a task has started. The delay of an occurrence is the time until
-// all reserved tasks have started, from the start of the occurrence or from the submission
-// of the job, whichever is later.
+// taskStarted records the start of a task: the wait of the task at its first start, a restart
+// (see countRestart) at later ones, and the delay of the occurrence that its job is for, once
+// all reserved tasks have started. That delay counts from the start of the occurrence or from
+// the submission of the job, whichever is later.
 func (d *driver) taskStarted(m protocol.MachineID, id protocol.TaskID) {
 	d.checkWindows(m)
 	j := d.jobState[id.Job]
@@ -211,7 +219,8 @@
 	}
 }
 
-// checkWindows counts the start if the machine is in a maintenance window.
+// checkWindows adds one to StartsInWindows for each maintenance window that covers the machine
+// at the current time.
 func (d *driver) checkWindows(id protocol.MachineID) {
 	m := d.workers[id]
 	now := reservation.Moment(d.wallMS())
@@ -222,7 +231,9 @@
 	}
 }
 
-// discardFinished discards jobs, machines and changes that are no longer needed.
+// discardFinished adds the jobs that have finished to the result and discards the data that is
+// no longer needed: that of all but the latest maxFinishedJobs finished jobs, that of
+// terminated machines, and changes of the key-value store (see discardChanges).
 func (d *driver) discardFinished() {
 	d.collectFinishedJobs()
 	for len(d.finishedJobs) > maxFinishedJobs {
@@ -239,8 +250,8 @@
 	d.discardChanges()
 }
 
-// collectFinishedJobs moves finished jobs from jobOrder to finishedJobs and adds them to the
-// result.
+// collectFinishedJobs moves the jobs in a final state from jobOrder to finishedJobs, and adds
+// their completion times, from submission until now, to the result.
 func (d *driver) collectFinishedJobs() {
 	var unfinished []protocol.JobID
 	for _, id := range d.jobOrder {
@@ -258,7 +269,8 @@
 	d.jobOrder = unfinished
 }
 
-// discardJob discards the data of a job.
+// discardJob discards the job, its cancellation time, and the results, checkpoints and endings
+// of its tasks.
 func (d *driver) discardJob(id protocol.JobID) {
 	for i := range d.jobs[id].Tasks {
 		task := protocol.TaskID{Job: id, Index: i}
@@ -270,8 +282,8 @@
 	delete(d.cancelled, id)
 }
 
-// discardChanges discards changes of the key-value store that all nodes and checks have
-// processed.
+// discardChanges discards the changes of the key-value store that the checks and all nodes
+// with a session have processed, if they are more than minDiscardedChanges.
 func (d *driver) discardChanges() {
 	seen := d.state.Changes()
 	for _, n := range d.nodes {
@@ -285,7 +297,8 @@
 	}
 }
 
-// finish completes the result.
+// finish completes the result: it adds the cost of the machines that still exist and the
+// counts of starts and shard moves, and computes the summaries.
 func (d *driver) finish() {
 	for _, id := range slices.Sorted(maps.Keys(d.provisioned)) { // sorted: float sums depend on the order
 		d.machineTerminated(id)
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -8,12 +8,13 @@
 const (
 	// maxMovedShards is the largest number of shards that one fault moves.
 	maxMovedShards = 16
-	// maxFaultLeadSeconds bounds how long before the start of a reservation a fault is
-	// injected, for every second fault.
+	// maxFaultLeadSeconds bounds how long before the start of an occurrence of a reservation a
+	// fault is injected, for the half of the faults that are injected before one.
 	maxFaultLeadSeconds = 600
 )
 
-// faultType is a type of fault that happens at random.
+// faultType is a type of fault: its name in the result, how many of it are injected per day,
+// and the function that injects one.
 type faultType struct {
 	name   string
 	perDay float64
@@ -42,8 +43,10 @@
 	}
 }
 
-// scheduleFaults draws the times of faults. Half of the faults, at random, are injected in
-// the minutes before a reservation starts.
+// scheduleFaults draws the times of all faults of the run, lists them in the result and
+// schedules their injection. Half of the faults, at random, are injected less than
+// maxFaultLeadSeconds before the start of an occurrence of a reservation, if there is one; the
+// others at any time of the measured part.
 func (d *driver) scheduleFaults() {
 	for _, fault := range d.faultTypes() {
 		for range int(fault.perDay*d.opts.Duration.Hours()/24 + 0.5) {
@@ -58,23 +61,25 @@
 	slices.SortFunc(d.result.Faults, func(a, b Fault) int { return a.At.Compare(b.At) })
 }
 
-// randomNode draws a random node.
+// randomNode draws one of the three nodes of a site.
 func (d *driver) randomNode() *node { return d.nodes[d.rng.IntN(3)] }
 
-// crashAll crashes all nodes.
+// crashAll crashes all nodes; each restarts after restartDelay.
 func (d *driver) crashAll() {
 	for _, n := range d.nodes {
 		n.crash()
 	}
 }
 
-// partitionRandomNode partitions a random node from another endpoint.
+// partitionRandomNode partitions a random node from another endpoint for the given duration.
+// At random, either all messages between them are lost or all are delayed until the end.
 func (d *driver) partitionRandomNode(endpoint string, duration time.Duration) {
 	n := d.randomNode()
 	d.partition(string(n.name), endpoint, duration, d.rng.IntN(2) == 0)
 }
 
-// slowRandomNode makes a random node run five times slower for two minutes.
+// slowRandomNode makes a random node five times slower for two minutes: its core ticks only at
+// every fifth step.
 func (d *driver) slowRandomNode() {
 	n := d.randomNode()
 	n.slowdown, n.slowdownUntil = 5, d.now+2*time.Minute
--- a/internal/simulator/gangs.go
+++ b/internal/simulator/gangs.go
@@ -2,7 +2,7 @@
 
 import "damsonkeel/internal/protocol"
 
-// gangTask is a task of a gang on a worker.
+// gangTask is the latest attempt of a gang's task on one worker, and its state.
 type gangTask struct {
 	worker  *worker
 	id      protocol.TaskID
@@ -10,8 +10,8 @@
 	state   protocol.TaskState
 }
 
-// advanceGangs starts gangs whose tasks are all waiting, and stops gangs of which only some
-// tasks are still running.
+// advanceGangs calls advanceGang for each gang of two or more tasks that is not in a final
+// state.
 func (w *world) advanceGangs() {
 	for _, id := range w.jobOrder {
 		j := w.jobs[id]
@@ -21,7 +21,8 @@
 	}
 }
 
-// advanceGang starts or stops the tasks of a gang.
+// advanceGang starts the tasks of an attempt if all tasks of the gang are waiting in it, and
+// stops the running tasks of an attempt if only some of the gang's tasks are running in it.
 func (w *world) advanceGang(j protocol.Job) {
 	waiting, running := map[protocol.Attempt]int{}, map[protocol.Attempt]int{}
 	w.eachGangTask(j, func(t gangTask) {
@@ -42,7 +43,8 @@
 	})
 }
 
-// eachGangTask calls do for each task of a gang on each worker.
+// eachGangTask calls do for each task of the job on each worker that has an attempt of it, in
+// a fixed order.
 func (w *world) eachGangTask(j protocol.Job, do func(gangTask)) {
 	for _, m := range w.machineOrder {
 		for i := range j.Tasks {
--- a/internal/simulator/heartbeat.go
+++ b/internal/simulator/heartbeat.go
@@ -14,10 +14,11 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatRetryDelay is how long a worker waits before it tries the next node.
+	// heartbeatRetryDelay is how long a worker waits, after a failed heartbeat, before it
+	// sends one to the next node.
 	heartbeatRetryDelay = time.Second
 	// changedHeartbeatDelay is the time until the next heartbeat after a reply that carried
-	// orders or another term.
+	// orders or a new fencing token.
 	changedHeartbeatDelay = 500 * time.Millisecond
 	// maxRecordedHeartbeats bounds the number of heartbeats recorded for replay after the
 	// next view change.
@@ -34,7 +35,10 @@
 	finished  bool
 }
 
-// sendHeartbeat sends a heartbeat to the worker's target node.
+// sendHeartbeat sends a heartbeat to the worker's target node. A paused worker sends it on
+// resume; one whose messages are lost tries the next node. The exchange is abandoned after
+// heartbeatTimeout. The heartbeat may be sent twice or recorded for replay, as the world is
+// configured.
 func (m *worker) sendHeartbeat() {
 	w := m.world
 	if w.now < m.pausedUntil {
@@ -61,7 +65,8 @@
 	x.node.sendToZone(m.Zone, x.deliverHeartbeat)
 }
 
-// tryNextNode makes the worker send its next heartbeat to the next node, after a delay.
+// tryNextNode makes the worker send its next heartbeat to the next node, after
+// heartbeatRetryDelay.
 func (m *worker) tryNextNode() {
 	m.targetNode = (m.targetNode + 1) % len(m.world.nodes)
 	m.nextHeartbeat = m.world.now + heartbeatRetryDelay
@@ -82,7 +87,8 @@
 	}
 }
 
-// deliverHeartbeat delivers the heartbeat to the node.
+// deliverHeartbeat passes the heartbeat to the node's core and sends its reply, if there is
+// one, to the worker. If the node's process is down, the exchange is abandoned.
 func (x *heartbeatExchange) deliverHeartbeat() {
 	if x.node.core == nil {
 		x.abandon()
@@ -97,7 +103,10 @@
 	}
 }
 
-// deliverReply delivers the reply to the worker.
+// deliverReply delivers the reply to the worker, unless the exchange has finished or the reply
+// is lost; a paused worker receives it on resume. The worker processes a reply with status OK;
+// one that names another node (misdirected request) makes it send the next heartbeat there,
+// and any other status to the next node.
 func (x *heartbeatExchange) deliverReply(reply message.ReplyHeartbeat) {
 	m, w := x.worker, x.worker.world
 	if x.finished || w.now < m.inboundLostUntil || w.now < m.outboundLostUntil {
@@ -125,7 +134,8 @@
 	}
 }
 
-// nodeIndex returns the index of the node with a name; 0 if there is no such node.
+// nodeIndex returns the index of the node with the given name; 0 if the name contains no
+// number.
 func nodeIndex(name protocol.NodeName) int {
 	i, err := strconv.Atoi(strings.TrimPrefix(string(name), nodePrefix))
 	if err != nil {
@@ -134,8 +144,9 @@
 	return i
 }
 
-// replayHeartbeats delivers the recorded heartbeats again to every controller within half a
-// second, whenever a new view has been written.
+// replayHeartbeats checks whether a new view has been written since the last step. If so, it
+// delivers the recorded heartbeats again to every controller within half a second, and clears
+// the record.
 func (w *world) replayHeartbeats() {
 	it, _ := w.state.Get(record.ViewKey)
 	if it.Version == w.viewVersion {
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -22,7 +22,7 @@
 	rng        *rand.Rand
 	partitions map[string]partition // by partitionKey
 	// slowMessageFraction is the fraction of commands, heartbeats and their replies that are
-	// delayed by up to seven seconds.
+	// delayed by 0.1 to 7.1 seconds.
 	slowMessageFraction float64
 }
 
@@ -36,17 +36,19 @@
 // this order.
 func partitionKey(from, to string) string { return from + ">" + to }
 
-// partition creates a partition between two endpoints for the duration d.
+// partition partitions two endpoints from each other for the duration d. Messages between them
+// are then delivered at the end if delayed is set, otherwise lost.
 func (n *network) partition(a, b string, d time.Duration, delayed bool) {
 	n.partitions[partitionKey(a, b)] = partition{n.now + d, delayed}
 }
 
-// delay draws the delivery time of a message.
+// delay draws the delivery time of a message: 1 to 30 ms.
 func (n *network) delay() time.Duration {
 	return time.Duration(1+n.rng.IntN(30)) * time.Millisecond
 }
 
-// workerDelay draws the delivery time of a message from or to a worker.
+// workerDelay draws the delivery time of a message from or to a worker: that of delay, or 0.1
+// to 7.1 seconds for the fraction slowMessageFraction of the messages.
 func (n *network) workerDelay() time.Duration {
 	if n.slowMessageFraction > 0 && n.rng.Float64() < n.slowMessageFraction {
 		return time.Duration(100+n.rng.IntN(7000)) * time.Millisecond
@@ -54,7 +56,8 @@
 	return n.delay()
 }
 
-// send carries a message between two endpoints: the message is delivered, delayed or lost.
+// send calls deliver after a network delay. During a partition between the two endpoints, it
+// calls deliver after the end of it if messages are delayed, otherwise never.
 func (n *network) send(from, to string, deliver func()) {
 	for _, key := range []string{partitionKey(from, to), partitionKey(to, from)} {
 		if p, ok := n.partitions[key]; ok && p.until > n.now {
@@ -67,8 +70,9 @@
 	n.after(n.delay(), deliver)
 }
 
-// sendToZone carries a message between the controller and a worker in a zone, which may be
-// partitioned from the controller.
+// sendToZone carries a command to a worker in a zone, or a heartbeat from one; replies do not
+// use it. The message is lost or delayed if the node is partitioned from that zone or from all
+// workers.
 func (n *node) sendToZone(zone protocol.Zone, deliver func()) {
 	w := n.world
 	if w.slowMessageFraction > 0 {
@@ -78,14 +82,15 @@
 	w.send(string(n.name), zoneEndpoint(zone), func() { w.send(string(n.name), workersEndpoint, deliver) })
 }
 
-// nodeZone returns the zone of the node with an index.
+// nodeZone returns the zone of the node with index i; nodes are spread over the zones in turn.
 func (w *world) nodeZone(i int) protocol.Zone {
 	zones := w.types[0].AllowZones
 	return zones[i%len(zones)]
 }
 
-// partitionZone partitions a zone, with its controllers and machines, from the other zones.
-// With includeState, the zone's controllers are also partitioned from the key-value store.
+// partitionZone partitions a zone, with its controllers and machines, from the other zones for
+// the duration d; delayed is as for partition. With includeState, the zone's controllers are
+// also partitioned from the key-value store.
 func (w *world) partitionZone(zone protocol.Zone, includeState bool, d time.Duration, delayed bool) {
 	for i, n := range w.nodes {
 		inside := w.nodeZone(i) == zone
--- a/internal/simulator/node.go
+++ b/internal/simulator/node.go
@@ -19,13 +19,14 @@
 const (
 	// nodePrefix is the prefix of node names; the index of the node follows.
 	nodePrefix = "node-"
-	// restartDelay is how long a crashed process is down.
+	// restartDelay is how long a process is down after a crash or exit.
 	restartDelay = 6 * time.Second
 	// sessionRetryDelay is the time between two attempts to open a session.
 	sessionRetryDelay = 300 * time.Millisecond
 	// renewInterval is the interval at which a session's lease is renewed.
 	renewInterval = time.Second
-	// logEnvVar is the environment variable that enables the logs of controllers.
+	// logEnvVar is the environment variable that, if not empty, enables the logs of
+	// controllers, at all levels, on standard error.
 	logEnvVar = "WORLD_LOG"
 )
 
@@ -47,13 +48,14 @@
 	slowdownUntil time.Duration
 }
 
-// outbox holds the messages of a node to a peer.
+// outbox queues the messages of a node to one peer, which are sent in batches, one at a time.
 type outbox struct {
 	*controller.Outbox
 	busyUntil time.Duration // a batch is in flight until then
 }
 
-// settings returns the node's own settings.
+// settings returns the world's settings with the node's own name and zone and the list of the
+// other nodes.
 func (n *node) settings() *config.Settings {
 	w := n.world
 	s := *w.settings
@@ -68,7 +70,8 @@
 	return &s
 }
 
-// logger returns the logger of the node's controller, which logs simulated time.
+// logger returns the logger of the node's controller. It logs simulated time to standard error
+// if logEnvVar is set, and otherwise logs nothing.
 func (n *node) logger() *slog.Logger {
 	level := slog.LevelError + 1
 	if os.Getenv(logEnvVar) != "" {
@@ -84,7 +87,8 @@
 	return slog.New(handler).With("node", n.name)
 }
 
-// start starts the node's process.
+// start starts the node's process: it creates the core and empty outboxes, passes the
+// catalogue of machine types to the core, and opens a session after a network delay.
 func (n *node) start() {
 	w := n.world
 	n.incarnation++
@@ -116,8 +120,10 @@
 	})
 }
 
-// openSession opens a session of the key-value store and reads the watched records, as the
-// controller's real node does.
+// openSession opens a session of the key-value store, writes the node's record under its
+// lease, and passes a snapshot of the watched records to the core, as the controller's real
+// node does. While the key-value store is unreachable, it retries every sessionRetryDelay. It
+// does nothing if the process of the given incarnation has ended.
 func (n *node) openSession(incarnation int) {
 	w := n.world
 	if n.incarnation != incarnation {
@@ -139,7 +145,8 @@
 	n.step(message.Snapshot{Session: lease, Items: items, WallMS: w.wallMS()})
 }
 
-// clock returns the time of the node's monotonic clock.
+// clock returns the time of the node's monotonic clock, which starts near zero with the
+// process.
 func (n *node) clock() controller.Time { return controller.Time(n.world.now-n.startedAt) + 1 }
 
 // afterIfAlive schedules do to run after the duration d, unless the node's process has ended
@@ -153,7 +160,9 @@
 	})
 }
 
-// step passes a message to the core and executes its actions.
+// step passes a message to the core, executes the actions that the core returns, and returns
+// them too. It returns nil if the process is down or paused; a paused process handles the
+// message on resume.
 func (n *node) step(msg any) []message.Action {
 	w := n.world
 	if n.core == nil {
@@ -178,8 +187,9 @@
 	n.afterIfAlive(n.world.delay(), func() { n.step(msg) })
 }
 
-// tick advances the node by one step: it delivers watched changes, renews the session and
-// ticks the core.
+// tick advances the node by one step: it delivers watched changes and renews the session if it
+// can reach the key-value store, ticks the core, and sends queued messages to peers. It does
+// nothing while the process is down or paused.
 func (n *node) tick() {
 	w := n.world
 	if n.core == nil || w.now < n.pausedUntil {
@@ -200,8 +210,9 @@
 	n.flushAll()
 }
 
-// renewSession renews the session's lease. If the lease has expired, it schedules the opening
-// of another session and returns false.
+// renewSession renews the session's lease and reports the new deadline to the core. If the
+// lease has expired, it reports the end of the session to the core, schedules the opening of
+// another session and returns false.
 func (n *node) renewSession() bool {
 	w := n.world
 	n.renewAt = w.now + renewInterval
@@ -257,14 +268,16 @@
 	}
 }
 
-// flushAll sends the queued messages to each peer, in order of the peers' names.
+// flushAll sends the next batch of queued messages to each peer, in order of the peers' names,
+// unless one to that peer is in flight.
 func (n *node) flushAll() {
 	for _, to := range slices.Sorted(maps.Keys(n.outboxes)) {
 		n.flush(to, n.outboxes[to])
 	}
 }
 
-// flush sends the next batch to a peer unless one is in flight.
+// flush sends the next batch to a peer unless one is in flight. A batch counts as in flight
+// until its reply arrives, the session expires, or controller.PeerTimeout has passed.
 func (n *node) flush(to protocol.NodeName, o *outbox) {
 	w := n.world
 	if w.now < o.busyUntil {
@@ -291,7 +304,7 @@
 	})
 }
 
-// nodeByName returns the node with a name, or nil.
+// nodeByName returns the node with the given name, or nil if there is none.
 func (w *world) nodeByName(name protocol.NodeName) *node {
 	i := slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == name })
 	if i < 0 {
--- a/internal/simulator/result.go
+++ b/internal/simulator/result.go
@@ -9,21 +9,21 @@
 )
 
 // Result is the result of a run. Times are in seconds; the JSON names are those of the
-// command's output.
+// command's output. Starts, Cost and Classes include the warm-up.
 type Result struct {
 	Seed                uint64  `json:"seed"`
 	WithoutReservations bool    `json:"without_reservations,omitempty"`
 	Days                float64 `json:"days"`
 
-	Started         int     `json:"due"`       // occurrences of reservations whose job has started
+	Started         int     `json:"due"`       // occurrences of reservations all of whose reserved tasks have started
 	InTime          int     `json:"in_time"`   // of Started, with a delay of at most a minute
-	Late            int     `json:"late"`      // of the others, not reported as at risk when due
-	AtRisk          int     `json:"at_risk"`   // of the others, reported as at risk when due
+	Late            int     `json:"late"`      // of the others, not reported as at risk one second after their start
+	AtRisk          int     `json:"at_risk"`   // of the others, reported as at risk one second after their start
 	WorstS          float64 `json:"worst_s"`   // longest delay of an occurrence
 	MedianS         float64 `json:"median_s"`  // median delay of the occurrences
 	StartsInWindows int     `json:"in_window"` // starts of tasks on machines in a maintenance window
-	Starts          int     `json:"starts"`
-	Cost            float64 `json:"cost"`
+	Starts          int     `json:"starts"`    // starts of tasks
+	Cost            float64 `json:"cost"`      // of all machines, from their request until their termination or the end of the run
 
 	Violations []string         `json:"rules"` // violations of rules, at most maxViolations
 	ShardMoves ShardMovesResult `json:"shares"`
@@ -65,7 +65,7 @@
 	Started bool                    `json:"started"`
 	DelayS  float64                 `json:"delay_s"` // until all reserved tasks had started; see taskStarted
 	State   record.ReservationState `json:"state,omitempty"`
-	Risk    string                  `json:"risk,omitempty"` // risk reported when the occurrence was due
+	Risk    string                  `json:"risk,omitempty"` // risk that a controller reported one second after the start; empty if none
 }
 
 // Refusal is a rejected request for a reservation or a maintenance window.
@@ -75,17 +75,17 @@
 	Conflicts []record.EntryName `json:"in_the_way,omitempty"`
 }
 
-// Fault is a fault that was injected.
+// Fault is the time and the type of a fault that was injected.
 type Fault struct {
 	At          time.Time `json:"at"`
 	Description string    `json:"what"`
 }
 
-// maxInTimeDelayS is the largest delay, in seconds, with which a reserved job counts as in
+// maxInTimeDelayS is the largest delay, in seconds, with which an occurrence counts as in
 // time.
 const maxInTimeDelayS = 60.0
 
-// class returns the entry of a class and adds it if necessary.
+// class returns the summary of the class with a name; it adds an empty one if there is none.
 func (r *Result) class(name string) *Class {
 	if r.Classes[name] == nil {
 		r.Classes[name] = &Class{}
@@ -93,7 +93,8 @@
 	return r.Classes[name]
 }
 
-// summarize computes the summaries of the occurrences and classes.
+// summarize computes the counts and delays of the occurrences, and the means and 95th
+// percentiles of each class, from the data collected during the run.
 func (r *Result) summarize() {
 	var delays []float64
 	for _, o := range r.Occurrences {
--- a/internal/simulator/schedule.go
+++ b/internal/simulator/schedule.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// operatorDelay is the simulated time at which operators make their requests.
+	// operatorDelay is the simulated time, from the beginning of the warm-up, at which
+	// operators make their requests.
 	operatorDelay = 20 * time.Second
 	// requestRetryDelay is the delay before an operator's request is retried.
 	requestRetryDelay = time.Second
@@ -20,13 +21,15 @@
 	// reservedRunTimeFactor is the actual run time of reserved jobs, as a fraction of the
 	// reservation's length.
 	reservedRunTimeFactor = 0.8
-	// maxTasksFactor bounds the tasks of a job, as a multiple of the load's average.
+	// maxTasksFactor bounds the number of tasks of a job, as a multiple of the load's setting
+	// Tasks.
 	maxTasksFactor = 20
 	// simulatorOperator is the name of the operator who makes the site's requests.
 	simulatorOperator = "emulator"
 )
 
-// scheduleAt schedules do to run at the simulated time t, unless t has passed.
+// scheduleAt schedules do to run at the simulated time t. It does nothing unless t is in the
+// future.
 func (d *driver) scheduleAt(t time.Duration, do func()) {
 	if t > d.now {
 		d.after(t-d.now, do)
@@ -54,8 +57,9 @@
 	d.scheduleFaults()
 }
 
-// scheduleReservation schedules, for each occurrence of a reservation, the submission of its
-// job and the query of its state.
+// scheduleReservation schedules, for each occurrence of a reservation in the measured part of
+// the run, the submission of its job and, one second after the start, the query of its state.
+// It does nothing if the schedule of the reservation is invalid.
 func (d *driver) scheduleReservation(r *Reservation) {
 	when, err := reservation.ParseSchedule(r.When)
 	if err != nil {
@@ -74,7 +78,9 @@
 	}
 }
 
-// scheduleArrival schedules the next arrival of a job of a load.
+// scheduleArrival draws the time of the next arrival of a job of a load, with exponential
+// times between arrivals, and schedules its submission, after which it schedules the one after
+// that.
 func (d *driver) scheduleArrival(l *Load) {
 	d.after(config.Seconds(d.rng.ExpFloat64()*l.EveryS), func() {
 		tasks := 1 + int(d.rng.ExpFloat64()*float64(l.Tasks-1)+0.5)
@@ -86,7 +92,8 @@
 	})
 }
 
-// submitReserved submits the job of a reservation.
+// submitReserved submits the job for an occurrence of a reservation: with the reserved tasks
+// and the extra ones, as a gang or a job array.
 func (d *driver) submitReserved(r *Reservation, o *Occurrence) {
 	kind := protocol.KindJobArray
 	if r.Gang {
@@ -98,8 +105,9 @@
 	}, jobState{runTimeFactor: reservedRunTimeFactor, occurrence: o, reservedTasks: r.Tasks})
 }
 
-// submitUntilAccepted submits a job and retries until it is accepted. The caller sets the
-// fields of state that are not derived from the job.
+// submitUntilAccepted submits a job, every submitRetryDelay until it is accepted, and then
+// stores state as the data of the job. The caller sets the fields of state that are not
+// derived from the job.
 func (d *driver) submitUntilAccepted(j protocol.Job, state jobState) {
 	state.submitted, state.tasks, state.estimateS, state.started = d.now, int(j.Tasks), j.EstimateS, map[uint32]bool{}
 	var try func()
@@ -117,7 +125,8 @@
 	try()
 }
 
-// requestWindowsAndReservations requests all windows and reservations, as operators do.
+// requestWindowsAndReservations requests, as an operator, that all maintenance windows and,
+// unless the options omit them, all reservations of the site be added.
 func (d *driver) requestWindowsAndReservations() {
 	for i := range d.site.Windows {
 		x := &d.site.Windows[i]
@@ -132,7 +141,9 @@
 	}
 }
 
-// requestUntilDone sends a request to random controllers until it is done or rejected.
+// requestUntilDone sends an operator's request to a random controller and applies the
+// transaction that it returns. It retries every requestRetryDelay while the controller cannot
+// answer or the transaction fails; a rejection is listed in the result.
 func (d *driver) requestUntilDone(r operatorapi.Request) {
 	n := d.nodes[d.rng.IntN(3)]
 	retry := func() { d.after(requestRetryDelay, func() { d.requestUntilDone(r) }) }
@@ -155,7 +166,8 @@
 	}
 }
 
-// queryOccurrence records the state and risk that a controller reports for an occurrence.
+// queryOccurrence stores in o the state and risk that the first controller that reports the
+// occurrence gives for it; none if no controller does.
 func (d *driver) queryOccurrence(o *Occurrence) {
 	for _, n := range d.nodes {
 		if n.core == nil || n.session == 0 {
--- a/internal/simulator/settings.go
+++ b/internal/simulator/settings.go
@@ -9,7 +9,8 @@
 	"damsonkeel/internal/record"
 )
 
-// settings returns the controllers' settings for the site.
+// settings returns the controllers' settings for the site: three controllers, the site's
+// teams, zones and lease times, and fixed limits of the key-value store and the cloud.
 func (s *Site) settings() *config.Settings {
 	c := &config.Settings{}
 	c.Site.Count = 3
@@ -24,7 +25,7 @@
 	return c
 }
 
-// zones returns the zones of all machine types.
+// zones returns the set of the zones of all machine types.
 func (s *Site) zones() map[protocol.Zone]bool {
 	zones := map[protocol.Zone]bool{}
 	for _, t := range s.Types {
@@ -35,7 +36,8 @@
 	return zones
 }
 
-// machineTypes returns the catalogue of the cloud.
+// machineTypes returns the site's machine types as the catalogue of the cloud describes them.
+// The rate of fetching images is at least 0.1 GB per second.
 func (s *Site) machineTypes() []protocol.TypeInfo {
 	var ts []protocol.TypeInfo
 	for _, t := range s.Types {
--- a/internal/simulator/shards.go
+++ b/internal/simulator/shards.go
@@ -21,15 +21,15 @@
 	// rollingShutdownInterval is the time between the shutdowns of two nodes in a rolling
 	// shutdown.
 	rollingShutdownInterval = 30 * time.Second
-	// moveAttributionWindow is how long after a move of its machine's shard the ending of a
-	// task is attributed to the move.
+	// moveAttributionWindow is for how long after a move of a shard the endings of tasks on
+	// its machines are attributed to the move.
 	moveAttributionWindow = 10 * time.Second
 )
 
 // operatorName is the name of the operator who moves shards.
 const operatorName = "ops"
 
-// shardTable returns the shard table in the key-value store, if there is one.
+// shardTable returns the shard table in the key-value store; ok is false if there is none.
 func (w *world) shardTable() (s record.ShardTable, ok bool) {
 	it, found := w.state.Get(record.ShardTableKey)
 	if !found {
@@ -53,8 +53,9 @@
 	return ids
 }
 
-// moveShards makes an operator request a move of shards to a node. It reports whether a
-// controller accepted the request.
+// moveShards requests, as an operator, that shards be moved to a node. It sends the request to
+// one controller after the other, without those that are down or paused, until one accepts it,
+// and reports whether one did.
 func (w *world) moveShards(ids []int, to *node) bool {
 	for _, n := range w.nodes {
 		if n.core == nil || w.now < n.pausedUntil {
@@ -78,8 +79,9 @@
 	}
 }
 
-// shutDown shuts the node's process down as a signal does: the process hands over its shards,
-// releases its session and exits, and is restarted after a while.
+// shutDown shuts the node's process down as a signal does: the process hands over its shards
+// for at most handoverTimeout, releases its session if it can reach the key-value store, and
+// exits. It is restarted after restartDelay.
 func (n *node) shutDown() {
 	w := n.world
 	deadline := w.now + handoverTimeout
@@ -102,7 +104,8 @@
 	w.after(handoverPollInterval, pollHandover)
 }
 
-// rollingShutdown shuts down all nodes, one after the other.
+// rollingShutdown shuts down all nodes, one every rollingShutdownInterval, without waiting for
+// the previous one. A node whose process is down then is left out.
 func (w *world) rollingShutdown() {
 	for i, n := range w.nodes {
 		w.after(time.Duration(i)*rollingShutdownInterval, func() {
@@ -113,7 +116,8 @@
 	}
 }
 
-// recordMoves records the shard moves that the core has completed.
+// recordMoves takes the shard moves that the core has ended since the last call. It counts the
+// aborted ones, and records the pause and the time of the others.
 func (n *node) recordMoves() {
 	w := n.world
 	for _, m := range n.core.CompletedMoves() {
@@ -125,7 +129,8 @@
 	}
 }
 
-// movePauseP99 returns the 99th percentile of the time for which a shard move pauses starts.
+// movePauseP99 returns the 99th percentile of the times for which shard moves paused the
+// starts of tasks; 0 if there was no move.
 func (w *world) movePauseP99() time.Duration {
 	if len(w.movePauses) == 0 {
 		return 0
@@ -140,7 +145,9 @@
 	afterMove bool // within moveAttributionWindow of a move of the machine's shard
 }
 
-// taskEnded records how a task ended.
+// taskEnded records the cause of a task's ending and whether it followed a move of the
+// machine's shard by less than moveAttributionWindow. It ignores endings while there is no
+// shard table and those on unknown machines.
 func (d *driver) taskEnded(id protocol.MachineID, t protocol.TaskID, cause protocol.EndCause) {
 	table, ok := d.shardTable()
 	m := d.workers[id]
@@ -151,8 +158,9 @@
 	d.taskEndings[t] = taskEnding{cause, moved && d.now-at < moveAttributionWindow}
 }
 
-// countRestart counts a restart of a task whose previous attempt ended shortly after a shard
-// move. The move need not be the cause of that ending.
+// countRestart counts a restart of a task whose previous attempt ended within
+// moveAttributionWindow of a move of its machine's shard: in lostByMoves if that attempt had
+// completed, otherwise in stoppedByMoves. The move need not be the cause of that ending.
 func (d *driver) countRestart(t protocol.TaskID) {
 	switch ending := d.taskEndings[t]; {
 	case !ending.afterMove:
--- a/internal/simulator/site.go
+++ b/internal/simulator/site.go
@@ -16,7 +16,8 @@
 	Machines int    `toml:"machines"`
 	Types    []Type `toml:"types"`
 	Teams    []Team `toml:"teams"`
-	// ReportS is the interval of workers' heartbeats, and LeaseS the length of their leases.
+	// ReportS is the interval of workers' heartbeats, and LeaseS the length of their leases, in
+	// seconds.
 	ReportS float64 `toml:"report_s"`
 	LeaseS  float64 `toml:"lease_s"`
 
@@ -27,7 +28,9 @@
 	StepMS       int           `toml:"step_ms"` // milliseconds between the ticks of controllers and watches
 }
 
-// Type is a machine type.
+// Type is a machine type: its size, the rate at which it fetches container images (FetchGBPS,
+// in GB per second), its prices per hour, its boot time in seconds, and the zones that have
+// it.
 type Type struct {
 	Name      protocol.MachineType `toml:"name"`
 	CPUs      float64              `toml:"cpus"`
@@ -40,14 +43,16 @@
 	Zones     []protocol.Zone      `toml:"zones"`
 }
 
-// Team is a team with its guaranteed processors (CPUs) and its limit (MaxCPUs).
+// Team is a team with the number of processors it is guaranteed (CPUs) and the most that it
+// may use (MaxCPUs; 0 means no limit).
 type Team struct {
 	Name    protocol.Team `toml:"name"`
 	CPUs    float64       `toml:"cpus"`
 	MaxCPUs float64       `toml:"cpus_max"`
 }
 
-// Load describes the jobs of a class, which arrive at random.
+// Load describes the jobs of a class, which arrive at random. CPUs is per task; EstimateS is
+// the estimated run time of a task in seconds.
 type Load struct {
 	Class               string            `toml:"class"`
 	Team                protocol.Team     `toml:"team"`
@@ -62,7 +67,8 @@
 	Spot                bool              `toml:"spot"`
 }
 
-// Reservation is a reservation with the jobs that are submitted for it.
+// Reservation is a reservation with the jobs that are submitted for it. HoldS is how long
+// resources are held for a job to be submitted, and LengthS the expected run time of the job.
 type Reservation struct {
 	Name     record.EntryName  `toml:"name"`
 	Class    string            `toml:"class"`
@@ -86,7 +92,8 @@
 	ExtraTasks int `toml:"more"`
 }
 
-// Window is a maintenance window.
+// Window is a maintenance window: its schedule (When, as package reservation parses it), its
+// length in seconds, and the machine type and zone that it covers; an empty one means all.
 type Window struct {
 	Name    record.EntryName     `toml:"name"`
 	When    string               `toml:"when"`
@@ -96,7 +103,8 @@
 }
 
 // FaultRates is how often each fault is injected per day, at times drawn from the seed. Half
-// of the faults, at random, are injected in the minutes before a reservation starts.
+// of the faults, at random, are injected in the ten minutes before an occurrence of a
+// reservation starts.
 type FaultRates struct {
 	Crash           float64 `toml:"crash"`        // a controller crashes
 	CrashAll        float64 `toml:"all_crash"`    // all controllers crash
--- a/internal/simulator/stateservice.go
+++ b/internal/simulator/stateservice.go
@@ -14,7 +14,8 @@
 const (
 	// transactionTimeout is how long a process waits for the outcome of a transaction.
 	transactionTimeout = 1500 * time.Millisecond
-	// maxTransactionBytes bounds the total size of the values of a transaction.
+	// maxTransactionBytes bounds the total size of the blocks (records of many machines) that a
+	// transaction writes, in bytes of JSON.
 	maxTransactionBytes = 64 << 10
 )
 
@@ -38,7 +39,8 @@
 // isUnavailable reports whether the key-value store has an outage.
 func (s *stateService) isUnavailable() bool { return s.outageUntil > s.now }
 
-// advanceStateService ends outages and expires leases.
+// advanceStateService is called at each step. It expires leases unless the key-value store is
+// unavailable; at the end of an outage, it first renews all leases for their full length.
 func (s *stateService) advanceStateService() {
 	unavailable := s.isUnavailable()
 	if s.wasUnavailable && !unavailable {
@@ -68,14 +70,16 @@
 // of the key-value store.
 type transactionCallback func(message.Outcome, protocol.Revision)
 
-// stateReachable reports whether the node can reach the key-value store.
+// stateReachable reports whether the node can reach the key-value store: there is no outage
+// and no partition between the two.
 func (n *node) stateReachable() bool {
 	w := n.world
 	p, ok := w.partitions[partitionKey(string(n.name), stateEndpoint)]
 	return !w.isUnavailable() && (!ok || p.until <= w.now)
 }
 
-// commit applies a transaction that the core has returned.
+// commit applies a transaction that the core has returned, after checking its size, and passes
+// the outcome to the core.
 func (n *node) commit(a message.Commit) {
 	n.world.checkTransactionSize(a)
 	n.transact(a.Transaction, func(out message.Outcome, at protocol.Revision) {
@@ -84,8 +88,9 @@
 }
 
 // transact applies a transaction and reports the outcome to done, unless the node's process
-// has ended by then. During a partition that delays messages, the transaction is applied when
-// the partition ends and gets no reply.
+// has ended by then. If the key-value store is unreachable, the transaction is refused; but
+// during a partition that delays messages, it is applied when the partition ends and gets no
+// reply. The fraction lateWriteFraction is applied late, also without a reply.
 func (n *node) transact(txn protocol.Transaction, done transactionCallback) {
 	w := n.world
 	if !n.stateReachable() {
@@ -110,12 +115,14 @@
 	n.apply(txn, done)
 }
 
-// loseAnswer makes a transaction time out with an unknown outcome.
+// loseAnswer reports an unknown outcome to done after transactionTimeout, as for a transaction
+// whose reply is lost.
 func (n *node) loseAnswer(done transactionCallback) {
 	n.afterIfAlive(transactionTimeout, func() { done(message.OutcomeUnknown, 0) })
 }
 
-// apply applies a transaction to the key-value store and replies with the outcome.
+// apply applies a transaction to the key-value store and reports the outcome to done: done,
+// failed if a condition does not hold, or unknown if the reply is lost.
 func (n *node) apply(txn protocol.Transaction, done transactionCallback) {
 	w := n.world
 	out := message.OutcomeFailed
@@ -132,7 +139,9 @@
 	})
 }
 
-// checkTransactionSize checks a transaction against the limits of the key-value store.
+// checkTransactionSize reports a violation if a transaction has more changes than the setting
+// TxnOps or more than four times as many conditions, or if its blocks (records of many
+// machines) are larger than the setting ValueKB each or than maxTransactionBytes together.
 func (w *world) checkTransactionSize(a message.Commit) {
 	limits := w.settings.Site.State
 	if ops := len(a.Transaction.Changes); ops > limits.TxnOps || len(a.Transaction.Conditions) > 4*limits.TxnOps {
--- a/internal/simulator/timeline.go
+++ b/internal/simulator/timeline.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// timeline holds the simulated time and the pending events.
+// timeline holds the simulated time, counted from the start of the world, and the pending
+// events.
 type timeline struct {
 	now      time.Duration
 	sequence int // sequence number of the last event added
@@ -51,7 +52,8 @@
 	heap.Push(&t.queue, event{t.now + d, t.sequence, do})
 }
 
-// runEvents runs all events up to and including a time. Events may add further events.
+// runEvents runs all events up to and including the time until, in order, and advances the
+// simulated time to each. Events may add further events.
 func (t *timeline) runEvents(until time.Duration) {
 	for len(t.queue) > 0 && t.queue[0].at <= until {
 		e := heap.Pop(&t.queue).(event)
--- a/internal/simulator/validate.go
+++ b/internal/simulator/validate.go
@@ -17,7 +17,8 @@
 	return ParseSite(b)
 }
 
-// ParseSite reads and validates a site. Its errors name the field.
+// ParseSite decodes and validates a site. Missing times get defaults: heartbeats every 10 s,
+// worker leases of 45 s, steps of 1000 ms. Its errors name the field.
 func ParseSite(b []byte) (*Site, error) {
 	s := &Site{ReportS: 10, LeaseS: 45, StepMS: 1000}
 	if err := config.DecodeStrict(b, s); err != nil {
@@ -43,7 +44,7 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Bounds of a site.
+// Bounds of the number of machines and of the milliseconds between steps.
 const (
 	maxMachines = 20_000
 	minStepMS   = 10
@@ -67,7 +68,8 @@
 	return s.validateEntries()
 }
 
-// validateEntries validates the machine types, the load and the reservations.
+// validateEntries validates the machine types, the load and the reservations: required fields
+// are set, teams exist, and amounts of the load are positive.
 func (s *Site) validateEntries() error {
 	teams := map[protocol.Team]bool{}
 	for _, t := range s.Teams {
@@ -91,12 +93,14 @@
 	return nil
 }
 
-// isValid reports whether all required fields of a machine type are set.
+// isValid reports whether the name, processors, memory, boot time and zones of a machine type
+// are set.
 func (t *Type) isValid() bool {
 	return t.Name != "" && t.CPUs > 0 && t.MemoryGB > 0 && t.BootS > 0 && len(t.Zones) > 0
 }
 
-// isValid reports whether the priority of a load is known and its amounts are positive.
+// isValid reports whether the priority of a load is one of the defined ones, and its interval,
+// tasks, estimate and run time factor are positive.
 func (l *Load) isValid() bool {
 	return l.Priority.Known() && l.EveryS > 0 && l.Tasks >= 1 && l.EstimateS > 0 && l.RunTimeFactor > 0
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -24,7 +24,8 @@
 	outboundLostUntil time.Duration
 }
 
-// bootMachine adds a booted machine and starts its worker.
+// bootMachine adds a machine that has booted and starts its worker, which sends its first
+// heartbeat after a network delay to a random node.
 func (w *world) bootMachine(id protocol.MachineID, r protocol.ProvisionRequest) {
 	var info protocol.TypeInfo
 	for _, t := range w.types {
@@ -53,7 +54,8 @@
 	w.machineOrder = append(w.machineOrder, id)
 }
 
-// killMachine terminates a machine and all tasks on it.
+// killMachine terminates a machine and all tasks on it. It does nothing if the machine has not
+// booted or is terminated already.
 func (w *world) killMachine(id protocol.MachineID) {
 	if killed := w.workers[id]; killed != nil && !killed.Dead {
 		for _, t := range killed.Tasks() {
@@ -67,7 +69,9 @@
 	}
 }
 
-// step advances the worker by one step and sends a heartbeat if one is due.
+// step advances the worker by one step and sends a heartbeat if one is due and none is in
+// flight. In an event-driven world, it advances the worker only when its state is due to
+// change, and then makes a heartbeat due within a step, which reports the change.
 func (m *worker) step() {
 	w := m.world
 	switch {
@@ -84,7 +88,8 @@
 	}
 }
 
-// advance advances the worker to the current time.
+// advance advances the worker and its tasks to the current time; a paused worker's tasks do
+// not run. It counts the expiry of the worker's lease.
 func (m *worker) advance() {
 	epoch := m.Epoch
 	if m.world.now < m.pausedUntil {
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -19,7 +19,8 @@
 	defaultStep = 50 * time.Millisecond
 	// nodeLeaseDuration is the length of the lease of a controller's session.
 	nodeLeaseDuration = 8 * time.Second
-	// spareMachines is how many machines the cloud has in addition to the initial capacity.
+	// spareMachines is how many machines the cloud has in addition to the capacity that
+	// newWorld is given.
 	spareMachines = 6
 )
 
@@ -77,7 +78,7 @@
 	starts             int // starts of tasks
 	peakRunning        int // most tasks on machines at the same time
 	expiredLeases      int // leases of workers that have expired
-	blockWrites        int
+	blockWrites        int // writes of blocks, the records of many machines
 	reservationChanges int
 	movePauses         []time.Duration // for how long each shard move paused starts
 	abortedMoves       int
@@ -86,10 +87,10 @@
 // hooks are functions that a world calls, so that a driver or a test can make decisions and
 // observe events.
 type hooks struct {
-	runTime       func(protocol.TaskID) time.Duration
-	bootTime      func(protocol.ProvisionRequest) time.Duration
-	ageS          func(protocol.MachineID) float64 // seconds since a machine was provisioned
-	onCheckpoint  func(protocol.TaskID, time.Duration)
+	runTime       func(protocol.TaskID) time.Duration           // how long a task runs
+	bootTime      func(protocol.ProvisionRequest) time.Duration // how long a machine takes to boot
+	ageS          func(protocol.MachineID) float64              // seconds since a machine was provisioned
+	onCheckpoint  func(protocol.TaskID, time.Duration)          // with the remaining run time of the task
 	onProvisioned func(protocol.MachineID, protocol.ProvisionRequest)
 	onTerminated  func(protocol.MachineID)
 	onTaskStarted func(protocol.MachineID, protocol.TaskID)
@@ -105,8 +106,9 @@
 	teamLimit func(protocol.Team) float64
 }
 
-// newWorld returns a world with as many controllers as the settings specify, a number of
-// running machines, and a cloud with a capacity of some more machines.
+// newWorld returns a world with as many controllers as the settings specify, initialMachines
+// running machines, and a cloud of up to capacity and spareMachines machines. Violations of
+// rules are reported to fail; the seed determines all random draws.
 func newWorld(fail func(string, ...any), seed uint64, settings *config.Settings, capacity, initialMachines int) *world {
 	rng, t := rand.New(rand.NewPCG(seed, 1)), &timeline{}
 	w := &world{
@@ -163,8 +165,8 @@
 // wallMS returns the simulated wall-clock time in Unix milliseconds.
 func (w *world) wallMS() int64 { return w.startMS + w.now.Milliseconds() }
 
-// submit writes the records of a new job as a controller's admission does, if the key-value
-// store is available.
+// submit assigns an ID to a new job and writes its records as a controller's admission does.
+// If the key-value store is unavailable or refuses the records, it drops the job.
 func (w *world) submit(j protocol.Job) {
 	j.ID = protocol.JobID(fmt.Sprintf("job-%06d", w.submissions))
 	j.SubmittedMS = w.wallMS()
@@ -177,7 +179,8 @@
 	w.jobOrder = append(w.jobOrder, j.ID)
 }
 
-// cancel cancels a job.
+// cancel cancels a job through cancelVia if that is set, otherwise by a transaction, and
+// records the time if it succeeds. It does nothing if the key-value store is unavailable.
 func (w *world) cancel(id protocol.JobID) {
 	if w.cancelVia != nil {
 		w.cancelVia(id)
@@ -189,7 +192,8 @@
 	}
 }
 
-// run simulates up to a time.
+// run simulates up to a time, in steps: each runs the due events, then advances the key-value
+// store, workers, gangs and nodes, and checks the rules.
 func (w *world) run(until time.Duration) {
 	for w.now < until {
 		end := w.now + w.step
