--- a/internal/simulator/configuredworld_test.go
+++ b/internal/simulator/configuredworld_test.go
@@ -105,8 +105,9 @@
 	}
 }
 
-// highestLimitInForce returns the highest limit of a team that a controller may have applied
-// to a task that starts on its machine now.
+// highestLimitInForce returns the highest limit of a team, in processors, that a controller
+// may have applied to a task that starts on its machine now: the current limit and those
+// replaced at most config.ConfigPropagationLimit plus maxStartDelay ago.
 func (w *configuredWorld) highestLimitInForce(team protocol.Team) float64 {
 	w.recordCommits()
 	since := w.now - config.ConfigPropagationLimit - maxStartDelay
@@ -131,8 +132,8 @@
 }
 
 // requestChange requests a configuration change as the operators' command does: it tries one
-// controller first and then the others, with the same request id, until the request has an
-// outcome, which it passes to done.
+// controller first and then the others, with the same request id, until the request is
+// executed or rejected, and passes the reply to done.
 func (w *configuredWorld) requestChange(first int, done func(operatorapi.Reply), changes ...operatorapi.ConfigChange) {
 	w.requests++
 	w.unsettled++
@@ -185,7 +186,7 @@
 	try(first)
 }
 
-// requestLimit requests a change of a team's limit. Any outcome other than success is a
+// requestLimit requests a change of a team's limit to cpus processors. A rejection is a
 // violation.
 func (w *configuredWorld) requestLimit(first int, team string, cpus float64) {
 	w.requestChange(first, func(reply operatorapi.Reply) {
@@ -195,8 +196,9 @@
 	}, operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntryTeam, team), MaxCPUs: &cpus})
 }
 
-// expectRevisionInForce reports an error unless every running controller applies the
-// revision, and each request was executed once.
+// expectRevisionInForce reports an error unless every running controller applies the revision,
+// every request has got its outcome, and as many revisions were committed as its number says,
+// so that each request was executed once.
 func (w *configuredWorld) expectRevisionInForce(t *testing.T, revision dynamicconfig.Revision) {
 	t.Helper()
 	w.recordCommits()
--- a/internal/simulator/digests_test.go
+++ b/internal/simulator/digests_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// loadSite reads a site file.
+// loadSite reads a site file; an error ends the test.
 func loadSite(t *testing.T, path string) *Site {
 	t.Helper()
 	site, err := LoadSite(path)
@@ -173,8 +173,8 @@
 	}
 }
 
-// readDigests reads the golden digests by name. It reports an error if a digest belongs to no
-// run.
+// readDigests reads the golden digests from digestsFile, by name. It reports an error if a
+// digest belongs to no run.
 func readDigests(t *testing.T) map[string]string {
 	t.Helper()
 	digests := map[string]string{}
@@ -193,7 +193,7 @@
 	return digests
 }
 
-// writeDigests writes the golden digests.
+// writeDigests writes the golden digests to digestsFile.
 func writeDigests(t *testing.T, digests map[string]string) {
 	t.Helper()
 	var b strings.Builder
--- a/internal/simulator/fleet_test.go
+++ b/internal/simulator/fleet_test.go
@@ -27,8 +27,8 @@
 	return j
 }
 
-// newFleet returns a world whose machines are all running and registered, and so busy that
-// none is terminated as idle.
+// newFleet returns a world of fleetSize machines that are all running, at least nine tenths of
+// them registered, and so busy that none is terminated as idle.
 func newFleet(t *testing.T, seed uint64) *world {
 	t.Helper()
 	w := newWorld(t.Fatalf, seed, fake.Settings(), fleetSize, fleetSize)
@@ -40,7 +40,8 @@
 	return w
 }
 
-// submitEvery runs for the duration d and submits a job at each interval.
+// submitEvery runs for the duration d and submits a fleetJob at the beginning of each interval
+// of length every.
 func (w *world) submitEvery(every, d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.submit(fleetJob(w))
@@ -48,8 +49,8 @@
 	}
 }
 
-// registeredMachines returns how many machines have a live heartbeat at the controllers that
-// hold their shards.
+// registeredMachines returns how many machines are registered at a running controller that
+// holds their queues, and have workers that have listed their attempts.
 func (w *world) registeredMachines() int {
 	n := 0
 	for _, node := range w.nodes {
--- a/internal/simulator/frontend_test.go
+++ b/internal/simulator/frontend_test.go
@@ -21,8 +21,8 @@
 	replies     map[admission.RequestID]func(admission.Answer)
 }
 
-// ensureAdmission creates the admission core if the node's process is new. It reports whether
-// the process is running.
+// ensureAdmission creates an admission core if the node's process has none yet. It returns
+// false if the process is down.
 func (f *frontend) ensureAdmission() bool {
 	w := f.users.world
 	if f.node.core == nil {
@@ -41,7 +41,8 @@
 	return true
 }
 
-// request passes a request to the process. If the process is down, reply is never called.
+// request passes a request to the process, which passes the answer to reply. If the process is
+// down or ends before it answers, reply is never called.
 func (f *frontend) request(a admission.Request, reply func(admission.Answer)) {
 	if !f.ensureAdmission() {
 		return
@@ -74,7 +75,9 @@
 	f.node.afterIfAlive(d, func() { f.step(msg) })
 }
 
-// execute executes an action that the admission core has returned.
+// execute carries out an action that the admission core has returned: it answers a user, reads
+// or writes the key-value store, queries the node's core, or sends a message to another
+// controller.
 func (f *frontend) execute(a admission.Action) {
 	w := f.users.world
 	switch a := a.(type) {
@@ -123,8 +126,9 @@
 	}
 }
 
-// read reads from the key-value store and delivers the result of query. If the read fails or
-// its reply is lost, it delivers the result of failed with the outcome instead.
+// read calls query, which reads from the key-value store, and delivers the result to the
+// process. If the key-value store is unreachable or the reply is lost, as one in thirty is, it
+// delivers the result of failed with the outcome instead.
 func (f *frontend) read(query func() any, failed func(message.Outcome) any) {
 	w := f.users.world
 	switch {
@@ -145,7 +149,8 @@
 }
 
 // announceCancellation notifies a controller's core that a job is cancelled, and acknowledges
-// this to the controller that sent the announcement.
+// this to the controller that sent the announcement. With dropCancellations, it acknowledges
+// without notifying.
 func (u *users) announceCancellation(f *frontend, a admission.Announce) {
 	w := u.world
 	if u.dropCancellations {
--- a/internal/simulator/overlaps_test.go
+++ b/internal/simulator/overlaps_test.go
@@ -11,7 +11,8 @@
 	"damsonkeel/internal/protocol"
 )
 
-// cancelRandomJobs cancels up to n unfinished jobs at random times within the duration d.
+// cancelRandomJobs picks up to n random jobs, at random times within the duration d, and
+// cancels those that are not in a final state.
 func (w *world) cancelRandomJobs(n int, d time.Duration) {
 	for range n {
 		w.after(time.Duration(w.rng.Int64N(int64(d)+1)), func() {
@@ -25,7 +26,9 @@
 	}
 }
 
-// partitionFromPeers partitions a controller from all others.
+// partitionFromPeers partitions a controller from all others for the duration d, and cuts the
+// batches that it sends to itself as well. The messages are delayed until the end if delayed
+// is set, otherwise lost.
 func (n *node) partitionFromPeers(d time.Duration, delayed bool) {
 	w := n.world
 	for _, p := range w.nodes {
@@ -33,7 +36,7 @@
 	}
 }
 
-// forRandomWorkers calls do for a random fraction of the workers.
+// forRandomWorkers calls do for each running worker with the probability fraction.
 func (w *world) forRandomWorkers(fraction float64, do func(*worker)) {
 	for _, id := range w.machineOrder {
 		if m := w.workers[id]; !m.Dead && w.rng.Float64() < fraction {
@@ -43,8 +46,10 @@
 }
 
 // partitionThenOutage partitions one controller from the key-value store, cancels jobs through
-// the other controllers meanwhile, and then starts an outage of the key-value store for all
-// that lasts at least cancel_s.
+// the other controllers meanwhile, and 1 to 16 s later starts an outage of the key-value store
+// for all that lasts at least cancel_s. The controller may also be partitioned from its peers,
+// be paused or crash, or shards may move. It does nothing in the first 25 s of a run and
+// during an outage.
 func (n *node) partitionThenOutage() {
 	w := n.world
 	if w.now < 25*time.Second || w.outageUntil > w.now {
@@ -70,8 +75,10 @@
 	}
 }
 
-// injectOverlappingFault injects one of the faults that the operators have specified. Called
-// two or three times in a row, it injects overlapping faults.
+// injectOverlappingFault injects one random fault of those that the operators have specified
+// for overlaps: partitions, late transactions, repeated heartbeats, slow messages, paused or
+// unreachable workers, fast restarts, and a slow key-value store. Called two or three times in
+// a row, it injects overlapping faults.
 func (w *world) injectOverlappingFault() {
 	n := w.nodes[w.rng.IntN(3)]
 	d := time.Duration(2+w.rng.IntN(25)) * time.Second
@@ -112,8 +119,8 @@
 	}
 }
 
-// drawSpreadRunTime draws run times that differ widely. Some are longer than most faults
-// last.
+// drawSpreadRunTime draws run times that differ widely: 0.5 to 9.5 s, or, for one task in
+// four, 20 to 59 s, which is longer than most faults last.
 func (w *world) drawSpreadRunTime(protocol.TaskID) time.Duration {
 	if w.rng.IntN(4) == 0 {
 		return time.Duration(20+w.rng.IntN(40)) * time.Second
@@ -237,7 +244,8 @@
 	return tasksOnMachines, longestStay
 }
 
-// partitionOutages returns the cases by name.
+// partitionOutages returns the cases of partitionOutage by name. They differ in how long the
+// partition lasts before the outage, in what it affects, and in the fault that is added.
 func partitionOutages() map[string]partitionOutage {
 	pause := func(d time.Duration) func(*world, *node) {
 		return func(w *world, n *node) {
@@ -265,9 +273,9 @@
 	}
 }
 
-// TestCancelledTasksStopDuringPartitionThenOutage runs each case with each controller as the
-// partitioned one. The tasks of cancelled jobs must be stopped within the bound of
-// docs/design.md.
+// TestCancelledTasksStopDuringPartitionThenOutage runs each case of partitionOutages with each
+// controller as the partitioned one. The tasks of cancelled jobs must be stopped within
+// config.MaxCancellationDelay, the bound of docs/design.md, and one step of the world.
 func TestCancelledTasksStopDuringPartitionThenOutage(t *testing.T) {
 	for name, m := range partitionOutages() {
 		t.Run(name, func(t *testing.T) {
@@ -287,9 +295,10 @@
 	}
 }
 
-// TestExpiredLeaseViolationIsDetected runs the same case with controllers that continue to
-// renew workers' leases long after their own lease has expired. This must violate the rule,
-// which shows that the check works.
+// TestExpiredLeaseViolationIsDetected runs a partitionOutage, in which the session survives,
+// with controllers that continue to renew workers' leases long after their own lease has
+// expired. This must violate the rule that tasks of cancelled jobs are stopped in time, which
+// shows that the check works.
 func TestExpiredLeaseViolationIsDetected(t *testing.T) {
 	detected := false
 	fail := func(format string, args ...any) {
--- a/internal/simulator/reservations_test.go
+++ b/internal/simulator/reservations_test.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// TestUnreservedJobStartsLate tests that the same job starts late on the same site without
-// the reservation, which shows that TestReservationsAreMet can fail. It also tests that no
-// task starts in a maintenance window.
+// TestUnreservedJobStartsLate tests that the job of smallSite's reservation starts more than a
+// minute late, or not at all, without the reservation, which shows that TestReservationsAreMet
+// can fail. It also tests that no task starts in a maintenance window.
 func TestUnreservedJobStartsLate(t *testing.T) {
 	t.Parallel()
 	s := smallSite()
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -16,8 +16,9 @@
 	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second}.runSeeds(t, 60, 0)
 }
 
-// TestRulesHoldWithReservations runs the same scenarios with reservations and windows that
-// start within a minute and are added, changed and cancelled at random times.
+// TestRulesHoldWithReservations runs the scenarios of TestRulesHold with reservations and
+// maintenance windows that start within a minute and are added, changed and cancelled at
+// random times.
 func TestRulesHoldWithReservations(t *testing.T) {
 	scenario{machines: 9, job: (*world).randomJob, duration: 150 * time.Second, reservations: true}.runSeeds(t, 25, 400_000)
 }
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -28,8 +28,9 @@
 	settleTime     time.Duration // for the last faults to end
 }
 
-// run runs the scenario with a seed. After all faults have ended, every job must reach a final
-// state.
+// run runs the scenario with a seed: it submits and cancels random jobs, moves shards and
+// injects faults at random for the scenario's duration. Then all faults end, and every job
+// must reach a final state.
 func (d scenario) run(t *testing.T, seed int) *world {
 	t.Helper()
 	settings, initialMachines := fake.Settings(), d.machines
@@ -111,7 +112,8 @@
 	return w
 }
 
-// runSeeds runs the scenario with consecutive seeds, starting at firstSeed.
+// runSeeds runs the scenario with consecutive seeds, starting at firstSeed, each as a parallel
+// subtest. See seedCount for their number.
 func (d scenario) runSeeds(t *testing.T, defaultCount, firstSeed int) {
 	t.Helper()
 	for seed := range seedCount(defaultCount) {
@@ -122,8 +124,8 @@
 	}
 }
 
-// seedCount returns how many seeds a scenario is run with: defaultCount, or WORLD_SEEDS if it
-// is set.
+// seedCount returns how many seeds a scenario is run with: the value of the environment
+// variable WORLD_SEEDS if it is a number, otherwise defaultCount.
 func seedCount(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("WORLD_SEEDS")); err == nil {
 		return n
@@ -131,7 +133,8 @@
 	return defaultCount
 }
 
-// requestedMachines returns the size of a fleet: defaultCount, or WORLD_MACHINES if it is set.
+// requestedMachines returns the size of a fleet in machines: the value of the environment
+// variable WORLD_MACHINES if it is a number, otherwise defaultCount.
 func requestedMachines(defaultCount int) int {
 	if n, err := strconv.Atoi(os.Getenv("WORLD_MACHINES")); err == nil {
 		return n
@@ -139,7 +142,9 @@
 	return defaultCount
 }
 
-// randomJob returns a random job that the world's machines can run.
+// randomJob returns a random job that the world's machines can run: a job array of up to
+// twelve tasks, a gang of up to three or a service of two, some of them limited to zone b, to
+// any single zone or to a machine type, or spread over zones.
 func (w *world) randomJob() protocol.Job {
 	j := protocol.Job{
 		Class: "array", Team: "free", Kind: protocol.KindJobArray, Priority: "standard", Tasks: uint32(1 + w.rng.IntN(12)),
@@ -185,7 +190,9 @@
 	}
 }
 
-// injectRandomFault injects a random fault.
+// injectRandomFault injects a random fault: a crash of one or all controllers, a partition or
+// an outage of 2 to 26 s, the loss of a machine at once or 8 s after a preemption notice, or a
+// machine on which all tasks fail for that time. Without machines, it crashes a controller.
 func (w *world) injectRandomFault() {
 	n := w.nodes[w.rng.IntN(3)]
 	d := time.Duration(2+w.rng.IntN(25)) * time.Second
@@ -224,8 +231,8 @@
 	}
 }
 
-// preemptSpotMachines preempts about a third of the spot machines, half of them with a notice
-// of 6 s.
+// preemptSpotMachines preempts about a third of the spot machines: half of these at once, and
+// the others 6 s after a notice.
 func (w *world) preemptSpotMachines() {
 	for _, id := range w.machineOrder {
 		m := w.workers[id]
@@ -242,15 +249,16 @@
 	}
 }
 
-// rollingRestart crashes all controllers, one after the other; each restarts.
+// rollingRestart crashes all controllers, one every 9 s; each restarts after restartDelay.
 func (w *world) rollingRestart() {
 	for i, n := range w.nodes {
 		w.after(time.Duration(i)*9*time.Second, func() { n.crash() })
 	}
 }
 
-// changeCalendarRandomly makes an operator add, replace or cancel a random reservation or
-// window.
+// changeCalendarRandomly adds, replaces or cancels, as an operator, a random reservation or
+// maintenance window that starts within a minute. It does nothing if the random controller
+// that it chooses is down or cannot reach the key-value store.
 func (w *world) changeCalendarRandomly() {
 	n := w.nodes[w.rng.IntN(3)]
 	if n.core == nil || !n.stateReachable() {
@@ -276,7 +284,7 @@
 	}
 }
 
-// unfinished returns how many jobs have not finished.
+// unfinished returns how many jobs are not in a final state.
 func (w *world) unfinished() int {
 	n := 0
 	for _, id := range w.jobOrder {
@@ -287,7 +295,7 @@
 	return n
 }
 
-// describeJob returns the state of a job at all controllers, for failure messages.
+// describeJob returns what all running controllers report about a job, for failure messages.
 func (w *world) describeJob(id protocol.JobID) string {
 	var b strings.Builder
 	for _, n := range w.nodes {
--- a/internal/simulator/shards_test.go
+++ b/internal/simulator/shards_test.go
@@ -10,8 +10,8 @@
 	"damsonkeel/internal/record"
 )
 
-// newShardedWorld returns a world of machines that are all running, registered and busy, with
-// sharded machine management.
+// newShardedWorld returns a world of machines that are all running and busy, at least nine
+// tenths of them registered, and whose shards are held by the given number of controllers.
 func newShardedWorld(t *testing.T, seed uint64, controllers, machines int) *world {
 	t.Helper()
 	s := fake.Settings()
@@ -58,7 +58,7 @@
 	return counts
 }
 
-// runWithLoad runs for the duration d and submits a job each second.
+// runWithLoad runs for the duration d and submits a busyJob each second.
 func (w *world) runWithLoad(d time.Duration) {
 	for end := w.now + d; w.now < end; {
 		w.submit(busyJob(w, len(w.machineOrder)))
@@ -153,7 +153,8 @@
 	return epochs
 }
 
-// expectTerm reports an error if a running controller is in another term.
+// expectTerm reports an error if the view of a running controller has another term than the
+// given one.
 func (w *world) expectTerm(t *testing.T, term protocol.Term) {
 	t.Helper()
 	for _, n := range w.nodes {
--- a/internal/simulator/sparecapacity_test.go
+++ b/internal/simulator/sparecapacity_test.go
@@ -82,7 +82,7 @@
 }
 
 // startTracker records the tracked jobs that have not started, with the times of their
-// submission, and how long the others waited.
+// submission, and how long the tracked jobs that have started waited.
 type startTracker struct {
 	submitted map[protocol.JobID]time.Duration
 	waits     []time.Duration
--- a/internal/simulator/userchecks_test.go
+++ b/internal/simulator/userchecks_test.go
@@ -10,9 +10,11 @@
 	"damsonkeel/internal/record"
 )
 
-// checkAnswer checks the answer to a request for a job against the rules. The parameter before
-// is the job as it was when the request was sent: an answer must not contradict answers that
-// had arrived by then.
+// checkAnswer checks the answer to a request for a job against the rules: no accepted job is
+// unknown, no valid submission is rejected and no invalid one accepted, a state never goes
+// back, a job reported as done has completed, and status 503 comes with Retry-After. The
+// parameter before is the job as it was when the request was sent: an answer must not
+// contradict answers that had arrived by then. checkAnswer also updates j by the answer.
 func (u *users) checkAnswer(f *frontend, j, before *userJob, op admission.Operation, a admission.Answer) {
 	fail := func(rule string) {
 		u.fail("%v %s: %s answers %d %s for %s (operation %d, cancelled by its user %v, earlier final answer %q, expected rejection %d)", u.now, rule, f.node.name, a.Status, describeBody(a), j.id, op, before.cancelRequested, before.finalAnswer, j.rejectStatus)
@@ -92,7 +94,8 @@
 	}
 }
 
-// describeBody returns the state in the body of an answer, or else the body.
+// describeBody returns the state of the job in the body of an answer, or the whole body if it
+// is not a job status.
 func describeBody(a admission.Answer) string {
 	var s protocol.JobStatus
 	if protocol.Decode(a.Body, &s) == nil && s.ID != "" {
@@ -121,9 +124,9 @@
 	}
 }
 
-// checkRecords checks that there are records only of valid jobs that a user submitted. It has
-// each job whose submission was accepted but never answered polled, so that the job is
-// checked to its end.
+// checkRecords checks that each job record is of a valid job that a user submitted. Jobs with
+// a record whose submission was accepted but never answered are polled from then on, so that
+// they are checked to their end.
 func (u *users) checkRecords() {
 	for _, it := range u.state.List(record.JobKey("")) {
 		id := protocol.JobID(strings.TrimPrefix(it.Key, record.JobKey("")))
--- a/internal/simulator/useroverlaps_test.go
+++ b/internal/simulator/useroverlaps_test.go
@@ -9,7 +9,7 @@
 	"damsonkeel/internal/protocol"
 )
 
-// crashBriefly crashes a controller's process and restarts it within a second.
+// crashBriefly crashes a controller's process and restarts it after 0.1 to 1 s.
 func (n *node) crashBriefly() {
 	w := n.world
 	n.crashFor(time.Duration(100+w.rng.IntN(900)) * time.Millisecond)
@@ -26,9 +26,9 @@
 	return w.nodes[w.rng.IntN(len(w.nodes))]
 }
 
-// cancelRunningJobs makes users cancel up to maxJobs running jobs within 200 ms. If hang is not
-// 0, some of the machines of these jobs are paused for that time, or their messages to or
-// from the controllers are lost.
+// cancelRunningJobs makes users cancel up to maxJobs running jobs, the latest ones, within 200
+// ms. If hang is not 0, two thirds of the machines of these jobs, at random, are paused for
+// that time, or their messages to or from the controllers are lost.
 func (u *users) cancelRunningJobs(maxJobs int, hang time.Duration) {
 	machines := map[protocol.MachineID]bool{}
 	n := 0
--- a/internal/simulator/users_test.go
+++ b/internal/simulator/users_test.go
@@ -80,7 +80,8 @@
 	rankFinal
 )
 
-// withUsers adds users, and the frontends of the controllers, to the world.
+// withUsers adds users, and the frontends of the controllers, to the world. Jobs are then
+// cancelled through users, and frontends tick every 100 ms.
 func (w *world) withUsers() *users {
 	u := &users{world: w, jobs: map[protocol.JobID]*userJob{}}
 	for _, n := range w.nodes {
@@ -104,8 +105,9 @@
 	return u
 }
 
-// countStarts counts the starts that a controller sends, and those of jobs whose cancellation
-// was already confirmed to a user.
+// countStarts counts the starts that a controller sends: all, those of jobs whose cancellation
+// was already confirmed to a user, and of these the ones sent by a controller that was
+// partitioned from a peer or the key-value store after the confirmation.
 func (u *users) countStarts(n *node, orders []protocol.Order) {
 	for _, o := range orders {
 		if o.Op != protocol.OpStart {
@@ -124,8 +126,8 @@
 	}
 }
 
-// recordAnswer records the time at which a controller first sends the confirmation of a
-// cancellation.
+// recordAnswer records, if the answer confirms the cancellation of a job and is the first one
+// to do so, the time at which the controller sends it.
 func (u *users) recordAnswer(a admission.Answer) {
 	var s protocol.JobStatus
 	if a.Status != 200 || protocol.Decode(a.Body, &s) != nil || s.State != protocol.JobCancelled {
@@ -136,7 +138,9 @@
 	}
 }
 
-// taskEnded makes users cancel, poll and submit again a job whose last task has ended.
+// taskEnded records when the last task of a job has completed. Users then cancel the job with
+// the probability cancelAtEndFraction and, if requestOften is set, poll it and submit it again
+// at all controllers.
 func (u *users) taskEnded(id protocol.TaskID, why protocol.EndCause) {
 	j := u.jobs[id.Job]
 	if j == nil || why != protocol.EndDone {
@@ -158,7 +162,7 @@
 	}
 }
 
-// wireJob returns a job in the format in which its user sends it.
+// wireJob returns a job as the fields of a submission, under the names that users send.
 func wireJob(j *protocol.Job) map[string]any {
 	m := map[string]any{
 		"id": j.ID, "berth": j.Class, "crew": j.Team, "rig": j.Kind, "tide": j.Priority, "hauls": j.Tasks, "cores": j.CPUs, "gpus": j.GPUs,
@@ -206,7 +210,8 @@
 	return submitted
 }
 
-// trySubmit sends the submission of a job and retries until the time until.
+// trySubmit sends the submission of a job and repeats it a second after each failure, until it
+// is accepted or rejected or the simulated time exceeds until.
 func (u *users) trySubmit(j *userJob, until time.Duration) {
 	u.request(j, admission.Submit, submitTimeout, func(status int) {
 		if status == 200 || status == 201 || status == 400 || status == 422 || u.now > until {
@@ -216,8 +221,9 @@
 	})
 }
 
-// cancelJob makes a user cancel an accepted job and retry until the request gets a final
-// answer: the job is cancelled or done.
+// cancelJob makes a user cancel a job and retry every second until the request gets a final
+// answer: the job is cancelled or done. It does nothing if the job is not accepted or its
+// cancellation has been requested before.
 func (u *users) cancelJob(j *userJob) {
 	if j.cancelRequested || !j.accepted {
 		return
@@ -237,7 +243,8 @@
 	try()
 }
 
-// poll polls a job every 5 s until a final answer arrives.
+// poll polls a job every 5 s until an answer says that it is done or cancelled. It does
+// nothing if the job is being polled.
 func (u *users) poll(j *userJob) {
 	if j.polled {
 		return
@@ -253,8 +260,8 @@
 	u.after(pollInterval, pollOnce)
 }
 
-// requestEverywhere polls a job at all controllers within milliseconds, several times, and
-// repeats its submission.
+// requestEverywhere sends one to three requests, polls or repeated submissions of the job, to
+// each controller within 40 ms.
 func (u *users) requestEverywhere(j *userJob) {
 	for _, f := range u.frontends {
 		for range 1 + u.rng.IntN(3) {
@@ -267,14 +274,14 @@
 	}
 }
 
-// request sends a request to a random controller.
+// request sends a request to a random controller; see requestAt.
 func (u *users) request(j *userJob, op admission.Operation, timeout time.Duration, then func(status int)) {
 	u.requestAt(u.frontends[u.rng.IntN(len(u.frontends))], j, op, timeout, then)
 }
 
 // requestAt sends a request to a controller and checks the answer against all answers that
-// arrived before the request was sent. It calls then with the status, which is 0 after the
-// timeout.
+// arrived before the request was sent. It calls then, unless that is nil, with the HTTP status
+// of the answer, or 0 if none arrives within timeout; a later answer is ignored.
 func (u *users) requestAt(f *frontend, j *userJob, op admission.Operation, timeout time.Duration, then func(status int)) {
 	before := *j
 	u.requests++
--- a/internal/simulator/userscenario_test.go
+++ b/internal/simulator/userscenario_test.go
@@ -30,11 +30,12 @@
 }
 
 // maxWaitBesideFreeMachine is how long a job may wait, once all faults have ended, although a
-// machine has room for it.
+// machine can run one of its tasks.
 const maxWaitBesideFreeMachine = 90 * time.Second
 
-// run runs the scenario with a seed. After all faults have ended, every accepted job must reach
-// a final state and its user must get the answer.
+// run runs the scenario with a seed: users submit and cancel jobs while faults are injected.
+// Then all faults end, and every accepted job must reach a final state that its user gets as
+// an answer.
 func (d userScenario) run(t *testing.T, seed int) *users {
 	t.Helper()
 	fail := d.fail
@@ -122,9 +123,10 @@
 	return u
 }
 
-// freeMachineFor returns a machine on which a task of a job fits and has room. It returns false
-// if there is none, if a task of the job is on a machine, if all have completed, if the job's
-// team would exceed its limit, or if the job is a gang.
+// freeMachineFor returns a machine that can run a task of the job now: it is healthy, has
+// enough free processors, and its zone, type and purchase option (spot or not) are allowed. It
+// returns false if there is none, if a task of the job is on a machine, if all have completed,
+// if the job's team would exceed its limit, or if the job is a gang.
 func (u *users) freeMachineFor(j *userJob) (protocol.MachineID, bool) {
 	if j.job.Kind == protocol.KindGang {
 		return "", false
@@ -169,9 +171,9 @@
 	return "", false
 }
 
-// checkWaitsBesideFreeMachines checks that no job waits longer than maxWaitBesideFreeMachine
-// although a machine has room for it. It keeps the time since which each such job waits in
-// waitingSince.
+// checkWaitsBesideFreeMachines checks that no accepted job waits longer than
+// maxWaitBesideFreeMachine although freeMachineFor returns a machine for it. It keeps the time
+// since which each such job waits in waitingSince, which the caller passes to each call.
 func (u *users) checkWaitsBesideFreeMachines(waitingSince map[protocol.JobID]time.Duration) {
 	for _, j := range ordered.ByKey(u.jobs) {
 		m, waits := protocol.MachineID(""), false
@@ -214,8 +216,9 @@
 	d.runSeeds(t, 6, 1_000_000)
 }
 
-// TestUserAnswersWithFaults tests the same with the faults of the other generated scenarios,
-// alone and two at once.
+// TestUserAnswersWithFaults tests that answers to users do not contradict each other, and that
+// no controller sends a start after a confirmed cancellation unless it was partitioned, with
+// the faults of the other generated scenarios, alone and two at once.
 func TestUserAnswersWithFaults(t *testing.T) {
 	fault := func(u *users) {
 		u.runTime = u.drawSpreadRunTime
