--- a/internal/operatorapi/client.go
+++ b/internal/operatorapi/client.go
@@ -24,20 +24,22 @@
 	errStatus           = errors.New("status")
 )
 
-// RetryLaterError is the error for a reply that the controller can't decide the request now.
+// RetryLaterError is the error for a reply with the code RetryLater: the controller can't
+// decide the request now. Reason is the reason in that reply.
 type RetryLaterError struct{ Reason string }
 
 // Error implements error.
 func (e *RetryLaterError) Error() string { return e.Reason }
 
-// Client sends each request to the controllers, one after the other, until one of them
-// settles it.
+// Client sends each request, sealed with the key, to the controllers one after the other,
+// until one of them settles it: until it replies with any code but RetryLater.
 type Client struct {
 	key         Key
 	controllers []*transport.Client
 }
 
-// NewClient returns a client of the controllers at addrs.
+// NewClient returns a client of the controllers at addrs, of which there must be at least
+// one. It seals requests with key and opens no connection yet.
 func NewClient(key Key, addrs []string) *Client {
 	c := &Client{key: key}
 	for _, addr := range addrs {
@@ -46,8 +48,11 @@
 	return c
 }
 
-// Do sends a request until a controller settles it or the context ends. Retries are safe,
-// since the ID of a change makes it idempotent.
+// Do sends a request to the controllers in turn, with a pause after each round, and returns
+// the first reply with a code other than RetryLater, be it a refusal. If the context ends
+// before, it returns an error that wraps that of the last attempt; the request may have been
+// executed nevertheless. Retries are safe, since changes are idempotent: OpAdd and
+// OpConfigure by the request's ID, the others because they set a state.
 func (c *Client) Do(ctx context.Context, r Request) (Reply, error) {
 	var lastErr error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -74,7 +79,8 @@
 	}
 }
 
-// sendTo sends a request to one controller.
+// sendTo seals a request and sends it to one controller within attemptTimeout. It returns
+// an error if the controller does not respond or does not settle the request.
 func (c *Client) sendTo(ctx context.Context, controller *transport.Client, r Request) (Reply, error) {
 	body, err := Seal(c.key, time.Now(), r)
 	if err != nil {
@@ -89,7 +95,9 @@
 	return parseReply(response)
 }
 
-// parseReply returns the reply in a response if it settles the request, or an error.
+// parseReply decodes the reply in a response. It returns an error if the reply's code is
+// RetryLater, if the controller accepts no operators' requests (status 404 with an
+// ErrorBody), or if the body is no reply.
 func parseReply(response *transport.Message) (Reply, error) {
 	if response.Status == http.StatusNotFound && len(response.Body) > 0 {
 		var e protocol.ErrorBody
--- a/internal/operatorapi/configfile.go
+++ b/internal/operatorapi/configfile.go
@@ -8,10 +8,11 @@
 	"damsonkeel/internal/record"
 )
 
-// ConfigFile is a file of configuration changes, which are made atomically. The names of
-// this type and of the types of its fields are part of the texts of parse errors.
+// ConfigFile is a TOML file of configuration changes, all of which are made or none. The
+// names of this type and of the types of its fields are part of the texts of parse errors.
 type ConfigFile struct {
-	// Revision, if not nil, is the revision that must be in force.
+	// Revision, if not nil, is the revision that must be in force; otherwise the changes are
+	// refused.
 	Revision *uint64                       `toml:"revision"`
 	Teams    []ConfigFileTeam              `toml:"teams"`
 	Classes  []ConfigFileClass             `toml:"classes"`
@@ -32,7 +33,8 @@
 	Remove  bool     `toml:"remove"`
 }
 
-// ConfigFileClass is a class with all of its objectives.
+// ConfigFileClass is a class with the objectives that replace all that it has. If Reset is set,
+// the class is reset instead and Objectives is ignored.
 type ConfigFileClass struct {
 	Name       string                  `toml:"name"`
 	Objectives []record.ObjectiveEntry `toml:"objectives"`
@@ -46,7 +48,8 @@
 	Reset  bool   `toml:"reset"`
 }
 
-// ParseConfigFile parses a file of changes. Its errors name unknown fields.
+// ParseConfigFile parses the text of a file of changes. A field that ConfigFile does not have
+// is an error, which names the field.
 func ParseConfigFile(b []byte) (*ConfigFile, error) {
 	f := &ConfigFile{}
 	if err := config.DecodeStrict(b, f); err != nil {
@@ -55,7 +58,8 @@
 	return f, nil
 }
 
-// Changes converts the file to changes.
+// Changes converts the file to changes, one for each team, class, zone, machine type and
+// setting in it: in the order of the file within each list, and by name for settings.
 func (f *ConfigFile) Changes() []ConfigChange {
 	var changes []ConfigChange
 	for _, team := range f.Teams {
@@ -77,6 +81,7 @@
 	return changes
 }
 
+// change converts the changes of a team.
 func (t *ConfigFileTeam) change() ConfigChange {
 	return ConfigChange{
 		Entry:   record.NewEntryID(record.EntryTeam, t.Name),
@@ -90,6 +95,8 @@
 	}
 }
 
+// change converts a class to a change that resets it, or replaces its objectives. An empty list
+// of objectives is not nil, so that it removes all objectives.
 func (c *ConfigFileClass) change() ConfigChange {
 	change := ConfigChange{Entry: record.NewEntryID(record.EntryClass, c.Name), Reset: c.Reset}
 	if !c.Reset {
@@ -99,6 +106,7 @@
 	return change
 }
 
+// change converts the changes of a zone or a machine type, which kind says.
 func (p *ConfigFilePlace) change(kind record.EntryKind) ConfigChange {
 	return ConfigChange{Entry: record.NewEntryID(kind, p.Name), Closed: p.Closed, Reset: p.Reset}
 }
--- a/internal/operatorapi/key.go
+++ b/internal/operatorapi/key.go
@@ -9,8 +9,9 @@
 	"strings"
 )
 
-// Key is an operator's key, a secret shared with the controllers. Two keys may have the
-// same name while one replaces the other.
+// Key is an operator's key: a name, which controllers record with the changes made with the
+// key, and a secret shared with the controllers. Two keys may have the same name while one
+// replaces the other.
 type Key struct {
 	Name   string
 	Secret []byte
@@ -19,7 +20,7 @@
 const (
 	// minSecretSize is the size in bytes of the shortest accepted secret, and of new ones.
 	minSecretSize    = 32
-	maxKeyNameLength = 60
+	maxKeyNameLength = 60 // bytes
 	// othersPermissions are the permission bits of a file for its group and all others.
 	othersPermissions = 0o077
 )
@@ -32,7 +33,8 @@
 	errKeysExposed = errors.New("may be read by others")
 )
 
-// NewKey returns a key with a random secret.
+// NewKey returns a key with a random secret of minSecretSize bytes, or an error if the name is
+// not valid in a keys file.
 func NewKey(name string) (Key, error) {
 	k := Key{Name: name, Secret: make([]byte, minSecretSize)}
 	if _, err := rand.Read(k.Secret); err != nil {
@@ -41,7 +43,8 @@
 	return k, checkKeyName(name)
 }
 
-// checkKeyName checks that a name is valid in a keys file.
+// checkKeyName returns an error unless a name is valid in a keys file: 1 to maxKeyNameLength
+// bytes without a space, tab, line feed or "#".
 func checkKeyName(name string) error {
 	if name == "" || len(name) > maxKeyNameLength || strings.ContainsAny(name, " \t\n#") {
 		return fmt.Errorf("operator's key: %q %w", name, errKeyName)
@@ -53,7 +56,7 @@
 func (k Key) String() string { return k.Name + " " + hex.EncodeToString(k.Secret) }
 
 // ParseKeys parses the text of a keys file, which has one key on each line; "#" begins a
-// comment.
+// comment. It returns an error for a bad line, and if there is no key.
 func ParseKeys(text string) ([]Key, error) {
 	var keys []Key
 	for i, line := range strings.Split(text, "\n") {
@@ -81,7 +84,8 @@
 	return keys, nil
 }
 
-// ReadKeys reads a keys file. It rejects a file that anyone but its owner has access to.
+// ReadKeys reads and parses the keys file at path. It rejects a file on which anyone but its
+// owner has a permission, since it holds secrets.
 func ReadKeys(path string) ([]Key, error) {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/operatorapi/request.go
+++ b/internal/operatorapi/request.go
@@ -8,18 +8,18 @@
 // Path is the HTTP path of operators' requests, which are sent by POST.
 const Path = "/operator/v1"
 
-// Op is the operation of a request.
+// Op is the operation that a request asks for.
 type Op string
 
 // Operations on reservations, maintenance windows and shards. The first four concern a
 // window if Request.Window is set, otherwise a reservation.
 const (
-	OpAdd    Op = "add"
-	OpList   Op = "list"
-	OpShow   Op = "show"
-	OpCancel Op = "cancel"
-	OpShares Op = "shares" // lists the shards of the machines
-	OpMove   Op = "move"   // moves shards to a controller
+	OpAdd    Op = "add"    // adds or replaces the entry in Reservation or Spec
+	OpList   Op = "list"   // returns a page of entries, those with names after Name
+	OpShow   Op = "show"   // returns the entry called Name
+	OpCancel Op = "cancel" // cancels the entry called Name
+	OpShares Op = "shares" // lists the shards and the controllers
+	OpMove   Op = "move"   // requests the handover of the shards in Shares to Controller
 	OpAway   Op = "away"   // cordons a controller, which then holds no shards, or ends the cordon
 )
 
@@ -28,15 +28,17 @@
 	Op     Op               `cbor:"op"`
 	Window bool             `cbor:"window,omitempty"`
 	Name   record.EntryName `cbor:"name,omitempty"`
-	// ID is the idempotency key: a repeated request for a change gets the same reply and
-	// changes nothing more.
+	// ID is the idempotency key of OpAdd and OpConfigure: a repeated request is reported as
+	// done and changes nothing more. Other changes only log it.
 	ID string `cbor:"id,omitempty"`
-	// DryRun requests the decision on a change without making the change.
+	// DryRun requests the decision on a change without making the change. Only OpAdd and
+	// OpConfigure observe it.
 	DryRun bool `cbor:"dry_run,omitempty"`
-	// Replace lets OpAdd replace the entry of the same name.
+	// Replace lets OpAdd replace an existing reservation or window of the same name. Without
+	// it, OpAdd replaces only one that is cancelled or, for a reservation, used or expired.
 	Replace bool `cbor:"replace,omitempty"`
 	// CreatedAt is the creation time of the entry to be cancelled. An entry of the same name
-	// that was created at another time is not cancelled.
+	// that was created at another time is not cancelled. 0 is any time.
 	CreatedAt record.Moment `cbor:"made_ms,omitempty"`
 
 	Reservation *record.ReservationSpec `cbor:"reservation,omitempty"`
--- a/internal/operatorapi/seal.go
+++ b/internal/operatorapi/seal.go
@@ -27,7 +27,8 @@
 // sealDomain separates seals from other uses of the same secret.
 const sealDomain = "damsonkeel operator v1"
 
-// mac computes the seal of an encoded request.
+// mac returns the seal of a request: the HMAC-SHA256 of sealDomain, the key's name, the time
+// in Unix milliseconds and the base64 text of the request.
 func (k Key) mac(atMS int64, request string) []byte {
 	h := hmac.New(sha256.New, k.Secret)
 	for _, part := range []string{sealDomain, k.Name, strconv.FormatInt(atMS, 10), request} {
@@ -36,7 +37,8 @@
 	return h.Sum(nil)
 }
 
-// Seal encodes and seals a request.
+// Seal returns the encoding of a Sealed with the request, the key's name, the time now and
+// the seal: the message body to send.
 func Seal(k Key, now time.Time, r Request) ([]byte, error) {
 	request, err := protocol.Encode(r)
 	if err != nil {
@@ -52,17 +54,19 @@
 }
 
 // SealLifetime is the largest difference between the time of a seal and the receiver's
-// clock, in either direction, beyond the error of both clocks. Within that time, anyone
-// who has seen the request can replay it; a replayed change has no further effect because
-// of its idempotency key.
+// clock, in either direction, for which the seal is accepted; the error of both clocks is
+// added to it. Within that time, anyone who has seen the request can replay it; a replayed
+// OpAdd or OpConfigure has no further effect because of its idempotency key. OpCancel, OpMove
+// and OpAway have no such key: they set a state, and a replay sets the same state again.
 const SealLifetime = 30 * time.Second
 
 // ErrSeal is returned for a request without a valid and recent seal.
 var ErrSeal = errors.New("not sealed by an operator's key, or too long ago")
 
-// Open authenticates and decodes a sealed request, and returns it with the name of its
-// key. Every error wraps ErrSeal, so that the sender can't distinguish an unknown key from
-// a wrong or expired seal.
+// Open authenticates and decodes a message body that Seal returned, and returns the request
+// with the name of its key. The seal must match one of keys, and its time must differ from
+// now by at most SealLifetime and twice clockError. Every error wraps ErrSeal, so that the
+// sender can't distinguish an unknown key from a wrong or expired seal.
 func Open(body []byte, keys []Key, now time.Time, clockError time.Duration) (Request, string, error) {
 	var s Sealed
 	if err := protocol.Decode(body, &s); err != nil {
