--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,10 +6,12 @@
 	"damsonkeel/internal/protocol"
 )
 
-// maxAmount is the upper bound of the settings that have to be positive.
+// maxAmount is the largest allowed value, in the unit of each setting, of the settings that
+// have to be positive.
 const maxAmount = 1e9
 
-// check checks the settings, and sets the number of controllers if it is missing.
+// check returns a FieldError for the first field that is missing or invalid. If the number of
+// controllers is 0, it sets it to the number of those listed, this one included.
 func (s *Settings) check() error {
 	if s.Name == "" {
 		return badField("host_name", "missing")
@@ -28,7 +30,8 @@
 	return s.Site.checkTeams()
 }
 
-// checkMembers checks that all controllers have names and that these are unique.
+// checkMembers returns an error unless all other controllers have names that are unique and
+// differ from this controller's.
 func (s *Settings) checkMembers() error {
 	seen := map[protocol.NodeName]bool{s.Name: true}
 	for _, member := range s.Members {
@@ -40,7 +43,7 @@
 	return nil
 }
 
-// checkAddresses checks that all addresses have a port.
+// checkAddresses returns an error unless all addresses have the form "host:port".
 func (s *Settings) checkAddresses() error {
 	type address struct{ field, value string }
 	addresses := []address{
@@ -60,8 +63,8 @@
 	return nil
 }
 
-// checkAmounts checks the numbers that have to be positive, and that cancel_s is above
-// lease_s.
+// checkAmounts returns an error unless the numbers listed in it are above 0 and at most
+// maxAmount, and cancel_s is above lease_s.
 func (s *Site) checkAmounts() error {
 	for _, amount := range []struct {
 		field string
@@ -91,7 +94,8 @@
 	return nil
 }
 
-// checkTeams checks that all teams have unique names and no negative amounts.
+// checkTeams returns an error unless all teams have unique names, and guarantees and limits
+// that are not negative.
 func (s *Site) checkTeams() error {
 	seen := map[protocol.Team]bool{}
 	for _, team := range s.Teams {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,7 +6,7 @@
 )
 
 // FieldError is the error for a field of the platform's settings that is missing or has an
-// invalid value.
+// invalid value. Field is its path in the file, such as "settings.workers.lease_s".
 type FieldError struct {
 	Field   string
 	Problem string
@@ -20,7 +20,8 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// ValueError is the error for a setting whose text can't be parsed.
+// ValueError is the error for a text in the operators' settings that can't be parsed or is out
+// of range.
 type ValueError struct {
 	Text    string
 	Problem string
--- a/internal/config/fit.go
+++ b/internal/config/fit.go
@@ -6,7 +6,7 @@
 )
 
 // ConfigPropagationLimit is the longest time for which a controller may act on the previous
-// configuration after a change.
+// configuration after a change. Fit rejects a node lease that is too long for it.
 const ConfigPropagationLimit = 11 * time.Second
 
 const (
@@ -18,13 +18,14 @@
 	// propagationMargin is the reserve within ConfigPropagationLimit, for clock drift and for
 	// a step of the controller that is in progress.
 	propagationMargin = 500 * time.Millisecond
-	// cancelMargin is the reserve within cancel_s.
+	// cancelMargin is the least time that MaxCancellationDelay must leave of cancel_s.
 	cancelMargin = time.Second
 	// watchSlack is the time beyond the length of its lease for which a controller may act
 	// after it sent the last watch request that got a response: a watch request stays open
 	// for seconds.
 	watchSlack = 2 * time.Second
-	// leaseDrift is the fraction by which a worker's lease may be longer on another clock.
+	// leaseDrift is the fraction by which a worker's lease, measured by the worker's clock, may
+	// be longer on another clock.
 	leaseDrift = 0.0005
 )
 
@@ -42,8 +43,11 @@
 	return MaxWatchStaleness(nodeLease) + Seconds(w.LeaseS*(1+leaseDrift))
 }
 
-// Fit checks that the operators' settings are compatible with those of the platform, and
-// chooses the node lease if it is not set.
+// Fit returns the operators' settings with a node lease: if it is not set, the smaller of
+// preferredNodeLease and the longest one that the platform's settings allow. It returns an
+// error if MaxCancellationDelay does not leave cancelMargin of cancel_s, or if the
+// configuration can change and a change would not be in force on all controllers within
+// ConfigPropagationLimit.
 func (op Operator) Fit(s *Settings) (Operator, error) {
 	workers := s.Site.Workers
 	maxLease := Seconds(workers.CancelS) - cancelMargin - MaxCancellationDelay(0, workers)
@@ -61,8 +65,8 @@
 	return op, op.checkPropagation()
 }
 
-// checkPropagation checks that a change of the configuration is in force on all controllers
-// within ConfigPropagationLimit.
+// checkPropagation returns an error if operators can change the configuration and the node lease
+// is too long for a change to be in force on all controllers within ConfigPropagationLimit.
 func (op Operator) checkPropagation() error {
 	maxLease := ConfigPropagationLimit - propagationMargin - MaxWatchStaleness(0)
 	if !op.Configurable() || op.NodeLease <= maxLease {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -9,9 +9,12 @@
 // Operator has the operators' own settings, from an optional XML file. Every element has a
 // default.
 type Operator struct {
-	// ReplicationInterval is how often completions and wait tables are replicated to peers.
+	// ReplicationInterval is how often a controller sends to all peers what changed in the
+	// states of its machines, from which they update their wait tables, and in the progress
+	// of its jobs (tasks that completed or run). It is also the interval of periodic work.
 	ReplicationInterval time.Duration
-	// CopyWait is how long a restarted controller waits for a copy of the wait table.
+	// CopyWait is how long a restarted controller waits for a copy of the wait table from the
+	// peers that it requested one from, before it requests one from further peers.
 	CopyWait time.Duration
 	// DefaultEstimate is the estimated run time of jobs that are submitted without one.
 	DefaultEstimate time.Duration
@@ -45,6 +48,6 @@
 	}
 }
 
-// Configurable reports whether operators can change the configuration while controllers
-// run.
+// Configurable reports whether operators can change the configuration while controllers run:
+// whether there is a file of operators' keys and such changes are not disabled.
 func (op Operator) Configurable() bool { return op.OperatorKeys != "" && !op.DisableDynamicConfig }
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -18,6 +18,7 @@
 	// settingDepth is the nesting depth of the elements of settings; the root has depth 1.
 	settingDepth = 2
 
+	// minDuration and maxDuration bound the settings that are durations.
 	minDuration = 100 * time.Millisecond
 	maxDuration = time.Hour
 	// maxMachines bounds the number of machines of a type.
@@ -41,7 +42,7 @@
 // elementParser parses the text of an element into its setting.
 type elementParser func(text string) error
 
-// elements returns the parsers of all elements, which set the fields of op.
+// elements maps the name of each allowed element to its parser, which sets a field of op.
 func (op *Operator) elements() map[string]elementParser {
 	return map[string]elementParser{
 		"relayEvery":      durationParser(&op.ReplicationInterval),
@@ -57,8 +58,9 @@
 	}
 }
 
-// ParseOperator parses operators' settings. Its errors name unknown elements and bad
-// values.
+// ParseOperator parses operators' settings in XML. An element that is absent keeps its default.
+// Unknown elements, attributes, bad values and an empty file are errors, which name the
+// element or value.
 func ParseOperator(r io.Reader) (Operator, error) {
 	op := DefaultOperator()
 	parser := operatorParser{decoder: xml.NewDecoder(r), elements: op.elements()}
@@ -75,7 +77,8 @@
 	text     string // text since the last tag
 }
 
-// parse parses the whole file.
+// parse parses the whole file and sets the fields that the parsers of its elements set. It
+// stops at the first error.
 func (p *operatorParser) parse() error {
 	for {
 		token, err := p.decoder.Token()
@@ -91,8 +94,8 @@
 	}
 }
 
-// checkComplete checks, at the end of the file, that the file was not empty and that all
-// elements are closed.
+// checkComplete returns errEmpty if, at the end of the file, the file was empty or an element is
+// not closed.
 func (p *operatorParser) checkComplete() error {
 	if p.depth != 0 || p.name == "" && p.text == "" && p.decoder.InputOffset() == 0 {
 		return errEmpty
@@ -100,8 +103,9 @@
 	return nil
 }
 
-// handleToken processes one token. At the end of a setting's element it parses the
-// setting.
+// handleToken updates the depth, name and text by one token. At the start of an element it checks
+// the element; at the end of a setting's element it parses the text into the setting. Other
+// tokens, such as comments, have no effect.
 func (p *operatorParser) handleToken(token xml.Token) error {
 	switch t := token.(type) {
 	case xml.StartElement:
@@ -124,8 +128,8 @@
 	return nil
 }
 
-// checkElement checks that an element is known, at the expected depth and without
-// attributes.
+// checkElement returns an error unless an element that was just opened is the root with the name
+// rootElement, or a known setting directly below it, and has no attributes.
 func (p *operatorParser) checkElement(t xml.StartElement) error {
 	known := p.elements[p.name] != nil
 	switch {
@@ -139,7 +143,7 @@
 	return nil
 }
 
-// pathParser returns a parser for the path of a file.
+// pathParser returns a parser that sets target to the path of a file, which must not be empty.
 func pathParser(target *string) elementParser {
 	return func(text string) error {
 		*target = text
@@ -150,7 +154,8 @@
 	}
 }
 
-// choiceParser returns a parser for a setting with two values, whenTrue and whenFalse.
+// choiceParser returns a parser that sets target to true for the text whenTrue and to false for
+// whenFalse. Any other text is an error.
 func choiceParser(target *bool, whenTrue, whenFalse string) elementParser {
 	return func(text string) error {
 		*target = text == whenTrue
@@ -161,13 +166,14 @@
 	}
 }
 
-// durationParser returns a parser for a duration.
+// durationParser returns a parser that sets target to a duration as SetDuration does.
 func durationParser(target *time.Duration) elementParser {
 	return func(text string) error { return SetDuration(target, text) }
 }
 
-// SetDuration parses the text of a setting that is a duration, and sets target to it if it
-// is within the allowed range.
+// SetDuration parses the text of a setting that is a duration, such as "1.5s", and sets target
+// to it. For a text that is no duration from minDuration to maxDuration it returns a
+// ValueError and leaves target as it is.
 func SetDuration(target *time.Duration, text string) error {
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration < minDuration || duration > maxDuration {
@@ -177,8 +183,8 @@
 	return nil
 }
 
-// machinesParser returns a parser for the largest number of machines of each type, in the
-// form "TYPE NUMBER, ...".
+// machinesParser returns a parser that sets op.Machines to the largest number of machines of each
+// type, given in the form "TYPE NUMBER, ..." with numbers from 0 to maxMachines.
 func machinesParser(op *Operator) elementParser {
 	return func(text string) error {
 		op.Machines = map[protocol.MachineType]int{}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -47,7 +47,8 @@
 	Limits       Limits          `toml:"limits"`
 }
 
-// Team is a team with its guaranteed resources and its limits; a limit of 0 is none.
+// Team is a team with its guaranteed resources (CPUs, GPUs) and its limits (MaxCPUs, MaxGPUs),
+// as numbers of processors; a limit of 0 is none.
 type Team struct {
 	Name    protocol.Team `toml:"name"`
 	CPUs    float64       `toml:"cpus"`
@@ -56,14 +57,14 @@
 	MaxGPUs float64       `toml:"gpus_max"`
 }
 
-// Limited reports whether the team has a limit.
+// Limited reports whether the team has a limit of CPUs or of GPUs.
 func (t Team) Limited() bool { return t.MaxCPUs > 0 || t.MaxGPUs > 0 }
 
 // Objective is a service-level objective of a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"` // time limit of all kinds except deadline
+	WithinS float64 `toml:"within_s"` // time limit in seconds, of all kinds except deadline
 	Share   float64 `toml:"share"`    // fraction that has to meet the objective
 	Times   float64 `toml:"times"`    // factor of the kind deadline
 }
@@ -85,14 +86,14 @@
 type State struct {
 	RPS      float64 `toml:"rps"`       // requests per second
 	WriteRPS float64 `toml:"write_rps"` // writes per second
-	ValueKB  float64 `toml:"value_kb"`  // size of a value
-	TxnOps   int     `toml:"txn_ops"`   // number of changes of a transaction
+	ValueKB  float64 `toml:"value_kb"`  // largest size of a value, in units of 1024 bytes
+	TxnOps   int     `toml:"txn_ops"`   // largest number of changes of a transaction
 }
 
 // Cloud has the limits of the cloud.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`        // requests per second
-	ListLagS float64 `toml:"list_lag_s"` // usual lag of the cloud's list of machines; sometimes up to twice as long
+	ListLagS float64 `toml:"list_lag_s"` // usual lag of the cloud's list of machines, in seconds; sometimes up to twice as long
 }
 
 // Limits has the resources that a controller may use.
@@ -102,7 +103,7 @@
 	MaxConns int     `toml:"max_connections"`
 }
 
-// Load reads and checks the settings file.
+// Load reads the settings file at path, and parses and checks it as Parse does.
 func Load(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -111,7 +112,8 @@
 	return Parse(b)
 }
 
-// Parse parses and checks settings. Its errors name the invalid field.
+// Parse parses settings in TOML and checks them. It returns an error for text that is not TOML
+// of the expected types, and for a field that is missing or invalid, which the error names.
 func Parse(b []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := toml.Unmarshal(b, s); err != nil {
@@ -133,7 +135,7 @@
 	return Team{}, false
 }
 
-// ClockError returns the largest error of a controller's clock.
+// ClockError returns ClockErrorMS, the largest error of a controller's clock, as a duration.
 func (s *Site) ClockError() time.Duration {
 	return time.Duration(s.ClockErrorMS * float64(time.Millisecond))
 }
--- a/internal/config/strict.go
+++ b/internal/config/strict.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// DecodeStrict decodes TOML into target. For a field that target does not have, it returns
+// DecodeStrict decodes the TOML text b into target, a pointer. For a field that target does not have, it returns
 // an error that shows the field's position in the text.
 func DecodeStrict(b []byte, target any) error {
 	err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(target)
