--- a/internal/serviceclient/call.go
+++ b/internal/serviceclient/call.go
@@ -17,11 +17,13 @@
 	// ErrRefused reports that the request was certainly not executed: the service is
 	// unavailable or limits the rate, or the caller's own rate limit is exhausted.
 	ErrRefused = errors.New("request not executed")
-	// ErrConflict reports that a condition of the transaction does not hold.
+	// ErrConflict reports that a condition of the transaction does not hold, so that none of
+	// its changes was made.
 	ErrConflict = errors.New("transaction condition does not hold")
 	// ErrNotFound reports that the key or lease does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrCompacted reports that the store has compacted the start revision of a watch.
+	// ErrCompacted reports that the store has compacted the start revision of a watch, so that
+	// changes since then may be missing and the keys have to be read anew.
 	ErrCompacted = errors.New("revision is compacted")
 	// ErrMalformed reports that the service rejected the request as malformed.
 	ErrMalformed = errors.New("request rejected as malformed")
@@ -29,8 +31,10 @@
 	errUnexpectedStatus = errors.New("unexpected status")
 )
 
-// Call sends a request and decodes the body of its response. It encodes in as the request
-// body unless in is nil, and decodes the response body into out unless out is nil.
+// Call sends a request and waits for its response for at most timeout. It encodes in as the
+// request body unless in is nil, and decodes the response body into out unless out is nil. It
+// returns an error if in can't be encoded or there is no response, or the error of DecodeResponse. After a request
+// without a response it closes the client's idle connections.
 func Call(ctx context.Context, client *transport.Client, timeout time.Duration, method, target string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -50,8 +54,9 @@
 	return DecodeResponse(response, out)
 }
 
-// DecodeResponse decodes the body of a successful response into out, or converts the
-// status of a failed one into an error.
+// DecodeResponse decodes the body of a response with the status 200 into out, unless out is
+// nil, and converts any other status into an error: one of those above if it has one for the
+// status. With ErrConflict it decodes the body into out as well.
 func DecodeResponse(m *transport.Message, out any) error {
 	switch m.Status {
 	case http.StatusOK:
