--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -15,10 +15,12 @@
 )
 
 const (
+	// callTimeout bounds the wait for the response to one request.
 	callTimeout = 5 * time.Second
 	// rateFraction is the fraction of the cloud's request rate that each controller may use.
 	rateFraction = 0.6
-	// burstSeconds is the size of a burst in seconds of the controller's rate.
+	// burstSeconds is the size of a burst, as the number of seconds in which the
+	// controller's rate allows as many requests.
 	burstSeconds = 2
 	// pageSize is the number of machines to request per page of the machine list.
 	pageSize = 500
@@ -42,7 +44,9 @@
 	return &Client{client: transport.NewClient(addr), limiter: rate.NewLimiter(rate.Limit(limit), burst)}
 }
 
-// do waits for the rate limiter and sends a request.
+// do waits for the rate limiter, sends a request with the body in, and decodes the response
+// body into out; either may be nil. It returns ErrRefused, without sending, if ctx ends
+// before the limiter allows the request.
 func (c *Client) do(ctx context.Context, method, target string, in, out any) error {
 	if err := c.limiter.Wait(ctx); err != nil {
 		return serviceclient.ErrRefused
@@ -53,14 +57,16 @@
 	return nil
 }
 
-// Catalogue reads the catalogue of machine types.
+// Catalogue reads the catalogue of the machine types that the cloud has, with their sizes and
+// prices.
 func (c *Client) Catalogue(ctx context.Context) (protocol.Catalogue, error) {
 	var catalogue protocol.Catalogue
 	err := c.do(ctx, http.MethodGet, "/catalog", nil, &catalogue)
 	return catalogue, err
 }
 
-// Provision provisions machines and returns their ids.
+// Provision requests new machines and returns their ids. A repetition with the same Name
+// provisions no further machines.
 func (c *Client) Provision(ctx context.Context, r protocol.ProvisionRequest) ([]protocol.MachineID, error) {
 	var provisioned protocol.MachineNames
 	err := c.do(ctx, http.MethodPost, "/hosts", r, &provisioned)
@@ -72,7 +78,8 @@
 	return c.do(ctx, http.MethodPost, "/hosts/delete", protocol.MachineNames{Machines: ids}, nil)
 }
 
-// ListMachines reads all pages of the machine list.
+// ListMachines reads all pages of the cloud's list of machines, one request each, and returns
+// their machines. If one page can't be read, it returns an error and no machines.
 func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	after := ""
