--- a/cmd/damsonkeel/client.go
+++ b/cmd/damsonkeel/client.go
@@ -26,7 +26,8 @@
 	operatorapi.Denied:   exitDenied,
 }
 
-// sendAndPrint sends a request and prints the reply.
+// sendAndPrint sends a request and prints the reply, also one that refuses the request. It
+// returns the errors of both.
 func (f *clientFlags) sendAndPrint(r operatorapi.Request) error {
 	reply, err := f.send(r)
 	if reply.Code == "" {
@@ -35,8 +36,9 @@
 	return errors.Join(f.print(reply), err)
 }
 
-// send sends a request within the timeout. A reply that does not fulfil it is returned
-// with an exitError.
+// send sends a request until a controller settles it, for at most Timeout. A reply with a code
+// in exitCodes, which does not fulfil the request, is returned with an exitError. Without a
+// reply it returns an empty one, whose Code is empty, and an error.
 func (f *clientFlags) send(r operatorapi.Request) (operatorapi.Reply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
 	defer cancel()
@@ -50,7 +52,8 @@
 	return reply, nil
 }
 
-// sendWithContext sends a request until a controller settles it or the context ends.
+// sendWithContext sends a request, sealed with the first key of the keys file, until a controller
+// settles it (replies with any code but RetryLater) or the context ends, which is an error.
 //
 //nolint:wrapcheck // the texts of both errors are complete and must not change
 func (f *clientFlags) sendWithContext(ctx context.Context, r operatorapi.Request) (operatorapi.Reply, error) {
@@ -61,7 +64,9 @@
 	return operatorapi.NewClient(keys[0], f.Controller).Do(ctx, r)
 }
 
-// print prints a reply in the requested form.
+// print prints a reply to the standard output: as JSON, or as the tables of the objects that it
+// contains. Of a reply that is not Done, the latter form has only the conflicting entries, on
+// the standard error; the reason is printed as the error of the command.
 func (f *clientFlags) print(reply operatorapi.Reply) error {
 	if f.Output == outputJSON {
 		return printJSON(reply)
@@ -93,7 +98,7 @@
 	return nil
 }
 
-// printJSON prints a value as indented JSON.
+// printJSON prints a value as indented JSON to the standard output.
 func printJSON(value any) error {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
--- a/cmd/damsonkeel/config.go
+++ b/cmd/damsonkeel/config.go
@@ -53,7 +53,8 @@
 	configStatus  struct{ clientFlags }
 )
 
-// Run reads the entries in force page by page and prints them.
+// Run reads the entries that the command selects, as they are in force, page by page and
+// prints them in one table.
 func (g *configGet) Run() error {
 	var entries []operatorapi.ConfigEntry
 	request := &operatorapi.ConfigRequest{Entry: record.EntryID(g.Entry)}
@@ -73,7 +74,7 @@
 	}
 }
 
-// Run changes one entry.
+// Run changes one entry by the values, or resets or removes it.
 func (s *configSet) Run() error {
 	change := operatorapi.ConfigChange{Entry: record.EntryID(s.Entry), Reset: s.Reset, Remove: s.Remove}
 	for _, value := range s.Values {
@@ -88,7 +89,8 @@
 	return s.change(&s.clientFlags, []operatorapi.ConfigChange{change})
 }
 
-// Run changes several entries in one step.
+// Run sends all changes of the file in one request, so that either all are made or none. The
+// flag Revision takes precedence over the revision in the file.
 func (a *configApply) Run() error {
 	b, err := os.ReadFile(a.File)
 	if err != nil {
@@ -104,7 +106,7 @@
 	return a.change(&a.clientFlags, file.Changes())
 }
 
-// Run prints the latest changes.
+// Run prints the latest changes of the configuration.
 func (h *configHistory) Run() error {
 	return h.sendAndPrint(operatorapi.Request{Op: operatorapi.OpConfigHistory})
 }
@@ -114,8 +116,9 @@
 	return s.sendAndPrint(operatorapi.Request{Op: operatorapi.OpConfigStatus})
 }
 
-// change sends changes and prints the reply. With Wait it first waits until the changes are
-// in force on all controllers.
+// change sends changes in one request and prints the reply. With Wait, unless the request is
+// refused or a dry run, it waits before printing until no controller acts on an earlier
+// revision.
 func (f *configChangeFlags) change(client *clientFlags, changes []operatorapi.ConfigChange) error {
 	request := &operatorapi.ConfigRequest{Changes: changes}
 	if f.Revision != nil {
--- a/cmd/damsonkeel/configfield.go
+++ b/cmd/damsonkeel/configfield.go
@@ -16,7 +16,9 @@
 	errNoObjectivePair = errors.New("is no NUMBER:SHARE")
 )
 
-// setField parses the value of the named field and sets the field of a change.
+// setField parses the text of the named field and sets the field of a change. A name that is
+// no other field is the kind of an objective, which is added to those of the change; if it is
+// no such kind either, the error is errNoSuchField.
 //
 //nolint:wrapcheck // the caller wraps all errors with the name of the field
 func setField(change *operatorapi.ConfigChange, name, text string) error {
@@ -50,7 +52,9 @@
 // objectiveDeadline is the kind of objective whose number is a factor instead of a time.
 const objectiveDeadline = "deadline"
 
-// parseObjective parses an objective of a kind from its text, NUMBER:SHARE.
+// parseObjective parses an objective of a kind from its text, NUMBER:SHARE. The number is a
+// factor for objectiveDeadline, otherwise a time in seconds; the share is the fraction that
+// has to meet the objective. An unknown kind is errNoSuchField.
 //
 //nolint:wrapcheck // the caller of setField wraps all errors with the name of the field
 func parseObjective(kind, text string) (record.ObjectiveEntry, error) {
--- a/cmd/damsonkeel/configprint.go
+++ b/cmd/damsonkeel/configprint.go
@@ -10,7 +10,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// printConfig prints the part of a reply about the configuration.
+// printConfig prints the part of a reply about the configuration: the revision, and those of
+// entries, changes, past changes and controllers that the reply has.
 func printConfig(c *operatorapi.ConfigReply) {
 	fmt.Println("revision:", c.Revision)
 	if len(c.Entries) > 0 {
@@ -30,8 +31,8 @@
 	}
 }
 
-// printAppliedRevisions prints a table of the controllers with the revisions that they act
-// on.
+// printAppliedRevisions prints a table of the controllers with the revisions that they act on,
+// the seconds since they reported them, and whether they may act.
 func printAppliedRevisions(controllers []operatorapi.ConfigController) {
 	t := newTable("controller", "acts by revision", "said s ago", "state")
 	for _, c := range controllers {
@@ -47,7 +48,8 @@
 	t.Render()
 }
 
-// revisionText formats the last revision that changed an entry.
+// revisionText formats the last revision that changed an entry. 0 means that none has, so that
+// the platform's file applies.
 func revisionText(r record.ConfigurationRevision) string {
 	if r == 0 {
 		return "platform's file"
@@ -55,7 +57,8 @@
 	return fmt.Sprint(r)
 }
 
-// printChanges prints a table of changes of entries, if there are any.
+// printChanges prints a table of changes of entries, with the values before and after each. It
+// prints nothing if there are none.
 func printChanges(changes []record.EntryChange) {
 	if len(changes) == 0 {
 		return
@@ -67,7 +70,8 @@
 	t.Render()
 }
 
-// recordText formats the record of an entry.
+// recordText formats the values in the record of an entry. A record without any, or of a zone or
+// machine type that is not closed, means that the platform's file applies.
 func recordText(e *record.ConfigurationEntry) string {
 	switch {
 	case e.Team != nil:
@@ -82,7 +86,7 @@
 	return "as in the platform's file"
 }
 
-// entryText formats an entry in force.
+// entryText formats the values of an entry in force, according to its kind.
 func entryText(e *operatorapi.ConfigEntry) string {
 	kind, _ := e.Entry.Split()
 	switch {
@@ -98,6 +102,7 @@
 	return "open"
 }
 
+// teamText formats the guarantees, limits and state of a team.
 func teamText(t *record.TeamEntry) string {
 	if t.Removed {
 		return "removed"
@@ -117,6 +122,7 @@
 	return fmt.Sprint(v)
 }
 
+// objectivesText formats the objectives of a class; "none" if there are none.
 func objectivesText(objectives []record.ObjectiveEntry) string {
 	var texts []string
 	for _, o := range objectives {
--- a/cmd/damsonkeel/emulate.go
+++ b/cmd/damsonkeel/emulate.go
@@ -31,8 +31,9 @@
 	errJobsLate    = errors.New("reserved jobs were late")
 )
 
-// Run simulates a site and prints the results. It fails if a rule was broken, or if a
-// reserved job was late without having been reported as at risk.
+// Run simulates a site and prints the results. It returns an error, after printing them, if a
+// rule was broken, or if a reserved job was late without having been reported as at risk and
+// reservations were not left out.
 func (e *emulateCommand) Run() error {
 	debug.SetGCPercent(simulationGCPercent)
 	site, err := simulator.LoadSite(e.Site)
@@ -50,7 +51,8 @@
 	return e.check(results)
 }
 
-// simulate runs one simulation for each seed, all in parallel.
+// simulate runs one simulation for each seed, all in parallel, and returns their results in the
+// order of the seeds.
 func (e *emulateCommand) simulate(site *simulator.Site) []*simulator.Result {
 	bar := e.progressBar()
 	results := make([]*simulator.Result, e.Seeds)
@@ -85,8 +87,9 @@
 	)
 }
 
-// check prints the rules that were broken. It returns an error if there are any, or if
-// reserved jobs were late although reservations were not left out.
+// check prints the rules that were broken to the standard error. It returns errRulesBroken if
+// there are any, or errJobsLate if reserved jobs were late, without having been reported as at
+// risk, although reservations were not left out.
 func (e *emulateCommand) check(results []*simulator.Result) error {
 	late, broken := 0, 0
 	for _, r := range results {
--- a/cmd/damsonkeel/emulateprint.go
+++ b/cmd/damsonkeel/emulateprint.go
@@ -22,7 +22,9 @@
 	printClasses(results)
 }
 
-// printReservedJobs prints a table of the reserved jobs and their punctuality.
+// printReservedJobs prints a table with a row for each seed: how many reserved jobs started and
+// how many of them in time, their delays, the starts in maintenance windows, the cost and the
+// number of refused requests.
 func printReservedJobs(results []*simulator.Result) {
 	t := newTable("seed", "days", "reserved jobs", "in time", "late", "late, at risk", "median delay s", "worst s", "starts in windows", "starts", "cost", "refused")
 	for _, r := range results {
@@ -35,7 +37,9 @@
 	t.Render()
 }
 
-// printShardMoves prints a table of the moves of shards between controllers.
+// printShardMoves prints a table with a row for each seed: the moves of shards between
+// controllers, their pauses, the tasks that ended shortly after a move and were started again
+// (stopped ones and, as lost, completed ones), and the number of broken rules.
 func printShardMoves(results []*simulator.Result) {
 	t := newTable("seed", "moves of shares", "given up", "pause p99 s", "stopped by moves", "lost by moves", "rules broken")
 	for _, r := range results {
@@ -47,8 +51,8 @@
 	t.Render()
 }
 
-// printExceptions prints the reserved jobs that were noticeably late and the refused
-// requests.
+// printExceptions prints the reserved jobs that started more than noticeableDelayS late, and the
+// refused requests with their reasons.
 func printExceptions(results []*simulator.Result) {
 	for _, r := range results {
 		for _, o := range r.Occurrences {
@@ -62,8 +66,8 @@
 	}
 }
 
-// printClasses prints a table of the wait and completion times of the classes that are
-// frequent in any of the simulations.
+// printClasses prints a table of the wait and completion times, in seconds, of the classes that
+// are frequent (see isFrequent) in any of the simulations.
 func printClasses(results []*simulator.Result) {
 	frequent := map[string]bool{}
 	for _, r := range results {
--- a/cmd/damsonkeel/entry.go
+++ b/cmd/damsonkeel/entry.go
@@ -31,16 +31,19 @@
 	Name        string `arg:"" help:"Its name."`
 }
 
+// request returns a request with the operation for the window, or otherwise the reservation, of
+// the command's name.
 func (c *entryCommand) request(op operatorapi.Op, window bool) operatorapi.Request {
 	return operatorapi.Request{Op: op, Window: window, Name: record.EntryName(c.Name)}
 }
 
+// show prints the window, or otherwise the reservation, of the command's name.
 func (c *entryCommand) show(window bool) error {
 	return c.sendAndPrint(c.request(operatorapi.OpShow, window))
 }
 
-// cancel reads the current entry and cancels it. An entry of the same name that is created
-// after that read is not cancelled.
+// cancel reads the window, or otherwise the reservation, of the command's name and cancels it. An
+// entry of the same name that is created after that read is not cancelled.
 func (c *entryCommand) cancel(window bool) error {
 	current, err := c.send(c.request(operatorapi.OpShow, window))
 	if err != nil {
--- a/cmd/damsonkeel/key.go
+++ b/cmd/damsonkeel/key.go
@@ -10,7 +10,7 @@
 	Name string `arg:"" help:"Whose key it is."`
 }
 
-// Run prints a new key as a line of a keys file.
+// Run prints a new key, the name with a random secret, as a line of a keys file.
 func (k *keyCommand) Run() error {
 	key, err := operatorapi.NewKey(k.Name)
 	if err != nil {
--- a/cmd/damsonkeel/main.go
+++ b/cmd/damsonkeel/main.go
@@ -1,5 +1,12 @@
 // Command damsonkeel is a cluster scheduler. It contains the daemon, which is the same on
 // every controller, and the operators' commands.
+//
+// Terms of the comments: an entry is a reservation or a maintenance window, or, in the
+// commands about the configuration, a team, class, zone, machine type or setting that
+// operators change while controllers run. A revision is the number of a change of the
+// configuration. A shard, called share in the commands, is a part of the machines that one
+// controller at a time manages; a controller that is cordoned holds none. Members are the
+// controllers that take part at present.
 package main
 
 import (
@@ -25,7 +32,8 @@
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// Exit codes, in addition to kong's for an invalid command line.
+// Exit codes, in addition to 0 for success and kong's for an invalid command line. The codes
+// from 3 on stand for the codes of replies (see exitCodes); exitFailed is for any other error.
 const (
 	exitFailed   = 1
 	exitRefused  = 3
@@ -55,7 +63,8 @@
 	}
 }
 
-// exitCode returns the exit code of a command that failed with an error.
+// exitCode returns the exit code of a command that failed with an error: that of an exitError,
+// otherwise exitFailed.
 func exitCode(err error) int {
 	var exit *exitError
 	if errors.As(err, &exit) {
--- a/cmd/damsonkeel/output.go
+++ b/cmd/damsonkeel/output.go
@@ -13,7 +13,8 @@
 // outputJSON is the value of --output that selects JSON instead of tables.
 const outputJSON = "json"
 
-// newTable returns a table that is printed to the standard output.
+// newTable returns a table with the given column headers that its Render prints to the standard
+// output.
 func newTable(header ...any) table.Writer {
 	t := table.NewWriter()
 	t.SetOutputMirror(os.Stdout)
@@ -22,7 +23,7 @@
 	return t
 }
 
-// joinNames formats a list of names.
+// joinNames formats a list of names, separated by commas.
 func joinNames(entries []record.EntryName) string {
 	var names []string
 	for _, name := range entries {
--- a/cmd/damsonkeel/reserve.go
+++ b/cmd/damsonkeel/reserve.go
@@ -46,7 +46,7 @@
 	reserveCancel struct{ entryCommand }
 )
 
-// Run adds a reservation.
+// Run requests a reservation as the flags specify it, and prints the reply.
 func (a *reserveAdd) Run() error {
 	spec := &record.ReservationSpec{
 		Name:     record.EntryName(a.Name),
@@ -73,17 +73,17 @@
 	})
 }
 
-// Run lists reservations.
+// Run prints a table of all reservations.
 func (l *reserveList) Run() error { return l.listEntries(false) }
 
-// Run shows a reservation.
+// Run prints one reservation with its past occurrences.
 func (s *reserveShow) Run() error { return s.show(false) }
 
-// Run cancels a reservation.
+// Run cancels the reservation of the given name.
 func (c *reserveCancel) Run() error { return c.cancel(false) }
 
-// printReservations prints a table of reservations. For a single one it also prints its
-// times and its past occurrences.
+// printReservations prints a table of reservations. For a single one it also prints
+// when it takes place and its past occurrences.
 func printReservations(reservations []operatorapi.Reservation) {
 	t := newTable("name", "for", "state", "time", "tasks", "held", "started", "at risk", "since")
 	for _, r := range reservations {
--- a/cmd/damsonkeel/run.go
+++ b/cmd/damsonkeel/run.go
@@ -27,7 +27,8 @@
 
 var errLogLevel = errors.New("is none of error, info, debug")
 
-// Run runs a controller until it is terminated.
+// Run reads and checks the settings, and runs a controller until it has shut down after a signal
+// or fails. With Check it returns after the check of the settings.
 //
 //nolint:wrapcheck // the texts of all errors are complete and must not change
 func (c *runCommand) Run() error {
@@ -68,7 +69,7 @@
 	node.Shutdown()
 }
 
-// logLevel parses the value of LOG_LEVEL.
+// logLevel parses the value of LOG_LEVEL; an empty one means info.
 func logLevel(name string) (slog.Level, error) {
 	switch name {
 	case "", "info":
--- a/cmd/damsonkeel/shares.go
+++ b/cmd/damsonkeel/shares.go
@@ -29,17 +29,17 @@
 	End         bool   `help:"Shares move to it again."`
 }
 
-// Run lists the shards.
+// Run prints tables of the controllers and of the shards with their holders.
 func (l *sharesList) Run() error {
 	return l.sendAndPrint(operatorapi.Request{Op: operatorapi.OpShares})
 }
 
-// Run moves shards to a controller.
+// Run requests the handover of shards to a controller. It does not wait for the handover.
 func (m *sharesMove) Run() error {
 	return m.sendAndPrint(operatorapi.Request{Op: operatorapi.OpMove, Controller: protocol.NodeName(m.Controller), Shares: m.Share})
 }
 
-// Run cordons a controller, or ends its cordon.
+// Run cordons a controller, so that it holds no shards, or with End ends its cordon.
 func (a *sharesAway) Run() error {
 	return a.sendAndPrint(operatorapi.Request{Op: operatorapi.OpAway, Controller: protocol.NodeName(a.Controller), End: a.End})
 }
@@ -58,7 +58,8 @@
 	t.Render()
 }
 
-// controllerState formats the state of a controller; empty if it is an ordinary member.
+// controllerState formats the state of a controller: shutting down, cordoned or unreachable by
+// workers, the first that applies. It is empty if none does.
 func controllerState(c *operatorapi.Controller) string {
 	switch {
 	case c.Leaving:
--- a/cmd/damsonkeel/window.go
+++ b/cmd/damsonkeel/window.go
@@ -38,7 +38,7 @@
 	windowCancel struct{ entryCommand }
 )
 
-// Run adds a window.
+// Run requests a maintenance window as the flags specify it, and prints the reply.
 func (a *windowAdd) Run() error {
 	spec := &record.WindowSpec{
 		Name:    record.EntryName(a.Name),
@@ -55,17 +55,17 @@
 	})
 }
 
-// Run lists windows.
+// Run prints a table of all windows.
 func (l *windowList) Run() error { return l.listEntries(true) }
 
-// Run shows a window.
+// Run prints one window and the machines whose tasks are expected to overrun it.
 func (s *windowShow) Run() error { return s.show(true) }
 
-// Run cancels a window.
+// Run cancels the window of the given name.
 func (c *windowCancel) Run() error { return c.cancel(true) }
 
-// printWindows prints a table of windows. For a single one it also prints the machines that
-// overrun it.
+// printWindows prints a table of windows. For a single one it also prints the machines
+// whose tasks are expected to end after its start, and by how much.
 func printWindows(windows []operatorapi.Window) {
 	t := newTable("name", "covers", "next", "lasts", "state")
 	for _, w := range windows {
@@ -82,7 +82,8 @@
 	t.Render()
 }
 
-// windowState formats the state of a window.
+// windowState formats the state of a window: cancelled, open now, over if it has no further
+// occurrence within the period that controllers plan ahead, or otherwise waiting.
 func windowState(w *operatorapi.Window) string {
 	switch {
 	case w.Cancelled:
