--- a/cmd/damsonkeel-scale/main.go
+++ b/cmd/damsonkeel-scale/main.go
@@ -1,6 +1,10 @@
 // Command damsonkeel-scale runs a cluster of many simulated machines in real time on one
 // machine, with real controllers. It measures the resources that each role uses, and checks
 // the rules of the protocol as observed by users and workers.
+//
+// A site is the description, in a TOML file, of the cluster, its load and its faults. A role
+// is what one process of a run does, such as running workers or users. A result holds the
+// metrics and the rule violations of one run.
 package main
 
 import (
@@ -24,7 +28,8 @@
 // errRulesBroken is returned if a run broke rules of the protocol.
 var errRulesBroken = errors.New("times a rule was broken")
 
-// errInvalidFactor is returned for a scale that is out of range.
+// errInvalidFactor is returned for a --scale that is not above 0 and at most
+// siteconfig.MaxScaleFactor.
 var errInvalidFactor = errors.New("--scale")
 
 // commandLine defines the commands.
@@ -34,7 +39,7 @@
 	Role roleCommand `cmd:"" hidden:"" help:"A process of a run; started by play."`
 }
 
-// playCommand runs a site at one or more scales.
+// playCommand runs a site at one or more scales, the factors of its workers and load.
 type playCommand struct {
 	Site   string    `help:"Site to play (TOML, see deploy/scale-small.toml)." required:"" type:"path" placeholder:"FILE"`
 	Seed   uint64    `help:"Seed of what comes and happens." default:"1"`
@@ -44,7 +49,7 @@
 	Root   string    `help:"Checkout whose deploy file says how the service is built." default:"." type:"path"`
 }
 
-// fitCommand fits the metrics of results over the number of workers.
+// fitCommand fits a line to each metric of several results over their numbers of workers.
 type fitCommand struct {
 	Results []string `arg:"" help:"Files of results, as --keep writes them." type:"existingfile"`
 	Output  string   `help:"Form of the slopes: ${enum}." enum:"table,json" default:"table"`
@@ -53,7 +58,8 @@
 // roleCommand runs one role of a run in a process of its own.
 type roleCommand struct{}
 
-// Run fits the metrics of results and prints them.
+// Run reads the result files, fits a line to each metric over the number of workers and prints
+// the slopes.
 func (f *fitCommand) Run() error {
 	runs, err := results.ReadFiles(f.Results)
 	if err != nil {
@@ -70,12 +76,15 @@
 	return nil
 }
 
-// Run runs the role that is described on the standard input.
+// Run runs the role that is described on the standard input until the coordinating process,
+// which started it, commands it to finish or ends.
 func (*roleCommand) Run() error {
 	return scale.RunRole(os.Stdin, os.Stdout, scale.NewLogger(slog.LevelError)) //nolint:wrapcheck // the error names the role
 }
 
-// Run runs a site at each scale and prints the results. It fails if a rule was broken.
+// Run runs a site at each scale, one after the other, and writes the results. It returns
+// errRulesBroken, after writing them, if a rule was broken in any run. If a run fails, it
+// returns the error and writes no results.
 func (p *playCommand) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -125,7 +134,7 @@
 	return nil
 }
 
-// writeFile writes results as JSON to a file.
+// writeFile writes results as JSON to the file at path, which it creates or overwrites.
 func writeFile(path string, runs []*results.Result) error {
 	f, err := os.Create(path)
 	if err != nil {
