--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -6,7 +6,9 @@
 // Each message and record is filled with sample data (see fill), encoded, and compared
 // with a golden file in testdata and with a frozen copy of its struct. To change an
 // encoding on purpose, for example to add a field, edit the frozen copy by hand and
-// rewrite the golden files:
+// rewrite the golden files. A golden file has the encoding of the sample data as it must
+// remain; a frozen copy is a struct of the encoded fields as they were when it was written,
+// independent of the present types:
 //
 //	go test ./internal/compat -update
 package compat
