--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -6,7 +6,7 @@
 // order have the same effects and results, because simulations must be reproducible.
 // Package server serves the models over HTTP.
 //
-// Terms: an agent epoch is the time from one start of a machine's agent to the next. An
+// Terms: an agent epoch is a worker's number that rises each time its lease expires. An
 // attempt is one start of a task. A worker's lease is the time, after the sending of its last
 // answered heartbeat, for which its tasks may run. Times are durations since an arbitrary
 // start that the caller chooses.
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -7,8 +7,8 @@
 // in messages between controllers, which net/rpc encodes by field name.
 //
 // Terms:
-//   - worker: the agent on a machine, which starts and stops tasks there; an agent epoch is
-//     the time from one start of the agent to the next, numbered from 1.
+//   - worker: the agent on a machine, which starts and stops tasks there; its agent epoch is a
+//     number that starts at 1 and rises each time its lease expires and it kills its tasks.
 //   - heartbeat: the regular report of a worker to the controller that holds its shard. Each
 //     accepted one renews the worker's lease; when that expires, the worker ends its tasks.
 //   - shard: a part of the machines, served by one controller, its holder.
@@ -38,7 +38,7 @@
 //	hulls         Types        machine types that a job may use, or those of the catalogue
 //	quay          Zone         zone, a failure domain
 //	together      OneZone      whether all tasks must run in the same zone
-//	scatter       Spread       whether the tasks must run on different machines
+//	scatter       Spread       whether at most half of the tasks, rounded up, may be in one zone
 //	driftstock    Spot         whether a job may use spot machines, or a machine is one
 //	passage_s     EstimateS    estimated run time of a task
 //	logmark_s     CheckpointS  checkpoint interval
@@ -90,8 +90,8 @@
 //	sku            Name        name of a machine type
 //	cache_gb       CacheGB     size of the image cache
 //	pull_gb_per_s  FetchGBPS   rate at which images are fetched
-//	price          Price       price of an on-demand machine per hour, charged by the second (see TypeInfo)
-//	market_price   SpotPrice   price of a spot machine per hour, charged in the same way
+//	price          Price       price of an on-demand machine per hour (see TypeInfo)
+//	market_price   SpotPrice   price of a spot machine per hour
 //	ready_s        BootS       time to provision a machine
 //	quays          AllowZones  zones that have the machine type
 //	charter        Name        idempotency key of a provision request
--- a/internal/scale/monitor/monitor.go
+++ b/internal/scale/monitor/monitor.go
@@ -75,8 +75,8 @@
 	return d.Number
 }
 
-// enqueueForAllWorkers adds a directive for every process to which a machine was ever assigned. The caller holds
-// the lock.
+// enqueueForAllWorkers adds a directive for every process to which a machine was ever assigned.
+// The caller holds the lock.
 func (m *Monitor) enqueueForAllWorkers(d Directive) {
 	for _, p := range m.processes {
 		if p.hasWorkers {
--- a/internal/scale/siteconfig/topology.go
+++ b/internal/scale/siteconfig/topology.go
@@ -41,7 +41,8 @@
 	return &out
 }
 
-// RegionOfZone returns the region of a zone, both counted from 0. Zones are assigned to regions round-robin.
+// RegionOfZone returns the region of a zone, both counted from 0. Zones are assigned to regions
+// round-robin.
 func (s *Site) RegionOfZone(zone int) int { return zone % s.Regions }
 
 // ZoneName returns the name of a zone, which consists of its region and its number within the
@@ -50,8 +51,8 @@
 	return protocol.Zone(fmt.Sprintf("r%dz%d", s.RegionOfZone(zone)+1, zone/s.Regions+1))
 }
 
-// ZoneOfController returns the zone of a controller, both counted from 0. Consecutive controllers are in different
-// regions if there are several.
+// ZoneOfController returns the zone of a controller, both counted from 0. Consecutive
+// controllers are in different regions if there are several.
 func (s *Site) ZoneOfController(controller int) int { return controller % s.Zones }
 
 // TeamNames returns the names of all teams, in the order of the site: the prefix with a number of
--- a/internal/serviceclient/call.go
+++ b/internal/serviceclient/call.go
@@ -33,8 +33,8 @@
 
 // Call sends a request and waits for its response for at most timeout. It encodes in as the
 // request body unless in is nil, and decodes the response body into out unless out is nil. It
-// returns an error if in can't be encoded or there is no response, or the error of DecodeResponse. After a request
-// without a response it closes the client's idle connections.
+// returns an error if in can't be encoded or there is no response, or the error of
+// DecodeResponse. After a request without a response it closes the client's idle connections.
 func Call(ctx context.Context, client *transport.Client, timeout time.Duration, method, target string, in, out any) error {
 	var body []byte
 	if in != nil {
