--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -16,32 +16,35 @@
 
 const (
 	callTimeout = 5 * time.Second
-	// ratePart is the part of the cloud's rate that each controller may use.
-	ratePart = 0.6
-	// burstSeconds is how many seconds' worth of the rate may be used at once.
+	// rateFraction is the fraction of the cloud's request rate that each controller may use.
+	rateFraction = 0.6
+	// burstSeconds is the size of a burst in seconds of the controller's rate.
 	burstSeconds = 2
-	// pageSize is how many machines a page of the list has.
+	// pageSize is the number of machines to request per page of the machine list.
 	pageSize = 500
 )
 
-// Client is a client of the cloud that keeps to this controller's part of its rate.
+// Client sends requests to the cloud, limited to this controller's fraction of the
+// cloud's request rate.
 type Client struct {
-	client *transport.Client
-	limit  *rate.Limiter
+	client  *transport.Client
+	limiter *rate.Limiter
 }
 
-// NewClient makes a client of the cloud at addr. One controller at a time provisions and
-// lists machines, and the others only read the catalogue once a minute, so each may use
-// most of the configured rate. What two of them exceed during a failover the cloud
-// refuses, without harm.
+// NewClient returns a client of the cloud at addr that accepts rps requests per second
+// from all controllers together. Only one controller at a time provisions and lists
+// machines, and the others only read the catalogue once a minute, so each controller may
+// use most of the rate. During a failover two controllers may exceed the rate together;
+// the cloud then refuses the excess requests, which is harmless.
 func NewClient(addr string, rps float64) *Client {
-	part := rps * ratePart
-	burst := max(1, int(burstSeconds*part))
-	return &Client{client: transport.NewClient(addr), limit: rate.NewLimiter(rate.Limit(part), burst)}
+	limit := rps * rateFraction
+	burst := max(1, int(burstSeconds*limit))
+	return &Client{client: transport.NewClient(addr), limiter: rate.NewLimiter(rate.Limit(limit), burst)}
 }
 
+// do waits for the rate limiter and sends a request.
 func (c *Client) do(ctx context.Context, method, target string, in, out any) error {
-	if err := c.limit.Wait(ctx); err != nil {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return serviceclient.ErrRefused
 	}
 	if err := serviceclient.Call(ctx, c.client, callTimeout, method, target, in, out); err != nil {
@@ -50,26 +53,26 @@
 	return nil
 }
 
-// Catalogue reads the machine types.
+// Catalogue reads the catalogue of machine types.
 func (c *Client) Catalogue(ctx context.Context) (protocol.Catalogue, error) {
 	var catalogue protocol.Catalogue
 	err := c.do(ctx, http.MethodGet, "/catalog", nil, &catalogue)
 	return catalogue, err
 }
 
-// Provision provisions machines.
+// Provision provisions machines and returns their ids.
 func (c *Client) Provision(ctx context.Context, r protocol.ProvisionRequest) ([]protocol.MachineID, error) {
 	var provisioned protocol.MachineNames
 	err := c.do(ctx, http.MethodPost, "/hosts", r, &provisioned)
 	return provisioned.Machines, err
 }
 
-// Terminate terminates machines. Without an error they no longer exist.
+// Terminate terminates machines. If it returns no error, they no longer exist.
 func (c *Client) Terminate(ctx context.Context, ids []protocol.MachineID) error {
 	return c.do(ctx, http.MethodPost, "/hosts/delete", protocol.MachineNames{Machines: ids}, nil)
 }
 
-// ListMachines lists all machines, page by page.
+// ListMachines reads all pages of the machine list.
 func (c *Client) ListMachines(ctx context.Context) ([]protocol.ListedMachine, error) {
 	var all []protocol.ListedMachine
 	after := ""
--- a/internal/cloud/doc.go
+++ b/internal/cloud/doc.go
@@ -1,5 +1,5 @@
-// Package cloud is a client of the service that provisions and terminates machines.
+// Package cloud is a client of the cloud service that provisions and terminates machines.
 //
-// The package owns its connections and keeps to this controller's part of the cloud's
-// rate of requests. Which machines to provision is decided elsewhere.
+// The package owns its connections and limits its request rate to this controller's
+// fraction of the cloud's rate. The autoscaler decides which machines to provision.
 package cloud
--- a/internal/serviceclient/doc.go
+++ b/internal/serviceclient/doc.go
@@ -1,6 +1,6 @@
-// Package serviceclient sends one CBOR request to a service of the platform and turns
-// its response into a value or a typed error. The clients of the key-value store and of
-// the cloud are built on it.
+// Package serviceclient sends a CBOR request to a service of the platform and converts
+// the response into a value or a typed error. The clients of the key-value store and of
+// the cloud use it.
 //
-// The package has no state: connections and rate limits belong to its callers.
+// The package has no state. Its callers own the connections and the rate limits.
 package serviceclient
--- a/internal/transport/chunks.go
+++ b/internal/transport/chunks.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// maxChunkLine is the longest line with the size of a chunk.
+	// maxChunkLine is the maximum length of a chunk-size line, in bytes.
 	maxChunkLine = 1024
-	// chunkSizeBits bounds the size of a chunk.
+	// chunkSizeBits limits the size of a chunk to 31 bits.
 	chunkSizeBits = 31
 )
 
 var errMalformedChunk = &StatusError{http.StatusBadRequest, "malformed chunk"}
 
-// readChunks decodes a chunked body and returns how many bytes of buf it used, 0 if the
-// body is incomplete.
-func readChunks(buf []byte, maxBody int) (body []byte, used int, err error) {
+// readChunks decodes the chunked body at the start of buf. It returns the body and the
+// number of bytes that it consumed, which is 0 if the body is incomplete.
+func readChunks(buf []byte, maxBody int) (body []byte, consumed int, err error) {
 	rest := buf
 	for {
 		end := bytes.Index(rest, []byte(lineEnd))
@@ -28,7 +28,7 @@
 			}
 			return nil, 0, nil
 		}
-		digits, _, _ := strings.Cut(string(rest[:end]), ";") // extensions follow
+		digits, _, _ := strings.Cut(string(rest[:end]), ";") // skips chunk extensions
 		parsed, err := strconv.ParseUint(strings.TrimSpace(digits), 16, chunkSizeBits)
 		if err != nil {
 			return nil, 0, errMalformedChunk
@@ -56,8 +56,8 @@
 	}
 }
 
-// skipTrailer returns the size of the trailer after the last chunk with the empty line at
-// its end, 0 if it is incomplete.
+// skipTrailer returns the size of the trailer that follows the last chunk, including the
+// empty line at its end. The size is 0 if the trailer is incomplete.
 func skipTrailer(rest []byte) (size int, err error) {
 	for start := 0; ; {
 		end := bytes.Index(rest[start:], []byte(lineEnd))
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -12,11 +12,12 @@
 
 const (
 	dialTimeout = time.Second
-	// idleConnTimeout is how long an idle connection can be used again.
+	// idleConnTimeout is how long an idle connection may be reused.
 	idleConnTimeout = 20 * time.Second
-	// maxIdleConns is how many idle connections are open to an address.
+	// maxIdleConns is the maximum number of idle connections of a client.
 	maxIdleConns = 8
-	readSize     = 8 << 10
+	// readSize is the size of the read buffer of a connection, in bytes.
+	readSize = 8 << 10
 )
 
 // Client sends requests to one address and reuses its connections.
@@ -27,7 +28,7 @@
 	idle []*clientConn
 }
 
-// clientConn is one connection of a client, with one request at a time.
+// clientConn is one connection of a client. It carries one request at a time.
 type clientConn struct {
 	conn     net.Conn
 	parser   *Parser
@@ -35,15 +36,15 @@
 	buf      [readSize]byte
 }
 
-// close closes the connection. An error of that changes nothing: the connection is not
-// used any more.
+// close closes the connection. It ignores the error because the connection is not used
+// any more.
 func (cc *clientConn) close() { _ = cc.conn.Close() }
 
-// NewClient makes a client of addr.
+// NewClient returns a client that sends its requests to addr.
 func NewClient(addr string) *Client { return &Client{addr: addr} }
 
-// Do sends a request and waits for its response until ctx ends. After an error it is not
-// known whether the request was executed, or will be.
+// Do sends a request and waits for its response until ctx ends. After an error the
+// outcome is unknown: the server may have executed the request, or may still execute it.
 func (c *Client) Do(ctx context.Context, method, target string, body []byte) (*Message, error) {
 	cc, err := c.connection(ctx)
 	if err != nil {
@@ -62,7 +63,7 @@
 	return m, nil
 }
 
-// connection returns an idle connection, or a new one.
+// connection returns an idle connection, or opens a new one.
 func (c *Client) connection(ctx context.Context) (*clientConn, error) {
 	if cc := c.takeIdle(time.Now()); cc != nil {
 		return cc, nil
@@ -75,8 +76,8 @@
 	return &clientConn{conn: conn, parser: NewResponseParser()}, nil
 }
 
-// takeIdle returns the connection that was used last, and closes those that were idle for
-// too long.
+// takeIdle removes and returns the most recently used idle connection, or nil if there is
+// none. It closes the connections that were idle for too long.
 func (c *Client) takeIdle(now time.Time) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// release makes a connection idle.
+// release adds a connection to the idle ones, or closes it if there are enough of them.
 func (c *Client) release(cc *clientConn) {
 	cc.lastUsed = time.Now()
 	c.mu.Lock()
@@ -103,8 +104,8 @@
 	c.idle = append(c.idle, cc)
 }
 
-// CloseIdleConnections closes the idle connections. It is called after a request failed: the others
-// are likely to be dead too.
+// CloseIdleConnections closes the idle connections. Callers call it after a failed
+// request, because the other connections to the server are probably broken too.
 func (c *Client) CloseIdleConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,7 +138,7 @@
 			continue
 		case m != nil:
 			if cc.parser.Partial() {
-				m.Close = true // bytes after the response: the connection can't be reused
+				m.Close = true // the connection can't be reused: unexpected bytes follow the response
 			}
 			return m, nil
 		case errors.Is(err, io.EOF):
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -12,17 +12,17 @@
 
 	minStatus = 100
 	maxStatus = 599
-	// informational is the first digit of the statuses of interim responses.
-	informational = 1
+	// informationalClass is the first digit of the status codes of interim responses.
+	informationalClass = 1
 
-	// lengthBits bounds Content-Length so that it fits into an int.
+	// lengthBits limits Content-Length so that it fits into an int.
 	lengthBits = 62
-	// unknownLength is the length of a body without a Content-Length.
+	// unknownLength is the framing length of a message without a Content-Length field.
 	unknownLength = -1
 )
 
-// framing is how the end of a body is found: after length bytes, after its last chunk or
-// at the end of the stream.
+// framing describes where a body ends: after length bytes, after its last chunk or at
+// the end of the stream.
 type framing struct {
 	length   int
 	chunked  bool
@@ -37,32 +37,33 @@
 	maxBody int
 }
 
-// parseHead parses a head without the empty line at its end.
-func parseHead(head string, response bool, maxBody int) (*Message, framing, error) {
+// parseHead parses the head of a message. The head must not include the empty line at its
+// end.
+func parseHead(head string, isResponse bool, maxBody int) (*Message, framing, error) {
 	h := headParser{message: &Message{}, framing: framing{length: unknownLength}, maxBody: maxBody}
 	line, fields, _ := strings.Cut(head, lineEnd)
-	if err := h.startLine(line, response); err != nil {
+	if err := h.parseStartLine(line, isResponse); err != nil {
 		return nil, framing{}, err
 	}
 	for fields != "" {
 		line, fields, _ = strings.Cut(fields, lineEnd)
-		if err := h.field(line); err != nil {
+		if err := h.parseField(line); err != nil {
 			return nil, framing{}, err
 		}
 	}
-	if err := h.finish(response); err != nil {
+	if err := h.determineFraming(isResponse); err != nil {
 		return nil, framing{}, err
 	}
 	return h.message, h.framing, nil
 }
 
-// startLine parses the first line of a request or a response.
-func (h *headParser) startLine(line string, response bool) error {
-	if response {
-		if err := h.statusLine(line); err != nil {
+// parseStartLine parses the first line of a request or a response.
+func (h *headParser) parseStartLine(line string, isResponse bool) error {
+	if isResponse {
+		if err := h.parseStatusLine(line); err != nil {
 			return err
 		}
-	} else if err := h.requestLine(line); err != nil {
+	} else if err := h.parseRequestLine(line); err != nil {
 		return err
 	}
 	switch h.version {
@@ -75,7 +76,8 @@
 	return nil
 }
 
-func (h *headParser) requestLine(line string) error {
+// parseRequestLine parses the method, the target and the version.
+func (h *headParser) parseRequestLine(line string) error {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") {
 		return &StatusError{http.StatusBadRequest, "malformed request line"}
@@ -85,7 +87,8 @@
 	return nil
 }
 
-func (h *headParser) statusLine(line string) error {
+// parseStatusLine parses the version and the status code. It ignores the reason phrase.
+func (h *headParser) parseStatusLine(line string) error {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
@@ -96,8 +99,8 @@
 	return nil
 }
 
-// field parses one header field; unknown ones are ignored.
-func (h *headParser) field(line string) error {
+// parseField parses one header field. It ignores unknown fields.
+func (h *headParser) parseField(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
 		return &StatusError{http.StatusBadRequest, "malformed header line"}
@@ -105,11 +108,11 @@
 	value = strings.Trim(value, " \t")
 	switch {
 	case strings.EqualFold(name, "Content-Length"):
-		return h.contentLength(value)
+		return h.parseContentLength(value)
 	case strings.EqualFold(name, "Transfer-Encoding"):
-		return h.transferEncoding(value)
+		return h.parseTransferEncoding(value)
 	case strings.EqualFold(name, "Connection"):
-		h.connection(value)
+		h.parseConnection(value)
 	case strings.EqualFold(name, "Retry-After"):
 		if seconds, err := strconv.Atoi(value); err == nil && seconds > 0 {
 			h.message.RetryAfterS = seconds
@@ -118,7 +121,7 @@
 	return nil
 }
 
-func (h *headParser) contentLength(value string) error {
+func (h *headParser) parseContentLength(value string) error {
 	length, err := strconv.ParseUint(value, 10, lengthBits)
 	known := h.framing.length != unknownLength
 	if err != nil || known && h.framing.length != int(length) {
@@ -131,7 +134,7 @@
 	return nil
 }
 
-func (h *headParser) transferEncoding(value string) error {
+func (h *headParser) parseTransferEncoding(value string) error {
 	if !strings.EqualFold(value, "chunked") || h.framing.chunked {
 		return &StatusError{http.StatusNotImplemented, "unknown transfer encoding"}
 	}
@@ -139,7 +142,7 @@
 	return nil
 }
 
-func (h *headParser) connection(value string) {
+func (h *headParser) parseConnection(value string) {
 	for option := range strings.SplitSeq(value, ",") {
 		option = strings.TrimSpace(option)
 		switch {
@@ -151,24 +154,24 @@
 	}
 }
 
-// finish determines the framing of the body when all fields are parsed.
-func (h *headParser) finish(response bool) error {
+// determineFraming determines the framing of the body after all header fields are parsed.
+func (h *headParser) determineFraming(isResponse bool) error {
 	known := h.framing.length != unknownLength
 	switch {
 	case h.framing.chunked && known:
 		return &StatusError{http.StatusBadRequest, "both Content-Length and Transfer-Encoding"}
 	case !h.framing.chunked && !known:
 		h.framing.length = 0
-		h.framing.untilEOF = response && mayHaveBody(h.message.Status)
+		h.framing.untilEOF = isResponse && mayHaveBody(h.message.Status)
 	}
 	return nil
 }
 
-// mayHaveBody reports whether a response with the status may have a body.
+// mayHaveBody reports whether a response with the given status may have a body.
 func mayHaveBody(status int) bool {
 	return status != http.StatusNoContent && status != http.StatusNotModified && !isInformational(status)
 }
 
-// isInformational reports whether the status is that of an interim response, which
-// another response to the same request follows.
-func isInformational(status int) bool { return status/100 == informational }
+// isInformational reports whether a response with the given status is an interim one: the
+// final response to the same request follows it.
+func isInformational(status int) bool { return status/100 == informationalClass }
--- a/internal/transport/message.go
+++ b/internal/transport/message.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Limits of messages that are read.
+// Limits of received messages, in bytes.
 const (
 	MaxHead         = 8 << 10
 	MaxRequestBody  = 64 << 10
@@ -14,14 +14,15 @@
 
 // Message is an HTTP request or response.
 type Message struct {
-	Method, Path, Query string // of a request
-	Status              int    // of a response
-	Close               bool   // whether the sender closes the connection after it
-	RetryAfterS         int    // of a response; 0 if it is not given
+	Method, Path, Query string // requests only
+	Status              int    // responses only
+	Close               bool   // whether the sender closes the connection after the message
+	RetryAfterS         int    // Retry-After of a response, in seconds; 0 if absent
 	Body                []byte
 }
 
-// statusText has the reason phrases of responses. Those of net/http are older.
+// statusText maps status codes to reason phrases. Some phrases of net/http are from an
+// older HTTP specification.
 var statusText = map[int]string{
 	http.StatusOK:                          "OK",
 	http.StatusCreated:                     "Created",
@@ -41,7 +42,7 @@
 	http.StatusGatewayTimeout:              "Gateway Timeout",
 }
 
-// AppendResponse appends a response to b.
+// AppendResponse appends the encoded response m to b.
 func AppendResponse(b []byte, m *Message) []byte {
 	text := statusText[m.Status]
 	if text == "" {
@@ -63,7 +64,7 @@
 	return append(b, m.Body...)
 }
 
-// AppendRequest appends a request to b; target is the path and the query.
+// AppendRequest appends an encoded request to b. The target is the path with the query.
 func AppendRequest(b []byte, method, host, target string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -77,7 +78,7 @@
 	return append(b, body...)
 }
 
-// appendBodyFields appends the header fields of a body.
+// appendBodyFields appends the header fields that describe a body.
 func appendBodyFields(b, body []byte) []byte {
 	b = append(b, "\r\nContent-Type: application/cbor\r\nContent-Length: "...)
 	return strconv.AppendInt(b, int64(len(body)), 10)
--- a/internal/transport/parser.go
+++ b/internal/transport/parser.go
@@ -11,7 +11,8 @@
 	endOfHead = "\r\n\r\n"
 )
 
-// StatusError is a malformed message, and the status with which its sender is answered.
+// StatusError reports a malformed message. Status is the status code of the response to
+// its sender.
 type StatusError struct {
 	Status  int
 	Problem string
@@ -25,29 +26,29 @@
 	errBodyTooLarge = &StatusError{http.StatusRequestEntityTooLarge, "body too large"}
 )
 
-// Parser splits a stream of bytes into messages. The result does not depend on the
-// pieces in which the stream is fed.
+// Parser parses a stream of bytes into messages. The result does not depend on how the
+// stream is split across calls of Feed.
 type Parser struct {
-	response bool
-	maxBody  int
-	buf      []byte
-	head     *Message // parsed, and its body is incomplete; nil between messages
-	framing  framing  // of the body of head
+	isResponse bool
+	maxBody    int
+	buf        []byte
+	head       *Message // message whose head is parsed and whose body is incomplete; nil between messages
+	framing    framing  // framing of the body of head
 }
 
-// NewRequestParser makes a parser of requests.
+// NewRequestParser returns a parser of requests.
 func NewRequestParser() *Parser { return &Parser{maxBody: MaxRequestBody} }
 
-// NewResponseParser makes a parser of responses.
-func NewResponseParser() *Parser { return &Parser{response: true, maxBody: maxResponseBody} }
+// NewResponseParser returns a parser of responses.
+func NewResponseParser() *Parser { return &Parser{isResponse: true, maxBody: maxResponseBody} }
 
-// Feed adds the next bytes of the stream.
+// Feed appends the next bytes of the stream to the buffer.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Buffered is the number of bytes that are not part of a message yet.
+// Buffered returns the number of bytes that are not parsed yet.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// Partial reports whether a message has begun and is incomplete.
+// Partial reports whether the parser holds an incomplete message.
 func (p *Parser) Partial() bool { return p.head != nil || len(p.buf) > 0 }
 
 // Next returns the next complete message, or nil if there is none yet. After an error
@@ -71,8 +72,8 @@
 	return m, nil
 }
 
-// EOF ends the stream. It returns a response whose body extends to the end of the
-// stream, if the last message is one.
+// EOF marks the end of the stream. If the last message is a response whose body extends
+// to the end of the stream, EOF returns it; otherwise EOF returns nil.
 func (p *Parser) EOF() *Message {
 	if p.head == nil || !p.framing.untilEOF {
 		return nil
@@ -83,9 +84,9 @@
 	return m
 }
 
-// readHead parses a head out of the buffer, if it is complete.
+// readHead parses a head and removes it from the buffer, if it is complete.
 func (p *Parser) readHead() (complete bool, err error) {
-	if !p.response {
+	if !p.isResponse {
 		p.skipEmptyLines()
 	}
 	end := bytes.Index(p.buf, []byte(endOfHead))
@@ -95,29 +96,30 @@
 	if end < 0 {
 		return false, nil
 	}
-	if p.head, p.framing, err = parseHead(string(p.buf[:end]), p.response, p.maxBody); err != nil {
+	if p.head, p.framing, err = parseHead(string(p.buf[:end]), p.isResponse, p.maxBody); err != nil {
 		return false, err
 	}
 	p.buf = p.buf[end+len(endOfHead):]
 	return true, nil
 }
 
-// skipEmptyLines skips the empty lines that are allowed before a request.
+// skipEmptyLines removes the empty lines that HTTP allows before a request.
 func (p *Parser) skipEmptyLines() {
 	for len(p.buf) > 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') {
 		p.buf = p.buf[1:]
 	}
 }
 
-// readBody takes the body of head out of the buffer, if it is complete.
+// readBody decodes the body of the message in head and removes it from the buffer, if it
+// is complete.
 func (p *Parser) readBody() (body []byte, complete bool, err error) {
 	switch {
 	case p.framing.chunked:
-		body, used, err := readChunks(p.buf, p.maxBody)
-		if err != nil || used == 0 {
+		body, consumed, err := readChunks(p.buf, p.maxBody)
+		if err != nil || consumed == 0 {
 			return nil, false, err
 		}
-		p.buf = p.buf[used:]
+		p.buf = p.buf[consumed:]
 		return body, true, nil
 	case p.framing.untilEOF:
 		if len(p.buf) > p.maxBody {
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// acceptRetry is how long the server waits after it failed to accept a connection.
+// acceptRetry is the delay before the server accepts again after a failure.
 const acceptRetry = 100 * time.Millisecond
 
-// ErrTimeout is returned if a peer did not respond in time.
+// ErrTimeout reports that a peer did not respond within the timeout of a call.
 var ErrTimeout = errors.New("peer did not answer in time")
 
-// ServePeers serves peers' calls of service, registered as name, on addr.
+// ServePeers registers service under name and serves the calls of other controllers on
+// addr. It returns once it listens.
 func ServePeers(addr, name string, service any, log *slog.Logger) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(name, service); err != nil {
@@ -42,25 +43,26 @@
 	}
 }
 
-// Peer calls one other controller. It has one connection, which all calls share.
+// Peer is a client of one other controller. All calls share one connection.
 type Peer struct {
 	addr string
 	dial func(addr string, timeout time.Duration) (net.Conn, error)
 
 	mu      sync.Mutex
 	client  *rpc.Client
-	dialing chan struct{} // closed when the current attempt to connect has ended; nil without one
+	dialing chan struct{} // closed when the current connection attempt ends; nil if there is none
 }
 
-// NewPeer makes a client of the controller at addr.
+// NewPeer returns a client of the controller at addr.
 func NewPeer(addr string) *Peer {
 	return &Peer{addr: addr, dial: func(addr string, timeout time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp", addr, timeout)
 	}}
 }
 
-// Call calls a method and waits at most timeout. After an error it is not known whether
-// the call was executed.
+// Call calls a method of the peer. It waits at most timeout for a connection, and as long
+// again for the reply. After an error the outcome is unknown: the peer may have executed
+// the call.
 func (p *Peer) Call(method string, args, reply any, timeout time.Duration) error {
 	client, err := p.connect(timeout)
 	if err != nil {
@@ -85,9 +87,10 @@
 	return fmt.Errorf("call %s of %s: %w", method, p.addr, err)
 }
 
-// connect returns the connection. Concurrent calls share one attempt to connect, and each
-// waits for it no longer than its own timeout: with an attempt each, one after the other,
-// they would wait for an unreachable peer many times as long.
+// connect returns the connection, and opens it if necessary. Concurrent calls share one
+// connection attempt, and each waits for it no longer than its own timeout. If each call
+// made its own attempt, one after the other, the last call to an unreachable peer would
+// fail only after the sum of all timeouts.
 func (p *Peer) connect(timeout time.Duration) (*rpc.Client, error) {
 	p.mu.Lock()
 	if p.client != nil {
@@ -113,7 +116,7 @@
 	return p.client, nil
 }
 
-// awaitConnection waits for the attempt to connect of another call.
+// awaitConnection waits for the connection attempt of another call.
 func (p *Peer) awaitConnection(done <-chan struct{}, timeout time.Duration) (*rpc.Client, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -129,12 +132,12 @@
 	return p.client, nil
 }
 
-// drop closes a connection after an error, so that the next call connects again.
+// drop closes a connection after an error, so that the next call opens a new one.
 func (p *Peer) drop(client *rpc.Client) {
 	p.mu.Lock()
 	if p.client == client {
 		p.client = nil
 	}
 	p.mu.Unlock()
-	_ = client.Close() // of several calls that drop it, only the first succeeds
+	_ = client.Close() // fails if a concurrent call has closed it already
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -12,36 +12,40 @@
 )
 
 const (
-	// idleTimeout closes connections without a request.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 3 * time.Minute
-	// partialTimeout closes connections with an incomplete request.
+	// partialTimeout is the time after which a connection with an incomplete request is
+	// closed.
 	partialTimeout = 15 * time.Second
-	// sweepInterval is how often the timeouts are checked.
+	// sweepInterval is the interval at which the timeouts are checked.
 	sweepInterval = time.Second
-	// maxPipelined is how many bytes may be buffered while a request is processed.
+	// maxPipelined is the maximum number of bytes that a connection buffers while it
+	// processes a request.
 	maxPipelined = MaxHead + MaxRequestBody
 )
 
 var errLoopEnded = errors.New("the event loop ended")
 
-// Reply sends the response to a request. It may be called from any goroutine; only the
+// Reply sends the response to a request. It may be called from any goroutine. Only the
 // first call has an effect.
 type Reply func(*Message)
 
-// Handler processes a request on the event loop. It must not block, and may reply later.
+// Handler processes a request on the event loop. It must not block. It may call the Reply
+// after it has returned.
 type Handler func(*Message, Reply)
 
-// Server serves HTTP requests on one evio loop.
+// Server serves HTTP requests on one evio event loop.
 type Server struct {
 	handler  Handler
 	maxConns int
 	log      *slog.Logger
 
-	// conns is only accessed on the loop.
+	// conns is only accessed on the event loop.
 	conns map[*serverConn]struct{}
 }
 
-// serverConn is one connection. All but what mu guards is only accessed on the loop.
+// serverConn is one connection. The fields that mu does not guard are only accessed on the
+// event loop.
 type serverConn struct {
 	conn     evio.Conn
 	parser   *Parser
@@ -50,16 +54,16 @@
 	closing  bool
 
 	mu       sync.Mutex
-	inLoop   bool // the loop is in data and takes the response without a wake-up
+	inLoop   bool // whether onData is running, which sends the response without a wake-up
 	response *Message
 }
 
-// NewServer makes a server with at most maxConns connections.
+// NewServer returns a server that keeps at most maxConns connections open.
 func NewServer(handler Handler, maxConns int, log *slog.Logger) *Server {
 	return &Server{handler: handler, maxConns: maxConns, log: log, conns: map[*serverConn]struct{}{}}
 }
 
-// Serve serves on addr and calls ready when it listens. It only returns with an error.
+// Serve serves on addr and calls ready once it listens. It returns only after an error.
 func (s *Server) Serve(addr string, ready func()) error {
 	var events evio.Events
 	events.NumLoops = 1
@@ -67,9 +71,9 @@
 		ready()
 		return evio.None
 	}
-	events.Opened = s.opened
-	events.Closed = s.closed
-	events.Data = s.data
+	events.Opened = s.onOpened
+	events.Closed = s.onClosed
+	events.Data = s.onData
 	events.Tick = s.sweep
 	if err := evio.Serve(events, "tcp://"+addr); err != nil {
 		return fmt.Errorf("serve %s: %w", addr, err)
@@ -77,21 +81,22 @@
 	return fmt.Errorf("serve %s: %w", addr, errLoopEnded)
 }
 
-func (s *Server) opened(c evio.Conn) (out []byte, opts evio.Options, action evio.Action) {
+func (s *Server) onOpened(c evio.Conn) (out []byte, opts evio.Options, action evio.Action) {
 	sc := &serverConn{conn: c, parser: NewRequestParser(), lastUsed: time.Now()}
 	c.SetContext(sc)
 	s.conns[sc] = struct{}{}
 	opts.ReuseInputBuffer = true
-	// The loop ends when accepting fails for lack of file descriptors, so the number of
-	// connections stays below the limit: the one that was idle longest is closed.
+	// The event loop ends if accepting a connection fails for lack of file descriptors.
+	// To keep the number of connections below the limit, the server closes the connection
+	// that was idle longest, or the new connection if no other one is idle.
 	if len(s.conns) > s.maxConns && !s.evictIdle(sc) {
 		return nil, opts, evio.Close
 	}
 	return nil, opts, evio.None
 }
 
-// evictIdle closes the connection that was idle longest, other than except, and reports
-// whether there is one.
+// evictIdle closes the connection that was idle longest, apart from except. It reports
+// whether it found an idle connection.
 func (s *Server) evictIdle(except *serverConn) bool {
 	var oldest *serverConn
 	for sc := range s.conns {
@@ -109,22 +114,22 @@
 	return true
 }
 
-// closeOnLoop has the loop close the connection.
+// closeOnLoop marks the connection for closing and wakes up the event loop, which closes it.
 func (sc *serverConn) closeOnLoop() {
 	sc.closing = true
 	sc.conn.Wake()
 }
 
-func (s *Server) closed(c evio.Conn, _ error) evio.Action {
+func (s *Server) onClosed(c evio.Conn, _ error) evio.Action {
 	if sc, ok := c.Context().(*serverConn); ok {
 		delete(s.conns, sc)
 	}
 	return evio.None
 }
 
-// data is called with the bytes that were read, or with none after a wake-up. It returns
+// onData is the evio callback for received bytes; after a wake-up there are none. It returns
 // the bytes to write.
-func (s *Server) data(c evio.Conn, in []byte) ([]byte, evio.Action) {
+func (s *Server) onData(c evio.Conn, in []byte) ([]byte, evio.Action) {
 	sc, ok := c.Context().(*serverConn)
 	if !ok {
 		return nil, evio.Close
@@ -170,7 +175,7 @@
 	}
 }
 
-// statusOf is the status of the response to a request that can't be parsed.
+// statusOf returns the status code of the response to a request that can't be parsed.
 func statusOf(err error) int {
 	var statusError *StatusError
 	if errors.As(err, &statusError) {
@@ -179,8 +184,8 @@
 	return http.StatusBadRequest
 }
 
-// takeResponse returns the response of the request that is processed; nil if there is
-// none yet. Its reply then wakes the loop up.
+// takeResponse returns the response to the current request, or nil if the handler has not
+// replied yet. In that case the later reply wakes up the event loop.
 func (sc *serverConn) takeResponse() *Message {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
@@ -190,7 +195,8 @@
 	return response
 }
 
-// replier makes the Reply of one request.
+// replier returns the Reply for one request. If closing is set, the connection is closed
+// after the response.
 func (sc *serverConn) replier(closing bool) Reply {
 	var once sync.Once
 	return func(m *Message) {
@@ -207,7 +213,7 @@
 	}
 }
 
-// sweep closes connections whose timeout has passed.
+// sweep closes the connections that have exceeded their timeout.
 func (s *Server) sweep() (time.Duration, evio.Action) {
 	now := time.Now()
 	for sc := range s.conns {
