--- a/internal/scale/clock/clock.go
+++ b/internal/scale/clock/clock.go
@@ -9,17 +9,17 @@
 
 // Now returns the machine's monotonic time, which is the same in all processes of a run.
 func Now() time.Duration {
-	var at unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &at); err != nil {
-		panic(err) // every Linux has this clock
+	var timespec unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &timespec); err != nil {
+		panic(err) // unreachable: every Linux has this clock
 	}
-	return time.Duration(at.Nano())
+	return time.Duration(timespec.Nano())
 }
 
-// Seconds turns a setting in seconds into a duration.
+// Seconds converts a number of seconds from a setting to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Milliseconds turns a setting in milliseconds into a duration.
+// Milliseconds converts a number of milliseconds from a setting to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Sleep waits for a duration or until the context ends.
--- a/internal/scale/clock/doc.go
+++ b/internal/scale/clock/doc.go
@@ -1,3 +1,3 @@
-// Package clock gives all processes of a run the same monotonic time, and converts the
-// durations of settings. It holds no state.
+// Package clock provides a monotonic time that is the same in all processes of a run, and
+// converts durations from settings. It holds no state.
 package clock
--- a/internal/scale/forwarder/forwarder.go
+++ b/internal/scale/forwarder/forwarder.go
@@ -10,30 +10,31 @@
 	"damsonkeel/internal/fake/server"
 )
 
-// NoRegion is the region of users and the services, which are in none.
+// NoRegion stands for the location of users and services, which do not belong to a region.
 const NoRegion = -1
 
-// Link is a connection path from one region to an address.
+// Link is a path for connections from one region to a target address.
 type Link struct {
-	Name   string // of the link, by which its own address is given
-	Kind   string // of traffic, by which it is counted
-	Target string
-	// From and To are the regions at its ends.
+	Name   string // key of the link's own address in Forwarder.Addresses
+	Kind   string // kind of traffic, by which the traffic is counted
+	Target string // address to which connections are forwarded
+	// From and To are the regions at the ends of the link, or NoRegion.
 	From, To int
-	Delay    time.Duration // one way
+	Delay    time.Duration // one-way latency
 }
 
 const (
-	// maxInFlight is how many chunks of a connection are in flight at the most.
+	// maxInFlight is the largest number of delayed chunks in one direction of a connection.
 	maxInFlight = 256
-	// chunkSize is the size of a read.
+	// chunkSize is the largest number of bytes in a chunk.
 	chunkSize   = 4 << 10
 	dialTimeout = 3 * time.Second
-	// partitionPoll is how often a delayed connection checks for the partition's end.
+	// partitionPoll is the interval at which a blocked connection checks whether the partition
+	// has ended, and the pause after a failed accept.
 	partitionPoll = 20 * time.Millisecond
 )
 
-// Forwarder carries connections over links, with delays, and holds them back while a
+// Forwarder forwards connections over links with the delay of each link, and blocks them while a
 // region at one end is partitioned.
 type Forwarder struct {
 	traffic   *server.Traffic
@@ -43,7 +44,7 @@
 	partitioned []int
 }
 
-// New starts to carry links.
+// New returns a forwarder that listens for connections to each link.
 func New(links []Link) (*Forwarder, error) {
 	f := &Forwarder{traffic: server.NewTraffic(), addresses: map[string]string{}}
 	for _, link := range links {
@@ -52,7 +53,7 @@
 			return nil, fmt.Errorf("listen for link %s: %w", link.Name, err)
 		}
 		f.addresses[link.Name] = listener.Addr().String()
-		go f.accept(listener, link)
+		go f.acceptConnections(listener, link)
 	}
 	return f, nil
 }
@@ -60,68 +61,70 @@
 // Addresses returns the address of each link by its name.
 func (f *Forwarder) Addresses() map[string]string { return f.addresses }
 
-// Traffic returns what has passed, by kind of link.
+// Traffic returns the forwarded traffic by kind of link. The connections of a link have a kind of
+// their own.
 func (f *Forwarder) Traffic() map[string]server.Flow { return f.traffic.Flows() }
 
-// SetPartitioned sets the regions that are partitioned from all others from now on.
+// SetPartitioned replaces the list of regions that are partitioned from all others.
 func (f *Forwarder) SetPartitioned(regions []int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.partitioned = regions
 }
 
-// isPartitioned reports whether nothing passes a link now.
+// isPartitioned reports whether a partition blocks a link.
 func (f *Forwarder) isPartitioned(link Link) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return link.From != link.To && (slices.Contains(f.partitioned, link.From) || slices.Contains(f.partitioned, link.To))
 }
 
-// wait returns once a link is not partitioned.
-func (f *Forwarder) wait(link Link) {
+// waitWhilePartitioned blocks until no partition blocks a link.
+func (f *Forwarder) waitWhilePartitioned(link Link) {
 	for f.isPartitioned(link) {
 		time.Sleep(partitionPoll)
 	}
 }
 
-// accept carries the connections that are made to a link.
-func (f *Forwarder) accept(listener net.Listener, link Link) {
+// acceptConnections accepts and forwards the connections to a link.
+func (f *Forwarder) acceptConnections(listener net.Listener, link Link) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			time.Sleep(partitionPoll)
 			continue
 		}
-		go f.carry(conn, link)
+		go f.forwardConnection(conn, link)
 	}
 }
 
-// carry connects a connection to the link's target. One that was made during a partition
-// stays silent and is closed once the partition ends.
-func (f *Forwarder) carry(in net.Conn, link Link) {
+// forwardConnection connects an accepted connection to the target of its link. A connection that
+// was accepted during a partition transfers nothing and is closed when the partition ends.
+func (f *Forwarder) forwardConnection(in net.Conn, link Link) {
 	if f.isPartitioned(link) {
-		f.wait(link)
-		_ = in.Close() // nothing was carried
+		f.waitWhilePartitioned(link)
+		_ = in.Close() // nothing was forwarded
 		return
 	}
 	f.traffic.Add(link.Kind+" connections", 1, 0, 0)
 	out, err := net.DialTimeout("tcp", link.Target, dialTimeout)
 	if err != nil {
-		_ = in.Close() // the target refused
+		_ = in.Close() // the target is not reachable
 		return
 	}
-	go f.pass(in, out, link, true)
-	go f.pass(out, in, link, false)
+	go f.forwardDirection(in, out, link, true)
+	go f.forwardDirection(out, in, link, false)
 }
 
-// chunk is what was read at once, and when it arrives at the other end.
+// chunk is the data of one read, with the time at which it arrives at the other end.
 type chunk struct {
 	data    []byte
 	arrival time.Time
 }
 
-// pass carries one direction of a connection in order. Outbound is that to the target.
-func (f *Forwarder) pass(from, to net.Conn, link Link, outbound bool) {
+// forwardDirection forwards one direction of a connection in order. The direction towards the
+// target is outbound.
+func (f *Forwarder) forwardDirection(from, to net.Conn, link Link, outbound bool) {
 	chunks := make(chan chunk, maxInFlight)
 	go func() {
 		defer close(chunks)
@@ -129,7 +132,7 @@
 		for {
 			n, err := from.Read(buffer)
 			if n > 0 {
-				f.count(link, n, outbound)
+				f.countTraffic(link, n, outbound)
 				chunks <- chunk{slices.Clone(buffer[:n]), time.Now().Add(link.Delay)}
 			}
 			if err != nil {
@@ -137,27 +140,27 @@
 			}
 		}
 	}()
-	broken := false
+	writeFailed := false
 	for c := range chunks {
 		time.Sleep(time.Until(c.arrival))
-		f.wait(link)
-		if broken {
-			continue // the other end is closed
+		f.waitWhilePartitioned(link)
+		if writeFailed {
+			continue // drain the channel: the other end is closed
 		}
 		if _, err := to.Write(c.data); err != nil {
-			broken = true
-			_ = from.Close() // later data can't be delivered
+			writeFailed = true
+			_ = from.Close() // further data can't be delivered
 		}
 	}
-	f.wait(link)
+	f.waitWhilePartitioned(link)
 	_ = to.Close() // the sending end is closed
 }
 
-// count counts what passes a link.
-func (f *Forwarder) count(link Link, n int, outbound bool) {
+// countTraffic counts the bytes of one read on a link; an outbound read also counts as a message.
+func (f *Forwarder) countTraffic(link Link, bytes int, outbound bool) {
 	if outbound {
-		f.traffic.Add(link.Kind, 1, 0, n)
+		f.traffic.Add(link.Kind, 1, 0, bytes)
 		return
 	}
-	f.traffic.Add(link.Kind, 0, n, 0)
+	f.traffic.Add(link.Kind, 0, bytes, 0)
 }
--- a/internal/scale/operator/change.go
+++ b/internal/scale/operator/change.go
@@ -15,25 +15,29 @@
 )
 
 const (
-	// maxLimitIncrease bounds how far a changed limit is above the configured one, as a
-	// fraction of it.
+	// maxLimitIncrease is the largest increase of a limit, as a fraction of the configured
+	// limit.
 	maxLimitIncrease = 0.5
-	// minGuaranteeFraction bounds how far a changed guarantee is below the configured one.
+	// minGuaranteeFraction is the smallest changed guarantee, as a fraction of the configured
+	// guarantee.
 	minGuaranteeFraction = 0.5
-	// minIdleReturnS and idleReturnRangeS bound the idle time that is set.
+	// minIdleReturnS is the smallest value to which the idleReturn setting is changed, and
+	// idleReturnRangeS the size of the range of values above it.
 	minIdleReturnS   = 3000
 	idleReturnRangeS = 600
 )
 
-// change is a change of the configuration that was made.
-type change struct {
+// configChange is a change of the configuration that the controllers have accepted.
+type configChange struct {
 	revision                record.ConfigurationRevision
 	requestedAt, answeredAt time.Duration
-	appliedAt               map[protocol.NodeName]time.Duration // first seen in force or harmless, by controller
-	limit                   *rules.LimitChange
+	appliedAt               map[protocol.NodeName]time.Duration // by controller; see recordRevision
+	limit                   *rules.LimitChange                  // nil if the change does not concern a limit
 }
 
-// randomChange draws a change: of a limit, a guarantee or a setting, in turn.
+// randomChange returns the i-th change of a random team: two of four changes concern the limit,
+// one the guarantee and one the idleReturn setting, which is also changed if the team has no
+// limit. The second result is nil if the change does not concern a limit.
 func (o *Operator) randomChange(i int) (operatorapi.ConfigChange, *rules.LimitChange) {
 	names := o.site.TeamNames()
 	team := names[o.rng.IntN(len(names))]
@@ -52,26 +56,27 @@
 	return operatorapi.ConfigChange{Entry: record.NewEntryID(record.EntrySetting, "idleReturn"), Value: &value}, nil
 }
 
-// makeChange sends a change to the controllers until one has made it.
-func (o *Operator) makeChange(ctx context.Context, id string, requested operatorapi.ConfigChange, limit *rules.LimitChange) {
+// sendChange sends a change to the controllers until one of them has carried it out, and records
+// the outcome.
+func (o *Operator) sendChange(ctx context.Context, id string, requested operatorapi.ConfigChange, limit *rules.LimitChange) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	var addresses []string
 	for _, addr := range o.addresses {
 		addresses = append(addresses, addr)
 	}
-	made := &change{requestedAt: clock.Now(), appliedAt: map[protocol.NodeName]time.Duration{}, limit: limit}
+	change := &configChange{requestedAt: clock.Now(), appliedAt: map[protocol.NodeName]time.Duration{}, limit: limit}
 	reply, err := operatorapi.NewClient(o.key, addresses).Do(ctx, operatorapi.Request{
 		Op: operatorapi.OpConfigure, ID: id, Config: &operatorapi.ConfigRequest{Changes: []operatorapi.ConfigChange{requested}},
 	})
-	made.answeredAt = clock.Now()
+	change.answeredAt = clock.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err != nil || reply.Code != operatorapi.Done || reply.Config == nil {
-		o.failed++
+		o.failedChanges++
 		return
 	}
-	made.revision = reply.Config.Revision
-	o.changes = append(o.changes, made)
-	metrics.Observe(o.answerTimes, made.answeredAt-made.requestedAt)
+	change.revision = reply.Config.Revision
+	o.changes = append(o.changes, change)
+	metrics.Observe(o.answerTimes, change.answeredAt-change.requestedAt)
 }
--- a/internal/scale/operator/doc.go
+++ b/internal/scale/operator/doc.go
@@ -1,6 +1,6 @@
-// Package operator plays an operator of a scale run who changes the configuration while the
-// run goes on, and measures when each change is in force at every controller.
+// Package operator simulates an operator who changes the configuration during a scale run, and
+// measures when each change is in force at every controller.
 //
-// An Operator owns the changes that it made and what it learned of them. It uses the
-// controllers' operator API only.
+// An Operator owns the changes that it has made and the times at which they came into force.
+// It only uses the operator API of the controllers.
 package operator
--- a/internal/scale/operator/metrics.go
+++ b/internal/scale/operator/metrics.go
@@ -11,78 +11,82 @@
 	"damsonkeel/internal/scale/rules"
 )
 
-// Metrics describe how changes of the configuration came into force.
+// Metrics describes how long changes of the configuration took to come into force.
 type Metrics struct {
-	Changes int `json:"changes"` // made
-	Failed  int `json:"failed"`  // rejected, or not made in time
-	// AnsweredP99S is how long operators waited until a change was durable.
+	Changes int `json:"changes"` // carried out
+	Failed  int `json:"failed"`  // rejected, or not carried out in time
+	// AnsweredP99S is the time until a change was durable and the operator got the response.
 	AnsweredP99S float64 `json:"answered_p99_s"`
-	// A change is in force once each controller has reported that it applies it, or that
-	// it holds no lease. A controller that does not answer can't apply an earlier revision
-	// once its lease has expired. ByBound counts the changes for which that bound was used
-	// for a controller.
+	// InForceP99S and InForceWorstS are the times from the response until the change was in
+	// force. A change is in force once each controller has reported that it applies the
+	// change, or that it holds no lease. A controller that does not answer cannot apply an
+	// earlier revision after its lease has expired, which bounds the time for it. ByBound
+	// counts the changes for which that bound was used for at least one controller.
 	InForceP99S   float64 `json:"in_force_p99_s"`
 	InForceWorstS float64 `json:"in_force_worst_s"`
 	ByBound       int     `json:"by_bound"`
-	// AnsweringP99S and AnsweringWorstS are the same over the controllers that answered in time.
+	// AnsweringP99S and AnsweringWorstS are the same times for only those controllers that
+	// answered in time.
 	AnsweringP99S   float64 `json:"heard_p99_s"`
 	AnsweringWorstS float64 `json:"heard_worst_s"`
-	// OldestS is the longest time after a change for which a controller was seen to apply
-	// an earlier revision.
+	// OldestS is the longest time after a change at which a controller still applied an
+	// earlier revision.
 	OldestS float64 `json:"oldest_s"`
 }
 
-// errNoChanges says that no change was made.
+// errNoChanges reports that no change of the configuration succeeded during the run.
 var errNoChanges = errors.New("no change of the configuration was carried out")
 
-// Metrics computes how changes came into force.
+// Metrics computes how long the changes took to come into force.
 func (o *Operator) Metrics() (*Metrics, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.changes) == 0 {
 		return nil, errNoChanges
 	}
-	m := &Metrics{Changes: len(o.changes), Failed: o.failed, AnsweredP99S: metrics.QuantilesOf(o.answerTimes).P99S, OldestS: max(0, o.longestStale.Seconds())}
+	m := &Metrics{Changes: len(o.changes), Failed: o.failedChanges, AnsweredP99S: metrics.QuantilesOf(o.answerTimes).P99S, OldestS: max(0, o.longestStale.Seconds())}
 	inForce, answering := metrics.NewHistogram(), metrics.NewHistogram()
 	bound := config.MaxWatchStaleness(o.nodeLease())
-	for _, made := range o.changes {
-		d := o.delays(made, bound)
-		metrics.Observe(inForce, d.all)
-		metrics.Observe(answering, d.answering)
-		if d.byBound {
+	for _, change := range o.changes {
+		delays := o.changeDelays(change, bound)
+		metrics.Observe(inForce, delays.all)
+		metrics.Observe(answering, delays.answering)
+		if delays.byBound {
 			m.ByBound++
 		}
 	}
-	all, answered := metrics.QuantilesOf(inForce), metrics.QuantilesOf(answering)
-	m.InForceP99S, m.InForceWorstS = all.P99S, all.WorstS
-	m.AnsweringP99S, m.AnsweringWorstS = answered.P99S, answered.WorstS
+	inForceQuantiles, answeringQuantiles := metrics.QuantilesOf(inForce), metrics.QuantilesOf(answering)
+	m.InForceP99S, m.InForceWorstS = inForceQuantiles.P99S, inForceQuantiles.WorstS
+	m.AnsweringP99S, m.AnsweringWorstS = answeringQuantiles.P99S, answeringQuantiles.WorstS
 	return m, nil
 }
 
-// changeDelays are the longest times until a change was in force.
-type changeDelays struct {
-	all       time.Duration // at all controllers
-	answering time.Duration // at those that answered in time
-	byBound   bool          // the bound was used for a controller
+// inForceDelays holds the longest times from the response to a change until it was in force.
+type inForceDelays struct {
+	all       time.Duration // over all controllers
+	answering time.Duration // over the controllers that answered in time
+	byBound   bool          // the bound was used for at least one controller
 }
 
-// delays returns how long a change took until it was in force, at most a bound.
-func (o *Operator) delays(made *change, bound time.Duration) changeDelays {
-	var d changeDelays
+// changeDelays returns how long a change took to come into force. The delay of a controller that
+// has not reported it within the bound is the bound.
+func (o *Operator) changeDelays(change *configChange, bound time.Duration) inForceDelays {
+	var delays inForceDelays
 	for name := range o.addresses {
-		at, applied := made.appliedAt[name]
-		delay := at - made.answeredAt
+		at, applied := change.appliedAt[name]
+		delay := at - change.answeredAt
 		if !applied || delay > bound {
-			delay, d.byBound = bound, true
+			delay, delays.byBound = bound, true
 		} else {
-			d.answering = max(d.answering, delay)
+			delays.answering = max(delays.answering, delay)
 		}
-		d.all = max(d.all, delay)
+		delays.all = max(delays.all, delay)
 	}
-	return d
+	return delays
 }
 
-// nodeLease returns the length of a controller's lease at this site.
+// nodeLease returns the length of the controllers' node lease at this site, or
+// config.ConfigPropagationLimit if no lease fits the settings of the site.
 func (o *Operator) nodeLease() time.Duration {
 	operatorSettings, err := config.DefaultOperator().Fit(o.settings)
 	if err != nil {
@@ -92,28 +96,29 @@
 }
 
 // sortedByRevision returns changes in order of their revisions.
-func sortedByRevision(changes []*change) []*change {
+func sortedByRevision(changes []*configChange) []*configChange {
 	sorted := slices.Clone(changes)
-	slices.SortFunc(sorted, func(a, b *change) int { return cmp.Compare(a.revision, b.revision) })
+	slices.SortFunc(sorted, func(a, b *configChange) int { return cmp.Compare(a.revision, b.revision) })
 	return sorted
 }
 
-// Violations returns the cases in which a controller applied an old revision for too long.
+// Violations returns the cases in which a controller still applied an earlier revision longer
+// after a change than config.ConfigPropagationLimit.
 func (o *Operator) Violations() []rules.Violation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.violations
 }
 
-// LimitChanges returns the changes of limits that were made, in order of their revisions.
+// LimitChanges returns the changes of teams' limits, in order of their revisions.
 func (o *Operator) LimitChanges() []rules.LimitChange {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var changes []rules.LimitChange
-	for _, made := range sortedByRevision(o.changes) {
-		if made.limit != nil {
-			limitChange := *made.limit
-			limitChange.RequestedAt, limitChange.AnsweredAt = made.requestedAt, made.answeredAt
+	for _, change := range sortedByRevision(o.changes) {
+		if change.limit != nil {
+			limitChange := *change.limit
+			limitChange.RequestedAt, limitChange.AnsweredAt = change.requestedAt, change.answeredAt
 			changes = append(changes, limitChange)
 		}
 	}
--- a/internal/scale/operator/operator.go
+++ b/internal/scale/operator/operator.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	// changeTimeout is how long a change is retried.
+	// changeTimeout is how long a change is retried until it counts as failed.
 	changeTimeout = 40 * time.Second
-	// statusTimeout bounds a request for the revision in force at a controller.
+	// statusTimeout bounds a request for the revision in force at a controller, and
+	// statusInterval is the pause between two such requests.
 	statusTimeout  = time.Second
 	statusInterval = 300 * time.Millisecond
-	// statusGrace is how long controllers are queried after the period of changes.
+	// statusGrace is how long controllers are still queried after the period of changes.
 	statusGrace = 30 * time.Second
 )
 
-// Operator changes the configuration and queries which revision is in force at each
-// controller.
+// Operator changes the configuration and polls each controller for the revision in force there.
 type Operator struct {
 	site      *siteconfig.Site
 	settings  *config.Settings // of the controllers
@@ -39,17 +39,17 @@
 	addresses map[protocol.NodeName]string // of the controllers, set by Start
 	rng       *rand.Rand
 
-	mu           sync.Mutex
-	changes      []*change
-	failed       int
-	answerTimes  *hdrhistogram.Histogram
-	longestStale time.Duration // see Metrics.OldestS
-	violations   []rules.Violation
-	running      sync.WaitGroup
+	mu            sync.Mutex
+	changes       []*configChange
+	failedChanges int
+	answerTimes   *hdrhistogram.Histogram
+	longestStale  time.Duration // see Metrics.OldestS
+	violations    []rules.Violation
+	requests      sync.WaitGroup
 }
 
-// New returns an operator with a new key, and the path of a file in a directory that holds
-// the key for the controllers.
+// New returns an operator with a new key. It writes the key to a file in a directory, from which
+// the controllers read it, and returns the path of that file.
 func New(site *siteconfig.Site, dir string, seed uint64) (o *Operator, keys string, err error) {
 	key, err := operatorapi.NewKey("scale")
 	if err != nil {
@@ -65,27 +65,28 @@
 	}, path, nil
 }
 
-// Start starts to make the changes of the site, whose time began at a moment, and to watch
-// which revisions are in force at the controllers, until the context ends.
+// Start starts to make the changes of the site and to poll the controllers at the given addresses
+// for the revision in force, until the context ends. The times of the site are relative to
+// begin.
 func (o *Operator) Start(ctx context.Context, begin time.Duration, controllers map[protocol.NodeName]string) {
 	o.addresses = controllers
 	go o.run(ctx, begin)
 }
 
-// run makes the changes and waits until the last is watched.
+// run makes the changes at even intervals and waits until all requests and polls have ended.
 func (o *Operator) run(ctx context.Context, begin time.Duration) {
 	c := o.site.Configuration
 	clock.Sleep(ctx, begin+clock.Seconds(c.FromS)-clock.Now())
 	ctx, cancel := context.WithTimeout(ctx, clock.Seconds(c.ForS)+statusGrace)
 	defer cancel()
 	for name, addr := range o.addresses {
-		o.running.Go(func() { o.watch(ctx, name, addr) })
+		o.requests.Go(func() { o.pollRevision(ctx, name, addr) })
 	}
-	pause := clock.Seconds(c.ForS / float64(max(1, c.Changes)))
+	interval := clock.Seconds(c.ForS / float64(max(1, c.Changes)))
 	for i := range c.Changes {
-		clock.Sleep(ctx, begin+clock.Seconds(c.FromS)+time.Duration(i)*pause-clock.Now())
+		clock.Sleep(ctx, begin+clock.Seconds(c.FromS)+time.Duration(i)*interval-clock.Now())
 		request, limit := o.randomChange(i)
-		o.running.Go(func() { o.makeChange(ctx, fmt.Sprintf("change-%d", i), request, limit) })
+		o.requests.Go(func() { o.sendChange(ctx, fmt.Sprintf("change-%d", i), request, limit) })
 	}
-	o.running.Wait()
+	o.requests.Wait()
 }
--- a/internal/scale/operator/watch.go
+++ b/internal/scale/operator/watch.go
@@ -12,11 +12,12 @@
 	"damsonkeel/internal/scale/rules"
 )
 
-// ruleConfiguration is the rule that revisions are in force in time.
+// ruleConfiguration is the rule that every controller which holds a lease applies a change within
+// config.ConfigPropagationLimit.
 const ruleConfiguration rules.Rule = "configuration"
 
-// watch queries a controller for the revision in force there until the context ends.
-func (o *Operator) watch(ctx context.Context, name protocol.NodeName, addr string) {
+// pollRevision polls a controller for the revision in force there until the context ends.
+func (o *Operator) pollRevision(ctx context.Context, name protocol.NodeName, addr string) {
 	client := operatorapi.NewClient(o.key, []string{addr})
 	for ctx.Err() == nil {
 		requestedAt := clock.Now()
@@ -26,7 +27,7 @@
 		if err == nil && reply.Config != nil {
 			for _, c := range reply.Config.Controllers {
 				if c.Name == name {
-					o.recordStatus(c, requestedAt, clock.Now())
+					o.recordRevision(c, requestedAt, clock.Now())
 				}
 			}
 		}
@@ -34,22 +35,25 @@
 	}
 }
 
-// recordStatus records which revision is in force at a controller, as requested and
-// answered at two times.
-func (o *Operator) recordStatus(c operatorapi.ConfigController, requestedAt, answeredAt time.Duration) {
+// recordRevision compares the revision in force at a controller with each change that was made. A
+// change is in force at the controller if the controller applies it, or if the controller holds
+// no lease and therefore cannot act by an earlier revision. Otherwise, the time from the response
+// to the change until the request for the status shows how long the controller has applied an
+// earlier revision.
+func (o *Operator) recordRevision(status operatorapi.ConfigController, requestedAt, answeredAt time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, made := range o.changes {
-		if c.Revision >= made.revision || !c.HoldsLease {
-			if _, applied := made.appliedAt[c.Name]; !applied {
-				made.appliedAt[c.Name] = max(answeredAt, made.answeredAt)
+	for _, change := range o.changes {
+		if status.Revision >= change.revision || !status.HoldsLease {
+			if _, applied := change.appliedAt[status.Name]; !applied {
+				change.appliedAt[status.Name] = max(answeredAt, change.answeredAt)
 			}
 			continue
 		}
-		stale := requestedAt - made.answeredAt
+		stale := requestedAt - change.answeredAt
 		o.longestStale = max(o.longestStale, stale)
 		if stale > config.ConfigPropagationLimit {
-			o.violations = append(o.violations, rules.Violation{Rule: ruleConfiguration, At: requestedAt, Detail: fmt.Sprintf("%s acts by revision %d, %d was made %v ago", c.Name, c.Revision, made.revision, stale)})
+			o.violations = append(o.violations, rules.Violation{Rule: ruleConfiguration, At: requestedAt, Detail: fmt.Sprintf("%s still applies revision %d, revision %d was made %v ago", status.Name, status.Revision, change.revision, stale)})
 		}
 	}
 }
--- a/internal/scale/process/config.go
+++ b/internal/scale/process/config.go
@@ -12,36 +12,39 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// Config is the first line of input of a process: what it is to do.
+// Config is the first line of input of a process: its role and the configuration of the role.
 type Config struct {
 	Role    string
 	Name    string
 	Site    siteconfig.Site
 	Seed    uint64
-	Monitor string // the monitor's address
-	// Controllers are the addresses at which workers or users reach the controllers.
+	Monitor string // address of the monitor
+	// Controllers holds the addresses at which workers or users reach the controllers.
 	Controllers map[protocol.NodeName]string
-	// Links are those of a forwarder.
+	// Links are the links of a forwarder.
 	Links []forwarder.Link
-	// Begin is when the site's time begins, by the machine's monotonic clock.
+	// Begin is the monotonic time at which the run of the site begins; the times in the site
+	// are relative to it.
 	Begin time.Duration
 }
 
 // Ready is the first line of output of a process.
 type Ready struct {
-	// Addresses are those that the process serves, by name.
+	// Addresses holds the addresses that the process serves, by name.
 	Addresses map[string]string
 }
 
-// Command is a later line of input.
+// Command is a further line of input of a process.
 type Command struct {
-	// Partitioned are the regions that are partitioned from now on; for forwarders.
+	// Partitioned replaces the list of partitioned regions of a forwarder.
 	Partitioned []int `json:",omitempty"`
-	// Fault is a fault to inject into machines; for the monitor's process.
+	// Fault is an injected fault, which the process of the monitor measures and, if it
+	// concerns machines, injects.
 	Fault *siteconfig.Fault `json:",omitempty"`
-	// LimitChanges are the changes of limits that were made; for the monitor's process.
+	// LimitChanges are the changes that the operator made to limits, for the process of the
+	// monitor.
 	LimitChanges []rules.LimitChange `json:",omitempty"`
-	// Finish ends the process after its report.
+	// Finish requests the report of the process, which ends afterwards.
 	Finish bool `json:",omitempty"`
 }
 
@@ -51,6 +54,6 @@
 	Traffic    map[string]server.Flow
 	Goroutines int
 	Lateness   metrics.Lateness
-	Users      *metrics.UserMetrics // of the users' process
-	Analysis   *analysis.Metrics    // of the monitor's process
+	Users      *metrics.UserMetrics // only from the process of the users
+	Analysis   *analysis.Metrics    // only from the process of the monitor
 }
--- a/internal/scale/process/names.go
+++ b/internal/scale/process/names.go
@@ -7,13 +7,14 @@
 	"damsonkeel/internal/protocol"
 )
 
-// Roles of the processes of a run, as results name them.
+// Roles of the processes of a run. Results contain these names.
 const (
 	RoleServices  = "services"
 	RoleWorkers   = "workers"
 	RoleUsers     = "users"
 	RoleForwarder = "forwarder"
-	// RoleWorker is a process with a single worker, and RoleController a controller.
+	// RoleWorker and RoleController only occur in results: a process with a single worker, and
+	// a controller.
 	RoleWorker     = "worker"
 	RoleController = "controller"
 )
@@ -23,19 +24,19 @@
 	singlePrefix = "worker-"
 )
 
-// SharedWorkers is the name of the process of most of a zone's workers.
+// SharedWorkers returns the name of the process that runs all workers of a zone but one.
 func SharedWorkers(zone protocol.Zone) string { return sharedPrefix + string(zone) }
 
-// SingleWorker is the name of the process that runs only one of a zone's workers.
+// SingleWorker returns the name of the process that runs a single worker of a zone.
 func SingleWorker(zone protocol.Zone) string { return singlePrefix + string(zone) }
 
-// IsShared reports whether a name is that of a process of most of a zone's workers.
+// IsShared reports whether a process runs all workers of a zone but one, by its name.
 func IsShared(name string) bool { return strings.HasPrefix(name, sharedPrefix) }
 
-// IsSingle reports whether a name is that of a process with a single worker.
+// IsSingle reports whether a process runs a single worker of a zone, by its name.
 func IsSingle(name string) bool { return strings.HasPrefix(name, singlePrefix) }
 
-// ControllerName is the name of a controller by its number.
+// ControllerName returns the name of a controller with a number.
 func ControllerName(i int) protocol.NodeName {
 	return protocol.NodeName(fmt.Sprintf("controller-%02d", i))
 }
--- a/internal/scale/users/arrivals.go
+++ b/internal/scale/users/arrivals.go
@@ -12,15 +12,16 @@
 	"damsonkeel/internal/scale/siteconfig"
 )
 
-// arrival is a job that a user submits at a time of the site.
+// arrival is a job that a user submits at a time after the start of the run, and may cancel.
 type arrival struct {
-	at     time.Duration
-	job    protocol.Job
-	cancel time.Duration // time after its submission; 0: never
+	at          time.Duration
+	job         protocol.Job
+	cancelAfter time.Duration // delay from the submission to the cancellation; 0 if the job is not cancelled
 }
 
-// arrivals draws the jobs of a site at random, in order of time.
-func arrivals(site *siteconfig.Site, rng *rand.Rand) []arrival {
+// randomArrivals draws the jobs of all loads of a site at random and returns them in order of
+// time. The times between the arrivals of a load are exponentially distributed.
+func randomArrivals(site *siteconfig.Site, rng *rand.Rand) []arrival {
 	var all []arrival
 	teams := site.TeamNames()
 	for _, load := range site.Load {
@@ -35,7 +36,7 @@
 	return all
 }
 
-// randomArrival draws one job of a load.
+// randomArrival draws the properties of one job of a load, which arrives at a time in seconds.
 func randomArrival(load siteconfig.Load, at float64, teams []protocol.Team, rng *rand.Rand) arrival {
 	a := arrival{at: clock.Seconds(at), job: protocol.Job{
 		Class: load.Class, Team: teams[rng.IntN(len(teams))], Kind: load.Kind, Priority: load.Priority, Tasks: uint32(load.Tasks[rng.IntN(len(load.Tasks))]),
@@ -43,7 +44,7 @@
 		OneZone: load.OneZone, EstimateS: load.RunS * (1 - estimateError + 2*estimateError*rng.Float64()),
 	}}
 	if rng.Float64() < load.CancelledFraction {
-		a.cancel = time.Duration(rng.ExpFloat64()*float64(cancelDelay)) + 1
+		a.cancelAfter = time.Duration(rng.ExpFloat64()*float64(cancelDelay)) + 1
 	}
 	return a
 }
--- a/internal/scale/users/balancer.go
+++ b/internal/scale/users/balancer.go
@@ -18,19 +18,20 @@
 const (
 	probeInterval = time.Second
 	probeTimeout  = time.Second
-	// healthThreshold is how many failed probes in a row make a controller unhealthy, and
-	// how many successful ones make it healthy again.
+	// healthThreshold is the number of consecutive failed probes after which a controller is
+	// unhealthy, and of consecutive successful probes after which it is healthy again.
 	healthThreshold = 2
-	// retryWindow is how quickly a request must fail for another controller to be tried.
-	retryWindow = 500 * time.Millisecond
-	// maxAttempts is how many controllers are tried for a request.
+	// failoverWindow is the time within which a request must fail for the balancer to send it
+	// to another controller.
+	failoverWindow = 500 * time.Millisecond
+	// maxAttempts is the largest number of controllers to which a request is sent.
 	maxAttempts = 3
 )
 
-// errNoHealthyController says that no controller is healthy.
+// errNoHealthyController reports that the balancer considers no controller healthy.
 var errNoHealthyController = errors.New("no healthy controller")
 
-// balancer sends users' requests to healthy controllers.
+// balancer is a load balancer that sends requests of users to healthy controllers.
 type balancer struct {
 	clients map[protocol.NodeName]*transport.Client
 
@@ -39,18 +40,19 @@
 	rng    *rand.Rand
 }
 
-// health is the result of the probes of a controller.
+// health is the state of a controller according to its probes.
 type health struct {
 	healthy             bool
-	failures, successes int // in a row
+	failures, successes int // consecutive, of the last probes
 }
 
-// newBalancer starts to probe controllers until the context ends.
+// newBalancer returns a balancer that probes the controllers at the given addresses until the
+// context ends.
 func newBalancer(ctx context.Context, controllers map[protocol.NodeName]string, rng *rand.Rand) *balancer {
 	b := &balancer{clients: map[protocol.NodeName]*transport.Client{}, health: map[protocol.NodeName]*health{}, rng: rng}
 	for name, addr := range controllers {
 		b.clients[name] = transport.NewClient(addr)
-		b.health[name] = &health{successes: healthThreshold - 1} // initially one success is enough
+		b.health[name] = &health{successes: healthThreshold - 1} // one success makes it healthy initially
 	}
 	for name := range controllers {
 		go b.probe(ctx, name)
@@ -58,10 +60,10 @@
 	return b
 }
 
-// probe probes a controller until the context ends.
+// probe probes a controller every probeInterval until the context ends.
 func (b *balancer) probe(ctx context.Context, name protocol.NodeName) {
-	every := time.NewTicker(probeInterval)
-	defer every.Stop()
+	ticker := time.NewTicker(probeInterval)
+	defer ticker.Stop()
 	for {
 		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 		reply, err := b.clients[name].Do(probeCtx, http.MethodGet, "/up", nil)
@@ -70,17 +72,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// recordProbe updates the health of a controller.
-func (b *balancer) recordProbe(name protocol.NodeName, up bool) {
+// recordProbe updates the health of a controller after a probe.
+func (b *balancer) recordProbe(name protocol.NodeName, success bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.health[name]
-	if !up {
+	if !success {
 		h.successes = 0
 		h.failures++
 		h.healthy = h.healthy && h.failures < healthThreshold
@@ -91,8 +93,8 @@
 	h.healthy = h.healthy || h.successes >= healthThreshold
 }
 
-// order returns the healthy controllers in random order.
-func (b *balancer) order() []protocol.NodeName {
+// shuffledHealthy returns the names of the healthy controllers in random order.
+func (b *balancer) shuffledHealthy() []protocol.NodeName {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var names []protocol.NodeName
@@ -105,9 +107,10 @@
 	return names
 }
 
-// do sends a request to a healthy controller, and to another one if it fails at once.
-func (b *balancer) do(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
-	names := b.order()
+// send sends a request to a random healthy controller. If the request fails within
+// failoverWindow, send tries further controllers, up to maxAttempts in all.
+func (b *balancer) send(ctx context.Context, method, target string, body []byte) (*transport.Message, error) {
+	names := b.shuffledHealthy()
 	if len(names) == 0 {
 		return nil, errNoHealthyController
 	}
@@ -119,7 +122,7 @@
 			return reply, nil
 		}
 		err = fmt.Errorf("%s %s at %s: %w", method, target, name, err)
-		if time.Since(begin) > retryWindow || ctx.Err() != nil {
+		if time.Since(begin) > failoverWindow || ctx.Err() != nil {
 			return nil, err // the request may have been executed
 		}
 	}
--- a/internal/scale/users/doc.go
+++ b/internal/scale/users/doc.go
@@ -1,7 +1,7 @@
-// Package users plays the users of a scale run: they submit the jobs of the site's load,
-// poll them until they end and cancel some of them. Requests go through a balancer that
-// probes the controllers' health.
+// Package users simulates the users of a scale run: they submit the jobs of the site's load,
+// poll them until they end and cancel some of them. Their requests go through a load balancer
+// that probes the health of the controllers.
 //
-// Users owns the answers that users got until they are sent to the monitor. It knows
-// nothing of workers.
+// Users owns the outcomes of the users' requests until they are sent to the monitor. The
+// package does not depend on workers.
 package users
--- a/internal/scale/users/users.go
+++ b/internal/scale/users/users.go
@@ -21,35 +21,36 @@
 
 const (
 	submitTimeout = 5 * time.Second
-	// submitPeriod is how long a submission or cancellation is retried.
-	submitPeriod = 60 * time.Second
+	// retryPeriod is how long a submission or cancellation is retried, and retryDelay the pause
+	// between two attempts.
+	retryPeriod  = 60 * time.Second
 	retryDelay   = time.Second
 	pollInterval = 5 * time.Second
 	pollTimeout  = 2 * time.Second
-	// cancelDelay is the mean time from a submission to its cancellation.
+	// cancelDelay is the mean time from the submission of a job to its cancellation.
 	cancelDelay = 3 * time.Second
-	// estimateError is the largest relative error of users' estimates.
+	// estimateError is the largest relative error of users' estimates of run times.
 	estimateError = 0.3
 	// exchangeInterval is the time between two exchanges with the monitor.
 	exchangeInterval = 100 * time.Millisecond
 )
 
-// Users plays the users of all teams.
+// Users simulates the users of all teams.
 type Users struct {
 	begin    time.Duration
 	client   *monitor.Client
 	balancer *balancer
 	log      *slog.Logger
 
-	mu          sync.Mutex
-	events      []rules.UserEvent // not sent to the monitor yet
-	submissions *hdrhistogram.Histogram
-	polls       *hdrhistogram.Histogram
-	unanswered  int
-	notAccepted int
+	mu              sync.Mutex
+	events          []rules.UserEvent // not sent to the monitor yet
+	submissions     *hdrhistogram.Histogram
+	polls           *hdrhistogram.Histogram
+	unansweredPolls int
+	unacceptedJobs  int
 }
 
-// request is a request of a user about a job.
+// request is an HTTP request of a user about a job, with the kind of event that records it.
 type request struct {
 	kind           rules.UserEventKind
 	job            protocol.JobID
@@ -58,7 +59,7 @@
 	timeout        time.Duration
 }
 
-// Start starts to submit the jobs of a site until the context ends.
+// Start starts the users, who submit the jobs of the site until the context ends.
 func Start(ctx context.Context, cfg process.Config, log *slog.Logger) *Users {
 	rng := rand.New(rand.NewPCG(cfg.Seed, siteconfig.StreamUsers))
 	u := &Users{
@@ -66,12 +67,12 @@
 		submissions: metrics.NewHistogram(), polls: metrics.NewHistogram(),
 		balancer: newBalancer(ctx, cfg.Controllers, rand.New(rand.NewPCG(cfg.Seed, siteconfig.StreamBalancer))),
 	}
-	go u.submitAll(ctx, arrivals(&cfg.Site, rng))
-	go u.exchangeUntilDone(ctx)
+	go u.submitAll(ctx, randomArrivals(&cfg.Site, rng))
+	go u.exchangeUntilCancelled(ctx)
 	return u
 }
 
-// submitAll submits each job at its time.
+// submitAll submits each job at the time of its arrival.
 func (u *Users) submitAll(ctx context.Context, jobs []arrival) {
 	for _, a := range jobs {
 		time.Sleep(u.begin + a.at - clock.Now())
@@ -82,19 +83,20 @@
 	}
 }
 
-// runJob submits a job, cancels it if its user does so, and polls it until it ends.
+// runJob uploads the description of a job to the monitor, submits the job, cancels it if it is one
+// of those to be cancelled, and polls it until it ends.
 func (u *Users) runJob(ctx context.Context, a arrival) {
 	if err := u.client.Upload(a.job); err != nil {
-		u.log.Error("upload failed", "job", a.job.ID, "err", err)
+		u.log.Error("failed to upload job description to monitor", "job", a.job.ID, "err", err)
 		return
 	}
 	if !u.submit(ctx, a.job) {
 		return
 	}
 	path := "/work/" + string(a.job.ID)
-	if a.cancel > 0 {
-		time.Sleep(a.cancel)
-		u.retry(ctx, request{kind: rules.UserCancels, job: a.job.ID, method: http.MethodPost, target: path + "/abort", timeout: submitTimeout})
+	if a.cancelAfter > 0 {
+		time.Sleep(a.cancelAfter)
+		u.sendWithRetries(ctx, request{kind: rules.UserCancels, job: a.job.ID, method: http.MethodPost, target: path + "/abort", timeout: submitTimeout})
 	}
 	poll := request{kind: rules.UserPolls, job: a.job.ID, method: http.MethodGet, target: path, timeout: pollTimeout}
 	for ctx.Err() == nil {
@@ -107,28 +109,29 @@
 	}
 }
 
-// submit submits a job until it is accepted, and reports whether it was.
+// submit submits a job, with retries, and reports whether it was accepted.
 func (u *Users) submit(ctx context.Context, job protocol.Job) bool {
 	body, err := protocol.EncodeSubmission(job)
 	if err != nil {
-		u.log.Error("encoding of submission failed", "job", job.ID, "err", err)
+		u.log.Error("failed to encode submission", "job", job.ID, "err", err)
 		return false
 	}
 	begin := clock.Now()
-	accepted := u.retry(ctx, request{kind: rules.UserSubmits, job: job.ID, method: http.MethodPost, target: "/work", body: body, timeout: submitTimeout})
+	accepted := u.sendWithRetries(ctx, request{kind: rules.UserSubmits, job: job.ID, method: http.MethodPost, target: "/work", body: body, timeout: submitTimeout})
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !accepted {
-		u.notAccepted++
+		u.unacceptedJobs++
 		return false
 	}
 	metrics.Observe(u.submissions, clock.Now()-begin)
 	return true
 }
 
-// retry repeats a request until it succeeds or is rejected, or submitPeriod has passed.
-func (u *Users) retry(ctx context.Context, r request) bool {
-	for until := clock.Now() + submitPeriod; clock.Now() < until && ctx.Err() == nil; time.Sleep(retryDelay) {
+// sendWithRetries repeats a request until it succeeds, is rejected or retryPeriod has passed, and
+// reports whether it succeeded.
+func (u *Users) sendWithRetries(ctx context.Context, r request) bool {
+	for deadline := clock.Now() + retryPeriod; clock.Now() < deadline && ctx.Err() == nil; time.Sleep(retryDelay) {
 		switch u.send(ctx, r).Status {
 		case http.StatusOK, http.StatusCreated:
 			return true
@@ -139,12 +142,12 @@
 	return false
 }
 
-// send sends one request, and stores and returns its outcome.
+// send sends a request once, and stores and returns the event with its outcome.
 func (u *Users) send(ctx context.Context, r request) rules.UserEvent {
 	e := rules.UserEvent{RequestedAt: clock.Now(), Kind: r.kind, Job: r.job}
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
-	reply, err := u.balancer.do(ctx, r.method, r.target, r.body)
+	reply, err := u.balancer.send(ctx, r.method, r.target, r.body)
 	e.AnsweredAt = clock.Now()
 	if err == nil {
 		e.Status = reply.Status
@@ -159,36 +162,37 @@
 	return e
 }
 
-// isSuccess reports whether an HTTP status is one of success.
+// isSuccess reports whether an HTTP status code is in the 2xx range.
 func isSuccess(status int) bool { return status/100 == 2 }
 
-// recordPoll counts the outcome of a poll.
+// recordPoll records the response time of a successful poll, and counts a poll that failed.
 func (u *Users) recordPoll(e rules.UserEvent) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if e.Status != http.StatusOK {
-		u.unanswered++
+		u.unansweredPolls++
 		return
 	}
 	metrics.Observe(u.polls, e.AnsweredAt-e.RequestedAt)
 }
 
-// exchangeUntilDone sends what users observe to the monitor until the context ends.
-func (u *Users) exchangeUntilDone(ctx context.Context) {
+// exchangeUntilCancelled sends the users' events to the monitor every exchangeInterval until the
+// context ends.
+func (u *Users) exchangeUntilCancelled(ctx context.Context) {
 	for ctx.Err() == nil {
 		time.Sleep(exchangeInterval)
 		u.exchange()
 	}
 }
 
-// exchange sends what users observed since the last exchange.
+// exchange sends the events since the last exchange to the monitor.
 func (u *Users) exchange() {
 	if _, err := u.client.Exchange(u.collect); err != nil {
-		u.log.Error("exchange failed", "err", err)
+		u.log.Error("exchange with monitor failed", "err", err)
 	}
 }
 
-// collect takes the events that were not sent yet.
+// collect removes and returns the events that were not sent yet.
 func (u *Users) collect() monitor.Exchange {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -197,12 +201,12 @@
 	return monitor.Exchange{Users: events}
 }
 
-// Report sends the last events to the monitor and returns the users' metrics.
+// Report sends the last events to the monitor and returns the metrics of the users' requests.
 func (u *Users) Report() process.Report {
 	u.exchange()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return process.Report{Users: &metrics.UserMetrics{
-		Submissions: metrics.QuantilesOf(u.submissions), Polls: metrics.QuantilesOf(u.polls), Unanswered: u.unanswered, NotAccepted: u.notAccepted,
+		Submissions: metrics.QuantilesOf(u.submissions), Polls: metrics.QuantilesOf(u.polls), Unanswered: u.unansweredPolls, NotAccepted: u.unacceptedJobs,
 	}}
 }
--- a/internal/scale/workers/doc.go
+++ b/internal/scale/workers/doc.go
@@ -1,7 +1,8 @@
-// Package workers runs fake workers of a scale run in one process, as the monitor directs:
-// it starts, kills and restarts them and passes on what becomes of gangs.
+// Package workers runs fake workers of a scale run in one process. It executes the directives of
+// the monitor: it starts, kills and restarts workers, and completes or ends the gangs of their
+// tasks.
 //
-// Workers owns the events that workers produce until they are sent to the monitor. The
-// fake workers themselves, and their connections to the controllers, belong to the host of
-// package fake/server.
+// Workers owns the events that workers produce until they are sent to the monitor. The host of
+// package fake/server owns the fake workers themselves and their connections to the
+// controllers.
 package workers
--- a/internal/scale/workers/workers.go
+++ b/internal/scale/workers/workers.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// exchangeInterval is the time between two exchanges of a process of many workers with
-	// the monitor. A process of a single worker exchanges less often, so that its own
-	// resource usage is that of the worker.
+	// exchangeInterval is the time between two exchanges with the monitor of a process that
+	// many workers share. A process of a single worker uses singleExchangeInterval, so that
+	// exchanges add little to the resource usage that is measured for the worker.
 	exchangeInterval       = 100 * time.Millisecond
 	singleExchangeInterval = 500 * time.Millisecond
-	// runTimeJitter is the largest relative deviation of tasks' run times.
+	// runTimeJitter is the largest relative deviation of a task's run time from the estimate.
 	runTimeJitter = 0.2
-	// runTimeSteps is the number of different deviations.
+	// runTimeSteps is the number of different deviations within runTimeJitter.
 	runTimeSteps = 1000
 )
 
-// Workers runs workers as the monitor directs.
+// Workers runs the fake workers of a process and executes the directives of the monitor.
 type Workers struct {
 	client *monitor.Client
 	host   *server.Host
 	log    *slog.Logger
 
-	// exchanging is held during an exchange and the execution of its directives.
-	exchanging sync.Mutex
+	// exchangeMu is held during an exchange and the execution of the returned directives.
+	exchangeMu sync.Mutex
 
-	mu         sync.Mutex
-	events     []rules.MachineEvent // not sent to the monitor yet
-	started    []protocol.MachineID // not sent to the monitor yet
-	terminated map[protocol.MachineID]bool
-	executed   uint64 // number of the last directive
+	mu                 sync.Mutex
+	events             []rules.MachineEvent // not sent to the monitor yet
+	startedMachines    []protocol.MachineID // not sent to the monitor yet
+	terminatedMachines map[protocol.MachineID]bool
+	lastExecuted       uint64 // number of the last directive
 }
 
-// Start starts to run workers.
+// Start returns Workers without machines, which exchange with the monitor until the process ends.
 func Start(cfg process.Config, log *slog.Logger) *Workers {
-	w := &Workers{client: monitor.NewClient(cfg.Name, cfg.Monitor), log: log, terminated: map[protocol.MachineID]bool{}}
+	w := &Workers{client: monitor.NewClient(cfg.Name, cfg.Monitor), log: log, terminatedMachines: map[protocol.MachineID]bool{}}
 	w.host = server.NewHost(server.HostConfig{
 		Controllers: cfg.Controllers, HeartbeatInterval: clock.Seconds(cfg.Site.Timings.ReportS),
 		LeaseTime: clock.Seconds(cfg.Site.Timings.LeaseS), GangWait: clock.Seconds(cfg.Site.Timings.GangWaitS),
@@ -59,8 +59,8 @@
 	return w
 }
 
-// runTime returns how long a task runs: its job's estimate with a deviation that is the
-// same for each attempt. The tasks of a gang run equally long.
+// runTime returns how long a task runs: the estimate of its job with a deviation that depends only
+// on the task, so that it is the same for each attempt. All tasks of a gang run equally long.
 func runTime(job protocol.Job, task protocol.TaskID) time.Duration {
 	hash := fnv.New32a()
 	if job.Kind == protocol.KindGang {
@@ -76,38 +76,39 @@
 	for {
 		time.Sleep(interval)
 		if err := w.exchange(); err != nil {
-			w.log.Error("exchange failed", "err", err)
+			w.log.Error("exchange with monitor failed", "err", err)
 		}
 	}
 }
 
-// exchange sends what was observed and executes the monitor's directives.
+// exchange sends the collected events to the monitor and executes the directives that it returns.
 func (w *Workers) exchange() error {
-	w.exchanging.Lock()
-	defer w.exchanging.Unlock()
+	w.exchangeMu.Lock()
+	defer w.exchangeMu.Unlock()
 	directives, err := w.client.Exchange(w.collect)
 	if err != nil {
 		return fmt.Errorf("send events: %w", err)
 	}
 	for _, d := range directives {
-		if d.Number <= w.executed {
-			continue // sent again, as the monitor does not know yet that it was executed
+		if d.Number <= w.lastExecuted {
+			continue // sent again before the monitor was notified of its execution
 		}
 		w.execute(d)
 		w.mu.Lock()
-		w.executed = d.Number
+		w.lastExecuted = d.Number
 		w.mu.Unlock()
 	}
 	return nil
 }
 
-// collect takes what was not sent yet.
+// collect removes the events and started machines that were not sent yet, and returns an exchange
+// with them.
 func (w *Workers) collect() monitor.Exchange {
 	oldest := w.host.OldestHeartbeat()
 	w.mu.Lock()
-	exchange := monitor.Exchange{Executed: w.executed, Machines: w.events, Oldest: oldest, Addresses: map[protocol.MachineID]server.Listed{}}
-	started := w.started
-	w.events, w.started = nil, nil
+	exchange := monitor.Exchange{Executed: w.lastExecuted, Machines: w.events, Oldest: oldest, Addresses: map[protocol.MachineID]server.Listed{}}
+	started := w.startedMachines
+	w.events, w.startedMachines = nil, nil
 	w.mu.Unlock()
 	for _, id := range started {
 		if listed, ok := w.host.Machine(id); ok {
@@ -117,14 +118,14 @@
 	return exchange
 }
 
-// execute executes a directive.
+// execute executes a directive of the monitor.
 func (w *Workers) execute(d monitor.Directive) {
 	switch d.Kind {
 	case monitor.DirectStart:
 		time.AfterFunc(d.After, func() { w.startMachine(d) })
 	case monitor.DirectKill:
 		w.mu.Lock()
-		w.terminated[d.Machine] = true
+		w.terminatedMachines[d.Machine] = true
 		w.mu.Unlock()
 		w.host.Kill(d.Machine)
 	case monitor.DirectRestart:
@@ -138,13 +139,14 @@
 	}
 }
 
-// startMachine starts a machine that has booted, unless it was terminated meanwhile.
+// startMachine starts a machine at the end of its boot time, unless it was terminated while it
+// booted. It kills the machine if it was terminated during the start.
 func (w *Workers) startMachine(d monitor.Directive) {
 	if w.isTerminated(d.Machine) {
 		return
 	}
 	if err := w.host.Up(d.Machine, d.Type, d.Zone, d.Spot); err != nil {
-		w.log.Error("machine start failed", "machine", d.Machine, "err", err)
+		w.log.Error("failed to start machine", "machine", d.Machine, "err", err)
 		return
 	}
 	if w.isTerminated(d.Machine) {
@@ -156,13 +158,13 @@
 func (w *Workers) isTerminated(id protocol.MachineID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.terminated[id]
+	return w.terminatedMachines[id]
 }
 
-// Report sends the last events to the monitor and returns the process's traffic.
+// Report sends the last events to the monitor and returns the traffic of the process.
 func (w *Workers) Report() process.Report {
 	if err := w.exchange(); err != nil {
-		w.log.Error("last exchange failed", "err", err)
+		w.log.Error("last exchange with monitor failed", "err", err)
 	}
 	return process.Report{Traffic: w.host.Traffic.Flows()}
 }
